--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -76,8 +76,8 @@
 		d.Nodes = nodes
 		r.protocol = chatline.New([]string{d.Routes[0].Name, d.Routes[1].Name})
 	} else {
-		told, err := platform.ReadTold("test", []byte(strings.Replace(told, `"peers_total":1`,
-			fmt.Sprintf(`"peers_total":%d`, nodes), 1)))
+		text := strings.Replace(told, `"peers_total":1`, fmt.Sprintf(`"peers_total":%d`, nodes), 1)
+		told, err := platform.ReadTold("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -359,6 +359,7 @@
 const (
 	retriable    = "retriable"
 	nonRetriable = "non-retriable"
+	deduplicated = "deduplicated" // by engines, for a time; the chat dialect's demo has no such route
 )
 
 // request is the text of an inference.
@@ -370,7 +371,7 @@
 		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Conversation-Id: k%s\r\n"+
 			"X-Give-Up-Ms: 2000\r\n%sContent-Length: %d\r\n\r\n%s", name, name, strings.Join(fields, ""), len(body), body)
 	}
-	route := map[string]string{retriable: "chat", nonRetriable: "alert"}[effect]
+	route := map[string]string{retriable: "chat", nonRetriable: "alert", deduplicated: "label"}[effect]
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":20}`, route, stream)
 	return fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Affinity-Key: k%s\r\nRequest-Timeout: 2.0\r\nRequest-Info: prompt_len=120,max_out=20\r\nX-Other: y\r\n%s"+
@@ -485,6 +486,15 @@
 			r.pass(3 * time.Second)
 		}
 	}},
+	{"deduplicated", func(r *recorder) {
+		r.list("r1", "r2", "w1", "w2")
+		for i, answer := range []string{answerBroken, answerError, answerHalf} {
+			r.requests = map[string]int{}
+			r.strikes("decode", answer)
+			r.ask(fmt.Sprint("a", i), deduplicated, true, "Client-Retry: 1\r\n")
+			r.pass(3 * time.Second)
+		}
+	}},
 	{"timeout", func(r *recorder) {
 		r.list("r1", "w1")
 		r.strikes("prefill", answerSilent, answerSilent, answerSilent, answerSilent)
@@ -591,6 +601,9 @@
 	for _, chat := range []bool{true, false} {
 		for _, s := range goldenSituations {
 			name := goldenName(chat, s.name)
+			if chat && s.name == "deduplicated" {
+				continue
+			}
 			t.Run(name, func(t *testing.T) {
 				r := newRecorder(t, chat, 1)
 				s.play(r)
@@ -611,6 +624,11 @@
 				r.ask(fmt.Sprint("a", i), retriable, true)
 				r.pass(700 * time.Millisecond)
 			}
+			const text = `kept "kb0" "r2" "w2" 120`
+			r.note("peer 1 says %q", text)
+			r.do(func() { r.core.Heard(1, text) })
+			r.ask("b0", retriable, true)
+			r.pass(700 * time.Millisecond)
 			checkGolden(t, name, r.out.String())
 		})
 	}
@@ -619,6 +637,7 @@
 // badRequests are refused. Each has a connection of its own.
 func badRequests(r *recorder) []string {
 	good := r.request("a1", retriable, true)
+	// One that is left as it was is of the other dialect, and served.
 	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	body := func(text string) string {
 		head, _, _ := strings.Cut(good, "Content-Length:")
@@ -669,7 +688,8 @@
 			r.pass(time.Second)
 			r.ask("again", retriable, true) // a name that is known
 			r.pass(time.Second)
-			for _, text := range badRequests(r) {
+			for i, text := range badRequests(r) {
+				text = strings.Replace(text, "Request-Id: a1\r\n", fmt.Sprintf("Request-Id: a%d\r\n", i), 1)
 				r.bytes("a client sends", []byte(text))
 				c := r.client()
 				c.send(text)
