--- /dev/null
+++ b/discover/golden_test.go
@@ -0,0 +1,110 @@
+package discover
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"sandcourse/roster"
+)
+
+// goldenAgent answers the requests that come to it in order, byte for byte, and passes each request on as it came.
+func goldenAgent(t *testing.T, responses []string) (address string, requests chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	requests = make(chan string, 64)
+	next := make(chan string, len(responses))
+	for _, r := range responses {
+		next <- r
+	}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				in := bufio.NewReader(c)
+				var request strings.Builder
+				for {
+					line, err := in.ReadString('\n')
+					if err != nil {
+						return
+					}
+					request.WriteString(line)
+					if line != "\r\n" {
+						continue
+					}
+					requests <- strings.ReplaceAll(request.String(), l.Addr().String(), "ADDRESS")
+					request.Reset()
+					select {
+					case response := <-next:
+						fmt.Fprint(c, response)
+					default: // silent behind the last
+					}
+				}
+			}()
+		}
+	}()
+	return l.Addr().String(), requests
+}
+
+// What goes to discovery over a sequence of its answers, to the byte.
+func TestGoldenRequests(t *testing.T) {
+	whole := func(status, body string) string {
+		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	}
+	const ok = "200 OK"
+	responses := []string{
+		whole("503 Service Unavailable", "not yet"),
+		whole(ok, list(4, false, "a", "SERVING")), // changes before a whole list
+		whole(ok, list(5, true, "a", "SERVING")),
+		whole(ok, list(6, false, "a", "DRAINING")),
+		whole(ok, `{"generation":6,"reset":false,"instances":[]}`),
+		whole(ok, "{"),
+		whole("500 Internal Server Error", ""),
+		whole(ok, list(7, false, "b", "SERVING")),
+		"", // silent until the time is up
+		whole(ok, list(3, false, "a", "DELETED")), // a store that was restored
+		whole(ok, list(3, true, "c", "SERVING")),
+		whole(ok, list(4, false, "c", "DELETED")),
+	}
+	address, requests := goldenAgent(t, responses)
+	at := make(chan string, 1)
+	at <- address
+	ctx, cancel := context.WithCancel(context.Background())
+	over := make(chan struct{})
+	go func() {
+		defer close(over)
+		Agent{At: at}.Run(ctx, func(roster.List) {}, func(error) {})
+	}()
+	var out strings.Builder
+	for i := range len(responses) + 1 {
+		select {
+		case request := <-requests:
+			fmt.Fprintf(&out, "request %d\n", i+1)
+			for line := range strings.SplitAfterSeq(request, "\n") {
+				if line != "" {
+					fmt.Fprintf(&out, "    %q\n", line)
+				}
+			}
+		case <-time.After(10 * time.Second):
+			t.Fatalf("request %d does not come", i+1)
+		}
+		if i < len(responses) {
+			fmt.Fprintf(&out, "response %q\n", responses[i])
+		}
+	}
+	cancel()
+	<-over
+	checkGolden(t, "requests", out.String())
+}
