--- a/edge/export_test.go
+++ b/edge/export_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"time"
 
+	"github.com/prometheus/client_golang/prometheus"
+
 	"sandcourse/brain"
 )
 
@@ -60,3 +62,9 @@
 func (n *Node) DialBy(dial func(ctx context.Context, address string) (net.Conn, error)) {
 	n.dial = dial
 }
+
+// PagesAddr is where metrics are served.
+func (n *Node) PagesAddr() string { return n.pages.Addr().String() }
+
+// Meters are all metrics that are registered, shown or not.
+func (n *Node) Meters() prometheus.Collector { return n.metrics.registry }
