--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -17,6 +17,7 @@
 	"sandcourse/dialect"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/limits"
 	"sandcourse/node"
 	"sandcourse/platform"
 	"sandcourse/roster"
@@ -63,7 +64,7 @@
 	answerSlow   = "slow"
 )
 
-func newRecorder(t *testing.T, chat bool, nodes int) *recorder {
+func newRecorder(t *testing.T, chat bool, nodes int, alter ...func(*settings.Deployment)) *recorder {
 	t.Helper()
 	r := &recorder{t: t, chat: chat, start: 1e15, now: 1e15, requests: map[string]int{}, refused: map[string]bool{},
 		answer: func(string, string, int) string { return answerUsual }}
@@ -86,6 +87,9 @@
 		}
 		r.protocol = platform.New(told.Reports())
 	}
+	for _, f := range alter {
+		f(r.d)
+	}
 	r.core = node.New(r.d, r.protocol, 1, 1, r.now, r, r)
 	return r
 }
@@ -703,3 +707,57 @@
 		})
 	}
 }
+
+// What is refused as a bound of the node is reached.
+func TestGoldenLimits(t *testing.T) {
+	for _, chat := range []bool{true, false} {
+		name := goldenName(chat, "limits")
+		t.Run(name, func(t *testing.T) {
+			r := newRecorder(t, chat, 1, func(d *settings.Deployment) {
+				d.Limits.Conns, d.Limits.Open, d.Limits.Bytes, d.Limits.Retries = 12, 8, 10_000, 0.2
+			})
+			r.note("a request that stops within its head, and one within its body")
+			for _, input := range []limits.Input{limits.HeadBegan, limits.HeadWhole} {
+				c := r.client()
+				r.do(func() { r.core.Reading(c.core, input, 10) })
+				r.pass(100 * time.Millisecond) // connections that are closed at one moment are closed in any order
+			}
+			r.pass(20 * time.Second)
+			r.note("more bytes than may be held")
+			c := r.client()
+			r.do(func() { r.core.Reading(c.core, limits.HeadWhole, 20_000) })
+			r.pass(3 * time.Second)
+			r.note("requests that are sent ahead")
+			r.list("r1", "w1")
+			c = r.client()
+			var ahead strings.Builder
+			for i := range 8 {
+				ahead.WriteString(r.request(fmt.Sprint("a", i), retriable, true))
+			}
+			c.send(ahead.String())
+			r.pass(3 * time.Second)
+			r.note("more connections and requests than may be open")
+			r.list()
+			var row []*goldenClient
+			for i := range 14 {
+				var fields []string
+				if i < 8 {
+					fields = []string{"Authorization: Bearer one\r\n"} // of one party, where the dialect knows parties
+				}
+				row = append(row, r.ask(fmt.Sprint("b", i), retriable, true, fields...))
+			}
+			r.pass(3 * time.Second)
+			for _, c := range row {
+				c.leave()
+			}
+			r.note("clients that try again and again")
+			for i := range 30 {
+				c := r.ask(fmt.Sprint("c", i), retriable, true, "Client-Retry: 1\r\n", "X-Stainless-Retry-Count: 1\r\n")
+				r.pass(10 * time.Millisecond)
+				c.leave()
+			}
+			r.pass(time.Second)
+			checkGolden(t, name, r.out.String())
+		})
+	}
+}
