--- /dev/null
+++ b/plan/golden_test.go
@@ -0,0 +1,240 @@
+package plan
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"go.uber.org/zap"
+
+	"sandcourse/planwire"
+	"sandcourse/roles"
+	"sandcourse/settings"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew; never the store of an earlier version")
+
+// golden compares a text with the one in testdata, to the byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(a), len(b)) {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: differs in its number of lines", path)
+	}
+}
+
+// earlierStore was written by the program as it was at commit 105440a. It is never to be written anew: planners of
+// later versions have to open what an earlier one left.
+const earlierStore = "store-105440a.db"
+
+const storeTerm = 7
+
+func storeContent() roles.Keep {
+	return roles.Keep{Meta: roles.Meta{Number: 41, Stopped: true, Who: "night shift", Why: "a switch is replaced"},
+		Records: []roles.Record{
+			{Engine: "10.0.0.1:8000", Role: "read", Epoch: 3, State: roles.Serving, Since: 1_700_000_000_000_000_000,
+				Began: 1_690_000_000_000_000_000, Life: 5, Pinned: true, Why: "night shift: keep it"},
+			{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, State: roles.Draining, Next: "read", NextEpoch: 5,
+				Since: 1_700_000_001_000_000_000, Life: 6},
+			{Engine: "10.0.0.3:8000", Role: "write", Epoch: 1, State: roles.Serving, Since: 1_700_000_002_000_000_000},
+		}}
+}
+
+// copyStore gives a test a copy of the earlier store.
+func copyStore(t *testing.T) string {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", earlierStore))
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "planner.db")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// A store of an earlier version opens as it is: its term, its orders and all engines come back, and nothing is put aside.
+func TestGoldenEarlierStoreOpens(t *testing.T) {
+	path := copyStore(t)
+	store, kept, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	want := storeContent()
+	if kept.Term != storeTerm || len(kept.Faults) != 0 || !reflect.DeepEqual(kept.Meta, want.Meta) ||
+		!reflect.DeepEqual(kept.Records, want.Records) {
+		meta, _ := json.Marshal(kept.Meta)
+		records, _ := json.Marshal(kept.Records)
+		t.Errorf("term %d, faults %q, meta %s, records %s", kept.Term, kept.Faults, meta, records)
+	}
+	files, err := os.ReadDir(filepath.Dir(path))
+	if err != nil || len(files) != 1 {
+		t.Errorf("beside the store: %v %v", files, err)
+	}
+}
+
+// dump is all that a store's file holds, bucket by bucket, with each value's checksum in hexadecimal digits.
+func dump(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var b strings.Builder
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, in *bbolt.Bucket) error {
+			fmt.Fprintf(&b, "%s\n", bucket)
+			return in.ForEach(func(key, value []byte) error {
+				if len(value) < 8 {
+					return fmt.Errorf("%s: a value of %d bytes", key, len(value))
+				}
+				fmt.Fprintf(&b, "\t%s %x %s\n", key, value[:8], value[8:])
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b.String()
+}
+
+// What is kept now has the bytes that an earlier version wrote, so that one can open it as well.
+func TestGoldenStoreIsWrittenAsBefore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "planner.db")
+	store, _, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := store.SaveTerm(storeTerm); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Save(storeContent()); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+	got := dump(t, path)
+	golden(t, "store.golden", got)
+	if earlier := dump(t, copyStore(t)); got != earlier {
+		t.Errorf("written now:\n%s\nbefore:\n%s", got, earlier)
+	}
+}
+
+// A planner that starts with an earlier store goes on from it: one term later, stopped as it was ordered to be, with each
+// engine's role and epoch, and with the same words for whoever looks.
+func TestGoldenPlannerGoesOnFromEarlierStore(t *testing.T) {
+	d := settings.PlanningDefaults()
+	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
+	p := New(d, zap.NewNop())
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := http.Get("http://" + p.Addr() + "/plan/roles")
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := io.ReadAll(answer.Body)
+	answer.Body.Close()
+	p.Stop()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var shown struct {
+		Term     int64            `json:"term"`
+		Engines  []map[string]any `json:"engines"`
+		Decision struct {
+			Stopped bool `json:"stopped"`
+		} `json:"decision"`
+	}
+	if err := json.Unmarshal(data, &shown); err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "term %d\n", shown.Term)
+	for _, e := range shown.Engines {
+		fmt.Fprintf(&b, "%v %v of epoch %v, pinned %v\n", e["engine"], e["role"], e["epoch"], e["pinned"])
+	}
+	golden(t, "continued.golden", b.String())
+	_, kept, err := Open(d.Store)
+	if err != nil || kept.Term != storeTerm+1 || !reflect.DeepEqual(kept.Meta, storeContent().Meta) {
+		meta, _ := json.Marshal(kept.Meta)
+		t.Errorf("%v: term %d, meta %s", err, kept.Term, meta)
+	}
+}
+
+// What operators are shown has these names and this form; the command line of another version reads it.
+func TestGoldenShown(t *testing.T) {
+	shown := Shown{Term: 8, Number: 42, Deposed: true, Stuck: true, Edges: 3,
+		Engines: []roles.Shown{{Record: storeContent().Records[1], Listed: true, CanChange: true,
+			Said: planwire.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
+				Changing: true, Draining: true, Read: 10.5, Written: 20, Busy: 0.25, Open: 2, Held: 1, Kept: 300,
+				Hot: map[string]float64{"5c0f": 2048, "0a11": 512}},
+			HeardMs: 120, Barred: "it drains", Trouble: "it said nothing"},
+			{Record: storeContent().Records[0], HeardMs: -1}},
+		Decision: roles.Explained{At: 1_700_000_000_000_000_000, Edges: 2, EdgesKnown: 3,
+			Need: map[string]float64{"read": 1.5, "write": 2}, Serve: map[string]float64{"read": 1, "write": 3},
+			Coming: map[string]float64{"read": 1}, Pace: map[string]float64{"read": 9000, "write": 700},
+			Weighed: []roles.Weighed{{To: "read", Gain: 1.5, Usual: 0.5, Mean: 0.75, Left: 60, Cost: 12, For: 5,
+				Engine: "10.0.0.2:8000", Lost: 100, Why: "it pays", Done: true}}, Changing: 1, Stopped: true}}
+	data, err := json.MarshalIndent(shown, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "shown.golden", string(data)+"\n")
+	var back Shown
+	if err := json.Unmarshal(data, &back); err != nil {
+		t.Fatal(err)
+	}
+	shown.Engines[0].Said.Engine = "" // it is not sent
+	if !reflect.DeepEqual(back, shown) {
+		t.Error("what was read back is not what was written")
+	}
+}
+
+// A line of the stream that is sent again later differs only in how long engines have been up.
+func TestGoldenAgedLine(t *testing.T) {
+	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
+		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
+		`"state":"draining"}]}` + "\n"
+	golden(t, "stream.golden", line+string(aged([]byte(line), 49*time.Millisecond))+
+		string(aged([]byte(line), 1250*time.Millisecond)))
+}
