--- /dev/null
+++ b/follow/golden_test.go
@@ -0,0 +1,119 @@
+package follow
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"sandcourse/planwire"
+	"sandcourse/roster"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew")
+
+// golden compares a text with the one in testdata, to the byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(a), len(b)) {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: differs in its number of lines", path)
+	}
+}
+
+// An edge takes a planner's stream and answers with its counts: what it asks for, what it takes from lines with these bytes,
+// and what it posts. A line of an older number, an empty one and unknown fields stand between.
+func TestGoldenEdgeAndPlanner(t *testing.T) {
+	const stream = `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
+		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode","state":"draining"}]}` +
+		"\n\n" + `{"term":8,"number":42,"engines":[]}` + "\n" +
+		`{"term":9,"number":1,"later":true,"engines":[{"engine":"10.0.0.2:8000","kind":"prefill","state":"ready","epoch":4}]}` + "\n"
+	asked, posted := make(chan string, 1), make(chan string, 1)
+	planner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		text := fmt.Sprintf("%s %s\n%s", r.Method, r.URL, body)
+		if err != nil {
+			text = err.Error()
+		}
+		if r.Method == http.MethodPost {
+			if strings.Contains(text, `"term":9`) {
+				select {
+				case posted <- text:
+				default:
+				}
+			}
+			w.WriteHeader(http.StatusNoContent)
+			return
+		}
+		select {
+		case asked <- text:
+		default:
+		}
+		io.WriteString(w, stream)
+		http.NewResponseController(w).Flush()
+		<-r.Context().Done()
+	}))
+	defer planner.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	lists := make(chan roster.List, 16)
+	over := make(chan struct{})
+	go func() {
+		defer close(over)
+		Planner{Addr: strings.TrimPrefix(planner.URL, "http://"), Every: 20 * time.Millisecond, Quiet: time.Minute,
+			Now: func() int64 { return 1_700_000_000_000 },
+			Report: func(context.Context) (planwire.EdgeReport, error) {
+				return planwire.EdgeReport{Edge: "edge0", Life: 9, Routes: []planwire.RouteCount{{Route: "clip-summary",
+					Arrived: 1, Prompt: 2, Began: 3, BegunFor: 4, Ended: 5, Answer: 6, InTime: 7, Shed: 8}}}, nil
+			}}.Run(ctx, func(list roster.List) { lists <- list }, func(err error) { t.Log(err) })
+	}()
+	var b strings.Builder
+	fmt.Fprintln(&b, <-asked)
+	for range 2 {
+		list := <-lists
+		fmt.Fprintln(&b, "list", list.Revision)
+		for _, e := range list.Engines {
+			fmt.Fprintf(&b, "\t%s kind %s zone %q cell %q weight %g state %s epoch %d up since %d\n", e.Engine, e.Kind, e.Zone,
+				e.Cell, e.Weight, e.State, e.Epoch, e.UpSince)
+		}
+	}
+	fmt.Fprintln(&b, <-posted)
+	cancel()
+	<-over
+	golden(t, "edge.golden", b.String())
+	if len(lists) > 0 {
+		t.Errorf("%d lists more were taken", len(lists))
+	}
+}
