--- /dev/null
+++ b/settings/golden_test.go
@@ -0,0 +1,195 @@
+package settings
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"sandcourse/script"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew")
+
+// golden compares a text with the one in testdata, to the byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(a), len(b)) {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: differs in its number of lines", path)
+	}
+}
+
+// sample is a script without a fault, part by part.
+var sample = [][2]string{{"kinds", "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"},
+	{"route", "route(name = \"r\", effect = \"retriable\")\n"}, {"roster", "roster(file = \"roster.json\")\n"}}
+
+// without is the sample with a part left out or another put in its place.
+func without(part, instead string) string {
+	var b strings.Builder
+	for _, p := range sample {
+		if p[0] == part {
+			b.WriteString(instead)
+		} else {
+			b.WriteString(p[1])
+		}
+	}
+	return b.String()
+}
+
+// refusals are all refusals of scripts, each under the script that it is of.
+func refusals[T any](t *testing.T, read func(string, []byte) (T, error), scripts []string) string {
+	t.Helper()
+	var b strings.Builder
+	for _, text := range scripts {
+		_, err := read("s.star", []byte(text))
+		var faults script.Faults
+		if !errors.As(err, &faults) {
+			t.Errorf("%s\nis answered with %v", text, err)
+			continue
+		}
+		shown := strings.TrimRight(text, "\n")
+		if len(shown) > 2000 {
+			shown = fmt.Sprintf("(%d bytes) %s", len(text), shown[:40])
+		}
+		fmt.Fprintf(&b, "%s\n\t| %s\n\n", shown, strings.ReplaceAll(err.Error(), "\n", "\n\t| "))
+	}
+	return b.String()
+}
+
+// Each bad script is refused with these words: the line, the key, what is allowed and what is there.
+func TestGoldenRefusals(t *testing.T) {
+	good := without("", "")
+	if _, err := Read("s.star", []byte(good)); err != nil {
+		t.Fatal(err)
+	}
+	row := []string{"", "(", "nonsense(1)\n", "node(name = 1 / 0)\n", "load(\"x.star\", \"y\")\n", "while True:\n    pass\n",
+		"for i in range(10000000):\n    x = i\n", "def f():\n    node(name = \"\")\nf()\n", strings.Repeat("#", script.MaxBytes+1),
+		without("kinds", ""), without("route", ""), without("roster", ""),
+		without("kinds", "kind(name = \"a\", role = \"read\")\n"), without("kinds", "kind(name = \"b\", role = \"write\")\n"),
+		without("kinds", "kind(name = \"a\", role = \"both\")\nkind(name = \"a\", role = \"cook\", memory = 0)\n"),
+		without("route", "route()\n"), without("route", "route(name = \"r\", effect = \"fragile\")\n"),
+		without("route", "route(name = \"r\", effect = \"retriable\")\nroute(name = \"r\", effect = \"deduped\", dedup_group = \"town\")\n"),
+		without("route", "route(name = \"r\", effect = \"retriable\", first_token_target = \"2s\", route_timeout = \"1s\")\n"),
+		good + "planner(at = \"127.0.0.1:9090\")\n", good + "planner()\n", good + "planner(at = \"nowhere\")\n",
+		good + "engine(at = \"127.0.0.1:1\", kind = \"c\")\n", good + "engine(at = \"x\", kind = \"a\", weight = -1)\n",
+		good + "engine(at = \"127.0.0.1:1\", kind = \"a\")\nengine(at = \"127.0.0.1:1\", kind = \"a\")\n",
+		good + "node(number = 2, nodes = 2)\n", good + "node(number = -1, nodes = 0, zone = 7, name = \"\")\n",
+		good + "rules(pin = \"100ms\")\nlimits(tick = \"50ms\")\n", good + "rules(\"x\")\n", good + "roster(file = \"other.json\")\nroster()\n",
+		good + "listen(chat = 8080, metrics = \"localhost\")\n", good + "listen(colour = \"red\")\n",
+		good + "route(name = \"q\",\n      effect = \"retriable\",\n      value = -1,\n      colour = \"red\",\n      dedup_window = 5)\n" +
+			"limits(open = 1.5,\n       probes = 1)\nlines(dials = 0)\n"}
+	// Each key of each call, once of no type that a key has and once with a text that no key but a name takes.
+	d := Defaults()
+	for _, call := range slices.Sorted(maps.Keys(d.Calls())) {
+		keys, _ := d.Calls()[call]()
+		for _, v := range []string{"[1]", "-1", "\"1e99h\"", "1e99"} {
+			var all []string
+			for _, k := range keys {
+				all = append(all, fmt.Sprintf("%s = %s", k.Name, v))
+			}
+			row = append(row, fmt.Sprintf("%s(%s)\n", call, strings.Join(all, ",\n    ")))
+		}
+	}
+	golden(t, "refusals.golden", refusals(t, Read, row))
+}
+
+// The same for planners' scripts.
+func TestGoldenPlannerRefusals(t *testing.T) {
+	const files, kinds = "planner(store = \"p.db\", roster = \"roster.json\")\n",
+		"kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"
+	if _, err := ReadPlanner("s.star", []byte(files+kinds)); err != nil {
+		t.Fatal(err)
+	}
+	row := []string{"", files, kinds, "planner()\n" + kinds, "planner(listen = \"x\", store = 1, roster = \"\")\n" + kinds,
+		files + kinds + "route(name = \"r\")\n", files + kinds + "planner(file = \"x\")\n",
+		files + kinds + "pair()\n", files + kinds + "pair(read = \"b\", write = \"a\")\n",
+		files + kinds + "pair(read = \"a\", write = \"b\")\npair(read = \"a\", write = \"b\")\n",
+		files + kinds + "value()\n", files + kinds + "value(route = \"r\", value = 0)\n",
+		files + kinds + "changes(speed = 1)\nchanges(\"fast\")\n"}
+	for _, v := range []string{"[1]", "-1", "\"1e99h\"", "1e99"} {
+		var all []string
+		for _, k := range []string{"drain_time", "order_time", "load_time", "trial_time", "cold", "rest", "floor", "share",
+			"per_minute", "drain_grace", "read_pace", "write_pace", "explain_only"} {
+			all = append(all, fmt.Sprintf("%s = %s", k, v))
+		}
+		row = append(row, fmt.Sprintf("%s%schanges(%s)\n", files, kinds, strings.Join(all, ",\n    ")))
+	}
+	golden(t, "planner-refusals.golden", refusals(t, ReadPlanner, row))
+}
+
+// What the decision module is handed for the demo's script, and for one that names all that a script can.
+func TestGoldenFacts(t *testing.T) {
+	const all = `node(name = "edge3", zone = "z2", number = 3, nodes = 5)
+listen(chat = "127.0.0.1:8081", metrics = "127.0.0.1:8082")
+kind(name = "prefill", role = "read", memory = 200000)
+kind(name = "decode", role = "write")
+kind(name = "mixed", role = "both", memory = 1)
+route(name = "r0", effect = "deduped", value = 2.5, first_token_target = "700ms", target_per_1000_tokens = "30ms",
+      route_timeout = "9s", dedup_window = "8s", dedup_group = "cell")
+route(name = "r1", effect = "non-retriable", dedup_window = "0s")
+rules(drain_grace = "300ms", pin = "1600ms", cold = "11s", cold_share = 0.4, fall_multiple = 2, fall_window = "2s")
+limits(sends = 3, probes = False, tick = "4ms", max_retry_after = "2s")
+engine(at = "127.0.0.1:1", kind = "mixed", zone = "z2", cell = "c", weight = 2)
+`
+	var b strings.Builder
+	for _, c := range [][2]string{{"demo.star", Demo}, {"all.star", all},
+		{"no-retry.star", without("", "") + "limits(max_retry_after = \"0s\")\n"}} {
+		d, err := Read(c[0], []byte(c[1]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "%s\n", c[0])
+		facts := d.Facts()
+		for _, name := range slices.Sorted(maps.Keys(facts)) {
+			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
+		}
+	}
+	golden(t, "facts.golden", b.String())
+}
+
+// value is a fact's value as text: a number in full, true or false, or a quoted word.
+func value(t *testing.T, v any) string {
+	t.Helper()
+	switch v := v.(type) {
+	case float64:
+		return strconv.FormatFloat(v, 'f', -1, 64)
+	case bool:
+		return strconv.FormatBool(v)
+	case string:
+		return strconv.Quote(v)
+	}
+	t.Errorf("a fact is neither a number, a word nor true or false: %v", v)
+	return ""
+}
