--- /dev/null
+++ b/cmd/sandcourse/golden_test.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew")
+
+// golden compares a text with the one in testdata, to the byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(a), len(b)) {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: differs in its number of lines", path)
+	}
+}
+
+// What operators' commands ask of a planner, to the byte, and what they print of its answers.
+func TestGoldenRolesCommands(t *testing.T) {
+	shown, err := os.ReadFile(filepath.Join("testdata", "shown.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Setenv("USER", "ops")
+	local := time.Local
+	time.Local = time.UTC
+	defer func() { time.Local = local }()
+	var b strings.Builder
+	planner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		fmt.Fprintf(&b, "%s %s %s\n%s\n", r.Method, r.URL, r.Header.Get("Content-Type"), body)
+		switch {
+		case r.Method == http.MethodGet:
+			w.Write(shown)
+		case strings.Contains(string(body), "10.0.0.9"):
+			http.Error(w, "10.0.0.9:8000: no such engine is known", http.StatusConflict)
+		default:
+			io.WriteString(w, "it is done\n")
+		}
+	}))
+	defer planner.Close()
+	for _, line := range []string{"show", "show --json", "explain", "explain 10.0.0.2:8000", "explain 10.0.0.1:8000",
+		"explain 10.0.0.9:8000", "pin 10.0.0.1:8000 --why hot", "unpin 10.0.0.1:8000 --why cold --who night",
+		"move 10.0.0.2:8000 --why burst --dry-run", "move 10.0.0.9:8000 --why burst", "readmit 10.0.0.2:8000 --why mended",
+		"stop --why switch", "go --why done", "pin 10.0.0.1:8000", "pin --why hot", "stop 10.0.0.1:8000 --why switch"} {
+		fmt.Fprintf(&b, "$ sandcourse roles %s\n", line)
+		c := rolesCommand()
+		c.SilenceUsage, c.SilenceErrors = true, true
+		var out bytes.Buffer
+		c.SetOut(&out)
+		c.SetErr(&out)
+		c.SetArgs(append(strings.Fields(line), "--planner", strings.TrimPrefix(planner.URL, "http://")))
+		err := c.Execute()
+		b.WriteString(out.String())
+		if err != nil {
+			fmt.Fprintf(&b, "fails: %v\n", err)
+		}
+		b.WriteString("\n")
+	}
+	golden(t, "roles.golden", b.String())
+}
+
+// A script's faults are printed as they are, and the exit status is 2; 0 where there is none, and 1 for other errors.
+func TestGoldenCheckExits(t *testing.T) {
+	folder := t.TempDir()
+	binary := filepath.Join(folder, "sandcourse")
+	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	for name, text := range map[string]string{"empty.star": "", "faults.star": "route(name = 1)\nlimits(colour = \"red\")\n",
+		"good.star": "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n" +
+			"route(name = \"r\", effect = \"retriable\")\nroster(file = \"roster.json\")\n"} {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var b strings.Builder
+	for _, line := range []string{"check good.star", "check empty.star", "check faults.star", "check absent.star", "check", "cheque x"} {
+		c := exec.Command(binary, strings.Fields(line)...)
+		c.Dir = folder
+		var out, errs bytes.Buffer
+		c.Stdout, c.Stderr = &out, &errs
+		status := 0
+		var ended *exec.ExitError
+		if err := c.Run(); errors.As(err, &ended) {
+			status = ended.ExitCode()
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "$ sandcourse %s\n%s%sexit %d\n\n", line, out.String(), errs.String(), status)
+	}
+	golden(t, "check.golden", strings.ReplaceAll(b.String(), folder, "FOLDER"))
+}
