--- /dev/null
+++ b/cmd/sandcourse-plan/golden_test.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew")
+
+// golden compares a text with the one in testdata, to the byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(a), len(b)) {
+		var x, y string
+		if i < len(a) {
+			x = a[i]
+		}
+		if i < len(b) {
+			y = b[i]
+		}
+		if x != y {
+			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
+		}
+	}
+	if !t.Failed() {
+		t.Errorf("%s: differs in its number of lines", path)
+	}
+}
+
+// exits runs a command line by line in a folder with these files, and tells what it prints and its exit status.
+func exits(t *testing.T, binary string, files map[string]string, lines []string) string {
+	t.Helper()
+	folder := t.TempDir()
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var b strings.Builder
+	for _, line := range lines {
+		// One that is not refused would run on.
+		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+		c := exec.CommandContext(ctx, binary, strings.Fields(line)...)
+		c.Dir = folder
+		var out, errs bytes.Buffer
+		c.Stdout, c.Stderr = &out, &errs
+		status := 0
+		var ended *exec.ExitError
+		if err := c.Run(); errors.As(err, &ended) {
+			status = ended.ExitCode()
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		cancel()
+		fmt.Fprintf(&b, "$ %s %s\n%s%sexit %d\n\n", filepath.Base(binary), line, out.String(), errs.String(), status)
+	}
+	return b.String()
+}
+
+// A script's faults are printed as they are, and the exit status is 2; 0 where it is only checked and has none, and 1 for
+// other errors.
+func TestGoldenCheckExits(t *testing.T) {
+	binary := filepath.Join(t.TempDir(), "sandcourse-plan")
+	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	sample, err := os.ReadFile("../../settings/planner.star")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "check.golden", exits(t, binary, map[string]string{"sample.star": string(sample), "empty.star": "",
+		"faults.star": "planner(listen = \"x\", store = 1)\nkind(name = \"a\", role = \"cook\")\npair(read = \"a\")\n" +
+			"changes(share = 2,\n        speed = 1)\n", "route.star": "planner()\nroute(name = \"r\")\n"},
+		[]string{"--settings sample.star --check", "--settings empty.star --check", "--settings faults.star --check",
+			"--settings route.star --check", "--settings absent.star --check",
+			"--settings faults.star", "--check", "--colour red"}))
+}
