--- a/plan/golden_test.go
+++ b/plan/golden_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,6 +14,7 @@
 	"testing"
 	"time"
 
+	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.etcd.io/bbolt"
 	"go.uber.org/zap"
 
@@ -238,3 +240,62 @@
 	golden(t, "stream.golden", line+string(aged([]byte(line), 49*time.Millisecond))+
 		string(aged([]byte(line), 1250*time.Millisecond)))
 }
+
+// What a planner answers at each of its paths. Requests stand here as they are sent.
+func TestGoldenAnswers(t *testing.T) {
+	d := settings.PlanningDefaults()
+	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
+	p := New(d, zap.NewNop())
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer p.Stop()
+	ask := func(method, path, body string) (int, string, string) {
+		r, err := http.NewRequest(method, "http://"+p.Addr()+path, strings.NewReader(body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		answer, err := http.DefaultClient.Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer answer.Body.Close()
+		data, err := io.ReadAll(answer.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return answer.StatusCode, answer.Header.Get("Content-Type"), string(data)
+	}
+	var b strings.Builder
+	for _, c := range [][3]string{{"POST", "/plan/report", `{"edge":"edge0","life":9,"term":8,"plan":42,"routes":[{"route":"clip-summary",` +
+		`"arrived":1,"prompt_tokens":2,"began":3,"begun_tokens":4,"ended":5,"answer_tokens":6,"in_time":7,"shed":8}]}`},
+		{"POST", "/plan/report", `{"edge":"edge0","life":9,"term":0,"plan":0,"routes":null}`}, {"POST", "/plan/report", `{"edge":""}`},
+		{"POST", "/plan/report", `{`}, {"GET", "/plan/report", ""}, {"POST", "/plan/roles", ""}, {"POST", "/plan/stream", ""},
+		{"GET", "/plan/other", ""}, {"GET", "/plan/order", ""}, {"POST", "/plan/order", `{"op":"dance","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"pin","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"pin","engine":"10.0.0.9:8000","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"pin","engine":"10.0.0.3:8000","who":"ops","why":"a test","dry":true}`},
+		{"POST", "/plan/order", `{"op":"pin","engine":"10.0.0.3:8000","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"unpin","engine":"10.0.0.3:8000","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"move","engine":"10.0.0.3:8000","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"readmit","engine":"10.0.0.3:8000","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"go","who":"ops","why":"a test"}`},
+		{"POST", "/plan/order", `{"op":"stop","who":"ops","why":"a test"}`}} {
+		status, kind, text := ask(c[0], c[1], c[2])
+		fmt.Fprintf(&b, "%s %s\n%s\n%d %s\n%s\n", c[0], c[1], c[2], status, kind, text)
+	}
+	golden(t, "answers.golden", b.String())
+}
+
+// The planner's metrics by their names, labels and words.
+func TestGoldenMetrics(t *testing.T) {
+	m := newMeters()
+	m.plans.Add(3)
+	m.streams.Set(2)
+	m.engines.WithLabelValues("read", "serving").Set(5)
+	m.engines.WithLabelValues("write", "draining").Set(1)
+	m.need.WithLabelValues("read").Set(1.5)
+	w := httptest.NewRecorder()
+	promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	golden(t, "metrics.golden", w.Body.String())
+}
