--- a/catalog/golden_test.go
+++ b/catalog/golden_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/golden"
 	"sandcourse/roster"
 )
 
@@ -39,5 +40,5 @@
 		fmt.Fprintf(&out, "response %s\n    news %v, left out %q, refused %v\n", response, news, odd, err != nil)
 		say()
 	}
-	checkGolden(t, "queries", out.String())
+	golden.Check(t, "queries.golden", out.String())
 }
--- a/cmd/sandcourse-edge/golden_test.go
+++ b/cmd/sandcourse-edge/golden_test.go
@@ -4,52 +4,16 @@
 	"bytes"
 	"context"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // exits runs a command line by line in a folder with these files, and tells what it prints and its exit status.
 func exits(t *testing.T, binary string, files map[string]string, lines []string) string {
 	t.Helper()
@@ -88,7 +52,7 @@
 	}
 	const config = `{"name":"n","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","settings":{"peers_total":2,"index":5,
  "flavors":["read"],"family_info":{"stage_of_kind":["read"],"pin_limit_us":"long"},"classes":[{"name":"chat","effect":"odd"}]}}`
-	golden(t, "refusals.golden", exits(t, binary, map[string]string{"empty.star": "",
+	golden.Check(t, "refusals.golden", exits(t, binary, map[string]string{"empty.star": "",
 		"faults.star": "route(name = 1)\nlimits(colour = \"red\")\n", "empty.json": "", "cut.json": config[:40],
 		"addresses.json": `{"listen":"x","discovery":"y","limits":{"sockets":1}}`, "settings.json": config},
 		[]string{"", "--settings empty.star", "--settings faults.star", "--settings absent.star", "--config empty.json",
--- a/cmd/sandcourse-plan/golden_test.go
+++ b/cmd/sandcourse-plan/golden_test.go
@@ -4,52 +4,16 @@
 	"bytes"
 	"context"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // exits runs a command line by line in a folder with these files, and tells what it prints and its exit status.
 func exits(t *testing.T, binary string, files map[string]string, lines []string) string {
 	t.Helper()
@@ -91,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "check.golden", exits(t, binary, map[string]string{"sample.star": string(sample), "empty.star": "",
+	golden.Check(t, "check.golden", exits(t, binary, map[string]string{"sample.star": string(sample), "empty.star": "",
 		"faults.star": "planner(listen = \"x\", store = 1)\nkind(name = \"a\", role = \"cook\")\npair(read = \"a\")\n" +
 			"changes(share = 2,\n        speed = 1)\n", "route.star": "planner()\nroute(name = \"r\")\n"},
 		[]string{"--settings sample.star --check", "--settings empty.star --check", "--settings faults.star --check",
--- a/cmd/sandcourse/golden_test.go
+++ b/cmd/sandcourse/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -11,47 +10,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // What operators' commands ask of a planner, to the byte, and what they print of its answers.
 func TestGoldenRolesCommands(t *testing.T) {
 	shown, err := os.ReadFile(filepath.Join("testdata", "shown.json"))
@@ -97,7 +61,7 @@
 		}
 		b.WriteString("\n")
 	}
-	golden(t, "roles.golden", b.String())
+	golden.Check(t, "roles.golden", b.String())
 }
 
 // A script's faults are printed as they are, and the exit status is 2; 0 where there is none, and 1 for other errors.
@@ -129,5 +93,5 @@
 		}
 		fmt.Fprintf(&b, "$ sandcourse %s\n%s%sexit %d\n\n", line, out.String(), errs.String(), status)
 	}
-	golden(t, "check.golden", strings.ReplaceAll(b.String(), folder, "FOLDER"))
+	golden.Check(t, "check.golden", strings.ReplaceAll(b.String(), folder, "FOLDER"))
 }
--- a/discover/golden_test.go
+++ b/discover/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/golden"
 	"sandcourse/roster"
 )
 
@@ -106,5 +107,5 @@
 	}
 	cancel()
 	<-over
-	checkGolden(t, "requests", out.String())
+	golden.Check(t, "requests.golden", out.String())
 }
--- a/edge/golden_test.go
+++ b/edge/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sandcourse/edge"
+	"sandcourse/internal/golden"
 	"sandcourse/settings"
 )
 
@@ -60,7 +61,7 @@
 		row = append(row, fmt.Sprintf("%s labels {%s} constant {%s} help %s\n", m[1], m[4], m[3], m[2]))
 	}
 	slices.Sort(row)
-	checkGolden(t, "metric-names", strings.Join(row, ""))
+	golden.Check(t, "metric-names.golden", strings.Join(row, ""))
 }
 
 // shown are the series that the page of metrics shows, without their values, and its lines on names and types. Clients'
@@ -100,7 +101,7 @@
 			t.Fatalf("not shown within 5 s: what is held, refused and answered:\n%s", got)
 		}
 	}
-	checkGolden(t, "metric-series", got)
+	golden.Check(t, "metric-series.golden", got)
 }
 
 // date is the one field of a head that is not the same each time.
@@ -134,5 +135,5 @@
 			}
 		}
 	}
-	checkGolden(t, "pages", out.String())
+	golden.Check(t, "pages.golden", out.String())
 }
--- a/follow/golden_test.go
+++ b/follow/golden_test.go
@@ -2,57 +2,19 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"sandcourse/internal/golden"
 	"sandcourse/planwire"
 	"sandcourse/roster"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // An edge takes a planner's stream and answers with its counts: what it asks for, what it takes from lines with these bytes,
 // and what it posts. A line of an older number, an empty one and unknown fields stand between.
 func TestGoldenEdgeAndPlanner(t *testing.T) {
@@ -112,7 +74,7 @@
 	fmt.Fprintln(&b, <-posted)
 	cancel()
 	<-over
-	golden(t, "edge.golden", b.String())
+	golden.Check(t, "edge.golden", b.String())
 	if len(lists) > 0 {
 		t.Errorf("%d lists more were taken", len(lists))
 	}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,63 @@
+// Package golden compares what a test has seen with a file in the testdata folder of its package. It is used by tests alone;
+// "go test ./package -update" writes the files anew.
+package golden
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew from what the tests see")
+
+// Check fails the test where got differs, in any byte, from the file of that name in testdata.
+func Check(t testing.TB, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		write(t, path, got)
+		return
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := string(data); got != want {
+		t.Errorf("%s differs from what the test saw:\n%s", path, firstDifference(want, got))
+	}
+}
+
+func write(t testing.TB, path, text string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// firstDifference shows the lines around the first difference: those of the golden file with -, those seen with +.
+func firstDifference(want, got string) string {
+	const before, most = 3, 12
+	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
+	first := 0
+	for first < len(w) && first < len(g) && w[first] == g[first] {
+		first++
+	}
+	var out strings.Builder
+	fmt.Fprintf(&out, "line %d\n", first+1)
+	writeLines(&out, ' ', w[max(0, first-before):first])
+	writeLines(&out, '-', w[first:min(len(w), first+most)])
+	writeLines(&out, '+', g[first:min(len(g), first+most)])
+	return out.String()
+}
+
+func writeLines(out *strings.Builder, sign rune, lines []string) {
+	for _, line := range lines {
+		fmt.Fprintf(out, "%c %s\n", sign, line)
+	}
+}
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -17,6 +17,7 @@
 	"sandcourse/dialect"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/internal/golden"
 	"sandcourse/limits"
 	"sandcourse/node"
 	"sandcourse/platform"
@@ -611,7 +612,7 @@
 			t.Run(name, func(t *testing.T) {
 				r := newRecorder(t, chat, 1)
 				s.play(r)
-				checkGolden(t, name, r.out.String())
+				golden.Check(t, name+".golden", r.out.String())
 			})
 		}
 	}
@@ -633,7 +634,7 @@
 			r.do(func() { r.core.Heard(1, text) })
 			r.ask("b0", retriable, true)
 			r.pass(700 * time.Millisecond)
-			checkGolden(t, name, r.out.String())
+			golden.Check(t, name+".golden", r.out.String())
 		})
 	}
 }
@@ -703,7 +704,7 @@
 			c := r.client()
 			r.do(func() { r.core.RefuseMessage(c.core, errors.New("cut short")) })
 			r.pass(time.Second)
-			checkGolden(t, name, r.out.String())
+			golden.Check(t, name+".golden", r.out.String())
 		})
 	}
 }
@@ -757,7 +758,7 @@
 				c.leave()
 			}
 			r.pass(time.Second)
-			checkGolden(t, name, r.out.String())
+			golden.Check(t, name+".golden", r.out.String())
 		})
 	}
 }
--- a/plan/golden_test.go
+++ b/plan/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -18,47 +17,12 @@
 	"go.etcd.io/bbolt"
 	"go.uber.org/zap"
 
+	"sandcourse/internal/golden"
 	"sandcourse/planwire"
 	"sandcourse/roles"
 	"sandcourse/settings"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew; never the store of an earlier version")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // earlierStore was written by the program as it was at commit 105440a. It is never to be written anew: planners of
 // later versions have to open what an earlier one left.
 const earlierStore = "store-105440a.db"
@@ -155,7 +119,7 @@
 		t.Fatal(err)
 	}
 	got := dump(t, path)
-	golden(t, "store.golden", got)
+	golden.Check(t, "store.golden", got)
 	if earlier := dump(t, copyStore(t)); got != earlier {
 		t.Errorf("written now:\n%s\nbefore:\n%s", got, earlier)
 	}
@@ -195,7 +159,7 @@
 	for _, e := range shown.Engines {
 		fmt.Fprintf(&b, "%v %v of epoch %v, pinned %v\n", e["engine"], e["role"], e["epoch"], e["pinned"])
 	}
-	golden(t, "continued.golden", b.String())
+	golden.Check(t, "continued.golden", b.String())
 	_, kept, err := Open(d.Store)
 	if err != nil || kept.Term != storeTerm+1 || !reflect.DeepEqual(kept.Meta, storeContent().Meta) {
 		meta, _ := json.Marshal(kept.Meta)
@@ -221,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "shown.golden", string(data)+"\n")
+	golden.Check(t, "shown.golden", string(data)+"\n")
 	var back Shown
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
@@ -237,7 +201,7 @@
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
 		`"state":"draining"}]}` + "\n"
-	golden(t, "stream.golden", line+string(aged([]byte(line), 49*time.Millisecond))+
+	golden.Check(t, "stream.golden", line+string(aged([]byte(line), 49*time.Millisecond))+
 		string(aged([]byte(line), 1250*time.Millisecond)))
 }
 
@@ -284,7 +248,7 @@
 		status, kind, text := ask(c[0], c[1], c[2])
 		fmt.Fprintf(&b, "%s %s\n%s\n%d %s\n%s\n", c[0], c[1], c[2], status, kind, text)
 	}
-	golden(t, "answers.golden", b.String())
+	golden.Check(t, "answers.golden", b.String())
 }
 
 // The planner's metrics by their names, labels and words.
@@ -297,5 +261,5 @@
 	m.need.WithLabelValues("read").Set(1.5)
 	w := httptest.NewRecorder()
 	promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-	golden(t, "metrics.golden", w.Body.String())
+	golden.Check(t, "metrics.golden", w.Body.String())
 }
--- a/planwire/golden_test.go
+++ b/planwire/golden_test.go
@@ -2,51 +2,13 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
+	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // reader is how a message of one kind is read, as its value.
 type reader func([]byte) (any, error)
 
@@ -93,12 +55,12 @@
 			t.Errorf("%s: %v: %s is read as %s", c.what, err, data, again)
 		}
 	}
-	golden(t, "messages.golden", b.String())
+	golden.Check(t, "messages.golden", b.String())
 }
 
 // The paths at which messages are taken, and the words that go with them.
 func TestGoldenPaths(t *testing.T) {
-	golden(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
+	golden.Check(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
 		"order " + OrderPath, "role " + RolePath, "trial " + Trial, "read " + Read, "write " + Write,
 		"ops " + strings.Join(Ops, " "), fmt.Sprintf("most bytes of a plan %d, of a report %d", MaxPlan, MaxReport)}, "\n")+"\n")
 }
@@ -132,5 +94,5 @@
 		}
 		fmt.Fprintf(&b, "%.120s\n\t%v\n", c.text, err)
 	}
-	golden(t, "refusals.golden", b.String())
+	golden.Check(t, "refusals.golden", b.String())
 }
--- a/roles/golden_test.go
+++ b/roles/golden_test.go
@@ -2,50 +2,12 @@
 
 import (
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
+	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // The last decision as operators read it, with what arrives and what was weighed.
 func TestGoldenExplained(t *testing.T) {
 	last := Explained{At: 5, Mix: mix{{Route: "clip-summary", Rate: 1.5, Reads: 900, Writes: 120, Value: 1, Lost: 0.25}}, Edges: 2,
@@ -57,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "explained.golden", string(data)+"\n")
+	golden.Check(t, "explained.golden", string(data)+"\n")
 	var back Explained
 	if err := json.Unmarshal(data, &back); err != nil || !reflect.DeepEqual(back, last) {
 		t.Errorf("%v: what was read back is not what was written", err)
@@ -70,5 +32,5 @@
 	for _, s := range []State{Serving, Draining, Ordered, Loading, Trying, Cold, Returning, Aside} {
 		row = append(row, string(s))
 	}
-	golden(t, "states.golden", strings.Join(row, "\n")+"\n")
+	golden.Check(t, "states.golden", strings.Join(row, "\n")+"\n")
 }
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -2,55 +2,17 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
+	"sandcourse/internal/golden"
 	"sandcourse/script"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
-
-// golden compares a text with the one in testdata, to the byte.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(a), len(b)) {
-		var x, y string
-		if i < len(a) {
-			x = a[i]
-		}
-		if i < len(b) {
-			y = b[i]
-		}
-		if x != y {
-			t.Errorf("%s:%d\n- %s\n+ %s", path, i+1, x, y)
-		}
-	}
-	if !t.Failed() {
-		t.Errorf("%s: differs in its number of lines", path)
-	}
-}
-
 // sample is a script without a fault, part by part.
 var sample = [][2]string{{"kinds", "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"},
 	{"route", "route(name = \"r\", effect = \"retriable\")\n"}, {"roster", "roster(file = \"roster.json\")\n"}}
@@ -122,7 +84,7 @@
 			row = append(row, fmt.Sprintf("%s(%s)\n", call, strings.Join(all, ",\n    ")))
 		}
 	}
-	golden(t, "refusals.golden", refusals(t, Read, row))
+	golden.Check(t, "refusals.golden", refusals(t, Read, row))
 }
 
 // The same for planners' scripts.
@@ -146,7 +108,7 @@
 		}
 		row = append(row, fmt.Sprintf("%s%schanges(%s)\n", files, kinds, strings.Join(all, ",\n    ")))
 	}
-	golden(t, "planner-refusals.golden", refusals(t, ReadPlanner, row))
+	golden.Check(t, "planner-refusals.golden", refusals(t, ReadPlanner, row))
 }
 
 // What the decision module is handed for the demo's script, and for one that names all that a script can.
@@ -176,7 +138,7 @@
 			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
 		}
 	}
-	golden(t, "facts.golden", b.String())
+	golden.Check(t, "facts.golden", b.String())
 }
 
 // value is a fact's value as text: a number in full, true or false, or a quoted word.
