--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"slices"
 
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 )
 
 // State is where a send stands.
@@ -60,7 +60,7 @@
 	in      Input
 	next    State
 	ends    bool
-	verdict brain.Verdict
+	verdict routing.Verdict
 	line    Line
 	leaves  bool // a reader may hold a state that nobody has named yet
 }
@@ -75,30 +75,30 @@
 	{from: []State{Flowing}, in: Token, next: Flowing},
 
 	// Never ran. No byte was written:
-	{from: []State{Dialling}, in: NoLine, next: Over, ends: true, verdict: brain.NotConnected, line: Close},
-	{from: []State{Dialling}, in: Reset, next: Over, ends: true, verdict: brain.NotConnected, line: Close},
-	{from: []State{Dialling}, in: Barred, next: Over, ends: true, verdict: brain.NotSent, line: Keep},
-	{from: []State{Dialling}, in: WithdrawnBy, next: Over, ends: true, verdict: brain.NotSent, line: Close},
+	{from: []State{Dialling}, in: NoLine, next: Over, ends: true, verdict: routing.NotConnected, line: Close},
+	{from: []State{Dialling}, in: Reset, next: Over, ends: true, verdict: routing.NotConnected, line: Close},
+	{from: []State{Dialling}, in: Barred, next: Over, ends: true, verdict: routing.NotSent, line: Keep},
+	{from: []State{Dialling}, in: WithdrawnBy, next: Over, ends: true, verdict: routing.NotSent, line: Close},
 	// The length stands before the body, so an engine cannot have begun on a part of it:
-	{from: []State{Writing}, in: Reset, next: Over, ends: true, verdict: brain.NotConnected, line: Close},
-	{from: []State{Writing}, in: WithdrawnBy, next: Over, ends: true, verdict: brain.NotSent, line: Close},
+	{from: []State{Writing}, in: Reset, next: Over, ends: true, verdict: routing.NotConnected, line: Close},
+	{from: []State{Writing}, in: WithdrawnBy, next: Over, ends: true, verdict: routing.NotSent, line: Close},
 	// The engine says so, before any token:
-	{from: []State{Writing, Waiting}, in: Refused, next: Over, ends: true, verdict: brain.Full, line: Keep},
-	{from: []State{Writing, Waiting}, in: NoState, next: Over, ends: true, verdict: brain.Full, line: Keep},
+	{from: []State{Writing, Waiting}, in: Refused, next: Over, ends: true, verdict: routing.Full, line: Keep},
+	{from: []State{Writing, Waiting}, in: NoState, next: Over, ends: true, verdict: routing.Full, line: Keep},
 
 	// Surely ran.
-	{from: []State{Answering}, in: Read, next: Over, ends: true, verdict: brain.ReadDone, line: Keep},
-	{from: []State{Answering, Flowing}, in: Finished, next: Over, ends: true, verdict: brain.Completed, line: Keep},
+	{from: []State{Answering}, in: Read, next: Over, ends: true, verdict: routing.ReadDone, line: Keep},
+	{from: []State{Answering, Flowing}, in: Finished, next: Over, ends: true, verdict: routing.Completed, line: Keep},
 
 	// May have run.
-	{from: []State{Writing, Waiting}, in: Failed, next: Over, ends: true, verdict: brain.EngineError,
+	{from: []State{Writing, Waiting}, in: Failed, next: Over, ends: true, verdict: routing.EngineError,
 		line: Keep, leaves: true},
-	{from: anyOpen, in: Garbled, next: Over, ends: true, verdict: brain.EngineError, line: Close, leaves: true},
+	{from: anyOpen, in: Garbled, next: Over, ends: true, verdict: routing.EngineError, line: Close, leaves: true},
 	{from: []State{Waiting, Answering, Flowing}, in: Reset, next: Over, ends: true,
-		verdict: brain.ConnectionLost, line: Close, leaves: true},
-	{from: []State{Flowing}, in: Silent, next: Over, ends: true, verdict: brain.ConnectionLost, line: Close},
+		verdict: routing.ConnectionLost, line: Close, leaves: true},
+	{from: []State{Flowing}, in: Silent, next: Over, ends: true, verdict: routing.ConnectionLost, line: Close},
 	{from: []State{Waiting, Answering, Flowing}, in: WithdrawnBy, next: Over, ends: true,
-		verdict: brain.Withdrawn, line: Close, leaves: true},
+		verdict: routing.Withdrawn, line: Close, leaves: true},
 }
 
 // Send is the state machine of one send. The zero value has just been asked for.
@@ -110,7 +110,7 @@
 // Result is what an input led to.
 type Result struct {
 	Ends    bool
-	Verdict brain.Verdict
+	Verdict routing.Verdict
 	Gone    bool // the state is gone, on Full
 	Line    Line
 	Leaves  bool // a reader may hold a state for it that must be let go
@@ -126,7 +126,7 @@
 		return Result{}
 	}
 	t := table[i]
-	r := Result{Ends: t.ends, Verdict: t.verdict, Gone: in == NoState && t.verdict == brain.Full, Line: t.line,
+	r := Result{Ends: t.ends, Verdict: t.verdict, Gone: in == NoState && t.verdict == routing.Full, Line: t.line,
 		Leaves: t.leaves, First: t.next == Flowing && s.State != Flowing, Row: i + 1}
 	s.Began = s.Began || r.First
 	s.State = t.next
@@ -143,8 +143,8 @@
 }
 
 // NeverRan is whether an outcome proves that its send never ran.
-func NeverRan(v brain.Verdict) bool {
-	return v == brain.Full || v == brain.NotConnected || v == brain.NotSent
+func NeverRan(v routing.Verdict) bool {
+	return v == routing.Full || v == routing.NotConnected || v == routing.NotSent
 }
 
 // Stalled is whether a stream that was last heard of so long ago, in nanoseconds, counts as stopped.
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -6,11 +6,11 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 )
 
 // neverRan lists what the module takes as proof.
-var neverRan = []brain.Verdict{brain.Full, brain.NotConnected, brain.NotSent}
+var neverRan = []routing.Verdict{routing.Full, routing.NotConnected, routing.NotSent}
 
 // Whatever comes in whatever order: one outcome, and none that says "never ran" once the last byte was out and
 // the engine has not said so itself.
@@ -44,7 +44,7 @@
 			if r.Line == Keep && slices.Contains([]Input{Reset, Silent, Garbled, WithdrawnBy}, in) {
 				t.Fatalf("a line with an unread rest is kept after %v", in)
 			}
-			if r.Verdict == brain.ReadDone && in != Read || r.Verdict == brain.Completed && in != Finished {
+			if r.Verdict == routing.ReadDone && in != Read || r.Verdict == routing.Completed && in != Finished {
 				t.Fatalf("%v is taken as %v", in, r.Verdict)
 			}
 		}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 	"sandcourse/simwire"
 )
 
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out, log io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
-	nodes := map[string]*brain.Brain{} // nil: created once, down now
+	nodes := map[string]*routing.Brain{} // nil: created once, down now
 	for number := 1; ; number++ {
 		line, err := reader.ReadBytes('\n')
 		if err == io.EOF && len(line) == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-func answer(line []byte, nodes map[string]*brain.Brain, note func(string)) ([]byte, error) {
+func answer(line []byte, nodes map[string]*routing.Brain, note func(string)) ([]byte, error) {
 	now, events, err := simwire.Decode(line)
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 		node, created := nodes[ev.Node]
 		switch {
 		case ev.Create != nil:
-			nodes[ev.Node] = brain.New(ev.Create.Seed, ev.Create.Facts)
+			nodes[ev.Node] = routing.New(ev.Create.Seed, ev.Create.Facts)
 		case ev.Unknown != "":
 			note(fmt.Sprintf("event %d: unknown event %q passed over", i, ev.Unknown))
 		case !created:
@@ -64,7 +64,7 @@
 	return json.Marshal(map[string][]simwire.Action{"out": actions})
 }
 
-func step(node *brain.Brain, name string, now int64, in brain.Input) (actions []simwire.Action) {
+func step(node *routing.Brain, name string, now int64, in routing.Input) (actions []simwire.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			actions = []simwire.Action{simwire.Die(name, fmt.Sprint(p))}
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -14,7 +14,7 @@
 
 	"sandcourse/audit"
 	"sandcourse/badday"
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 	"sandcourse/load"
 	"sandcourse/node"
 	"sandcourse/settings"
@@ -301,8 +301,8 @@
 	}
 	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Inferences == 6 })
 	once := true
-	r.edges.Node(0).FailOn(func(in brain.Input) bool {
-		_, news := in.(brain.EngineNews)
+	r.edges.Node(0).FailOn(func(in routing.Input) bool {
+		_, news := in.(routing.EngineNews)
 		fail := once && !news
 		once = once && !fail
 		return fail
--- a/edge/export_test.go
+++ b/edge/export_test.go
@@ -7,16 +7,16 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 )
 
 // Freeze keeps the owner from doing anything for a time, as a loaded machine does.
 func (n *Node) Freeze(d time.Duration) { n.in.put(0, func() { time.Sleep(d) }) }
 
 // FailOn makes the module panic on inputs that fit.
-func (n *Node) FailOn(fits func(brain.Input) bool) {
+func (n *Node) FailOn(fits func(routing.Input) bool) {
 	n.in.put(0, func() {
-		n.fail = func(in brain.Input) {
+		n.fail = func(in routing.Input) {
 			if fits(in) {
 				panic("a fault put in by a test")
 			}
--- a/edge/node.go
+++ b/edge/node.go
@@ -21,10 +21,10 @@
 	dto "github.com/prometheus/client_model/go"
 	"go.uber.org/zap"
 
-	"sandcourse/brain"
 	"sandcourse/chatline"
 	"sandcourse/dialect"
 	"sandcourse/follow"
+	"sandcourse/internal/routing"
 	"sandcourse/node"
 	"sandcourse/planwire"
 	"sandcourse/roster"
@@ -60,8 +60,8 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	over   sync.WaitGroup
-	fail   func(brain.Input) // a test's panic inside the module
-	hold   func(Point)       // a test's stop at a point; set before Start
+	fail   func(routing.Input) // a test's panic inside the module
+	hold   func(Point)         // a test's stop at a point; set before Start
 	dial   func(ctx context.Context, address string) (net.Conn, error)
 	counts map[string]*planwire.RouteCount
 }
--- a/brain/api.go
+++ b/internal/routing/api.go
@@ -1,6 +1,6 @@
 // Package brain decides where inferences are read and written. It knows no wire and no clock: inputs and
 // the time go in through Step, effects come out.
-package brain
+package routing
 
 // Input is one of the types below that say so.
 type Input interface{ isInput() }
--- a/brain/brain.go
+++ b/internal/routing/brain.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 // How to call it: New makes one node's brain from a seed and the deployment's facts; Step takes one input and
 // the time and returns the effects in order. The interface stands in api.go, plain data in state.go; every
--- a/brain/help.go
+++ b/internal/routing/help.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 // Helpers without a decision: facts by name, chance, counting and sorting.
 
--- a/brain/open_test.go
+++ b/internal/routing/open_test.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 import (
 	"fmt"
--- a/brain/state.go
+++ b/internal/routing/state.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 // Brain is all that one node knows. It is not safe for concurrent use.
 type Brain struct {
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/chat"
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/node"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -452,16 +452,16 @@
 // quiet is a node.Watch that hears nothing.
 type quiet struct{}
 
-func (quiet) Around(_ brain.Input, step func())           { step() }
-func (quiet) ModuleFailed(p any, _ brain.Input, _ []byte) { panic(p) }
-func (quiet) Final(node.Final)                            {}
-func (quiet) Shed(node.Shed)                              {}
-func (quiet) Attempt(node.AttemptEnd)                     {}
-func (quiet) Barred(string, guard.Reason)                 {}
-func (quiet) Violated(guard.Violation)                    {}
-func (quiet) Closed(int64, node.CloseReason)              {}
-func (quiet) Connection(string, node.ConnectionEvent)     {}
-func (quiet) First(string, time.Duration, int)            {}
-func (quiet) Refused(string)                              {}
-func (quiet) Released(node.Release)                       {}
-func (quiet) Listed(int64, int, []string)                 {}
+func (quiet) Around(_ routing.Input, step func())           { step() }
+func (quiet) ModuleFailed(p any, _ routing.Input, _ []byte) { panic(p) }
+func (quiet) Final(node.Final)                              {}
+func (quiet) Shed(node.Shed)                                {}
+func (quiet) Attempt(node.AttemptEnd)                       {}
+func (quiet) Barred(string, guard.Reason)                   {}
+func (quiet) Violated(guard.Violation)                      {}
+func (quiet) Closed(int64, node.CloseReason)                {}
+func (quiet) Connection(string, node.ConnectionEvent)       {}
+func (quiet) First(string, time.Duration, int)              {}
+func (quiet) Refused(string)                                {}
+func (quiet) Released(node.Release)                         {}
+func (quiet) Listed(int64, int, []string)                   {}
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -4,11 +4,11 @@
 	"time"
 
 	"sandcourse/attempt"
-	"sandcourse/brain"
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
 	"sandcourse/hold"
+	"sandcourse/internal/routing"
 )
 
 // send is one send of an inference.
@@ -28,13 +28,13 @@
 	kept      float64
 	transfer  dialect.State
 	report    map[string]float64
-	verdict   brain.Verdict
+	verdict   routing.Verdict
 	ended     bool
 	stale     bool // its line had been given up by the other side before it was written to
 	why       string
 }
 
-func (o *Core) send(e brain.Send) {
+func (o *Core) send(e routing.Send) {
 	inf := o.infs[e.Inf]
 	if inf == nil {
 		return
@@ -145,7 +145,7 @@
 	}
 	o.endOfAttempt(s)
 	note := 0.0
-	if r.Verdict == brain.ReadDone {
+	if r.Verdict == routing.ReadDone {
 		note, inf.transfer = s.kept, s.transfer
 	}
 	o.noteOutcome(s, in, r)
@@ -155,15 +155,15 @@
 		o.letGo(inf)
 	}
 	if s.machine.Began {
-		if r.Verdict == brain.Completed {
+		if r.Verdict == routing.Completed {
 			o.finish(inf, completed, "")
 		} else {
 			o.finish(inf, errored, "the stream broke: "+why)
 		}
-	} else if r.Verdict == brain.Completed {
+	} else if r.Verdict == routing.Completed {
 		o.finish(inf, completed, "") // an answer without a token
 	}
-	o.tell(brain.Outcome{Inf: inf.id, Send: s.n, Engine: s.engine, Verdict: r.Verdict, Lag: o.now - s.at,
+	o.tell(routing.Outcome{Inf: inf.id, Send: s.n, Engine: s.engine, Verdict: r.Verdict, Lag: o.now - s.at,
 		Ended: inf.final != "", Note: note, Report: s.report, Stale: s.stale})
 	// What came after the end is let go of here too: a read whose inference nobody waits for.
 	if inf.final != "" {
@@ -194,7 +194,7 @@
 			o.write(inf.client, o.protocol.Open(inf.name))
 		}
 		o.watch.First(o.d.Routes[inf.route].Name, time.Duration(o.now-inf.at), inf.asked.Call.Prompt)
-		o.tell(brain.FirstToken{Inf: inf.id, Send: s.n, Engine: s.engine, Lag: o.now - s.at})
+		o.tell(routing.FirstToken{Inf: inf.id, Send: s.n, Engine: s.engine, Lag: o.now - s.at})
 	}
 	inf.tokens++
 	if inf.whole == nil && inf.final == "" {
--- a/node/control.go
+++ b/node/control.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/hold"
+	"sandcourse/internal/routing"
 )
 
 // controlRequest is what an engine is asked beside attempts: a probe, or the release of a state.
@@ -37,7 +37,7 @@
 	}
 	delete(o.controls, e)
 	if e.hold == nil { // a release is sent again by its hold
-		o.tell(brain.ProbeResult{Engine: e.engine, Verdict: brain.NotSent, Lag: o.now - e.at})
+		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.NotSent, Lag: o.now - e.at})
 	}
 }
 
@@ -53,11 +53,11 @@
 			o.released(e)
 		}
 	case ok:
-		o.tell(brain.ProbeResult{Engine: e.engine, Verdict: brain.Completed, Lag: o.now - e.at,
+		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Completed, Lag: o.now - e.at,
 			Report: o.protocol.Load(head, body)})
 	case head != nil: // it is there, and has no answer now
-		o.tell(brain.ProbeResult{Engine: e.engine, Verdict: brain.Full, Lag: o.now - e.at})
+		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Full, Lag: o.now - e.at})
 	default:
-		o.tell(brain.ProbeResult{Engine: e.engine, Verdict: brain.TimedOut, Lag: o.now - e.at})
+		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.TimedOut, Lag: o.now - e.at})
 	}
 }
--- a/node/core.go
+++ b/node/core.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"sandcourse/attempt"
-	"sandcourse/brain"
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
 	"sandcourse/hold"
+	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -30,9 +30,9 @@
 	// protocol is how clients and engines are met; it may keep nothing of its own that changes.
 	protocol dialect.Dialect
 
-	brain  *brain.Brain
+	brain  *routing.Brain
 	lives  uint64 // of the module: a panic begins a new one
-	inputs []brain.Input
+	inputs []routing.Input
 	busy   bool // inputs are being handed over
 	timers timers
 	armed  int64
@@ -104,7 +104,7 @@
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
 		controls: map[*controlRequest]bool{}, holds: hold.New(hold.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
 			holdsAnOpenCall*d.Limits.Open)), monitor: guard.NewMonitor(guard.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
-	o.brain = brain.New(seed, d.Facts())
+	o.brain = routing.New(seed, d.Facts())
 	return o
 }
 
@@ -117,7 +117,7 @@
 
 func (o *Core) due(t timer) {
 	if t.lives == o.lives {
-		o.tell(brain.TimerDue{Token: t.token})
+		o.tell(routing.TimerDue{Token: t.token})
 	}
 }
 
--- a/node/core_test.go
+++ b/node/core_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/node"
 	"sandcourse/platform"
@@ -27,14 +27,14 @@
 	now   int64
 	dials []*node.Line
 	lines []*socket
-	heard []brain.Input
+	heard []routing.Input
 
 	fails, mayFail bool       // the module, at its next input; and whether that is wanted
 	expected       guard.Rule // the one that this test's world breaks, as where no engine acknowledges a release
 }
 
 func (b *bench) Dial(l *node.Line) { b.dials = append(b.dials, l) }
-func (b *bench) Around(in brain.Input, step func()) {
+func (b *bench) Around(in routing.Input, step func()) {
 	if b.fails {
 		b.fails = false
 		panic("a fault put in by a test")
@@ -42,7 +42,7 @@
 	b.heard = append(b.heard, in)
 	step()
 }
-func (b *bench) ModuleFailed(p any, _ brain.Input, row []byte) {
+func (b *bench) ModuleFailed(p any, _ routing.Input, row []byte) {
 	if !b.mayFail {
 		b.t.Fatalf("%v\n%s", p, row)
 	}
--- a/node/engines.go
+++ b/node/engines.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/conns"
 	"sandcourse/dialect"
+	"sandcourse/internal/routing"
 	"sandcourse/roster"
 )
 
@@ -110,5 +110,5 @@
 // Heard takes a text of another node.
 func (o *Core) Heard(from int, text string) {
 	o.heardAt = o.now
-	o.tell(brain.PeerMessage{From: from, Text: text})
+	o.tell(routing.PeerMessage{From: from, Text: text})
 }
--- a/node/inference.go
+++ b/node/inference.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"sandcourse/attempt"
-	"sandcourse/brain"
 	"sandcourse/dialect"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/settings"
 )
@@ -102,7 +102,7 @@
 	if session == "" {
 		session = inf.name // one of its own: the module must not take strangers for one session
 	}
-	o.tell(brain.Arrival{Inf: inf.id, Route: route, Session: session, Prefix: a.Call.Beginning,
+	o.tell(routing.Arrival{Inf: inf.id, Route: route, Session: session, Prefix: a.Call.Beginning,
 		GiveUpAt: inf.giveUpAt, Prompt: float64(a.Call.Prompt), PrefixTokens: float64(a.Call.BeginningLen),
 		MaxAnswer: float64(a.Call.MaxAnswer), Repeat: a.Call.Repeat, Resumed: a.Call.Resumed})
 	o.forget(inf)
@@ -202,7 +202,7 @@
 // clientLeft ends an inference that nobody waits for.
 func (o *Core) clientLeft(inf *inference) {
 	o.end(inf, left, "")
-	o.tell(brain.ClientGone{Inf: inf.id})
+	o.tell(routing.ClientGone{Inf: inf.id})
 	for _, s := range inf.sends {
 		if !s.ended { // the module does not withdraw streams; one that nobody reads ends by its connection
 			o.happen(s, attempt.WithdrawnBy, "its client left")
@@ -250,7 +250,7 @@
 	o.watch.Final(f)
 }
 
-var verdictNames = map[brain.Verdict]string{brain.Completed: "completed", brain.EngineError: "engine error",
-	brain.Full: "full", brain.TimedOut: "timed out", brain.NotConnected: "not connected",
-	brain.ConnectionLost: "connection lost", brain.Withdrawn: "withdrawn", brain.NotSent: "not sent",
-	brain.ReadDone: "read"}
+var verdictNames = map[routing.Verdict]string{routing.Completed: "completed", routing.EngineError: "engine error",
+	routing.Full: "full", routing.TimedOut: "timed out", routing.NotConnected: "not connected",
+	routing.ConnectionLost: "connection lost", routing.Withdrawn: "withdrawn", routing.NotSent: "not sent",
+	routing.ReadDone: "read"}
--- a/node/module.go
+++ b/node/module.go
@@ -4,12 +4,12 @@
 	"runtime/debug"
 
 	"sandcourse/attempt"
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 )
 
 // tell hands an input to the module and carries out what it decides. Effects may make further inputs, which
 // wait their turn.
-func (o *Core) tell(in brain.Input) {
+func (o *Core) tell(in routing.Input) {
 	o.inputs = append(o.inputs, in)
 	if o.busy {
 		return
@@ -37,7 +37,7 @@
 }
 
 // step is the only place that calls the module. A panic there must not take the node's inferences with it.
-func (o *Core) step(in brain.Input) (effects []brain.Effect, ok bool) {
+func (o *Core) step(in routing.Input) (effects []routing.Effect, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			o.watch.ModuleFailed(p, in, debug.Stack())
@@ -52,7 +52,7 @@
 // list at hand. What was out may have run, so the answers promise nothing.
 func (o *Core) renew() {
 	o.lives++
-	o.brain = brain.New(o.seed+o.lives, o.d.Facts())
+	o.brain = routing.New(o.seed+o.lives, o.d.Facts())
 	if o.list != nil { // before the calls that wait behind those answered now
 		news, _ := o.d.News(*o.list)
 		o.inputs = append(o.inputs, news)
@@ -63,7 +63,7 @@
 		for _, s := range inf.sends {
 			if !s.ended {
 				s.ended = true
-				o.noteOutcome(s, attempt.WithdrawnBy, attempt.Result{Verdict: brain.Withdrawn, Leaves: true})
+				o.noteOutcome(s, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Withdrawn, Leaves: true})
 				if s.line != nil && s.line.send == s {
 					s.line.send = nil
 					o.spoil(s.line)
@@ -77,15 +77,15 @@
 	}
 }
 
-func (o *Core) carryOut(e brain.Effect) {
+func (o *Core) carryOut(e routing.Effect) {
 	switch e := e.(type) {
-	case brain.Send:
+	case routing.Send:
 		o.send(e)
-	case brain.Shed:
+	case routing.Shed:
 		if inf := o.infs[e.Inf]; inf != nil {
 			o.finishShed(inf, e.ComeBack)
 		}
-	case brain.Fail:
+	case routing.Fail:
 		if inf := o.infs[e.Inf]; inf != nil {
 			why := "the answer could not be given"
 			if o.timeUp(inf) {
@@ -93,19 +93,19 @@
 			}
 			o.finish(inf, errored, why)
 		}
-	case brain.Withdraw:
+	case routing.Withdraw:
 		if inf := o.infs[e.Inf]; inf != nil && e.Send < len(inf.sends) {
 			o.happen(inf.sends[e.Send], attempt.WithdrawnBy, "withdrawn")
 		}
-	case brain.Discard:
+	case routing.Discard:
 		if inf := o.infs[e.Inf]; inf != nil {
 			o.letGo(inf)
 		}
-	case brain.ArmTimer:
+	case routing.ArmTimer:
 		o.after(e.In, timer{token: e.Token, lives: o.lives})
-	case brain.Probe:
+	case routing.Probe:
 		o.startControl(&controlRequest{engine: e.Engine})
-	case brain.Tell:
+	case routing.Tell:
 		o.wire.Tell(e.To, e.Text)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -9,9 +9,9 @@
 	"net/http"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/dialect"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/limits"
 )
 
@@ -117,8 +117,8 @@
 
 // Watch is told what happens; nothing hangs on it.
 type Watch interface {
-	Around(in brain.Input, step func()) // runs a step of the module
-	ModuleFailed(p any, in brain.Input, stack []byte)
+	Around(in routing.Input, step func()) // runs a step of the module
+	ModuleFailed(p any, in routing.Input, stack []byte)
 	Final(f Final)
 	Shed(s Shed) // before it was an inference
 	First(route string, after time.Duration, prompt int)
--- a/node/partial_test.go
+++ b/node/partial_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"sandcourse/brain"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/node"
 	"sandcourse/roster"
@@ -164,7 +164,7 @@
 	b.core.LineDialled(line, nil, fmt.Errorf("%w: no descriptor", node.ErrLocal))
 	b.core.Turn(b.now)
 	for _, in := range b.heard {
-		if p, ok := in.(brain.ProbeResult); ok && p.Verdict != brain.NotSent {
+		if p, ok := in.(routing.ProbeResult); ok && p.Verdict != routing.NotSent {
 			t.Errorf("the module is told verdict %d of an engine that was never asked", p.Verdict)
 		}
 	}
--- a/node/release.go
+++ b/node/release.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"sandcourse/attempt"
-	"sandcourse/brain"
 	"sandcourse/hold"
+	"sandcourse/internal/routing"
 )
 
 // holdsAnOpenCall bounds the states that are looked after by the calls that may be open: a call may have read twice, and
@@ -28,7 +28,7 @@
 	switch {
 	case s.writes:
 		o.changeHolds(inf, claimEnded(r.Verdict, cut))
-	case r.Verdict == brain.ReadDone:
+	case r.Verdict == routing.ReadDone:
 		o.addHold(s, hold.ReadDone)
 	case r.Leaves:
 		o.addHold(s, hold.ReadLost)
@@ -46,11 +46,11 @@
 }
 
 // claimEnded is what the outcome of an attempt that may have taken a state says of it.
-func claimEnded(verdict brain.Verdict, cut bool) hold.Input {
+func claimEnded(verdict routing.Verdict, cut bool) hold.Input {
 	switch {
-	case verdict == brain.Completed:
+	case verdict == routing.Completed:
 		return hold.Taken
-	case verdict == brain.NotConnected || verdict == brain.NotSent:
+	case verdict == routing.NotConnected || verdict == routing.NotSent:
 		return hold.AttemptUnsent
 	case cut:
 		return hold.AttemptCut
--- a/node/rules_test.go
+++ b/node/rules_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/brain"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/node"
 	"sandcourse/platform"
 	"sandcourse/roster"
@@ -96,10 +96,10 @@
 	since  int64 // the last time at which an attempt of its request was out
 }
 
-func (w *world) Dial(l *node.Line)                               { w.dialling = append(w.dialling, l) }
-func (w *world) Violated(v guard.Violation)                      { w.t.Fatalf("the monitor: %+v", v) }
-func (w *world) Around(_ brain.Input, step func())               { step() }
-func (w *world) ModuleFailed(p any, _ brain.Input, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
+func (w *world) Dial(l *node.Line)                                 { w.dialling = append(w.dialling, l) }
+func (w *world) Violated(v guard.Violation)                        { w.t.Fatalf("the monitor: %+v", v) }
+func (w *world) Around(_ routing.Input, step func())               { step() }
+func (w *world) ModuleFailed(p any, _ routing.Input, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
 
 func (c *caller) Send(data []byte) error { c.out.Write(data); return nil }
 func (c *caller) Drained() bool          { return true }
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -18,12 +18,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/brain"
 	"sandcourse/chat"
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/internal/routing"
 	"sandcourse/node"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -377,8 +377,8 @@
 // watch learns the names of inferences, and nothing else.
 type watch struct{ s *sim }
 
-func (w watch) Around(_ brain.Input, step func()) { step() }
-func (w watch) ModuleFailed(p any, in brain.Input, _ []byte) {
+func (w watch) Around(_ routing.Input, step func()) { step() }
+func (w watch) ModuleFailed(p any, in routing.Input, _ []byte) {
 	w.s.say("P12 the module fails on %T: %v", in, p)
 }
 func (w watch) Final(node.Final)        {}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/brain"
+	"sandcourse/internal/routing"
 	"sandcourse/roster"
 	"sandcourse/script"
 )
@@ -87,7 +87,7 @@
 			e.Zone = 0
 		}
 	}
-	want := []brain.EngineEntry{{Engine: "a:1", Kind: 0, Weight: 2, UpSince: 7e6, Ready: true},
+	want := []routing.EngineEntry{{Engine: "a:1", Kind: 0, Weight: 2, UpSince: 7e6, Ready: true},
 		{Engine: "b:1", Kind: 1, Zone: 0, Drains: true}}
 	if len(unknown) != 1 || unknown[0] != "c:1" || len(news.Engines) != 2 || news.Engines[0] != want[0] ||
 		news.Engines[1] != want[1] || !news.Whole {
--- a/simwire/wire.go
+++ b/simwire/wire.go
@@ -7,14 +7,14 @@
 	"errors"
 	"fmt"
 
-	"sandcourse/brain"
 	"sandcourse/facts"
+	"sandcourse/internal/routing"
 )
 
 // Event is one event of a batch. Exactly one of Input, Create and Down is set; an unknown event sets Unknown.
 type Event struct {
 	Node    string
-	Input   brain.Input
+	Input   routing.Input
 	Create  *Create
 	Down    bool
 	Unknown string
@@ -68,9 +68,9 @@
 	Engine    string  `json:"engine"`
 }
 
-var verdicts = map[string]brain.Verdict{
-	"S": brain.Completed, "E": brain.EngineError, "F": brain.Full, "T": brain.TimedOut, "C": brain.NotConnected,
-	"R": brain.ConnectionLost, "X": brain.Withdrawn, "N": brain.NotSent, "READ": brain.ReadDone,
+var verdicts = map[string]routing.Verdict{
+	"S": routing.Completed, "E": routing.EngineError, "F": routing.Full, "T": routing.TimedOut, "C": routing.NotConnected,
+	"R": routing.ConnectionLost, "X": routing.Withdrawn, "N": routing.NotSent, "READ": routing.ReadDone,
 }
 
 // needed names the fields without which an event makes no sense.
@@ -140,32 +140,32 @@
 	case "down":
 		ev.Down = true
 	case "endpoints":
-		news := brain.EngineNews{Whole: r.Form == 1 || r.Form == 2, Failed: r.Form == 3}
+		news := routing.EngineNews{Whole: r.Form == 1 || r.Form == 2, Failed: r.Form == 3}
 		for _, n := range r.Nodes {
-			news.Engines = append(news.Engines, brain.EngineEntry{Engine: n.Engine, Weight: n.Power, Zone: n.Site,
+			news.Engines = append(news.Engines, routing.EngineEntry{Engine: n.Engine, Weight: n.Power, Zone: n.Site,
 				Cell: n.Cohort, Kind: n.Sku, UpSince: n.UpSince * 1000,
 				Ready: n.Lifecycle == 1, Drains: n.Lifecycle == 2, Out: n.Lifecycle != 1 && n.Lifecycle != 2})
 		}
 		ev.Input = news
 	case "req":
-		ev.Input = brain.Arrival{Inf: r.Call, Route: r.Qos, Session: r.Session, Prefix: r.Prefix,
+		ev.Input = routing.Arrival{Inf: r.Call, Route: r.Qos, Session: r.Session, Prefix: r.Prefix,
 			GiveUpAt: r.GiveUpAt * 1000, Prompt: r.InputLen, PrefixTokens: r.PrefixLen, MaxAnswer: r.NMax,
 			Repeat: r.Bitmap&2 != 0, Resumed: r.Bitmap&16 != 0}
 	case "expired":
-		ev.Input = brain.ClientGone{Inf: r.Call}
+		ev.Input = routing.ClientGone{Inf: r.Call}
 	case "response":
-		ev.Input = brain.Outcome{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Verdict: verdict,
+		ev.Input = routing.Outcome{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Verdict: verdict,
 			Lag: r.Lag * 1000, Ended: r.Ended, Note: r.Note, Report: facts.Report(r.Telemetry)}
 	case "flowing":
-		ev.Input = brain.FirstToken{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Lag: r.Lag * 1000}
+		ev.Input = routing.FirstToken{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Lag: r.Lag * 1000}
 	case "ring":
-		ev.Input = brain.TimerDue{Token: r.Ctx}
+		ev.Input = routing.TimerDue{Token: r.Ctx}
 	case "ping_result":
-		ev.Input = brain.ProbeResult{Engine: r.Engine, Verdict: verdict, Lag: r.Lag * 1000, Report: facts.Report(r.Telemetry)}
+		ev.Input = routing.ProbeResult{Engine: r.Engine, Verdict: verdict, Lag: r.Lag * 1000, Report: facts.Report(r.Telemetry)}
 	case "peer_data":
-		ev.Input = brain.PeerMessage{From: r.Author, Text: r.Content}
+		ev.Input = routing.PeerMessage{From: r.Author, Text: r.Content}
 	case "reserved":
-		ev.Input = brain.PlaceNews{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Held: r.What == 1}
+		ev.Input = routing.PlaceNews{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Held: r.What == 1}
 	}
 	return ev, nil
 }
@@ -191,32 +191,32 @@
 func Die(node, why string) Action { return Action{T: "die", I: node, Body: &why} }
 
 // Encode turns an effect of a node into an action.
-func Encode(node string, effect brain.Effect) Action {
+func Encode(node string, effect routing.Effect) Action {
 	switch e := effect.(type) {
-	case brain.Send:
+	case routing.Send:
 		return Action{T: "transmit", I: node, Call: &e.Inf, Engine: e.Engine, TryFor: micros(e.Patience)}
-	case brain.Shed:
+	case routing.Shed:
 		return Action{T: "refuse", I: node, Call: &e.Inf, ComeBack: micros(e.ComeBack)}
-	case brain.Fail:
+	case routing.Fail:
 		return Action{T: "surrender", I: node, Call: &e.Inf}
-	case brain.Withdraw:
+	case routing.Withdraw:
 		return Action{T: "recall", I: node, Call: &e.Inf, SeqNo: &e.Send}
-	case brain.Discard:
+	case routing.Discard:
 		return Action{T: "discard", I: node, Call: &e.Inf}
-	case brain.ArmTimer:
+	case routing.ArmTimer:
 		in := micros(e.In)
 		return Action{T: "arm", I: node, Ctx: &e.Token, In: &in}
-	case brain.Move:
+	case routing.Move:
 		return Action{T: "shift", I: node, Call: &e.Inf}
-	case brain.Probe:
+	case routing.Probe:
 		return Action{T: "check", I: node, Engine: e.Engine}
-	case brain.Tell:
+	case routing.Tell:
 		a := Action{T: "tell", I: node, Content: e.Text}
 		if e.To >= 0 {
 			a.Dest = &e.To
 		}
 		return a
-	case brain.Watch:
+	case routing.Watch:
 		want := true
 		return Action{T: "subscribe", I: node, Want: &want}
 	}
