--- a/badday/fleet.go
+++ b/badday/fleet.go
@@ -15,7 +15,7 @@
 
 	"sandcourse/audit"
 	"sandcourse/edge"
-	"sandcourse/node"
+	"sandcourse/internal/router"
 	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
@@ -219,7 +219,7 @@
 }
 
 // Holding adds up what all edges hold.
-func (es *Edges) Holding(ctx context.Context) (sum node.Holding) {
+func (es *Edges) Holding(ctx context.Context) (sum router.Holding) {
 	es.mu.Lock()
 	nodes := slices.Clone(es.nodes)
 	es.mu.Unlock()
--- a/edge/back.go
+++ b/edge/back.go
@@ -11,8 +11,8 @@
 
 	"sandcourse/chat"
 	"sandcourse/framing"
+	"sandcourse/internal/router"
 	"sandcourse/netfault"
-	"sandcourse/node"
 )
 
 // Bounds of what an engine may answer.
@@ -26,7 +26,7 @@
 // link is one connection to an engine: the poller's part, and the socket that the core sees.
 type link struct {
 	n       *Node
-	core    *node.Line
+	core    *router.Line
 	conn    *nbio.Conn
 	cutter  *framing.Cutter
 	events  *chat.Decoder // of the stream under way; nil where the answer is whole
@@ -56,7 +56,7 @@
 // Dial connects a line, within the settings' time. The socket library's own dial takes an IPv4 address for
 // 0.0.0.0, which reaches nothing but 127.0.0.1, and tells a refused connection as one that is there; so the
 // standard library dials, and the connection is handed over.
-func (n *Node) Dial(core *node.Line) {
+func (n *Node) Dial(core *router.Line) {
 	failed := func(err error) { n.in.put(0, func() { n.core.LineDialled(core, nil, err) }) }
 	n.over.Go(func() {
 		conn, err := n.connect(core.Host)
@@ -69,7 +69,7 @@
 		conn.SetSession(l)
 		n.connOpened()
 		if _, err = n.back.AddConn(conn); err != nil {
-			failed(errors.Join(node.ErrLocal, err))
+			failed(errors.Join(router.ErrLocal, err))
 			return
 		}
 		n.in.put(0, func() { n.core.LineDialled(core, l, nil) })
@@ -94,7 +94,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.Join(node.ErrLocal, err)
+			return nil, errors.Join(router.ErrLocal, err)
 		case <-time.After(pause):
 		}
 	}
@@ -182,7 +182,7 @@
 				}
 			}
 			head := p.Answer
-			var tokens node.Relay
+			var tokens router.Relay
 			if l.relay != nil {
 				tokens = l.relay
 			}
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -14,9 +14,9 @@
 
 	"sandcourse/audit"
 	"sandcourse/badday"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/load"
-	"sandcourse/node"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -94,7 +94,7 @@
 // judge waits until nothing is held any more and then asks the auditor.
 func (r *rig) judge() {
 	r.t.Helper()
-	var h node.Holding
+	var h router.Holding
 	held := 0
 	defer func() {
 		if r.t.Failed() {
--- a/edge/front.go
+++ b/edge/front.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 
 	"sandcourse/framing"
+	"sandcourse/internal/router"
 	"sandcourse/limits"
-	"sandcourse/node"
 )
 
 // client is one connection of a client. Its poller reads and parses requests, the owner answers them and
@@ -22,7 +22,7 @@
 type client struct {
 	node *Node
 	conn *nbio.Conn
-	core *node.Client
+	core *router.Client
 
 	mu      sync.Mutex // held while bytes are read and parsed, and while the owner decides on a close
 	cutter  *framing.Cutter
@@ -127,7 +127,7 @@
 	n.frontBarrier.wait(conn)
 	c := &client{node: n, conn: conn,
 		cutter: framing.New(framing.Requests, framing.Bounds{Head: n.d.Head, Body: n.d.Body})}
-	c.core = &node.Client{ID: n.ids.Add(1), Socket: c}
+	c.core = &router.Client{ID: n.ids.Add(1), Socket: c}
 	conn.SetSession(c)
 	n.room.come()
 	n.connOpened()
@@ -275,8 +275,8 @@
 	}}
 }
 
-func (n *Node) readCall(r *http.Request, body []byte) *node.Asked {
-	a := &node.Asked{Request: r, Bytes: len(body)}
+func (n *Node) readCall(r *http.Request, body []byte) *router.Asked {
+	a := &router.Asked{Request: r, Bytes: len(body)}
 	a.Call, a.Party, a.Wrong = n.protocol.Parse(r, body)
 	return a
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sandcourse/guard"
-	"sandcourse/node"
+	"sandcourse/internal/router"
 )
 
 // meters are the node's metrics.
@@ -68,7 +68,7 @@
 	return m
 }
 
-func (m *meters) see(h node.Holding) {
+func (m *meters) see(h router.Holding) {
 	for what, v := range map[string]int{"clients": h.Clients, "inferences": h.Inferences, "bytes": h.Bytes,
 		"lines": h.Lines, "states": h.Held} {
 		m.holding.WithLabelValues(what).Set(float64(v))
--- a/edge/node.go
+++ b/edge/node.go
@@ -24,8 +24,8 @@
 	"sandcourse/chatline"
 	"sandcourse/dialect"
 	"sandcourse/follow"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/node"
 	"sandcourse/planwire"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -43,7 +43,7 @@
 	opened  atomic.Int64 // see connOpened
 
 	in       *inbox
-	core     *node.Core
+	core     *router.Core
 	protocol dialect.Dialect
 	peers    *peers // nil where nodes tell one another nothing
 	room     *room  // for clients' connections
@@ -91,7 +91,7 @@
 		n.source = follow.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
 	}
 	n.counts = map[string]*planwire.RouteCount{}
-	n.core = node.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
+	n.core = router.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
 	return n
 }
 
@@ -206,8 +206,8 @@
 func (n *Node) Addr() string { return n.chat.Addr().String() }
 
 // Look asks the owner what it holds.
-func (n *Node) Look(ctx context.Context) (h node.Holding, err error) {
-	got := make(chan node.Holding, 1)
+func (n *Node) Look(ctx context.Context) (h router.Holding, err error) {
+	got := make(chan router.Holding, 1)
 	n.in.put(0, func() { got <- n.core.Holding() })
 	select {
 	case h = <-got:
@@ -290,7 +290,7 @@
 	defer cancel()
 	var err error
 	for err == nil {
-		var h node.Holding
+		var h router.Holding
 		if h, err = n.Look(ctx); err == nil && h.Inferences == 0 && h.Controls == 0 && !h.Stays {
 			break
 		}
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -4,7 +4,7 @@
 	"sync"
 	"sync/atomic"
 
-	"sandcourse/node"
+	"sandcourse/internal/router"
 )
 
 // relay passes the tokens of one stream straight from the engine's poller to the client's socket, once the
@@ -15,7 +15,7 @@
 	frame  func(event []byte) []byte
 	mu     sync.Mutex
 	queued int // tokens on their way through the owner
-	to     node.ClientSocket
+	to     router.ClientSocket
 	shut   bool
 	passed atomic.Int64
 	last   atomic.Int64 // when a token last passed, by the node's clock
@@ -39,7 +39,7 @@
 }
 
 // Took notes that the owner has passed one on; once none is queued, those that follow go straight to c.
-func (r *relay) Took(c node.ClientSocket, flush func()) {
+func (r *relay) Took(c router.ClientSocket, flush func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.queued--; r.queued == 0 && !r.shut && c != nil {
--- a/edge/watch.go
+++ b/edge/watch.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/node"
 )
 
 // watch writes what the core tells to the log and to the metrics.
@@ -30,7 +30,7 @@
 		zap.ByteString("stack", stack))
 }
 
-func (w watch) Final(f node.Final) {
+func (w watch) Final(f router.Final) {
 	w.n.metrics.finals.WithLabelValues(f.Route, f.Final).Inc()
 	c := w.n.count(f.Route)
 	c.Arrived++
@@ -54,7 +54,7 @@
 	w.n.log.Info(f.Final, fields...)
 }
 
-func (w watch) Shed(s node.Shed) {
+func (w watch) Shed(s router.Shed) {
 	w.n.metrics.finals.WithLabelValues(s.Route, "shed").Inc()
 	c := w.n.count(s.Route)
 	c.Arrived, c.Prompt, c.Shed = c.Arrived+1, c.Prompt+float64(s.Prompt), c.Shed+1
@@ -69,7 +69,7 @@
 	return "prefill"
 }
 
-func (w watch) Attempt(a node.AttemptEnd) {
+func (w watch) Attempt(a router.AttemptEnd) {
 	w.n.metrics.attempts.WithLabelValues(stage(a.Decode), a.Verdict).Inc()
 	if a.Why == "" {
 		return // it ended well
@@ -89,12 +89,12 @@
 	w.n.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.How))
 }
 
-func (w watch) Closed(client int64, why node.CloseReason) {
+func (w watch) Closed(client int64, why router.CloseReason) {
 	w.n.metrics.closes.WithLabelValues(string(why)).Inc()
 	w.n.log.Debug("client's connection closed", zap.Int64("client", client), zap.String("why", string(why)))
 }
 
-func (w watch) Connection(engine string, what node.ConnectionEvent) {
+func (w watch) Connection(engine string, what router.ConnectionEvent) {
 	w.n.metrics.connections.WithLabelValues(string(what)).Inc()
 	w.n.log.Debug("connection to an engine", zap.String("engine", engine), zap.String("what", string(what)))
 }
@@ -111,7 +111,7 @@
 
 func (w watch) Refused(why string) { w.n.metrics.refused.WithLabelValues(why).Inc() }
 
-func (w watch) Released(how node.Release) { w.n.metrics.releases.WithLabelValues(string(how)).Inc() }
+func (w watch) Released(how router.Release) { w.n.metrics.releases.WithLabelValues(string(how)).Inc() }
 
 func (w watch) Listed(revision int64, engines int, unknown []string) {
 	w.n.metrics.engines.Set(float64(engines))
--- a/node/core_test.go
+++ b/internal/router/core_test.go
@@ -1,4 +1,4 @@
-package node_test
+package router_test
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"time"
 
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
-	"sandcourse/node"
 	"sandcourse/platform"
 	"sandcourse/roster"
 )
@@ -23,9 +23,9 @@
 type bench struct {
 	ignoredEvents
 	t     *testing.T
-	core  *node.Core
+	core  *router.Core
 	now   int64
-	dials []*node.Line
+	dials []*router.Line
 	lines []*socket
 	heard []routing.Input
 
@@ -33,7 +33,7 @@
 	expected       guard.Rule // the one that this test's world breaks, as where no engine acknowledges a release
 }
 
-func (b *bench) Dial(l *node.Line) { b.dials = append(b.dials, l) }
+func (b *bench) Dial(l *router.Line) { b.dials = append(b.dials, l) }
 func (b *bench) Around(in routing.Input, step func()) {
 	if b.fails {
 		b.fails = false
@@ -51,17 +51,17 @@
 // ignoredEvents are what a core tells that no test here looks at.
 type ignoredEvents struct{}
 
-func (ignoredEvents) Tell(int, string)                        {}
-func (ignoredEvents) Final(node.Final)                        {}
-func (ignoredEvents) Shed(node.Shed)                          {}
-func (ignoredEvents) Attempt(node.AttemptEnd)                 {}
-func (ignoredEvents) Barred(string, guard.Reason)             {}
-func (ignoredEvents) Closed(int64, node.CloseReason)          {}
-func (ignoredEvents) Connection(string, node.ConnectionEvent) {}
-func (ignoredEvents) First(string, time.Duration, int)        {}
-func (ignoredEvents) Refused(string)                          {}
-func (ignoredEvents) Released(node.Release)                   {}
-func (ignoredEvents) Listed(int64, int, []string)             {}
+func (ignoredEvents) Tell(int, string)                          {}
+func (ignoredEvents) Final(router.Final)                        {}
+func (ignoredEvents) Shed(router.Shed)                          {}
+func (ignoredEvents) Attempt(router.AttemptEnd)                 {}
+func (ignoredEvents) Barred(string, guard.Reason)               {}
+func (ignoredEvents) Closed(int64, router.CloseReason)          {}
+func (ignoredEvents) Connection(string, router.ConnectionEvent) {}
+func (ignoredEvents) First(string, time.Duration, int)          {}
+func (ignoredEvents) Refused(string)                            {}
+func (ignoredEvents) Released(router.Release)                   {}
+func (ignoredEvents) Listed(int64, int, []string)               {}
 
 // Violated is a fault in any test.
 func (b *bench) Violated(v guard.Violation) {
@@ -72,7 +72,7 @@
 
 // socket is a connection to an engine.
 type socket struct {
-	line  *node.Line
+	line  *router.Line
 	wrote bytes.Buffer
 	shut  bool
 }
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, now: 1e15}
-	b.core = node.New(d, platform.New(told.Reports()), 1, 1, b.now, b, b)
+	b.core = router.New(d, platform.New(told.Reports()), 1, 1, b.now, b, b)
 	b.list("r", "w")
 	return b
 }
@@ -158,10 +158,10 @@
 var clients int64
 
 // ask is a client's request; its inference waits for a line to a reader then.
-func (b *bench) ask(name, route string, more ...string) (*node.Client, *screen) {
+func (b *bench) ask(name, route string, more ...string) (*router.Client, *screen) {
 	clients++
 	out := &screen{}
-	c := &node.Client{ID: clients, Socket: out}
+	c := &router.Client{ID: clients, Socket: out}
 	b.core.Begin(b.now)
 	b.core.ClientOpened(c)
 	b.asked(c, name, route, more...)
@@ -256,7 +256,7 @@
 }
 
 // asked is one more request on a client's connection.
-func (b *bench) asked(c *node.Client, name, route string, more ...string) {
+func (b *bench) asked(c *router.Client, name, route string, more ...string) {
 	b.t.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Affinity-Key: k%s\r\nRequest-Timeout: 3.0\r\n%sContent-Length: 2\r\n\r\n{}", name, route, name, strings.Join(more, ""))
@@ -264,7 +264,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	a := &node.Asked{Request: r, Bytes: 2}
+	a := &router.Asked{Request: r, Bytes: 2}
 	a.Call, a.Party, a.Wrong = platform.New(nil).Parse(r, []byte("{}"))
 	b.core.Begin(b.now)
 	b.core.Ask(c, a)
@@ -318,7 +318,7 @@
 	}
 	b = newBench(t)
 	out := &screen{}
-	c := &node.Client{ID: 1 << 40, Socket: out}
+	c := &router.Client{ID: 1 << 40, Socket: out}
 	b.core.Begin(b.now)
 	b.core.ClientOpened(c)
 	b.core.Reading(c, limits.HeadWhole, 64<<20)
@@ -495,7 +495,7 @@
 }
 
 // writeOut is a core with an inference whose write has been sent and not answered.
-func writeOut(t *testing.T, route string) (*bench, *node.Client, *socket) {
+func writeOut(t *testing.T, route string) (*bench, *router.Client, *socket) {
 	b := newBench(t)
 	c, _ := b.ask("a1", route)
 	b.held(b.connect())
--- a/node/export_test.go
+++ b/internal/router/export_test.go
@@ -1,4 +1,4 @@
-package node
+package router
 
 import "fmt"
 
--- a/node/golden_test.go
+++ b/internal/router/golden_test.go
@@ -1,4 +1,4 @@
-package node_test
+package router_test
 
 import (
 	"bytes"
@@ -17,9 +17,9 @@
 	"sandcourse/framing"
 	"sandcourse/guard"
 	"sandcourse/internal/golden"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
-	"sandcourse/node"
 	"sandcourse/platform"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -30,7 +30,7 @@
 type recorder struct {
 	ignoredEvents
 	t        *testing.T
-	core     *node.Core
+	core     *router.Core
 	d        *settings.Deployment
 	protocol dialect.Dialect
 	chat     bool // the chat dialect; else the platform's
@@ -91,7 +91,7 @@
 	for _, f := range alter {
 		f(r.d)
 	}
-	r.core = node.New(r.d, r.protocol, 1, 1, r.now, r, r)
+	r.core = router.New(r.d, r.protocol, 1, 1, r.now, r, r)
 	return r
 }
 
@@ -113,7 +113,7 @@
 func (r *recorder) Violated(v guard.Violation)                      { r.t.Errorf("rule broken: %+v", v) }
 func (r *recorder) Tell(to int, text string)                        { r.bytes(fmt.Sprintf("to peer %d", to), []byte(text)) }
 
-func (r *recorder) Dial(l *node.Line) {
+func (r *recorder) Dial(l *router.Line) {
 	r.conns++
 	number := r.conns
 	r.note("dial %s at %s: connection %d", l.Engine, l.Host, number)
@@ -163,7 +163,7 @@
 // goldenEngine is the engine's end of a connection.
 type goldenEngine struct {
 	r      *recorder
-	line   *node.Line
+	line   *router.Line
 	number int
 	shut   bool
 }
@@ -293,7 +293,7 @@
 // goldenClient is a connection of a client; its bytes are cut as the program cuts them.
 type goldenClient struct {
 	r      *recorder
-	core   *node.Client
+	core   *router.Client
 	cutter *framing.Cutter
 	head   *http.Request
 	body   []byte
@@ -322,7 +322,7 @@
 func (r *recorder) client() *goldenClient {
 	r.clients++
 	c := &goldenClient{r: r, cutter: framing.New(framing.Requests, framing.Bounds{Head: 2048, Body: 4096})}
-	c.core = &node.Client{ID: r.clients, Socket: c}
+	c.core = &router.Client{ID: r.clients, Socket: c}
 	r.do(func() { r.core.ClientOpened(c.core) })
 	return c
 }
@@ -349,7 +349,7 @@
 			case framing.Body:
 				c.body = append(c.body, p.Data...)
 			case framing.End:
-				a := &node.Asked{Request: c.head, Bytes: len(c.body)}
+				a := &router.Asked{Request: c.head, Bytes: len(c.body)}
 				a.Call, a.Party, a.Wrong = c.r.protocol.Parse(c.head, c.body)
 				core.Ask(c.core, a)
 			}
--- a/node/main_test.go
+++ b/internal/router/main_test.go
@@ -1,4 +1,4 @@
-package node_test
+package router_test
 
 import (
 	"flag"
--- a/node/node.go
+++ b/internal/router/node.go
@@ -1,7 +1,7 @@
 // Package node is one node without its sockets: it hands what happens to the decision module, to attempt,
 // conns and limits, and turns what they decide into bytes for clients and engines. It does no I/O: sockets,
 // clock and logs are behind interfaces, and the edge and the explorer drive the same code.
-package node
+package router
 
 import (
 	"container/heap"
--- a/node/partial_test.go
+++ b/internal/router/partial_test.go
@@ -1,4 +1,4 @@
-package node_test
+package router_test
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"time"
 
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
-	"sandcourse/node"
 	"sandcourse/roster"
 )
 
@@ -53,7 +53,7 @@
 	var row []*screen
 	for i, held := range []int{64 << 20, 1000, 1000} {
 		out := &screen{}
-		c := &node.Client{ID: int64(1<<40 + i), Socket: out}
+		c := &router.Client{ID: int64(1<<40 + i), Socket: out}
 		b.core.Begin(b.now)
 		b.core.ClientOpened(c)
 		b.core.Reading(c, limits.HeadWhole, held)
@@ -161,7 +161,7 @@
 	line := b.dials[0]
 	b.dials = b.dials[1:]
 	b.core.Begin(b.now)
-	b.core.LineDialled(line, nil, fmt.Errorf("%w: no descriptor", node.ErrLocal))
+	b.core.LineDialled(line, nil, fmt.Errorf("%w: no descriptor", router.ErrLocal))
 	b.core.Turn(b.now)
 	for _, in := range b.heard {
 		if p, ok := in.(routing.ProbeResult); ok && p.Verdict != routing.NotSent {
--- a/node/rules_test.go
+++ b/internal/router/rules_test.go
@@ -1,4 +1,4 @@
-package node_test
+package router_test
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/node"
 	"sandcourse/platform"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -34,10 +34,10 @@
 	ignoredEvents
 	t        *rapid.T
 	d        *settings.Deployment
-	core     *node.Core
+	core     *router.Core
 	now      int64
 	callers  []*caller
-	dialling []*node.Line
+	dialling []*router.Line
 	conns    []*engineConn
 	list     map[string]roster.Entry
 	toldAt   map[string]int64 // when an engine was told to drain or to be gone
@@ -51,7 +51,7 @@
 // caller is one client with one request.
 type caller struct {
 	world    *world
-	client   *node.Client
+	client   *router.Client
 	name     string
 	route    settings.Route
 	giveUpAt int64
@@ -80,7 +80,7 @@
 // engineConn is one connection to an engine and what it has to answer.
 type engineConn struct {
 	world   *world
-	line    *node.Line
+	line    *router.Line
 	closed  bool
 	caller  *caller
 	post    *post
@@ -96,7 +96,7 @@
 	since  int64 // the last time at which an attempt of its request was out
 }
 
-func (w *world) Dial(l *node.Line)                                 { w.dialling = append(w.dialling, l) }
+func (w *world) Dial(l *router.Line)                               { w.dialling = append(w.dialling, l) }
 func (w *world) Violated(v guard.Violation)                        { w.t.Fatalf("the monitor: %+v", v) }
 func (w *world) Around(_ routing.Input, step func())               { step() }
 func (w *world) ModuleFailed(p any, _ routing.Input, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
@@ -310,7 +310,7 @@
 	route := rapid.SampledFrom(w.d.Routes).Draw(w.t, "class")
 	wait := time.Duration(rapid.IntRange(100, 4000).Draw(w.t, "wait in ms")) * time.Millisecond
 	c := &caller{world: w, name: fmt.Sprintf("q%d", len(w.callers)), route: route, giveUpAt: w.now + int64(wait)}
-	c.client = &node.Client{ID: int64(len(w.callers) + 1), Socket: c}
+	c.client = &router.Client{ID: int64(len(w.callers) + 1), Socket: c}
 	retry := rapid.SampledFrom([]string{"", "", "Client-Retry: 1\r\n", "Client-Retry: again\r\n"}).Draw(w.t, "retry")
 	c.resumes = strings.Contains(retry, "again")
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nAffinity-Key: k%d\r\n"+
@@ -320,7 +320,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	a := &node.Asked{Request: r, Bytes: 2}
+	a := &router.Asked{Request: r, Bytes: 2}
 	a.Call, a.Party, a.Wrong = platform.New(nil).Parse(r, []byte("{}"))
 	w.callers = append(w.callers, c)
 	w.do(func() { w.core.ClientOpened(c.client); w.core.Ask(c.client, a) })
@@ -482,7 +482,7 @@
 	if w.d, err = told.Deployment("settings"); err != nil {
 		t.Fatal(err)
 	}
-	w.core = node.New(w.d, platform.New(told.Reports()), 1, 1, w.now, w, w)
+	w.core = router.New(w.d, platform.New(told.Reports()), 1, 1, w.now, w, w)
 	for i, kind := range []string{"p", "p", "d", "d", "m"}[:rapid.IntRange(3, 5).Draw(t, "engines")] {
 		id := fmt.Sprint("s", i)
 		w.list[id] = roster.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -18,8 +18,8 @@
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/node"
 	"sandcourse/roster"
 	"sandcourse/settings"
 )
@@ -31,9 +31,9 @@
 type edge struct {
 	w     *world
 	n     int
-	core  *node.Core
+	core  *router.Core
 	wake  int64 // when its next turn is set for, 0 for none
-	later []func(o *node.Core)
+	later []func(o *router.Core)
 	in    bool
 
 	clients int64
@@ -42,7 +42,7 @@
 // line is one connection to an engine.
 type line struct {
 	id     int64
-	core   *node.Line
+	core   *router.Line
 	node   *edge
 	box    *box
 	closed bool
@@ -63,7 +63,7 @@
 	firstAt int64 // its first token
 	try     int
 	node    *edge
-	core    *node.Client
+	core    *router.Client
 	out     []byte
 	began   bool
 	ended   bool
@@ -96,7 +96,7 @@
 		mine := *d
 		mine.Me, mine.Node = i, fmt.Sprint("n", i)
 		e := &edge{w: w, n: i}
-		e.core = node.New(&mine, chatline.New(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
+		e.core = router.New(&mine, chatline.New(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
 		w.nodes = append(w.nodes, e)
 	}
 	w.publish()
@@ -125,12 +125,12 @@
 		if w.list > 1 {
 			late = 400*time.Millisecond + time.Duration(w.rng.IntN(200))*time.Millisecond
 		}
-		w.after(late, func() { e.do(func(o *node.Core) { o.TakeList(list) }) })
+		w.after(late, func() { e.do(func(o *router.Core) { o.TakeList(list) }) })
 	}
 }
 
 // do hands an event to the core and sets its next turn. What the event itself leads to waits its turn.
-func (e *edge) do(event func(o *node.Core)) {
+func (e *edge) do(event func(o *router.Core)) {
 	e.later = append(e.later, event)
 	if e.in {
 		return
@@ -149,7 +149,7 @@
 		e.w.at(due, func() {
 			if e.wake == due {
 				e.wake = 0
-				e.do(func(*node.Core) {})
+				e.do(func(*router.Core) {})
 			}
 		})
 	}
@@ -159,17 +159,17 @@
 func (e *edge) Tell(int, string) {}
 
 // Dial is node.Wire's.
-func (e *edge) Dial(core *node.Line) {
+func (e *edge) Dial(core *router.Line) {
 	b := e.w.byName[core.Engine]
 	if b == nil || !b.up {
 		e.w.after(way, func() {
-			e.do(func(o *node.Core) { o.LineDialled(core, nil, errors.New("refused")) })
+			e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("refused")) })
 		})
 		return
 	}
 	if b.silent {
 		e.w.after(250*time.Millisecond, func() {
-			e.do(func(o *node.Core) { o.LineDialled(core, nil, errors.New("no answer")) })
+			e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("no answer")) })
 		})
 		return
 	}
@@ -178,10 +178,10 @@
 	b.lines[l] = true
 	e.w.after(way, func() {
 		if !l.closed {
-			e.do(func(o *node.Core) { o.LineDialled(core, l, nil) })
+			e.do(func(o *router.Core) { o.LineDialled(core, l, nil) })
 			return
 		}
-		e.do(func(o *node.Core) { o.LineDialled(core, nil, errors.New("reset")) })
+		e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("reset")) })
 	})
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	l.Close()
-	l.node.w.after(way, func() { l.node.do(func(o *node.Core) { o.LineBroken(l.core) }) })
+	l.node.w.after(way, func() { l.node.do(func(o *router.Core) { o.LineBroken(l.core) }) })
 }
 
 // Write is node.LineSocket's.
@@ -343,7 +343,7 @@
 	w.asks[a.id] = a
 	a.node, a.at, a.out, a.began, a.ended = e, w.now, nil, false, false
 	e.clients++
-	c := &node.Client{ID: e.clients}
+	c := &router.Client{ID: e.clients}
 	c.Socket = &client{a: a, c: c}
 	a.core = c
 	request, err := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
@@ -354,16 +354,16 @@
 		BeginningLen: int(w.d.Shared),
 		MaxAnswer:    int(a.answer) + 1, Stream: true, Request: a.id, GiveUp: r.Timeout, Retry: a.try}
 	w.after(way, func() {
-		e.do(func(o *node.Core) {
+		e.do(func(o *router.Core) {
 			o.ClientOpened(c)
-			o.Ask(c, &node.Asked{Request: request, Call: chatline.Call(call), Bytes: 4 * int(a.prompt), Party: a.session})
+			o.Ask(c, &router.Asked{Request: request, Call: chatline.Call(call), Bytes: 4 * int(a.prompt), Party: a.session})
 		})
 	})
 	try := a.try
 	w.after(r.Timeout, func() {
 		if !a.ended && !a.began && a.try == try {
 			a.end("left")
-			e.do(func(o *node.Core) { o.ClientGone(c) })
+			e.do(func(o *router.Core) { o.ClientGone(c) })
 		}
 	})
 }
@@ -371,7 +371,7 @@
 // client is a client's end of its connection.
 type client struct {
 	a *ask
-	c *node.Client
+	c *router.Client
 }
 
 // Send is node.ClientSocket's: what reaches the client.
@@ -428,7 +428,7 @@
 	w.res.Wasted += a.read
 	a.read = 0
 	c, e := a.core, a.node
-	w.after(way, func() { e.do(func(o *node.Core) { o.ClientGone(c) }) })
+	w.after(way, func() { e.do(func(o *router.Core) { o.ClientGone(c) }) })
 	if final == "completed" {
 		// In time is by the client's first try: a retry's patience began there.
 		if time.Duration(a.firstAt-a.first) <= r.Target {
@@ -454,14 +454,14 @@
 
 func (quiet) Around(_ routing.Input, step func())           { step() }
 func (quiet) ModuleFailed(p any, _ routing.Input, _ []byte) { panic(p) }
-func (quiet) Final(node.Final)                              {}
-func (quiet) Shed(node.Shed)                                {}
-func (quiet) Attempt(node.AttemptEnd)                       {}
+func (quiet) Final(router.Final)                            {}
+func (quiet) Shed(router.Shed)                              {}
+func (quiet) Attempt(router.AttemptEnd)                     {}
 func (quiet) Barred(string, guard.Reason)                   {}
 func (quiet) Violated(guard.Violation)                      {}
-func (quiet) Closed(int64, node.CloseReason)                {}
-func (quiet) Connection(string, node.ConnectionEvent)       {}
+func (quiet) Closed(int64, router.CloseReason)              {}
+func (quiet) Connection(string, router.ConnectionEvent)     {}
 func (quiet) First(string, time.Duration, int)              {}
 func (quiet) Refused(string)                                {}
-func (quiet) Released(node.Release)                         {}
+func (quiet) Released(router.Release)                       {}
 func (quiet) Listed(int64, int, []string)                   {}
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sandcourse/engine"
-	"sandcourse/node"
+	"sandcourse/internal/router"
 )
 
 // box is one engine.
@@ -317,16 +317,16 @@
 				}
 				h := b.report()
 				h.Set("Content-Type", "text/event-stream")
-				j.l.node.do(func(o *node.Core) { o.LineHead(j.l.core, head(http.StatusOK, h), nil) })
+				j.l.node.do(func(o *router.Core) { o.LineHead(j.l.core, head(http.StatusOK, h), nil) })
 			}
-			j.l.node.do(func(o *node.Core) { o.LineEvent(j.l.core, []byte(`{"choices":[]}`)) })
+			j.l.node.do(func(o *router.Core) { o.LineEvent(j.l.core, []byte(`{"choices":[]}`)) })
 			if given += part; given < int(j.ask.answer) {
 				b.stream(j, given, done)
 				return
 			}
 			if !j.over {
 				j.over, j.l.job = true, nil
-				j.l.node.do(func(o *node.Core) {
+				j.l.node.do(func(o *router.Core) {
 					o.LineEvent(j.l.core, []byte("[DONE]"))
 					if !j.l.closed {
 						o.LineEnd(j.l.core, nil, true)
@@ -344,7 +344,7 @@
 		return
 	}
 	j.over, j.l.job = true, nil
-	j.l.node.do(func(o *node.Core) {
+	j.l.node.do(func(o *router.Core) {
 		o.LineHead(j.l.core, h, nil)
 		if !j.l.closed {
 			o.LineEnd(j.l.core, body, true)
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -23,8 +23,8 @@
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/guard"
+	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/node"
 	"sandcourse/roster"
 	"sandcourse/settings"
 )
@@ -73,7 +73,7 @@
 }
 
 type simLine struct {
-	core   *node.Line
+	core   *router.Line
 	open   bool
 	closed bool
 	rest   bool // bytes of an answer that is over are unread
@@ -93,7 +93,7 @@
 
 type simClient struct {
 	sim    *sim
-	core   *node.Client
+	core   *router.Client
 	n      int
 	effect string
 	out    []byte
@@ -114,7 +114,7 @@
 	w       World
 	d       *settings.Deployment
 	now     int64
-	core    *node.Core
+	core    *router.Core
 	clients []*simClient
 	lines   []*simLine
 	held    []held
@@ -190,7 +190,7 @@
 func (s *sim) join(effect string) *simClient {
 	c := &simClient{sim: s, n: s.joined, effect: effect}
 	s.joined++
-	c.core = &node.Client{ID: int64(s.joined), Socket: c}
+	c.core = &router.Client{ID: int64(s.joined), Socket: c}
 	s.clients = append(s.clients, c)
 	s.do(func() { s.core.ClientOpened(c.core) })
 	return c
@@ -202,7 +202,7 @@
 // begin starts a life of the node.
 func (s *sim) begin() {
 	s.life++
-	s.core = node.New(s.d, protocol, uint64(s.life+16*s.node), int64(s.life), s.now, s, watch{s})
+	s.core = router.New(s.d, protocol, uint64(s.life+16*s.node), int64(s.life), s.now, s, watch{s})
 }
 
 // kill ends the node outright and starts it anew with its last list. What it held is its clients' loss and
@@ -248,7 +248,7 @@
 
 func (s *sim) Tell(int, string) {}
 
-func (s *sim) Dial(l *node.Line) { s.lines = append(s.lines, &simLine{core: l, sim: s}) }
+func (s *sim) Dial(l *router.Line) { s.lines = append(s.lines, &simLine{core: l, sim: s}) }
 
 func (l *simLine) Write(data []byte) error {
 	s := l.sim
@@ -381,9 +381,9 @@
 func (w watch) ModuleFailed(p any, in routing.Input, _ []byte) {
 	w.s.say("P12 the module fails on %T: %v", in, p)
 }
-func (w watch) Final(node.Final)        {}
-func (w watch) Shed(node.Shed)          {}
-func (w watch) Attempt(node.AttemptEnd) {}
+func (w watch) Final(router.Final)        {}
+func (w watch) Shed(router.Shed)          {}
+func (w watch) Attempt(router.AttemptEnd) {}
 
 // Barred: the module must never ask for what would be a second run, or for two attempts at once.
 func (w watch) Barred(request string, why guard.Reason) {
@@ -397,13 +397,13 @@
 func (w watch) Violated(v guard.Violation) {
 	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.How)
 }
-func (w watch) Closed(int64, node.CloseReason)          {}
-func (w watch) Connection(string, node.ConnectionEvent) {}
+func (w watch) Closed(int64, router.CloseReason)          {}
+func (w watch) Connection(string, router.ConnectionEvent) {}
 
 func (w watch) First(string, time.Duration, int) {}
 func (w watch) Refused(why string)               { w.s.say("P12 refused: %s", why) }
-func (w watch) Released(how node.Release) {
-	if how == node.ReleaseOverdue {
+func (w watch) Released(how router.Release) {
+	if how == router.ReleaseOverdue {
 		w.s.say("P5 the module keeps a state until the node lets go of it")
 	}
 }
@@ -663,7 +663,7 @@
 	s.asks[s.life]++
 	c.name = fmt.Sprintf("%s-%x-%d", s.d.Node, s.life, s.asks[s.life])
 	before := s.core.Holding().Inferences
-	s.do(func() { s.core.Ask(c.core, &node.Asked{Request: r, Call: chatline.Call(call), Bytes: len(body)}) })
+	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatline.Call(call), Bytes: len(body)}) })
 	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderInference) { // refused before it was an inference
 		s.asks[s.life]--
 		c.name = ""
