--- a/chatline/chatline.go
+++ b/chatline/chatline.go
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/attempt"
 	"sandcourse/chat"
 	"sandcourse/dialect"
 	"sandcourse/engine"
+	"sandcourse/internal/attempt"
 )
 
 // Dialect is the chat API's.
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"sandcourse/attempt"
+	"sandcourse/internal/attempt"
 )
 
 // Call is one inference as its client asks for it, whatever the protocol.
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"strconv"
 
-	"sandcourse/attempt"
 	"sandcourse/chat"
+	"sandcourse/internal/attempt"
 )
 
 // Paths and headers. Those that begin with X-Sandcourse or /sandcourse are extensions.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"sandcourse/attempt"
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
 	"sandcourse/hold"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 )
 
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"sandcourse/attempt"
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
 	"sandcourse/hold"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/roster"
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"sandcourse/attempt"
+	"sandcourse/internal/attempt"
 )
 
 // Digest writes all that later events may hang on: the module's state, what is open, lines by what they carry
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"sandcourse/attempt"
 	"sandcourse/dialect"
 	"sandcourse/guard"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/settings"
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"sandcourse/attempt"
 	"sandcourse/conns"
 	"sandcourse/guard"
 	"sandcourse/hold"
+	"sandcourse/internal/attempt"
 )
 
 // spareLines are for control requests alone, at each engine: while all other lines read, states must still be let go
--- a/internal/router/module.go
+++ b/internal/router/module.go
@@ -3,7 +3,7 @@
 import (
 	"runtime/debug"
 
-	"sandcourse/attempt"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 )
 
--- a/internal/router/monitor.go
+++ b/internal/router/monitor.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/attempt"
+	"sandcourse/internal/attempt"
 )
 
 // checkHeldEvery is how often the monitor looks at what is held: a violation is not told sooner for being looked for more.
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"sandcourse/attempt"
 	"sandcourse/hold"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 )
 
--- a/prove/explore.go
+++ b/prove/explore.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"sandcourse/attempt"
 	"sandcourse/conns"
+	"sandcourse/internal/attempt"
 	"sandcourse/internal/routing"
 	"sandcourse/roles"
 	"sandcourse/settings"
