--- a/hold/hold.go
+++ b/internal/reservation/hold.go
@@ -6,7 +6,7 @@
 // An acknowledgement alone proves nothing while an attempt may still have a claim on the state: an engine lets go only
 // of what no attempt waits for, and the connection on which a node gave an attempt up may be seen to close after the
 // release has arrived. So releases are repeated for as long as such an attempt, or a read that was given up, may live.
-package hold
+package reservation
 
 import (
 	"cmp"
--- a/hold/hold_test.go
+++ b/internal/reservation/hold_test.go
@@ -1,4 +1,4 @@
-package hold
+package reservation
 
 import (
 	"flag"
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -6,8 +6,8 @@
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
-	"sandcourse/hold"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
 
@@ -189,7 +189,7 @@
 	if first {
 		inf.began, inf.firstAt = true, o.now
 		o.monitor.Began(inf.id)
-		o.changeHolds(inf, hold.Taken)
+		o.changeHolds(inf, reservation.Taken)
 		if inf.whole == nil && inf.final == "" {
 			o.write(inf.client, o.protocol.Open(inf.name))
 		}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -4,16 +4,16 @@
 	"net/http"
 	"time"
 
-	"sandcourse/hold"
+	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
 
 // controlRequest is what an engine is asked beside attempts: a probe, or the release of a state.
 type controlRequest struct {
 	engine string
-	hold   *hold.Hold // to be released; nil for a probe
-	round  int        // of the hold's releases
-	fresh  bool       // it is to go on a connection of its own
+	hold   *reservation.Hold // to be released; nil for a probe
+	round  int               // of the hold's releases
+	fresh  bool              // it is to go on a connection of its own
 	at     int64
 	head   *http.Response
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -10,8 +10,8 @@
 	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/guard"
-	"sandcourse/hold"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/roster"
@@ -54,7 +54,7 @@
 	dirty    []*Client
 	lines    map[int64]*Line
 	controls map[*controlRequest]bool
-	holds    *hold.Table
+	holds    *reservation.Table
 	monitor  *guard.Monitor
 	infs     map[int64]*inference
 	byName   map[string]*inference // the same, by what engines know them by
@@ -102,7 +102,7 @@
 		gate: limits.New(d.Limits), again: limits.NewRetries(d.Limits.Retries), pool: conns.New(conns.Bounds{PerEngine: d.Lines.PerEngine,
 			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
-		controls: map[*controlRequest]bool{}, holds: hold.New(hold.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
+		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
 			holdsAnOpenCall*d.Limits.Open)), monitor: guard.NewMonitor(guard.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
 	o.brain = routing.New(seed, d.Facts())
 	return o
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -7,8 +7,8 @@
 
 	"sandcourse/conns"
 	"sandcourse/guard"
-	"sandcourse/hold"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/reservation"
 )
 
 // spareLines are for control requests alone, at each engine: while all other lines read, states must still be let go
@@ -120,7 +120,7 @@
 		s.wroteAt = o.now
 		o.monitor.Written(s.inf.id, s.n, s.writes, o.now, o.told[l.Engine], o.toldTime(s.inf))
 		if s.writes {
-			o.changeHolds(s.inf, hold.AttemptSent)
+			o.changeHolds(s.inf, reservation.AttemptSent)
 		}
 	}
 	l.wroteAt = o.now
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"sandcourse/hold"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
 
@@ -29,14 +29,14 @@
 	case s.writes:
 		o.changeHolds(inf, claimEnded(r.Verdict, cut))
 	case r.Verdict == routing.ReadDone:
-		o.addHold(s, hold.ReadDone)
+		o.addHold(s, reservation.ReadDone)
 	case r.Leaves:
-		o.addHold(s, hold.ReadLost)
+		o.addHold(s, reservation.ReadLost)
 	}
 }
 
-func (o *Core) addHold(s *send, in hold.Input) {
-	id := hold.ID{Request: s.inf.name, Attempt: s.n}
+func (o *Core) addHold(s *send, in reservation.Input) {
+	id := reservation.ID{Request: s.inf.name, Attempt: s.n}
 	h := o.holds.Add(id, s.engine, in, o.now, max(s.wroteAt, o.sinceWhen()), s.inf.cutUntil)
 	if h == nil {
 		o.watch.Released(ReleaseNoRoom)
@@ -46,16 +46,16 @@
 }
 
 // claimEnded is what the outcome of an attempt that may have taken a state says of it.
-func claimEnded(verdict routing.Verdict, cut bool) hold.Input {
+func claimEnded(verdict routing.Verdict, cut bool) reservation.Input {
 	switch {
 	case verdict == routing.Completed:
-		return hold.Taken
+		return reservation.Taken
 	case verdict == routing.NotConnected || verdict == routing.NotSent:
-		return hold.AttemptUnsent
+		return reservation.AttemptUnsent
 	case cut:
-		return hold.AttemptCut
+		return reservation.AttemptCut
 	}
-	return hold.AttemptRefused
+	return reservation.AttemptRefused
 }
 
 // sinceWhen is the earliest time at which what is handed over now may have happened.
@@ -67,32 +67,32 @@
 }
 
 // letGo has all states released that engines hold for an inference.
-func (o *Core) letGo(inf *inference) { o.changeHolds(inf, hold.Unwanted) }
+func (o *Core) letGo(inf *inference) { o.changeHolds(inf, reservation.Unwanted) }
 
-func (o *Core) changeHolds(inf *inference, in hold.Input) {
+func (o *Core) changeHolds(inf *inference, in reservation.Input) {
 	for _, h := range o.holds.Attempt(inf.name, in, o.now, o.sinceWhen(), inf.cutUntil) {
 		o.release(h)
 	}
 }
 
 // release does what a hold asks for, if its time has come.
-func (o *Core) release(h *hold.Hold) {
+func (o *Core) release(h *reservation.Hold) {
 	do, kept := o.holds.Run(h, o.now)
 	switch kept {
-	case hold.Held:
+	case reservation.Held:
 		o.watch.Released(ReleaseOverdue)
-	case hold.Claimed:
+	case reservation.Claimed:
 		o.watch.Released(ReleaseUnconfirmed)
 	}
 	switch do {
-	case hold.Release:
+	case reservation.Release:
 		o.sendReleases(h)
-	case hold.Abandon:
+	case reservation.Abandon:
 		o.watch.Released(ReleaseGivenUp)
 	}
 }
 
-func (o *Core) sendReleases(h *hold.Hold) {
+func (o *Core) sendReleases(h *reservation.Hold) {
 	first := len(h.Asked) == 0
 	if first {
 		o.watch.Released(ReleaseSent)
@@ -107,7 +107,7 @@
 
 // releaseTargets are the engines that a release goes to now. Where any engine takes releases, that is the one that
 // holds the state, and with it one that the node has a connection to; then those that answered last, as they run.
-func (o *Core) releaseTargets(h *hold.Hold, first bool) []string {
+func (o *Core) releaseTargets(h *reservation.Hold, first bool) []string {
 	if !o.protocol.ReleasesAnywhere() || o.list == nil {
 		return []string{h.Engine}
 	}
