--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 )
 
@@ -59,7 +59,7 @@
 	m.attempts = counters("sandcourse_attempts_total", "Attempts that have ended, by stage and outcome.", "stage", "outcome")
 	m.barred = counters("sandcourse_attempts_held_back_total", "Attempts that a gate held back, by reason.", "why")
 	m.violations = counters("sandcourse_violations_total", "Rules that the node broke, as its own monitor sees it; 0 is right.", "rule")
-	for _, rule := range guard.Rules {
+	for _, rule := range invariant.Rules {
 		m.violations.WithLabelValues(string(rule)) // shown from the start, so that a rise from 0 is seen
 	}
 	m.closes = counters("sandcourse_client_closes_total", "Clients' connections that the node closed, by reason.", "why")
--- a/edge/watch.go
+++ b/edge/watch.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 )
@@ -79,12 +79,12 @@
 		zap.Duration("connecting", a.Connecting), zap.Duration("took", a.Took))
 }
 
-func (w watch) Barred(request string, why guard.Reason) {
+func (w watch) Barred(request string, why invariant.Reason) {
 	w.n.metrics.barred.WithLabelValues(string(why)).Inc()
 	w.n.log.Info("attempt held back", zap.String("inference", request), zap.String("why", string(why)))
 }
 
-func (w watch) Violated(v guard.Violation) {
+func (w watch) Violated(v invariant.Violation) {
 	w.n.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
 	w.n.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.How))
 }
--- a/guard/guard.go
+++ b/internal/invariant/guard.go
@@ -3,7 +3,7 @@
 //
 // The gates are asked before an act, with what the core knows. The monitor is told of acts that have happened and keeps its
 // own account of them, so that a gate that was passed by, or asked with wrong facts, shows as a violation.
-package guard
+package invariant
 
 import (
 	"slices"
--- a/guard/monitor.go
+++ b/internal/invariant/monitor.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"fmt"
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -5,8 +5,8 @@
 
 	"sandcourse/conns"
 	"sandcourse/dialect"
-	"sandcourse/guard"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
@@ -44,7 +44,7 @@
 	if inf.client.Socket.Gone() {
 		o.ClientGone(inf.client)
 	}
-	if why := o.maySend(s, nil); why != guard.Allowed {
+	if why := o.maySend(s, nil); why != invariant.Allowed {
 		o.happen(s, attempt.Barred, string(why))
 		return
 	}
@@ -59,19 +59,19 @@
 }
 
 // maySend asks the gate of attempts, on a connection or before there is one.
-func (o *Core) maySend(s *send, l *Line) guard.Reason {
+func (o *Core) maySend(s *send, l *Line) invariant.Reason {
 	inf := s.inf
-	a := guard.Attempt{Answered: inf.final != "", ClientGone: inf.client.gone, GiveUpAt: inf.giveUpAt, Drained: o.told[s.engine],
+	a := invariant.Attempt{Answered: inf.final != "", ClientGone: inf.client.gone, GiveUpAt: inf.giveUpAt, Drained: o.told[s.engine],
 		Moved: l != nil && l.Host != o.reach(s.engine).Host, Effect: inf.effect(o.d),
 		Window: int64(o.d.Routes[inf.route].DedupWindow)}
 	for _, before := range inf.sends {
 		if before != s {
-			a.Earlier = append(a.Earlier, guard.Earlier{Decode: before.writes, WrittenAt: before.wroteAt, Out: !before.ended,
+			a.Earlier = append(a.Earlier, invariant.Earlier{Decode: before.writes, WrittenAt: before.wroteAt, Out: !before.ended,
 				NeverRan: before.ended && attempt.NeverRan(before.verdict)})
 		}
 	}
-	why := guard.MaySend(a, o.now, int64(o.d.Rules.DrainGrace))
-	if why != guard.Allowed {
+	why := invariant.MaySend(a, o.now, int64(o.d.Rules.DrainGrace))
+	if why != invariant.Allowed {
 		o.watch.Barred(inf.name, why)
 	}
 	return why
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -10,7 +10,7 @@
 
 	"sandcourse/dialect"
 	"sandcourse/framing"
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/limits"
 )
 
@@ -49,7 +49,7 @@
 }
 
 // connection is what the gate of closes is asked about.
-func (o *Core) connection(c *Client) guard.Connection {
+func (o *Core) connection(c *Client) invariant.Connection {
 	waiting := 0
 	for _, a := range c.waiting {
 		if !a.ends {
@@ -59,7 +59,7 @@
 	if c.serving {
 		waiting++
 	}
-	return guard.Connection{ClientGone: c.gone || c.Socket.Gone(), Broke: c.cut, Waiting: waiting, Unread: c.partial}
+	return invariant.Connection{ClientGone: c.gone || c.Socket.Gone(), Broke: c.cut, Waiting: waiting, Unread: c.partial}
 }
 
 // tryClose closes a connection between two requests, once its last answer is with the kernel.
@@ -68,7 +68,7 @@
 		return true
 	}
 	o.flush(c)
-	if guard.MayClose(o.connection(c)) != guard.Allowed || !c.Socket.Drained() || !c.Socket.TryClose() {
+	if invariant.MayClose(o.connection(c)) != invariant.Allowed || !c.Socket.Drained() || !c.Socket.TryClose() {
 		return false
 	}
 	o.watch.Closed(c.ID, why)
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -9,8 +9,8 @@
 
 	"sandcourse/conns"
 	"sandcourse/dialect"
-	"sandcourse/guard"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
@@ -55,7 +55,7 @@
 	lines    map[int64]*Line
 	controls map[*controlRequest]bool
 	holds    *reservation.Table
-	monitor  *guard.Monitor
+	monitor  *invariant.Monitor
 	infs     map[int64]*inference
 	byName   map[string]*inference // the same, by what engines know them by
 	nextInf  int64
@@ -103,7 +103,7 @@
 			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
 		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
-			holdsAnOpenCall*d.Limits.Open)), monitor: guard.NewMonitor(guard.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
+			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
 	o.brain = routing.New(seed, d.Facts())
 	return o
 }
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
@@ -29,8 +29,8 @@
 	lines []*socket
 	heard []routing.Input
 
-	fails, mayFail bool       // the module, at its next input; and whether that is wanted
-	expected       guard.Rule // the one that this test's world breaks, as where no engine acknowledges a release
+	fails, mayFail bool           // the module, at its next input; and whether that is wanted
+	expected       invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
 }
 
 func (b *bench) Dial(l *router.Line) { b.dials = append(b.dials, l) }
@@ -55,7 +55,7 @@
 func (ignoredEvents) Final(router.Final)                        {}
 func (ignoredEvents) Shed(router.Shed)                          {}
 func (ignoredEvents) Attempt(router.AttemptEnd)                 {}
-func (ignoredEvents) Barred(string, guard.Reason)               {}
+func (ignoredEvents) Barred(string, invariant.Reason)           {}
 func (ignoredEvents) Closed(int64, router.CloseReason)          {}
 func (ignoredEvents) Connection(string, router.ConnectionEvent) {}
 func (ignoredEvents) First(string, time.Duration, int)          {}
@@ -64,7 +64,7 @@
 func (ignoredEvents) Listed(int64, int, []string)               {}
 
 // Violated is a fault in any test.
-func (b *bench) Violated(v guard.Violation) {
+func (b *bench) Violated(v invariant.Violation) {
 	if v.Rule != b.expected {
 		b.t.Errorf("rule broken: %+v", v)
 	}
@@ -128,7 +128,7 @@
 // newUnacknowledgedBench is one where no engine acknowledges a release.
 func newUnacknowledgedBench(t *testing.T) *bench {
 	b := newBench(t)
-	b.expected = guard.HeldTooLong
+	b.expected = invariant.HeldTooLong
 	return b
 }
 
@@ -599,7 +599,7 @@
 		"a reset": func(b *bench, s *socket) { b.core.LineBroken(s.line) },
 	} {
 		b, c, _ := writeOut(t, "chat")
-		b.expected = guard.HeldTooLong
+		b.expected = invariant.HeldTooLong
 		b.list("r", "w", "w2")
 		b.core.Begin(b.now)
 		b.core.ClientGone(c)
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -15,8 +15,8 @@
 	"sandcourse/chatline"
 	"sandcourse/dialect"
 	"sandcourse/framing"
-	"sandcourse/guard"
 	"sandcourse/internal/golden"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
@@ -110,7 +110,7 @@
 
 func (r *recorder) Around(_ routing.Input, step func())             { step() }
 func (r *recorder) ModuleFailed(p any, _ routing.Input, row []byte) { r.t.Fatalf("%v\n%s", p, row) }
-func (r *recorder) Violated(v guard.Violation)                      { r.t.Errorf("rule broken: %+v", v) }
+func (r *recorder) Violated(v invariant.Violation)                  { r.t.Errorf("rule broken: %+v", v) }
 func (r *recorder) Tell(to int, text string)                        { r.bytes(fmt.Sprintf("to peer %d", to), []byte(text)) }
 
 func (r *recorder) Dial(l *router.Line) {
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sandcourse/dialect"
-	"sandcourse/guard"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
 	"sandcourse/settings"
@@ -56,12 +56,12 @@
 			"calls are taken over HTTP/1.1"))
 		return
 	}
-	switch why := guard.MayStart(guard.Arrival{NameKnown: o.known(a.Call.Name), Taking: o.taking()}); why {
-	case guard.Allowed:
+	switch why := invariant.MayStart(invariant.Arrival{NameKnown: o.known(a.Call.Name), Taking: o.taking()}); why {
+	case invariant.Allowed:
 		if a.Call.Name != "" {
 			o.names.take(a.Call.Name)
 		}
-	case guard.NameKnown:
+	case invariant.NameKnown:
 		o.watch.Refused("name known")
 		o.reply(c, a, o.protocol.Refusal(http.StatusConflict, "known", "", string(why)))
 		return
@@ -112,8 +112,8 @@
 func (o *Core) known(name string) bool { return o.byName[name] != nil || o.names.known(name) }
 
 // effect is what a second run of an inference would do.
-func (inf *inference) effect(d *settings.Deployment) guard.Effect {
-	return guard.EffectOf(d.Routes[inf.route].Effect)
+func (inf *inference) effect(d *settings.Deployment) invariant.Effect {
+	return invariant.EffectOf(d.Routes[inf.route].Effect)
 }
 
 // lateStart is for how long the owner may not have looked before a request counts from then. Below it the time between
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"sandcourse/conns"
-	"sandcourse/guard"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 )
 
@@ -101,8 +101,8 @@
 			o.ClientGone(s.inf.client)
 			return
 		}
-		if why := o.maySend(s, l); why != guard.Allowed {
-			if why == guard.Moved { // before anything else is sent: it must not find this line again
+		if why := o.maySend(s, l); why != invariant.Allowed {
+			if why == invariant.Moved { // before anything else is sent: it must not find this line again
 				s.line, l.send = nil, nil
 				o.spoil(l)
 			}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sandcourse/dialect"
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
 )
@@ -126,9 +126,9 @@
 	// Attempt tells of the end of an attempt.
 	Attempt(a AttemptEnd)
 	// Barred tells of an attempt that a gate held back.
-	Barred(request string, why guard.Reason)
+	Barred(request string, why invariant.Reason)
 	// Violated tells of a rule that was broken.
-	Violated(v guard.Violation)
+	Violated(v invariant.Violation)
 	// Closed tells why the node closes a client's connection.
 	Closed(client int64, why CloseReason)
 	// Connection tells what became of a connection to an engine.
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/limits"
@@ -176,7 +176,7 @@
 // A process that was not run for longer than a client waits answers at once, and sends nothing on.
 func TestRequestThatWaitedLongerThanItsClient(t *testing.T) {
 	b := newBench(t)
-	b.expected = guard.AnswerLate // by the process that was not run
+	b.expected = invariant.AnswerLate // by the process that was not run
 	looked := b.now
 	b.now += int64(4 * time.Second)
 	b.core.Begin(b.now)
@@ -219,7 +219,7 @@
 // ways are back, as long as a cut of the operators' days lasts.
 func TestReleaseBehindALongCut(t *testing.T) {
 	b, c, _ := writeOut(t, "chat")
-	b.expected = guard.HeldTooLong
+	b.expected = invariant.HeldTooLong
 	b.core.Begin(b.now)
 	b.core.ClientGone(c)
 	b.core.Turn(b.now)
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/platform"
@@ -97,7 +97,7 @@
 }
 
 func (w *world) Dial(l *router.Line)                               { w.dialling = append(w.dialling, l) }
-func (w *world) Violated(v guard.Violation)                        { w.t.Fatalf("the monitor: %+v", v) }
+func (w *world) Violated(v invariant.Violation)                    { w.t.Fatalf("the monitor: %+v", v) }
 func (w *world) Around(_ routing.Input, step func())               { step() }
 func (w *world) ModuleFailed(p any, _ routing.Input, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
 
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -17,7 +17,7 @@
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/roster"
@@ -457,8 +457,8 @@
 func (quiet) Final(router.Final)                            {}
 func (quiet) Shed(router.Shed)                              {}
 func (quiet) Attempt(router.AttemptEnd)                     {}
-func (quiet) Barred(string, guard.Reason)                   {}
-func (quiet) Violated(guard.Violation)                      {}
+func (quiet) Barred(string, invariant.Reason)               {}
+func (quiet) Violated(invariant.Violation)                  {}
 func (quiet) Closed(int64, router.CloseReason)              {}
 func (quiet) Connection(string, router.ConnectionEvent)     {}
 func (quiet) First(string, time.Duration, int)              {}
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -22,7 +22,7 @@
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/roster"
@@ -386,15 +386,15 @@
 func (w watch) Attempt(router.AttemptEnd) {}
 
 // Barred: the module must never ask for what would be a second run, or for two attempts at once.
-func (w watch) Barred(request string, why guard.Reason) {
+func (w watch) Barred(request string, why invariant.Reason) {
 	switch why {
-	case guard.MayHaveRun:
+	case invariant.MayHaveRun:
 		w.s.say("P3 the module asks for an attempt of %s, though %s", request, why)
-	case guard.StillOut:
+	case invariant.StillOut:
 		w.s.say("P2 the module asks for an attempt of %s, though %s", request, why)
 	}
 }
-func (w watch) Violated(v guard.Violation) {
+func (w watch) Violated(v invariant.Violation) {
 	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.How)
 }
 func (w watch) Closed(int64, router.CloseReason)          {}
--- a/settings/facts.go
+++ b/settings/facts.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/guard"
+	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
 	"sandcourse/roster"
 )
@@ -52,7 +52,7 @@
 // gate holds back.
 func (d *Deployment) setWindows(f map[string]any) {
 	for i, t := range d.Routes {
-		f[fmt.Sprintf("routes.%d.dedup_window", i)] = float64(max(0, t.DedupWindow-guard.HoldUp))
+		f[fmt.Sprintf("routes.%d.dedup_window", i)] = float64(max(0, t.DedupWindow-invariant.HoldUp))
 	}
 }
 
