--- a/conns/conns.go
+++ b/internal/connpool/conns.go
@@ -1,6 +1,6 @@
 // Package conns decides about the connections to engines: when one is dialled, which is used again, and when
 // one is closed. It does no I/O.
-package conns
+package connpool
 
 import (
 	"cmp"
--- a/conns/conns_test.go
+++ b/internal/connpool/conns_test.go
@@ -1,4 +1,4 @@
-package conns
+package connpool
 
 import (
 	"testing"
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/connpool"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
@@ -138,7 +138,7 @@
 		case r.Line == attempt.Close:
 			o.spoil(l)
 		case in == attempt.Barred:
-			o.pool.Happen(l.ID, conns.Released, o.now)
+			o.pool.Happen(l.ID, connpool.Released, o.now)
 		default:
 			l.restSince = o.now
 		}
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"sandcourse/conns"
 	"sandcourse/dialect"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/connpool"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
@@ -47,7 +47,7 @@
 	names      names // of inferences, where clients give them
 	gate       *limits.Gate
 	again      *limits.Retries
-	pool       *conns.Pool
+	pool       *connpool.Pool
 
 	clients  map[int64]*Client
 	closing  map[int64]int64
@@ -99,7 +99,7 @@
 func New(d *settings.Deployment, protocol dialect.Dialect, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
-		gate: limits.New(d.Limits), again: limits.NewRetries(d.Limits.Retries), pool: conns.New(conns.Bounds{PerEngine: d.Lines.PerEngine,
+		gate: limits.New(d.Limits), again: limits.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
 			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
 		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"sandcourse/conns"
 	"sandcourse/dialect"
+	"sandcourse/internal/connpool"
 	"sandcourse/internal/routing"
 	"sandcourse/roster"
 )
@@ -88,8 +88,8 @@
 		if l == nil {
 			continue
 		}
-		if host, listed := hosts[l.Engine]; listed && host != l.Host && o.pool.State(id) == conns.Idle {
-			o.pool.Happen(id, conns.Aged, o.now)
+		if host, listed := hosts[l.Engine]; listed && host != l.Host && o.pool.State(id) == connpool.Idle {
+			o.pool.Happen(id, connpool.Aged, o.now)
 			o.closeLine(id)
 		}
 	}
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"sandcourse/conns"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/connpool"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 )
@@ -67,9 +67,9 @@
 	}
 	o.watch.Connection(l.Engine, Dialled)
 	l.socket = socket
-	o.pool.Happen(l.ID, conns.Dialled, o.now)
+	o.pool.Happen(l.ID, connpool.Dialled, o.now)
 	if l.send == nil && l.control == nil {
-		o.pool.Happen(l.ID, conns.Released, o.now)
+		o.pool.Happen(l.ID, connpool.Released, o.now)
 		return
 	}
 	o.writeLine(l)
@@ -77,7 +77,7 @@
 
 // dialFailed ends a line that did not come up. Where the cause is this machine's, it says nothing of the engine.
 func (o *Core) dialFailed(l *Line, err error) {
-	o.pool.Happen(l.ID, conns.DialFailed, o.now)
+	o.pool.Happen(l.ID, connpool.DialFailed, o.now)
 	delete(o.lines, l.ID)
 	why := "no connection: " + err.Error()
 	if !errors.Is(err, ErrLocal) {
@@ -215,11 +215,11 @@
 		o.spoil(l)
 		return
 	}
-	in := conns.Released
+	in := connpool.Released
 	if l.streamed {
-		in = conns.Streamed
+		in = connpool.Streamed
 	}
-	if o.pool.Happen(l.ID, in, o.now) == conns.CloseIt {
+	if o.pool.Happen(l.ID, in, o.now) == connpool.CloseIt {
 		o.closeLine(l.ID)
 	}
 }
@@ -237,7 +237,7 @@
 	if o.lines[l.ID] != l {
 		return
 	}
-	o.pool.Happen(l.ID, conns.Spoiled, o.now)
+	o.pool.Happen(l.ID, connpool.Spoiled, o.now)
 	o.closeLine(l.ID)
 	o.dropLoad(l, attempt.Reset, connectionGone)
 }
@@ -255,7 +255,7 @@
 // LineBroken says that a connection has ended.
 func (o *Core) LineBroken(l *Line) {
 	if o.lines[l.ID] == l {
-		o.pool.Happen(l.ID, conns.Broken, o.now)
+		o.pool.Happen(l.ID, connpool.Broken, o.now)
 		delete(o.lines, l.ID)
 		o.watch.Connection(l.Engine, ConnectionBroken)
 	}
@@ -287,7 +287,7 @@
 // sweepLines ends what waits too long: control requests, answers whose rest does not come, idle lines.
 func (o *Core) sweepLines() {
 	for _, id := range o.pool.Aged(o.now) {
-		o.pool.Happen(id, conns.Aged, o.now)
+		o.pool.Happen(id, connpool.Aged, o.now)
 		o.closeLine(id)
 	}
 	for _, id := range o.pool.All() {
