--- a/edge/front.go
+++ b/edge/front.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 
 	"sandcourse/framing"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/router"
-	"sandcourse/limits"
 )
 
 // client is one connection of a client. Its poller reads and parses requests, the owner answers them and
@@ -252,9 +252,9 @@
 	if c.cutter.Between() {
 		return events
 	}
-	input, held := limits.HeadBegan, len(c.body)+c.cutter.Held()
+	input, held := admission.HeadBegan, len(c.body)+c.cutter.Held()
 	if heads > 0 || c.request != nil {
-		input = limits.HeadWhole
+		input = admission.HeadWhole
 	}
 	if !c.begun || heads > 0 || c.request != nil {
 		c.begun = true
--- a/limits/limits.go
+++ b/internal/admission/limits.go
@@ -3,7 +3,7 @@
 // I/O.
 //
 // Bounds are shared fairly: who holds less than an equal part is refused last.
-package limits
+package admission
 
 import (
 	"cmp"
--- a/limits/retries.go
+++ b/internal/admission/retries.go
@@ -1,4 +1,4 @@
-package limits
+package admission
 
 import "time"
 
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -10,8 +10,8 @@
 
 	"sandcourse/dialect"
 	"sandcourse/framing"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
-	"sandcourse/limits"
 )
 
 // pipelined is how many requests of one connection wait for their turn. Those behind them are refused when theirs comes:
@@ -97,7 +97,7 @@
 		return
 	}
 	c.gone = true
-	o.gate.Happen(c.ID, limits.Closed, o.now)
+	o.gate.Happen(c.ID, admission.Closed, o.now)
 	delete(o.clients, c.ID)
 	c.waiting = nil
 	if inf := c.current; inf != nil {
@@ -106,7 +106,7 @@
 }
 
 // Reading says that a client sends, and how many bytes of an unfinished call are held for it.
-func (o *Core) Reading(c *Client, input limits.Input, held int) {
+func (o *Core) Reading(c *Client, input admission.Input, held int) {
 	if c.gone || c.closing {
 		return // what comes on a connection that is closing is dropped
 	}
@@ -144,7 +144,7 @@
 	}
 	o.gate.Hold(c.ID, a.Bytes-c.held)
 	c.held, c.partial, c.continues = 0, false, false
-	o.gate.Happen(c.ID, limits.CallWhole, o.now)
+	o.gate.Happen(c.ID, admission.CallWhole, o.now)
 	a.excess = len(c.waiting) >= pipelined
 	c.waiting = append(c.waiting, a)
 	if len(c.waiting) == readAhead {
@@ -173,7 +173,7 @@
 // rest is what a connection comes to once all that was read on it is answered. A request that has come in part meanwhile
 // has its time from now on.
 func (o *Core) rest(c *Client) {
-	o.gate.Happen(c.ID, limits.Answered, o.now)
+	o.gate.Happen(c.ID, admission.Answered, o.now)
 	switch {
 	case c.closing:
 	case c.last:
@@ -253,7 +253,7 @@
 	c.Socket.StopReading()
 	o.gate.Hold(c.ID, -c.held) // a part of a request is dropped
 	c.held, c.partial = 0, false
-	o.gate.Happen(c.ID, limits.Part, o.now)
+	o.gate.Happen(c.ID, admission.Part, o.now)
 	o.closing[c.ID] = o.now
 	o.flush(c)
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"sandcourse/dialect"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 	"sandcourse/roster"
 	"sandcourse/settings"
 )
@@ -45,8 +45,8 @@
 	// answeredAt is when an engine's last answer began.
 	answeredAt map[string]int64
 	names      names // of inferences, where clients give them
-	gate       *limits.Gate
-	again      *limits.Retries
+	gate       *admission.Gate
+	again      *admission.Retries
 	pool       *connpool.Pool
 
 	clients  map[int64]*Client
@@ -99,7 +99,7 @@
 func New(d *settings.Deployment, protocol dialect.Dialect, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
-		gate: limits.New(d.Limits), again: limits.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
+		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
 			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
 		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
@@ -151,13 +151,13 @@
 }
 
 // endOverdue ends a connection whose time in its state is up.
-func (o *Core) endOverdue(c *Client, state limits.State) {
+func (o *Core) endOverdue(c *Client, state admission.State) {
 	switch state {
-	case limits.Idle:
+	case admission.Idle:
 		if !o.tryClose(c, CloseIdle) {
 			return // a request has come in this moment
 		}
-	case limits.Heading, limits.Bodying:
+	case admission.Heading, admission.Bodying:
 		o.reply(c, nil, o.protocol.Refusal(http.StatusRequestTimeout, "too_slow", "",
 			"the request did not come in time"))
 	default:
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 	"sandcourse/platform"
 	"sandcourse/roster"
 )
@@ -321,7 +321,7 @@
 	c := &router.Client{ID: 1 << 40, Socket: out}
 	b.core.Begin(b.now)
 	b.core.ClientOpened(c)
-	b.core.Reading(c, limits.HeadWhole, 64<<20)
+	b.core.Reading(c, admission.HeadWhole, 64<<20)
 	b.core.Turn(b.now)
 	if row := answers(t, out); len(row) != 1 || row[0] != http.StatusServiceUnavailable {
 		t.Errorf("half a request with more bytes than there may be: %v", row)
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -15,11 +15,11 @@
 	"sandcourse/chatline"
 	"sandcourse/dialect"
 	"sandcourse/framing"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 	"sandcourse/platform"
 	"sandcourse/roster"
 	"sandcourse/settings"
@@ -718,7 +718,7 @@
 				d.Limits.Conns, d.Limits.Open, d.Limits.Bytes, d.Limits.Retries = 12, 8, 10_000, 0.2
 			})
 			r.note("a request that stops within its head, and one within its body")
-			for _, input := range []limits.Input{limits.HeadBegan, limits.HeadWhole} {
+			for _, input := range []admission.Input{admission.HeadBegan, admission.HeadWhole} {
 				c := r.client()
 				r.do(func() { r.core.Reading(c.core, input, 10) })
 				r.pass(100 * time.Millisecond) // connections that are closed at one moment are closed in any order
@@ -726,7 +726,7 @@
 			r.pass(20 * time.Second)
 			r.note("more bytes than may be held")
 			c := r.client()
-			r.do(func() { r.core.Reading(c.core, limits.HeadWhole, 20_000) })
+			r.do(func() { r.core.Reading(c.core, admission.HeadWhole, 20_000) })
 			r.pass(3 * time.Second)
 			r.note("requests that are sent ahead")
 			r.list("r1", "w1")
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"sandcourse/dialect"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 	"sandcourse/settings"
 )
 
@@ -79,10 +79,10 @@
 		return
 	}
 	switch o.gate.Admit(c.ID, a.Party) {
-	case limits.OwnShare:
+	case admission.OwnShare:
 		o.shedCall(c, a, http.StatusTooManyRequests, "you have your share of this node open already", d.RetryAfter)
 		return
-	case limits.NodeFull, limits.BytesFull:
+	case admission.NodeFull, admission.BytesFull:
 		o.shedCall(c, a, http.StatusServiceUnavailable, "this node holds all that it may", d.RetryAfter)
 		return
 	}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"sandcourse/dialect"
+	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 )
 
 // Wire is what a core asks of the sockets. Its calls must not call back into the core.
@@ -151,7 +151,7 @@
 	closing bool // to be closed once all is written
 	// unfinished is how far a request has come that is not whole: HeadBegan or HeadWhole; nothing of one where partial is
 	// not set.
-	unfinished limits.Input
+	unfinished admission.Input
 	partial    bool
 	// continues is set while the head of a request waits for the word to send its body.
 	continues bool
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/limits"
 	"sandcourse/roster"
 )
 
@@ -30,7 +30,7 @@
 // A client sends a request and half of a second one, and stops there. The half came while the first was served, and when
 // that had its answer the connection counted as idle: for a minute, and then for good, as it could not be closed either.
 func TestHalfRequestBehindOneThatIsServed(t *testing.T) {
-	for _, input := range []limits.Input{limits.HeadBegan, limits.HeadWhole} {
+	for _, input := range []admission.Input{admission.HeadBegan, admission.HeadWhole} {
 		b := newBench(t)
 		c, out := b.ask("a1", "chat")
 		b.core.Begin(b.now)
@@ -56,7 +56,7 @@
 		c := &router.Client{ID: int64(1<<40 + i), Socket: out}
 		b.core.Begin(b.now)
 		b.core.ClientOpened(c)
-		b.core.Reading(c, limits.HeadWhole, held)
+		b.core.Reading(c, admission.HeadWhole, held)
 		b.core.Turn(b.now)
 		row = append(row, out)
 	}
--- a/prove/mutations_test.go
+++ b/prove/mutations_test.go
@@ -62,7 +62,7 @@
 	{"what is held is not let go of at the end", "internal/routing/brain.go", "\tb.effects = append(b.effects, Discard{inf.Inf})\n\treturn nothing", "\treturn nothing", "one", "P5 P9 P10"},
 	{"every node has a lot", "internal/routing/brain.go", "math.Mod(b.num(\"me\", 0)+first, nodes) < rest*nodes/7.5", "first+rest >= 0", "crowd-300", "P14"},
 	{"the cold budget is six times as large", "internal/routing/brain.go", "places := 1.2 *", "places := 6 * 1.2 *", "crowd-300", "P14"},
-	{"a node refuses too early", "limits/limits.go", "g.open >= g.bounds.Open", "g.open+1 >= g.bounds.Open", "limit", "P13"},
+	{"a node refuses too early", "internal/admission/limits.go", "g.open >= g.bounds.Open", "g.open+1 >= g.bounds.Open", "limit", "P13"},
 	{"an order goes out before it is kept", "roles/core.go", "return append(row, c.out...)", "return append(c.out, row...)", "roles-one", "R6"},
 	{"a role is believed without a trial", "roles/table.go", "came, Trying, (*Core).try", "came, Cold, (*Core).enter", "roles-one", "R1 R2"},
 	{"the way back keeps the epoch", "roles/table.go", "max(b.Epoch, b.NextEpoch, b.said.Epoch)+1, c.now", "max(b.Epoch, 1), c.now", "roles-one", "R1 R2 R7"},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/limits"
+	"sandcourse/internal/admission"
 	"sandcourse/roster"
 	"sandcourse/script"
 )
@@ -61,7 +61,7 @@
 	Routes        []Route
 	Rules         Rules
 	Lines         Lines
-	Limits        limits.Bounds
+	Limits        admission.Bounds
 	Body, Head    int // bytes of one call
 	ClientBuffer  int // bytes of an answer that wait for a slow client
 	Sends         int
@@ -117,7 +117,7 @@
 			FallWindow: time.Second, ColdShare: 0.25, FallMultiple: 3},
 		Lines: Lines{PerEngine: 512, Dials: 16, DialTime: 250 * time.Millisecond, Idle: 15 * time.Second,
 			IdleUnsafe: 2 * time.Second},
-		Limits: limits.Bounds{Conns: 12_000, Open: 8_000, Bytes: 256 << 20, HeadTime: 5 * time.Second,
+		Limits: admission.Bounds{Conns: 12_000, Open: 8_000, Bytes: 256 << 20, HeadTime: 5 * time.Second,
 			BodyTime: 15 * time.Second, IdleTime: 75 * time.Second, DrainTime: 2 * time.Second},
 		Body: 1 << 20, Head: 16 << 10, ClientBuffer: 48 << 10, Sends: 4,
 		// The module answers three ticks before a client gives up.
