--- a/badday/fleet.go
+++ b/badday/fleet.go
@@ -15,8 +15,8 @@
 
 	"sandcourse/audit"
 	"sandcourse/edge"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/router"
-	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -28,7 +28,7 @@
 	Path    string
 
 	mu    sync.Mutex
-	list  roster.List
+	list  endpoint.List
 	stale time.Duration // how late changes are published
 	later sync.WaitGroup
 }
@@ -46,11 +46,11 @@
 		}
 		f.Engines = append(f.Engines, e)
 		kind := map[string]string{"read": "prefill", "write": "decode"}[m.Role]
-		f.list.Engines = append(f.list.Engines, roster.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
-			Cell: fmt.Sprint("c", i%max(1, len(makes)/5)), State: roster.Ready})
+		f.list.Engines = append(f.list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+			Cell: fmt.Sprint("c", i%max(1, len(makes)/5)), State: endpoint.Ready})
 	}
 	f.list.Revision = 1
-	return f, roster.Write(f.Path, f.list)
+	return f, endpoint.Write(f.Path, f.list)
 }
 
 // Stop ends all engines.
@@ -62,7 +62,7 @@
 }
 
 // change alters entries and publishes the list, late if discovery is.
-func (f *Fleet) change(alter func(list *roster.List)) {
+func (f *Fleet) change(alter func(list *endpoint.List)) {
 	f.mu.Lock()
 	alter(&f.list)
 	f.list.Revision++
@@ -80,14 +80,14 @@
 	defer f.mu.Unlock()
 	list := f.list
 	list.Engines = slices.Clone(list.Engines)
-	if err := roster.Write(f.Path, list); err != nil {
+	if err := endpoint.Write(f.Path, list); err != nil {
 		fmt.Fprintln(os.Stderr, "badday: roster:", err)
 		return
 	}
 	at, listed := time.Now(), map[string]bool{}
 	for _, e := range list.Engines {
 		listed[e.Engine] = true
-		f.Log.Tell(audit.Told{At: at, Engine: e.Engine, Ready: e.State == roster.Ready})
+		f.Log.Tell(audit.Told{At: at, Engine: e.Engine, Ready: e.State == endpoint.Ready})
 	}
 	for _, e := range f.Engines {
 		if !listed[e.Addr()] {
@@ -101,10 +101,10 @@
 
 // Drain lists an engine as draining, or as ready again.
 func (f *Fleet) Drain(e *engine.Engine, on bool) {
-	f.change(func(list *roster.List) {
+	f.change(func(list *endpoint.List) {
 		for i := range list.Engines {
 			if list.Engines[i].Engine == e.Addr() {
-				list.Engines[i].State = map[bool]string{true: roster.Draining, false: roster.Ready}[on]
+				list.Engines[i].State = map[bool]string{true: endpoint.Draining, false: endpoint.Ready}[on]
 			}
 		}
 	})
@@ -112,16 +112,16 @@
 
 // Gone takes an engine off the list; Back puts it there again as just started.
 func (f *Fleet) Gone(e *engine.Engine) {
-	f.change(func(list *roster.List) {
-		list.Engines = slices.DeleteFunc(list.Engines, func(o roster.Entry) bool { return o.Engine == e.Addr() })
+	f.change(func(list *endpoint.List) {
+		list.Engines = slices.DeleteFunc(list.Engines, func(o endpoint.Entry) bool { return o.Engine == e.Addr() })
 	})
 }
 
 // Back lists an engine as ready and just started.
 func (f *Fleet) Back(e *engine.Engine) {
 	kind := map[string]string{"read": "prefill", "write": "decode"}[e.Role()]
-	f.change(func(list *roster.List) {
-		entry := roster.Entry{Engine: e.Addr(), Kind: kind, Weight: 1, Cell: "c0", State: roster.Ready,
+	f.change(func(list *endpoint.List) {
+		entry := endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1, Cell: "c0", State: endpoint.Ready,
 			UpSince: time.Now().UnixMilli()}
 		for i, o := range list.Engines {
 			if o.Engine == e.Addr() {
--- a/badday/tilt.go
+++ b/badday/tilt.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/endpoint"
 	"sandcourse/load"
 	"sandcourse/plan"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -128,7 +128,7 @@
 		at := time.Now()
 		ready := map[string]bool{}
 		for _, e := range p.Engines {
-			ready[e.Engine] = e.State == roster.Ready
+			ready[e.Engine] = e.State == endpoint.Ready
 		}
 		for _, e := range fleet.Engines {
 			seen.Tell(audit.Told{At: at, Engine: e.Addr(), Ready: ready[e.Addr()]})
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/endpoint"
 	"sandcourse/load"
 	"sandcourse/plan"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -86,13 +86,13 @@
 	defer p.Stop()
 	follows, stale := *d, *d
 	follows.Roster, follows.Planner = "", p.Addr()
-	list := roster.List{Revision: 1}
+	list := endpoint.List{Revision: 1}
 	for _, e := range fleet.list.Engines {
 		e.Epoch = 1
 		list.Engines = append(list.Engines, e)
 	}
 	stale.Roster = filepath.Join(dir, "stale.json")
-	if err := roster.Write(stale.Roster, list); err != nil {
+	if err := endpoint.Write(stale.Roster, list); err != nil {
 		t.Fatal(err)
 	}
 	var addrs []string
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strconv"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // MaxAnswer is the most bytes of an answer: ten thousand engines have about three million.
@@ -26,7 +26,7 @@
 // Catalog is what is known. The zero value knows nothing.
 type Catalog struct {
 	generation int64
-	engines    map[string]roster.Entry
+	engines    map[string]endpoint.Entry
 	wantsWhole bool // what is known is of another history than discovery's
 }
 
@@ -72,7 +72,7 @@
 	if !a.Whole {
 		return true, c.put(a.Entries), nil
 	}
-	c.engines = map[string]roster.Entry{}
+	c.engines = map[string]endpoint.Entry{}
 	odd = c.put(a.Entries)
 	news = before == nil || c.generation != generation || !maps.Equal(before, c.engines)
 	return news, odd, nil
@@ -97,19 +97,19 @@
 			delete(c.engines, e.ID)
 			continue
 		}
-		state := roster.Ready
+		state := endpoint.Ready
 		if e.State == draining {
-			state = roster.Draining
+			state = endpoint.Draining
 		}
-		c.engines[e.ID] = roster.Entry{Engine: e.ID, Host: e.Host, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell.String(),
+		c.engines[e.ID] = endpoint.Entry{Engine: e.ID, Host: e.Host, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell.String(),
 			Weight: max(0, e.Weight), State: state, UpSince: e.Started}
 	}
 	return odd
 }
 
 // List is the present list, by id.
-func (c *Catalog) List() roster.List {
-	list := roster.List{Revision: c.generation, Engines: []roster.Entry{}}
+func (c *Catalog) List() endpoint.List {
+	list := endpoint.List{Revision: c.generation, Engines: []endpoint.Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
 		list.Engines = append(list.Engines, c.engines[id])
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 func line(id int, state string, started int) string {
@@ -64,7 +64,7 @@
 			for _, e := range list.Engines {
 				var id int
 				fmt.Sscanf(e.Engine, "s-%d", &id)
-				if (e.State == roster.Draining) != (truth[id] == draining) || e.Host == "" || e.UpSince != 5 {
+				if (e.State == endpoint.Draining) != (truth[id] == draining) || e.Host == "" || e.UpSince != 5 {
 					t.Fatalf("%+v, want %s", e, truth[id])
 				}
 			}
@@ -78,7 +78,7 @@
 	c.Take(answer(1, true, line(0, serving, 0), line(1, serving, 0)))
 	news, odd, err := c.Take(answer(2, false, strings.Replace(line(0, serving, 0), ":3000", "", 1), line(1, draining, 0)))
 	list := c.List()
-	if err != nil || !news || len(odd) != 1 || len(list.Engines) != 1 || list.Engines[0].State != roster.Draining {
+	if err != nil || !news || len(odd) != 1 || len(list.Engines) != 1 || list.Engines[0].State != endpoint.Draining {
 		t.Fatal(list, odd, err)
 	}
 }
@@ -94,7 +94,7 @@
 			}
 		}
 		for _, e := range c.List().Engines {
-			if e.Engine == "" || e.Host == "" || e.State != roster.Ready && e.State != roster.Draining {
+			if e.Engine == "" || e.Host == "" || e.State != endpoint.Ready && e.State != endpoint.Draining {
 				t.Fatalf("%+v", e)
 			}
 		}
@@ -114,7 +114,7 @@
 			t.Errorf("%s: set aside %q, %v", bad, odd, err)
 		}
 		list := c.List().Engines
-		if i := len(list) - 1; i < 0 || list[i].Engine != "s-2" || list[i].State != roster.Draining {
+		if i := len(list) - 1; i < 0 || list[i].Engine != "s-2" || list[i].State != endpoint.Draining {
 			t.Errorf("%s: the drain beside it is not heard: %v", bad, list)
 		}
 	}
--- a/catalog/golden_test.go
+++ b/catalog/golden_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
-	"sandcourse/roster"
 )
 
 // What is asked of discovery next, and which engines are known, over a sequence of answers.
@@ -17,7 +17,7 @@
 		fmt.Fprintf(&out, "query %q\n", c.Query(1500))
 		for _, e := range c.List().Engines {
 			fmt.Fprintf(&out, "    engine %q host %q type %q zone %q cell %q weight %v draining %v started %d\n", e.Engine, e.Host,
-				e.Kind, e.Zone, e.Cell, e.Weight, e.State == roster.Draining, e.UpSince)
+				e.Kind, e.Zone, e.Cell, e.Weight, e.State == endpoint.Draining, e.UpSince)
 		}
 	}
 	say()
--- a/discover/discover.go
+++ b/discover/discover.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sandcourse/catalog"
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // Path is where the list is.
@@ -42,7 +42,7 @@
 )
 
 // Run is roster.Source's.
-func (a Agent) Run(ctx context.Context, take func(roster.List), fault func(error)) {
+func (a Agent) Run(ctx context.Context, take func(endpoint.List), fault func(error)) {
 	known := &catalog.Catalog{}
 	hear := func(answer []byte) (bool, error) {
 		news, odd, err := known.Take(answer)
--- a/discover/discover_test.go
+++ b/discover/discover_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 func agentAt(t *testing.T, answer func(query string, w http.ResponseWriter, r *http.Request)) string {
@@ -27,7 +27,7 @@
 // The list known from before, the whole list, a change, an agent that stays silent, and another one in its
 // place.
 func TestAgent(t *testing.T) {
-	heard := make(chan roster.List, 8)
+	heard := make(chan endpoint.List, 8)
 	at := make(chan string, 1)
 	asked := make(chan string, 8)
 	first := agentAt(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -52,7 +52,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		Agent{At: at, Known: []byte(list(4, true, "z", "SERVING"))}.Run(ctx, func(l roster.List) { heard <- l }, func(error) {})
+		Agent{At: at, Known: []byte(list(4, true, "z", "SERVING"))}.Run(ctx, func(l endpoint.List) { heard <- l }, func(error) {})
 	}()
 	expect := func(want string) {
 		t.Helper()
@@ -81,15 +81,15 @@
 }
 
 // agentRun follows an agent at one address until the test ends; what it takes goes to heard.
-func agentRun(t *testing.T, address string) (heard chan roster.List) {
-	heard = make(chan roster.List, 64)
+func agentRun(t *testing.T, address string) (heard chan endpoint.List) {
+	heard = make(chan endpoint.List, 64)
 	at := make(chan string, 1)
 	at <- address
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		Agent{At: at}.Run(ctx, func(l roster.List) {
+		Agent{At: at}.Run(ctx, func(l endpoint.List) {
 			select {
 			case heard <- l:
 			default: // the test has seen enough
--- a/discover/golden_test.go
+++ b/discover/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
-	"sandcourse/roster"
 )
 
 // goldenAgent answers the requests that come to it in order, byte for byte, and passes each request on as it came.
@@ -86,7 +86,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		Agent{At: at}.Run(ctx, func(roster.List) {}, func(error) {})
+		Agent{At: at}.Run(ctx, func(endpoint.List) {}, func(error) {})
 	}()
 	var out strings.Builder
 	for i := range len(responses) + 1 {
--- a/edge/bench_test.go
+++ b/edge/bench_test.go
@@ -21,7 +21,7 @@
 	"sandcourse/chat"
 	"sandcourse/edge"
 	"sandcourse/engine"
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 	"sandcourse/settings"
 )
 
@@ -114,10 +114,10 @@
 		d.Routes[i].Timeout, d.Routes[i].FirstToken = 60*time.Second, 30*time.Second
 	}
 	for _, r := range readers {
-		d.Engines = append(d.Engines, roster.Entry{Engine: r, Kind: "prefill", Weight: 1, State: roster.Ready})
+		d.Engines = append(d.Engines, endpoint.Entry{Engine: r, Kind: "prefill", Weight: 1, State: endpoint.Ready})
 	}
 	for _, w := range writers {
-		d.Engines = append(d.Engines, roster.Entry{Engine: w, Kind: "decode", Weight: 1, State: roster.Ready})
+		d.Engines = append(d.Engines, endpoint.Entry{Engine: w, Kind: "decode", Weight: 1, State: endpoint.Ready})
 	}
 	n := edge.New(d, zap.NewNop(), nil, 1)
 	if err := n.Start(); err != nil {
--- a/edge/crossing_test.go
+++ b/edge/crossing_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sandcourse/edge"
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 	"sandcourse/settings"
 )
 
@@ -391,9 +391,9 @@
 }
 
 // lists is a source that tells what a test hands it.
-type lists chan roster.List
+type lists chan endpoint.List
 
-func (l lists) Run(ctx context.Context, take func(roster.List), _ func(error)) {
+func (l lists) Run(ctx context.Context, take func(endpoint.List), _ func(error)) {
 	for {
 		select {
 		case list := <-l:
@@ -414,12 +414,12 @@
 		source := make(lists, 1)
 		n := newOnSource(t, 1024, nil, source)
 		s := newStop(n, edge.ListRead)
-		source <- roster.List{Revision: 1, Engines: []roster.Entry{engineAt("s-1", "m1", old), writer}}
+		source <- endpoint.List{Revision: 1, Engines: []endpoint.Entry{engineAt("s-1", "m1", old), writer}}
 		startReady(t, n)
 		client := dial(t, n)
 		drains := engineAt("s-1", "m1", old)
-		drains.State = roster.Draining
-		second := roster.List{Revision: 2, Engines: []roster.Entry{drains, writer, engineAt("s-3", "m1", fresh)}}
+		drains.State = endpoint.Draining
+		second := endpoint.List{Revision: 2, Engines: []endpoint.Entry{drains, writer, engineAt("s-3", "m1", fresh)}}
 		if told {
 			release := n.Block()
 			before := n.Queued()
--- a/edge/node.go
+++ b/edge/node.go
@@ -24,10 +24,10 @@
 	"sandcourse/chatline"
 	"sandcourse/dialect"
 	"sandcourse/follow"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -35,7 +35,7 @@
 type Node struct {
 	d       *settings.Deployment
 	log     *zap.Logger
-	source  roster.Source
+	source  endpoint.Source
 	seed    uint64
 	epoch   int64 // Unix milliseconds of the start: names of inferences differ between lives
 	started time.Time
@@ -67,7 +67,7 @@
 }
 
 // New makes a node that speaks the chat API. Source may be nil where the settings list the engines.
-func New(d *settings.Deployment, log *zap.Logger, source roster.Source, seed uint64) *Node {
+func New(d *settings.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Node {
 	var routes []string
 	for _, t := range d.Routes {
 		routes = append(routes, t.Name)
@@ -76,7 +76,7 @@
 }
 
 // NewOn makes a node that speaks a dialect.
-func NewOn(d *settings.Deployment, log *zap.Logger, source roster.Source, seed uint64,
+func NewOn(d *settings.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
 	protocol dialect.Dialect) *Node {
 	n := &Node{d: d, log: log.With(zap.String("node", d.Node)), source: source, seed: seed, in: newInbox(d.Inbox),
 		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
@@ -85,7 +85,7 @@
 	n.alive, n.cancel = context.WithCancel(context.Background())
 	n.metrics = newMeters()
 	if n.source == nil && d.Roster != "" {
-		n.source = roster.File{Path: d.Roster}
+		n.source = endpoint.File{Path: d.Roster}
 	}
 	if n.source == nil && d.Planner != "" {
 		n.source = follow.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
@@ -179,7 +179,7 @@
 		context.AfterFunc(ctx, func() { server.Close() })
 	}
 	n.over.Go(func() { n.loop() })
-	take := func(list roster.List) {
+	take := func(list endpoint.List) {
 		n.pass(ListRead)
 		n.in.putUrgent(func() { n.core.TakeList(list) })
 	}
@@ -188,7 +188,7 @@
 			n.source.Run(ctx, take, func(err error) { n.log.Warn("roster", zap.Error(err)) })
 		})
 	} else {
-		take(roster.List{Revision: 1, Engines: n.d.Engines})
+		take(endpoint.List{Revision: 1, Engines: n.d.Engines})
 	}
 	if err := n.front.Start(); err != nil {
 		n.Stop()
--- a/edge/platform_test.go
+++ b/edge/platform_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/endpoint"
 	"sandcourse/platform"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -133,10 +133,10 @@
 }
 
 // listed is a source that has one list.
-type listed []roster.Entry
+type listed []endpoint.Entry
 
-func (l listed) Run(ctx context.Context, take func(roster.List), _ func(error)) {
-	take(roster.List{Revision: 1, Engines: l})
+func (l listed) Run(ctx context.Context, take func(endpoint.List), _ func(error)) {
+	take(endpoint.List{Revision: 1, Engines: l})
 	<-ctx.Done()
 }
 
@@ -162,18 +162,18 @@
 }
 
 // engineAt is an engine that is ready.
-func engineAt(id, kind string, at *box) roster.Entry {
-	return roster.Entry{Engine: id, Host: at.addr, Kind: kind, Zone: "a", Weight: 1, State: roster.Ready}
+func engineAt(id, kind string, at *box) endpoint.Entry {
+	return endpoint.Entry{Engine: id, Host: at.addr, Kind: kind, Zone: "a", Weight: 1, State: endpoint.Ready}
 }
 
 // newOnSource is a node on the platform that has its engines from a source, before its start.
-func newOnSource(t *testing.T, sockets int, alter func(*settings.Deployment), source roster.Source) *edge.Node {
+func newOnSource(t *testing.T, sockets int, alter func(*settings.Deployment), source endpoint.Source) *edge.Node {
 	t.Helper()
 	return newLogged(t, sockets, alter, source, zap.NewNop())
 }
 
 // newLogged is newOnSource with a log.
-func newLogged(t *testing.T, sockets int, alter func(*settings.Deployment), source roster.Source, log *zap.Logger) *edge.Node {
+func newLogged(t *testing.T, sockets int, alter func(*settings.Deployment), source endpoint.Source, log *zap.Logger) *edge.Node {
 	t.Helper()
 	told, err := platform.ReadTold("test", fmt.Appendf(nil, platformTold, sockets))
 	if err != nil {
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 )
 
 // Planner is a roster.Source that follows the planner at Addr.
@@ -36,7 +36,7 @@
 }
 
 // Run is roster.Source's.
-func (p Planner) Run(ctx context.Context, take func(roster.List), fault func(error)) {
+func (p Planner) Run(ctx context.Context, take func(endpoint.List), fault func(error)) {
 	every, quiet := p.Every, p.Quiet
 	if every <= 0 {
 		every = time.Second
@@ -75,7 +75,7 @@
 
 // stream follows one connection until it ends.
 func (p Planner) stream(ctx context.Context, client *http.Client, quiet time.Duration, l *last,
-	take func(roster.List)) error {
+	take func(endpoint.List)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	silence := time.AfterFunc(quiet, cancel)
--- a/follow/golden_test.go
+++ b/follow/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 )
 
 // An edge takes a planner's stream and answers with its counts: what it asks for, what it takes from lines with these bytes,
@@ -50,7 +50,7 @@
 	defer planner.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	lists := make(chan roster.List, 16)
+	lists := make(chan endpoint.List, 16)
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
@@ -59,7 +59,7 @@
 			Report: func(context.Context) (planwire.EdgeReport, error) {
 				return planwire.EdgeReport{Edge: "edge0", Life: 9, Routes: []planwire.RouteCount{{Route: "clip-summary",
 					Arrived: 1, Prompt: 2, Began: 3, BegunFor: 4, Ended: 5, Answer: 6, InTime: 7, Shed: 8}}}, nil
-			}}.Run(ctx, func(list roster.List) { lists <- list }, func(err error) { t.Log(err) })
+			}}.Run(ctx, func(list endpoint.List) { lists <- list }, func(err error) { t.Log(err) })
 	}()
 	var b strings.Builder
 	fmt.Fprintln(&b, <-asked)
--- a/follow/starts.go
+++ b/follow/starts.go
@@ -1,6 +1,6 @@
 package follow
 
-import "sandcourse/roster"
+import "sandcourse/internal/endpoint"
 
 // sameStart is by how much two estimates of one start may differ, in milliseconds: a plan tells how long an engine has
 // been up, as the planner heard it some time before, and its way to the node adds to that.
@@ -11,7 +11,7 @@
 type starts map[string]int64
 
 // settle puts the first estimate in place of a later one of the same start, and forgets engines that are not listed.
-func (s *starts) settle(list *roster.List) {
+func (s *starts) settle(list *endpoint.List) {
 	next := starts{}
 	for i := range list.Engines {
 		e := &list.Engines[i]
--- a/follow/starts_test.go
+++ b/follow/starts_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // A plan tells for how long an engine has been up, as the planner last heard it. Late plans and old figures must not look
@@ -11,7 +11,7 @@
 func TestStarts(t *testing.T) {
 	s := starts{}
 	take := func(upSince int64) int64 {
-		list := roster.List{Engines: []roster.Entry{{Engine: "e", UpSince: upSince}}}
+		list := endpoint.List{Engines: []endpoint.Entry{{Engine: "e", UpSince: upSince}}}
 		s.settle(&list)
 		return list.Engines[0].UpSince
 	}
--- a/roster/roster.go
+++ b/internal/endpoint/roster.go
@@ -1,6 +1,6 @@
 // Package roster tells a node which engines there are. Today the list comes from a watched file; whatever
 // comes later hands over the same news.
-package roster
+package endpoint
 
 import (
 	"bytes"
--- a/roster/roster_test.go
+++ b/internal/endpoint/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoint
 
 import (
 	"context"
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -11,10 +11,10 @@
 	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/connpool"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -37,7 +37,7 @@
 	timers timers
 	armed  int64
 
-	list   *roster.List
+	list   *endpoint.List
 	starts starts
 	lists  lists
 	told   attempt.Told
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"sandcourse/internal/admission"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/platform"
-	"sandcourse/roster"
 )
 
 // bench is a core whose sockets are the test's: it sees each byte that is written and the time of it.
@@ -134,14 +134,14 @@
 
 // list names the engines that are ready; r... are readers.
 func (b *bench) list(ids ...string) {
-	list := roster.List{Revision: 1}
+	list := endpoint.List{Revision: 1}
 	for _, id := range ids {
 		kind := "m2"
 		if id[0] == 'r' {
 			kind = "m1"
 		}
-		list.Engines = append(list.Engines, roster.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
-			State: roster.Ready})
+		list.Engines = append(list.Engines, endpoint.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
+			State: endpoint.Ready})
 	}
 	b.core.Begin(b.now)
 	b.core.TakeList(list)
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -8,8 +8,8 @@
 
 	"sandcourse/dialect"
 	"sandcourse/internal/connpool"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 )
 
 // departed is for how long an engine is remembered that has left the list. A minute: several times what a
@@ -29,7 +29,7 @@
 }
 
 // entry is what the list says of an engine; nothing of one that is not in it.
-func (o *Core) entry(engineID string) roster.Entry {
+func (o *Core) entry(engineID string) endpoint.Entry {
 	if o.list != nil {
 		for _, e := range o.list.Engines {
 			if e.Engine == engineID {
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	return roster.Entry{}
+	return endpoint.Entry{}
 }
 
 // reach is how an engine is reached from this node: by its id, unless the list says another place.
@@ -47,7 +47,7 @@
 }
 
 // takeList takes a list of engines, which replaces the one before.
-func (o *Core) takeList(list roster.List) {
+func (o *Core) takeList(list endpoint.List) {
 	list.Engines = o.starts.settle(list.Engines, o.now)
 	news, unknown := o.d.News(list)
 	ready := map[string]bool{}
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -16,12 +16,12 @@
 	"sandcourse/dialect"
 	"sandcourse/framing"
 	"sandcourse/internal/admission"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/platform"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -393,7 +393,7 @@
 // it is at another address.
 func (r *recorder) list(words ...string) {
 	r.revision++
-	list := roster.List{Revision: r.revision}
+	list := endpoint.List{Revision: r.revision}
 	for _, word := range words {
 		id, host, moved := strings.Cut(word, "@")
 		id, drains := strings.CutSuffix(id, "-")
@@ -408,11 +408,11 @@
 		if r.chat {
 			zone = "ktm-dc1"
 		}
-		state := roster.Ready
+		state := endpoint.Ready
 		if drains {
-			state = roster.Draining
+			state = endpoint.Draining
 		}
-		list.Engines = append(list.Engines, roster.Entry{Engine: id, Host: host, Kind: r.d.Kinds[kind].Name, Zone: zone,
+		list.Engines = append(list.Engines, endpoint.Entry{Engine: id, Host: host, Kind: r.d.Kinds[kind].Name, Zone: zone,
 			Weight: 1, State: state})
 	}
 	r.note("engines listed: %s", strings.Join(words, " "))
--- a/internal/router/lists.go
+++ b/internal/router/lists.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // olderListFor is for how long a drain that was told holds against a list of an older revision. Agents of discovery lag
@@ -15,13 +15,13 @@
 type lists struct {
 	newest int64 // revision
 	// latest is the list as it came last, and againAt is when it has to be looked at again; 0 for never.
-	latest  roster.List
+	latest  endpoint.List
 	againAt int64
 }
 
 // TakeList takes a list of engines, which replaces the one before. Drains that were told stay as they are where the list is
 // older than the one that told them, as when discovery has moved to an agent that lags.
-func (o *Core) TakeList(list roster.List) {
+func (o *Core) TakeList(list endpoint.List) {
 	o.lists.latest, o.lists.againAt = list, 0
 	if list.Revision < o.lists.newest {
 		list.Engines = o.keepDrains(list.Engines)
@@ -31,15 +31,15 @@
 }
 
 // keepDrains are the engines of an older list, with those that were told to drain, or to be gone, not long ago as draining.
-func (o *Core) keepDrains(engines []roster.Entry) []roster.Entry {
+func (o *Core) keepDrains(engines []endpoint.Entry) []endpoint.Entry {
 	engines = slices.Clone(engines)
 	for i := range engines {
 		e := &engines[i]
 		told := o.told[e.Engine]
-		if e.State != roster.Ready || told == 0 || o.now-told >= olderListFor || o.starts.isNew(*e) {
+		if e.State != endpoint.Ready || told == 0 || o.now-told >= olderListFor || o.starts.isNew(*e) {
 			continue
 		}
-		e.State = roster.Draining
+		e.State = endpoint.Draining
 		o.lists.againAt = max(o.lists.againAt, told+olderListFor)
 	}
 	return engines
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"sandcourse/internal/admission"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 )
 
 // finished answers all that is open with its writer's refusal or by its time being up.
@@ -100,9 +100,9 @@
 func TestEngineAtAnotherAddress(t *testing.T) {
 	move := func(b *bench) {
 		b.core.Begin(b.now)
-		b.core.TakeList(roster.List{Revision: 2, Engines: []roster.Entry{
-			{Engine: "r", Host: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: roster.Ready},
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: roster.Ready}}})
+		b.core.TakeList(endpoint.List{Revision: 2, Engines: []endpoint.Entry{
+			{Engine: "r", Host: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: endpoint.Ready},
+			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	b := newBench(t)
@@ -248,9 +248,9 @@
 	b := newBench(t)
 	tell := func(revision int64, state string, started int64) {
 		b.core.Begin(b.now)
-		b.core.TakeList(roster.List{Revision: revision, Engines: []roster.Entry{
+		b.core.TakeList(endpoint.List{Revision: revision, Engines: []endpoint.Entry{
 			{Engine: "r", Host: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state, UpSince: started},
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: roster.Ready}}})
+			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	sent := func() bool {
@@ -262,11 +262,11 @@
 		}
 		return any
 	}
-	tell(5, roster.Draining, 0)
+	tell(5, endpoint.Draining, 0)
 	if sent() {
 		t.Error("an attempt to an engine that drains")
 	}
-	tell(4, roster.Ready, 0)
+	tell(4, endpoint.Ready, 0)
 	b.pass(time.Second)
 	if sent() {
 		t.Error("an attempt to an engine that drains, as an older list has it ready")
@@ -275,25 +275,25 @@
 	if !sent() {
 		t.Error("no attempt 15 s after an older list, which stays")
 	}
-	tell(6, roster.Draining, 0)
-	tell(7, roster.Ready, 0)
+	tell(6, endpoint.Draining, 0)
+	tell(7, endpoint.Ready, 0)
 	if !sent() {
 		t.Error("no attempt to an engine that a newer list has ready again")
 	}
 	gone := func(revision int64) {
 		b.core.Begin(b.now)
-		b.core.TakeList(roster.List{Revision: revision, Engines: []roster.Entry{
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: roster.Ready}}})
+		b.core.TakeList(endpoint.List{Revision: revision, Engines: []endpoint.Entry{
+			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	begun := b.now/int64(time.Millisecond) - 1000
-	tell(8, roster.Ready, begun)
+	tell(8, endpoint.Ready, begun)
 	gone(9)
-	tell(8, roster.Ready, begun)
+	tell(8, endpoint.Ready, begun)
 	if sent() {
 		t.Error("an attempt to an engine that is gone, as an older list has it")
 	}
-	tell(8, roster.Ready, b.now/int64(time.Millisecond))
+	tell(8, endpoint.Ready, b.now/int64(time.Millisecond))
 	if !sent() {
 		t.Error("no attempt to an engine that has started anew")
 	}
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -14,11 +14,11 @@
 
 	"pgregory.net/rapid"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/platform"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -39,7 +39,7 @@
 	callers  []*caller
 	dialling []*router.Line
 	conns    []*engineConn
-	list     map[string]roster.Entry
+	list     map[string]endpoint.Entry
 	toldAt   map[string]int64 // when an engine was told to drain or to be gone
 	holds    []*hold
 	// unnoticed are connections that the node has closed, with an attempt on them, and the engine does not know yet.
@@ -414,7 +414,7 @@
 
 // tellList tells the list as it is now.
 func (w *world) tellList() {
-	list := roster.List{Revision: w.now}
+	list := endpoint.List{Revision: w.now}
 	ids := []string{}
 	for id := range w.list {
 		ids = append(ids, id)
@@ -433,7 +433,7 @@
 	e := w.list[id]
 	e.State = state
 	w.list[id] = e
-	if state == roster.Ready {
+	if state == endpoint.Ready {
 		delete(w.toldAt, id)
 	} else if w.toldAt[id] == 0 {
 		w.toldAt[id] = w.now
@@ -477,7 +477,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, now: 1e15, list: map[string]roster.Entry{}, toldAt: map[string]int64{},
+	w := &world{t: t, now: 1e15, list: map[string]endpoint.Entry{}, toldAt: map[string]int64{},
 		deaf: map[string]bool{}}
 	if w.d, err = told.Deployment("settings"); err != nil {
 		t.Fatal(err)
@@ -485,9 +485,9 @@
 	w.core = router.New(w.d, platform.New(told.Reports()), 1, 1, w.now, w, w)
 	for i, kind := range []string{"p", "p", "d", "d", "m"}[:rapid.IntRange(3, 5).Draw(t, "engines")] {
 		id := fmt.Sprint("s", i)
-		w.list[id] = roster.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
+		w.list[id] = endpoint.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
 			Cell:  fmt.Sprint(i % 3),
-			State: roster.Ready}
+			State: endpoint.Ready}
 	}
 	w.tellList()
 	return w
@@ -526,7 +526,7 @@
 		}
 	case what == 10:
 		id := fmt.Sprint("s", rapid.IntRange(0, len(w.list)-1).Draw(w.t, "listed"))
-		w.change(id, rapid.SampledFrom([]string{roster.Ready, roster.Ready, roster.Draining, ""}).Draw(w.t, "state"))
+		w.change(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(w.t, "state"))
 	case what == 12 && len(w.deaf) == 0: // one at a time, so that another can be told to let go
 		w.deaf[fmt.Sprint("s", rapid.IntRange(0, len(w.list)-1).Draw(w.t, "deaf"))] = true
 	case what == 12:
--- a/internal/router/starts.go
+++ b/internal/router/starts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // lateNews is how old a start may be of which this node hears while it runs: lists come seconds late, and discovery may be
@@ -29,9 +29,9 @@
 const perMilli = int64(time.Millisecond)
 
 // settle gives the entries of a list their starts on the node's clock, and forgets engines that left long ago.
-func (s *starts) settle(engines []roster.Entry, now int64) []roster.Entry {
+func (s *starts) settle(engines []endpoint.Entry, now int64) []endpoint.Entry {
 	next := make(map[string]start, len(engines))
-	out := make([]roster.Entry, len(engines))
+	out := make([]endpoint.Entry, len(engines))
 	for i, e := range engines {
 		if e.UpSince > 0 {
 			known := s.of(e, now)
@@ -51,11 +51,11 @@
 }
 
 // isNew is whether an entry tells a start of its engine that was not told before.
-func (s *starts) isNew(e roster.Entry) bool {
+func (s *starts) isNew(e endpoint.Entry) bool {
 	return e.UpSince > 0 && s.known[e.Engine].told != e.UpSince
 }
 
-func (s *starts) of(e roster.Entry, now int64) start {
+func (s *starts) of(e endpoint.Entry, now int64) start {
 	before, known := s.known[e.Engine]
 	if known && before.told == e.UpSince {
 		return before
--- a/internal/router/starts_test.go
+++ b/internal/router/starts_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // Engines stamp their starts by wall clocks that may be stepped. A start that is heard of while the node runs is a cold
@@ -28,27 +28,27 @@
 		if !c.first {
 			s.settle(nil, now-perMilli)
 		}
-		row := s.settle([]roster.Entry{{Engine: "e", UpSince: c.told}}, now)
+		row := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told}}, now)
 		if age := time.Duration(now - row[0].UpSince*perMilli); age != c.age {
 			t.Errorf("%s: the engine is taken to be %v old, want %v", name, age, c.age)
 		}
 		// Time passes, and the same start is told again: it stays.
-		again := s.settle([]roster.Entry{{Engine: "e", UpSince: c.told}}, now+int64(time.Minute))
+		again := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told}}, now+int64(time.Minute))
 		if again[0].UpSince != row[0].UpSince {
 			t.Errorf("%s: the same start moves by %d ms", name, again[0].UpSince-row[0].UpSince)
 		}
 		// It starts anew, stamped by a clock that was set back meanwhile.
-		anew := s.settle([]roster.Entry{{Engine: "e", UpSince: c.told - hour}}, now+2*int64(time.Minute))
+		anew := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told - hour}}, now+2*int64(time.Minute))
 		if anew[0].UpSince <= row[0].UpSince {
 			t.Errorf("%s: a start stamped by a clock that was set back is not seen", name)
 		}
 	}
 	s := starts{}
-	if row := s.settle([]roster.Entry{{Engine: "e"}}, now); row[0].UpSince != 0 {
+	if row := s.settle([]endpoint.Entry{{Engine: "e"}}, now); row[0].UpSince != 0 {
 		t.Error("an engine that came up long ago is given a start")
 	}
 	for i := range 100 {
-		s.settle([]roster.Entry{{Engine: string(rune('a' + i)), UpSince: 1}}, now+int64(i)*departed/10)
+		s.settle([]endpoint.Entry{{Engine: string(rune('a' + i)), UpSince: 1}}, now+int64(i)*departed/10)
 	}
 	if len(s.known) > 12 {
 		t.Errorf("%d engines are remembered, one is listed and ten left in the last minute", len(s.known))
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -17,10 +17,10 @@
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -105,18 +105,18 @@
 // publish hands the list to all nodes, half a second late and not all at once.
 func (w *world) publish() {
 	w.list++
-	list := roster.List{Revision: w.list, Engines: []roster.Entry{}}
+	list := endpoint.List{Revision: w.list, Engines: []endpoint.Entry{}}
 	for _, b := range w.engines {
 		if b.gone {
 			continue
 		}
-		e := roster.Entry{Engine: b.name, Kind: "prefill", Weight: 1, State: roster.Ready,
+		e := endpoint.Entry{Engine: b.name, Kind: "prefill", Weight: 1, State: endpoint.Ready,
 			UpSince: b.began / 1e6}
 		if b.role == "write" {
 			e.Kind = "decode"
 		}
 		if b.drains {
-			e.State = roster.Draining
+			e.State = endpoint.Draining
 		}
 		list.Engines = append(list.Engines, e)
 	}
--- a/plan/bench_test.go
+++ b/plan/bench_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/follow"
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -32,7 +32,7 @@
 // and how long a planner that was killed and started needs until all follow it again.
 func BenchmarkPlanTo300Edges(b *testing.B) {
 	const engines, edges = 300, 300
-	list := roster.List{Revision: 1}
+	list := endpoint.List{Revision: 1}
 	for i := range engines {
 		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read"}
 		kind := "prefill"
@@ -44,15 +44,15 @@
 			b.Fatal(err)
 		}
 		defer e.Stop()
-		list.Engines = append(list.Engines, roster.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
-			State: roster.Ready})
+		list.Engines = append(list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+			State: endpoint.Ready})
 	}
 	dir := b.TempDir()
 	d := settings.PlanningDefaults()
 	d.Listen, d.Store, d.Roster = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
 	d.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	d.Pairs = [][2]string{{"prefill", "decode"}}
-	roster.Write(d.Roster, list)
+	endpoint.Write(d.Roster, list)
 	p := New(d, zap.NewNop())
 	if err := p.Start(); err != nil {
 		b.Fatal(err)
@@ -67,7 +67,7 @@
 		go follow.Planner{Addr: p.Addr(), Report: func(context.Context) (planwire.EdgeReport, error) {
 			return planwire.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
 				Routes: []planwire.RouteCount{{Route: "a"}, {Route: "b"}}}, nil
-		}}.Run(ctx, func(l roster.List) {
+		}}.Run(ctx, func(l endpoint.List) {
 			mu.Lock()
 			got[i], at[i] = l.Revision, time.Now()
 			mu.Unlock()
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -18,9 +18,9 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/follow"
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/roster"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -37,7 +37,7 @@
 func newFleet(t *testing.T, readers, writers int) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
-	list := roster.List{Revision: 1}
+	list := endpoint.List{Revision: 1}
 	for i := range readers + writers {
 		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Reload: 50 * time.Millisecond}
 		kind := "prefill"
@@ -50,12 +50,12 @@
 		}
 		t.Cleanup(e.Stop)
 		f.engines = append(f.engines, e)
-		list.Engines = append(list.Engines, roster.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
-			State: roster.Ready})
+		list.Engines = append(list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+			State: endpoint.Ready})
 	}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "roster.json")
-	if err := roster.Write(path, list); err != nil {
+	if err := endpoint.Write(path, list); err != nil {
 		t.Fatal(err)
 	}
 	f.d = settings.PlanningDefaults()
@@ -359,11 +359,11 @@
 	f.d.Listen = p.Addr()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	lists := make(chan roster.List, 100)
+	lists := make(chan endpoint.List, 100)
 	faults := make(chan error, 100)
 	var all sync.WaitGroup
 	all.Go(func() {
-		follow.Planner{Addr: p.Addr(), Quiet: 2 * time.Second}.Run(ctx, func(l roster.List) { lists <- l },
+		follow.Planner{Addr: p.Addr(), Quiet: 2 * time.Second}.Run(ctx, func(l endpoint.List) { lists <- l },
 			func(err error) { faults <- err })
 	})
 	first := <-lists
--- a/plan/planner.go
+++ b/plan/planner.go
@@ -21,9 +21,9 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.uber.org/zap"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -149,8 +149,8 @@
 	p.over.Go(p.loop)
 	p.over.Go(p.askAll)
 	p.over.Go(func() {
-		take := func(list roster.List) { p.put(func() { p.step(roles.Listed{Boxes: p.boxes(list)}) }) }
-		roster.File{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
+		take := func(list endpoint.List) { p.put(func() { p.step(roles.Listed{Boxes: p.boxes(list)}) }) }
+		endpoint.File{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
 			p.log.Warn("roster",
 				zap.Error(err))
 		})
@@ -170,7 +170,7 @@
 	if err != nil {
 		return 1, nil // nothing is known of engines yet
 	}
-	list, err := roster.Parse(data)
+	list, err := endpoint.Parse(data)
 	if err != nil {
 		return 1, nil
 	}
@@ -341,7 +341,7 @@
 }
 
 // boxes are discovery's engines as roles knows them.
-func (p *Planner) boxes(list roster.List) (row []roles.Box) {
+func (p *Planner) boxes(list endpoint.List) (row []roles.Box) {
 	for _, e := range list.Engines {
 		k, ok := p.kinds[e.Kind]
 		if !ok || k.Role == "both" {
@@ -350,7 +350,7 @@
 			continue
 		}
 		b := roles.Box{Engine: e.Engine, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
-			Ready:   e.State == roster.Ready,
+			Ready:   e.State == endpoint.Ready,
 			UpSince: e.UpSince * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
 		for _, pair := range p.d.Pairs {
 			if pair[0] == k.Name || pair[1] == k.Name {
--- a/planwire/planwire.go
+++ b/planwire/planwire.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // Paths at the planner, and at an engine.
@@ -64,10 +64,10 @@
 }
 
 // List is a plan as a node takes it. Now is the node's clock in Unix milliseconds.
-func (p Plan) List(now int64) roster.List {
-	list := roster.List{Revision: p.Number, Engines: []roster.Entry{}}
+func (p Plan) List(now int64) endpoint.List {
+	list := endpoint.List{Revision: p.Number, Engines: []endpoint.Entry{}}
 	for _, e := range p.Engines {
-		entry := roster.Entry{Engine: e.Engine, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+		entry := endpoint.Entry{Engine: e.Engine, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			State: e.State,
 			Epoch: e.Epoch}
 		if e.UpFor > 0 {
@@ -176,7 +176,7 @@
 		}
 	}
 	// The entries as a node takes them; the time only has to lie after all that they have been up for.
-	if err := roster.Check(p.List(math.MaxInt64).Engines); err != nil {
+	if err := endpoint.Check(p.List(math.MaxInt64).Engines); err != nil {
 		return p, fmt.Errorf("plan: %w", err)
 	}
 	return p, nil
--- a/prove/fleet.go
+++ b/prove/fleet.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 )
 
 // fleet is several nodes on the same engines. They share engines, list and time, and nothing else: events of
@@ -19,7 +19,7 @@
 type fleet struct {
 	w    World
 	sims []*sim
-	list roster.List
+	list endpoint.List
 	turn int // no event of a node under this number before the next shared one
 	said []string
 	most int // sends to a cold engine in one window
@@ -70,13 +70,13 @@
 		}
 	}
 	for i, e := range f.list.Engines {
-		if e.State != roster.Ready {
+		if e.State != endpoint.Ready {
 			continue
 		}
 		shared("the list says that "+e.Engine+" drains", "drain", func() {
 			f.list.Revision++
 			f.list.Engines = slices.Clone(f.list.Engines)
-			f.list.Engines[i].State = roster.Draining
+			f.list.Engines[i].State = endpoint.Draining
 		})
 		shared(e.Engine+" restarts cold", "restart", func() { f.restart(i) })
 	}
--- a/prove/roles.go
+++ b/prove/roles.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/roster"
 )
 
 // roleSim is the planner's roles with a store, some engines and edges. Each effect is an event of its own, so
@@ -393,7 +393,7 @@
 func (s *roleSim) checkPlan() {
 	ready := map[string]int{}
 	for _, e := range s.plan.Engines {
-		if e.State == roster.Ready {
+		if e.State == endpoint.Ready {
 			ready[e.Kind]++
 			if k, ok := s.kept[e.Engine]; ok && k.State != roles.Serving && k.State != roles.Cold {
 				s.tell("R8 plan %d lists %s as ready, which is %s", s.plan.Number, e.Engine, k.State)
@@ -432,7 +432,7 @@
 	for i, p := range s.edges {
 		for _, e := range p.Engines {
 			b := s.box(e.Engine)
-			if e.State == roster.Ready && e.Epoch == b.epoch && !b.loading && b.role != e.Kind {
+			if e.State == endpoint.Ready && e.Epoch == b.epoch && !b.loading && b.role != e.Kind {
 				s.tell("R2 edge %d would send %s what is for %s, and its epoch %d is taken", i, e.Engine,
 					e.Kind, e.Epoch)
 			}
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -22,10 +22,10 @@
 	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 	"sandcourse/settings"
 )
 
@@ -119,7 +119,7 @@
 	lines   []*simLine
 	held    []held
 	faults  int
-	list    roster.List
+	list    endpoint.List
 	toldAt  map[string]int64 // when an engine was told to drain or gone, by truth
 	broken  []string         // properties, with words
 	story   []string
@@ -176,7 +176,7 @@
 		if i >= w.Readers {
 			kind = "decode"
 		}
-		s.list.Engines = append(s.list.Engines, roster.Entry{Engine: engineName(w, i), Kind: kind, Weight: 1, State: roster.Ready})
+		s.list.Engines = append(s.list.Engines, endpoint.Entry{Engine: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
 	}
 	s.list.Revision = 1
 	s.do(func() { s.core.TakeList(s.list) })
@@ -498,11 +498,11 @@
 		}
 	}
 	for i, e := range s.list.Engines {
-		if e.State == roster.Ready {
+		if e.State == endpoint.Ready {
 			add("the list says that "+e.Engine+" drains", "drain", func() {
 				s.list.Revision++
 				s.list.Engines = slices.Clone(s.list.Engines)
-				s.list.Engines[i].State = roster.Draining
+				s.list.Engines[i].State = endpoint.Draining
 				s.hear()
 			})
 			add(e.Engine+" restarts cold", "restart", func() {
@@ -526,7 +526,7 @@
 // hear hands the list to the node, and notes by truth what it was told.
 func (s *sim) hear() {
 	for _, e := range s.list.Engines {
-		if _, ok := s.toldAt[e.Engine]; !ok && e.State == roster.Draining {
+		if _, ok := s.toldAt[e.Engine]; !ok && e.State == endpoint.Draining {
 			s.toldAt[e.Engine] = s.now
 		}
 	}
--- a/roles/core.go
+++ b/roles/core.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 )
 
 // Bounds are the operators' figures for changes of roles.
@@ -531,15 +531,15 @@
 		if !b.present {
 			continue
 		}
-		state := roster.Ready
+		state := endpoint.Ready
 		switch b.State {
 		case Draining:
-			state = roster.Draining
+			state = endpoint.Draining
 		case Ordered, Loading, Returning, Trying, Aside:
 			continue
 		}
 		if !b.listed.Ready {
-			state = roster.Draining
+			state = endpoint.Draining
 		}
 		e := planwire.Engine{Engine: id, Kind: b.listed.Kinds[b.Role], Zone: b.listed.Zone,
 			Cell: b.listed.Cell, Weight: b.listed.Weight, State: state,
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
-	"sandcourse/roster"
 )
 
 func testBounds() Bounds {
@@ -64,7 +64,7 @@
 					}
 				case Publish:
 					for _, x := range e.Plan.Engines {
-						if r, ok := kept[x.Engine]; ok && x.State == roster.Ready && r.State != Serving &&
+						if r, ok := kept[x.Engine]; ok && x.State == endpoint.Ready && r.State != Serving &&
 							r.State != Cold {
 							t.Fatalf("%s is listed as ready and is %s", x.Engine, r.State)
 						}
--- a/settings/facts.go
+++ b/settings/facts.go
@@ -7,9 +7,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 )
 
 // Facts are what the decision module is handed, by the names that it reads.
@@ -58,7 +58,7 @@
 
 // News turns a list into what the module hears. Entries of a kind that the settings do not name are returned
 // by id: they can't be sent to.
-func (d *Deployment) News(list roster.List) (news routing.EngineNews, unknown []string) {
+func (d *Deployment) News(list endpoint.List) (news routing.EngineNews, unknown []string) {
 	news.Whole = true
 	for _, e := range list.Engines {
 		kind := slices.IndexFunc(d.Kinds, func(k EngineKind) bool { return k.Name == e.Kind })
@@ -68,7 +68,7 @@
 		}
 		news.Engines = append(news.Engines, routing.EngineEntry{Engine: e.Engine, Weight: e.Weight, Kind: kind,
 			Zone: d.zoneNumber(e.Zone), Cell: placeNumber(e.Zone + "/" + e.Cell), UpSince: e.UpSince * 1e6,
-			Ready: e.State == roster.Ready, Drains: e.State == roster.Draining})
+			Ready: e.State == endpoint.Ready, Drains: e.State == endpoint.Draining})
 	}
 	return news, unknown
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sandcourse/internal/admission"
-	"sandcourse/roster"
+	"sandcourse/internal/endpoint"
 	"sandcourse/script"
 )
 
@@ -56,7 +56,7 @@
 	Chat, Metrics string
 	Roster        string
 	Planner       string // its address; plans take the place of a roster
-	Engines       []roster.Entry
+	Engines       []endpoint.Entry
 	Kinds         []EngineKind
 	Routes        []Route
 	Rules         Rules
@@ -178,7 +178,7 @@
 				}
 		},
 		"engine": func() ([]script.Key, func(fault)) {
-			e := roster.Entry{State: roster.Ready, Weight: 1}
+			e := endpoint.Entry{State: endpoint.Ready, Weight: 1}
 			return []script.Key{{Name: "at", To: &e.Engine, Need: true, Address: true}, {Name: "kind", To: &e.Kind, Need: true},
 					{Name: "zone", To: &e.Zone}, {Name: "cell", To: &e.Cell},
 					{Name: "weight", To: &e.Weight, Min: 0.01, Max: 1000}},
@@ -187,7 +187,7 @@
 						say("", "more than %d engines", maxListed)
 						return
 					}
-					if slices.ContainsFunc(d.Engines, func(o roster.Entry) bool { return o.Engine == e.Engine }) {
+					if slices.ContainsFunc(d.Engines, func(o endpoint.Entry) bool { return o.Engine == e.Engine }) {
 						say("at", "engine %s stands twice", e.Engine)
 					}
 					if !slices.ContainsFunc(d.Kinds,
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
+	"sandcourse/internal/endpoint"
 	"sandcourse/internal/routing"
-	"sandcourse/roster"
 	"sandcourse/script"
 )
 
@@ -73,10 +73,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news, unknown := d.News(roster.List{Engines: []roster.Entry{
-		{Engine: "a:1", Kind: "prefill", Zone: "other", State: roster.Ready, Weight: 2, UpSince: 7},
-		{Engine: "b:1", Kind: "decode", Zone: "ktm-dc1", State: roster.Draining},
-		{Engine: "c:1", Kind: "mixed", State: roster.Ready}}})
+	news, unknown := d.News(endpoint.List{Engines: []endpoint.Entry{
+		{Engine: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, UpSince: 7},
+		{Engine: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
+		{Engine: "c:1", Kind: "mixed", State: endpoint.Ready}}})
 	for i := range news.Engines { // places beyond the settings' have any number, but one of their own
 		e := &news.Engines[i]
 		if e.Engine == "a:1" && (e.Zone == 0 || e.Cell == news.Engines[1].Cell) {
@@ -106,9 +106,9 @@
 		zones, cells := map[string]int{}, map[string]int{}
 		owner := map[string]string{}
 		for range 5 {
-			var list roster.List
+			var list endpoint.List
 			for i := range rapid.IntRange(0, 6).Draw(t, "engines") {
-				list.Engines = append(list.Engines, roster.Entry{Engine: fmt.Sprint(i), Kind: "decode", State: roster.Ready,
+				list.Engines = append(list.Engines, endpoint.Entry{Engine: fmt.Sprint(i), Kind: "decode", State: endpoint.Ready,
 					Zone: rapid.SampledFrom([]string{"ktm-dc1", "a", "b"}).Draw(t, "zone"),
 					Cell: rapid.SampledFrom([]string{"0", "1", "2"}).Draw(t, "cell")})
 			}
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -20,9 +20,9 @@
 	"sandcourse/chat"
 	"sandcourse/edge"
 	"sandcourse/engine"
+	"sandcourse/internal/endpoint"
 	"sandcourse/load"
 	"sandcourse/prove"
-	"sandcourse/roster"
 )
 
 // ask is one request that an engine has got and not answered to its end.
@@ -160,9 +160,9 @@
 }
 
 // lists hands over lists as they are sent.
-type lists chan roster.List
+type lists chan endpoint.List
 
-func (l lists) Run(ctx context.Context, take func(roster.List), _ func(error)) {
+func (l lists) Run(ctx context.Context, take func(endpoint.List), _ func(error)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -186,7 +186,7 @@
 	}
 	st := &stage{come: make(chan struct{}, 1)}
 	d, source := w.Deployment(), make(lists, 100)
-	list := roster.List{Revision: 1}
+	list := endpoint.List{Revision: 1}
 	for i, name := range w.Names() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -194,7 +194,7 @@
 		}
 		defer l.Close()
 		go st.serve(l, name)
-		list.Engines = append(list.Engines, roster.Entry{Engine: l.Addr().String(), Kind: d.Kinds[i].Name, Weight: 1, State: roster.Ready})
+		list.Engines = append(list.Engines, endpoint.Entry{Engine: l.Addr().String(), Kind: d.Kinds[i].Name, Weight: 1, State: endpoint.Ready})
 	}
 	d.Chat = "127.0.0.1:0"
 	n := edge.New(d, zap.NewNop(), source, 1)
@@ -238,9 +238,9 @@
 					continue
 				}
 				list.Revision++
-				list.Engines = append([]roster.Entry{}, list.Engines...)
+				list.Engines = append([]endpoint.Entry{}, list.Engines...)
 				if strings.HasSuffix(name, " drains") {
-					list.Engines[j].State = roster.Draining
+					list.Engines[j].State = endpoint.Draining
 				} else {
 					list.Engines[j].UpSince = time.Now().UnixMilli()
 					for a, err := st.find(now(), "", e); err == nil; a, err = st.find(now(), "", e) {
