--- a/discover/discover.go
+++ b/discover/discover.go
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"sandcourse/catalog"
+	"sandcourse/internal/discovery/catalog"
 	"sandcourse/internal/endpoint"
 )
 
