--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/discover"
 	"sandcourse/edge"
+	"sandcourse/internal/discovery"
 	"sandcourse/netfault"
 	"sandcourse/platform"
 	"sandcourse/process"
@@ -82,7 +82,7 @@
 	defer log.Sync()
 	at := make(chan string, 1)
 	at <- told.Discovery
-	agent := discover.Agent{At: at, Known: told.Known}
+	agent := discovery.Agent{At: at, Known: told.Known}
 	n := edge.NewOn(d, log, agent, told.SeedNumber(), platform.New(told.Reports()))
 	if err := n.HearPeers(told.PeerListen, told.Peers, told.PeersAll); err != nil {
 		return err
--- a/discover/discover.go
+++ b/internal/discovery/discover.go
@@ -1,6 +1,6 @@
 // Package discover follows the platform's discovery for one node: an agent that is asked over HTTP and
 // answers when there is news.
-package discover
+package discovery
 
 import (
 	"context"
--- a/discover/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package discover
+package discovery
 
 import (
 	"bufio"
