--- a/prove/sim.go
+++ b/prove/sim.go
@@ -196,13 +196,13 @@
 	return c
 }
 
-// protocol is the chat API's: it keeps nothing that changes.
-var protocol = chatline.New(nil)
+// chatProtocol is the chat API's: it keeps nothing that changes.
+var chatProtocol = chatline.New(nil)
 
 // begin starts a life of the node.
 func (s *sim) begin() {
 	s.life++
-	s.core = router.New(s.d, protocol, uint64(s.life+16*s.node), int64(s.life), s.now, s, watch{s})
+	s.core = router.New(s.d, chatProtocol, uint64(s.life+16*s.node), int64(s.life), s.now, s, watch{s})
 }
 
 // kill ends the node outright and starts it anew with its last list. What it held is its clients' loss and
