--- a/chatline/chatline.go
+++ b/chatline/chatline.go
@@ -13,9 +13,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sandcourse/chat"
-	"sandcourse/dialect"
 	"sandcourse/engine"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/protocol"
 )
 
 // Dialect is the chat API's.
@@ -32,17 +32,17 @@
 }
 
 // Call is a chat call as the core takes it.
-func Call(c *chat.Call) *dialect.Call {
-	return &dialect.Call{Route: c.Model, Session: c.Session, Beginning: c.Beginning, Prompt: c.Prompt,
+func Call(c *chat.Call) *protocol.Call {
+	return &protocol.Call{Route: c.Model, Session: c.Session, Beginning: c.Beginning, Prompt: c.Prompt,
 		BeginningLen: c.BeginningLen, MaxAnswer: c.MaxAnswer, Stream: c.Stream, Repeat: c.RepeatMark != "",
 		Retried: c.Retry > 0, GiveUp: c.GiveUp, Own: c}
 }
 
-func answer(status int, body []byte, headers ...string) dialect.Answer {
-	return dialect.Answer{Status: status, Type: "application/json", Headers: headers, Body: body}
+func answer(status int, body []byte, headers ...string) protocol.Answer {
+	return protocol.Answer{Status: status, Type: "application/json", Headers: headers, Body: body}
 }
 
-func (*Dialect) Parse(r *http.Request, body []byte) (*dialect.Call, string, *dialect.Answer) {
+func (*Dialect) Parse(r *http.Request, body []byte) (*protocol.Call, string, *protocol.Answer) {
 	if r.Method != http.MethodPost || r.URL.Path != engine.ChatPath {
 		return nil, "", nil
 	}
@@ -60,7 +60,7 @@
 	return Call(c), party, nil
 }
 
-func (d *Dialect) Page(r *http.Request, notReady string) dialect.Answer {
+func (d *Dialect) Page(r *http.Request, notReady string) protocol.Answer {
 	path, method := r.URL.Path, r.Method
 	switch {
 	case path == "/v1/models" && method == http.MethodGet:
@@ -78,11 +78,11 @@
 	return d.Refusal(http.StatusNotFound, "not_found", "", "nothing is served at "+path)
 }
 
-func (*Dialect) Refusal(status int, code, param, why string) dialect.Answer {
+func (*Dialect) Refusal(status int, code, param, why string) protocol.Answer {
 	return answer(status, chat.ErrorBody("invalid_request_error", code, param, why))
 }
 
-func (*Dialect) Shed(status int, name, why string, again time.Duration) dialect.Answer {
+func (*Dialect) Shed(status int, name, why string, again time.Duration) protocol.Answer {
 	headers := []string{"Retry-After", fmt.Sprint(int64(math.Ceil(max(1, again.Seconds())))),
 		"Retry-After-Ms", fmt.Sprint(again.Milliseconds()), chat.HeaderFinal, "shed"}
 	if name != "" {
@@ -91,7 +91,7 @@
 	return answer(status, chat.ErrorBody("overloaded", "shed", "", why+"; a further try is harmless"), headers...)
 }
 
-func (*Dialect) Errored(name, why string, late bool) dialect.Answer {
+func (*Dialect) Errored(name, why string, late bool) protocol.Answer {
 	status := http.StatusBadGateway
 	if late {
 		status = http.StatusGatewayTimeout
@@ -104,14 +104,14 @@
 // The most bytes of text of an answer that is collected for a client that wants it whole.
 const answerWhole = 1 << 20
 
-func (*Dialect) Collect(c *dialect.Call) dialect.Collector {
+func (*Dialect) Collect(c *protocol.Call) protocol.Collector {
 	if c.Stream {
 		return nil
 	}
 	return chat.NewWhole(answerWhole)
 }
 
-func (*Dialect) Whole(c *dialect.Call, name string, from dialect.Collector) dialect.Answer {
+func (*Dialect) Whole(c *protocol.Call, name string, from protocol.Collector) protocol.Answer {
 	return answer(http.StatusOK, from.(*chat.Whole).Body(c.Own.(*chat.Call)),
 		chat.HeaderInference, name, chat.HeaderFinal, "completed")
 }
@@ -131,23 +131,23 @@
 	return append(last, "0\r\n\r\n"...), true
 }
 
-func job(c *dialect.Call, name string) engine.Job {
+func job(c *protocol.Call, name string) engine.Job {
 	return engine.Job{Call: c.Own.(*chat.Call), Name: name}
 }
 
-func (*Dialect) Read(c *dialect.Call, name string, to dialect.Engine, send int, _ time.Duration) ([]byte, error) {
+func (*Dialect) Read(c *protocol.Call, name string, to protocol.Engine, send int, _ time.Duration) ([]byte, error) {
 	return job(c, name).Read(to.Host, to.Epoch, send)
 }
 
-func (*Dialect) Write(c *dialect.Call, name string, to dialect.Engine, from dialect.State,
+func (*Dialect) Write(c *protocol.Call, name string, to protocol.Engine, from protocol.State,
 	_ time.Duration) ([]byte, error) {
 	t, _ := from.(engine.Transfer)
 	return job(c, name).Write(to.Host, to.Epoch, t)
 }
 
-func (*Dialect) Probe(to dialect.Engine) []byte { return engine.Probe(to.Host) }
+func (*Dialect) Probe(to protocol.Engine) []byte { return engine.Probe(to.Host) }
 
-func (*Dialect) Release(to dialect.Engine, name string, send int) []byte {
+func (*Dialect) Release(to protocol.Engine, name string, send int) []byte {
 	return engine.Release(to.Host, name, send)
 }
 
@@ -159,7 +159,7 @@
 	return in
 }
 
-func (*Dialect) Held(body []byte) (dialect.State, int, error) {
+func (*Dialect) Held(body []byte) (protocol.State, int, error) {
 	t, kept, err := engine.ReadAnswer(body)
 	return t, kept, err
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -22,9 +22,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/chatline"
-	"sandcourse/dialect"
 	"sandcourse/follow"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/planwire"
@@ -44,7 +44,7 @@
 
 	in       *inbox
 	core     *router.Core
-	protocol dialect.Dialect
+	protocol protocol.Dialect
 	peers    *peers // nil where nodes tell one another nothing
 	room     *room  // for clients' connections
 	pollers  int    // of each side
@@ -77,7 +77,7 @@
 
 // NewOn makes a node that speaks a dialect.
 func NewOn(d *settings.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
-	protocol dialect.Dialect) *Node {
+	protocol protocol.Dialect) *Node {
 	n := &Node{d: d, log: log.With(zap.String("node", d.Node)), source: source, seed: seed, in: newInbox(d.Inbox),
 		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
 		pollers: defaultPollers, dial: dialTCP}
--- a/dialect/dialect.go
+++ b/internal/protocol/dialect.go
@@ -1,6 +1,6 @@
 // Package dialect is what a node needs of a protocol between itself, its clients and its engines. The core
 // decides when something is said and to whom; a dialect knows the words. It does no I/O.
-package dialect
+package protocol
 
 import (
 	"net/http"
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
@@ -26,7 +26,7 @@
 	lastToken int64
 	relay     Relay // of its stream, if it has one
 	kept      float64
-	transfer  dialect.State
+	transfer  protocol.State
 	report    map[string]float64
 	verdict   routing.Verdict
 	ended     bool
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/framing"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 )
 
 // pipelined is how many requests of one connection wait for their turn. Those behind them are refused when theirs comes:
@@ -217,7 +217,7 @@
 }
 
 // reply writes a whole answer and ends the request.
-func (o *Core) reply(c *Client, a *Asked, with dialect.Answer) {
+func (o *Core) reply(c *Client, a *Asked, with protocol.Answer) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
 		with.Status, http.StatusText(with.Status), with.Type, len(with.Body))
 	for i := 0; i+1 < len(with.Headers); i += 2 {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -28,7 +28,7 @@
 	watch Watch
 	now   int64
 	// protocol is how clients and engines are met; it may keep nothing of its own that changes.
-	protocol dialect.Dialect
+	protocol protocol.Dialect
 
 	brain  *routing.Brain
 	lives  uint64 // of the module: a panic begins a new one
@@ -96,7 +96,7 @@
 }
 
 // New makes the core of a node that starts at now. Epoch must differ between lives of a node.
-func New(d *settings.Deployment, protocol dialect.Dialect, seed uint64, epoch, now int64, wire Wire,
+func New(d *settings.Deployment, protocol protocol.Dialect, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
 		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/routing"
 )
 
@@ -41,9 +41,9 @@
 }
 
 // reach is how an engine is reached from this node: by its id, unless the list says another place.
-func (o *Core) reach(engineID string) dialect.Engine {
+func (o *Core) reach(engineID string) protocol.Engine {
 	e := o.entry(engineID)
-	return dialect.Engine{Host: cmp.Or(e.Host, engineID), Epoch: e.Epoch}
+	return protocol.Engine{Host: cmp.Or(e.Host, engineID), Epoch: e.Epoch}
 }
 
 // takeList takes a list of engines, which replaces the one before.
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"sandcourse/chatline"
-	"sandcourse/dialect"
 	"sandcourse/framing"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/platform"
@@ -32,7 +32,7 @@
 	t        *testing.T
 	core     *router.Core
 	d        *settings.Deployment
-	protocol dialect.Dialect
+	protocol protocol.Dialect
 	chat     bool // the chat dialect; else the platform's
 	start    int64
 	now      int64
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
 )
@@ -25,8 +25,8 @@
 	at       int64
 	giveUpAt int64
 	sends    []*send
-	transfer dialect.State
-	whole    dialect.Collector // where the client wants one answer
+	transfer protocol.State
+	whole    protocol.Collector // where the client wants one answer
 	began    bool
 	firstAt  int64
 	cutUntil int64  // until when an attempt that was given up may still act at its engine; 0 where none was
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -9,9 +9,9 @@
 	"net/http"
 	"time"
 
-	"sandcourse/dialect"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/routing"
 )
 
@@ -164,10 +164,10 @@
 // Asked is one request of a client, whole.
 type Asked struct {
 	Request *http.Request
-	Call    *dialect.Call // nil where it is no call
-	Party   string        // who asks, empty for the connection itself
+	Call    *protocol.Call // nil where it is no call
+	Party   string         // who asks, empty for the connection itself
 	Bytes   int
-	Wrong   *dialect.Answer // to a call that is none
+	Wrong   *protocol.Answer // to a call that is none
 
 	excess bool // more wait before it than may
 	ends   bool // nothing behind it can be read
--- a/prove/copy.go
+++ b/prove/copy.go
@@ -7,7 +7,7 @@
 	"unsafe"
 
 	"sandcourse/chatline"
-	"sandcourse/dialect"
+	"sandcourse/internal/protocol"
 	"sandcourse/settings"
 )
 
@@ -18,7 +18,7 @@
 	reflect.TypeFor[*settings.Deployment](): true, // fixed from the start
 	reflect.TypeFor[*http.Request]():        true, // a call and an answer's head are read only
 	reflect.TypeFor[*http.Response]():       true,
-	reflect.TypeFor[*dialect.Call]():        true,
+	reflect.TypeFor[*protocol.Call]():       true,
 	reflect.TypeFor[*chatline.Dialect]():    true,
 	reflect.TypeFor[map[string]any]():       true, // the module's facts
 }
