--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/platform"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/standin/platformengine"
 )
 
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -14,8 +14,8 @@
 
 	"sandcourse/edge"
 	"sandcourse/internal/discovery"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/netfault"
-	"sandcourse/platform"
 	"sandcourse/process"
 	"sandcourse/script"
 )
--- a/edge/platform_test.go
+++ b/edge/platform_test.go
@@ -16,7 +16,7 @@
 
 	"sandcourse/edge"
 	"sandcourse/internal/endpoint"
-	"sandcourse/platform"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/settings"
 )
 
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -14,9 +14,9 @@
 	"sandcourse/internal/admission"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/platform"
 )
 
 // bench is a core whose sockets are the test's: it sees each byte that is written and the time of it.
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -19,9 +19,9 @@
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/platform"
 	"sandcourse/settings"
 )
 
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -16,9 +16,9 @@
 
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/platform"
 	"sandcourse/settings"
 )
 
--- a/soak/client.go
+++ b/soak/client.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/platform"
+	"sandcourse/internal/protocol/platform"
 )
 
 // longestDeadline is the longest time that a client waits for its first event.
--- a/standin/platformengine/engine.go
+++ b/standin/platformengine/engine.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/platform"
+	"sandcourse/internal/protocol/platform"
 )
 
 // Role is what an engine does.
