--- a/edge/node.go
+++ b/edge/node.go
@@ -21,10 +21,10 @@
 	dto "github.com/prometheus/client_model/go"
 	"go.uber.org/zap"
 
-	"sandcourse/chatline"
 	"sandcourse/follow"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/planwire"
@@ -72,7 +72,7 @@
 	for _, t := range d.Routes {
 		routes = append(routes, t.Name)
 	}
-	return NewOn(d, log, source, seed, chatline.New(routes))
+	return NewOn(d, log, source, seed, chatapi.New(routes))
 }
 
 // NewOn makes a node that speaks a dialect.
--- a/chatline/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -1,6 +1,6 @@
 // Package chatline is the dialect of the chat API towards clients and of the published form of disaggregated
 // reading and writing towards engines: see chat and engine. It does no I/O.
-package chatline
+package chatapi
 
 import (
 	"encoding/json"
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"sandcourse/chatline"
 	"sandcourse/framing"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
@@ -76,7 +76,7 @@
 		}
 		r.d = d
 		d.Nodes = nodes
-		r.protocol = chatline.New([]string{d.Routes[0].Name, d.Routes[1].Name})
+		r.protocol = chatapi.New([]string{d.Routes[0].Name, d.Routes[1].Name})
 	} else {
 		text := strings.Replace(told, `"peers_total":1`, fmt.Sprintf(`"peers_total":%d`, nodes), 1)
 		told, err := platform.ReadTold("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"sandcourse/chat"
-	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -96,7 +96,7 @@
 		mine := *d
 		mine.Me, mine.Node = i, fmt.Sprint("n", i)
 		e := &edge{w: w, n: i}
-		e.core = router.New(&mine, chatline.New(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
+		e.core = router.New(&mine, chatapi.New(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
 		w.nodes = append(w.nodes, e)
 	}
 	w.publish()
@@ -356,7 +356,7 @@
 	w.after(way, func() {
 		e.do(func(o *router.Core) {
 			o.ClientOpened(c)
-			o.Ask(c, &router.Asked{Request: request, Call: chatline.Call(call), Bytes: 4 * int(a.prompt), Party: a.session})
+			o.Ask(c, &router.Asked{Request: request, Call: chatapi.Call(call), Bytes: 4 * int(a.prompt), Party: a.session})
 		})
 	})
 	try := a.try
--- a/prove/copy.go
+++ b/prove/copy.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"unsafe"
 
-	"sandcourse/chatline"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/settings"
 )
 
@@ -19,7 +19,7 @@
 	reflect.TypeFor[*http.Request]():        true, // a call and an answer's head are read only
 	reflect.TypeFor[*http.Response]():       true,
 	reflect.TypeFor[*protocol.Call]():       true,
-	reflect.TypeFor[*chatline.Dialect]():    true,
+	reflect.TypeFor[*chatapi.Dialect]():     true,
 	reflect.TypeFor[map[string]any]():       true, // the module's facts
 }
 
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -19,11 +19,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sandcourse/chat"
-	"sandcourse/chatline"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -197,7 +197,7 @@
 }
 
 // chatProtocol is the chat API's: it keeps nothing that changes.
-var chatProtocol = chatline.New(nil)
+var chatProtocol = chatapi.New(nil)
 
 // begin starts a life of the node.
 func (s *sim) begin() {
@@ -663,7 +663,7 @@
 	s.asks[s.life]++
 	c.name = fmt.Sprintf("%s-%x-%d", s.d.Node, s.life, s.asks[s.life])
 	before := s.core.Holding().Inferences
-	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatline.Call(call), Bytes: len(body)}) })
+	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatapi.Call(call), Bytes: len(body)}) })
 	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderInference) { // refused before it was an inference
 		s.asks[s.life]--
 		c.name = ""
