--- a/badday/badday_test.go
+++ b/badday/badday_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/audit"
-	"sandcourse/chat"
 	"sandcourse/engine"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/load"
 	"sandcourse/settings"
 	standin "sandcourse/standin/engine"
--- a/edge/back.go
+++ b/edge/back.go
@@ -9,8 +9,8 @@
 
 	"github.com/lesismal/nbio"
 
-	"sandcourse/chat"
 	"sandcourse/framing"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/router"
 	"sandcourse/netfault"
 )
--- a/edge/bench_test.go
+++ b/edge/bench_test.go
@@ -18,10 +18,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"go.uber.org/zap"
 
-	"sandcourse/chat"
 	"sandcourse/edge"
 	"sandcourse/engine"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/settings"
 )
 
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"strconv"
 
-	"sandcourse/chat"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/protocol/chat"
 )
 
 // Paths and headers. Those that begin with X-Sandcourse or /sandcourse are extensions.
--- a/internal/protocol/chatapi/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/chat"
 	"sandcourse/engine"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chat"
 )
 
 // Dialect is the chat API's.
--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -15,10 +15,10 @@
 	"strings"
 	"time"
 
-	"sandcourse/chat"
 	"sandcourse/facts"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chat"
 )
 
 // The paths and headers of the protocol.
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -13,10 +13,10 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/chat"
 	"sandcourse/framing"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/script"
 )
 
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
-	"sandcourse/chat"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
--- a/load/client.go
+++ b/load/client.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/chat"
+	"sandcourse/internal/protocol/chat"
 )
 
 // Ask is one try of a client.
--- a/plan/trial.go
+++ b/plan/trial.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"time"
 
-	"sandcourse/chat"
 	"sandcourse/engine"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/planwire"
 	"sandcourse/roles"
 )
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -18,11 +18,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/chat"
 	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/chat"
 	proto "sandcourse/engine"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/planwire"
 )
 
--- a/standin/engine/role.go
+++ b/standin/engine/role.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/chat"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/planwire"
 )
 
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
-	"sandcourse/chat"
 	"sandcourse/edge"
 	"sandcourse/engine"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/protocol/chat"
 	"sandcourse/load"
 	"sandcourse/prove"
 )
