--- a/badday/badday_test.go
+++ b/badday/badday_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/audit"
-	"sandcourse/engine"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/load"
 	"sandcourse/settings"
 	standin "sandcourse/standin/engine"
@@ -41,27 +41,27 @@
 	return careless{t, log, fleet}
 }
 
-func (c careless) send(to *standin.Engine, name, request string, transfer *engine.Transfer) engine.Transfer {
+func (c careless) send(to *standin.Engine, name, request string, transfer *engineapi.Transfer) engineapi.Transfer {
 	call, err := chat.Parse([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil { // it may be called in a goroutine of its own, where Fatal must not be
 		c.t.Error(err)
-		return engine.Transfer{}
+		return engineapi.Transfer{}
 	}
-	put := map[string]any{"kv_transfer_params": engine.Transfer{RemoteDecode: true}}
+	put := map[string]any{"kv_transfer_params": engineapi.Transfer{RemoteDecode: true}}
 	if transfer != nil {
 		put["kv_transfer_params"] = transfer
 	}
 	body, _ := call.Rewritten(put)
-	r, _ := http.NewRequest(http.MethodPost, "http://"+to.Addr()+engine.ChatPath, bytes.NewReader(body))
+	r, _ := http.NewRequest(http.MethodPost, "http://"+to.Addr()+engineapi.ChatPath, bytes.NewReader(body))
 	r.Header.Set(chat.HeaderInference, name)
 	r.Header.Set(chat.HeaderRequest, request)
 	answer, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return engine.Transfer{}
+		return engineapi.Transfer{}
 	}
 	defer answer.Body.Close()
 	text, _ := io.ReadAll(answer.Body)
-	got, _, _ := engine.ReadAnswer(text)
+	got, _, _ := engineapi.ReadAnswer(text)
 	return got
 }
 
@@ -109,7 +109,7 @@
 		call(c, "x-2", "two", "lost", 0, now)
 		call(c, "x-3", "three", "shed", 1, now.Add(2*time.Second))
 		call(c, "x-4", "four", "shed", 1, now.Add(-time.Second))
-		c.send(c.fleet.Engines[1], "x-4", "four", &engine.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
+		c.send(c.fleet.Engines[1], "x-4", "four", &engineapi.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
 		if got := c.broken(); !reflect.DeepEqual(got, []int{1, 1, 1, 1}) {
 			t.Error(got)
 		}
@@ -139,7 +139,7 @@
 		c := newCareless(t)
 		c.fleet.Drain(c.fleet.Engines[1], true)
 		time.Sleep(600 * time.Millisecond)
-		c.send(c.fleet.Engines[1], "x-1", "one", &engine.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
+		c.send(c.fleet.Engines[1], "x-1", "one", &engineapi.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
 		c.want(3)
 	})
 	t.Run("4 a cold engine is pushed over", func(t *testing.T) {
--- a/edge/bench_test.go
+++ b/edge/bench_test.go
@@ -19,9 +19,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
-	"sandcourse/engine"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/settings"
 )
 
@@ -50,7 +50,7 @@
 func bareServe(c net.Conn, addr string, writes bool, tokens int, every time.Duration) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 4096)
-	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engine.HeaderMemory, engine.HeaderWaiting, engine.HeaderOpen)
+	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemory, engineapi.HeaderWaiting, engineapi.HeaderOpen)
 	host, port, _ := strings.Cut(addr, ":")
 	read := `{"usage":{"prompt_tokens_details":{"cached_tokens":0}},"kv_transfer_params":{"do_remote_prefill":true,` +
 		`"remote_engine_id":"x","remote_host":"` + host + `","remote_port":` + port + `}}`
@@ -69,7 +69,7 @@
 			if v, ok := strings.CutPrefix(line, "Content-Length: "); ok {
 				length, _ = strconv.Atoi(v)
 			}
-			asksChat = asksChat || strings.HasPrefix(line, "POST "+engine.ChatPath)
+			asksChat = asksChat || strings.HasPrefix(line, "POST "+engineapi.ChatPath)
 		}
 		if _, err := io.CopyN(io.Discard, in, int64(length)); err != nil {
 			return
--- a/internal/protocol/chatapi/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/engine"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/engineapi"
 )
 
 // Dialect is the chat API's.
@@ -43,7 +43,7 @@
 }
 
 func (*Dialect) Parse(r *http.Request, body []byte) (*protocol.Call, string, *protocol.Answer) {
-	if r.Method != http.MethodPost || r.URL.Path != engine.ChatPath {
+	if r.Method != http.MethodPost || r.URL.Path != engineapi.ChatPath {
 		return nil, "", nil
 	}
 	c, err := chat.Parse(body, r.Header)
@@ -72,7 +72,7 @@
 			return answer(http.StatusServiceUnavailable, chat.ErrorBody("unavailable", "not_ready", "", notReady))
 		}
 		return answer(http.StatusOK, []byte(`{"status":"ready"}`))
-	case path == engine.ChatPath || path == "/v1/models" || path == "/healthz" || path == "/readyz":
+	case path == engineapi.ChatPath || path == "/v1/models" || path == "/healthz" || path == "/readyz":
 		return d.Refusal(http.StatusMethodNotAllowed, "bad_method", "", method+" is not served at "+path)
 	}
 	return d.Refusal(http.StatusNotFound, "not_found", "", "nothing is served at "+path)
@@ -131,8 +131,8 @@
 	return append(last, "0\r\n\r\n"...), true
 }
 
-func job(c *protocol.Call, name string) engine.Job {
-	return engine.Job{Call: c.Own.(*chat.Call), Name: name}
+func job(c *protocol.Call, name string) engineapi.Job {
+	return engineapi.Job{Call: c.Own.(*chat.Call), Name: name}
 }
 
 func (*Dialect) Read(c *protocol.Call, name string, to protocol.Engine, send int, _ time.Duration) ([]byte, error) {
@@ -141,18 +141,18 @@
 
 func (*Dialect) Write(c *protocol.Call, name string, to protocol.Engine, from protocol.State,
 	_ time.Duration) ([]byte, error) {
-	t, _ := from.(engine.Transfer)
+	t, _ := from.(engineapi.Transfer)
 	return job(c, name).Write(to.Host, to.Epoch, t)
 }
 
-func (*Dialect) Probe(to protocol.Engine) []byte { return engine.Probe(to.Host) }
+func (*Dialect) Probe(to protocol.Engine) []byte { return engineapi.Probe(to.Host) }
 
 func (*Dialect) Release(to protocol.Engine, name string, send int) []byte {
-	return engine.Release(to.Host, name, send)
+	return engineapi.Release(to.Host, name, send)
 }
 
 func (*Dialect) Sort(head *http.Response, writes bool) attempt.Input {
-	in := engine.SortHead(head)
+	in := engineapi.SortHead(head)
 	if in == attempt.Accepted && writes != chat.Streams(head.Header) {
 		return attempt.Garbled
 	}
@@ -160,12 +160,12 @@
 }
 
 func (*Dialect) Held(body []byte) (protocol.State, int, error) {
-	t, kept, err := engine.ReadAnswer(body)
+	t, kept, err := engineapi.ReadAnswer(body)
 	return t, kept, err
 }
 
 func (*Dialect) Load(head *http.Response, _ []byte) map[string]float64 {
-	return engine.Report(head.Header)
+	return engineapi.Report(head.Header)
 }
 
 func (*Dialect) Comment([]byte) map[string]float64 { return nil }
--- a/engine/engine.go
+++ b/internal/protocol/engineapi/engine.go
@@ -1,7 +1,7 @@
 // Package engine is the protocol to engines: what is asked of a reader and of a writer, and how their answers
 // are read. It does no I/O. docs/engine-protocol.md says which part is the publicly known form of prefill/decode
 // disaggregation and which is this project's extension.
-package engine
+package engineapi
 
 import (
 	"bytes"
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -218,15 +218,15 @@
 		}
 	}
 	w := l.node.w
-	j := &job{l: l, name: head.Header.Get(chat.HeaderInference), send: head.Header.Get(engine.HeaderSend)}
+	j := &job{l: l, name: head.Header.Get(chat.HeaderInference), send: head.Header.Get(engineapi.HeaderSend)}
 	l.job = j
 	switch head.URL.Path {
-	case engine.LoadPath:
+	case engineapi.LoadPath:
 		w.after(way, func() {
 			b, life := l.box, l.box.life
 			b.speak(life, func() { j.whole(node200(b), []byte("{}")) })
 		})
-	case engine.ReleasePath:
+	case engineapi.ReleasePath:
 		var r struct {
 			Inference string
 			Send      int
@@ -248,7 +248,7 @@
 		if bytes.Contains(body, []byte(`"do_remote_prefill":true`)) {
 			j.writes = true
 			var a struct {
-				Transfer engine.Transfer `json:"kv_transfer_params"`
+				Transfer engineapi.Transfer `json:"kv_transfer_params"`
 			}
 			if err := json.Unmarshal(body, &a); err != nil {
 				return err
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"sandcourse/engine"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/internal/router"
 )
 
@@ -107,9 +107,9 @@
 
 func (b *box) report() http.Header {
 	h := http.Header{}
-	h.Set(engine.HeaderMemory, strconv.FormatFloat(b.memory/b.w.d.Engine.Memory, 'f', 3, 64))
-	h.Set(engine.HeaderWaiting, strconv.FormatFloat(b.toRead/1000, 'f', 3, 64))
-	h.Set(engine.HeaderOpen, strconv.Itoa(b.busy+len(b.waiting)+len(b.states)))
+	h.Set(engineapi.HeaderMemory, strconv.FormatFloat(b.memory/b.w.d.Engine.Memory, 'f', 3, 64))
+	h.Set(engineapi.HeaderWaiting, strconv.FormatFloat(b.toRead/1000, 'f', 3, 64))
+	h.Set(engineapi.HeaderOpen, strconv.Itoa(b.busy+len(b.waiting)+len(b.states)))
 	return h
 }
 
@@ -161,16 +161,16 @@
 	j.life = b.life
 	refuse := func(status int, why string) {
 		h := b.report()
-		h.Set(engine.HeaderRefused, why)
+		h.Set(engineapi.HeaderRefused, why)
 		b.speak(j.life, func() { j.whole(head(status, h), nil) })
 	}
 	switch {
 	case b.drains:
-		refuse(http.StatusServiceUnavailable, engine.RefusedDraining)
+		refuse(http.StatusServiceUnavailable, engineapi.RefusedDraining)
 	case j.writes != (b.role == "write"):
-		refuse(http.StatusConflict, engine.RefusedRole)
+		refuse(http.StatusConflict, engineapi.RefusedRole)
 	case len(b.waiting) >= w.d.Engine.Queue:
-		refuse(http.StatusTooManyRequests, engine.RefusedFull)
+		refuse(http.StatusTooManyRequests, engineapi.RefusedFull)
 	default:
 		if !j.writes {
 			b.toRead += j.ask.prompt
@@ -277,7 +277,7 @@
 	}
 	if !ok {
 		h := b.report()
-		h.Set(engine.HeaderRefused, engine.RefusedNoState)
+		h.Set(engineapi.HeaderRefused, engineapi.RefusedNoState)
 		b.speak(life, func() { j.whole(head(http.StatusConflict, h), nil); done() })
 		return
 	}
--- a/plan/trial.go
+++ b/plan/trial.go
@@ -11,13 +11,13 @@
 	"strconv"
 	"time"
 
-	"sandcourse/engine"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/planwire"
 	"sandcourse/roles"
 )
 
-const loadPath = engine.LoadPath
+const loadPath = engineapi.LoadPath
 
 // readFile reads a roster, bounded as the follower of the file bounds it.
 func readFile(path string) ([]byte, error) {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	job := engine.Job{Call: call, Name: fmt.Sprintf("%s%d-%d", planwire.Trial, p.term, t.Number)}
+	job := engineapi.Job{Call: call, Name: fmt.Sprintf("%s%d-%d", planwire.Trial, p.term, t.Number)}
 	request, err := job.Read(t.Engine, t.Epoch, 0)
 	if t.Role == planwire.Write {
 		host, port, e := net.SplitHostPort(t.Engine)
@@ -47,7 +47,7 @@
 			return e
 		}
 		number, _ := strconv.Atoi(port)
-		request, err = job.Write(t.Engine, t.Epoch, engine.Transfer{RemotePrefill: true, Engine: job.Name +
+		request, err = job.Write(t.Engine, t.Epoch, engineapi.Transfer{RemotePrefill: true, Engine: job.Name +
 			"/none", Host: host, Port: number})
 	}
 	if err != nil {
@@ -75,9 +75,9 @@
 		return err
 	}
 	defer answer.Body.Close()
-	word := answer.Header.Get(engine.HeaderRefused)
+	word := answer.Header.Get(engineapi.HeaderRefused)
 	if t.Role == planwire.Write {
-		if word != engine.RefusedNoState {
+		if word != engineapi.RefusedNoState {
 			return fmt.Errorf("asked to write from a state that is not there, it answers %s %s",
 				answer.Status, word)
 		}
@@ -90,11 +90,11 @@
 	if answer.StatusCode != http.StatusOK {
 		return fmt.Errorf("asked to read, it answers %s %s", answer.Status, word)
 	}
-	if _, _, err := engine.ReadAnswer(body); err != nil {
+	if _, _, err := engineapi.ReadAnswer(body); err != nil {
 		return err
 	}
 	// What it holds for the trial is let go of; if this is lost, it drops the state by its own time.
-	if _, err := conn.Write(engine.Release(t.Engine, job.Name, 0)); err != nil {
+	if _, err := conn.Write(engineapi.Release(t.Engine, job.Name, 0)); err != nil {
 		return nil
 	}
 	return nil
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -18,12 +18,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/engine"
 	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -268,9 +268,9 @@
 	head := pieces[0].Request
 	r := &request{line: l, inference: head.Header.Get(chat.HeaderInference)}
 	switch head.URL.Path {
-	case engine.LoadPath:
+	case engineapi.LoadPath:
 		r.kind = "probe"
-	case engine.ReleasePath:
+	case engineapi.ReleasePath:
 		r.kind = "release"
 		var body struct {
 			Inference string
@@ -284,7 +284,7 @@
 		r.inference, r.send = body.Inference, body.Send
 	default:
 		r.kind = "read"
-		r.send, _ = strconv.Atoi(head.Header.Get(engine.HeaderSend))
+		r.send, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderSend))
 		for _, p := range pieces {
 			if p.Kind == framing.Body && bytes.Contains(p.Data, []byte(`"do_remote_prefill":true`)) {
 				r.kind = "write"
@@ -690,7 +690,7 @@
 		h.Set("Content-Type", "text/event-stream")
 	}
 	if refused != "" {
-		h.Set(engine.HeaderRefused, refused)
+		h.Set(engineapi.HeaderRefused, refused)
 	}
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: h}
 }
@@ -752,7 +752,7 @@
 		})
 		add(at+" finds no state", "no-state", func() {
 			s.fetch(r.inference)
-			s.do(func() { whole(409, engine.RefusedNoState) })
+			s.do(func() { whole(409, engineapi.RefusedNoState) })
 		})
 		add(at+" runs, and its answer is a second head", "garbled", func() {
 			s.ran(r)
@@ -783,7 +783,7 @@
 		})
 	}
 	if !r.began {
-		add(at+" is refused: full", "full", func() { s.do(func() { whole(429, engine.RefusedFull) }) })
+		add(at+" is refused: full", "full", func() { s.do(func() { whole(429, engineapi.RefusedFull) }) })
 		add(at+" fails without a word why", "error", func() {
 			if r.kind == "write" {
 				s.ran(r)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"sandcourse/audit"
-	proto "sandcourse/engine"
 	"sandcourse/internal/protocol/chat"
+	proto "sandcourse/internal/protocol/engineapi"
 	"sandcourse/planwire"
 )
 
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -18,9 +18,9 @@
 
 	"sandcourse/audit"
 	"sandcourse/edge"
-	"sandcourse/engine"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/load"
 	"sandcourse/prove"
 )
@@ -57,11 +57,11 @@
 				if err != nil {
 					return
 				}
-				a := &ask{kind: "read", engine: name, send: r.Header.Get(engine.HeaderSend), conn: c, done: make(chan struct{})}
+				a := &ask{kind: "read", engine: name, send: r.Header.Get(engineapi.HeaderSend), conn: c, done: make(chan struct{})}
 				switch {
-				case r.URL.Path == engine.ReleasePath:
+				case r.URL.Path == engineapi.ReleasePath:
 					a.kind = "release"
-				case r.URL.Path == engine.LoadPath:
+				case r.URL.Path == engineapi.LoadPath:
 					a.kind = "probe"
 				case bytes.Contains(body, []byte(`"do_remote_prefill":true`)):
 					a.kind = "write"
@@ -119,7 +119,7 @@
 func whole(c net.Conn, status int, refused, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if refused != "" {
-		fmt.Fprintf(c, "%s: %s\r\n", engine.HeaderRefused, refused)
+		fmt.Fprintf(c, "%s: %s\r\n", engineapi.HeaderRefused, refused)
 	}
 	fmt.Fprintf(c, "\r\n%s", body)
 }
@@ -150,8 +150,8 @@
 	{" gives another token", func(_ *stage, a *ask) { event(a.conn, `{"choices":[]}`) }},
 	{" ends well", func(st *stage, a *ask) { event(a.conn, chat.Done); fmt.Fprint(a.conn, "0\r\n\r\n"); st.end(a, false) }},
 	{" ends without its last event", func(st *stage, a *ask) { fmt.Fprint(a.conn, "0\r\n\r\n"); st.end(a, false) }},
-	{" finds no state", func(st *stage, a *ask) { whole(a.conn, 409, engine.RefusedNoState, "{}"); st.end(a, false) }},
-	{" is refused: full", func(st *stage, a *ask) { whole(a.conn, 429, engine.RefusedFull, "{}"); st.end(a, false) }},
+	{" finds no state", func(st *stage, a *ask) { whole(a.conn, 409, engineapi.RefusedNoState, "{}"); st.end(a, false) }},
+	{" is refused: full", func(st *stage, a *ask) { whole(a.conn, 429, engineapi.RefusedFull, "{}"); st.end(a, false) }},
 	{" fails without a word why", func(st *stage, a *ask) { whole(a.conn, 503, "", "{}"); st.end(a, false) }},
 	{" is lost with its connection", func(st *stage, a *ask) { st.end(a, true) }},
 	{" is answered", func(st *stage, a *ask) { whole(a.conn, 200, "", "{}"); st.end(a, false) }},
