--- a/edge/back.go
+++ b/edge/back.go
@@ -9,8 +9,8 @@
 
 	"github.com/lesismal/nbio"
 
-	"sandcourse/framing"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 	"sandcourse/netfault"
 )
@@ -28,7 +28,7 @@
 	n       *Node
 	core    *router.Line
 	conn    *nbio.Conn
-	cutter  *framing.Cutter
+	cutter  *httpframing.Cutter
 	events  *chat.Decoder // of the stream under way; nil where the answer is whole
 	body    []byte
 	relay   *relay // of the stream under way
@@ -65,7 +65,7 @@
 			return
 		}
 		l := &link{n: n, core: core, conn: conn,
-			cutter: framing.New(framing.Answers, framing.Bounds{Head: answerHead, Body: answerBody})}
+			cutter: httpframing.New(httpframing.Answers, httpframing.Bounds{Head: answerHead, Body: answerBody})}
 		conn.SetSession(l)
 		n.connOpened()
 		if _, err = n.back.AddConn(conn); err != nil {
@@ -173,7 +173,7 @@
 	n.pass(AnswerRead)
 	for i, p := range pieces {
 		switch p.Kind {
-		case framing.Head:
+		case httpframing.Head:
 			l.events, l.body, l.relay, l.closes = nil, nil, nil, p.Answer.Close
 			if chat.Streams(p.Answer.Header) {
 				l.events, l.relay = chat.NewDecoder(eventBound), &relay{frame: n.protocol.Event}
@@ -187,7 +187,7 @@
 				tokens = l.relay
 			}
 			n.in.put(1, func() { n.core.LineHead(l.core, head, tokens) })
-		case framing.Body:
+		case httpframing.Body:
 			if l.events != nil {
 				if e := l.events.Feed(p.Data, func(event []byte) {
 					if !n.protocol.Last(event) && l.relay.pass(event, n.clock()) {
@@ -200,7 +200,7 @@
 			} else if l.body = append(l.body, p.Data...); len(l.body) > answerWhole && err == nil {
 				err = errors.New("answer is over its bound")
 			}
-		case framing.End:
+		case httpframing.End:
 			// A whole answer that came behind this one belongs to nothing that was asked either.
 			body, clean := l.body, l.cutter.Between() && i == len(pieces)-1 && !l.closes
 			l.body = nil
--- a/edge/front.go
+++ b/edge/front.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 
-	"sandcourse/framing"
 	"sandcourse/internal/admission"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 )
 
@@ -25,7 +25,7 @@
 	core *router.Client
 
 	mu      sync.Mutex // held while bytes are read and parsed, and while the owner decides on a close
-	cutter  *framing.Cutter
+	cutter  *httpframing.Cutter
 	request *http.Request // whose body is being read
 	body    []byte
 	begun   bool // the owner has been told of the request that is being read
@@ -126,7 +126,7 @@
 	}
 	n.frontBarrier.wait(conn)
 	c := &client{node: n, conn: conn,
-		cutter: framing.New(framing.Requests, framing.Bounds{Head: n.d.Head, Body: n.d.Body})}
+		cutter: httpframing.New(httpframing.Requests, httpframing.Bounds{Head: n.d.Head, Body: n.d.Body})}
 	c.core = &router.Client{ID: n.ids.Add(1), Socket: c}
 	conn.SetSession(c)
 	n.room.come()
@@ -231,15 +231,15 @@
 	heads := 0
 	for _, p := range pieces {
 		switch p.Kind {
-		case framing.Head:
+		case httpframing.Head:
 			c.request, c.body = p.Request, c.body[:0:0]
 			heads++
 			if strings.EqualFold(p.Request.Header.Get("Expect"), "100-continue") {
 				events = append(events, event{1, func() { n.core.Continue(c.core) }})
 			}
-		case framing.Body:
+		case httpframing.Body:
 			c.body = append(c.body, p.Data...)
-		case framing.End:
+		case httpframing.End:
 			a := n.readCall(c.request, c.body)
 			c.request, c.body, c.begun, heads = nil, nil, false, 0
 			events = append(events, c.message(a.Bytes, func() { n.core.Ask(c.core, a) }))
--- a/framing/framing.go
+++ b/internal/protocol/httpframing/framing.go
@@ -4,7 +4,7 @@
 // Heads are read by net/http; what this package adds is the strictness that a router needs between two
 // parties that may see a message differently (RFC 9112, section 11.2): one length or chunked, never both,
 // never two.
-package framing
+package httpframing
 
 import (
 	"bufio"
--- a/framing/framing_test.go
+++ b/internal/protocol/httpframing/framing_test.go
@@ -1,4 +1,4 @@
-package framing
+package httpframing
 
 import (
 	"bytes"
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -13,10 +13,10 @@
 
 	"pgregory.net/rapid"
 
-	"sandcourse/framing"
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/script"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pieces, err := framing.New(framing.Requests, framing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(sent)
+	pieces, err := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(sent)
 	if err != nil || len(pieces) != 3 || string(pieces[1].Data) != body {
 		t.Fatal(pieces, err)
 	}
@@ -140,12 +140,12 @@
 		completed := rapid.Bool().Draw(t, "completed")
 		last, keep := d.Close(completed, "why")
 		wire := append(append(d.Open("n"), d.Event([]byte(data))...), last...)
-		pieces, err := framing.New(framing.Answers, framing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(wire)
+		pieces, err := httpframing.New(httpframing.Answers, httpframing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(wire)
 		var body []byte
 		ended := false
 		for _, p := range pieces {
 			body = append(body, p.Data...)
-			ended = ended || p.Kind == framing.End
+			ended = ended || p.Kind == httpframing.End
 		}
 		if err != nil || string(body) != "data: "+data+"\n\n" || ended != completed || keep != completed {
 			t.Fatalf("%q, ended %v, kept %v, %v", body, ended, keep, err)
@@ -172,7 +172,7 @@
 			b, _ := New(nil).Write(c, c.Name, protocol.Engine{Host: "h:1"}, nil, time.Second)
 			return b
 		}()} {
-			cutter := framing.New(framing.Requests, framing.Bounds{Head: 1 << 20, Body: 1 << 20})
+			cutter := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 20, Body: 1 << 20})
 			if pieces, err := cutter.Feed(wire); err != nil || !cutter.Between() || pieces[0].Request.Header.Get("Host") != "" {
 				t.Fatalf("%q is not one request: %v", wire, err)
 			}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"sandcourse/framing"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/httpframing"
 )
 
 // pipelined is how many requests of one connection wait for their turn. Those behind them are refused when theirs comes:
@@ -126,7 +126,7 @@
 // RefuseMessage answers what is no request, and reads nothing more: where one message ends is not known.
 func (o *Core) RefuseMessage(c *Client, err error) {
 	status := http.StatusBadRequest
-	var f *framing.Fault
+	var f *httpframing.Fault
 	if errors.As(err, &f) {
 		status = f.Status
 	}
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"sandcourse/framing"
 	"sandcourse/internal/admission"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
@@ -294,7 +294,7 @@
 type goldenClient struct {
 	r      *recorder
 	core   *router.Client
-	cutter *framing.Cutter
+	cutter *httpframing.Cutter
 	head   *http.Request
 	body   []byte
 	gone   bool
@@ -321,7 +321,7 @@
 
 func (r *recorder) client() *goldenClient {
 	r.clients++
-	c := &goldenClient{r: r, cutter: framing.New(framing.Requests, framing.Bounds{Head: 2048, Body: 4096})}
+	c := &goldenClient{r: r, cutter: httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 2048, Body: 4096})}
 	c.core = &router.Client{ID: r.clients, Socket: c}
 	r.do(func() { r.core.ClientOpened(c.core) })
 	return c
@@ -341,14 +341,14 @@
 		pieces, err := c.cutter.Feed([]byte(text))
 		for _, p := range pieces {
 			switch p.Kind {
-			case framing.Head:
+			case httpframing.Head:
 				c.head, c.body = p.Request, nil
 				if strings.EqualFold(p.Request.Header.Get("Expect"), "100-continue") {
 					core.Continue(c.core)
 				}
-			case framing.Body:
+			case httpframing.Body:
 				c.body = append(c.body, p.Data...)
-			case framing.End:
+			case httpframing.End:
 				a := &router.Asked{Request: c.head, Bytes: len(c.body)}
 				a.Call, a.Party, a.Wrong = c.r.protocol.Parse(c.head, c.body)
 				core.Ask(c.core, a)
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/protocol/engineapi"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -207,13 +207,13 @@
 	if l.closed {
 		return io.ErrClosedPipe
 	}
-	pieces, err := framing.New(framing.Requests, framing.Bounds{Head: 1 << 16, Body: 1 << 20}).Feed(request)
+	pieces, err := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 16, Body: 1 << 20}).Feed(request)
 	if err != nil || len(pieces) == 0 {
 		return fmt.Errorf("lab: what the node writes is no request: %w", err)
 	}
 	head, body := pieces[0].Request, []byte(nil)
 	for _, p := range pieces {
-		if p.Kind == framing.Body {
+		if p.Kind == httpframing.Body {
 			body = append(body, p.Data...)
 		}
 	}
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -18,12 +18,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sandcourse/framing"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/protocol/engineapi"
+	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
@@ -256,7 +256,7 @@
 		s.say("P8 a closed connection is written to")
 		return io.ErrClosedPipe
 	}
-	cutter := framing.New(framing.Requests, framing.Bounds{Head: 1 << 16, Body: 1 << 20})
+	cutter := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 16, Body: 1 << 20})
 	pieces, err := cutter.Feed(data)
 	if err != nil || len(pieces) == 0 || !cutter.Between() {
 		s.say("P8 what is written is not one whole request: %v", err)
@@ -277,7 +277,7 @@
 			Send      int
 		}
 		for _, p := range pieces {
-			if p.Kind == framing.Body {
+			if p.Kind == httpframing.Body {
 				json.Unmarshal(p.Data, &body)
 			}
 		}
@@ -286,7 +286,7 @@
 		r.kind = "read"
 		r.send, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderSend))
 		for _, p := range pieces {
-			if p.Kind == framing.Body && bytes.Contains(p.Data, []byte(`"do_remote_prefill":true`)) {
+			if p.Kind == httpframing.Body && bytes.Contains(p.Data, []byte(`"do_remote_prefill":true`)) {
 				r.kind = "write"
 			}
 		}
