--- a/badday/day.go
+++ b/badday/day.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/config/script"
 	"sandcourse/load"
-	"sandcourse/script"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config/script"
 	"sandcourse/process"
-	"sandcourse/script"
 	"sandcourse/settings"
 )
 
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -13,11 +13,11 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/discovery"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/netfault"
 	"sandcourse/process"
-	"sandcourse/script"
 )
 
 // A configuration that cannot be opened at the start, for want of descriptors or memory, is tried again for a while.
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/plan"
 	"sandcourse/process"
-	"sandcourse/script"
 	"sandcourse/settings"
 )
 
--- a/cmd/sandcourse/lab.go
+++ b/cmd/sandcourse/lab.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/lab"
-	"sandcourse/script"
 )
 
 func labCommand() *cobra.Command {
--- a/cmd/sandcourse/main.go
+++ b/cmd/sandcourse/main.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sandcourse/script"
+	"sandcourse/internal/config/script"
 )
 
 // version of this program; the changelog says what each brought.
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"sandcourse/facts"
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/invariant"
-	"sandcourse/script"
 	"sandcourse/settings"
 )
 
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -14,10 +14,10 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/httpframing"
-	"sandcourse/script"
 )
 
 const good = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/golden"
-	"sandcourse/script"
 )
 
 // goTypes are where the JSON reader's own words name structs of this program, which may change. What is kept is where the
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"sandcourse/script"
+	"sandcourse/internal/config/script"
 )
 
 // Arm is one way to run a day that is compared with others on the same seeds.
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/golden"
-	"sandcourse/script"
 )
 
 // sample is a script without a fault, part by part.
--- a/settings/planner.go
+++ b/settings/planner.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/roles"
-	"sandcourse/script"
 )
 
 // Planning is all that a planner's script says.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sandcourse/internal/admission"
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/endpoint"
-	"sandcourse/script"
 )
 
 // Effects are what a further run of an inference may do, by the words of a route.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
+	"sandcourse/internal/config/script"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/routing"
-	"sandcourse/script"
 )
 
 func TestDemo(t *testing.T) {
