--- a/facts/facts.go
+++ b/internal/config/params/facts.go
@@ -1,7 +1,7 @@
 // Package facts turns a deployment's settings, as the simulator and the platform hand them over, into the
 // plain map that the decision module reads, and load reports into the module's words. It renames and converts
 // units, decides nothing, and does no I/O.
-package facts
+package params
 
 import (
 	"strconv"
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"sandcourse/facts"
+	"sandcourse/internal/config/params"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/invariant"
 	"sandcourse/settings"
@@ -81,7 +81,7 @@
 
 // Reports are the fields of load reports; none where the deployment has no reports.
 func (t *Told) Reports() (fields []string) {
-	f := facts.Of(t.Settings)
+	f := params.Of(t.Settings)
 	if how, _ := f["report.how"].(string); how == "" || how == "off" {
 		return nil
 	}
@@ -110,7 +110,7 @@
 // script.Faults.
 func (t *Told) Deployment(file string) (*settings.Deployment, error) {
 	d := settings.Defaults()
-	f := facts.Of(t.Settings)
+	f := params.Of(t.Settings)
 	d.File, d.Node, d.Chat, d.Given = file, t.Name, t.Listen, f
 	number := func(name string, absent float64) float64 {
 		if v, ok := f[name].(float64); ok {
--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	"sandcourse/facts"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config/params"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
 )
@@ -324,7 +324,7 @@
 	if slices.ContainsFunc(d.reports, func(name string) bool { _, ok := row[name]; return !ok }) {
 		return nil
 	}
-	return facts.Report(row)
+	return params.Report(row)
 }
 
 // Last is never so: the event that says the stream is done is the client's too.
--- a/simwire/wire.go
+++ b/simwire/wire.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"sandcourse/facts"
+	"sandcourse/internal/config/params"
 	"sandcourse/internal/routing"
 )
 
@@ -136,7 +136,7 @@
 	}
 	switch *head.T {
 	case "create":
-		ev.Create = &Create{Seed: r.RandomSeed, Facts: facts.Of(r.Params)}
+		ev.Create = &Create{Seed: r.RandomSeed, Facts: params.Of(r.Params)}
 	case "down":
 		ev.Down = true
 	case "endpoints":
@@ -155,13 +155,13 @@
 		ev.Input = routing.ClientGone{Inf: r.Call}
 	case "response":
 		ev.Input = routing.Outcome{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Verdict: verdict,
-			Lag: r.Lag * 1000, Ended: r.Ended, Note: r.Note, Report: facts.Report(r.Telemetry)}
+			Lag: r.Lag * 1000, Ended: r.Ended, Note: r.Note, Report: params.Report(r.Telemetry)}
 	case "flowing":
 		ev.Input = routing.FirstToken{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Lag: r.Lag * 1000}
 	case "ring":
 		ev.Input = routing.TimerDue{Token: r.Ctx}
 	case "ping_result":
-		ev.Input = routing.ProbeResult{Engine: r.Engine, Verdict: verdict, Lag: r.Lag * 1000, Report: facts.Report(r.Telemetry)}
+		ev.Input = routing.ProbeResult{Engine: r.Engine, Verdict: verdict, Lag: r.Lag * 1000, Report: params.Report(r.Telemetry)}
 	case "peer_data":
 		ev.Input = routing.PeerMessage{From: r.Author, Text: r.Content}
 	case "reserved":
