--- a/badday/badday_test.go
+++ b/badday/badday_test.go
@@ -15,6 +15,7 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/audit"
+	"sandcourse/internal/config"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/load"
@@ -66,7 +67,7 @@
 }
 
 func (c careless) broken() (rules []int) {
-	d, err := settings.Read("demo", []byte(settings.Demo))
+	d, err := config.Read("demo", []byte(settings.Demo))
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/badday/day.go
+++ b/badday/day.go
@@ -15,9 +15,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
 	"sandcourse/load"
-	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
 
@@ -33,7 +33,7 @@
 	TokenTime                        time.Duration
 	Clients                          []Client
 	Troubles                         []Trouble
-	Deployment                       *settings.Deployment
+	Deployment                       *config.Deployment
 }
 
 // Client is how much of the traffic goes to a model route.
@@ -47,7 +47,7 @@
 func ReadDay(name string, text []byte) (*Day, error) {
 	d := &Day{Length: 20 * time.Second, Rate: 30, Seed: 1, Retries: 2, Turns: 3, Beginnings: 6, Words: 200, Edges: 3,
 		Readers: 4, Writers: 4, Pace: 200_000, SendRate: 60, TokenTime: 5 * time.Millisecond,
-		Deployment: settings.Defaults()}
+		Deployment: config.Defaults()}
 	d.Deployment.File, d.Deployment.Roster, d.Deployment.Chat = name, "roster.json", ""
 	calls := d.Deployment.Calls()
 	for _, not := range []string{"listen", "node", "roster", "engine"} {
--- a/badday/fleet.go
+++ b/badday/fleet.go
@@ -15,9 +15,9 @@
 
 	"sandcourse/audit"
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/router"
-	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
 
@@ -138,7 +138,7 @@
 type Edges struct {
 	mu    sync.Mutex
 	nodes []*edge.Node
-	base  settings.Deployment
+	base  config.Deployment
 	log   *zap.Logger
 	addrs []string
 	seen  *audit.Log
@@ -146,7 +146,7 @@
 }
 
 // StartEdges starts n edges on a fleet.
-func StartEdges(n int, base settings.Deployment, log *zap.Logger, seen *audit.Log, seed uint64) (*Edges, error) {
+func StartEdges(n int, base config.Deployment, log *zap.Logger, seen *audit.Log, seed uint64) (*Edges, error) {
 	es := &Edges{base: base, log: log, seen: seen, seed: seed, nodes: make([]*edge.Node, n), addrs: make([]string, n)}
 	for i := range n {
 		es.addrs[i] = "127.0.0.1:0"
--- a/badday/rules.go
+++ b/badday/rules.go
@@ -4,11 +4,11 @@
 	"time"
 
 	"sandcourse/audit"
-	"sandcourse/settings"
+	"sandcourse/internal/config"
 )
 
 // Rules are what a deployment's runs are judged by.
-func Rules(d *settings.Deployment) audit.Rules {
+func Rules(d *config.Deployment) audit.Rules {
 	r := audit.Rules{NonRetriable: map[string]bool{}, DrainGrace: d.Rules.DrainGrace, Pin: d.Rules.Pin,
 		// A list is looked at every 50 ms.
 		Notice: 100 * time.Millisecond,
--- a/badday/tilt.go
+++ b/badday/tilt.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/load"
 	"sandcourse/plan"
@@ -50,7 +51,7 @@
 }
 
 // tiltMake is one stand-in engine: 20,000 prompt tokens a second when it reads, 1,600 tokens when it writes.
-func tiltMake(i, readers int, r settings.Rules) engine.Make {
+func tiltMake(i, readers int, r config.Rules) engine.Make {
 	m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: 2, OtherSlots: 16, Queue: 64,
 		Pace: 20_000, Rate: 30,
 		TokenTime: 10 * time.Millisecond, Memory: 400_000, Cold: r.Cold, ColdShare: r.ColdShare,
@@ -63,10 +64,10 @@
 }
 
 // Planning is the planner's part of a tilted day.
-func (t Tilt) Planning(fleet *Fleet, dir string) *settings.Planning {
-	p := settings.PlanningDefaults()
+func (t Tilt) Planning(fleet *Fleet, dir string) *config.Planning {
+	p := config.PlanningDefaults()
 	p.Listen, p.Store, p.Roster = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
-	p.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	p.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	p.Pairs = [][2]string{{"prefill", "decode"}}
 	b := &p.Roles
 	b.Drain, b.Order, b.Load, b.Trial, b.Cold, b.Rest = 4*time.Second, time.Second, 5*time.Second,
@@ -109,7 +110,7 @@
 // Run plays it in a folder of its own.
 func (t Tilt) Run(ctx context.Context, dir string, log *zap.Logger, say io.Writer) (res Tilted, err error) {
 	seen := &audit.Log{}
-	d, err := settings.Read("demo.star", []byte(settings.Demo))
+	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		return res, err
 	}
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/load"
 	"sandcourse/plan"
@@ -66,7 +67,7 @@
 func TestEdgesOnDifferentPlans(t *testing.T) {
 	dir := t.TempDir()
 	seen := &audit.Log{}
-	d, err := settings.Read("demo.star", []byte(settings.Demo))
+	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +97,7 @@
 		t.Fatal(err)
 	}
 	var addrs []string
-	for i, base := range []settings.Deployment{follows, stale} {
+	for i, base := range []config.Deployment{follows, stale} {
 		base.Chat = "127.0.0.1:0"
 		edges, err := StartEdges(1, base, zap.NewNop(), seen, uint64(i))
 		if err != nil {
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -15,9 +15,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
 	"sandcourse/process"
-	"sandcourse/settings"
 )
 
 func main() {
@@ -46,7 +46,7 @@
 }
 
 func run(file string, asked process.Signals) error {
-	d, err := settings.Load(file)
+	d, err := config.Load(file)
 	if err != nil {
 		return err
 	}
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
 	"sandcourse/plan"
 	"sandcourse/process"
-	"sandcourse/settings"
 )
 
 func main() {
@@ -37,7 +37,7 @@
 }
 
 func run(file string, asked process.Signals, takeOver, check bool) error {
-	d, err := settings.LoadPlanner(file)
+	d, err := config.LoadPlanner(file)
 	if err != nil || check {
 		return err
 	}
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -14,6 +14,7 @@
 	"sandcourse/audit"
 	"sandcourse/badday"
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/load"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
@@ -39,7 +40,7 @@
 				return err
 			}
 			defer fleet.Stop()
-			d, err := settings.Read("demo.star", []byte(settings.Demo))
+			d, err := config.Read("demo.star", []byte(settings.Demo))
 			if err != nil {
 				return err
 			}
@@ -90,7 +91,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "Check a settings script whole", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			d, err := settings.Load(args[0])
+			d, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
--- a/edge/bench_test.go
+++ b/edge/bench_test.go
@@ -19,6 +19,7 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
@@ -100,7 +101,7 @@
 }
 
 func bareEdge(b *testing.B, readers, writers []string) *edge.Node {
-	d, err := settings.Read("demo", []byte(settings.Demo))
+	d, err := config.Read("demo", []byte(settings.Demo))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/edge/crossing_test.go
+++ b/edge/crossing_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
-	"sandcourse/settings"
 )
 
 // stop holds the first goroutine that comes to a point after it was set.
@@ -116,7 +116,7 @@
 }
 
 // leavesAtOnce is a node that goes from its clients as soon as it is told to stop.
-func leavesAtOnce(d *settings.Deployment) {
+func leavesAtOnce(d *config.Deployment) {
 	d.Linger, d.Stay, d.HandOver = time.Millisecond, 0, 0
 }
 
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -14,6 +14,7 @@
 
 	"sandcourse/audit"
 	"sandcourse/badday"
+	"sandcourse/internal/config"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/load"
@@ -32,7 +33,7 @@
 	asked int
 }
 
-func newRig(t *testing.T, alter func(*settings.Deployment), makes ...engine.Make) *rig {
+func newRig(t *testing.T, alter func(*config.Deployment), makes ...engine.Make) *rig {
 	t.Helper()
 	if makes == nil {
 		makes = []engine.Make{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
@@ -44,7 +45,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.fleet.Stop)
-	d, err := settings.Read("default", []byte(settings.Demo))
+	d, err := config.Read("default", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +125,7 @@
 }
 
 // only is one reader and one writer, whose faults strike every inference.
-func only(t *testing.T, alter func(*settings.Deployment)) (r *rig, reader, writer *engine.Engine) {
+func only(t *testing.T, alter func(*config.Deployment)) (r *rig, reader, writer *engine.Engine) {
 	r = newRig(t, alter, engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write"})
 	return r, r.fleet.Engines[0], r.fleet.Engines[1]
 }
@@ -160,7 +161,7 @@
 func TestStreamThatStopsEndsInOneError(t *testing.T) {
 	for name, f := range map[string]engine.Faults{"stalls": {StallAfter: 1}, "breaks": {BreakAfter: 3}} {
 		t.Run(name, func(t *testing.T) {
-			r, _, writer := only(t, func(d *settings.Deployment) { d.Stall = 200 * time.Millisecond })
+			r, _, writer := only(t, func(d *config.Deployment) { d.Stall = 200 * time.Millisecond })
 			writer.Set(f)
 			got := r.ask(load.Ask{Route: "fan-alert", Request: "cut"})
 			if got.Final != "errored" || got.Finals != 1 || got.Tokens == 0 {
@@ -319,7 +320,7 @@
 }
 
 func TestStopTakesNothingNewAndFinishesWhatIsOpen(t *testing.T) {
-	r, _, writer := only(t, func(d *settings.Deployment) { d.Finish = 400 * time.Millisecond })
+	r, _, writer := only(t, func(d *config.Deployment) { d.Finish = 400 * time.Millisecond })
 	writer.Set(engine.Faults{Slow: 3})
 	slow := make(chan audit.Call)
 	go func() { slow <- r.ask(load.Ask{Route: "clip-summary", Request: "slow"}) }()
@@ -337,7 +338,7 @@
 }
 
 func TestLateTimersKeepTheRules(t *testing.T) {
-	r, _, writer := only(t, func(d *settings.Deployment) { d.Tick = 30 * time.Millisecond })
+	r, _, writer := only(t, func(d *config.Deployment) { d.Tick = 30 * time.Millisecond })
 	writer.Set(engine.Faults{StallFirst: true})
 	done := make(chan audit.Call)
 	for i := range 4 {
@@ -382,7 +383,7 @@
 }
 
 func TestMessagesThatAreRefused(t *testing.T) {
-	r, _, _ := only(t, func(d *settings.Deployment) {
+	r, _, _ := only(t, func(d *config.Deployment) {
 		d.Head, d.Body, d.Limits.HeadTime, d.Limits.BodyTime = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
 	})
 	call := func(body string) string {
@@ -423,7 +424,7 @@
 }
 
 func TestClientThatDoesNotReadHoldsUpNobody(t *testing.T) {
-	r := newRig(t, func(d *settings.Deployment) { d.ClientBuffer = 4096 },
+	r := newRig(t, func(d *config.Deployment) { d.ClientBuffer = 4096 },
 		engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write", TokenTime: 20 * time.Microsecond})
 	c, err := net.Dial("tcp", r.edges.Addrs()[0])
 	if err != nil {
@@ -446,7 +447,7 @@
 }
 
 func TestManyIdleConnections(t *testing.T) {
-	r := newRig(t, func(d *settings.Deployment) { d.Limits.Conns = 1500 })
+	r := newRig(t, func(d *config.Deployment) { d.Limits.Conns = 1500 })
 	var row []net.Conn
 	defer func() {
 		for _, c := range row {
--- a/edge/faults_test.go
+++ b/edge/faults_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"sandcourse/settings"
+	"sandcourse/internal/config"
 )
 
 // A client asks for one stream and sends, behind it, the head of a request that expects to be told to go on. That word
@@ -139,7 +139,7 @@
 func TestHalfRequestInOnePieceWithTheEndOfAnother(t *testing.T) {
 	reader := newBox(t, "127.0.0.2", always(heldWire))
 	writer := newBox(t, "127.0.0.3", always(wholeStream))
-	n := onPlatform(t, 1024, func(d *settings.Deployment) {
+	n := onPlatform(t, 1024, func(d *config.Deployment) {
 		d.Limits.FirstTime, d.Limits.HeadTime, d.Limits.BodyTime = 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
 	}, reader, writer)
 	defer n.Stop()
--- a/edge/flat_test.go
+++ b/edge/flat_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sandcourse/edge"
-	"sandcourse/settings"
+	"sandcourse/internal/config"
 )
 
 // askOnce is a client that comes once, with a session, a beginning and a name of its own.
@@ -57,7 +57,7 @@
 func TestAlwaysNewClientsLeaveNothingBehind(t *testing.T) {
 	// Connections to engines are kept for a while, more or fewer of them as the machine's load has it: they have to age
 	// within the test, or their number is taken for a leak.
-	keepsShortly := func(d *settings.Deployment) {
+	keepsShortly := func(d *config.Deployment) {
 		d.Lines.Idle, d.Lines.IdleUnsafe = 300*time.Millisecond, 300*time.Millisecond
 	}
 	n := onPlatform(t, 1024, keepsShortly, newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
--- a/edge/node.go
+++ b/edge/node.go
@@ -22,18 +22,18 @@
 	"go.uber.org/zap"
 
 	"sandcourse/follow"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/planwire"
-	"sandcourse/settings"
 )
 
 // Node is one running edge.
 type Node struct {
-	d       *settings.Deployment
+	d       *config.Deployment
 	log     *zap.Logger
 	source  endpoint.Source
 	seed    uint64
@@ -67,7 +67,7 @@
 }
 
 // New makes a node that speaks the chat API. Source may be nil where the settings list the engines.
-func New(d *settings.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Node {
+func New(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Node {
 	var routes []string
 	for _, t := range d.Routes {
 		routes = append(routes, t.Name)
@@ -76,7 +76,7 @@
 }
 
 // NewOn makes a node that speaks a dialect.
-func NewOn(d *settings.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
+func NewOn(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
 	protocol protocol.Dialect) *Node {
 	n := &Node{d: d, log: log.With(zap.String("node", d.Node)), source: source, seed: seed, in: newInbox(d.Inbox),
 		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
--- a/edge/platform_test.go
+++ b/edge/platform_test.go
@@ -15,9 +15,9 @@
 	"go.uber.org/zap"
 
 	"sandcourse/edge"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/platform"
-	"sandcourse/settings"
 )
 
 // box is an engine of the platform that answers as a test says, byte for byte.
@@ -148,7 +148,7 @@
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
 // onPlatform is a node on the platform with one reader and one writer.
-func onPlatform(t *testing.T, sockets int, alter func(*settings.Deployment), reader, writer *box) *edge.Node {
+func onPlatform(t *testing.T, sockets int, alter func(*config.Deployment), reader, writer *box) *edge.Node {
 	t.Helper()
 	n := newOnPlatform(t, sockets, alter, reader, writer)
 	startReady(t, n)
@@ -156,7 +156,7 @@
 }
 
 // newOnPlatform is such a node before its start.
-func newOnPlatform(t *testing.T, sockets int, alter func(*settings.Deployment), reader, writer *box) *edge.Node {
+func newOnPlatform(t *testing.T, sockets int, alter func(*config.Deployment), reader, writer *box) *edge.Node {
 	t.Helper()
 	return newOnSource(t, sockets, alter, listed{engineAt("s-1", "m1", reader), engineAt("s-2", "m2", writer)})
 }
@@ -167,13 +167,13 @@
 }
 
 // newOnSource is a node on the platform that has its engines from a source, before its start.
-func newOnSource(t *testing.T, sockets int, alter func(*settings.Deployment), source endpoint.Source) *edge.Node {
+func newOnSource(t *testing.T, sockets int, alter func(*config.Deployment), source endpoint.Source) *edge.Node {
 	t.Helper()
 	return newLogged(t, sockets, alter, source, zap.NewNop())
 }
 
 // newLogged is newOnSource with a log.
-func newLogged(t *testing.T, sockets int, alter func(*settings.Deployment), source endpoint.Source, log *zap.Logger) *edge.Node {
+func newLogged(t *testing.T, sockets int, alter func(*config.Deployment), source endpoint.Source, log *zap.Logger) *edge.Node {
 	t.Helper()
 	told, err := platform.ReadTold("test", fmt.Appendf(nil, platformTold, sockets))
 	if err != nil {
@@ -330,7 +330,7 @@
 
 // A crowd that connects and says nothing is closed in time and does not keep others out.
 func TestPlatformSilentCrowd(t *testing.T) {
-	n := onPlatform(t, 96, func(d *settings.Deployment) { d.Limits.FirstTime = 150 * time.Millisecond },
+	n := onPlatform(t, 96, func(d *config.Deployment) { d.Limits.FirstTime = 150 * time.Millisecond },
 		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	defer n.Stop()
 	var closed sync.WaitGroup
@@ -355,7 +355,7 @@
 
 // A node that is told to stop still answers what comes while it lingers, and then ends by itself.
 func TestPlatformStop(t *testing.T) {
-	n := onPlatform(t, 1024, func(d *settings.Deployment) { d.Linger = 300 * time.Millisecond },
+	n := onPlatform(t, 1024, func(d *config.Deployment) { d.Linger = 300 * time.Millisecond },
 		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	over := make(chan error, 1)
 	go func() { over <- n.Drain(context.Background()) }()
@@ -374,7 +374,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	d := settings.Defaults()
+	d := config.Defaults()
 	n := edge.New(d, zap.NewNop(), listed{}, 1)
 	if err := n.HearPeers("127.0.0.1:0", []string{"127.0.0.9:9", other.LocalAddr().String()}, ""); err != nil {
 		t.Fatal(err)
@@ -424,7 +424,7 @@
 	defer peer.Close()
 	for _, alone := range []bool{true, false} {
 		var listen string
-		n := onPlatform(t, 1024, func(d *settings.Deployment) {
+		n := onPlatform(t, 1024, func(d *config.Deployment) {
 			d.Linger, d.Stay, d.HandOver = 50*time.Millisecond, 800*time.Millisecond, 2*time.Second
 		}, newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 		if !alone {
@@ -460,7 +460,7 @@
 // What a stopping node took while it stayed is handed over before it is killed.
 func TestPlatformHandsOver(t *testing.T) {
 	writer := newBox(t, "127.0.0.3", always(streamHead+event("{}"))) // a stream that goes on
-	n := onPlatform(t, 1024, func(d *settings.Deployment) {
+	n := onPlatform(t, 1024, func(d *config.Deployment) {
 		d.Linger, d.Stay, d.HandOver = time.Millisecond, 400*time.Millisecond, 600*time.Millisecond
 	}, newBox(t, "127.0.0.2", always(heldWire)), writer)
 	over := make(chan error, 1)
@@ -486,7 +486,7 @@
 // A read that goes on after its connection broke is let go of again, later.
 func TestPlatformLateReads(t *testing.T) {
 	reader := newBox(t, "127.0.0.2", func(n int, _ *http.Request) (string, bool) { return "", true })
-	n := onPlatform(t, 1024, func(d *settings.Deployment) {
+	n := onPlatform(t, 1024, func(d *config.Deployment) {
 		d.Rules.Pin = 100 * time.Millisecond
 		d.ReleaseFor = 200 * time.Millisecond
 	},
@@ -504,7 +504,7 @@
 // spoilt answer of a reader.
 func TestPlatformMixedEngineAnswers(t *testing.T) {
 	mixed := newBox(t, "127.0.0.2", always(wholeStream))
-	n := onPlatform(t, 1024, func(d *settings.Deployment) {
+	n := onPlatform(t, 1024, func(d *config.Deployment) {
 		for i := range d.Kinds {
 			d.Kinds[i].Role = "both"
 			d.Given[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = "both"
--- a/settings/facts.go
+++ b/internal/config/facts.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"fmt"
--- a/settings/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -11,6 +11,7 @@
 
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/golden"
+	"sandcourse/settings"
 )
 
 // sample is a script without a fault, part by part.
@@ -126,7 +127,7 @@
 engine(at = "127.0.0.1:1", kind = "mixed", zone = "z2", cell = "c", weight = 2)
 `
 	var b strings.Builder
-	for _, c := range [][2]string{{"demo.star", Demo}, {"all.star", all},
+	for _, c := range [][2]string{{"demo.star", settings.Demo}, {"all.star", all},
 		{"no-retry.star", without("", "") + "limits(max_retry_after = \"0s\")\n"}} {
 		d, err := Read(c[0], []byte(c[1]))
 		if err != nil {
--- a/settings/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads an operator's script, checks it whole and turns it into one deployment: what a node
 // listens on, its model routes, rules, bounds and engines, and the facts that the decision module is handed.
-package settings
+package config
 
 import (
 	"path/filepath"
--- a/settings/settings_test.go
+++ b/internal/config/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -12,10 +12,11 @@
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/routing"
+	"sandcourse/settings"
 )
 
 func TestDemo(t *testing.T) {
-	d, err := Read("demo.star", []byte(Demo))
+	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +70,7 @@
 }
 
 func TestNews(t *testing.T) {
-	d, err := Read("demo.star", []byte(Demo))
+	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +99,7 @@
 // Found by random settings: cells were numbered list by list, so one that left gave its number to another, and what
 // may have run at an engine of it was sent to that other cell, which did not know it.
 func TestPlacesKeepTheirNumbers(t *testing.T) {
-	d, err := Read("demo.star", []byte(Demo))
+	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/config/params"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/invariant"
-	"sandcourse/settings"
 )
 
 // Told is what the platform tells a node at its start, and again when it asks it to read anew.
@@ -108,8 +108,8 @@
 
 // Deployment is what the configuration says, in the program's own terms. The error, if any, is of type
 // script.Faults.
-func (t *Told) Deployment(file string) (*settings.Deployment, error) {
-	d := settings.Defaults()
+func (t *Told) Deployment(file string) (*config.Deployment, error) {
+	d := config.Defaults()
 	f := params.Of(t.Settings)
 	d.File, d.Node, d.Chat, d.Given = file, t.Name, t.Listen, f
 	number := func(name string, absent float64) float64 {
@@ -128,12 +128,12 @@
 	}
 	for i := range count(f, "kinds") {
 		role := word("engine_facts.role_of_kind.%d", i)
-		d.Kinds = append(d.Kinds, settings.EngineKind{Name: word("kinds.%d", i), Role: role,
+		d.Kinds = append(d.Kinds, config.EngineKind{Name: word("kinds.%d", i), Role: role,
 			Memory: number(fmt.Sprintf("engine_facts.memory_of_kind.%d", i), 0)})
 	}
 	for i := range count(f, "routes") {
 		route := func(name string) string { return fmt.Sprintf("routes.%d.%s", i, name) }
-		d.Routes = append(d.Routes, settings.Route{Name: word("%s", route("name")), Effect: word("%s", route("effect")),
+		d.Routes = append(d.Routes, config.Route{Name: word("%s", route("name")), Effect: word("%s", route("effect")),
 			Value: number(route("value"), 1), FirstToken: span(route("first_token_target"), time.Second),
 			PerTokns: span(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
 			// A client's own word stands for the time that it waits, be it longer than the route's.
@@ -159,9 +159,9 @@
 		}
 	}
 	for i, r := range d.Routes {
-		if !slices.Contains(settings.Effects, r.Effect) {
+		if !slices.Contains(config.Effects, r.Effect) {
 			all = append(all, fmt.Sprintf("%s: settings: route %d: effect %q is none of %q",
-				file, i, r.Effect, settings.Effects))
+				file, i, r.Effect, config.Effects))
 		}
 	}
 	d.Check(func(format string, args ...any) {
@@ -174,7 +174,7 @@
 }
 
 // bound fits what the node holds into its limits.
-func bound(d *settings.Deployment, t *Told, f map[string]any) {
+func bound(d *config.Deployment, t *Told, f map[string]any) {
 	sockets, memory := cmp.Or(t.Limits.Sockets, 1024)-spent, t.Memory()
 	// An inference has a client's connection and at most one line, and lines that lie idle are had back at need.
 	d.Limits.Conns, d.Lines.All = sockets*46/100, sockets/2
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -9,19 +9,19 @@
 
 	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
-	"sandcourse/settings"
 )
 
 // Core is the state of one node: the module, its timers and all that is open. It is not safe for concurrent
 // use.
 type Core struct {
-	d     *settings.Deployment
+	d     *config.Deployment
 	seed  uint64
 	epoch int64 // names of inferences differ between lives of a node
 	wire  Wire
@@ -96,7 +96,7 @@
 }
 
 // New makes the core of a node that starts at now. Epoch must differ between lives of a node.
-func New(d *settings.Deployment, protocol protocol.Dialect, seed uint64, epoch, now int64, wire Wire,
+func New(d *config.Deployment, protocol protocol.Dialect, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
 		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"sandcourse/internal/admission"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 	"sandcourse/internal/invariant"
@@ -31,7 +32,7 @@
 	ignoredEvents
 	t        *testing.T
 	core     *router.Core
-	d        *settings.Deployment
+	d        *config.Deployment
 	protocol protocol.Dialect
 	chat     bool // the chat dialect; else the platform's
 	start    int64
@@ -65,12 +66,12 @@
 	answerSlow   = "slow"
 )
 
-func newRecorder(t *testing.T, chat bool, nodes int, alter ...func(*settings.Deployment)) *recorder {
+func newRecorder(t *testing.T, chat bool, nodes int, alter ...func(*config.Deployment)) *recorder {
 	t.Helper()
 	r := &recorder{t: t, chat: chat, start: 1e15, now: 1e15, requests: map[string]int{}, refused: map[string]bool{},
 		answer: func(string, string, int) string { return answerUsual }}
 	if chat {
-		d, err := settings.Read("default", []byte(settings.Demo))
+		d, err := config.Read("default", []byte(settings.Demo))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -714,7 +715,7 @@
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "limits")
 		t.Run(name, func(t *testing.T) {
-			r := newRecorder(t, chat, 1, func(d *settings.Deployment) {
+			r := newRecorder(t, chat, 1, func(d *config.Deployment) {
 				d.Limits.Conns, d.Limits.Open, d.Limits.Bytes, d.Limits.Retries = 12, 8, 10_000, 0.2
 			})
 			r.note("a request that stops within its head, and one within its body")
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -9,10 +9,10 @@
 
 	"sandcourse/internal/admission"
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/routing"
-	"sandcourse/settings"
 )
 
 // inference is one call of a client from its arrival until its final answer is out and none of its sends is.
@@ -112,7 +112,7 @@
 func (o *Core) known(name string) bool { return o.byName[name] != nil || o.names.known(name) }
 
 // effect is what a second run of an inference would do.
-func (inf *inference) effect(d *settings.Deployment) invariant.Effect {
+func (inf *inference) effect(d *config.Deployment) invariant.Effect {
 	return invariant.EffectOf(d.Routes[inf.route].Effect)
 }
 
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -14,12 +14,12 @@
 
 	"pgregory.net/rapid"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/settings"
 )
 
 // The slack of the protocol: what is held has 300 ms more than the settings say, an answer half a second.
@@ -33,7 +33,7 @@
 type world struct {
 	ignoredEvents
 	t        *rapid.T
-	d        *settings.Deployment
+	d        *config.Deployment
 	core     *router.Core
 	now      int64
 	callers  []*caller
@@ -53,7 +53,7 @@
 	world    *world
 	client   *router.Client
 	name     string
-	route    settings.Route
+	route    config.Route
 	giveUpAt int64
 	resumes  bool
 	out      bytes.Buffer
--- a/lab/edge.go
+++ b/lab/edge.go
@@ -13,6 +13,7 @@
 	"strings"
 	"time"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
@@ -21,7 +22,6 @@
 	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/settings"
 )
 
 // way is how long a message takes between any two: within one data centre.
@@ -72,13 +72,13 @@
 }
 
 func (w *world) build() {
-	d := settings.Defaults()
+	d := config.Defaults()
 	d.Nodes, d.Limits.Retries = w.d.Nodes, w.d.Budget
-	d.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read", Memory: w.d.Engine.Memory},
+	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", Memory: w.d.Engine.Memory},
 		{Name: "decode", Role: "write", Memory: w.d.Engine.Memory}}
 	d.Rules.Cold, d.Rules.ColdShare = w.d.Engine.Cold, w.d.Engine.ColdShare
 	for _, r := range w.d.Routes {
-		d.Routes = append(d.Routes, settings.Route{Name: r.Name, Effect: r.Effect, Value: r.Value,
+		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, Value: r.Value,
 			FirstToken: r.Target, Timeout: r.Timeout,
 			DedupWindow: 5 * time.Second, DedupGroup: "all"})
 	}
--- a/plan/bench_test.go
+++ b/plan/bench_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 
 	"sandcourse/follow"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
 
@@ -48,9 +48,9 @@
 			State: endpoint.Ready})
 	}
 	dir := b.TempDir()
-	d := settings.PlanningDefaults()
+	d := config.PlanningDefaults()
 	d.Listen, d.Store, d.Roster = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
-	d.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	d.Pairs = [][2]string{{"prefill", "decode"}}
 	endpoint.Write(d.Roster, list)
 	p := New(d, zap.NewNop())
--- a/plan/golden_test.go
+++ b/plan/golden_test.go
@@ -17,10 +17,10 @@
 	"go.etcd.io/bbolt"
 	"go.uber.org/zap"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/golden"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/settings"
 )
 
 // earlierStore was written by the program as it was at commit 105440a. It is never to be written anew: planners of
@@ -128,7 +128,7 @@
 // A planner that starts with an earlier store goes on from it: one term later, stopped as it was ordered to be, with each
 // engine's role and epoch, and with the same words for whoever looks.
 func TestGoldenPlannerGoesOnFromEarlierStore(t *testing.T) {
-	d := settings.PlanningDefaults()
+	d := config.PlanningDefaults()
 	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
 	p := New(d, zap.NewNop())
 	if err := p.Start(); err != nil {
@@ -207,7 +207,7 @@
 
 // What a planner answers at each of its paths. Requests stand here as they are sent.
 func TestGoldenAnswers(t *testing.T) {
-	d := settings.PlanningDefaults()
+	d := config.PlanningDefaults()
 	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
 	p := New(d, zap.NewNop())
 	if err := p.Start(); err != nil {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -18,10 +18,10 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/follow"
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
 
@@ -29,7 +29,7 @@
 type fleet struct {
 	t       *testing.T
 	engines []*engine.Engine
-	d       *settings.Planning
+	d       *config.Planning
 	mu      sync.Mutex
 	plans   []planwire.Plan
 }
@@ -58,9 +58,9 @@
 	if err := endpoint.Write(path, list); err != nil {
 		t.Fatal(err)
 	}
-	f.d = settings.PlanningDefaults()
+	f.d = config.PlanningDefaults()
 	f.d.Listen, f.d.Store, f.d.Roster = "127.0.0.1:0", filepath.Join(dir, "planner.db"), path
-	f.d.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	f.d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	f.d.Pairs = [][2]string{{"prefill", "decode"}}
 	b := &f.d.Roles
 	b.Drain, b.Order, b.Load, b.Trial, b.Cold, b.Rest, b.Grace = 2*time.Second, time.Second, 2*time.Second,
--- a/plan/planner.go
+++ b/plan/planner.go
@@ -21,15 +21,15 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.uber.org/zap"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/planwire"
 	"sandcourse/roles"
-	"sandcourse/settings"
 )
 
 // Planner is one running planner.
 type Planner struct {
-	d     *settings.Planning
+	d     *config.Planning
 	log   *zap.Logger
 	store *Store
 	term  int64
@@ -37,7 +37,7 @@
 
 	in     chan func()
 	core   *roles.Core
-	kinds  map[string]settings.EngineKind
+	kinds  map[string]config.EngineKind
 	listen net.Listener
 	server *http.Server
 	client *http.Client
@@ -77,10 +77,10 @@
 )
 
 // New makes a planner; Start runs it.
-func New(d *settings.Planning, log *zap.Logger) *Planner {
+func New(d *config.Planning, log *zap.Logger) *Planner {
 	p := &Planner{d: d, log: log, in: make(chan func(), maxInbox), began: time.Now(),
 		changed: make(chan struct{}),
-		kinds:   map[string]settings.EngineKind{}, unkept: map[string]roles.Record{}, meters: newMeters()}
+		kinds:   map[string]config.EngineKind{}, unkept: map[string]roles.Record{}, meters: newMeters()}
 	for _, k := range d.Kinds {
 		p.kinds[k.Name] = k
 	}
--- a/prove/copy.go
+++ b/prove/copy.go
@@ -6,21 +6,21 @@
 	"reflect"
 	"unsafe"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
-	"sandcourse/settings"
 )
 
 // A state is copied field by field, so that the events of one state need not each play its path from the
 // start again. A copy must share nothing that changes: every pointer is followed, and what is shared is
 // listed here. A kind of field that cannot be copied exactly ends the program instead of a false proof.
 var shared = map[reflect.Type]bool{
-	reflect.TypeFor[*settings.Deployment](): true, // fixed from the start
-	reflect.TypeFor[*http.Request]():        true, // a call and an answer's head are read only
-	reflect.TypeFor[*http.Response]():       true,
-	reflect.TypeFor[*protocol.Call]():       true,
-	reflect.TypeFor[*chatapi.Dialect]():     true,
-	reflect.TypeFor[map[string]any]():       true, // the module's facts
+	reflect.TypeFor[*config.Deployment](): true, // fixed from the start
+	reflect.TypeFor[*http.Request]():      true, // a call and an answer's head are read only
+	reflect.TypeFor[*http.Response]():     true,
+	reflect.TypeFor[*protocol.Call]():     true,
+	reflect.TypeFor[*chatapi.Dialect]():   true,
+	reflect.TypeFor[map[string]any]():     true, // the module's facts
 }
 
 type seenPointers map[unsafe.Pointer]reflect.Value
--- a/prove/explore.go
+++ b/prove/explore.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/routing"
 	"sandcourse/roles"
-	"sandcourse/settings"
 )
 
 // Path is a row of events by their numbers among those that could happen.
@@ -475,7 +475,7 @@
 }
 
 // Deployment is the settings that a world's node runs with.
-func (w World) Deployment() *settings.Deployment { return w.deployment() }
+func (w World) Deployment() *config.Deployment { return w.deployment() }
 
 // Ends are paths to the first different ends of a world, at most so many, in the order of their length.
 func Ends(w World, most int) (paths []Path) {
--- a/prove/sim.go
+++ b/prove/sim.go
@@ -18,6 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/chat"
@@ -26,7 +27,6 @@
 	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/settings"
 )
 
 // World is what is explored.
@@ -112,7 +112,7 @@
 // sim is one execution.
 type sim struct {
 	w       World
-	d       *settings.Deployment
+	d       *config.Deployment
 	now     int64
 	core    *router.Core
 	clients []*simClient
@@ -139,8 +139,8 @@
 	at, since int64
 }
 
-func (w World) deployment() *settings.Deployment {
-	d := settings.Defaults()
+func (w World) deployment() *config.Deployment {
+	d := config.Defaults()
 	d.Node, d.Tick, d.Stall, d.Probes = "n", tick, stall, w.Probes
 	d.Rules.DrainGrace, d.Rules.Pin = grace, pin
 	d.Lines.Idle, d.Lines.DialTime = 150*time.Millisecond, 100*time.Millisecond
@@ -152,9 +152,9 @@
 		d.Limits.Open = w.Open
 	}
 	d.Nodes = max(1, w.Nodes)
-	d.Kinds = []settings.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	for _, effect := range []string{"retriable", "deduped", "non-retriable"} {
-		d.Routes = append(d.Routes, settings.Route{Name: effect, Effect: effect, Value: 1, FirstToken: target,
+		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, Value: 1, FirstToken: target,
 			Timeout: giveUp, DedupWindow: time.Second, DedupGroup: "all"})
 	}
 	return d
--- a/settings/demo.go
+++ b/settings/demo.go
@@ -1,3 +1,4 @@
+// Package settings holds the sample settings scripts.
 package settings
 
 import _ "embed"
