--- a/badday/tilt.go
+++ b/badday/tilt.go
@@ -13,9 +13,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/load"
 	"sandcourse/plan"
-	"sandcourse/planwire"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -36,7 +36,7 @@
 	Kill                    bool // the planner is killed now and then
 	Seed                    uint64
 	Faults                  func(ctx context.Context, f *Fleet) // beside the tilt; may be nil
-	OnPlan                  func(planwire.Plan)
+	OnPlan                  func(planapi.Plan)
 }
 
 // Tilted is how it went, by phase.
@@ -125,7 +125,7 @@
 	}
 	defer fleet.Stop()
 	var mu sync.Mutex
-	published := func(p planwire.Plan) {
+	published := func(p planapi.Plan) {
 		at := time.Now()
 		ready := map[string]bool{}
 		for _, e := range p.Engines {
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -15,9 +15,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/load"
 	"sandcourse/plan"
-	"sandcourse/planwire"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -27,11 +27,11 @@
 // and engines are of one mind at the end.
 func TestTiltedDayKeepsTheRules(t *testing.T) {
 	var mu sync.Mutex
-	var newest planwire.Plan
+	var newest planapi.Plan
 	tilt := Tilt{Readers: 4, Writers: 4, Edges: 2, Kill: true, Seed: 3, Phases: []Phase{
 		{Name: "long prompts", Length: 20 * time.Second, Rate: 30, Own: 1500, Answer: 24},
 		{Name: "long answers", Length: 8 * time.Second, Rate: 20, Own: 40, Answer: 200}},
-		OnPlan: func(p planwire.Plan) {
+		OnPlan: func(p planapi.Plan) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !p.Newer(newest) {
@@ -113,7 +113,7 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		time.Sleep(2 * time.Second) // of a day of eight
-		answer, err := http.Post("http://"+p.Addr()+planwire.OrderPath, "application/json",
+		answer, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 			strings.NewReader(`{"op":"move","engine":"`+moved.Addr()+`","who":"test","why":"test"}`))
 		if err != nil || answer.StatusCode != http.StatusOK {
 			t.Error(err, answer)
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/plan"
-	"sandcourse/planwire"
 	"sandcourse/roles"
 )
 
@@ -26,7 +26,7 @@
 	c.PersistentFlags().StringVar(&at, "planner", "127.0.0.1:9090", "the planner's address")
 	client := &http.Client{Timeout: 10 * time.Second}
 	look := func() (s plan.Shown, err error) {
-		answer, err := client.Get("http://" + at + planwire.RolesPath)
+		answer, err := client.Get("http://" + at + planapi.RolesPath)
 		if err != nil {
 			return s, err
 		}
@@ -76,7 +76,7 @@
 		{"move", "Change an engine's role now, as far as floors and budgets let it", true},
 		{"readmit", "Ask an engine that was set aside to come back", true},
 		{"stop", "Begin no change; what drains goes back", false}, {"go", "Let changes go on", false}} {
-		order := planwire.Order{Op: o.op}
+		order := planapi.Order{Op: o.op}
 		use, args := o.op+" --why TEXT", cobra.NoArgs
 		if o.engine {
 			use, args = o.op+" ENGINE --why TEXT", cobra.ExactArgs(1)
@@ -90,7 +90,7 @@
 			if err != nil {
 				return err
 			}
-			answer, err := client.Post("http://"+at+planwire.OrderPath, "application/json",
+			answer, err := client.Post("http://"+at+planapi.OrderPath, "application/json",
 				bytes.NewReader(data))
 			if err != nil {
 				return err
@@ -152,7 +152,7 @@
 		d.Changing, d.Stopped)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\tengines kept busy\tserving\ton their way\ttokens/s of one")
-	for _, role := range []string{planwire.Read, planwire.Write} {
+	for _, role := range []string{planapi.Read, planapi.Write} {
 		fmt.Fprintf(t, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role, d.Need[role], d.Serve[role], d.Coming[role],
 			d.Pace[role])
 	}
--- a/cmd/sandcourse/tilt.go
+++ b/cmd/sandcourse/tilt.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"sandcourse/badday"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 type tiltOptions struct {
@@ -38,7 +38,7 @@
 			{Name: "long prompts", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24},
 			{Name: "long answers", Length: o.phase, Rate: o.rate, Own: 40, Answer: 200},
 			{Name: "long prompts again", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24}},
-		OnPlan: func(p planwire.Plan) {
+		OnPlan: func(p planapi.Plan) {
 			count := map[string]int{}
 			for _, e := range p.Engines {
 				count[e.Kind+" "+e.State]++
--- a/edge/node.go
+++ b/edge/node.go
@@ -24,11 +24,11 @@
 	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/planwire"
 )
 
 // Node is one running edge.
@@ -63,7 +63,7 @@
 	fail   func(routing.Input) // a test's panic inside the module
 	hold   func(Point)         // a test's stop at a point; set before Start
 	dial   func(ctx context.Context, address string) (net.Conn, error)
-	counts map[string]*planwire.RouteCount
+	counts map[string]*planapi.RouteCount
 }
 
 // New makes a node that speaks the chat API. Source may be nil where the settings list the engines.
@@ -90,26 +90,26 @@
 	if n.source == nil && d.Planner != "" {
 		n.source = follow.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
 	}
-	n.counts = map[string]*planwire.RouteCount{}
+	n.counts = map[string]*planapi.RouteCount{}
 	n.core = router.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
 	return n
 }
 
 // count is the owner's: what the node has counted on one model route.
-func (n *Node) count(route string) *planwire.RouteCount {
+func (n *Node) count(route string) *planapi.RouteCount {
 	c := n.counts[route]
 	if c == nil {
-		c = &planwire.RouteCount{Route: route}
+		c = &planapi.RouteCount{Route: route}
 		n.counts[route] = c
 	}
 	return c
 }
 
 // report asks the owner for its counts.
-func (n *Node) report(ctx context.Context) (planwire.EdgeReport, error) {
-	got := make(chan planwire.EdgeReport, 1)
+func (n *Node) report(ctx context.Context) (planapi.EdgeReport, error) {
+	got := make(chan planapi.EdgeReport, 1)
 	n.in.put(0, func() {
-		r := planwire.EdgeReport{Edge: n.d.Node, Life: n.epoch}
+		r := planapi.EdgeReport{Edge: n.d.Node, Life: n.epoch}
 		for _, route := range slices.Sorted(maps.Keys(n.counts)) {
 			r.Routes = append(r.Routes, *n.counts[route])
 		}
@@ -119,9 +119,9 @@
 	case r := <-got:
 		return r, nil
 	case <-n.done:
-		return planwire.EdgeReport{}, errors.New("the node has stopped")
+		return planapi.EdgeReport{}, errors.New("the node has stopped")
 	case <-ctx.Done():
-		return planwire.EdgeReport{}, ctx.Err()
+		return planapi.EdgeReport{}, ctx.Err()
 	}
 }
 
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -16,22 +16,22 @@
 	"time"
 
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // Planner is a roster.Source that follows the planner at Addr.
 type Planner struct {
 	Addr   string
-	Report func(ctx context.Context) (planwire.EdgeReport, error) // the edge's counts; nil to send none
-	Every  time.Duration                                          // between two reports; 0 for a second
-	Quiet  time.Duration                                          // a stream that says nothing for longer is given up; 0 for 5 s
-	Now    func() int64                                           // the node's clock in Unix milliseconds; nil for the machine's
+	Report func(ctx context.Context) (planapi.EdgeReport, error) // the edge's counts; nil to send none
+	Every  time.Duration                                         // between two reports; 0 for a second
+	Quiet  time.Duration                                         // a stream that says nothing for longer is given up; 0 for 5 s
+	Now    func() int64                                          // the node's clock in Unix milliseconds; nil for the machine's
 }
 
 // last is the newest plan taken, over all streams.
 type last struct {
 	mu     sync.Mutex
-	plan   planwire.Plan
+	plan   planapi.Plan
 	starts starts // used by the one stream alone
 }
 
@@ -80,7 +80,7 @@
 	defer cancel()
 	silence := time.AfterFunc(quiet, cancel)
 	defer silence.Stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+planwire.StreamPath, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+planapi.StreamPath, nil)
 	if err != nil {
 		return err
 	}
@@ -93,13 +93,13 @@
 		return fmt.Errorf("it answers %s", answer.Status)
 	}
 	lines := bufio.NewScanner(answer.Body)
-	lines.Buffer(make([]byte, 0, 64<<10), planwire.MaxPlan+1)
+	lines.Buffer(make([]byte, 0, 64<<10), planapi.MaxPlan+1)
 	for lines.Scan() {
 		silence.Reset(quiet)
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue // it is there, and nothing has changed
 		}
-		plan, err := planwire.ReadPlan(lines.Bytes())
+		plan, err := planapi.ReadPlan(lines.Bytes())
 		if err != nil {
 			return err // a line cut short, too: the whole plan comes again with the next stream
 		}
@@ -147,7 +147,7 @@
 			continue
 		}
 		once, cancel := context.WithTimeout(ctx, every)
-		r, err := http.NewRequestWithContext(once, http.MethodPost, "http://"+p.Addr+planwire.ReportPath,
+		r, err := http.NewRequestWithContext(once, http.MethodPost, "http://"+p.Addr+planapi.ReportPath,
 			bytes.NewReader(data))
 		if err == nil {
 			if answer, err := client.Do(r); err == nil {
--- a/follow/golden_test.go
+++ b/follow/golden_test.go
@@ -12,7 +12,7 @@
 
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // An edge takes a planner's stream and answers with its counts: what it asks for, what it takes from lines with these bytes,
@@ -56,8 +56,8 @@
 		defer close(over)
 		Planner{Addr: strings.TrimPrefix(planner.URL, "http://"), Every: 20 * time.Millisecond, Quiet: time.Minute,
 			Now: func() int64 { return 1_700_000_000_000 },
-			Report: func(context.Context) (planwire.EdgeReport, error) {
-				return planwire.EdgeReport{Edge: "edge0", Life: 9, Routes: []planwire.RouteCount{{Route: "clip-summary",
+			Report: func(context.Context) (planapi.EdgeReport, error) {
+				return planapi.EdgeReport{Edge: "edge0", Life: 9, Routes: []planapi.RouteCount{{Route: "clip-summary",
 					Arrived: 1, Prompt: 2, Began: 3, BegunFor: 4, Ended: 5, Answer: 6, InTime: 7, Shed: 8}}}, nil
 			}}.Run(ctx, func(list endpoint.List) { lists <- list }, func(err error) { t.Log(err) })
 	}()
--- a/planwire/planwire.go
+++ b/internal/planner/planapi/planwire.go
@@ -1,6 +1,6 @@
 // Package planwire is what planner, edges, engines and operators say to one another: plans, reports and
 // orders, as JSON, checked as they are read. It does no I/O.
-package planwire
+package planapi
 
 import (
 	"bytes"
--- a/planwire/planwire_test.go
+++ b/internal/planner/planapi/planwire_test.go
@@ -1,4 +1,4 @@
-package planwire
+package planapi
 
 import (
 	"encoding/json"
--- a/plan/bench_test.go
+++ b/plan/bench_test.go
@@ -16,7 +16,7 @@
 	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 	"sandcourse/standin/engine"
 )
@@ -64,9 +64,9 @@
 	got := make([]int64, edges) // revision each follows
 	at := make([]time.Time, edges)
 	for i := range edges {
-		go follow.Planner{Addr: p.Addr(), Report: func(context.Context) (planwire.EdgeReport, error) {
-			return planwire.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
-				Routes: []planwire.RouteCount{{Route: "a"}, {Route: "b"}}}, nil
+		go follow.Planner{Addr: p.Addr(), Report: func(context.Context) (planapi.EdgeReport, error) {
+			return planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
+				Routes: []planapi.RouteCount{{Route: "a"}, {Route: "b"}}}, nil
 		}}.Run(ctx, func(l endpoint.List) {
 			mu.Lock()
 			got[i], at[i] = l.Revision, time.Now()
--- a/plan/golden_test.go
+++ b/plan/golden_test.go
@@ -19,7 +19,7 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/golden"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 )
 
@@ -171,7 +171,7 @@
 func TestGoldenShown(t *testing.T) {
 	shown := Shown{Term: 8, Number: 42, Deposed: true, Stuck: true, Edges: 3,
 		Engines: []roles.Shown{{Record: storeContent().Records[1], Listed: true, CanChange: true,
-			Said: planwire.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
+			Said: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
 				Changing: true, Draining: true, Read: 10.5, Written: 20, Busy: 0.25, Open: 2, Held: 1, Kept: 300,
 				Hot: map[string]float64{"5c0f": 2048, "0a11": 512}},
 			HeardMs: 120, Barred: "it drains", Trouble: "it said nothing"},
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -20,7 +20,7 @@
 	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 	"sandcourse/standin/engine"
 )
@@ -31,7 +31,7 @@
 	engines []*engine.Engine
 	d       *config.Planning
 	mu      sync.Mutex
-	plans   []planwire.Plan
+	plans   []planapi.Plan
 }
 
 func newFleet(t *testing.T, readers, writers int) *fleet {
@@ -73,7 +73,7 @@
 	f.t.Helper()
 	p := New(f.d, zap.NewNop())
 	p.Crash = crash
-	p.OnPublish = func(plan planwire.Plan) {
+	p.OnPublish = func(plan planapi.Plan) {
 		f.mu.Lock()
 		f.plans = append(f.plans, plan)
 		f.mu.Unlock()
@@ -89,7 +89,7 @@
 	f.t.Helper()
 	var s Shown
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		answer, err := http.Get("http://" + p.Addr() + planwire.RolesPath)
+		answer, err := http.Get("http://" + p.Addr() + planapi.RolesPath)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -109,10 +109,10 @@
 		func(e roles.Shown) bool { return e.State != roles.Serving || e.HeardMs < 0 })
 }
 
-func order(p *Planner, o planwire.Order) (int, string) {
+func order(p *Planner, o planapi.Order) (int, string) {
 	o.Who, o.Why = "test", "test"
 	data, _ := json.Marshal(o)
-	answer, err := http.Post("http://"+p.Addr()+planwire.OrderPath, "application/json",
+	answer, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 		strings.NewReader(string(data)))
 	if err != nil {
 		return 0, err.Error()
@@ -147,7 +147,7 @@
 		mu.Lock()
 		moving = true
 		mu.Unlock()
-		order(p, planwire.Order{Op: "move", Engine: f.engines[0].Addr()})
+		order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()})
 		done := func(s Shown) bool { return serving(s) }
 		crashed := false
 		for !crashed {
@@ -158,7 +158,7 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 			var s Shown
-			answer, err := http.Get("http://" + p.Addr() + planwire.RolesPath)
+			answer, err := http.Get("http://" + p.Addr() + planapi.RolesPath)
 			if err != nil {
 				continue
 			}
@@ -209,7 +209,7 @@
 			f.look(p, "ready", serving)
 			e := f.engines[0]
 			e.Set(faults)
-			if status, text := order(p, planwire.Order{Op: "move",
+			if status, text := order(p, planapi.Order{Op: "move",
 				Engine: e.Addr()}); status != http.StatusOK {
 				t.Fatal(status, text)
 			}
@@ -246,29 +246,29 @@
 	defer p.Stop()
 	f.look(p, "ready", serving)
 	for _, c := range []struct {
-		o    planwire.Order
+		o    planapi.Order
 		want string
 	}{
-		{planwire.Order{Op: "move", Engine: f.engines[0].Addr()}, "must stay"},
-		{planwire.Order{Op: "move", Engine: "127.0.0.1:1"}, "no such engine"},
-		{planwire.Order{Op: "readmit", Engine: f.engines[1].Addr()}, "not aside"},
-		{planwire.Order{Op: "go"}, "already"},
-		{planwire.Order{Op: "fly"}, "one of"},
-		{planwire.Order{Op: "stop", Engine: "x"}, "with engine"},
+		{planapi.Order{Op: "move", Engine: f.engines[0].Addr()}, "must stay"},
+		{planapi.Order{Op: "move", Engine: "127.0.0.1:1"}, "no such engine"},
+		{planapi.Order{Op: "readmit", Engine: f.engines[1].Addr()}, "not aside"},
+		{planapi.Order{Op: "go"}, "already"},
+		{planapi.Order{Op: "fly"}, "one of"},
+		{planapi.Order{Op: "stop", Engine: "x"}, "with engine"},
 	} {
 		if status, text := order(p, c.o); status < 400 || !strings.Contains(text, c.want) {
 			t.Errorf("%+v: %d %s", c.o, status, text)
 		}
 	}
-	if status, _ := order(p, planwire.Order{Op: "pin",
+	if status, _ := order(p, planapi.Order{Op: "pin",
 		Engine: f.engines[1].Addr()}); status != http.StatusOK {
 		t.Error("pin refused")
 	}
-	if status, text := order(p, planwire.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 ||
+	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 ||
 		!strings.Contains(text, "pinned") {
 		t.Error(status, text)
 	}
-	if status, text := order(p, planwire.Order{Op: "move", Engine: f.engines[2].Addr(),
+	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[2].Addr(),
 		Dry: true}); status != http.StatusOK || !strings.Contains(text, "leaves") {
 		t.Error(status, text)
 	}
@@ -285,7 +285,7 @@
 	defer p.Stop()
 	f.look(p, "ready", serving)
 	// An order makes the engines know of its term.
-	order(p, planwire.Order{Op: "move", Engine: f.engines[0].Addr()})
+	order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()})
 	f.look(p, "moved", func(s Shown) bool { return serving(s) && f.engines[0].Role() == "write" })
 	if err := New(f.d, zap.NewNop()).Start(); !errors.Is(err, ErrTaken) {
 		t.Errorf("on the same store: %v", err)
@@ -302,12 +302,12 @@
 	}
 	defer q.Stop()
 	f.look(q, "ready", serving)
-	if status, text := order(q, planwire.Order{Op: "move",
+	if status, text := order(q, planapi.Order{Op: "move",
 		Engine: f.engines[0].Addr()}); status != http.StatusOK {
 		t.Fatal(text)
 	}
 	f.look(p, "deposed", func(s Shown) bool { return s.Deposed })
-	if status, text := order(p, planwire.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 {
+	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 {
 		t.Errorf("a deposed planner takes orders: %s", text)
 	}
 }
@@ -333,7 +333,7 @@
 			return nil
 		}
 	})
-	if status, text := order(p, planwire.Order{Op: "move", Engine: f.engines[0].Addr()}); status < 400 ||
+	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()}); status < 400 ||
 		!strings.Contains(text, "could not be kept") {
 		t.Error(status, text)
 	}
--- a/plan/planner.go
+++ b/plan/planner.go
@@ -23,7 +23,7 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 )
 
@@ -46,7 +46,7 @@
 	over   sync.WaitGroup
 
 	// OnPublish, if set before Start, is told of each plan before edges can have it.
-	OnPublish func(planwire.Plan)
+	OnPublish func(planapi.Plan)
 	// Crash, if set before Start, is asked before each effect; true ends the planner there, as a kill would.
 	Crash func(roles.Effect) bool
 
@@ -139,10 +139,10 @@
 	}
 	p.core = roles.New(p.d.Roles, p.term, p.clock(), kept.Records, kept.Meta)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+planwire.StreamPath, p.serveStream)
-	mux.HandleFunc("POST "+planwire.ReportPath, p.serveReport)
-	mux.HandleFunc("GET "+planwire.RolesPath, p.serveRoles)
-	mux.HandleFunc("POST "+planwire.OrderPath, p.serveOrder)
+	mux.HandleFunc("GET "+planapi.StreamPath, p.serveStream)
+	mux.HandleFunc("POST "+planapi.ReportPath, p.serveReport)
+	mux.HandleFunc("GET "+planapi.RolesPath, p.serveRoles)
+	mux.HandleFunc("POST "+planapi.OrderPath, p.serveOrder)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(p.meters.registry, promhttp.HandlerOpts{}))
 	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
 	p.over.Go(func() { p.server.Serve(p.listen) })
@@ -315,7 +315,7 @@
 	}
 }
 
-func (p *Planner) publish(plan planwire.Plan) {
+func (p *Planner) publish(plan planapi.Plan) {
 	line, err := json.Marshal(plan)
 	if err != nil {
 		p.log.Error("plan", zap.Error(err))
@@ -416,24 +416,24 @@
 	}
 }
 
-func (p *Planner) ask(ctx context.Context, engine string) (planwire.EngineReport, error) {
+func (p *Planner) ask(ctx context.Context, engine string) (planapi.EngineReport, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+engine+loadPath, nil)
 	if err != nil {
-		return planwire.EngineReport{}, err
+		return planapi.EngineReport{}, err
 	}
 	answer, err := p.client.Do(r)
 	if err != nil {
-		return planwire.EngineReport{}, err
+		return planapi.EngineReport{}, err
 	}
 	defer answer.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, planwire.MaxReport+1))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, planapi.MaxReport+1))
 	if err != nil {
-		return planwire.EngineReport{}, err
+		return planapi.EngineReport{}, err
 	}
 	if answer.StatusCode != http.StatusOK {
-		return planwire.EngineReport{}, errors.New(answer.Status)
+		return planapi.EngineReport{}, errors.New(answer.Status)
 	}
-	report, err := planwire.ReadEngineReport(data)
+	report, err := planapi.ReadEngineReport(data)
 	report.Engine = engine
 	return report, err
 }
@@ -444,7 +444,7 @@
 	if err != nil {
 		return
 	}
-	r, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+a.Engine+planwire.RolePath,
+	r, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+a.Engine+planapi.RolePath,
 		strings.NewReader(string(data)))
 	if err != nil {
 		return
@@ -522,7 +522,7 @@
 	if by < 50*time.Millisecond {
 		return line
 	}
-	var plan planwire.Plan
+	var plan planapi.Plan
 	if json.Unmarshal(line, &plan) != nil {
 		return line
 	}
@@ -539,7 +539,7 @@
 }
 
 func (p *Planner) body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planwire.MaxReport+1))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planapi.MaxReport+1))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
@@ -551,7 +551,7 @@
 	if !ok {
 		return
 	}
-	report, err := planwire.ReadEdgeReport(data)
+	report, err := planapi.ReadEdgeReport(data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -596,7 +596,7 @@
 	if !ok {
 		return
 	}
-	o, err := planwire.ReadOrder(data)
+	o, err := planapi.ReadOrder(data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/plan/trial.go
+++ b/plan/trial.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
-	"sandcourse/planwire"
 	"sandcourse/roles"
 )
 
@@ -39,9 +39,9 @@
 	if err != nil {
 		return err
 	}
-	job := engineapi.Job{Call: call, Name: fmt.Sprintf("%s%d-%d", planwire.Trial, p.term, t.Number)}
+	job := engineapi.Job{Call: call, Name: fmt.Sprintf("%s%d-%d", planapi.Trial, p.term, t.Number)}
 	request, err := job.Read(t.Engine, t.Epoch, 0)
-	if t.Role == planwire.Write {
+	if t.Role == planapi.Write {
 		host, port, e := net.SplitHostPort(t.Engine)
 		if e != nil {
 			return e
@@ -76,7 +76,7 @@
 	}
 	defer answer.Body.Close()
 	word := answer.Header.Get(engineapi.HeaderRefused)
-	if t.Role == planwire.Write {
+	if t.Role == planapi.Write {
 		if word != engineapi.RefusedNoState {
 			return fmt.Errorf("asked to write from a state that is not there, it answers %s %s",
 				answer.Status, word)
--- a/prove/roles.go
+++ b/prove/roles.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 )
 
@@ -28,8 +28,8 @@
 	boxes   []*roleBox
 	orders  []order // on their way
 	trials  []roles.Try
-	plan    planwire.Plan // the newest published
-	edges   []planwire.Plan
+	plan    planapi.Plan // the newest published
+	edges   []planapi.Plan
 	wishes  int // operator's moves left
 	faults  int
 	stopped bool
@@ -40,7 +40,7 @@
 
 type order struct {
 	to    string
-	order planwire.RoleOrder
+	order planapi.RoleOrder
 	late  int // ticks for which it may still lie on its way; 0 for one that is not late
 }
 
@@ -69,14 +69,14 @@
 func newRoleSim(w World) *roleSim {
 	s := &roleSim{w: w, now: int64(1000 * time.Second), kept: map[string]roles.Record{}, wishes: 1}
 	for i := range w.Readers + w.Writers {
-		role := planwire.Read
+		role := planapi.Read
 		if i >= w.Readers {
-			role = planwire.Write
+			role = planapi.Write
 		}
 		s.boxes = append(s.boxes, &roleBox{name: engineName(w, i), role: role, claims: role, epoch: 1,
 			life: 1, epochs: map[int64]string{1: role}})
 	}
-	s.edges = make([]planwire.Plan, max(1, w.Nodes))
+	s.edges = make([]planapi.Plan, max(1, w.Nodes))
 	s.begin()
 	// The quiet start: every engine has said what it is.
 	for range 3 {
@@ -108,12 +108,12 @@
 	s.core = roles.New(s.bounds(), s.term, s.now, records, s.meta)
 	var boxes []roles.Box
 	for i, b := range s.boxes {
-		listed := planwire.Read
+		listed := planapi.Read
 		if i >= s.w.Readers {
-			listed = planwire.Write
+			listed = planapi.Write
 		}
 		boxes = append(boxes, roles.Box{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
-			Kinds: map[string]string{planwire.Read: planwire.Read, planwire.Write: planwire.Write}})
+			Kinds: map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}})
 	}
 	s.step(roles.Listed{Boxes: boxes})
 }
@@ -173,13 +173,13 @@
 
 // say hands over an engine's report, as it is now, to a question of askedAt.
 func (s *roleSim) say(b *roleBox, askedAt int64) {
-	r := planwire.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Life: b.life,
+	r := planapi.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Life: b.life,
 		UpFor: 0, Changing: b.loading,
 		Draining: b.leaving, Open: b.open}
 	s.step(roles.EngineSaid{AskedAt: askedAt, Report: r})
 }
 
-func (b *roleBox) follow(o planwire.RoleOrder) {
+func (b *roleBox) follow(o planapi.RoleOrder) {
 	switch {
 	case o.Term < b.term || o.Epoch < b.epoch:
 	case o.Epoch == b.epoch:
@@ -221,7 +221,7 @@
 			if s.kept[b.name].State == roles.Aside {
 				add("an operator mends and readmits "+b.name, "leave", func() {
 					b.never, b.lies = false, false
-					if _, effects, err := s.core.Order(s.now, planwire.Order{Op: "readmit", Engine: b.name,
+					if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "readmit", Engine: b.name,
 						Who: "w", Why: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
@@ -248,7 +248,7 @@
 			if i == 0 || i == s.w.Readers {
 				add("an operator moves "+b.name, "", func() {
 					s.wishes--
-					if _, effects, err := s.core.Order(s.now, planwire.Order{Op: "move", Engine: b.name,
+					if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "move", Engine: b.name,
 						Who: "w", Why: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
@@ -321,7 +321,7 @@
 			return b.loading && !b.never || b.open > 0 &&
 				!b.endless
 		}) ||
-		slices.ContainsFunc(s.edges, func(p planwire.Plan) bool { return s.plan.Newer(p) })
+		slices.ContainsFunc(s.edges, func(p planapi.Plan) bool { return s.plan.Newer(p) })
 	if !pending {
 		add("time passes and all engines are asked", "", func() {
 			asked := s.now
@@ -335,7 +335,7 @@
 	if !s.meta.Stopped && !s.stopped {
 		add("an operator stops all changes", "leave", func() {
 			s.stopped = true
-			if _, effects, err := s.core.Order(s.now, planwire.Order{Op: "stop", Who: "w",
+			if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "stop", Who: "w",
 				Why: "y"}); err == nil {
 				s.queue = append(s.queue, effects...)
 			}
@@ -405,7 +405,7 @@
 				e.Engine, e.Kind, e.Epoch, role)
 		}
 	}
-	for _, role := range []string{planwire.Read, planwire.Write} {
+	for _, role := range []string{planapi.Read, planapi.Write} {
 		lost := 0 // to its own fault, not to a change
 		for _, b := range s.boxes {
 			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == roles.Returning ||
--- a/roles/core.go
+++ b/roles/core.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // Bounds are the operators' figures for changes of roles.
@@ -70,7 +70,7 @@
 	listed  Box
 	present bool
 	known   bool // its role was heard from itself or kept
-	said    planwire.EngineReport
+	said    planapi.EngineReport
 	saidAt  int64 // 0 for never
 	saidOf  int64 // when the question for it left
 	samples []sample
@@ -96,11 +96,11 @@
 // nothing about what came of it.
 type EngineSaid struct {
 	AskedAt int64
-	Report  planwire.EngineReport
+	Report  planapi.EngineReport
 }
 
 // EdgeSaid is an edge's report.
-type EdgeSaid struct{ Report planwire.EdgeReport }
+type EdgeSaid struct{ Report planapi.EdgeReport }
 
 // Tried is the end of a trial.
 type Tried struct {
@@ -129,12 +129,12 @@
 }
 
 // Publish hands a plan to all edges.
-type Publish struct{ Plan planwire.Plan }
+type Publish struct{ Plan planapi.Plan }
 
 // Ask sends an order to an engine. It may be lost; it is asked again until the engine's reports show it.
 type Ask struct {
 	Engine string
-	Order  planwire.RoleOrder
+	Order  planapi.RoleOrder
 }
 
 // Try gives an engine a small piece of work that shows its role; Tried follows.
@@ -405,7 +405,7 @@
 
 // ask sends what the engine should follow now.
 func (c *Core) ask(b *box) {
-	o := planwire.RoleOrder{Term: c.term, Epoch: b.Epoch, Role: b.Role}
+	o := planapi.RoleOrder{Term: c.term, Epoch: b.Epoch, Role: b.Role}
 	switch b.State {
 	case Draining:
 		o.Drain = true
@@ -461,7 +461,7 @@
 }
 
 // Order carries out an operator's order, or says why it is refused. Dry orders change nothing.
-func (c *Core) Order(now int64, o planwire.Order) (text string, effects []Effect, err error) {
+func (c *Core) Order(now int64, o planapi.Order) (text string, effects []Effect, err error) {
 	c.begun(now)
 	b := c.boxes[o.Engine]
 	if o.Engine != "" && (b == nil || !b.present) {
@@ -508,7 +508,7 @@
 		if why := c.barred(b); why != "" {
 			return "", nil, fmt.Errorf("%s may not change: %s", b.Engine, why)
 		}
-		text = fmt.Sprintf("%s leaves %s for %s", b.Engine, b.Role, planwire.Other(b.Role))
+		text = fmt.Sprintf("%s leaves %s for %s", b.Engine, b.Role, planapi.Other(b.Role))
 		if !o.Dry {
 			c.change(b, "by order of "+by)
 		}
@@ -524,8 +524,8 @@
 }
 
 // Plan is what edges are to follow. An engine that is between two roles is not in it.
-func (c *Core) Plan() planwire.Plan {
-	p := planwire.Plan{Term: c.term, Number: c.meta.Number, Engines: []planwire.Engine{}}
+func (c *Core) Plan() planapi.Plan {
+	p := planapi.Plan{Term: c.term, Number: c.meta.Number, Engines: []planapi.Engine{}}
 	for _, id := range c.ids {
 		b := c.boxes[id]
 		if !b.present {
@@ -541,7 +541,7 @@
 		if !b.listed.Ready {
 			state = endpoint.Draining
 		}
-		e := planwire.Engine{Engine: id, Kind: b.listed.Kinds[b.Role], Zone: b.listed.Zone,
+		e := planapi.Engine{Engine: id, Kind: b.listed.Kinds[b.Role], Zone: b.listed.Zone,
 			Cell: b.listed.Cell, Weight: b.listed.Weight, State: state,
 			Epoch: b.Epoch}
 		// Ten minutes is long for any cold start.
--- a/roles/decide.go
+++ b/roles/decide.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // Weighed is what a change to one role would bring.
@@ -47,10 +47,10 @@
 type Shown struct {
 	Record
 	Listed, CanChange bool
-	Said              planwire.EngineReport `json:"said"`
-	HeardMs           int64                 `json:"heard_ms_ago"` // -1 for never
-	Barred            string                `json:"barred,omitempty"`
-	Trouble           string                `json:"trouble,omitempty"`
+	Said              planapi.EngineReport `json:"said"`
+	HeardMs           int64                `json:"heard_ms_ago"` // -1 for never
+	Barred            string               `json:"barred,omitempty"`
+	Trouble           string               `json:"trouble,omitempty"`
 }
 
 // Show lists all engines.
@@ -198,23 +198,23 @@
 // decide weighs one change in each direction and begins at most one.
 func (c *Core) decide() {
 	m, heard, known := c.demand()
-	paces := map[string]float64{planwire.Read: c.pace(planwire.Read), planwire.Write: c.pace(planwire.Write)}
+	paces := map[string]float64{planapi.Read: c.pace(planapi.Read), planapi.Write: c.pace(planapi.Write)}
 	x := Explained{At: c.now, Mix: m, Edges: heard, EdgesKnown: known, Need: map[string]float64{},
 		Serve:  map[string]float64{},
 		Coming: map[string]float64{}, Pace: paces, Stopped: c.meta.Stopped || c.bounds.Off,
 		Changing: c.changing()}
 	for _, f := range m {
-		x.Need[planwire.Read] += f.Rate * f.Reads / max(paces[planwire.Read], 1)
-		x.Need[planwire.Write] += f.Rate * f.Writes / max(paces[planwire.Write], 1)
+		x.Need[planapi.Read] += f.Rate * f.Reads / max(paces[planapi.Read], 1)
+		x.Need[planapi.Write] += f.Rate * f.Writes / max(paces[planapi.Write], 1)
 	}
-	for _, role := range []string{planwire.Read, planwire.Write} {
+	for _, role := range []string{planapi.Read, planapi.Write} {
 		x.Serve[role], x.Coming[role] = c.supply(role)
 	}
 	if len(m) > 0 && (len(c.history) == 0 || c.now-c.mixAt >= int64(mixEvery)) {
 		c.history, c.mixAt = last(c.history, past{m, c.worse(m, x, paces)}, mixesKept), c.now
 	}
 	c.turn(x.Need)
-	for _, to := range []string{planwire.Read, planwire.Write} {
+	for _, to := range []string{planapi.Read, planapi.Write} {
 		x.Weighed = append(x.Weighed, c.weigh(to, m, paces, x))
 	}
 	slices.SortStableFunc(x.Weighed, func(a, b Weighed) int { return cmp.Compare(b.Gain, a.Gain) })
@@ -224,8 +224,8 @@
 			c.change(c.boxes[w.Engine],
 				fmt.Sprintf("%s has work for %.1f engines and %.1f, %s for %.1f and %.1f: %.2f of value a second gained for %.0f s, "+
 					"%.0f s more, cost %.2f", w.To, x.Need[w.To], x.Serve[w.To]+x.Coming[w.To],
-					planwire.Other(w.To), x.Need[planwire.Other(w.To)],
-					x.Serve[planwire.Other(w.To)], w.Gain, w.For, w.Left, w.Cost))
+					planapi.Other(w.To), x.Need[planapi.Other(w.To)],
+					x.Serve[planapi.Other(w.To)], w.Gain, w.For, w.Left, w.Cost))
 			break
 		}
 	}
@@ -234,17 +234,17 @@
 
 // weigh judges one change to a role. Why is empty if it is to be done.
 func (c *Core) weigh(to string, m mix, paces map[string]float64, x Explained) (w Weighed) {
-	from := planwire.Other(to)
+	from := planapi.Other(to)
 	w.To = to
 	value := func(p past, moved float64) float64 {
 		n := map[string]float64{to: x.Serve[to] + x.Coming[to] + moved, from: x.Serve[from] +
 			x.Coming[from] - moved}
 		all := p.mix.all()
-		return all - p.worse*(all-p.mix.served(n[planwire.Read], n[planwire.Write], paces[planwire.Read],
-			paces[planwire.Write]))
+		return all - p.worse*(all-p.mix.served(n[planapi.Read], n[planapi.Write], paces[planapi.Read],
+			paces[planapi.Write]))
 	}
 	now := past{m, c.worse(m, x, paces)}
-	if len(m) == 0 || paces[planwire.Read] == 0 || paces[planwire.Write] == 0 {
+	if len(m) == 0 || paces[planapi.Read] == 0 || paces[planapi.Write] == 0 {
 		w.Why = "nothing is known yet of what arrives or of how fast engines are"
 		if c.alone(from, to, x) && len(m) > 0 {
 			w.Gain = 1
@@ -300,15 +300,15 @@
 	took := c.takes()
 	serving := func(less float64) float64 {
 		n := map[string]float64{to: x.Serve[to], from: x.Serve[from] - less}
-		return m.served(n[planwire.Read], n[planwire.Write], paces[planwire.Read], paces[planwire.Write])
+		return m.served(n[planapi.Read], n[planapi.Write], paces[planapi.Read], paces[planapi.Write])
 	}
 	w.Cost = max(0, serving(0)-serving(1)) * took
-	if all, need := 0.0, x.Need[planwire.Read]; need > 0 && from == planwire.Read {
+	if all, need := 0.0, x.Need[planapi.Read]; need > 0 && from == planapi.Read {
 		all = m.all()
 		// Reading again is work that others could have used: a second of one reader is worth its part of all
 		// value, the more so the fuller readers are.
 		full := min(1, need/max(usable*(x.Serve[from]-1), 0.1))
-		w.Cost += w.Lost / max(paces[planwire.Read], 1) * all / need * full
+		w.Cost += w.Lost / max(paces[planapi.Read], 1) * all / need * full
 	}
 	// What is left of the shift, less the time until the engine serves; and once the load has turned, what
 	// its absence costs until it is seen and the engine is back.
@@ -339,11 +339,11 @@
 
 // turn notes when the load tilts to the other side of what it was on average, and how long each side lasted.
 func (c *Core) turn(need map[string]float64) {
-	all := need[planwire.Read] + need[planwire.Write]
+	all := need[planapi.Read] + need[planapi.Write]
 	if all == 0 {
 		return
 	}
-	share := need[planwire.Read] / all
+	share := need[planapi.Read] / all
 	c.shares = last(c.shares, share, 240) // four minutes of seconds
 	mean := 0.0
 	for _, s := range c.shares {
@@ -352,9 +352,9 @@
 	side := c.side
 	// A twentieth: less is noise of counts.
 	if share > mean+0.05 {
-		side = planwire.Read
+		side = planapi.Read
 	} else if share < mean-0.05 {
-		side = planwire.Write
+		side = planapi.Write
 	}
 	if side == c.side {
 		return
@@ -395,8 +395,8 @@
 // third to four times: beyond that the counts say more of other troubles than of roles.
 func (c *Core) worse(m mix, x Explained, paces map[string]float64) float64 {
 	all := m.all()
-	reckoned := all - m.served(x.Serve[planwire.Read], x.Serve[planwire.Write], paces[planwire.Read],
-		paces[planwire.Write])
+	reckoned := all - m.served(x.Serve[planapi.Read], x.Serve[planapi.Write], paces[planapi.Read],
+		paces[planapi.Write])
 	if reckoned < little*all {
 		return 1
 	}
@@ -467,7 +467,7 @@
 // lost is how many tokens of kept texts go with an engine: those that no other serving reader keeps are read
 // again by each edge's sessions, the rest costs a tenth, as its sessions must move.
 func (c *Core) lost(b *box) float64 {
-	if b.Role != planwire.Read {
+	if b.Role != planapi.Read {
 		return 0
 	}
 	lost := 0.1 * b.said.Kept
@@ -475,7 +475,7 @@
 		copies := 0
 		for _, id := range c.ids {
 			o := c.boxes[id]
-			if _, ok := o.said.Hot[beginning]; ok && o.Role == planwire.Read && (o.State == Serving ||
+			if _, ok := o.said.Hot[beginning]; ok && o.Role == planapi.Read && (o.State == Serving ||
 				o.State == Cold) {
 				copies++
 			}
@@ -535,7 +535,7 @@
 			recent++
 		}
 	}
-	other, coming := c.supply(planwire.Other(b.Role))
+	other, coming := c.supply(planapi.Other(b.Role))
 	if other+coming > 0 { // where a role has nobody, the budgets of calm times would only keep it so
 		if float64(c.changing()+1) > max(1, c.bounds.Changing*float64(all)) {
 			return "as many engines are changing as may"
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // sample is one engine's work between two reports.
@@ -18,14 +18,14 @@
 
 // edge is what is known of one edge: its last reports, as differences.
 type edge struct {
-	said  planwire.EdgeReport
+	said  planapi.EdgeReport
 	at    int64
 	parts []part
 }
 
 type part struct {
 	at, dt int64
-	routes []planwire.RouteCount // counted within dt
+	routes []planapi.RouteCount // counted within dt
 }
 
 // How far back measurements go. Ten reports of a second: long enough that a swing of a few seconds evens out,
@@ -39,7 +39,7 @@
 
 // measure takes what an engine did since its last report. A report of another life or role, or one that
 // counts backwards, begins anew.
-func (b *box) measure(r planwire.EngineReport, now int64) {
+func (b *box) measure(r planapi.EngineReport, now int64) {
 	old := b.said
 	dt := now - b.saidAt
 	if b.saidAt == 0 || old.Life != r.Life || old.Role != r.Role || r.Read < old.Read ||
@@ -47,7 +47,7 @@
 		return
 	}
 	s := sample{at: now, dt: dt, work: r.Written - old.Written, busy: r.Busy - old.Busy,
-		reads: r.Role == planwire.Read}
+		reads: r.Role == planapi.Read}
 	if s.reads {
 		s.work = r.Read - old.Read
 	}
@@ -62,7 +62,7 @@
 }
 
 // edgeSaid takes the differences between two reports of one life of an edge.
-func (c *Core) edgeSaid(r planwire.EdgeReport) {
+func (c *Core) edgeSaid(r planapi.EdgeReport) {
 	e := c.edges[r.Edge]
 	if e == nil {
 		if len(c.edges) >= 10_000 {
@@ -75,12 +75,12 @@
 		p := part{at: c.now, dt: c.now - e.at}
 		for _, t := range r.Routes {
 			i := slices.IndexFunc(e.said.Routes,
-				func(o planwire.RouteCount) bool { return o.Route == t.Route })
-			var o planwire.RouteCount
+				func(o planapi.RouteCount) bool { return o.Route == t.Route })
+			var o planapi.RouteCount
 			if i >= 0 {
 				o = e.said.Routes[i]
 			}
-			d := planwire.RouteCount{Route: t.Route, Arrived: t.Arrived - o.Arrived,
+			d := planapi.RouteCount{Route: t.Route, Arrived: t.Arrived - o.Arrived,
 				Prompt: t.Prompt - o.Prompt, Began: t.Began - o.Began,
 				BegunFor: t.BegunFor - o.BegunFor, Ended: t.Ended - o.Ended, Answer: t.Answer - o.Answer,
 				InTime: t.InTime - o.InTime,
@@ -148,11 +148,11 @@
 			rates[route] = append(rates[route], n/max(span, 0.1))
 		}
 	}
-	if read, n := c.work(planwire.Read); begun > 0 && n > 0 {
+	if read, n := c.work(planapi.Read); begun > 0 && n > 0 {
 		// What is read of each prompt token. Readers and edges that are not heard are as the others are. A
 		// reader may read again what another kept, so more than all is possible; under a fiftieth is not
 		// believed.
-		all, _ := c.supply(planwire.Read)
+		all, _ := c.supply(planapi.Read)
 		read *= max(1, all/float64(n))
 		begun *= float64(known) / float64(heard)
 		c.unread = min(max(read/begun, 0.02), 1.5)
@@ -198,7 +198,7 @@
 		b := c.boxes[id]
 		work, span := 0.0, int64(0)
 		for _, s := range b.samples {
-			if s.reads == (role == planwire.Read) && c.now-s.at < int64(partsKept*time.Second) {
+			if s.reads == (role == planapi.Read) && c.now-s.at < int64(partsKept*time.Second) {
 				work, span = work+s.work, span+s.dt
 			}
 		}
@@ -226,7 +226,7 @@
 		var mine []float64
 		for _, s := range b.samples {
 			// A twentieth busy: less work than that says little of how fast it goes.
-			if s.reads == (role == planwire.Read) && s.busy > 0.05*float64(s.dt)/1e9 && s.work > 0 {
+			if s.reads == (role == planapi.Read) && s.busy > 0.05*float64(s.dt)/1e9 && s.work > 0 {
 				mine = append(mine, s.work/s.busy/cmp.Or(b.listed.Weight, 1))
 			}
 		}
@@ -240,8 +240,8 @@
 		c.paces[role] = row[len(row)/2]
 	}
 	if c.paces[role] == 0 {
-		c.paces[role] = map[string]float64{planwire.Read: c.bounds.ReadPace,
-			planwire.Write: c.bounds.WritePace}[role]
+		c.paces[role] = map[string]float64{planapi.Read: c.bounds.ReadPace,
+			planapi.Write: c.bounds.WritePace}[role]
 	}
 	return c.paces[role]
 }
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"sandcourse/internal/endpoint"
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 func testBounds() Bounds {
@@ -21,13 +21,13 @@
 }
 
 func boxesOf(n int) (row []Box) {
-	kinds := map[string]string{planwire.Read: "prefill", planwire.Write: "decode"}
+	kinds := map[string]string{planapi.Read: "prefill", planapi.Write: "decode"}
 	for i := range n {
-		b := Box{Engine: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1), Role: planwire.Read,
+		b := Box{Engine: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1), Role: planapi.Read,
 			Cell: fmt.Sprint("c", i%max(1, n/10)), Weight: 1, Ready: true,
 			CanChange: true, Kinds: kinds}
 		if i >= n/2 {
-			b.Role = planwire.Write
+			b.Role = planapi.Write
 		}
 		row = append(row, b)
 	}
@@ -44,9 +44,9 @@
 		now := int64(1000 * time.Second)
 		a, b := New(testBounds(), 1, now, nil, Meta{}), New(testBounds(), 1, now, nil, Meta{})
 		kept := map[string]Record{}
-		said := map[string]planwire.EngineReport{}
+		said := map[string]planapi.EngineReport{}
 		for _, x := range boxes {
-			said[x.Engine] = planwire.EngineReport{Engine: x.Engine, Role: x.Role, Epoch: 1, Life: 1}
+			said[x.Engine] = planapi.EngineReport{Engine: x.Engine, Role: x.Role, Epoch: 1, Life: 1}
 		}
 		step := func(act func(*Core) []Effect) {
 			effects := act(a)
@@ -86,7 +86,7 @@
 					}
 				}
 			}
-			for _, role := range []string{planwire.Read, planwire.Write} {
+			for _, role := range []string{planapi.Read, planapi.Write} {
 				moving, there := 0, 0
 				for _, s := range a.Show() {
 					if s.Role != role {
@@ -119,7 +119,7 @@
 				step(func(c *Core) []Effect { return c.Step(now, EngineSaid{now - 1e6, r}) })
 			case 4:
 				lie := r
-				lie.Epoch, lie.Role = int64(rapid.IntRange(0, 5).Draw(t, "epoch")), planwire.Other(r.Role)
+				lie.Epoch, lie.Role = int64(rapid.IntRange(0, 5).Draw(t, "epoch")), planapi.Other(r.Role)
 				step(func(c *Core) []Effect { return c.Step(now, EngineSaid{now - 1e6, lie}) })
 			case 5:
 				ok := rapid.Bool().Draw(t, "good")
@@ -128,16 +128,16 @@
 						"no"})
 				})
 			case 6:
-				op := rapid.SampledFrom(planwire.Ops).Draw(t, "op")
-				o := planwire.Order{Op: op, Engine: engine}
+				op := rapid.SampledFrom(planapi.Ops).Draw(t, "op")
+				o := planapi.Order{Op: op, Engine: engine}
 				if op == "stop" || op == "go" {
 					o.Engine = ""
 				}
 				step(func(c *Core) []Effect { _, effects, _ := c.Order(now, o); return effects })
 			case 7:
 				step(func(c *Core) []Effect {
-					return c.Step(now, EdgeSaid{planwire.EdgeReport{Edge: "e", Life: 1,
-						Routes: []planwire.RouteCount{{Route: "a",
+					return c.Step(now, EdgeSaid{planapi.EdgeReport{Edge: "e", Life: 1,
+						Routes: []planapi.RouteCount{{Route: "a",
 							Arrived: float64(now-int64(1000*time.Second)) / 1e8,
 							Prompt:  float64(now-int64(1000*time.Second)) / 1e5,
 							Shed:    float64(now-int64(1000*time.Second)) / 1e9}}}})
@@ -189,14 +189,14 @@
 	boxes := boxesOf(8)
 	c.Step(now, Listed{boxes})
 	for i, b := range boxes {
-		r := planwire.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1, Kept: 1000,
+		r := planapi.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1, Kept: 1000,
 			Hot: map[string]float64{"common": 500}}
 		if i != 2 {
 			r.Hot[fmt.Sprint("only", i)] = 9000
 		}
 		c.Step(now, EngineSaid{now, r})
 	}
-	if best, why := c.best(planwire.Read); best == nil || best.Engine != boxes[2].Engine {
+	if best, why := c.best(planapi.Read); best == nil || best.Engine != boxes[2].Engine {
 		t.Errorf("%+v %s", best, why)
 	}
 }
@@ -209,9 +209,9 @@
 	boxes := boxesOf(4)
 	c.Step(now, Listed{boxes})
 	for _, b := range boxes[:3] {
-		c.Step(now, EngineSaid{now, planwire.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1}})
+		c.Step(now, EngineSaid{now, planapi.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1}})
 	}
-	_, _, err := c.Order(now, planwire.Order{Op: "move", Engine: boxes[2].Engine})
+	_, _, err := c.Order(now, planapi.Order{Op: "move", Engine: boxes[2].Engine})
 	if err == nil || !strings.Contains(err.Error(), "must stay") {
 		t.Errorf("moved: %v", err)
 	}
@@ -222,15 +222,15 @@
 	for _, by := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
 		now := int64(10_000 * time.Second)
 		boxes := boxesOf(4)
-		c := New(testBounds(), 2, now+int64(by), []Record{{Engine: boxes[0].Engine, Role: planwire.Read,
-			Epoch: 1, State: Ordered, Next: planwire.Write,
+		c := New(testBounds(), 2, now+int64(by), []Record{{Engine: boxes[0].Engine, Role: planapi.Read,
+			Epoch: 1, State: Ordered, Next: planapi.Write,
 			NextEpoch: 2, Since: now}}, Meta{Number: 5})
 		at := now + int64(by)
 		c.Step(at, Listed{boxes})
 		for range 100 {
 			at += int64(100 * time.Millisecond)
 			for _, b := range boxes {
-				r := planwire.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1}
+				r := planapi.EngineReport{Engine: b.Engine, Role: b.Role, Epoch: 1, Life: 1}
 				if k := c.boxes[b.Engine]; k.NextEpoch > 0 {
 					r.Role, r.Epoch = k.Next, k.NextEpoch
 				} else if k.known {
@@ -258,12 +258,12 @@
 	for n := range b.N {
 		for i, x := range boxes {
 			now += int64(time.Second) / 300
-			c.Step(now, EngineSaid{now, planwire.EngineReport{Engine: x.Engine, Role: x.Role, Epoch: 1,
+			c.Step(now, EngineSaid{now, planapi.EngineReport{Engine: x.Engine, Role: x.Role, Epoch: 1,
 				Life: 1, Read: float64(n * 900), Written: float64(n * 90),
 				Busy: float64(n), Hot: map[string]float64{"a": 1, fmt.Sprint(i): 2}}})
 			v := float64(n * 10)
-			c.Step(now, EdgeSaid{planwire.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
-				Routes: []planwire.RouteCount{
+			c.Step(now, EdgeSaid{planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
+				Routes: []planapi.RouteCount{
 					{Route: "a", Arrived: v, Prompt: 300 * v, Began: v, BegunFor: 300 * v, Ended: v,
 						Answer: 50 * v, InTime: v},
 					{Route: "b", Arrived: v, Prompt: 900 * v, Began: v, BegunFor: 900 * v, Ended: v,
--- a/roles/table.go
+++ b/roles/table.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 )
 
 // State is where an engine's role stands.
@@ -115,7 +115,7 @@
 }
 
 func (c *Core) begin(b *box) {
-	b.Next, b.NextEpoch = planwire.Other(b.Role), b.Epoch+1
+	b.Next, b.NextEpoch = planapi.Other(b.Role), b.Epoch+1
 	c.publish = true
 	c.ask(b)
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"sandcourse/audit"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
 	proto "sandcourse/internal/protocol/engineapi"
-	"sandcourse/planwire"
 )
 
 // Make says what an engine can do. Zero values are filled in by Start.
@@ -185,7 +185,7 @@
 	mux.HandleFunc("GET "+proto.LoadPath, e.serveLoad)
 	mux.HandleFunc("POST "+proto.ReleasePath, e.serveRelease)
 	mux.HandleFunc("POST /sandcourse/fetch", e.serveFetch)
-	mux.HandleFunc("POST "+planwire.RolePath, e.serveRole)
+	mux.HandleFunc("POST "+planapi.RolePath, e.serveRole)
 	mux.HandleFunc("POST /admin/faults", e.serveFaults)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	go e.server.Serve(l)
@@ -397,7 +397,7 @@
 	}
 	writes := a.Transfer.RemotePrefill
 	// A trial is the planner's question for the role, and no send of an edge.
-	a.trial = strings.HasPrefix(a.name, planwire.Trial)
+	a.trial = strings.HasPrefix(a.name, planapi.Trial)
 	e.seeOf(a, audit.Seen{What: audit.Began, Inference: a.name, Request: a.request, Writes: writes})
 	defer e.seeOf(a, audit.Seen{What: audit.Ended, Inference: a.name, Request: a.request, Writes: writes})
 	if !e.hush(r.Context(), silent) {
--- a/standin/engine/role.go
+++ b/standin/engine/role.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sandcourse/audit"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
-	"sandcourse/planwire"
 )
 
 // serveLoad answers with what planners and edges want to know.
@@ -19,7 +19,7 @@
 	}
 	e.report(w)
 	e.mu.Lock()
-	p := planwire.EngineReport{Role: e.claims, Epoch: e.epoch, Term: e.term, Life: e.lives,
+	p := planapi.EngineReport{Role: e.claims, Epoch: e.epoch, Term: e.term, Life: e.lives,
 		Changing: e.loading, Draining: e.leaving,
 		Read: e.readTokens, Written: e.written, Busy: e.busy, Open: e.open, Held: len(e.states),
 		Hot: map[string]float64{}}
@@ -46,7 +46,7 @@
 	if err != nil || !e.hush(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
-	o, err := planwire.ReadRoleOrder(body)
+	o, err := planapi.ReadRoleOrder(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -84,7 +84,7 @@
 }
 
 // load takes up a role under a new epoch, cold, after the time that it takes. Called with the lock held.
-func (e *Engine) load(o planwire.RoleOrder) {
+func (e *Engine) load(o planapi.RoleOrder) {
 	e.claims, e.loading = o.Role, true
 	e.kept, e.uses = map[uint64]int{}, map[uint64]int{}
 	if e.faults.NeverBack {
--- a/sway/sway.go
+++ b/sway/sway.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sandcourse/planwire"
+	"sandcourse/internal/planner/planapi"
 	"sandcourse/roles"
 )
 
@@ -103,10 +103,10 @@
 	now      time.Duration
 	engines  []*machine
 	core     *roles.Core
-	plan     map[string]planwire.Engine // what edges follow
-	late     []func()                   // by time: reports on their way
+	plan     map[string]planapi.Engine // what edges follow
+	late     []func()                  // by time: reports on their way
 	lateAt   []time.Duration
-	counts   []planwire.RouteCount
+	counts   []planapi.RouteCount
 	wantRead float64 // backlog, tokens
 	wantWrit float64
 	perRead  float64 // answer tokens that follow a token read
@@ -151,7 +151,7 @@
 // Run plays a day.
 func Run(d Day, arm Arm) Result {
 	f := &fleet{d: d, routes: Routes(), arm: arm, rng: rand.New(rand.NewPCG(d.Seed, 11)),
-		plan: map[string]planwire.Engine{}}
+		plan: map[string]planapi.Engine{}}
 	f.result.Recover = -1
 	readers := d.Readers
 	if arm.Readers > 0 {
@@ -159,25 +159,25 @@
 	}
 	var boxes []roles.Box
 	for i := range d.Engines {
-		m := &machine{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planwire.Write, epoch: 1,
+		m := &machine{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Write, epoch: 1,
 			began: -1,
 			cell:  fmt.Sprint("c", i%max(1, d.Cells))}
 		if i < readers {
-			m.role = planwire.Read
+			m.role = planapi.Read
 		}
 		m.claims, m.canChange = m.role, f.rng.Float64() >= d.Fixed
 		m.silent, m.lies = f.rng.Float64() < d.Missing, f.rng.Float64() < d.Lying
 		f.engines = append(f.engines, m)
 		kinds := map[string]string{m.role: m.role}
 		if m.canChange {
-			kinds = map[string]string{planwire.Read: planwire.Read, planwire.Write: planwire.Write}
+			kinds = map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}
 		}
 		boxes = append(boxes, roles.Box{Engine: m.name, Role: m.role, Cell: m.cell, Weight: 1, Ready: true,
 			CanChange: m.canChange, Kinds: kinds})
-		f.plan[m.name] = planwire.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: 1}
+		f.plan[m.name] = planapi.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: 1}
 	}
 	for _, r := range f.routes {
-		f.counts = append(f.counts, planwire.RouteCount{Route: r.Name})
+		f.counts = append(f.counts, planapi.RouteCount{Route: r.Name})
 	}
 	if arm.Roles {
 		values := map[string]float64{}
@@ -209,7 +209,7 @@
 		if f.now%time.Second == 0 {
 			readers := 0.0
 			for _, m := range f.engines {
-				if f.serves(m, planwire.Read) > 0 {
+				if f.serves(m, planapi.Read) > 0 {
 					readers++
 				}
 			}
@@ -234,7 +234,7 @@
 func (f *fleet) die(boxes []roles.Box) {
 	kept := false
 	for i, m := range f.engines {
-		if m.role != planwire.Read {
+		if m.role != planapi.Read {
 			continue
 		}
 		if !kept {
@@ -261,7 +261,7 @@
 	if m.began >= 0 && f.now-m.began < f.d.Cold { // a cold one does a quarter at first
 		part = 0.25 + 0.75*float64(f.now-m.began)/float64(f.d.Cold)
 	}
-	if at := float64(f.now) / float64(f.d.Length); role == planwire.Write && at >= f.d.Slow[0] &&
+	if at := float64(f.now) / float64(f.d.Length); role == planapi.Write && at >= f.d.Slow[0] &&
 		at < f.d.Slow[1] {
 		part /= 2
 	}
@@ -278,7 +278,7 @@
 // arrive lets a step's inferences come. Edges take what can be in time, of high value for longer, as the
 // module does.
 func (f *fleet) arrive() (offered, got float64) {
-	readers, writers := f.power(planwire.Read)*readPace, f.power(planwire.Write)*writePace
+	readers, writers := f.power(planapi.Read)*readPace, f.power(planapi.Write)*writePace
 	n := f.rate() * step.Seconds()
 	n += math.Sqrt(n) * f.rng.NormFloat64()
 	n = max(0, n)
@@ -311,21 +311,21 @@
 
 // work lets engines do a step's part.
 func (f *fleet) work() {
-	for _, role := range []string{planwire.Read, planwire.Write} {
+	for _, role := range []string{planapi.Read, planapi.Write} {
 		power := f.power(role)
 		pace, want := readPace, &f.wantRead
-		if role == planwire.Write {
+		if role == planapi.Write {
 			pace, want = writePace, &f.wantWrit
 		}
 		done := min(*want, power*pace*step.Seconds())
 		*want -= done
-		if role == planwire.Read {
+		if role == planapi.Read {
 			f.wantWrit += done * f.perRead
 		}
 		for _, m := range f.engines {
 			if part := f.serves(m, role); part > 0 {
 				mine := done * part / power
-				if role == planwire.Read {
+				if role == planapi.Read {
 					m.read += mine
 				} else {
 					m.written += mine
@@ -342,7 +342,7 @@
 			m.loading, m.role, m.began = false, m.claims, f.now
 			f.result.Switch++
 			if f.arm.Plain {
-				f.plan[m.name] = planwire.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: m.epoch}
+				f.plan[m.name] = planapi.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: m.epoch}
 			}
 		}
 	}
@@ -361,8 +361,8 @@
 	}
 }
 
-func (f *fleet) report(m *machine) planwire.EngineReport {
-	r := planwire.EngineReport{Engine: m.name, Role: m.claims, Epoch: m.epoch, Term: m.term, Life: 1,
+func (f *fleet) report(m *machine) planapi.EngineReport {
+	r := planapi.EngineReport{Engine: m.name, Role: m.claims, Epoch: m.epoch, Term: m.term, Life: 1,
 		Changing: m.loading, Draining: m.leaving,
 		Read: m.read, Written: m.written, Busy: m.busy}
 	if m.began >= 0 {
@@ -399,10 +399,10 @@
 		if int(f.now/step)%10 != e%10 || float64(e) < f.d.Missing*float64(f.d.Edges) {
 			continue
 		}
-		r := planwire.EdgeReport{Edge: fmt.Sprint("edge", e), Life: 1}
+		r := planapi.EdgeReport{Edge: fmt.Sprint("edge", e), Life: 1}
 		for _, c := range f.counts {
 			part := 1 / float64(f.d.Edges)
-			r.Routes = append(r.Routes, planwire.RouteCount{Route: c.Route, Arrived: c.Arrived * part,
+			r.Routes = append(r.Routes, planapi.RouteCount{Route: c.Route, Arrived: c.Arrived * part,
 				Prompt: c.Prompt * part, Began: c.Began * part,
 				BegunFor: c.BegunFor * part, Ended: c.Ended * part, Answer: c.Answer * part,
 				InTime: c.InTime * part, Shed: c.Shed * part})
@@ -436,7 +436,7 @@
 	}
 }
 
-func (f *fleet) follow(m *machine, o planwire.RoleOrder) {
+func (f *fleet) follow(m *machine, o planapi.RoleOrder) {
 	m.term = o.Term
 	switch {
 	case o.Epoch == m.epoch && !m.loading:
@@ -468,12 +468,12 @@
 	need := map[string]float64{}
 	for _, r := range f.routes {
 		reads, writes := r.work(f.tilt())
-		need[planwire.Read] += f.rate() * r.Share * reads / readPace
-		need[planwire.Write] += f.rate() * r.Share * writes / writePace
+		need[planapi.Read] += f.rate() * r.Share * reads / readPace
+		need[planapi.Write] += f.rate() * r.Share * writes / writePace
 	}
 	full := func(role string) float64 { return need[role] / max(f.power(role), 0.1) }
-	for _, to := range []string{planwire.Read, planwire.Write} {
-		from := planwire.Other(to)
+	for _, to := range []string{planapi.Read, planapi.Write} {
+		from := planapi.Other(to)
 		if full(to) > 0.8 && full(from) < 0.5 && f.power(from) > 1.5 {
 			for _, m := range f.engines {
 				if m.canChange && f.serves(m, from) > 0 {
