--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/plan"
-	"sandcourse/roles"
 )
 
 func rolesCommand() *cobra.Command {
@@ -171,7 +171,7 @@
 	}
 }
 
-func explainEngine(w io.Writer, e roles.Shown) {
+func explainEngine(w io.Writer, e assignment.Shown) {
 	fmt.Fprintf(w, "%s: %s of epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State, time.Unix(0,
 		e.Since).Format(time.TimeOnly))
 	for _, line := range [][2]string{{"last order or change", e.Why}, {"may not change now", e.Barred},
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sandcourse/internal/config/script"
-	"sandcourse/roles"
+	"sandcourse/internal/planner/assignment"
 )
 
 // Planning is all that a planner's script says.
@@ -15,7 +15,7 @@
 	TakeOver                    bool // by the command line: begin a new store though engines follow another planner
 	Kinds                       []EngineKind
 	Pairs                       [][2]string // kinds that are two roles of the same engines
-	Roles                       roles.Bounds
+	Roles                       assignment.Bounds
 }
 
 // LoadPlanner reads a planner's script from a file. Paths in it are taken from its folder.
@@ -39,7 +39,7 @@
 // PlanningDefaults are those of a script that names only its files and kinds.
 func PlanningDefaults() *Planning {
 	return &Planning{Listen: "127.0.0.1:9090", Store: "planner.db",
-		Roles: roles.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second,
+		Roles: assignment.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second,
 			Load: 2 * time.Minute, Trial: 5 * time.Second, Cold: 12 * time.Second, Rest: 30 * time.Second,
 			Floor: 1, Changing: 0.1, PerMinute: 0.25,
 			Grace: 250 * time.Millisecond, Values: map[string]float64{}}}
--- a/roles/roles_test.go
+++ b/internal/planner/assignment/roles_test.go
@@ -1,4 +1,4 @@
-package roles
+package assignment
 
 import (
 	"fmt"
--- a/roles/table.go
+++ b/internal/planner/assignment/table.go
@@ -1,7 +1,7 @@
 // Package roles decides which engine changes between reading and writing, when, and how, so that nothing is
 // stranded and no send meets an engine in the wrong role. It does no I/O: reports, orders and the time go in
 // through Step, and what is to be kept, published and asked comes out.
-package roles
+package assignment
 
 import (
 	"fmt"
--- a/plan/bench_test.go
+++ b/plan/bench_test.go
@@ -16,8 +16,8 @@
 	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 	"sandcourse/standin/engine"
 )
 
@@ -99,7 +99,7 @@
 		mu.Unlock()
 		list.Engines[n%engines].Weight += 0.01
 		begun := time.Now()
-		p.put(func() { p.step(roles.Listed{Boxes: p.boxes(list)}) })
+		p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) })
 		wait(last)
 		mu.Lock()
 		for _, t := range at {
--- a/plan/golden_test.go
+++ b/plan/golden_test.go
@@ -19,8 +19,8 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/golden"
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 )
 
 // earlierStore was written by the program as it was at commit 105440a. It is never to be written anew: planners of
@@ -29,14 +29,14 @@
 
 const storeTerm = 7
 
-func storeContent() roles.Keep {
-	return roles.Keep{Meta: roles.Meta{Number: 41, Stopped: true, Who: "night shift", Why: "a switch is replaced"},
-		Records: []roles.Record{
-			{Engine: "10.0.0.1:8000", Role: "read", Epoch: 3, State: roles.Serving, Since: 1_700_000_000_000_000_000,
+func storeContent() assignment.Keep {
+	return assignment.Keep{Meta: assignment.Meta{Number: 41, Stopped: true, Who: "night shift", Why: "a switch is replaced"},
+		Records: []assignment.Record{
+			{Engine: "10.0.0.1:8000", Role: "read", Epoch: 3, State: assignment.Serving, Since: 1_700_000_000_000_000_000,
 				Began: 1_690_000_000_000_000_000, Life: 5, Pinned: true, Why: "night shift: keep it"},
-			{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, State: roles.Draining, Next: "read", NextEpoch: 5,
+			{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, State: assignment.Draining, Next: "read", NextEpoch: 5,
 				Since: 1_700_000_001_000_000_000, Life: 6},
-			{Engine: "10.0.0.3:8000", Role: "write", Epoch: 1, State: roles.Serving, Since: 1_700_000_002_000_000_000},
+			{Engine: "10.0.0.3:8000", Role: "write", Epoch: 1, State: assignment.Serving, Since: 1_700_000_002_000_000_000},
 		}}
 }
 
@@ -170,16 +170,16 @@
 // What operators are shown has these names and this form; the command line of another version reads it.
 func TestGoldenShown(t *testing.T) {
 	shown := Shown{Term: 8, Number: 42, Deposed: true, Stuck: true, Edges: 3,
-		Engines: []roles.Shown{{Record: storeContent().Records[1], Listed: true, CanChange: true,
+		Engines: []assignment.Shown{{Record: storeContent().Records[1], Listed: true, CanChange: true,
 			Said: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
 				Changing: true, Draining: true, Read: 10.5, Written: 20, Busy: 0.25, Open: 2, Held: 1, Kept: 300,
 				Hot: map[string]float64{"5c0f": 2048, "0a11": 512}},
 			HeardMs: 120, Barred: "it drains", Trouble: "it said nothing"},
 			{Record: storeContent().Records[0], HeardMs: -1}},
-		Decision: roles.Explained{At: 1_700_000_000_000_000_000, Edges: 2, EdgesKnown: 3,
+		Decision: assignment.Explained{At: 1_700_000_000_000_000_000, Edges: 2, EdgesKnown: 3,
 			Need: map[string]float64{"read": 1.5, "write": 2}, Serve: map[string]float64{"read": 1, "write": 3},
 			Coming: map[string]float64{"read": 1}, Pace: map[string]float64{"read": 9000, "write": 700},
-			Weighed: []roles.Weighed{{To: "read", Gain: 1.5, Usual: 0.5, Mean: 0.75, Left: 60, Cost: 12, For: 5,
+			Weighed: []assignment.Weighed{{To: "read", Gain: 1.5, Usual: 0.5, Mean: 0.75, Left: 60, Cost: 12, For: 5,
 				Engine: "10.0.0.2:8000", Lost: 100, Why: "it pays", Done: true}}, Changing: 1, Stopped: true}}
 	data, err := json.MarshalIndent(shown, "", " ")
 	if err != nil {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -20,8 +20,8 @@
 	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 	"sandcourse/standin/engine"
 )
 
@@ -69,7 +69,7 @@
 	return f
 }
 
-func (f *fleet) start(crash func(roles.Effect) bool) *Planner {
+func (f *fleet) start(crash func(assignment.Effect) bool) *Planner {
 	f.t.Helper()
 	p := New(f.d, zap.NewNop())
 	p.Crash = crash
@@ -106,7 +106,7 @@
 
 func serving(s Shown) bool {
 	return len(s.Engines) > 0 && !slices.ContainsFunc(s.Engines,
-		func(e roles.Shown) bool { return e.State != roles.Serving || e.HeardMs < 0 })
+		func(e assignment.Shown) bool { return e.State != assignment.Serving || e.HeardMs < 0 })
 }
 
 func order(p *Planner, o planapi.Order) (int, string) {
@@ -130,7 +130,7 @@
 		f := newFleet(t, 2, 2)
 		var mu sync.Mutex
 		moving, count, killed := false, 0, ""
-		p := f.start(func(e roles.Effect) bool {
+		p := f.start(func(e assignment.Effect) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if !moving {
@@ -165,7 +165,7 @@
 			err = json.NewDecoder(answer.Body).Decode(&s)
 			answer.Body.Close()
 			if err == nil && serving(s) && f.engines[0].Role() == "write" &&
-				s.Engines[slices.IndexFunc(s.Engines, func(e roles.Shown) bool {
+				s.Engines[slices.IndexFunc(s.Engines, func(e assignment.Shown) bool {
 					return e.Engine == f.engines[0].Addr()
 				})].Role == "write" {
 				break
@@ -215,8 +215,8 @@
 			}
 			f.look(p, "set aside", func(s Shown) bool {
 				return slices.ContainsFunc(s.Engines,
-					func(x roles.Shown) bool {
-						return x.Engine == e.Addr() && x.State == roles.Aside &&
+					func(x assignment.Shown) bool {
+						return x.Engine == e.Addr() && x.State == assignment.Aside &&
 							x.Trouble != ""
 					})
 			})
@@ -387,7 +387,7 @@
 // Whatever happens to a store's bytes, it is opened or told, and what comes out of it is what was kept.
 func TestDamagedStores(t *testing.T) {
 	dir := t.TempDir()
-	records := []roles.Record{{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: roles.Ordered,
+	records := []assignment.Record{{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: assignment.Ordered,
 		Next: "write", NextEpoch: 4}}
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -398,7 +398,7 @@
 			t.Fatal(err)
 		}
 		s.SaveTerm(7)
-		if err := s.Save(roles.Keep{Records: records, Meta: roles.Meta{Number: 9}}); err != nil {
+		if err := s.Save(assignment.Keep{Records: records, Meta: assignment.Meta{Number: 9}}); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
--- a/plan/planner.go
+++ b/plan/planner.go
@@ -23,8 +23,8 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 )
 
 // Planner is one running planner.
@@ -36,7 +36,7 @@
 	began time.Time
 
 	in     chan func()
-	core   *roles.Core
+	core   *assignment.Core
 	kinds  map[string]config.EngineKind
 	listen net.Listener
 	server *http.Server
@@ -48,7 +48,7 @@
 	// OnPublish, if set before Start, is told of each plan before edges can have it.
 	OnPublish func(planapi.Plan)
 	// Crash, if set before Start, is asked before each effect; true ends the planner there, as a kill would.
-	Crash func(roles.Effect) bool
+	Crash func(assignment.Effect) bool
 
 	mu      sync.Mutex
 	line    []byte // the newest plan, as sent
@@ -59,8 +59,8 @@
 	urgent  []string // those that are changing
 	streams int
 
-	unkept   map[string]roles.Record // what could not be kept yet
-	unkeptAs roles.Meta
+	unkept   map[string]assignment.Record // what could not be kept yet
+	unkeptAs assignment.Meta
 	stuck    bool
 	meters   meters
 }
@@ -80,7 +80,7 @@
 func New(d *config.Planning, log *zap.Logger) *Planner {
 	p := &Planner{d: d, log: log, in: make(chan func(), maxInbox), began: time.Now(),
 		changed: make(chan struct{}),
-		kinds:   map[string]config.EngineKind{}, unkept: map[string]roles.Record{}, meters: newMeters()}
+		kinds:   map[string]config.EngineKind{}, unkept: map[string]assignment.Record{}, meters: newMeters()}
 	for _, k := range d.Kinds {
 		p.kinds[k.Name] = k
 	}
@@ -137,7 +137,7 @@
 		store.Close()
 		return err
 	}
-	p.core = roles.New(p.d.Roles, p.term, p.clock(), kept.Records, kept.Meta)
+	p.core = assignment.New(p.d.Roles, p.term, p.clock(), kept.Records, kept.Meta)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+planapi.StreamPath, p.serveStream)
 	mux.HandleFunc("POST "+planapi.ReportPath, p.serveReport)
@@ -149,7 +149,7 @@
 	p.over.Go(p.loop)
 	p.over.Go(p.askAll)
 	p.over.Go(func() {
-		take := func(list endpoint.List) { p.put(func() { p.step(roles.Listed{Boxes: p.boxes(list)}) }) }
+		take := func(list endpoint.List) { p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) }) }
 		endpoint.File{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
 			p.log.Warn("roster",
 				zap.Error(err))
@@ -233,19 +233,19 @@
 			event()
 		case <-tick.C:
 			if p.stuck {
-				p.keep(roles.Keep{Meta: p.unkeptAs})
+				p.keep(assignment.Keep{Meta: p.unkeptAs})
 			}
-			p.step(roles.Tick{})
+			p.step(assignment.Tick{})
 			p.meters.see(p.core)
 		}
 	}
 }
 
-func (p *Planner) step(in roles.Input) { p.carryOut(p.core.Step(p.clock(), in)) }
+func (p *Planner) step(in assignment.Input) { p.carryOut(p.core.Step(p.clock(), in)) }
 
 // carryOut does what roles decided, in order. What could not be kept must not be followed by what hangs on
 // it: until a save goes well nothing is asked or published, and asking again is roles' habit anyway.
-func (p *Planner) carryOut(effects []roles.Effect) {
+func (p *Planner) carryOut(effects []assignment.Effect) {
 	for _, e := range effects {
 		if p.ctx.Err() != nil {
 			return
@@ -255,30 +255,30 @@
 			return
 		}
 		switch e := e.(type) {
-		case roles.Keep:
+		case assignment.Keep:
 			p.keep(e)
-		case roles.Publish:
+		case assignment.Publish:
 			if !p.stuck {
 				p.publish(e.Plan)
 			}
-		case roles.Ask:
+		case assignment.Ask:
 			if !p.stuck {
 				p.over.Go(func() { p.order(e) })
 			}
-		case roles.Try:
+		case assignment.Try:
 			if !p.stuck {
 				p.over.Go(func() {
 					err := p.try(e)
-					in := roles.Tried{Engine: e.Engine, Number: e.Number, OK: err == nil}
+					in := assignment.Tried{Engine: e.Engine, Number: e.Number, OK: err == nil}
 					if err != nil {
 						in.Why = err.Error()
 					}
 					p.put(func() { p.step(in) })
 				})
 			}
-		case roles.Tell:
+		case assignment.Tell:
 			p.log.Warn("roles", zap.String("what", e.Text))
-		case roles.Deposed:
+		case assignment.Deposed:
 			p.log.Error("deposed: this planner orders and publishes nothing more", zap.Int64("by_term",
 				e.Term))
 			p.mu.Lock()
@@ -291,7 +291,7 @@
 	p.whom()
 }
 
-func (p *Planner) keep(k roles.Keep) {
+func (p *Planner) keep(k assignment.Keep) {
 	for _, r := range k.Records {
 		p.unkept[r.Engine] = r
 	}
@@ -341,7 +341,7 @@
 }
 
 // boxes are discovery's engines as roles knows them.
-func (p *Planner) boxes(list endpoint.List) (row []roles.Box) {
+func (p *Planner) boxes(list endpoint.List) (row []assignment.Box) {
 	for _, e := range list.Engines {
 		k, ok := p.kinds[e.Kind]
 		if !ok || k.Role == "both" {
@@ -349,7 +349,7 @@
 				e.Engine), zap.String("kind", e.Kind))
 			continue
 		}
-		b := roles.Box{Engine: e.Engine, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+		b := assignment.Box{Engine: e.Engine, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			Ready:   e.State == endpoint.Ready,
 			UpSince: e.UpSince * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
 		for _, pair := range p.d.Pairs {
@@ -380,7 +380,7 @@
 					continue // that nothing was heard of it is seen by the time
 				}
 				p.put(func() {
-					p.step(roles.EngineSaid{AskedAt: asked, Report: r})
+					p.step(assignment.EngineSaid{AskedAt: asked, Report: r})
 				})
 			}
 		})
@@ -439,7 +439,7 @@
 }
 
 // order sends an order; whether it arrived shows in the engine's reports.
-func (p *Planner) order(a roles.Ask) {
+func (p *Planner) order(a assignment.Ask) {
 	data, err := json.Marshal(a.Order)
 	if err != nil {
 		return
@@ -556,19 +556,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.put(func() { p.step(roles.EdgeSaid{Report: report}) })
+	p.put(func() { p.step(assignment.EdgeSaid{Report: report}) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // Shown is what operators see.
 type Shown struct {
-	Term     int64           `json:"term"`
-	Number   int64           `json:"number"`
-	Deposed  bool            `json:"deposed"`
-	Stuck    bool            `json:"stuck"`
-	Edges    int             `json:"edges_following"`
-	Engines  []roles.Shown   `json:"engines"`
-	Decision roles.Explained `json:"decision"`
+	Term     int64                `json:"term"`
+	Number   int64                `json:"number"`
+	Deposed  bool                 `json:"deposed"`
+	Stuck    bool                 `json:"stuck"`
+	Edges    int                  `json:"edges_following"`
+	Engines  []assignment.Shown   `json:"engines"`
+	Decision assignment.Explained `json:"decision"`
 }
 
 func (p *Planner) serveRoles(w http.ResponseWriter, r *http.Request) {
@@ -660,7 +660,7 @@
 	return m
 }
 
-func (m meters) see(c *roles.Core) {
+func (m meters) see(c *assignment.Core) {
 	m.engines.Reset()
 	for as, n := range c.Count() {
 		m.engines.WithLabelValues(as[0], as[1]).Set(float64(n))
--- a/plan/store.go
+++ b/plan/store.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"sandcourse/roles"
+	"sandcourse/internal/planner/assignment"
 )
 
 // Store keeps the planner's intent: its term, its orders, and where each engine's role stands. A transaction
@@ -38,8 +38,8 @@
 // Kept is what a store held.
 type Kept struct {
 	Term    int64
-	Meta    roles.Meta
-	Records []roles.Record
+	Meta    assignment.Meta
+	Records []assignment.Record
 	Faults  []string // what could not be read, and was left out
 }
 
@@ -153,7 +153,7 @@
 			}
 		}
 		return tx.Bucket(recordsBucket).ForEach(func(key, data []byte) error {
-			var r roles.Record
+			var r assignment.Record
 			if err := unseal(data, &r); err != nil {
 				kept.Faults = append(kept.Faults,
 					fmt.Sprintf("store %s: engine %s: %v; it is asked for its role", s.path, key, err))
@@ -231,7 +231,7 @@
 }
 
 // Save keeps records and meta together, on disk when it returns.
-func (s *Store) Save(k roles.Keep) (err error) {
+func (s *Store) Save(k assignment.Keep) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil { // the file was damaged under it
--- a/plan/trial.go
+++ b/plan/trial.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
-	"sandcourse/roles"
 )
 
 const loadPath = engineapi.LoadPath
@@ -32,7 +32,7 @@
 // try gives an engine a small piece of work under its new epoch, through the protocol that edges speak. A
 // reader shows a state for a prompt of one word; a writer, asked for the answer from a state that does not
 // exist, says so, which only an engine that writes knows.
-func (p *Planner) try(t roles.Try) error {
+func (p *Planner) try(t assignment.Try) error {
 	ctx, cancel := context.WithTimeout(p.ctx, p.d.Roles.Trial)
 	defer cancel()
 	call, err := chat.Parse([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
--- a/prove/roles.go
+++ b/prove/roles.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 )
 
 // roleSim is the planner's roles with a store, some engines and edges. Each effect is an event of its own, so
@@ -19,15 +19,15 @@
 type roleSim struct {
 	w       World
 	now     int64
-	core    *roles.Core
-	queue   []roles.Effect // decided and not carried out yet
-	kept    map[string]roles.Record
-	meta    roles.Meta
+	core    *assignment.Core
+	queue   []assignment.Effect // decided and not carried out yet
+	kept    map[string]assignment.Record
+	meta    assignment.Meta
 	term    int64
 	up      bool
 	boxes   []*roleBox
 	orders  []order // on their way
-	trials  []roles.Try
+	trials  []assignment.Try
 	plan    planapi.Plan // the newest published
 	edges   []planapi.Plan
 	wishes  int // operator's moves left
@@ -67,7 +67,7 @@
 )
 
 func newRoleSim(w World) *roleSim {
-	s := &roleSim{w: w, now: int64(1000 * time.Second), kept: map[string]roles.Record{}, wishes: 1}
+	s := &roleSim{w: w, now: int64(1000 * time.Second), kept: map[string]assignment.Record{}, wishes: 1}
 	for i := range w.Readers + w.Writers {
 		role := planapi.Read
 		if i >= w.Readers {
@@ -91,36 +91,36 @@
 	return s
 }
 
-func (s *roleSim) bounds() roles.Bounds {
-	return roles.Bounds{Drain: roleDrain, Order: 300 * time.Millisecond, Load: 600 * time.Millisecond,
+func (s *roleSim) bounds() assignment.Bounds {
+	return assignment.Bounds{Drain: roleDrain, Order: 300 * time.Millisecond, Load: 600 * time.Millisecond,
 		Trial: 300 * time.Millisecond,
 		Cold:  200 * time.Millisecond, Rest: 500 * time.Millisecond, Floor: 1, Changing: 0.1,
 		Grace: 50 * time.Millisecond}
 }
 
 func (s *roleSim) begin() {
-	var records []roles.Record
+	var records []assignment.Record
 	for _, id := range slices.Sorted(maps.Keys(s.kept)) {
 		records = append(records, s.kept[id])
 	}
 	s.term++
 	s.up, s.queue, s.down = true, nil, 0
-	s.core = roles.New(s.bounds(), s.term, s.now, records, s.meta)
-	var boxes []roles.Box
+	s.core = assignment.New(s.bounds(), s.term, s.now, records, s.meta)
+	var boxes []assignment.Box
 	for i, b := range s.boxes {
 		listed := planapi.Read
 		if i >= s.w.Readers {
 			listed = planapi.Write
 		}
-		boxes = append(boxes, roles.Box{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
+		boxes = append(boxes, assignment.Box{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
 			Kinds: map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}})
 	}
-	s.step(roles.Listed{Boxes: boxes})
+	s.step(assignment.Listed{Boxes: boxes})
 }
 
-func (s *roleSim) step1(e roles.Effect) {
+func (s *roleSim) step1(e assignment.Effect) {
 	switch e := e.(type) {
-	case roles.Keep:
+	case assignment.Keep:
 		for _, r := range e.Records {
 			if old, ok := s.kept[r.Engine]; ok && r.Epoch < old.Epoch {
 				s.tell("R4 the epoch of %s goes back from %d to %d", r.Engine, old.Epoch, r.Epoch)
@@ -128,14 +128,14 @@
 			s.kept[r.Engine] = r
 		}
 		s.meta = e.Meta
-	case roles.Publish:
+	case assignment.Publish:
 		if !e.Plan.Newer(s.plan) {
 			s.tell("R5 plan %d of term %d follows %d of %d", e.Plan.Number, e.Plan.Term, s.plan.Number,
 				s.plan.Term)
 		}
 		s.plan = e.Plan
 		s.checkPlan()
-	case roles.Ask:
+	case assignment.Ask:
 		s.checkAsk(e)
 		if !slices.ContainsFunc(s.orders, func(o order) bool {
 			return o.to == e.Engine &&
@@ -143,7 +143,7 @@
 		}) {
 			s.orders = append(s.orders, order{to: e.Engine, order: e.Order})
 		}
-	case roles.Try:
+	case assignment.Try:
 		s.trials = append(s.trials, e)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-func (s *roleSim) step(in roles.Input) { s.queue = append(s.queue, s.core.Step(s.now, in)...) }
+func (s *roleSim) step(in assignment.Input) { s.queue = append(s.queue, s.core.Step(s.now, in)...) }
 
 func (s *roleSim) tell(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
@@ -176,7 +176,7 @@
 	r := planapi.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Life: b.life,
 		UpFor: 0, Changing: b.loading,
 		Draining: b.leaving, Open: b.open}
-	s.step(roles.EngineSaid{AskedAt: askedAt, Report: r})
+	s.step(assignment.EngineSaid{AskedAt: askedAt, Report: r})
 }
 
 func (b *roleBox) follow(o planapi.RoleOrder) {
@@ -218,7 +218,7 @@
 	}
 	if s.settled() {
 		for _, b := range s.boxes {
-			if s.kept[b.name].State == roles.Aside {
+			if s.kept[b.name].State == assignment.Aside {
 				add("an operator mends and readmits "+b.name, "leave", func() {
 					b.never, b.lies = false, false
 					if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "readmit", Engine: b.name,
@@ -275,7 +275,7 @@
 		take := func() { s.trials = slices.Delete(s.trials, i, i+1) }
 		add("the trial of "+t.Engine+" ends", "", func() {
 			take()
-			s.step(roles.Tried{Engine: t.Engine, Number: t.Number, OK: ok, Why: "no"})
+			s.step(assignment.Tried{Engine: t.Engine, Number: t.Number, OK: ok, Why: "no"})
 		})
 		add("the trial of "+t.Engine+" is lost", "reset", take)
 	}
@@ -291,7 +291,7 @@
 		if b.loading {
 			add(b.name+" crashes and starts in the role that it loaded for", "restart",
 				func() { b.never = false; b.loaded(); b.life++ })
-		} else if k, ok := s.kept[b.name]; ok && k.State != roles.Serving {
+		} else if k, ok := s.kept[b.name]; ok && k.State != assignment.Serving {
 			add(b.name+" crashes and starts again", "restart", func() {
 				b.life++
 				b.leaving, b.open = false,
@@ -329,7 +329,7 @@
 			for _, b := range s.boxes {
 				s.say(b, asked+1)
 			}
-			s.step(roles.Tick{})
+			s.step(assignment.Tick{})
 		})
 	}
 	if !s.meta.Stopped && !s.stopped {
@@ -342,7 +342,7 @@
 		})
 	}
 	for _, b := range s.boxes {
-		if k := s.kept[b.name]; k.State == roles.Draining && b.open == 0 {
+		if k := s.kept[b.name]; k.State == assignment.Draining && b.open == 0 {
 			add("a send of an older plan is open at "+b.name, "late", func() {
 				if !b.leaving {
 					b.open = 1
@@ -374,11 +374,11 @@
 	}
 	for _, b := range s.boxes {
 		k, ok := s.kept[b.name]
-		if ok && k.State != roles.Serving && !(k.State == roles.Aside && (b.never || b.lies)) ||
+		if ok && k.State != assignment.Serving && !(k.State == assignment.Aside && (b.never || b.lies)) ||
 			b.loading && !b.never || b.open > 0 && !b.endless {
 			return false
 		}
-		if ok && k.State == roles.Serving && (k.Role != b.role || k.Epoch != b.epoch || b.leaving) {
+		if ok && k.State == assignment.Serving && (k.Role != b.role || k.Epoch != b.epoch || b.leaving) {
 			return false
 		}
 	}
@@ -395,7 +395,7 @@
 	for _, e := range s.plan.Engines {
 		if e.State == endpoint.Ready {
 			ready[e.Kind]++
-			if k, ok := s.kept[e.Engine]; ok && k.State != roles.Serving && k.State != roles.Cold {
+			if k, ok := s.kept[e.Engine]; ok && k.State != assignment.Serving && k.State != assignment.Cold {
 				s.tell("R8 plan %d lists %s as ready, which is %s", s.plan.Number, e.Engine, k.State)
 			}
 		}
@@ -408,8 +408,8 @@
 	for _, role := range []string{planapi.Read, planapi.Write} {
 		lost := 0 // to its own fault, not to a change
 		for _, b := range s.boxes {
-			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == roles.Returning ||
-				k.State == roles.Aside || k.State == roles.Trying) {
+			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == assignment.Returning ||
+				k.State == assignment.Aside || k.State == assignment.Trying) {
 				lost++
 			}
 		}
@@ -420,7 +420,7 @@
 }
 
 // checkAsk holds an order against what is kept: nothing may be asked that a kill would forget.
-func (s *roleSim) checkAsk(a roles.Ask) {
+func (s *roleSim) checkAsk(a assignment.Ask) {
 	k, ok := s.kept[a.Engine]
 	if !ok && a.Order.Epoch > s.box(a.Engine).epoch || ok && max(k.Epoch, k.NextEpoch) < a.Order.Epoch {
 		s.tell("R6 %s is ordered to epoch %d, which is not kept", a.Engine, a.Order.Epoch)
--- a/sway/sway.go
+++ b/sway/sway.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
+	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/roles"
 )
 
 // Route is one model route of the load. Its reading and writing work are tokens of one inference.
@@ -102,7 +102,7 @@
 	rng      *rand.Rand
 	now      time.Duration
 	engines  []*machine
-	core     *roles.Core
+	core     *assignment.Core
 	plan     map[string]planapi.Engine // what edges follow
 	late     []func()                  // by time: reports on their way
 	lateAt   []time.Duration
@@ -157,7 +157,7 @@
 	if arm.Readers > 0 {
 		readers = arm.Readers
 	}
-	var boxes []roles.Box
+	var boxes []assignment.Box
 	for i := range d.Engines {
 		m := &machine{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Write, epoch: 1,
 			began: -1,
@@ -172,7 +172,7 @@
 		if m.canChange {
 			kinds = map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}
 		}
-		boxes = append(boxes, roles.Box{Engine: m.name, Role: m.role, Cell: m.cell, Weight: 1, Ready: true,
+		boxes = append(boxes, assignment.Box{Engine: m.name, Role: m.role, Cell: m.cell, Weight: 1, Ready: true,
 			CanChange: m.canChange, Kinds: kinds})
 		f.plan[m.name] = planapi.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: 1}
 	}
@@ -184,12 +184,12 @@
 		for _, r := range f.routes {
 			values[r.Name] = r.Value
 		}
-		f.core = roles.New(roles.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second, Load: 2*d.Reload +
+		f.core = assignment.New(assignment.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second, Load: 2*d.Reload +
 			10*time.Second, Trial: 5 * time.Second,
 			Cold: d.Cold, Rest: 30 * time.Second, Floor: 1, Changing: 0.1, PerMinute: 0.25,
 			Grace: 250 * time.Millisecond, ReadPace: readPace,
-			WritePace: writePace, Values: values}, 1, f.clock(), nil, roles.Meta{})
-		f.carryOut(f.core.Step(f.clock(), roles.Listed{Boxes: boxes}))
+			WritePace: writePace, Values: values}, 1, f.clock(), nil, assignment.Meta{})
+		f.carryOut(f.core.Step(f.clock(), assignment.Listed{Boxes: boxes}))
 	}
 	offered, got := 0.0, 0.0
 	partOffered, partGot, parts := 0.0, 0.0, 0
@@ -231,7 +231,7 @@
 }
 
 // die drains all readers but one for good: discovery lists them so.
-func (f *fleet) die(boxes []roles.Box) {
+func (f *fleet) die(boxes []assignment.Box) {
 	kept := false
 	for i, m := range f.engines {
 		if m.role != planapi.Read {
@@ -245,7 +245,7 @@
 		boxes[i].Ready = false
 	}
 	if f.core != nil {
-		f.carryOut(f.core.Step(f.clock(), roles.Listed{Boxes: boxes}))
+		f.carryOut(f.core.Step(f.clock(), assignment.Listed{Boxes: boxes}))
 	}
 }
 
@@ -393,7 +393,7 @@
 			continue
 		}
 		asked, r := f.clock(), f.report(m)
-		f.later(func() { f.carryOut(f.core.Step(f.clock(), roles.EngineSaid{AskedAt: asked, Report: r})) })
+		f.later(func() { f.carryOut(f.core.Step(f.clock(), assignment.EngineSaid{AskedAt: asked, Report: r})) })
 	}
 	for e := range f.d.Edges {
 		if int(f.now/step)%10 != e%10 || float64(e) < f.d.Missing*float64(f.d.Edges) {
@@ -407,30 +407,30 @@
 				BegunFor: c.BegunFor * part, Ended: c.Ended * part, Answer: c.Answer * part,
 				InTime: c.InTime * part, Shed: c.Shed * part})
 		}
-		f.later(func() { f.carryOut(f.core.Step(f.clock(), roles.EdgeSaid{Report: r})) })
+		f.later(func() { f.carryOut(f.core.Step(f.clock(), assignment.EdgeSaid{Report: r})) })
 	}
-	f.carryOut(f.core.Step(f.clock(), roles.Tick{}))
+	f.carryOut(f.core.Step(f.clock(), assignment.Tick{}))
 }
 
 func (f *fleet) machine(name string) *machine {
 	return f.engines[slices.IndexFunc(f.engines, func(m *machine) bool { return m.name == name })]
 }
 
-func (f *fleet) carryOut(effects []roles.Effect) {
+func (f *fleet) carryOut(effects []assignment.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case roles.Publish:
+		case assignment.Publish:
 			clear(f.plan)
 			for _, x := range e.Plan.Engines {
 				f.plan[x.Engine] = x
 			}
-		case roles.Ask:
+		case assignment.Ask:
 			f.follow(f.machine(e.Engine), e.Order)
-		case roles.Try:
+		case assignment.Try:
 			m := f.machine(e.Engine)
 			ok := m.role == e.Role && m.epoch == e.Epoch && !m.loading
 			f.later(func() {
-				f.carryOut(f.core.Step(f.clock(), roles.Tried{Engine: e.Engine, Number: e.Number, OK: ok}))
+				f.carryOut(f.core.Step(f.clock(), assignment.Tried{Engine: e.Engine, Number: e.Number, OK: ok}))
 			})
 		}
 	}
