--- a/edge/node.go
+++ b/edge/node.go
@@ -21,10 +21,10 @@
 	dto "github.com/prometheus/client_model/go"
 	"go.uber.org/zap"
 
-	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/planner/planapi"
+	"sandcourse/internal/planner/planclient"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
 	"sandcourse/internal/router"
@@ -88,7 +88,7 @@
 		n.source = endpoint.File{Path: d.Roster}
 	}
 	if n.source == nil && d.Planner != "" {
-		n.source = follow.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
+		n.source = planclient.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
 	}
 	n.counts = map[string]*planapi.RouteCount{}
 	n.core = router.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
--- a/follow/follow.go
+++ b/internal/planner/planclient/follow.go
@@ -1,6 +1,6 @@
 // Package follow is an edge's line to the planner: it takes plans from a stream and sends the edge's counts.
 // While the planner is away the last plan stays, and the edge goes on by itself.
-package follow
+package planclient
 
 import (
 	"bufio"
--- a/follow/starts_test.go
+++ b/internal/planner/planclient/starts_test.go
@@ -1,4 +1,4 @@
-package follow
+package planclient
 
 import (
 	"testing"
--- a/plan/bench_test.go
+++ b/plan/bench_test.go
@@ -13,11 +13,11 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
+	"sandcourse/internal/planner/planclient"
 	"sandcourse/standin/engine"
 )
 
@@ -64,7 +64,7 @@
 	got := make([]int64, edges) // revision each follows
 	at := make([]time.Time, edges)
 	for i := range edges {
-		go follow.Planner{Addr: p.Addr(), Report: func(context.Context) (planapi.EdgeReport, error) {
+		go planclient.Planner{Addr: p.Addr(), Report: func(context.Context) (planapi.EdgeReport, error) {
 			return planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
 				Routes: []planapi.RouteCount{{Route: "a"}, {Route: "b"}}}, nil
 		}}.Run(ctx, func(l endpoint.List) {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -17,11 +17,11 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"sandcourse/follow"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
+	"sandcourse/internal/planner/planclient"
 	"sandcourse/standin/engine"
 )
 
@@ -363,7 +363,7 @@
 	faults := make(chan error, 100)
 	var all sync.WaitGroup
 	all.Go(func() {
-		follow.Planner{Addr: p.Addr(), Quiet: 2 * time.Second}.Run(ctx, func(l endpoint.List) { lists <- l },
+		planclient.Planner{Addr: p.Addr(), Quiet: 2 * time.Second}.Run(ctx, func(l endpoint.List) { lists <- l },
 			func(err error) { faults <- err })
 	})
 	first := <-lists
