--- a/badday/tilt.go
+++ b/badday/tilt.go
@@ -13,9 +13,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/load"
-	"sandcourse/plan"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -139,8 +139,8 @@
 		}
 	}
 	planning := t.Planning(fleet, dir)
-	start := func() (*plan.Planner, error) {
-		p := plan.New(planning, log)
+	start := func() (*planner.Planner, error) {
+		p := planner.New(planning, log)
 		p.OnPublish = published
 		return p, p.Start()
 	}
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -15,9 +15,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/load"
-	"sandcourse/plan"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	p := plan.New(Tilt{}.Planning(fleet, dir), zap.NewNop())
+	p := planner.New(Tilt{}.Planning(fleet, dir), zap.NewNop())
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -11,7 +11,7 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
-	"sandcourse/plan"
+	"sandcourse/internal/planner"
 	"sandcourse/process"
 )
 
@@ -44,7 +44,7 @@
 	d.TakeOver = takeOver
 	log := process.NewLog()
 	defer log.Sync()
-	p := plan.New(d, log)
+	p := planner.New(d, log)
 	if err := p.Start(); err != nil {
 		return err
 	}
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
+	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/plan"
 )
 
 func rolesCommand() *cobra.Command {
@@ -25,7 +25,7 @@
 	c := &cobra.Command{Use: "roles", Short: "Look at engines' roles, and order changes"}
 	c.PersistentFlags().StringVar(&at, "planner", "127.0.0.1:9090", "the planner's address")
 	client := &http.Client{Timeout: 10 * time.Second}
-	look := func() (s plan.Shown, err error) {
+	look := func() (s planner.Shown, err error) {
 		answer, err := client.Get("http://" + at + planapi.RolesPath)
 		if err != nil {
 			return s, err
@@ -115,7 +115,7 @@
 	return c
 }
 
-func printRoles(w io.Writer, s plan.Shown) {
+func printRoles(w io.Writer, s planner.Shown) {
 	note := ""
 	if s.Deposed {
 		note = "; DEPOSED by a later planner"
@@ -146,7 +146,7 @@
 	t.Flush()
 }
 
-func explainDecision(w io.Writer, s plan.Shown) {
+func explainDecision(w io.Writer, s planner.Shown) {
 	d := s.Decision
 	fmt.Fprintf(w, "edges heard: %d of %d; engines changing: %d; stopped: %v\n", d.Edges, d.EdgesKnown,
 		d.Changing, d.Stopped)
--- a/plan/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package planner
 
 import (
 	"context"
--- a/plan/planner.go
+++ b/internal/planner/planner.go
@@ -1,7 +1,7 @@
 // Package plan is the planner on sockets: it asks engines and takes edges' reports, hands them to roles,
 // keeps what roles wants kept before anything that follows from it, and streams plans to edges. It decides
 // nothing itself.
-package plan
+package planner
 
 import (
 	"context"
