--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -17,7 +17,7 @@
 	"sandcourse/edge"
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
-	"sandcourse/process"
+	"sandcourse/internal/process"
 )
 
 func main() {
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -15,9 +15,9 @@
 	"sandcourse/edge"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/discovery"
+	"sandcourse/internal/process"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/netfault"
-	"sandcourse/process"
 )
 
 // A configuration that cannot be opened at the start, for want of descriptors or memory, is tried again for a while.
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/planner"
-	"sandcourse/process"
+	"sandcourse/internal/process"
 )
 
 func main() {
