--- a/logsink/logsink.go
+++ b/internal/asynclog/logsink.go
@@ -1,6 +1,6 @@
 // Package logsink writes log lines on a goroutine of its own, so that whoever logs never waits for the log's reader.
 // Where the reader stalls, lines are dropped and counted.
-package logsink
+package asynclog
 
 import (
 	"fmt"
--- a/logsink/logsink_test.go
+++ b/internal/asynclog/logsink_test.go
@@ -1,4 +1,4 @@
-package logsink
+package asynclog
 
 import (
 	"bytes"
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"sandcourse/logsink"
+	"sandcourse/internal/asynclog"
 )
 
 // Signals are what the operating system asks of the process.
@@ -49,7 +49,7 @@
 
 // NewLog makes the process's log: JSON lines on standard error, written so that nobody waits for their reader.
 func NewLog() *zap.Logger {
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), logsink.New(os.Stderr), zap.InfoLevel)
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), asynclog.New(os.Stderr), zap.InfoLevel)
 	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sampledFirst, sampledEach), zap.AddCaller(),
 		zap.AddStacktrace(zap.ErrorLevel))
 }
