--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -15,9 +15,9 @@
 	"sandcourse/edge"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/discovery"
+	"sandcourse/internal/neterr"
 	"sandcourse/internal/process"
 	"sandcourse/internal/protocol/platform"
-	"sandcourse/netfault"
 )
 
 // A configuration that cannot be opened at the start, for want of descriptors or memory, is tried again for a while.
@@ -29,7 +29,7 @@
 // readAtStart reads the platform's configuration, and waits for a descriptor if there is none.
 func readAtStart(file string) (*platform.Told, error) {
 	data, err := readBounded(file)
-	for tries := 1; netfault.Local(err) && tries < openTries; tries++ {
+	for tries := 1; neterr.Local(err) && tries < openTries; tries++ {
 		time.Sleep(openPause)
 		data, err = readBounded(file)
 	}
--- a/edge/accept.go
+++ b/edge/accept.go
@@ -8,7 +8,7 @@
 
 	"github.com/lesismal/nbio"
 
-	"sandcourse/netfault"
+	"sandcourse/internal/neterr"
 )
 
 // acceptPause is how long the listener rests after a connection could not be accepted, as when descriptors have
@@ -101,7 +101,7 @@
 		if err == nil {
 			return handed, nil
 		}
-		if !netfault.Local(err) || l.room.isClosed() {
+		if !neterr.Local(err) || l.room.isClosed() {
 			conn.Close()
 			return nil, err
 		}
--- a/edge/back.go
+++ b/edge/back.go
@@ -9,10 +9,10 @@
 
 	"github.com/lesismal/nbio"
 
+	"sandcourse/internal/neterr"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/httpframing"
 	"sandcourse/internal/router"
-	"sandcourse/netfault"
 )
 
 // Bounds of what an engine may answer.
@@ -89,7 +89,7 @@
 	defer cancel()
 	for pause := redialFirst; ; pause = min(2*pause, redialMost) {
 		conn, err := n.connectOnce(ctx, address)
-		if err == nil || !netfault.Local(err) && n.alive.Err() == nil {
+		if err == nil || !neterr.Local(err) && n.alive.Err() == nil {
 			return conn, err
 		}
 		select {
--- a/edge/patience.go
+++ b/edge/patience.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/netfault"
+	"sandcourse/internal/neterr"
 )
 
 // A node that starts may find its address still held by the process before it, or no descriptor free for a moment. It is
@@ -20,7 +20,7 @@
 	end := time.Now().Add(startTime)
 	for told := false; ; told = true {
 		err := step()
-		if err == nil || !netfault.Local(err) || time.Now().After(end) {
+		if err == nil || !neterr.Local(err) || time.Now().After(end) {
 			return err
 		}
 		if !told {
--- a/netfault/netfault.go
+++ b/internal/neterr/netfault.go
@@ -1,5 +1,5 @@
 // Package netfault tells errors of this machine from those of the other side of a connection. It does no I/O.
-package netfault
+package neterr
 
 import (
 	"context"
--- a/netfault/netfault_test.go
+++ b/internal/neterr/netfault_test.go
@@ -1,4 +1,4 @@
-package netfault
+package neterr
 
 import (
 	"context"
