--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -14,9 +14,9 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/process"
 )
 
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -12,9 +12,9 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/discovery"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/neterr"
 	"sandcourse/internal/process"
 	"sandcourse/internal/protocol/platform"
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -13,8 +13,8 @@
 
 	"sandcourse/audit"
 	"sandcourse/badday"
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 	"sandcourse/load"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
--- a/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"go.uber.org/zap"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
--- a/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 )
 
--- a/edge/flat_test.go
+++ b/internal/edge/flat_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 )
 
 // askOnce is a client that comes once, with a session, a beginning and a name of its own.
--- a/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/golden"
 )
 
--- a/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/platform"
 )
--- a/edge/reuse_test.go
+++ b/internal/edge/reuse_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"sandcourse/edge"
 	"sandcourse/internal/config"
+	"sandcourse/internal/edge"
 )
 
 func await(t *testing.T, comes <-chan struct{}) {
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"sandcourse/audit"
-	"sandcourse/edge"
+	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
