--- a/badday/badday_test.go
+++ b/badday/badday_test.go
@@ -16,9 +16,9 @@
 
 	"sandcourse/audit"
 	"sandcourse/internal/config"
+	"sandcourse/internal/loadgen"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
-	"sandcourse/load"
 	"sandcourse/settings"
 	standin "sandcourse/standin/engine"
 )
@@ -252,9 +252,9 @@
 	}
 	defer fleet.Stop()
 	fleet.Engines[0].Set(standin.Faults{Silent: true})
-	load.Traffic{Edges: func() []string { return []string{fleet.Engines[0].Addr()} }, Rate: 200,
+	loadgen.Traffic{Edges: func() []string { return []string{fleet.Engines[0].Addr()} }, Rate: 200,
 		Length: 500 * time.Millisecond, Seed: 1, Beginnings: 1, Words: 3, Turns: 1, Log: log,
-		Routes: []load.Route{{Name: "a", Share: 1, GiveUp: 100 * time.Millisecond}}}.Run(ctx)
+		Routes: []loadgen.Route{{Name: "a", Share: 1, GiveUp: 100 * time.Millisecond}}}.Run(ctx)
 	if n := len(log.Calls()); n < 50 || n > 200 {
 		t.Errorf("%d tries in %v", n, time.Since(begun))
 	}
--- a/badday/day.go
+++ b/badday/day.go
@@ -17,7 +17,7 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
-	"sandcourse/load"
+	"sandcourse/internal/loadgen"
 	"sandcourse/standin/engine"
 )
 
@@ -113,7 +113,7 @@
 
 // Result is how a day went.
 type Result struct {
-	Sum      load.Sum
+	Sum      loadgen.Sum
 	Breaks   []audit.Break
 	Stories  map[string][]string // of inferences that broke a rule
 	Restarts int
@@ -156,7 +156,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { run.play(ctx, steps) })
 	routes := d.routes()
-	load.Traffic{Edges: edges.Addrs, Routes: routes, Rate: d.Rate, Factor: factor(d.Troubles), Hot: hot(d.Troubles),
+	loadgen.Traffic{Edges: edges.Addrs, Routes: routes, Rate: d.Rate, Factor: factor(d.Troubles), Hot: hot(d.Troubles),
 		Length: d.Length, Seed: uint64(d.Seed), Beginnings: d.Beginnings, Words: d.Words, Turns: d.Turns,
 		Retries: d.Retries, Leave: d.Leave, Log: seen}.Run(ctx)
 	all.Wait()
@@ -179,7 +179,7 @@
 		res.Stories[b.Inference] = seen.Story(b.Inference)
 	}
 	res.Seen = len(seen.Seen())
-	res.Sum = load.Add(seen.Calls(), routes)
+	res.Sum = loadgen.Add(seen.Calls(), routes)
 	return res, ctx.Err()
 }
 
@@ -201,10 +201,10 @@
 	return errors.New("the edges are not ready after 4 s")
 }
 
-func (d *Day) routes() (row []load.Route) {
+func (d *Day) routes() (row []loadgen.Route) {
 	for _, c := range d.Clients {
 		t := d.Deployment.Routes[d.Deployment.Route(c.Route)]
-		row = append(row, load.Route{Name: t.Name, Share: c.Share, Value: t.Value, Retriable: t.Effect == "retriable",
+		row = append(row, loadgen.Route{Name: t.Name, Share: c.Share, Value: t.Value, Retriable: t.Effect == "retriable",
 			Target: t.FirstToken, GiveUp: t.Timeout, Most: c.Most})
 	}
 	return row
--- a/badday/tilt.go
+++ b/badday/tilt.go
@@ -13,9 +13,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/loadgen"
 	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/load"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -41,8 +41,8 @@
 
 // Tilted is how it went, by phase.
 type Tilted struct {
-	Phases  []load.Sum
-	Second  []load.Sum      // of each phase's second half: after the planner had time to follow
+	Phases  []loadgen.Sum
+	Second  []loadgen.Sum   // of each phase's second half: after the planner had time to follow
 	Recover []time.Duration // of each phase: until the dearest route is served again; -1 for not within it
 	Breaks  []audit.Break
 	Held    int
@@ -79,7 +79,7 @@
 
 // recovers is how long after the beginning of a phase nine tenths of the dearest route's calls come in time
 // again, for two windows of four seconds in a row.
-func recovers(calls []audit.Call, routes []load.Route, begun time.Time, length time.Duration) time.Duration {
+func recovers(calls []audit.Call, routes []loadgen.Route, begun time.Time, length time.Duration) time.Duration {
 	dear := routes[0]
 	for _, r := range routes {
 		if r.Value > dear.Value {
@@ -198,22 +198,22 @@
 	if t.Faults != nil {
 		all.Go(func() { t.Faults(ctx, fleet) })
 	}
-	routes := []load.Route{}
+	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, load.Route{Name: r.Name, Share: 1, Value: r.Value,
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.Value,
 			Retriable: r.Effect == "retriable", Target: r.FirstToken,
 			GiveUp: r.Timeout})
 	}
 	for i, ph := range t.Phases {
 		fmt.Fprintf(say, "%s: %.0f inferences a second for %v, prompts of %d own words, answers of up to %d tokens\n", ph.Name, ph.Rate,
 			ph.Length, ph.Own, ph.Answer)
-		mine := []load.Route{}
+		mine := []loadgen.Route{}
 		for _, r := range routes {
 			r.Most = ph.Answer
 			mine = append(mine, r)
 		}
 		begun := time.Now()
-		load.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.Rate, Length: ph.Length, Seed: t.Seed*100 +
+		loadgen.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.Rate, Length: ph.Length, Seed: t.Seed*100 +
 			uint64(i), Beginnings: 6, Words: 100,
 			Own: ph.Own, Turns: 2, Retries: 1, Log: seen}.Run(ctx)
 		var calls, second []audit.Call
@@ -225,8 +225,8 @@
 				}
 			}
 		}
-		res.Phases, res.Second = append(res.Phases, load.Add(calls, mine)), append(res.Second,
-			load.Add(second, mine))
+		res.Phases, res.Second = append(res.Phases, loadgen.Add(calls, mine)), append(res.Second,
+			loadgen.Add(second, mine))
 		res.Recover = append(res.Recover, recovers(calls, mine, begun, ph.Length))
 		readers, writers := 0, 0
 		for _, e := range fleet.Engines {
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -15,9 +15,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/loadgen"
 	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
-	"sandcourse/load"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -119,13 +119,13 @@
 			t.Error(err, answer)
 		}
 	})
-	routes := []load.Route{}
+	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, load.Route{Name: r.Name, Share: 1, Value: r.Value,
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.Value,
 			Retriable: r.Effect == "retriable", Target: r.FirstToken,
 			GiveUp: r.Timeout, Most: 24})
 	}
-	load.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Length: 8 * time.Second,
+	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Length: 8 * time.Second,
 		Seed: 5, Beginnings: 4, Words: 100,
 		Turns: 2, Retries: 1, Log: seen}.Run(context.Background())
 	all.Wait()
@@ -135,7 +135,7 @@
 	for _, b := range seen.Judge(Rules(d), time.Now()) {
 		t.Error(b)
 	}
-	sum := load.Add(seen.Calls(), routes)
+	sum := loadgen.Add(seen.Calls(), routes)
 	if sum.Finals["errored"] > 0 || sum.InTime < 0.9*sum.Offered {
 		t.Errorf("%v, %.2f of value in time", sum.Finals, sum.InTime/sum.Offered)
 	}
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -15,7 +15,7 @@
 	"sandcourse/badday"
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
-	"sandcourse/load"
+	"sandcourse/internal/loadgen"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -126,7 +126,7 @@
 }
 
 func loadCommand() *cobra.Command {
-	var t load.Traffic
+	var t loadgen.Traffic
 	var edges []string
 	var model string
 	var target, giveUp time.Duration
@@ -137,10 +137,10 @@
 			defer stop()
 			t.Log = &audit.Log{}
 			t.Edges = func() []string { return edges }
-			t.Routes = []load.Route{{Name: model, Share: 1, Value: 1, Retriable: retriable, Target: target,
+			t.Routes = []loadgen.Route{{Name: model, Share: 1, Value: 1, Retriable: retriable, Target: target,
 				GiveUp: giveUp, Most: 64}}
 			t.Run(ctx)
-			load.Add(t.Log.Calls(), t.Routes).Print(c.OutOrStdout())
+			loadgen.Add(t.Log.Calls(), t.Routes).Print(c.OutOrStdout())
 			return nil
 		}}
 	f := c.Flags()
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -15,9 +15,9 @@
 	"sandcourse/audit"
 	"sandcourse/badday"
 	"sandcourse/internal/config"
+	"sandcourse/internal/loadgen"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"sandcourse/load"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -58,22 +58,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.edges.Stop)
-	r.until("the edge is ready", func() bool { return r.ask(load.Ask{Route: "clip-summary"}).Final == "completed" })
+	r.until("the edge is ready", func() bool { return r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
 	return r
 }
 
-func (r *rig) ask(a load.Ask) audit.Call {
+func (r *rig) ask(a loadgen.Ask) audit.Call {
 	if a.GiveUp == 0 {
 		a.GiveUp = 3 * time.Second
 	}
 	if a.Messages == nil {
-		a.Messages = []load.Line{{Role: "system", Content: "You caption clips."}, {Role: "user", Content: "The goal."}}
+		a.Messages = []loadgen.Line{{Role: "system", Content: "You caption clips."}, {Role: "user", Content: "The goal."}}
 	}
 	if a.Request == "" {
 		r.asked++
 		a.Request = fmt.Sprint("unnamed", r.asked)
 	}
-	c := load.NewClient()
+	c := loadgen.NewClient()
 	defer c.Close()
 	if a.Most == 0 {
 		a.Most = 20
@@ -117,7 +117,7 @@
 func TestOneCallThere(t *testing.T) {
 	r := newRig(t, nil)
 	for _, whole := range []bool{false, true} {
-		got := r.ask(load.Ask{Route: "fan-alert", Request: "one", Whole: whole})
+		got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "one", Whole: whole})
 		if got.Final != "completed" || got.Tokens == 0 || got.Inference == "" {
 			t.Errorf("whole %v: %+v", whole, got)
 		}
@@ -146,7 +146,7 @@
 		t.Run(c.when, func(t *testing.T) {
 			r, reader, writer := only(t, nil)
 			c.fault(reader, writer)
-			if got := r.ask(load.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
+			if got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
 				t.Errorf("%+v", got)
 			}
 			r.until("nothing is open", func() bool { return r.edges.Holding(context.Background()).Inferences == 0 })
@@ -163,11 +163,11 @@
 		t.Run(name, func(t *testing.T) {
 			r, _, writer := only(t, func(d *config.Deployment) { d.Stall = 200 * time.Millisecond })
 			writer.Set(f)
-			got := r.ask(load.Ask{Route: "fan-alert", Request: "cut"})
+			got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "cut"})
 			if got.Final != "errored" || got.Finals != 1 || got.Tokens == 0 {
 				t.Errorf("%+v", got)
 			}
-			got = r.ask(load.Ask{Route: "fan-alert", Request: "cut-whole", Whole: true})
+			got = r.ask(loadgen.Ask{Route: "fan-alert", Request: "cut-whole", Whole: true})
 			if got.Final != "errored" || got.Finals != 1 {
 				t.Errorf("whole: %+v", got)
 			}
@@ -185,7 +185,7 @@
 			for _, e := range r.fleet.Engines[2:] {
 				e.Set(f)
 			}
-			got := r.ask(load.Ask{Route: "fan-alert", Request: "once", GiveUp: 900 * time.Millisecond})
+			got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "once", GiveUp: 900 * time.Millisecond})
 			if got.Final != "errored" || got.Finals != 1 {
 				t.Errorf("%+v", got)
 			}
@@ -209,7 +209,7 @@
 func TestLateReadIsLetGo(t *testing.T) {
 	r, reader, _ := only(t, nil)
 	reader.Set(engine.Faults{Slow: 400})
-	if got := r.ask(load.Ask{Route: "fan-alert", Request: "late", GiveUp: 150 * time.Millisecond}); got.Finals != 1 {
+	if got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "late", GiveUp: 150 * time.Millisecond}); got.Finals != 1 {
 		t.Errorf("%+v", got)
 	}
 	reader.Set(engine.Faults{})
@@ -222,8 +222,8 @@
 	var done = make(chan struct{})
 	go func() {
 		defer close(done)
-		load.Traffic{Edges: r.edges.Addrs, Rate: 150, Length: 1500 * time.Millisecond, Seed: 5, Beginnings: 3, Words: 30,
-			Turns: 2, Log: r.log, Routes: []load.Route{{Name: "clip-summary", Share: 1, Value: 1, Retriable: true,
+		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 150, Length: 1500 * time.Millisecond, Seed: 5, Beginnings: 3, Words: 30,
+			Turns: 2, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, Value: 1, Retriable: true,
 				Target: time.Second, GiveUp: 3 * time.Second, Most: 10}}}.Run(context.Background())
 	}()
 	go func() {
@@ -247,7 +247,7 @@
 		e.Set(engine.Faults{Silent: true})
 	}
 	for _, route := range []string{"clip-summary", "fan-alert"} {
-		got := r.ask(load.Ask{Route: route, Request: "hushed " + route, GiveUp: 400 * time.Millisecond})
+		got := r.ask(loadgen.Ask{Route: route, Request: "hushed " + route, GiveUp: 400 * time.Millisecond})
 		if got.Finals != 1 || got.Final == "completed" {
 			t.Errorf("all silent: %+v", got)
 		}
@@ -259,7 +259,7 @@
 		r.fleet.Gone(e)
 	}
 	r.until("nothing is taken by an empty roster", func() bool {
-		got := r.ask(load.Ask{Route: "fan-alert", GiveUp: 200 * time.Millisecond})
+		got := r.ask(loadgen.Ask{Route: "fan-alert", GiveUp: 200 * time.Millisecond})
 		return got.Final == "shed" && got.Finals == 1
 	})
 	r.judge()
@@ -276,7 +276,7 @@
 	}
 	// Two looks at the file later the edge must still serve.
 	for range 4 {
-		if got := r.ask(load.Ask{Route: "clip-summary"}); got.Final != "completed" {
+		if got := r.ask(loadgen.Ask{Route: "clip-summary"}); got.Final != "completed" {
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(40 * time.Millisecond)
@@ -289,7 +289,7 @@
 	if err := r.edges.Kill(0, 10*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	r.until("it serves again", func() bool { return r.ask(load.Ask{Route: "fan-alert"}).Final == "completed" })
+	r.until("it serves again", func() bool { return r.ask(loadgen.Ask{Route: "fan-alert"}).Final == "completed" })
 	r.judge()
 }
 
@@ -298,7 +298,9 @@
 	writer.Set(engine.Faults{StallFirst: true})
 	results := make(chan audit.Call)
 	for i := range 6 {
-		go func() { results <- r.ask(load.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0}) }()
+		go func() {
+			results <- r.ask(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0})
+		}()
 	}
 	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Inferences == 6 })
 	once := true
@@ -308,14 +310,14 @@
 		once = once && !fail
 		return fail
 	})
-	r.ask(load.Ask{Route: "fan-alert", Request: "seventh", GiveUp: 100 * time.Millisecond})
+	r.ask(loadgen.Ask{Route: "fan-alert", Request: "seventh", GiveUp: 100 * time.Millisecond})
 	for range 6 {
 		if got := <-results; got.Final != "errored" || got.Finals != 1 {
 			t.Errorf("%+v", got)
 		}
 	}
 	writer.Set(engine.Faults{})
-	r.until("a fresh module serves", func() bool { return r.ask(load.Ask{Route: "clip-summary"}).Final == "completed" })
+	r.until("a fresh module serves", func() bool { return r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
 	r.judge()
 }
 
@@ -323,12 +325,12 @@
 	r, _, writer := only(t, func(d *config.Deployment) { d.Finish = 400 * time.Millisecond })
 	writer.Set(engine.Faults{Slow: 3})
 	slow := make(chan audit.Call)
-	go func() { slow <- r.ask(load.Ask{Route: "clip-summary", Request: "slow"}) }()
+	go func() { slow <- r.ask(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
 	r.until("it is open", func() bool { return r.edges.Holding(context.Background()).Inferences == 1 })
 	stopped := make(chan struct{})
 	go func() { r.edges.Drain(0); close(stopped) }()
 	r.until("new ones are shed", func() bool {
-		final := r.ask(load.Ask{Route: "clip-summary", GiveUp: 200 * time.Millisecond}).Final
+		final := r.ask(loadgen.Ask{Route: "clip-summary", GiveUp: 200 * time.Millisecond}).Final
 		return final == "shed" || final == "lost"
 	})
 	if got := <-slow; got.Finals != 1 {
@@ -343,7 +345,7 @@
 	done := make(chan audit.Call)
 	for i := range 4 {
 		go func() {
-			done <- r.ask(load.Ask{Route: "fan-alert", Request: fmt.Sprint("t", i), GiveUp: 400 * time.Millisecond})
+			done <- r.ask(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("t", i), GiveUp: 400 * time.Millisecond})
 		}()
 	}
 	for range 5 {
@@ -438,7 +440,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	for range 5 {
-		if got := r.ask(load.Ask{Route: "fan-alert"}); got.Final != "completed" || got.First > 500*time.Millisecond {
+		if got := r.ask(loadgen.Ask{Route: "fan-alert"}); got.Final != "completed" || got.First > 500*time.Millisecond {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -463,7 +465,7 @@
 	}
 	r.until("the bound holds and newcomers are served", func() bool {
 		return r.edges.Holding(context.Background()).Clients <= 1500 &&
-			r.ask(load.Ask{Route: "clip-summary"}).Final == "completed"
+			r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed"
 	})
 	r.judge()
 }
@@ -473,8 +475,8 @@
 	r.fleet.Engines[0].Set(engine.Faults{Silent: true})
 	r.fleet.Engines[2].Set(engine.Faults{Silent: true})
 	// Many at once: the module holds an engine against others by how long its sends wait.
-	load.Traffic{Edges: r.edges.Addrs, Rate: 60, Length: 2 * time.Second, Seed: 3, Beginnings: 4, Words: 40, Turns: 2, Log: r.log,
-		Routes: []load.Route{{Name: "clip-summary", Share: 1, Value: 1, Target: time.Second, GiveUp: 1500 * time.Millisecond, Most: 5},
+	loadgen.Traffic{Edges: r.edges.Addrs, Rate: 60, Length: 2 * time.Second, Seed: 3, Beginnings: 4, Words: 40, Turns: 2, Log: r.log,
+		Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, Value: 1, Target: time.Second, GiveUp: 1500 * time.Millisecond, Most: 5},
 			{Name: "fan-alert", Share: 1, Value: 5, Target: time.Second, GiveUp: 1500 * time.Millisecond, Most: 5}}}.Run(context.Background())
 	finals := map[string]int{}
 	for _, c := range r.log.Calls() {
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/load"
+	"sandcourse/internal/loadgen"
 	"sandcourse/standin/engine"
 )
 
@@ -28,8 +28,8 @@
 		return float64(m.HeapInuse) / (1 << 20)
 	}
 	burst := func(length time.Duration, seed uint64) {
-		load.Traffic{Edges: r.edges.Addrs, Rate: 80, Length: length, Seed: seed, Beginnings: 5, Words: 100, Turns: 3, Leave: 0.05,
-			Retries: 1, Log: r.log, Routes: []load.Route{{Name: "clip-summary", Share: 3, Value: 1, Retriable: true,
+		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 80, Length: length, Seed: seed, Beginnings: 5, Words: 100, Turns: 3, Leave: 0.05,
+			Retries: 1, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, Value: 1, Retriable: true,
 				Target: time.Second, GiveUp: 3 * time.Second, Most: 20},
 				{Name: "fan-alert", Share: 1, Value: 5, Target: time.Second, GiveUp: 3 * time.Second, Most: 20}}}.Run(context.Background())
 	}
--- a/load/client.go
+++ b/internal/loadgen/client.go
@@ -1,6 +1,6 @@
 // Package load is a client of the chat API that keeps count, and a source of traffic: sessions, shared
 // beginnings, retries and patience. It tells what clients saw, nothing else.
-package load
+package loadgen
 
 import (
 	"bytes"
--- a/load/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"cmp"
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -19,9 +19,9 @@
 	"sandcourse/audit"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/loadgen"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
-	"sandcourse/load"
 	"sandcourse/prove"
 )
 
@@ -203,7 +203,7 @@
 	}
 	defer n.Stop()
 	source <- list
-	client := load.NewClient()
+	client := loadgen.NewClient()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -226,8 +226,8 @@
 			mine, stop := context.WithCancel(ctx)
 			leave[i] = stop
 			all.Go(func() {
-				got[i], _ = client.Do(mine, n.Addr(), load.Ask{Route: w.Effects[i], Request: fmt.Sprint("p", i),
-					GiveUp: d.Routes[0].Timeout, Most: 5, Messages: []load.Line{{Role: "user", Content: "x"}}})
+				got[i], _ = client.Do(mine, n.Addr(), loadgen.Ask{Route: w.Effects[i], Request: fmt.Sprint("p", i),
+					GiveUp: d.Routes[0].Timeout, Most: 5, Messages: []loadgen.Line{{Role: "user", Content: "x"}}})
 				if mine.Err() != nil && got[i].Final == "lost" {
 					got[i].Final = "left"
 				}
