--- a/badday/badday_test.go
+++ b/badday/badday_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/protocol/chat"
--- a/badday/day.go
+++ b/badday/day.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/loadgen"
--- a/badday/fleet.go
+++ b/badday/fleet.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
--- a/badday/rules.go
+++ b/badday/rules.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 )
 
--- a/badday/tilt_test.go
+++ b/badday/tilt_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/loadgen"
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/standin/platformengine"
 )
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/standin/platformengine"
 )
 
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
 	"sandcourse/badday"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/loadgen"
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
 	"sandcourse/badday"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/router"
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/protocol/chat"
 )
 
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 )
 
 // Route is one model route as clients use it.
--- a/soak/client.go
+++ b/soak/client.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/protocol/platform"
 )
 
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/standin/platformengine"
 )
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 )
 
 // echo is a server that sends back what it reads.
--- a/soak/trouble.go
+++ b/soak/trouble.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/standin/platformengine"
 )
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
 	proto "sandcourse/internal/protocol/engineapi"
--- a/standin/engine/role.go
+++ b/standin/engine/role.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/protocol/chat"
 )
--- a/standin/platformengine/engine.go
+++ b/standin/platformengine/engine.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/protocol/platform"
 )
 
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/audit"
+	"sandcourse/internal/audit"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/loadgen"
