--- a/cmd/sandcourse/badday.go
+++ b/cmd/sandcourse/badday.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sandcourse/badday"
+	"sandcourse/internal/scenario"
 )
 
 func baddayCommand() *cobra.Command {
@@ -19,7 +19,7 @@
 	c := &cobra.Command{Use: "badday FILE", Short: "Play a scripted day of troubles and judge the five rules",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := badday.Load(args[0])
+			day, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 			if err != nil {
 				return err
 			}
-			script, err := badday.Import(text, shrink)
+			script, err := scenario.Import(text, shrink)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -11,11 +11,11 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sandcourse/badday"
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/loadgen"
+	"sandcourse/internal/scenario"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -35,7 +35,7 @@
 			}
 			defer os.RemoveAll(dir)
 			log := &audit.Log{}
-			fleet, err := badday.StartFleet(dir, makes(readers, writers), log)
+			fleet, err := scenario.StartFleet(dir, makes(readers, writers), log)
 			if err != nil {
 				return err
 			}
--- a/cmd/sandcourse/tilt.go
+++ b/cmd/sandcourse/tilt.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"sandcourse/badday"
 	"sandcourse/internal/planner/planapi"
+	"sandcourse/internal/scenario"
 )
 
 type tiltOptions struct {
@@ -33,8 +33,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	was, begun := "", time.Now()
-	t := badday.Tilt{Readers: readers, Writers: writers, Edges: 2, Fixed: o.fixed, Kill: o.kill,
-		Seed: o.seed, Phases: []badday.Phase{
+	t := scenario.Tilt{Readers: readers, Writers: writers, Edges: 2, Fixed: o.fixed, Kill: o.kill,
+		Seed: o.seed, Phases: []scenario.Phase{
 			{Name: "long prompts", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24},
 			{Name: "long answers", Length: o.phase, Rate: o.rate, Own: 40, Answer: 200},
 			{Name: "long prompts again", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24}},
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -12,12 +12,12 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/badday"
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
+	"sandcourse/internal/scenario"
 	"sandcourse/settings"
 	"sandcourse/standin/engine"
 )
@@ -26,8 +26,8 @@
 type rig struct {
 	t     *testing.T
 	log   *audit.Log
-	fleet *badday.Fleet
-	edges *badday.Edges
+	fleet *scenario.Fleet
+	edges *scenario.Edges
 	begun time.Time
 	rules audit.Rules
 	asked int
@@ -41,7 +41,7 @@
 	}
 	r := &rig{t: t, log: &audit.Log{}, begun: time.Now()}
 	var err error
-	if r.fleet, err = badday.StartFleet(t.TempDir(), makes, r.log); err != nil {
+	if r.fleet, err = scenario.StartFleet(t.TempDir(), makes, r.log); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.fleet.Stop)
@@ -53,8 +53,8 @@
 	if alter != nil {
 		alter(d)
 	}
-	r.rules = badday.Rules(d)
-	if r.edges, err = badday.StartEdges(1, *d, zap.NewNop(), r.log, 1); err != nil {
+	r.rules = scenario.Rules(d)
+	if r.edges, err = scenario.StartEdges(1, *d, zap.NewNop(), r.log, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.edges.Stop)
--- a/badday/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,6 +1,6 @@
 // Package badday runs scripted days: stand-in engines, several edges, traffic and troubles in one process on
 // loopback sockets, judged by the auditor.
-package badday
+package scenario
 
 import (
 	"context"
--- a/badday/trouble.go
+++ b/internal/scenario/trouble.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"cmp"
