--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -16,14 +16,14 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"sandcourse/sway"
+	"sandcourse/internal/fluidmodel"
 )
 
 // point is one setting of a sweep, with what each arm came to on its seeds.
 type point struct {
 	factor, level string
 	at            float64
-	arms          map[string][]sway.Result
+	arms          map[string][]fluidmodel.Result
 	best          []int // readers of the best fixed split
 	took          time.Duration
 }
@@ -37,14 +37,14 @@
 		Short: "Play tilting days in simulated time: where does changing roles pay?", Args: cobra.NoArgs,
 		Long: "The real roles code on a fluid fleet, against fixed roles and a plain threshold. Writes a table and charts.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			base := sway.Day{Engines: 40, Readers: 20, Cells: 4, Edges: 6, Length: 20 * time.Minute,
+			base := fluidmodel.Day{Engines: 40, Readers: 20, Cells: 4, Edges: 6, Length: 20 * time.Minute,
 				Period: 10 * time.Minute, Depth: 0.8, Square: true,
 				Load: 0.85, Reload: 5 * time.Second, Cold: 10 * time.Second, Drain: 4 * time.Second}
 			var points []*point
 			var days []todo
-			add := func(factor, level string, at float64, change func(*sway.Day)) {
+			add := func(factor, level string, at float64, change func(*fluidmodel.Day)) {
 				points = append(points, &point{factor: factor, level: level, at: at,
-					arms: map[string][]sway.Result{}})
+					arms: map[string][]fluidmodel.Result{}})
 				p := points[len(points)-1]
 				for seed := range seeds {
 					d := base
@@ -54,35 +54,35 @@
 					days = append(days, todo{p, seed, d})
 				}
 				for _, arm := range armNames {
-					p.arms[arm] = make([]sway.Result, seeds)
+					p.arms[arm] = make([]fluidmodel.Result, seeds)
 				}
 			}
 			for _, s := range []float64{10, 30, 60, 120, 240, 600, 1200} {
 				add("period of the swing, s", fmt.Sprint(s), s,
-					func(d *sway.Day) { d.Period = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Day) { d.Period = time.Duration(s) * time.Second })
 			}
 			for _, depth := range []float64{0.1, 0.3, 0.5, 0.8, 1} {
-				add("depth of the swing", fmt.Sprint(depth), depth, func(d *sway.Day) { d.Depth = depth })
+				add("depth of the swing", fmt.Sprint(depth), depth, func(d *fluidmodel.Day) { d.Depth = depth })
 			}
 			for _, s := range []float64{1, 5, 15, 40, 90} {
 				add("reload time, s", fmt.Sprint(s), s,
-					func(d *sway.Day) { d.Reload = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Day) { d.Reload = time.Duration(s) * time.Second })
 			}
 			for _, s := range []float64{0, 1, 3, 8} {
 				add("lag of reports, s", fmt.Sprint(s), s,
-					func(d *sway.Day) { d.Lag = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Day) { d.Lag = time.Duration(s) * time.Second })
 			}
 			for _, n := range []int{8, 20, 40, 110, 300} {
-				add("engines", fmt.Sprint(n), float64(n), func(d *sway.Day) {
+				add("engines", fmt.Sprint(n), float64(n), func(d *fluidmodel.Day) {
 					d.Engines, d.Readers,
 						d.Cells = n, n/2, max(1, n/10)
 				})
 			}
 			for _, load := range []float64{0.5, 0.7, 0.85, 1, 1.2} {
-				add("load, of the best split", fmt.Sprint(load), load, func(d *sway.Day) { d.Load = load })
+				add("load, of the best split", fmt.Sprint(load), load, func(d *fluidmodel.Day) { d.Load = load })
 			}
 			for _, part := range []float64{0, 0.33, 0.6} {
-				add("reports missing, share", fmt.Sprint(part), part, func(d *sway.Day) { d.Missing = part })
+				add("reports missing, share", fmt.Sprint(part), part, func(d *fluidmodel.Day) { d.Missing = part })
 			}
 			runDays(days)
 			if err := os.MkdirAll(out, 0o755); err != nil {
@@ -113,7 +113,7 @@
 type todo struct {
 	p    *point
 	seed int
-	d    sway.Day
+	d    fluidmodel.Day
 }
 
 // runDays plays all on all cores; each day is deterministic by itself.
@@ -121,13 +121,13 @@
 	onAllCores(len(days), func(i int) {
 		t := days[i]
 		begun := time.Now()
-		t.p.arms["roles"][t.seed] = sway.Run(t.d, sway.Arm{Roles: true})
+		t.p.arms["roles"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{Roles: true})
 		if t.seed == 0 {
 			t.p.took = time.Since(begun)
 		}
-		t.p.arms["best fixed"][t.seed], t.p.best[t.seed] = sway.Best(t.d)
-		t.p.arms["fixed at start"][t.seed] = sway.Run(t.d, sway.Arm{})
-		t.p.arms["threshold"][t.seed] = sway.Run(t.d, sway.Arm{Plain: true})
+		t.p.arms["best fixed"][t.seed], t.p.best[t.seed] = fluidmodel.Best(t.d)
+		t.p.arms["fixed at start"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{})
+		t.p.arms["threshold"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{Plain: true})
 	})
 }
 
@@ -145,7 +145,7 @@
 	all.Wait()
 }
 
-func values(row []sway.Result, of func(sway.Result) float64) (out []float64) {
+func values(row []fluidmodel.Result, of func(fluidmodel.Result) float64) (out []float64) {
 	for _, r := range row {
 		out = append(out, of(r))
 	}
@@ -161,22 +161,22 @@
 			fmt.Fprintf(&b, "\n%s, mean of %d days (± standard deviation of roles):\n\n| level | roles | best fixed | fixed at start | threshold | "+
 				"worst 10 s of roles | of best fixed | changes | lost to changing |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", factor, seeds)
 		}
-		value := func(r sway.Result) float64 { return r.Value }
+		value := func(r fluidmodel.Result) float64 { return r.Value }
 		mean, dev := stat.MeanStdDev(values(p.arms["roles"], value), nil)
 		if seeds < 2 {
 			dev = 0
 		}
-		m := func(arm string, of func(sway.Result) float64) float64 {
+		m := func(arm string, of func(fluidmodel.Result) float64) float64 {
 			return stat.Mean(values(p.arms[arm],
 				of), nil)
 		}
 		fmt.Fprintf(&b, "| %s | %.3f ± %.3f | %.3f | %.3f | %.3f | %.2f | %.2f | %.0f | %.3f |\n", p.level,
 			mean, dev, m("best fixed", value),
 			m("fixed at start", value), m("threshold", value), m("roles",
-				func(r sway.Result) float64 { return r.Worst }),
-			m("best fixed", func(r sway.Result) float64 { return r.Worst }),
-			m("roles", func(r sway.Result) float64 { return float64(r.Switch) }), m("roles",
-				func(r sway.Result) float64 { return r.Lost }))
+				func(r fluidmodel.Result) float64 { return r.Worst }),
+			m("best fixed", func(r fluidmodel.Result) float64 { return r.Worst }),
+			m("roles", func(r fluidmodel.Result) float64 { return float64(r.Switch) }), m("roles",
+				func(r fluidmodel.Result) float64 { return r.Lost }))
 	}
 	return b.String()
 }
@@ -191,7 +191,7 @@
 		var xy plotter.XYs
 		for _, x := range points {
 			xy = append(xy, plotter.XY{X: x.at, Y: stat.Mean(values(x.arms[arm],
-				func(r sway.Result) float64 { return r.Value }), nil)})
+				func(r fluidmodel.Result) float64 { return r.Value }), nil)})
 		}
 		rows = append(rows, arm, xy)
 	}
--- a/sway/sway.go
+++ b/internal/fluidmodel/sway.go
@@ -1,7 +1,7 @@
 // Package sway is a fleet in simulated time whose load tilts between reading and writing. The real roles
 // decide, or a baseline does; queues, engines and edges are a fluid: shares of inferences, not single ones.
 // It does no I/O.
-package sway
+package fluidmodel
 
 import (
 	"fmt"
--- a/sway/sway_test.go
+++ b/internal/fluidmodel/sway_test.go
@@ -1,4 +1,4 @@
-package sway
+package fluidmodel
 
 import (
 	"reflect"
