--- a/cmd/sandcourse/lab.go
+++ b/cmd/sandcourse/lab.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"sandcourse/internal/config/script"
-	"sandcourse/lab"
+	"sandcourse/internal/emulator"
 )
 
 func labCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			x, err := lab.ReadExperiment(args[0], text)
+			x, err := emulator.ReadExperiment(args[0], text)
 			if err != nil {
 				return err
 			}
@@ -51,21 +51,21 @@
 }
 
 // playArms plays all days, spread over cores; each is one owner's and the same wherever it runs.
-func playArms(x *lab.Experiment) [][]lab.Result {
-	results := make([][]lab.Result, len(x.Arms))
+func playArms(x *emulator.Experiment) [][]emulator.Result {
+	results := make([][]emulator.Result, len(x.Arms))
 	for i := range results {
-		results[i] = make([]lab.Result, x.Seeds)
+		results[i] = make([]emulator.Result, x.Seeds)
 	}
 	onAllCores(len(x.Arms)*x.Seeds, func(n int) {
 		i, s := n/x.Seeds, n%x.Seeds
 		d := x.Arms[i].Change
 		d.Seed = uint64(s + 1)
-		results[i][s] = lab.Run(d)
+		results[i][s] = emulator.Run(d)
 	})
 	return results
 }
 
-func armTable(x *lab.Experiment, rows []lab.Compared) string {
+func armTable(x *emulator.Experiment, rows []emulator.Compared) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference to the first arm with 95 of 100 by bootstrap.\n\n", x.Seeds)
 	b.WriteString("| arm | value in time | difference | worst 5 s | well again after | tries | refused | ran twice | pushed over |\n" +
@@ -89,7 +89,7 @@
 	return b.String()
 }
 
-func armChart(path string, rows []lab.Compared) error {
+func armChart(path string, rows []emulator.Compared) error {
 	p := plot.New()
 	p.Title.Text = "value in time by when clients first asked (simulated)"
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "share", 0, 1.02
--- a/lab/day.go
+++ b/internal/emulator/day.go
@@ -1,7 +1,7 @@
 // Package lab emulates the served systems in simulated time: clients, edges that run the real node with its
 // module, limits and connections, and engines with slots, queues, memory, kept beginnings and cold starts.
 // One seed and one owner: a day is the same to the byte whatever else the machine does. It does no I/O.
-package lab
+package emulator
 
 import (
 	"container/heap"
--- a/lab/edge.go
+++ b/internal/emulator/edge.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"bytes"
