--- a/cmd/sandcourse/prove.go
+++ b/cmd/sandcourse/prove.go
@@ -16,16 +16,16 @@
 
 	"github.com/spf13/cobra"
 
-	"sandcourse/prove"
+	"sandcourse/internal/modelcheck"
 	"sandcourse/standin/puppet"
 )
 
 // found is a counterexample as a file keeps it: enough to play it again.
 type found struct {
-	World  prove.World `json:"world"`
-	Path   prove.Path  `json:"path"`
-	Broken []string    `json:"broken"`
-	Story  []string    `json:"story"`
+	World  modelcheck.World `json:"world"`
+	Path   modelcheck.Path  `json:"path"`
+	Broken []string         `json:"broken"`
+	Story  []string         `json:"story"`
 }
 
 func proveCommand() *cobra.Command {
@@ -37,25 +37,25 @@
 	c := &cobra.Command{Use: "prove [WORLD ...]", Short: "Explore the attempt machine for a broken property",
 		Long: "Without a world, all small ones are explored whole and the large ones walked at random. `prove list` names them.",
 		RunE: func(c *cobra.Command, args []string) error {
-			var worlds []prove.World
+			var worlds []modelcheck.World
 			for _, name := range args {
-				w, ok := prove.Find(name)
+				w, ok := modelcheck.Find(name)
 				if !ok {
 					return fmt.Errorf("there is no world %q; see sandcourse prove list", name)
 				}
 				worlds = append(worlds, w)
 			}
 			if len(args) == 0 {
-				worlds = slices.Concat(prove.Worlds, prove.Large, prove.Crowds)
+				worlds = slices.Concat(modelcheck.Worlds, modelcheck.Large, modelcheck.Crowds)
 			}
 			end := time.Now().Add(length)
 			until := func() bool { return time.Now().After(end) }
-			var rows []prove.Result
-			var took prove.Cover
+			var rows []modelcheck.Result
+			var took modelcheck.Cover
 			bad := 0
 			for _, w := range worlds {
 				begun := time.Now()
-				r, err := proveWorld(w, prove.Bounds{Workers: workers, States: states, Until: until}, seed, walks, snapshots,
+				r, err := proveWorld(w, modelcheck.Bounds{Workers: workers, States: states, Until: until}, seed, walks, snapshots,
 					c.ErrOrStderr())
 				if err != nil {
 					return err
@@ -122,7 +122,7 @@
 			if err := json.Unmarshal(text, &f); err != nil {
 				return fmt.Errorf("%s is no counterexample: %w", args[0], err)
 			}
-			lines, broken := prove.Story(f.World, f.Path)
+			lines, broken := modelcheck.Story(f.World, f.Path)
 			fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n"))
 			if sockets {
 				got, want, err := puppet.Play(f.World, f.Path)
@@ -143,26 +143,26 @@
 	replay.Flags().BoolVar(&sockets, "sockets", false, "also through a real edge and scripted engines on loopback")
 	c.AddCommand(replay, &cobra.Command{Use: "list", Short: "Name worlds and properties", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
-			for _, w := range slices.Concat(prove.Worlds, prove.Large, prove.Crowds) {
+			for _, w := range slices.Concat(modelcheck.Worlds, modelcheck.Large, modelcheck.Crowds) {
 				fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", w.Name, w.About)
 			}
-			for _, p := range prove.Properties {
+			for _, p := range modelcheck.Properties {
 				fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", p.Name, p.Text)
 			}
 		}})
 	return c
 }
 
-func proveWorld(w prove.World, b prove.Bounds, seed uint64, walks int, snapshots string, say io.Writer) (prove.Result, error) {
+func proveWorld(w modelcheck.World, b modelcheck.Bounds, seed uint64, walks int, snapshots string, say io.Writer) (modelcheck.Result, error) {
 	if w.Crowd {
-		return prove.Crowd(w, seed, b.Until), nil
+		return modelcheck.Crowd(w, seed, b.Until), nil
 	}
-	for _, l := range prove.Large {
+	for _, l := range modelcheck.Large {
 		if l.Name == w.Name {
-			return prove.Swarm(w, seed, walks, b.Workers, b.Until), nil
+			return modelcheck.Swarm(w, seed, walks, b.Workers, b.Until), nil
 		}
 	}
-	snap := prove.Start(w)
+	snap := modelcheck.Start(w)
 	path := filepath.Join(snapshots, w.Name+".prove")
 	if snapshots != "" {
 		f, err := os.Open(path)
@@ -171,11 +171,11 @@
 			f.Close()
 		}
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			return prove.Result{}, fmt.Errorf("snapshot %s: %w; remove it to begin anew", path, err)
+			return modelcheck.Result{}, fmt.Errorf("snapshot %s: %w; remove it to begin anew", path, err)
 		}
 	}
 	begun, before := time.Now(), snap.Result.States
-	r := snap.Go(b, func(r prove.Result, front int) {
+	r := snap.Go(b, func(r modelcheck.Result, front int) {
 		rate := float64(r.States-before) / time.Since(begun).Seconds()
 		fmt.Fprintf(say, "%s: depth %d, %d states, %d to open next, about %.0f s for them\n", w.Name, r.Depth, r.States,
 			front, float64(front)/max(rate, 1))
@@ -201,8 +201,8 @@
 	return r, err
 }
 
-func keep(dir string, r prove.Result, say io.Writer) error {
-	lines, broken := prove.Story(r.World, r.Path)
+func keep(dir string, r modelcheck.Result, say io.Writer) error {
+	lines, broken := modelcheck.Story(r.World, r.Path)
 	if r.World.Crowd { // a walk of its own: the seed plays it again
 		lines, broken = nil, r.Broken
 	}
--- a/prove/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -1,4 +1,4 @@
-package prove_test
+package modelcheck_test
 
 import (
 	"encoding/json"
@@ -80,7 +80,7 @@
 // Each defect must be caught by a property that is named for it. The build of some thirty binaries takes a
 // minute or two, so CI takes three of them and SANDCOURSE_MUTATIONS=all the rest.
 func TestMutationsAreCaught(t *testing.T) {
-	root, err := filepath.Abs("..")
+	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/prove/properties.go
+++ b/internal/modelcheck/properties.go
@@ -1,4 +1,4 @@
-package prove
+package modelcheck
 
 import (
 	"strings"
--- a/prove/sim.go
+++ b/internal/modelcheck/sim.go
@@ -2,7 +2,7 @@
 // brain, attempt, conns and limits, and a small adversary that plays engines, wire, roster, clients and
 // clock. Every event that the adversary may bring is tried from every state; states that are alike are opened
 // once. It does no I/O.
-package prove
+package modelcheck
 
 import (
 	"bytes"
--- a/standin/puppet/puppet.go
+++ b/standin/puppet/puppet.go
@@ -20,9 +20,9 @@
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/loadgen"
+	"sandcourse/internal/modelcheck"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
-	"sandcourse/prove"
 )
 
 // ask is one request that an engine has got and not answered to its end.
@@ -176,11 +176,11 @@
 // Play drives a real edge along a path and returns what each client saw, beside what the explorer's clients ended
 // with (empty while one waits). Worlds must have one reader and one writer: with more, the choice hangs on the
 // engines' names, which on sockets are other ones.
-func Play(w prove.World, path prove.Path) (got []audit.Call, want []string, err error) {
+func Play(w modelcheck.World, path modelcheck.Path) (got []audit.Call, want []string, err error) {
 	if w.Readers != 1 || w.Writers != 1 {
 		return nil, nil, fmt.Errorf("world %s has %d readers and %d writers; sockets play one of each", w.Name, w.Readers, w.Writers)
 	}
-	steps, want, err := prove.Steps(w, path)
+	steps, want, err := modelcheck.Steps(w, path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -276,7 +276,7 @@
 }
 
 // act finds who is meant and what is done.
-func (st *stage) act(ctx context.Context, w prove.World, name string) error {
+func (st *stage) act(ctx context.Context, w modelcheck.World, name string) error {
 	kind, _, _ := strings.Cut(name, " ")
 	for _, d := range deeds {
 		if !strings.HasSuffix(name, d.suffix) {
--- a/standin/puppet/puppet_test.go
+++ b/standin/puppet/puppet_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"sandcourse/prove"
+	"sandcourse/internal/modelcheck"
 )
 
 // Random paths of the smallest world, without the faults that sockets can't play, end alike on sockets.
 func TestPathsEndAlikeOnSockets(t *testing.T) {
-	w := prove.World{Name: "small", Readers: 1, Writers: 1, Effects: []string{"non-retriable"}, Faults: 1,
+	w := modelcheck.World{Name: "small", Readers: 1, Writers: 1, Effects: []string{"non-retriable"}, Faults: 1,
 		Kinds: []string{"reset", "half", "full", "error", "no-state"}}
-	paths := prove.Ends(w, 40)
+	paths := modelcheck.Ends(w, 40)
 	if len(paths) < 5 {
 		t.Fatalf("only %d paths", len(paths))
 	}
@@ -21,7 +21,7 @@
 			continue
 		}
 		if got[0].Final != want[0] || got[0].Finals != 1 {
-			lines, _ := prove.Story(w, path)
+			lines, _ := modelcheck.Story(w, path)
 			t.Errorf("on sockets %s (%d answers, %s), want %s: %v", got[0].Final, got[0].Finals, got[0].Why, want[0], lines)
 		}
 	}
