--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sandcourse/soak"
+	"sandcourse/internal/soak"
 )
 
 // Descriptors run out for a moment, just as a client comes: the node has one left, which the accepted connection takes, and
--- a/cmd/sandcourse/soak.go
+++ b/cmd/sandcourse/soak.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sandcourse/soak"
+	"sandcourse/internal/soak"
 )
 
 func soakCommand() *cobra.Command {
