--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -14,10 +14,10 @@
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/scenario"
 	"sandcourse/settings"
-	"sandcourse/standin/engine"
 )
 
 func demoCommand() *cobra.Command {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -14,12 +14,12 @@
 
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/internal/scenario"
 	"sandcourse/settings"
-	"sandcourse/standin/engine"
 )
 
 // rig is one edge and a small fleet.
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
-	"sandcourse/standin/engine"
 )
 
 // soak runs steady load with faults that come and go, and looks at memory and descriptors once it is over.
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -15,10 +15,10 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/planner/planclient"
-	"sandcourse/standin/engine"
 )
 
 func cpu() time.Duration {
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -19,10 +19,10 @@
 
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/planner/assignment"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/internal/planner/planclient"
-	"sandcourse/standin/engine"
 )
 
 // fleet is stand-ins, their roster and what a planner of them is told.
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -16,11 +16,11 @@
 
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
+	standin "sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/settings"
-	standin "sandcourse/standin/engine"
 )
 
 // careless is a router without any guard: it does to stand-ins what the edge never must.
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -17,8 +17,8 @@
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/config/script"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
-	"sandcourse/standin/engine"
 )
 
 // Day is a scripted day.
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -17,8 +17,8 @@
 	"sandcourse/internal/config"
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/router"
-	"sandcourse/standin/engine"
 )
 
 // Fleet is stand-in engines with the roster file that names them.
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -13,11 +13,11 @@
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/settings"
-	"sandcourse/standin/engine"
 )
 
 // Phase is a time with one mix of work.
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -15,11 +15,11 @@
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/planner"
 	"sandcourse/internal/planner/planapi"
 	"sandcourse/settings"
-	"sandcourse/standin/engine"
 )
 
 // Load tilts to reading and to writing, the planner is killed every nine seconds, an engine crashes and
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"sandcourse/standin/engine"
+	"sandcourse/internal/fake/engine"
 )
 
 // Trouble is one trouble of a day, named and shaped as the bench's.
