--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"sandcourse/internal/audit"
+	"sandcourse/internal/fake/platformengine"
 	"sandcourse/internal/protocol/platform"
-	"sandcourse/standin/platformengine"
 )
 
 // The protocol's figures: states are taken or released within a second and 300 ms. The rest of the slack is for a
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"sandcourse/internal/audit"
-	"sandcourse/standin/platformengine"
+	"sandcourse/internal/fake/platformengine"
 )
 
 // someList is a list of discovery with one engine, where nobody listens.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sandcourse/internal/audit"
-	"sandcourse/standin/platformengine"
+	"sandcourse/internal/fake/platformengine"
 )
 
 // Config is one run.
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sandcourse/internal/audit"
-	"sandcourse/standin/platformengine"
+	"sandcourse/internal/fake/platformengine"
 )
 
 // trouble plays one trouble after the other until ctx ends.
