--- a/cmd/sandcourse/prove.go
+++ b/cmd/sandcourse/prove.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 
 	"sandcourse/internal/modelcheck"
-	"sandcourse/standin/puppet"
+	"sandcourse/internal/replay"
 )
 
 // found is a counterexample as a file keeps it: enough to play it again.
@@ -125,7 +125,7 @@
 			lines, broken := modelcheck.Story(f.World, f.Path)
 			fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n"))
 			if sockets {
-				got, want, err := puppet.Play(f.World, f.Path)
+				got, want, err := replay.Play(f.World, f.Path)
 				if err != nil {
 					return fmt.Errorf("on sockets: %w", err)
 				}
--- a/standin/puppet/puppet.go
+++ b/internal/replay/puppet.go
@@ -1,6 +1,6 @@
 // Package puppet plays a path of the explorer through a real edge on sockets: engines that do what the path says
 // and nothing else, a client for each inference, and a list that changes when told.
-package puppet
+package replay
 
 import (
 	"bufio"
--- a/standin/puppet/puppet_test.go
+++ b/internal/replay/puppet_test.go
@@ -1,4 +1,4 @@
-package puppet
+package replay
 
 import (
 	"testing"
