--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"sandcourse/internal/routing"
-	"sandcourse/simwire"
+	"sandcourse/internal/simproto"
 )
 
 func main() {
@@ -41,11 +41,11 @@
 }
 
 func answer(line []byte, nodes map[string]*routing.Brain, note func(string)) ([]byte, error) {
-	now, events, err := simwire.Decode(line)
+	now, events, err := simproto.Decode(line)
 	if err != nil {
 		return nil, err
 	}
-	actions := []simwire.Action{}
+	actions := []simproto.Action{}
 	for i, ev := range events {
 		node, created := nodes[ev.Node]
 		switch {
@@ -61,17 +61,17 @@
 			actions = append(actions, step(node, ev.Node, now, ev.Input)...)
 		}
 	}
-	return json.Marshal(map[string][]simwire.Action{"out": actions})
+	return json.Marshal(map[string][]simproto.Action{"out": actions})
 }
 
-func step(node *routing.Brain, name string, now int64, in routing.Input) (actions []simwire.Action) {
+func step(node *routing.Brain, name string, now int64, in routing.Input) (actions []simproto.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			actions = []simwire.Action{simwire.Die(name, fmt.Sprint(p))}
+			actions = []simproto.Action{simproto.Die(name, fmt.Sprint(p))}
 		}
 	}()
 	for _, effect := range node.Step(now, in) {
-		actions = append(actions, simwire.Encode(name, effect))
+		actions = append(actions, simproto.Encode(name, effect))
 	}
 	return actions
 }
--- a/simwire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,5 +1,5 @@
 // Package simwire reads and writes the simulator's lines. It renames and converts units, and decides nothing.
-package simwire
+package simproto
 
 import (
 	"bytes"
