--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -77,6 +77,24 @@
 		"asIs := !r.Changing", "roles", "R1 R2 R7"},
 }
 
+// Every mutation has to find the text that it changes, so that a change of that text is seen at once and not by the full run alone.
+func TestMutationsFindTheirText(t *testing.T) {
+	root, err := filepath.Abs("../..")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, m := range mutations {
+		text, err := os.ReadFile(filepath.Join(root, m.file))
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		if !strings.Contains(string(text), m.old) {
+			t.Errorf("%s: %s has no such text any more: %q", m.name, m.file, m.old)
+		}
+	}
+}
+
 // Each defect must be caught by a property that is named for it. The build of some thirty binaries takes a
 // minute or two, so CI takes three of them and SANDCOURSE_MUTATIONS=all the rest.
 func TestMutationsAreCaught(t *testing.T) {
