--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -15,20 +15,23 @@
 	"sandcourse/internal/invariant"
 )
 
-// Told is what the platform tells a node at its start, and again when it asks it to read anew.
+// Told is what the platform tells a node at its start, and again when it asks it to read anew. Keys match in any case;
+// the tags have the spelling that refusals print.
 type Told struct {
-	Name, Listen, Discovery string
-	Seed                    string
-	Limits                  struct {
-		Cores    float64
+	Name      string `json:"Name"`
+	Listen    string `json:"Listen"`
+	Discovery string `json:"Discovery"`
+	Seed      string `json:"Seed"`
+	Limits    struct {
+		Cores    float64 `json:"Cores"`
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int
-	}
-	PeerListen string `json:"peer_listen"`
-	Peers      []string
-	PeersAll   string `json:"peers_all"`
-	Known      json.RawMessage
-	Settings   map[string]any
+		Sockets  int     `json:"Sockets"`
+	} `json:"Limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"Peers"`
+	PeersAll   string          `json:"peers_all"`
+	Known      json.RawMessage `json:"Known"`
+	Settings   map[string]any  `json:"Settings"`
 }
 
 // MaxTold is the most bytes that are read of a configuration.
