--- a/internal/planner/assignment/decide.go
+++ b/internal/planner/assignment/decide.go
@@ -46,11 +46,12 @@
 // Shown is one engine as operators see it.
 type Shown struct {
 	Record
-	Listed, CanChange bool
-	Said              planapi.EngineReport `json:"said"`
-	HeardMs           int64                `json:"heard_ms_ago"` // -1 for never
-	Barred            string               `json:"barred,omitempty"`
-	Trouble           string               `json:"trouble,omitempty"`
+	Listed    bool                 `json:"Listed"`
+	CanChange bool                 `json:"CanChange"`
+	Said      planapi.EngineReport `json:"said"`
+	HeardMs   int64                `json:"heard_ms_ago"` // -1 for never
+	Barred    string               `json:"barred,omitempty"`
+	Trouble   string               `json:"trouble,omitempty"`
 }
 
 // Show lists all engines.
