--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -169,13 +169,13 @@
 func (p *processes) ask(client *http.Client, node, name, class string, wait time.Duration) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+platform.CallPath, strings.NewReader(`{"model":"chat"}`))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+platform.CompletionsPath, strings.NewReader(`{"model":"chat"}`))
 	if err != nil {
 		p.t.Error(err)
 		return 0
 	}
-	for field, value := range map[string]string{platform.HeaderName: name, platform.HeaderRoute: class,
-		platform.HeaderSession: "s" + name, platform.HeaderGiveUp: fmt.Sprintf("%.3f", wait.Seconds())} {
+	for field, value := range map[string]string{platform.HeaderRequestID: name, platform.HeaderRequestClass: class,
+		platform.HeaderAffinityKey: "s" + name, platform.HeaderTimeout: fmt.Sprintf("%.3f", wait.Seconds())} {
 		r.Header.Set(field, value)
 	}
 	answer, err := client.Do(r)
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -27,7 +27,7 @@
 )
 
 // readAtStart reads the platform's configuration, and waits for a descriptor if there is none.
-func readAtStart(file string) (*platform.Told, error) {
+func readAtStart(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
 	for tries := 1; neterr.Local(err) && tries < openTries; tries++ {
 		time.Sleep(openPause)
@@ -37,17 +37,17 @@
 }
 
 // readTold reads the platform's configuration once.
-func readTold(file string) (*platform.Told, error) {
+func readTold(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
 	return parseTold(file, data, err)
 }
 
 // parseTold makes a configuration of what was read of its file; the error, if any, is of type script.Faults.
-func parseTold(file string, data []byte, err error) (*platform.Told, error) {
+func parseTold(file string, data []byte, err error) (*platform.NodeConfig, error) {
 	if err != nil {
 		return nil, script.Faults{fmt.Sprintf("%s: %v", file, err)}
 	}
-	return platform.ReadTold(file, data)
+	return platform.ParseNodeConfig(file, data)
 }
 
 func readBounded(file string) ([]byte, error) {
@@ -56,8 +56,8 @@
 		return nil, err
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, platform.MaxTold+1))
-	if err == nil && len(data) > platform.MaxTold {
+	data, err := io.ReadAll(io.LimitReader(f, platform.MaxConfigBytes+1))
+	if err == nil && len(data) > platform.MaxConfigBytes {
 		err = errors.New("it is over its bound")
 	}
 	return data, err
@@ -75,16 +75,16 @@
 		return err
 	}
 	// Three fifths: the rest is for stacks, the kernel's buffers and what the collector has not had yet.
-	debug.SetMemoryLimit(int64(told.Memory()) * 3 / 5)
+	debug.SetMemoryLimit(int64(told.MemoryBytes()) * 3 / 5)
 	// More than the one core: a poller that waits for sockets must not keep the owner from running.
 	runtime.GOMAXPROCS(4)
 	log := process.NewLog()
 	defer log.Sync()
 	at := make(chan string, 1)
-	at <- told.Discovery
-	agent := discovery.Agent{At: at, Known: told.Known}
-	n := edge.NewOn(d, log, agent, told.SeedNumber(), platform.New(told.Reports()))
-	if err := n.HearPeers(told.PeerListen, told.Peers, told.PeersAll); err != nil {
+	at <- told.DiscoveryAddress
+	agent := discovery.Client{Addresses: at, Cached: told.CachedEndpoints}
+	n := edge.NewOn(d, log, agent, told.SeedValue(), platform.NewCodec(told.LoadReportFields()))
+	if err := n.HearPeers(told.PeerListenAddress, told.Peers, told.PeerBroadcastAddress); err != nil {
 		return err
 	}
 	if err := n.Start(); err != nil {
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -44,8 +44,8 @@
 	for tries := 0; ; tries++ {
 		told, err := readTold(r.file)
 		if err == nil {
-			r.log.Info("configuration read anew", zap.String("discovery", told.Discovery), zap.Int("tries", tries+1))
-			r.hand(told.Discovery)
+			r.log.Info("configuration read anew", zap.String("discovery", told.DiscoveryAddress), zap.Int("tries", tries+1))
+			r.hand(told.DiscoveryAddress)
 			return
 		}
 		if err.Error() != said {
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -60,14 +60,14 @@
 // by id: they can't be sent to.
 func (d *Deployment) News(list endpoint.List) (news routing.EngineNews, unknown []string) {
 	news.Whole = true
-	for _, e := range list.Engines {
+	for _, e := range list.Entries {
 		kind := slices.IndexFunc(d.Kinds, func(k EngineKind) bool { return k.Name == e.Kind })
 		if kind < 0 {
-			unknown = append(unknown, e.Engine)
+			unknown = append(unknown, e.ID)
 			continue
 		}
-		news.Engines = append(news.Engines, routing.EngineEntry{Engine: e.Engine, Weight: e.Weight, Kind: kind,
-			Zone: d.zoneNumber(e.Zone), Cell: placeNumber(e.Zone + "/" + e.Cell), UpSince: e.UpSince * 1e6,
+		news.Engines = append(news.Engines, routing.EngineEntry{Engine: e.ID, Weight: e.Weight, Kind: kind,
+			Zone: d.zoneNumber(e.Zone), Cell: placeNumber(e.Zone + "/" + e.Cell), UpSince: e.StartedAtMs * 1e6,
 			Ready: e.State == endpoint.Ready, Drains: e.State == endpoint.Draining})
 	}
 	return news, unknown
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -179,7 +179,7 @@
 		},
 		"engine": func() ([]script.Key, func(fault)) {
 			e := endpoint.Entry{State: endpoint.Ready, Weight: 1}
-			return []script.Key{{Name: "at", To: &e.Engine, Need: true, Address: true}, {Name: "kind", To: &e.Kind, Need: true},
+			return []script.Key{{Name: "at", To: &e.ID, Need: true, Address: true}, {Name: "kind", To: &e.Kind, Need: true},
 					{Name: "zone", To: &e.Zone}, {Name: "cell", To: &e.Cell},
 					{Name: "weight", To: &e.Weight, Min: 0.01, Max: 1000}},
 				func(say fault) {
@@ -187,8 +187,8 @@
 						say("", "more than %d engines", maxListed)
 						return
 					}
-					if slices.ContainsFunc(d.Engines, func(o endpoint.Entry) bool { return o.Engine == e.Engine }) {
-						say("at", "engine %s stands twice", e.Engine)
+					if slices.ContainsFunc(d.Engines, func(o endpoint.Entry) bool { return o.ID == e.ID }) {
+						say("at", "engine %s stands twice", e.ID)
 					}
 					if !slices.ContainsFunc(d.Kinds,
 						func(k EngineKind) bool { return k.Name == e.Kind }) {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -74,10 +74,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news, unknown := d.News(endpoint.List{Engines: []endpoint.Entry{
-		{Engine: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, UpSince: 7},
-		{Engine: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
-		{Engine: "c:1", Kind: "mixed", State: endpoint.Ready}}})
+	news, unknown := d.News(endpoint.List{Entries: []endpoint.Entry{
+		{ID: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, StartedAtMs: 7},
+		{ID: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
+		{ID: "c:1", Kind: "mixed", State: endpoint.Ready}}})
 	for i := range news.Engines { // places beyond the settings' have any number, but one of their own
 		e := &news.Engines[i]
 		if e.Engine == "a:1" && (e.Zone == 0 || e.Cell == news.Engines[1].Cell) {
@@ -109,14 +109,14 @@
 		for range 5 {
 			var list endpoint.List
 			for i := range rapid.IntRange(0, 6).Draw(t, "engines") {
-				list.Engines = append(list.Engines, endpoint.Entry{Engine: fmt.Sprint(i), Kind: "decode", State: endpoint.Ready,
+				list.Entries = append(list.Entries, endpoint.Entry{ID: fmt.Sprint(i), Kind: "decode", State: endpoint.Ready,
 					Zone: rapid.SampledFrom([]string{"ktm-dc1", "a", "b"}).Draw(t, "zone"),
 					Cell: rapid.SampledFrom([]string{"0", "1", "2"}).Draw(t, "cell")})
 			}
 			news, _ := d.News(list)
 			for i, e := range news.Engines {
-				zone := list.Engines[i].Zone
-				cell := zone + "/" + list.Engines[i].Cell
+				zone := list.Entries[i].Zone
+				cell := zone + "/" + list.Entries[i].Cell
 				if n, ok := zones[zone]; ok && n != e.Zone || zone == "ktm-dc1" && e.Zone != 0 {
 					t.Fatalf("zone %s is %d, was %d", zone, e.Zone, n)
 				}
--- a/internal/discovery/catalog/catalog.go
+++ b/internal/discovery/catalog/catalog.go
@@ -13,114 +13,114 @@
 	"sandcourse/internal/endpoint"
 )
 
-// MaxAnswer is the most bytes of an answer: ten thousand engines have about three million.
-const MaxAnswer = 4 << 20
+// MaxResponseBytes is the most bytes of an answer: ten thousand engines have about three million.
+const MaxResponseBytes = 4 << 20
 
 // The words of an entry's state.
 const (
-	serving  = "SERVING"
-	draining = "DRAINING"
-	deleted  = "DELETED"
+	lifecycleServing  = "SERVING"
+	lifecycleDraining = "DRAINING"
+	lifecycleDeleted  = "DELETED"
 )
 
 // Catalog is what is known. The zero value knows nothing.
 type Catalog struct {
-	generation int64
-	engines    map[string]endpoint.Entry
-	wantsWhole bool // what is known is of another history than discovery's
+	generation    int64
+	entries       map[string]endpoint.Entry
+	needsSnapshot bool // what is known is of another history than discovery's
 }
 
-type entry struct {
-	ID      string      `json:"instanceId"`
-	Host    string      `json:"hostPort"`
-	Zone    string      `json:"zone"`
-	Kind    string      `json:"machineType"`
-	Cell    json.Number `json:"cell"`
-	State   string      `json:"lifecycle"`
-	Weight  float64     `json:"weight"`
-	Started int64       `json:"startedAtMs"`
+type instance struct {
+	ID          string      `json:"instanceId"`
+	Address     string      `json:"hostPort"`
+	Zone        string      `json:"zone"`
+	MachineType string      `json:"machineType"`
+	Cell        json.Number `json:"cell"`
+	Lifecycle   string      `json:"lifecycle"`
+	Weight      float64     `json:"weight"`
+	StartedAtMs int64       `json:"startedAtMs"`
 }
 
-// Take takes an answer of discovery. News says whether anything has changed. A generation that has gone back is that of a
+// Apply takes an answer of discovery. News says whether anything has changed. A generation that has gone back is that of a
 // store which was restored: its changes do not follow what is known, so the whole list is asked for. An entry that makes no
 // sense is left out, as if it were gone, and named in odd: one bad line must not hide the drain of another
 // engine.
-func (c *Catalog) Take(answer []byte) (news bool, odd []string, err error) {
-	var a struct {
+func (c *Catalog) Apply(body []byte) (changed bool, invalid []string, err error) {
+	var response struct {
 		Generation *int64            `json:"generation"`
 		Whole      bool              `json:"reset"`
 		Entries    []json.RawMessage `json:"instances"`
 	}
-	if len(answer) > MaxAnswer {
-		return false, nil, fmt.Errorf("list has %d bytes, at most %d are read", len(answer), MaxAnswer)
+	if len(body) > MaxResponseBytes {
+		return false, nil, fmt.Errorf("list has %d bytes, at most %d are read", len(body), MaxResponseBytes)
 	}
-	if err := json.Unmarshal(answer, &a); err != nil {
+	if err := json.Unmarshal(body, &response); err != nil {
 		return false, nil, fmt.Errorf("list is cut short or is no JSON: %w", err)
 	}
-	if a.Generation == nil {
+	if response.Generation == nil {
 		return false, nil, fmt.Errorf("list has no generation")
 	}
-	if !a.Whole && c.engines == nil {
+	if !response.Whole && c.entries == nil {
 		return false, nil, fmt.Errorf("changes came before a whole list")
 	}
-	if !a.Whole && *a.Generation <= c.generation {
-		c.wantsWhole = *a.Generation < c.generation
+	if !response.Whole && *response.Generation <= c.generation {
+		c.needsSnapshot = *response.Generation < c.generation
 		return false, nil, nil // nothing new, or changes that are known
 	}
-	before, generation := c.engines, c.generation
-	c.generation, c.wantsWhole = *a.Generation, false
-	if !a.Whole {
-		return true, c.put(a.Entries), nil
+	before, generation := c.entries, c.generation
+	c.generation, c.needsSnapshot = *response.Generation, false
+	if !response.Whole {
+		return true, c.applyChanges(response.Entries), nil
 	}
-	c.engines = map[string]endpoint.Entry{}
-	odd = c.put(a.Entries)
-	news = before == nil || c.generation != generation || !maps.Equal(before, c.engines)
-	return news, odd, nil
+	c.entries = map[string]endpoint.Entry{}
+	invalid = c.applyChanges(response.Entries)
+	changed = before == nil || c.generation != generation || !maps.Equal(before, c.entries)
+	return changed, invalid, nil
 }
 
-// put takes the entries of an answer, and names those that make no sense.
-func (c *Catalog) put(entries []json.RawMessage) (odd []string) {
-	for _, line := range entries {
-		var e entry
-		if json.Unmarshal(line, &e) != nil {
+// applyChanges takes the entries of an answer, and names those that make no sense.
+func (c *Catalog) applyChanges(instances []json.RawMessage) (invalid []string) {
+	for _, raw := range instances {
+		var in instance
+		if json.Unmarshal(raw, &in) != nil {
 			// A field of a wrong kind leaves the others as they are read, so its name may still be known.
-			e.State = ""
+			in.Lifecycle = ""
 		}
-		at, err := netip.ParseAddrPort(e.Host)
-		known := e.State == serving || e.State == draining || e.State == deleted
-		if e.ID == "" || !known || e.State != deleted && (err != nil || at.Port() == 0 || e.Started < 0) {
-			odd = append(odd, e.ID)
-			delete(c.engines, e.ID)
+		address, err := netip.ParseAddrPort(in.Address)
+		valid := in.Lifecycle == lifecycleServing || in.Lifecycle == lifecycleDraining || in.Lifecycle == lifecycleDeleted
+		if in.ID == "" || !valid || in.Lifecycle != lifecycleDeleted && (err != nil || address.Port() == 0 || in.StartedAtMs < 0) {
+			invalid = append(invalid, in.ID)
+			delete(c.entries, in.ID)
 			continue
 		}
-		if e.State == deleted {
-			delete(c.engines, e.ID)
+		if in.Lifecycle == lifecycleDeleted {
+			delete(c.entries, in.ID)
 			continue
 		}
 		state := endpoint.Ready
-		if e.State == draining {
+		if in.Lifecycle == lifecycleDraining {
 			state = endpoint.Draining
 		}
-		c.engines[e.ID] = endpoint.Entry{Engine: e.ID, Host: e.Host, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell.String(),
-			Weight: max(0, e.Weight), State: state, UpSince: e.Started}
+		c.entries[in.ID] = endpoint.Entry{ID: in.ID, Address: in.Address, Kind: in.MachineType, Zone: in.Zone, Cell: in.Cell.String(),
+			Weight: max(0, in.Weight), State: state, StartedAtMs: in.StartedAtMs}
 	}
-	return odd
+	return invalid
 }
 
 // List is the present list, by id.
 func (c *Catalog) List() endpoint.List {
-	list := endpoint.List{Revision: c.generation, Engines: []endpoint.Entry{}}
-	for _, id := range slices.Sorted(maps.Keys(c.engines)) {
-		list.Engines = append(list.Engines, c.engines[id])
+	list := endpoint.List{Revision: c.generation, Entries: []endpoint.Entry{}}
+	for _, id := range slices.Sorted(maps.Keys(c.entries)) {
+		list.Entries = append(list.Entries, c.entries[id])
 	}
 	return list
 }
 
 // Query is what to ask next: what is newer than what is known, within so many milliseconds, or the whole
 // list.
-func (c *Catalog) Query(waitMs int) string {
-	if c.engines == nil || c.wantsWhole {
+func (c *Catalog) Query(waitMillis int) string {
+	if c.entries == nil || c.needsSnapshot {
 		return ""
 	}
-	return "?index=" + strconv.FormatInt(c.generation, 10) + "&wait=" + strconv.Itoa(waitMs)
+	return "?index=" + strconv.FormatInt(c.generation, 10) + "&wait=" + strconv.Itoa(waitMillis)
 }
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -15,28 +15,28 @@
 	var out strings.Builder
 	say := func() {
 		fmt.Fprintf(&out, "query %q\n", c.Query(1500))
-		for _, e := range c.List().Engines {
-			fmt.Fprintf(&out, "    engine %q host %q type %q zone %q cell %q weight %v draining %v started %d\n", e.Engine, e.Host,
-				e.Kind, e.Zone, e.Cell, e.Weight, e.State == endpoint.Draining, e.UpSince)
+		for _, e := range c.List().Entries {
+			fmt.Fprintf(&out, "    engine %q host %q type %q zone %q cell %q weight %v draining %v started %d\n", e.ID, e.Address,
+				e.Kind, e.Zone, e.Cell, e.Weight, e.State == endpoint.Draining, e.StartedAtMs)
 		}
 	}
 	say()
 	for _, response := range []string{
-		string(answer(4, false, line(0, serving, 5))), // changes before a whole list
+		string(response(4, false, instanceJSON(0, lifecycleServing, 5))), // changes before a whole list
 		"{", "[]", `{"reset":true,"instances":[]}`,
-		string(answer(5, true, line(0, serving, 5), line(1, serving, 6))),
-		string(answer(5, false)),
-		string(answer(6, false, line(1, draining, 6), line(2, serving, 7))),
-		string(answer(6, false, line(2, deleted, 7))), // known already
-		string(answer(7, false, line(0, deleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
+		string(response(5, true, instanceJSON(0, lifecycleServing, 5), instanceJSON(1, lifecycleServing, 6))),
+		string(response(5, false)),
+		string(response(6, false, instanceJSON(1, lifecycleDraining, 6), instanceJSON(2, lifecycleServing, 7))),
+		string(response(6, false, instanceJSON(2, lifecycleDeleted, 7))), // known already
+		string(response(7, false, instanceJSON(0, lifecycleDeleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
 		`{"generation":8,"reset":false,"instances":[{"instanceId":"s-3","hostPort":"127.0.0.1:1","lifecycle":"SERVING","weight":-1}]}`,
-		string(answer(3, false, line(4, serving, 1))), // a store that was restored
-		string(answer(3, true, line(4, serving, 1))),
+		string(response(3, false, instanceJSON(4, lifecycleServing, 1))), // a store that was restored
+		string(response(3, true, instanceJSON(4, lifecycleServing, 1))),
 		"not JSON",
-		string(answer(4, false, line(4, draining, 1))),
-		string(answer(9, true)),
+		string(response(4, false, instanceJSON(4, lifecycleDraining, 1))),
+		string(response(9, true)),
 	} {
-		news, odd, err := c.Take([]byte(response))
+		news, odd, err := c.Apply([]byte(response))
 		fmt.Fprintf(&out, "response %s\n    news %v, left out %q, refused %v\n", response, news, odd, err != nil)
 		say()
 	}
--- a/internal/discovery/discover.go
+++ b/internal/discovery/discover.go
@@ -14,99 +14,99 @@
 	"sandcourse/internal/endpoint"
 )
 
-// Path is where the list is.
-const Path = "/catalog/members"
+// MembersPath is where the list is.
+const MembersPath = "/catalog/members"
 
-// Agent is a roster.Source that follows the agent at the last address of At.
-type Agent struct {
-	At    <-chan string // its address; a further one takes the place of the one before
-	Known []byte        // the list as the node last had it; empty for none
+// Client is a roster.Source that follows the agent at the last address of At.
+type Client struct {
+	Addresses <-chan string // its address; a further one takes the place of the one before
+	Cached    []byte        // the list as the node last had it; empty for none
 }
 
-// wait is how long one call may be held. What an agent has to tell while a connection is dead counts as told
+// watchWait is how long one call may be held. What an agent has to tell while a connection is dead counts as told
 // two seconds after the wait ends, so short ones find out soon.
-const wait = 1500 * time.Millisecond
+const watchWait = 1500 * time.Millisecond
 
-// late is how long after the wait an answer still comes from an agent that works.
-const late = 400 * time.Millisecond
+// responseGrace is how long after the wait an answer still comes from an agent that works.
+const responseGrace = 400 * time.Millisecond
 
-// again is how long after a call that failed, or that brought nothing new, the next one follows at the earliest. An agent
+// minCallInterval is how long after a call that failed, or that brought nothing new, the next one follows at the earliest. An agent
 // is on the node's own machine, and a watch goes on if the next call arrives within twice that time.
-const again = 100 * time.Millisecond
+const minCallInterval = 100 * time.Millisecond
 
-// quiet is how long an answer that has begun may bring nothing before it counts as broken, and longest bounds it in all: a
+// bodyIdleTimeout is how long an answer that has begun may bring nothing before it counts as broken, and longest bounds it in all: a
 // crowded agent takes its time for a long list.
 const (
-	quiet   = time.Second
-	longest = 30 * time.Second
+	bodyIdleTimeout = time.Second
+	responseTimeout = 30 * time.Second
 )
 
 // Run is roster.Source's.
-func (a Agent) Run(ctx context.Context, take func(endpoint.List), fault func(error)) {
-	known := &catalog.Catalog{}
-	hear := func(answer []byte) (bool, error) {
-		news, odd, err := known.Take(answer)
-		if len(odd) > 0 {
-			fault(fmt.Errorf("entries that make no sense are left out: %q", odd))
+func (c Client) Run(ctx context.Context, onList func(endpoint.List), onError func(error)) {
+	state := &catalog.Catalog{}
+	apply := func(body []byte) (bool, error) {
+		changed, invalid, err := state.Apply(body)
+		if len(invalid) > 0 {
+			onError(fmt.Errorf("entries that make no sense are left out: %q", invalid))
 		}
-		if news {
-			take(known.List())
+		if changed {
+			onList(state.List())
 		}
-		return news, err
+		return changed, err
 	}
-	if len(a.Known) > 0 {
-		if _, err := hear(a.Known); err != nil {
-			fault(fmt.Errorf("the list known from before: %w", err))
+	if len(c.Cached) > 0 {
+		if _, err := apply(c.Cached); err != nil {
+			onError(fmt.Errorf("the list known from before: %w", err))
 		}
 	}
-	for at := ""; ; {
-		call, cancel := context.WithCancel(ctx)
-		over := make(chan struct{})
-		if at != "" {
+	for address := ""; ; {
+		watchContext, cancel := context.WithCancel(ctx)
+		done := make(chan struct{})
+		if address != "" {
 			go func() {
-				defer close(over)
-				follow(call, at, known, hear, fault)
+				defer close(done)
+				watch(watchContext, address, state, apply, onError)
 			}()
 		} else {
-			close(over)
+			close(done)
 		}
 		select {
 		case <-ctx.Done():
-		case at = <-a.At:
+		case address = <-c.Addresses:
 		}
 		cancel()
-		<-over
+		<-done
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// follow asks one agent until ctx ends. The first question is for the whole list, whatever is known.
-func follow(ctx context.Context, at string, known *catalog.Catalog, hear func([]byte) (bool, error), fault func(error)) {
+// watch asks one agent until ctx ends. The first question is for the whole list, whatever is known.
+func watch(ctx context.Context, address string, state *catalog.Catalog, apply func([]byte) (bool, error), onError func(error)) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	query, said := "", ""
+	query, lastError := "", ""
 	for ctx.Err() == nil {
-		begun := time.Now()
-		news := false
-		answer, err := ask(ctx, client, "http://"+at+Path+query)
+		started := time.Now()
+		changed := false
+		body, err := fetch(ctx, client, "http://"+address+MembersPath+query)
 		if err == nil {
-			news, err = hear(answer)
+			changed, err = apply(body)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		pause := again
+		pause := minCallInterval
 		switch {
 		case err == nil:
-			query, said = known.Query(int(wait.Milliseconds())), ""
-			if pause -= time.Since(begun); news {
+			query, lastError = state.Query(int(watchWait.Milliseconds())), ""
+			if pause -= time.Since(started); changed {
 				pause = 0
 			}
-		case err.Error() != said:
-			said = err.Error()
-			fault(fmt.Errorf("discovery %s: %w; the list before stays", at, err))
+		case err.Error() != lastError:
+			lastError = err.Error()
+			onError(fmt.Errorf("discovery %s: %w; the list before stays", address, err))
 		}
 		if pause <= 0 {
 			continue
@@ -118,43 +118,43 @@
 	}
 }
 
-// ask makes one call. The agent has the time of the watch to begin its answer; after that the answer may take longer, as
+// fetch makes one call. The agent has the time of the watch to begin its answer; after that the answer may take longer, as
 // long as it goes on.
-func ask(ctx context.Context, client *http.Client, url string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+func fetch(ctx context.Context, client *http.Client, url string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	silence := time.AfterFunc(wait+late, cancel)
-	defer silence.Stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	idleTimer := time.AfterFunc(watchWait+responseGrace, cancel)
+	defer idleTimer.Stop()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	silence.Reset(quiet)
-	body, err := io.ReadAll(io.LimitReader(watchedReader{answer.Body, silence}, catalog.MaxAnswer+1))
+	defer response.Body.Close()
+	idleTimer.Reset(bodyIdleTimeout)
+	body, err := io.ReadAll(io.LimitReader(idleReader{response.Body, idleTimer}, catalog.MaxResponseBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case answer.StatusCode != http.StatusOK:
-		return nil, errors.New("it answers " + answer.Status)
+	case response.StatusCode != http.StatusOK:
+		return nil, errors.New("it answers " + response.Status)
 	}
 	return body, nil
 }
 
-// watchedReader puts the end of the silence off at each read that brings something.
-type watchedReader struct {
-	from    io.Reader
-	silence *time.Timer
+// idleReader puts the end of the silence off at each read that brings something.
+type idleReader struct {
+	source    io.Reader
+	idleTimer *time.Timer
 }
 
-func (r watchedReader) Read(into []byte) (int, error) {
-	n, err := r.from.Read(into)
+func (r idleReader) Read(into []byte) (int, error) {
+	n, err := r.source.Read(into)
 	if n > 0 {
-		r.silence.Reset(quiet)
+		r.idleTimer.Reset(bodyIdleTimeout)
 	}
 	return n, err
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -61,32 +61,32 @@
 
 // What goes to discovery over a sequence of its answers, to the byte.
 func TestGoldenRequests(t *testing.T) {
-	whole := func(status, body string) string {
+	response := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
 	const ok = "200 OK"
 	responses := []string{
-		whole("503 Service Unavailable", "not yet"),
-		whole(ok, list(4, false, "a", "SERVING")), // changes before a whole list
-		whole(ok, list(5, true, "a", "SERVING")),
-		whole(ok, list(6, false, "a", "DRAINING")),
-		whole(ok, `{"generation":6,"reset":false,"instances":[]}`),
-		whole(ok, "{"),
-		whole("500 Internal Server Error", ""),
-		whole(ok, list(7, false, "b", "SERVING")),
+		response("503 Service Unavailable", "not yet"),
+		response(ok, listJSON(4, false, "a", "SERVING")), // changes before a whole list
+		response(ok, listJSON(5, true, "a", "SERVING")),
+		response(ok, listJSON(6, false, "a", "DRAINING")),
+		response(ok, `{"generation":6,"reset":false,"instances":[]}`),
+		response(ok, "{"),
+		response("500 Internal Server Error", ""),
+		response(ok, listJSON(7, false, "b", "SERVING")),
 		"", // silent until the time is up
-		whole(ok, list(3, false, "a", "DELETED")), // a store that was restored
-		whole(ok, list(3, true, "c", "SERVING")),
-		whole(ok, list(4, false, "c", "DELETED")),
+		response(ok, listJSON(3, false, "a", "DELETED")), // a store that was restored
+		response(ok, listJSON(3, true, "c", "SERVING")),
+		response(ok, listJSON(4, false, "c", "DELETED")),
 	}
 	address, requests := goldenAgent(t, responses)
-	at := make(chan string, 1)
-	at <- address
+	addresses := make(chan string, 1)
+	addresses <- address
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
-		Agent{At: at}.Run(ctx, func(endpoint.List) {}, func(error) {})
+		defer close(done)
+		Client{Addresses: addresses}.Run(ctx, func(endpoint.List) {}, func(error) {})
 	}()
 	var out strings.Builder
 	for i := range len(responses) + 1 {
@@ -106,6 +106,6 @@
 		}
 	}
 	cancel()
-	<-over
+	<-done
 	golden.Check(t, "requests.golden", out.String())
 }
--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -28,7 +28,7 @@
 	n       *Node
 	core    *router.Line
 	conn    *nbio.Conn
-	cutter  *httpframing.Cutter
+	cutter  *httpframing.Parser
 	events  *chat.Decoder // of the stream under way; nil where the answer is whole
 	body    []byte
 	relay   *relay // of the stream under way
@@ -65,7 +65,7 @@
 			return
 		}
 		l := &link{n: n, core: core, conn: conn,
-			cutter: httpframing.New(httpframing.Answers, httpframing.Bounds{Head: answerHead, Body: answerBody})}
+			cutter: httpframing.NewParser(httpframing.Responses, httpframing.Limits{HeadBytes: answerHead, BodyBytes: answerBody})}
 		conn.SetSession(l)
 		n.connOpened()
 		if _, err = n.back.AddConn(conn); err != nil {
@@ -174,14 +174,14 @@
 	for i, p := range pieces {
 		switch p.Kind {
 		case httpframing.Head:
-			l.events, l.body, l.relay, l.closes = nil, nil, nil, p.Answer.Close
-			if chat.Streams(p.Answer.Header) {
-				l.events, l.relay = chat.NewDecoder(eventBound), &relay{frame: n.protocol.Event}
-				l.events.Comment = func(text []byte) {
+			l.events, l.body, l.relay, l.closes = nil, nil, nil, p.Response.Close
+			if chat.IsEventStream(p.Response.Header) {
+				l.events, l.relay = chat.NewDecoder(eventBound), &relay{frame: n.protocol.StreamEvent}
+				l.events.OnComment = func(text []byte) {
 					n.in.put(1+len(text), func() { n.core.LineComment(l.core, text) })
 				}
 			}
-			head := p.Answer
+			head := p.Response
 			var tokens router.Relay
 			if l.relay != nil {
 				tokens = l.relay
@@ -190,7 +190,7 @@
 		case httpframing.Body:
 			if l.events != nil {
 				if e := l.events.Feed(p.Data, func(event []byte) {
-					if !n.protocol.Last(event) && l.relay.pass(event, n.clock()) {
+					if !n.protocol.IsFinalEvent(event) && l.relay.pass(event, n.clock()) {
 						return
 					}
 					n.in.put(1+len(event), func() { n.core.LineEvent(l.core, event) })
@@ -202,7 +202,7 @@
 			}
 		case httpframing.End:
 			// A whole answer that came behind this one belongs to nothing that was asked either.
-			body, clean := l.body, l.cutter.Between() && i == len(pieces)-1 && !l.closes
+			body, clean := l.body, l.cutter.AtBoundary() && i == len(pieces)-1 && !l.closes
 			l.body = nil
 			n.in.put(1, func() { n.core.LineEnd(l.core, body, clean) })
 		}
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -51,7 +51,7 @@
 func bareServe(c net.Conn, addr string, writes bool, tokens int, every time.Duration) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 4096)
-	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemory, engineapi.HeaderWaiting, engineapi.HeaderOpen)
+	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemoryShare, engineapi.HeaderWaitingTokens, engineapi.HeaderOpenRequests)
 	host, port, _ := strings.Cut(addr, ":")
 	read := `{"usage":{"prompt_tokens_details":{"cached_tokens":0}},"kv_transfer_params":{"do_remote_prefill":true,` +
 		`"remote_engine_id":"x","remote_host":"` + host + `","remote_port":` + port + `}}`
@@ -115,10 +115,10 @@
 		d.Routes[i].Timeout, d.Routes[i].FirstToken = 60*time.Second, 30*time.Second
 	}
 	for _, r := range readers {
-		d.Engines = append(d.Engines, endpoint.Entry{Engine: r, Kind: "prefill", Weight: 1, State: endpoint.Ready})
+		d.Engines = append(d.Engines, endpoint.Entry{ID: r, Kind: "prefill", Weight: 1, State: endpoint.Ready})
 	}
 	for _, w := range writers {
-		d.Engines = append(d.Engines, endpoint.Entry{Engine: w, Kind: "decode", Weight: 1, State: endpoint.Ready})
+		d.Engines = append(d.Engines, endpoint.Entry{ID: w, Kind: "decode", Weight: 1, State: endpoint.Ready})
 	}
 	n := edge.New(d, zap.NewNop(), nil, 1)
 	if err := n.Start(); err != nil {
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -414,12 +414,12 @@
 		source := make(lists, 1)
 		n := newOnSource(t, 1024, nil, source)
 		s := newStop(n, edge.ListRead)
-		source <- endpoint.List{Revision: 1, Engines: []endpoint.Entry{engineAt("s-1", "m1", old), writer}}
+		source <- endpoint.List{Revision: 1, Entries: []endpoint.Entry{engineAt("s-1", "m1", old), writer}}
 		startReady(t, n)
 		client := dial(t, n)
 		drains := engineAt("s-1", "m1", old)
 		drains.State = endpoint.Draining
-		second := endpoint.List{Revision: 2, Engines: []endpoint.Entry{drains, writer, engineAt("s-3", "m1", fresh)}}
+		second := endpoint.List{Revision: 2, Entries: []endpoint.Entry{drains, writer, engineAt("s-3", "m1", fresh)}}
 		if told {
 			release := n.Block()
 			before := n.Queued()
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -25,7 +25,7 @@
 	core *router.Client
 
 	mu      sync.Mutex // held while bytes are read and parsed, and while the owner decides on a close
-	cutter  *httpframing.Cutter
+	cutter  *httpframing.Parser
 	request *http.Request // whose body is being read
 	body    []byte
 	begun   bool // the owner has been told of the request that is being read
@@ -107,7 +107,7 @@
 		c.closed = true
 		return nil, true
 	}
-	if c.pending > 0 || !c.cutter.Between() {
+	if c.pending > 0 || !c.cutter.AtBoundary() {
 		return nil, false
 	}
 	// What waits in the kernel is served: a close over unread bytes would reset the connection.
@@ -126,7 +126,7 @@
 	}
 	n.frontBarrier.wait(conn)
 	c := &client{node: n, conn: conn,
-		cutter: httpframing.New(httpframing.Requests, httpframing.Bounds{Head: n.d.Head, Body: n.d.Body})}
+		cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: n.d.Head, BodyBytes: n.d.Body})}
 	c.core = &router.Client{ID: n.ids.Add(1), Socket: c}
 	conn.SetSession(c)
 	n.room.come()
@@ -249,10 +249,10 @@
 		c.discards.Store(true)
 		return append(events, c.message(0, func() { n.core.RefuseMessage(c.core, err) }))
 	}
-	if c.cutter.Between() {
+	if c.cutter.AtBoundary() {
 		return events
 	}
-	input, held := admission.HeadBegan, len(c.body)+c.cutter.Held()
+	input, held := admission.HeadBegan, len(c.body)+c.cutter.Buffered()
 	if heads > 0 || c.request != nil {
 		input = admission.HeadWhole
 	}
@@ -277,6 +277,6 @@
 
 func (n *Node) readCall(r *http.Request, body []byte) *router.Asked {
 	a := &router.Asked{Request: r, Bytes: len(body)}
-	a.Call, a.Party, a.Wrong = n.protocol.Parse(r, body)
+	a.Call, a.Party, a.Wrong = n.protocol.ParseRequest(r, body)
 	return a
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -44,7 +44,7 @@
 
 	in       *inbox
 	core     *router.Core
-	protocol protocol.Dialect
+	protocol protocol.Codec
 	peers    *peers // nil where nodes tell one another nothing
 	room     *room  // for clients' connections
 	pollers  int    // of each side
@@ -72,12 +72,12 @@
 	for _, t := range d.Routes {
 		routes = append(routes, t.Name)
 	}
-	return NewOn(d, log, source, seed, chatapi.New(routes))
+	return NewOn(d, log, source, seed, chatapi.NewCodec(routes))
 }
 
 // NewOn makes a node that speaks a dialect.
 func NewOn(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
-	protocol protocol.Dialect) *Node {
+	protocol protocol.Codec) *Node {
 	n := &Node{d: d, log: log.With(zap.String("node", d.Node)), source: source, seed: seed, in: newInbox(d.Inbox),
 		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
 		pollers: defaultPollers, dial: dialTCP}
@@ -85,7 +85,7 @@
 	n.alive, n.cancel = context.WithCancel(context.Background())
 	n.metrics = newMeters()
 	if n.source == nil && d.Roster != "" {
-		n.source = endpoint.File{Path: d.Roster}
+		n.source = endpoint.FileSource{Path: d.Roster}
 	}
 	if n.source == nil && d.Planner != "" {
 		n.source = planclient.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
@@ -188,7 +188,7 @@
 			n.source.Run(ctx, take, func(err error) { n.log.Warn("roster", zap.Error(err)) })
 		})
 	} else {
-		take(endpoint.List{Revision: 1, Engines: n.d.Engines})
+		take(endpoint.List{Revision: 1, Entries: n.d.Engines})
 	}
 	if err := n.front.Start(); err != nil {
 		n.Stop()
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -136,7 +136,7 @@
 type listed []endpoint.Entry
 
 func (l listed) Run(ctx context.Context, take func(endpoint.List), _ func(error)) {
-	take(endpoint.List{Revision: 1, Engines: l})
+	take(endpoint.List{Revision: 1, Entries: l})
 	<-ctx.Done()
 }
 
@@ -163,7 +163,7 @@
 
 // engineAt is an engine that is ready.
 func engineAt(id, kind string, at *box) endpoint.Entry {
-	return endpoint.Entry{Engine: id, Host: at.addr, Kind: kind, Zone: "a", Weight: 1, State: endpoint.Ready}
+	return endpoint.Entry{ID: id, Address: at.addr, Kind: kind, Zone: "a", Weight: 1, State: endpoint.Ready}
 }
 
 // newOnSource is a node on the platform that has its engines from a source, before its start.
@@ -175,7 +175,7 @@
 // newLogged is newOnSource with a log.
 func newLogged(t *testing.T, sockets int, alter func(*config.Deployment), source endpoint.Source, log *zap.Logger) *edge.Node {
 	t.Helper()
-	told, err := platform.ReadTold("test", fmt.Appendf(nil, platformTold, sockets))
+	told, err := platform.ParseNodeConfig("test", fmt.Appendf(nil, platformTold, sockets))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	if alter != nil {
 		alter(d)
 	}
-	return edge.NewOn(d, log, source, 1, platform.New(told.Reports()))
+	return edge.NewOn(d, log, source, 1, platform.NewCodec(told.LoadReportFields()))
 }
 
 func startReady(t *testing.T, n *edge.Node) {
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -96,7 +96,7 @@
 		mine := *d
 		mine.Me, mine.Node = i, fmt.Sprint("n", i)
 		e := &edge{w: w, n: i}
-		e.core = router.New(&mine, chatapi.New(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
+		e.core = router.New(&mine, chatapi.NewCodec(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
 		w.nodes = append(w.nodes, e)
 	}
 	w.publish()
@@ -105,20 +105,20 @@
 // publish hands the list to all nodes, half a second late and not all at once.
 func (w *world) publish() {
 	w.list++
-	list := endpoint.List{Revision: w.list, Engines: []endpoint.Entry{}}
+	list := endpoint.List{Revision: w.list, Entries: []endpoint.Entry{}}
 	for _, b := range w.engines {
 		if b.gone {
 			continue
 		}
-		e := endpoint.Entry{Engine: b.name, Kind: "prefill", Weight: 1, State: endpoint.Ready,
-			UpSince: b.began / 1e6}
+		e := endpoint.Entry{ID: b.name, Kind: "prefill", Weight: 1, State: endpoint.Ready,
+			StartedAtMs: b.began / 1e6}
 		if b.role == "write" {
 			e.Kind = "decode"
 		}
 		if b.drains {
 			e.State = endpoint.Draining
 		}
-		list.Engines = append(list.Engines, e)
+		list.Entries = append(list.Entries, e)
 	}
 	for _, e := range w.nodes {
 		late := time.Duration(0)
@@ -207,7 +207,7 @@
 	if l.closed {
 		return io.ErrClosedPipe
 	}
-	pieces, err := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 16, Body: 1 << 20}).Feed(request)
+	pieces, err := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}).Feed(request)
 	if err != nil || len(pieces) == 0 {
 		return fmt.Errorf("lab: what the node writes is no request: %w", err)
 	}
@@ -218,7 +218,7 @@
 		}
 	}
 	w := l.node.w
-	j := &job{l: l, name: head.Header.Get(chat.HeaderInference), send: head.Header.Get(engineapi.HeaderSend)}
+	j := &job{l: l, name: head.Header.Get(chat.HeaderRequestID), send: head.Header.Get(engineapi.HeaderAttempt)}
 	l.job = j
 	switch head.URL.Path {
 	case engineapi.LoadPath:
@@ -241,14 +241,14 @@
 			})
 		}
 	default:
-		j.ask = w.asks[head.Header.Get(chat.HeaderRequest)]
+		j.ask = w.asks[head.Header.Get(chat.HeaderClientRequestID)]
 		if j.ask == nil {
 			return errors.New("lab: a send that nobody asked for")
 		}
 		if bytes.Contains(body, []byte(`"do_remote_prefill":true`)) {
 			j.writes = true
 			var a struct {
-				Transfer engineapi.Transfer `json:"kv_transfer_params"`
+				Transfer engineapi.KVTransfer `json:"kv_transfer_params"`
 			}
 			if err := json.Unmarshal(body, &a); err != nil {
 				return err
@@ -350,13 +350,13 @@
 	if err != nil {
 		panic(err) // of constants
 	}
-	call := &chat.Call{Model: r.Name, Session: a.session, Beginning: a.begins, Prompt: int(a.prompt),
-		BeginningLen: int(w.d.Shared),
-		MaxAnswer:    int(a.answer) + 1, Stream: true, Request: a.id, GiveUp: r.Timeout, Retry: a.try}
+	call := &chat.Request{Model: r.Name, Session: a.session, PrefixHash: a.begins, PromptTokens: int(a.prompt),
+		PrefixTokens:    int(w.d.Shared),
+		MaxOutputTokens: int(a.answer) + 1, Stream: true, ClientRequestID: a.id, FirstTokenTimeout: r.Timeout, RetryCount: a.try}
 	w.after(way, func() {
 		e.do(func(o *router.Core) {
 			o.ClientOpened(c)
-			o.Ask(c, &router.Asked{Request: request, Call: chatapi.Call(call), Bytes: 4 * int(a.prompt), Party: a.session})
+			o.Ask(c, &router.Asked{Request: request, Call: chatapi.ToRequest(call), Bytes: 4 * int(a.prompt), Party: a.session})
 		})
 	})
 	try := a.try
@@ -397,8 +397,8 @@
 		}
 		return nil
 	}
-	if strings.Contains(text, chat.HeaderFinal+": shed") {
-		if !strings.Contains(text, chat.HeaderInference) {
+	if strings.Contains(text, chat.HeaderOutcome+": shed") {
+		if !strings.Contains(text, chat.HeaderRequestID) {
 			a.w.res.Refused++
 		}
 		a.end("shed")
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -107,9 +107,9 @@
 
 func (b *box) report() http.Header {
 	h := http.Header{}
-	h.Set(engineapi.HeaderMemory, strconv.FormatFloat(b.memory/b.w.d.Engine.Memory, 'f', 3, 64))
-	h.Set(engineapi.HeaderWaiting, strconv.FormatFloat(b.toRead/1000, 'f', 3, 64))
-	h.Set(engineapi.HeaderOpen, strconv.Itoa(b.busy+len(b.waiting)+len(b.states)))
+	h.Set(engineapi.HeaderMemoryShare, strconv.FormatFloat(b.memory/b.w.d.Engine.Memory, 'f', 3, 64))
+	h.Set(engineapi.HeaderWaitingTokens, strconv.FormatFloat(b.toRead/1000, 'f', 3, 64))
+	h.Set(engineapi.HeaderOpenRequests, strconv.Itoa(b.busy+len(b.waiting)+len(b.states)))
 	return h
 }
 
@@ -161,16 +161,16 @@
 	j.life = b.life
 	refuse := func(status int, why string) {
 		h := b.report()
-		h.Set(engineapi.HeaderRefused, why)
+		h.Set(engineapi.HeaderRejected, why)
 		b.speak(j.life, func() { j.whole(head(status, h), nil) })
 	}
 	switch {
 	case b.drains:
-		refuse(http.StatusServiceUnavailable, engineapi.RefusedDraining)
+		refuse(http.StatusServiceUnavailable, engineapi.RejectedDraining)
 	case j.writes != (b.role == "write"):
-		refuse(http.StatusConflict, engineapi.RefusedRole)
+		refuse(http.StatusConflict, engineapi.RejectedRole)
 	case len(b.waiting) >= w.d.Engine.Queue:
-		refuse(http.StatusTooManyRequests, engineapi.RefusedFull)
+		refuse(http.StatusTooManyRequests, engineapi.RejectedFull)
 	default:
 		if !j.writes {
 			b.toRead += j.ask.prompt
@@ -277,7 +277,7 @@
 	}
 	if !ok {
 		h := b.report()
-		h.Set(engineapi.HeaderRefused, engineapi.RefusedNoState)
+		h.Set(engineapi.HeaderRejected, engineapi.RejectedNoReservation)
 		b.speak(life, func() { j.whole(head(http.StatusConflict, h), nil); done() })
 		return
 	}
--- a/internal/endpoint/roster_test.go
+++ b/internal/endpoint/roster_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-func TestCutShortIsToldAtEveryByte(t *testing.T) {
+func TestTruncatedListIsRefusedAtEveryByte(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
-	want := List{Revision: 3, Engines: []Entry{{Engine: "127.0.0.1:9", Kind: "decode", State: Ready},
-		{Engine: "127.0.0.1:8", Kind: "prefill", State: Draining, Weight: 2, UpSince: 5}}}
-	if err := Write(path, want); err != nil {
+	want := List{Revision: 3, Entries: []Entry{{ID: "127.0.0.1:9", Kind: "decode", State: Ready},
+		{ID: "127.0.0.1:8", Kind: "prefill", State: Draining, Weight: 2, StartedAtMs: 5}}}
+	if err := WriteFile(path, want); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Parse(text); err != nil || len(got.Engines) != 2 || got.Engines[1] != want.Engines[1] {
+	if got, err := Parse(text); err != nil || len(got.Entries) != 2 || got.Entries[1] != want.Entries[1] {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for i := range len(text) - 2 { // the last two are the brace and the line's end
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBadEntries(t *testing.T) {
+func TestInvalidEntriesAreRefused(t *testing.T) {
 	for _, bad := range []string{`{}`, `{"engines":null}`, `{"engines":[]} {}`, `{"engines":[],"x":1}`,
 		`{"engines":[{"engine":"a","kind":"k","state":"ready"}]}`, `{"engines":[{"engine":"1.1.1.1:1","kind":"k","state":"up"}]}`,
 		`{"engines":[{"engine":"1.1.1.1:1","state":"ready"}]}`,
@@ -44,19 +44,19 @@
 	rapid.Check(t, func(t *rapid.T) { Parse([]byte(rapid.String().Draw(t, "text"))) })
 }
 
-func TestFileKeepsTheOldListThroughFaults(t *testing.T) {
+func TestFileSourceKeepsLastValidList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	lists, faults := make(chan List, 10), make(chan error, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		File{Path: path, Every: time.Millisecond}.Run(ctx, func(l List) { lists <- l }, func(err error) { faults <- err })
+		FileSource{Path: path, PollInterval: time.Millisecond}.Run(ctx, func(l List) { lists <- l }, func(err error) { faults <- err })
 	}()
 	defer func() { cancel(); <-done }()
 	<-faults // there is no file yet
 	step := func(revision int64) {
-		if err := Write(path, List{Revision: revision, Engines: []Entry{}}); err != nil {
+		if err := WriteFile(path, List{Revision: revision, Entries: []Entry{}}); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -316,9 +316,9 @@
 		memory, waiting, open = 0, 0, 0
 	}
 	h := w.Header()
-	h.Set(proto.HeaderMemory, strconv.FormatFloat(memory, 'f', 3, 64))
-	h.Set(proto.HeaderWaiting, strconv.FormatFloat(waiting, 'f', 3, 64))
-	h.Set(proto.HeaderOpen, strconv.Itoa(open))
+	h.Set(proto.HeaderMemoryShare, strconv.FormatFloat(memory, 'f', 3, 64))
+	h.Set(proto.HeaderWaitingTokens, strconv.FormatFloat(waiting, 'f', 3, 64))
+	h.Set(proto.HeaderOpenRequests, strconv.Itoa(open))
 }
 
 func (e *Engine) fault() (Faults, chan struct{}, context.Context) {
@@ -358,7 +358,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
-	w.Header().Set(proto.HeaderRefused, why)
+	w.Header().Set(proto.HeaderRejected, why)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	w.Write(chat.ErrorBody("server_error", why, "", "refused: "+why))
@@ -367,10 +367,10 @@
 func silent(f Faults) bool { return f.Silent }
 
 type ask struct {
-	Model    string          `json:"model"`
-	Messages []chat.Message  `json:"messages"`
-	Most     int             `json:"max_tokens"`
-	Transfer *proto.Transfer `json:"kv_transfer_params"`
+	Model    string            `json:"model"`
+	Messages []chat.Message    `json:"messages"`
+	Most     int               `json:"max_tokens"`
+	Transfer *proto.KVTransfer `json:"kv_transfer_params"`
 	name     string
 	send     string
 	request  string
@@ -389,11 +389,11 @@
 		http.Error(w, "no call with kv_transfer_params", http.StatusBadRequest)
 		return
 	}
-	a.name, a.request = r.Header.Get(chat.HeaderInference), r.Header.Get(chat.HeaderRequest)
-	a.send = r.Header.Get(proto.HeaderSend)
-	a.mark = r.Header.Get(chat.HeaderRepeat)
+	a.name, a.request = r.Header.Get(chat.HeaderRequestID), r.Header.Get(chat.HeaderClientRequestID)
+	a.send = r.Header.Get(proto.HeaderAttempt)
+	a.mark = r.Header.Get(chat.HeaderIdempotencyKey)
 	for _, m := range a.Messages {
-		a.prompt += chat.Estimate(m.Content) + 4
+		a.prompt += chat.EstimateTokens(m.Content) + 4
 	}
 	writes := a.Transfer.RemotePrefill
 	// A trial is the planner's question for the role, and no send of an edge.
@@ -406,7 +406,7 @@
 	e.mu.Lock()
 	e.press()
 	draining, role := e.draining || e.leaving, e.role
-	epoch, _ := strconv.ParseInt(r.Header.Get(proto.HeaderEpoch), 10, 64)
+	epoch, _ := strconv.ParseInt(r.Header.Get(proto.HeaderRoleEpoch), 10, 64)
 	older := epoch > 0 && epoch != e.epoch || e.loading
 	full := e.waiting >= e.m.Queue && len(e.slots) == cap(e.slots)
 	e.mu.Unlock()
@@ -417,18 +417,18 @@
 	switch {
 	case older:
 		e.report(w)
-		refuse(w, http.StatusConflict, proto.RefusedEpoch)
+		refuse(w, http.StatusConflict, proto.RejectedRoleEpoch)
 	case f.FailStatus > 0:
 		http.Error(w, "failed", f.FailStatus)
 	case draining:
 		e.report(w)
-		refuse(w, http.StatusServiceUnavailable, proto.RefusedDraining)
+		refuse(w, http.StatusServiceUnavailable, proto.RejectedDraining)
 	case full:
 		e.report(w)
-		refuse(w, http.StatusTooManyRequests, proto.RefusedFull)
+		refuse(w, http.StatusTooManyRequests, proto.RejectedFull)
 	case writes != (role == "write"):
 		e.report(w)
-		refuse(w, http.StatusConflict, proto.RefusedRole)
+		refuse(w, http.StatusConflict, proto.RejectedRole)
 	case writes:
 		e.write(w, r, a)
 	default:
@@ -476,7 +476,7 @@
 	for _, m := range a.Messages {
 		fmt.Fprintf(h, "%s %d:", m.Role, len(m.Content))
 		h.Write(m.Content)
-		n += chat.Estimate(m.Content) + 4
+		n += chat.EstimateTokens(m.Content) + 4
 		hashes, tokens = append(hashes, h.Sum64()), append(tokens, n)
 	}
 	return hashes, tokens
@@ -538,7 +538,7 @@
 			"message": map[string]any{"role": "assistant", "content": ""}}},
 		"usage": map[string]any{"prompt_tokens": a.prompt, "completion_tokens": 1, "total_tokens": a.prompt + 1,
 			"prompt_tokens_details": map[string]any{"cached_tokens": kept}},
-		"kv_transfer_params": proto.Transfer{RemotePrefill: true, Engine: key, Host: host, Port: number,
+		"kv_transfer_params": proto.KVTransfer{RemotePrefill: true, Engine: key, Host: host, Port: number,
 			Blocks: []int{0}}})
 	e.report(w)
 	w.Header().Set("Content-Type", "application/json")
@@ -574,7 +574,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		e.report(w)
-		refuse(w, http.StatusConflict, proto.RefusedNoState)
+		refuse(w, http.StatusConflict, proto.RejectedNoReservation)
 		return
 	}
 	e.mu.Lock()
@@ -661,7 +661,7 @@
 }
 
 // fetch takes a state from its reader, which lets go of it.
-func (e *Engine) fetch(ctx context.Context, t *proto.Transfer) bool {
+func (e *Engine) fetch(ctx context.Context, t *proto.KVTransfer) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost,
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -88,9 +88,9 @@
 	}
 	e := &Engine{Config: c, Addr: listener.Addr().String(), fleet: f, slots: make(chan struct{}, c.Slots)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+platform.CallPath, e.serveAttempt)
-	mux.HandleFunc("DELETE "+platform.HoldsPath+"{request}", e.serveRelease)
-	mux.HandleFunc("GET "+platform.LoadPath, e.serveLoad)
+	mux.HandleFunc("POST "+platform.CompletionsPath, e.serveAttempt)
+	mux.HandleFunc("DELETE "+platform.ReservationsPath+"{request}", e.serveRelease)
+	mux.HandleFunc("GET "+platform.LoadReportPath, e.serveLoad)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: c.IdleTime}
 	go e.server.Serve(listener)
 	f.see(e, audit.Up, "")
@@ -144,7 +144,7 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return // its last byte has not arrived
 	}
-	name := r.Header.Get(platform.HeaderName)
+	name := r.Header.Get(platform.HeaderRequestID)
 	a := &attempt{waits: e.Role == Decode, engine: e.ID, from: r.RemoteAddr}
 	e.fleet.begin(e, name, a)
 	defer e.fleet.end(e, name, a)
@@ -203,7 +203,7 @@
 		e.notice(name)
 		return
 	}
-	w.Header().Set(platform.HeaderLoad, loadReport)
+	w.Header().Set(platform.HeaderLoadReport, loadReport)
 	w.WriteHeader(http.StatusAccepted)
 	io.WriteString(w, `{"cached_tokens":0}`)
 }
@@ -268,7 +268,7 @@
 		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"w%d\"},\"finish_reason\":null}]}\n\n", i)
 		w.(http.Flusher).Flush()
 	}
-	io.WriteString(w, "data: [DONE]\n\n: "+platform.HeaderLoad+": "+loadReport+"\n\n")
+	io.WriteString(w, "data: [DONE]\n\n: "+platform.HeaderLoadReport+": "+loadReport+"\n\n")
 }
 
 // notice takes note of a connection that was closed.
@@ -284,7 +284,7 @@
 
 // serveRelease lets go, at all engines, of what no attempt of the request waits for.
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request) {
-	f, name := e.fleet, strings.TrimPrefix(r.URL.Path, platform.HoldsPath)
+	f, name := e.fleet, strings.TrimPrefix(r.URL.Path, platform.ReservationsPath)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	record := f.find(name)
@@ -301,6 +301,6 @@
 const loadReport = "TEXT x0=0.1, x1=0.0"
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(platform.HeaderLoad, loadReport)
+	w.Header().Set(platform.HeaderLoadReport, loadReport)
 	io.WriteString(w, loadReport+"\n")
 }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -69,8 +69,8 @@
 	// The client's own transport must not try again by itself: that would be a second try unseen.
 	r.GetBody = nil
 	for name, v := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: ask.Session,
-		chat.HeaderRequest: ask.Request, chat.HeaderRepeat: ask.Mark,
-		chat.HeaderGiveUp: strconv.FormatInt(ask.GiveUp.Milliseconds(), 10)} {
+		chat.HeaderClientRequestID: ask.Request, chat.HeaderIdempotencyKey: ask.Mark,
+		chat.HeaderFirstTokenTimeout: strconv.FormatInt(ask.GiveUp.Milliseconds(), 10)} {
 		if v != "" {
 			r.Header.Set(name, v)
 		}
@@ -84,7 +84,7 @@
 		return seen, 0
 	}
 	defer answer.Body.Close()
-	seen.Inference = answer.Header.Get(chat.HeaderInference)
+	seen.Inference = answer.Header.Get(chat.HeaderRequestID)
 	if answer.StatusCode == http.StatusOK && !ask.Whole {
 		c.stream(answer.Body, &seen, ask)
 		return seen, 0
@@ -96,7 +96,7 @@
 		return seen, 0
 	}
 	seen.Finals = 1
-	seen.Final = answer.Header.Get(chat.HeaderFinal)
+	seen.Final = answer.Header.Get(chat.HeaderOutcome)
 	if answer.StatusCode == http.StatusOK {
 		seen.First, seen.Tokens = seen.End.Sub(seen.Sent), bytes.Count(text, []byte(" "))
 	} else {
--- a/internal/modelcheck/copy.go
+++ b/internal/modelcheck/copy.go
@@ -18,8 +18,8 @@
 	reflect.TypeFor[*config.Deployment](): true, // fixed from the start
 	reflect.TypeFor[*http.Request]():      true, // a call and an answer's head are read only
 	reflect.TypeFor[*http.Response]():     true,
-	reflect.TypeFor[*protocol.Call]():     true,
-	reflect.TypeFor[*chatapi.Dialect]():   true,
+	reflect.TypeFor[*protocol.Request]():  true,
+	reflect.TypeFor[*chatapi.Codec]():     true,
 	reflect.TypeFor[map[string]any]():     true, // the module's facts
 }
 
--- a/internal/modelcheck/fleet.go
+++ b/internal/modelcheck/fleet.go
@@ -69,16 +69,16 @@
 			row = append(row, Event{name, fault, func() { f.turn = 0; do() }})
 		}
 	}
-	for i, e := range f.list.Engines {
+	for i, e := range f.list.Entries {
 		if e.State != endpoint.Ready {
 			continue
 		}
-		shared("the list says that "+e.Engine+" drains", "drain", func() {
+		shared("the list says that "+e.ID+" drains", "drain", func() {
 			f.list.Revision++
-			f.list.Engines = slices.Clone(f.list.Engines)
-			f.list.Engines[i].State = endpoint.Draining
+			f.list.Entries = slices.Clone(f.list.Entries)
+			f.list.Entries[i].State = endpoint.Draining
 		})
-		shared(e.Engine+" restarts cold", "restart", func() { f.restart(i) })
+		shared(e.ID+" restarts cold", "restart", func() { f.restart(i) })
 	}
 	if !pending && !quiet {
 		due := f.sims[0].core.Due()
@@ -97,11 +97,11 @@
 
 func (f *fleet) restart(i int) {
 	f.list.Revision++
-	f.list.Engines = slices.Clone(f.list.Engines)
-	f.list.Engines[i].UpSince = f.sims[0].now / 1e6
+	f.list.Entries = slices.Clone(f.list.Entries)
+	f.list.Entries[i].StartedAtMs = f.sims[0].now / 1e6
 	for _, s := range f.sims {
 		s.list = f.list
-		s.restart(f.list.Engines[i].Engine)
+		s.restart(f.list.Entries[i].ID)
 	}
 }
 
@@ -132,14 +132,14 @@
 func (f *fleet) checkCold() {
 	u := f.sims[0].d.Rules
 	budget := u.FallMultiple*u.ColdShare*warmRate*u.FallWindow.Seconds() + 2
-	for _, e := range f.list.Engines {
+	for _, e := range f.list.Entries {
 		n := 0
 		for _, s := range f.sims {
 			s.toCold = slices.DeleteFunc(s.toCold, func(c coldSend) bool {
 				return s.now-c.at >= int64(u.FallWindow) || s.now-c.since >= int64(u.Cold)
 			})
 			for _, c := range s.toCold {
-				if c.engine == e.Engine {
+				if c.engine == e.ID {
 					n++
 				}
 			}
@@ -147,7 +147,7 @@
 		f.most = max(f.most, n)
 		if float64(n) > budget {
 			f.said = append(f.said, fmt.Sprintf("P14 %s is cold and gets %d sends in %v, budget %.0f",
-				e.Engine, n, u.FallWindow, budget))
+				e.ID, n, u.FallWindow, budget))
 		}
 	}
 }
@@ -234,8 +234,8 @@
 		if at < burst {
 			pressed *= 3
 		}
-		for _, e := range f.list.Engines {
-			left[e.Engine] = min(left[e.Engine]+warmRate*pace.Seconds(), 8) // 8: slots of one
+		for _, e := range f.list.Entries {
+			left[e.ID] = min(left[e.ID]+warmRate*pace.Seconds(), 8) // 8: slots of one
 		}
 		now := int64(1000*time.Second) + int64(at)
 		for _, s := range f.sims {
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -56,9 +56,9 @@
 		s.say("P7 %s is sent to %s %v after the news of its drain", r.inference, name, time.Duration(s.now-told))
 	}
 	if s.apart {
-		for _, e := range s.list.Engines {
-			if e.Engine == name && e.UpSince > 0 {
-				s.toCold = append(s.toCold, coldSend{name, s.now, e.UpSince * 1e6})
+		for _, e := range s.list.Entries {
+			if e.ID == name && e.StartedAtMs > 0 {
+				s.toCold = append(s.toCold, coldSend{name, s.now, e.StartedAtMs * 1e6})
 			}
 		}
 	}
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -176,7 +176,7 @@
 		if i >= w.Readers {
 			kind = "decode"
 		}
-		s.list.Engines = append(s.list.Engines, endpoint.Entry{Engine: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
+		s.list.Entries = append(s.list.Entries, endpoint.Entry{ID: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
 	}
 	s.list.Revision = 1
 	s.do(func() { s.core.TakeList(s.list) })
@@ -197,7 +197,7 @@
 }
 
 // chatProtocol is the chat API's: it keeps nothing that changes.
-var chatProtocol = chatapi.New(nil)
+var chatProtocol = chatapi.NewCodec(nil)
 
 // begin starts a life of the node.
 func (s *sim) begin() {
@@ -256,9 +256,9 @@
 		s.say("P8 a closed connection is written to")
 		return io.ErrClosedPipe
 	}
-	cutter := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 16, Body: 1 << 20})
+	cutter := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20})
 	pieces, err := cutter.Feed(data)
-	if err != nil || len(pieces) == 0 || !cutter.Between() {
+	if err != nil || len(pieces) == 0 || !cutter.AtBoundary() {
 		s.say("P8 what is written is not one whole request: %v", err)
 		return nil
 	}
@@ -266,7 +266,7 @@
 		s.say("P8 connection to %s is written to while it carries something else", l.core.Engine)
 	}
 	head := pieces[0].Request
-	r := &request{line: l, inference: head.Header.Get(chat.HeaderInference)}
+	r := &request{line: l, inference: head.Header.Get(chat.HeaderRequestID)}
 	switch head.URL.Path {
 	case engineapi.LoadPath:
 		r.kind = "probe"
@@ -284,7 +284,7 @@
 		r.inference, r.send = body.Inference, body.Send
 	default:
 		r.kind = "read"
-		r.send, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderSend))
+		r.send, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderAttempt))
 		for _, p := range pieces {
 			if p.Kind == httpframing.Body && bytes.Contains(p.Data, []byte(`"do_remote_prefill":true`)) {
 				r.kind = "write"
@@ -360,7 +360,7 @@
 		}
 	} else if heads > 0 {
 		finals, final = heads, "errored"
-		if strings.Contains(text, chat.HeaderFinal+": shed") {
+		if strings.Contains(text, chat.HeaderOutcome+": shed") {
 			final = "shed"
 		}
 	}
@@ -497,19 +497,19 @@
 			row = append(row, Event{name, fault, do})
 		}
 	}
-	for i, e := range s.list.Engines {
+	for i, e := range s.list.Entries {
 		if e.State == endpoint.Ready {
-			add("the list says that "+e.Engine+" drains", "drain", func() {
+			add("the list says that "+e.ID+" drains", "drain", func() {
 				s.list.Revision++
-				s.list.Engines = slices.Clone(s.list.Engines)
-				s.list.Engines[i].State = endpoint.Draining
+				s.list.Entries = slices.Clone(s.list.Entries)
+				s.list.Entries[i].State = endpoint.Draining
 				s.hear()
 			})
-			add(e.Engine+" restarts cold", "restart", func() {
+			add(e.ID+" restarts cold", "restart", func() {
 				s.list.Revision++
-				s.list.Engines = slices.Clone(s.list.Engines)
-				s.list.Engines[i].UpSince = s.now / 1e6
-				s.restart(e.Engine)
+				s.list.Entries = slices.Clone(s.list.Entries)
+				s.list.Entries[i].StartedAtMs = s.now / 1e6
+				s.restart(e.ID)
 			})
 		}
 	}
@@ -525,9 +525,9 @@
 
 // hear hands the list to the node, and notes by truth what it was told.
 func (s *sim) hear() {
-	for _, e := range s.list.Engines {
-		if _, ok := s.toldAt[e.Engine]; !ok && e.State == endpoint.Draining {
-			s.toldAt[e.Engine] = s.now
+	for _, e := range s.list.Entries {
+		if _, ok := s.toldAt[e.ID]; !ok && e.State == endpoint.Draining {
+			s.toldAt[e.ID] = s.now
 		}
 	}
 	s.do(func() { s.core.TakeList(s.list) })
@@ -655,7 +655,7 @@
 func (s *sim) ask(c *simClient) {
 	c.asked, c.at = true, s.now
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":[{"role":"user","content":"x"}]}`, c.effect)
-	call, err := chat.Parse(body, nil)
+	call, err := chat.ParseRequest(body, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -663,8 +663,8 @@
 	s.asks[s.life]++
 	c.name = fmt.Sprintf("%s-%x-%d", s.d.Node, s.life, s.asks[s.life])
 	before := s.core.Holding().Inferences
-	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatapi.Call(call), Bytes: len(body)}) })
-	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderInference) { // refused before it was an inference
+	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)}) })
+	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderRequestID) { // refused before it was an inference
 		s.asks[s.life]--
 		c.name = ""
 		if s.w.Open == 0 || before < s.w.Open {
@@ -690,7 +690,7 @@
 		h.Set("Content-Type", "text/event-stream")
 	}
 	if refused != "" {
-		h.Set(engineapi.HeaderRefused, refused)
+		h.Set(engineapi.HeaderRejected, refused)
 	}
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: h}
 }
@@ -752,7 +752,7 @@
 		})
 		add(at+" finds no state", "no-state", func() {
 			s.fetch(r.inference)
-			s.do(func() { whole(409, engineapi.RefusedNoState) })
+			s.do(func() { whole(409, engineapi.RejectedNoReservation) })
 		})
 		add(at+" runs, and its answer is a second head", "garbled", func() {
 			s.ran(r)
@@ -783,7 +783,7 @@
 		})
 	}
 	if !r.began {
-		add(at+" is refused: full", "full", func() { s.do(func() { whole(429, engineapi.RefusedFull) }) })
+		add(at+" is refused: full", "full", func() { s.do(func() { whole(429, engineapi.RejectedFull) }) })
 		add(at+" fails without a word why", "error", func() {
 			if r.kind == "write" {
 				s.ran(r)
@@ -881,8 +881,8 @@
 	for _, x := range s.held {
 		fmt.Fprintln(h, x.inference, x.reader, x.send, x.lost, s.now-x.since)
 	}
-	for _, e := range s.list.Engines {
-		fmt.Fprintln(h, e.State, e.UpSince)
+	for _, e := range s.list.Entries {
+		fmt.Fprintln(h, e.State, e.StartedAtMs)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.toldAt)) {
 		fmt.Fprintln(h, name, s.now-s.toldAt[name])
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -44,7 +44,7 @@
 			b.Fatal(err)
 		}
 		defer e.Stop()
-		list.Engines = append(list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+		list.Entries = append(list.Entries, endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1,
 			State: endpoint.Ready})
 	}
 	dir := b.TempDir()
@@ -52,7 +52,7 @@
 	d.Listen, d.Store, d.Roster = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	d.Pairs = [][2]string{{"prefill", "decode"}}
-	endpoint.Write(d.Roster, list)
+	endpoint.WriteFile(d.Roster, list)
 	p := New(d, zap.NewNop())
 	if err := p.Start(); err != nil {
 		b.Fatal(err)
@@ -97,7 +97,7 @@
 		mu.Lock()
 		last := slices.Max(got)
 		mu.Unlock()
-		list.Engines[n%engines].Weight += 0.01
+		list.Entries[n%engines].Weight += 0.01
 		begun := time.Now()
 		p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) })
 		wait(last)
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -50,12 +50,12 @@
 		}
 		t.Cleanup(e.Stop)
 		f.engines = append(f.engines, e)
-		list.Engines = append(list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+		list.Entries = append(list.Entries, endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1,
 			State: endpoint.Ready})
 	}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "roster.json")
-	if err := endpoint.Write(path, list); err != nil {
+	if err := endpoint.WriteFile(path, list); err != nil {
 		t.Fatal(err)
 	}
 	f.d = config.PlanningDefaults()
@@ -367,7 +367,7 @@
 			func(err error) { faults <- err })
 	})
 	first := <-lists
-	if len(first.Engines) != 4 || first.Engines[0].Epoch != 1 {
+	if len(first.Entries) != 4 || first.Entries[0].RoleEpoch != 1 {
 		t.Errorf("%+v", first)
 	}
 	p.Stop()
--- a/internal/planner/planapi/planwire.go
+++ b/internal/planner/planapi/planwire.go
@@ -65,15 +65,15 @@
 
 // List is a plan as a node takes it. Now is the node's clock in Unix milliseconds.
 func (p Plan) List(now int64) endpoint.List {
-	list := endpoint.List{Revision: p.Number, Engines: []endpoint.Entry{}}
+	list := endpoint.List{Revision: p.Number, Entries: []endpoint.Entry{}}
 	for _, e := range p.Engines {
-		entry := endpoint.Entry{Engine: e.Engine, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
-			State: e.State,
-			Epoch: e.Epoch}
+		entry := endpoint.Entry{ID: e.Engine, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+			State:     e.State,
+			RoleEpoch: e.Epoch}
 		if e.UpFor > 0 {
-			entry.UpSince = now - e.UpFor
+			entry.StartedAtMs = now - e.UpFor
 		}
-		list.Engines = append(list.Engines, entry)
+		list.Entries = append(list.Entries, entry)
 	}
 	return list
 }
@@ -176,7 +176,7 @@
 		}
 	}
 	// The entries as a node takes them; the time only has to lie after all that they have been up for.
-	if err := endpoint.Check(p.List(math.MaxInt64).Engines); err != nil {
+	if err := endpoint.Validate(p.List(math.MaxInt64).Entries); err != nil {
 		return p, fmt.Errorf("plan: %w", err)
 	}
 	return p, nil
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -66,9 +66,9 @@
 	for range 2 {
 		list := <-lists
 		fmt.Fprintln(&b, "list", list.Revision)
-		for _, e := range list.Engines {
-			fmt.Fprintf(&b, "\t%s kind %s zone %q cell %q weight %g state %s epoch %d up since %d\n", e.Engine, e.Kind, e.Zone,
-				e.Cell, e.Weight, e.State, e.Epoch, e.UpSince)
+		for _, e := range list.Entries {
+			fmt.Fprintf(&b, "\t%s kind %s zone %q cell %q weight %g state %s epoch %d up since %d\n", e.ID, e.Kind, e.Zone,
+				e.Cell, e.Weight, e.State, e.RoleEpoch, e.StartedAtMs)
 		}
 	}
 	fmt.Fprintln(&b, <-posted)
--- a/internal/planner/planclient/starts.go
+++ b/internal/planner/planclient/starts.go
@@ -13,13 +13,13 @@
 // settle puts the first estimate in place of a later one of the same start, and forgets engines that are not listed.
 func (s *starts) settle(list *endpoint.List) {
 	next := starts{}
-	for i := range list.Engines {
-		e := &list.Engines[i]
-		first, known := (*s)[e.Engine]
-		if known && first > 0 && e.UpSince > 0 && e.UpSince-first <= sameStart {
-			e.UpSince = first
+	for i := range list.Entries {
+		e := &list.Entries[i]
+		first, known := (*s)[e.ID]
+		if known && first > 0 && e.StartedAtMs > 0 && e.StartedAtMs-first <= sameStart {
+			e.StartedAtMs = first
 		}
-		next[e.Engine] = e.UpSince
+		next[e.ID] = e.StartedAtMs
 	}
 	*s = next
 }
--- a/internal/planner/planclient/starts_test.go
+++ b/internal/planner/planclient/starts_test.go
@@ -11,9 +11,9 @@
 func TestStarts(t *testing.T) {
 	s := starts{}
 	take := func(upSince int64) int64 {
-		list := endpoint.List{Engines: []endpoint.Entry{{Engine: "e", UpSince: upSince}}}
+		list := endpoint.List{Entries: []endpoint.Entry{{ID: "e", StartedAtMs: upSince}}}
 		s.settle(&list)
-		return list.Engines[0].UpSince
+		return list.Entries[0].StartedAtMs
 	}
 	first := take(100_000)
 	for _, late := range []int64{100_001, 100_050, 99_990, 101_500} {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -150,7 +150,7 @@
 	p.over.Go(p.askAll)
 	p.over.Go(func() {
 		take := func(list endpoint.List) { p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) }) }
-		endpoint.File{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
+		endpoint.FileSource{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
 			p.log.Warn("roster",
 				zap.Error(err))
 		})
@@ -178,14 +178,14 @@
 	var all sync.WaitGroup
 	most, at := int64(0), ""
 	room := make(chan struct{}, askers)
-	for _, e := range list.Engines {
+	for _, e := range list.Entries {
 		all.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			if r, err := p.ask(p.ctx, e.Engine); err == nil {
+			if r, err := p.ask(p.ctx, e.ID); err == nil {
 				mu.Lock()
 				if r.Term > most {
-					most, at = r.Term, e.Engine
+					most, at = r.Term, e.ID
 				}
 				mu.Unlock()
 			}
@@ -342,16 +342,16 @@
 
 // boxes are discovery's engines as roles knows them.
 func (p *Planner) boxes(list endpoint.List) (row []assignment.Box) {
-	for _, e := range list.Engines {
+	for _, e := range list.Entries {
 		k, ok := p.kinds[e.Kind]
 		if !ok || k.Role == "both" {
 			p.log.Warn("an engine of a kind that changes nothing here is left out", zap.String("engine",
-				e.Engine), zap.String("kind", e.Kind))
+				e.ID), zap.String("kind", e.Kind))
 			continue
 		}
-		b := assignment.Box{Engine: e.Engine, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+		b := assignment.Box{Engine: e.ID, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			Ready:   e.State == endpoint.Ready,
-			UpSince: e.UpSince * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
+			UpSince: e.StartedAtMs * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
 		for _, pair := range p.d.Pairs {
 			if pair[0] == k.Name || pair[1] == k.Name {
 				for _, name := range pair {
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -35,19 +35,19 @@
 func (p *Planner) try(t assignment.Try) error {
 	ctx, cancel := context.WithTimeout(p.ctx, p.d.Roles.Trial)
 	defer cancel()
-	call, err := chat.Parse([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
+	call, err := chat.ParseRequest([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil {
 		return err
 	}
-	job := engineapi.Job{Call: call, Name: fmt.Sprintf("%s%d-%d", planapi.Trial, p.term, t.Number)}
-	request, err := job.Read(t.Engine, t.Epoch, 0)
+	job := engineapi.Request{Chat: call, ID: fmt.Sprintf("%s%d-%d", planapi.Trial, p.term, t.Number)}
+	request, err := job.Prefill(t.Engine, t.Epoch, 0)
 	if t.Role == planapi.Write {
 		host, port, e := net.SplitHostPort(t.Engine)
 		if e != nil {
 			return e
 		}
 		number, _ := strconv.Atoi(port)
-		request, err = job.Write(t.Engine, t.Epoch, engineapi.Transfer{RemotePrefill: true, Engine: job.Name +
+		request, err = job.Decode(t.Engine, t.Epoch, engineapi.KVTransfer{RemotePrefill: true, Engine: job.ID +
 			"/none", Host: host, Port: number})
 	}
 	if err != nil {
@@ -75,9 +75,9 @@
 		return err
 	}
 	defer answer.Body.Close()
-	word := answer.Header.Get(engineapi.HeaderRefused)
+	word := answer.Header.Get(engineapi.HeaderRejected)
 	if t.Role == planapi.Write {
-		if word != engineapi.RefusedNoState {
+		if word != engineapi.RejectedNoReservation {
 			return fmt.Errorf("asked to write from a state that is not there, it answers %s %s",
 				answer.Status, word)
 		}
@@ -90,11 +90,11 @@
 	if answer.StatusCode != http.StatusOK {
 		return fmt.Errorf("asked to read, it answers %s %s", answer.Status, word)
 	}
-	if _, _, err := engineapi.ReadAnswer(body); err != nil {
+	if _, _, err := engineapi.ParsePrefillResponse(body); err != nil {
 		return err
 	}
 	// What it holds for the trial is let go of; if this is lost, it drops the state by its own time.
-	if _, err := conn.Write(engineapi.Release(t.Engine, job.Name, 0)); err != nil {
+	if _, err := conn.Write(engineapi.Release(t.Engine, job.ID, 0)); err != nil {
 		return nil
 	}
 	return nil
--- a/internal/protocol/chat/chat.go
+++ b/internal/protocol/chat/chat.go
@@ -17,23 +17,23 @@
 
 // The headers of the API; docs/chat-api.md says what each does.
 const (
-	HeaderSession = "X-Conversation-Id"
-	HeaderRepeat  = "Idempotency-Key"
-	HeaderGiveUp  = "X-Give-Up-Ms"
-	HeaderRequest = "X-Request-Id"
-	// HeaderRetry counts a client's retries of one call, as the published OpenAI client libraries send it.
-	HeaderRetry = "X-Stainless-Retry-Count"
-	// HeaderInference goes with every final answer and to engines: the inference's name, unique over nodes
+	HeaderSession           = "X-Conversation-Id"
+	HeaderIdempotencyKey    = "Idempotency-Key"
+	HeaderFirstTokenTimeout = "X-Give-Up-Ms"
+	HeaderClientRequestID   = "X-Request-Id"
+	// HeaderRetryCount counts a client's retries of one call, as the published OpenAI client libraries send it.
+	HeaderRetryCount = "X-Stainless-Retry-Count"
+	// HeaderRequestID goes with every final answer and to engines: the inference's name, unique over nodes
 	// and their restarts.
-	HeaderInference = "X-Sandcourse-Inference"
-	// HeaderFinal says which final answer a whole answer or a refusal is: completed, shed or errored.
-	HeaderFinal = "X-Sandcourse-Final"
+	HeaderRequestID = "X-Sandcourse-Inference"
+	// HeaderOutcome says which final answer a whole answer or a refusal is: completed, shed or errored.
+	HeaderOutcome = "X-Sandcourse-Final"
 )
 
 // Bounds of one call beyond its size in bytes.
 const (
 	maxMessages = 4096
-	maxName     = 256     // of a session, a repeat mark, a request id, a model
+	maxIDBytes  = 256     // of a session, a repeat mark, a request id, a model
 	maxTokens   = 1 << 20 // asked for by max_tokens
 )
 
@@ -43,156 +43,156 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Call is one inference as its client asks for it.
-type Call struct {
-	Model        string
-	Session      string // empty where the client names none
-	Beginning    string // hash of the leading messages that sessions may share; empty for none
-	Prompt       int    // tokens, estimated: see Estimate
-	BeginningLen int    // tokens of the beginning
-	MaxAnswer    int    // tokens
-	Stream       bool
-	RepeatMark   string
-	Request      string        // the client's own name for it
-	Retry        int           // how many tries went before; 0 where the client does not say
-	GiveUp       time.Duration // how long the client waits for a first token; 0 where it does not say
-	fields       map[string]json.RawMessage
+// Request is one inference as its client asks for it.
+type Request struct {
+	Model             string
+	Session           string // empty where the client names none
+	PrefixHash        string // hash of the leading messages that sessions may share; empty for none
+	PromptTokens      int    // tokens, estimated: see Estimate
+	PrefixTokens      int    // tokens of the beginning
+	MaxOutputTokens   int    // tokens
+	Stream            bool
+	IdempotencyKey    string
+	ClientRequestID   string        // the client's own name for it
+	RetryCount        int           // how many tries went before; 0 where the client does not say
+	FirstTokenTimeout time.Duration // how long the client waits for a first token; 0 where it does not say
+	fields            map[string]json.RawMessage
 }
 
-// Wrong says what a client must change. Param names the field or header.
-type Wrong struct {
-	Status      int
-	Param, What string
+// InvalidRequestError says what a client must change. Param names the field or header.
+type InvalidRequestError struct {
+	Status        int
+	Param, Reason string
 }
 
-func (w *Wrong) Error() string { return w.Param + ": " + w.What }
+func (e *InvalidRequestError) Error() string { return e.Param + ": " + e.Reason }
 
-func wrong(param, format string, args ...any) error {
-	return &Wrong{http.StatusBadRequest, param, fmt.Sprintf(format, args...)}
+func invalid(param, format string, args ...any) error {
+	return &InvalidRequestError{http.StatusBadRequest, param, fmt.Sprintf(format, args...)}
 }
 
-// Parse reads a call. Errors are of type *Wrong.
-func Parse(body []byte, header http.Header) (*Call, error) {
+// ParseRequest reads a call. Errors are of type *Wrong.
+func ParseRequest(body []byte, header http.Header) (*Request, error) {
 	if !utf8.Valid(body) {
-		return nil, wrong("body", "it is not UTF-8")
+		return nil, invalid("body", "it is not UTF-8")
 	}
-	c := &Call{}
-	if err := json.Unmarshal(body, &c.fields); err != nil || c.fields == nil {
-		return nil, wrong("body", "it is not a JSON object: %v", err)
+	r := &Request{}
+	if err := json.Unmarshal(body, &r.fields); err != nil || r.fields == nil {
+		return nil, invalid("body", "it is not a JSON object: %v", err)
 	}
 	var user string
-	var limit, limitNew *int
+	var maxTokensField, maxCompletionTokensField *int
 	var messages []Message
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		to   any
 		want string
 	}{
-		{"model", &c.Model, "a text"}, {"stream", &c.Stream, "true or false"}, {"user", &user, "a text"},
-		{"max_tokens", &limit, "a whole number"}, {"max_completion_tokens", &limitNew, "a whole number"},
+		{"model", &r.Model, "a text"}, {"stream", &r.Stream, "true or false"}, {"user", &user, "a text"},
+		{"max_tokens", &maxTokensField, "a whole number"}, {"max_completion_tokens", &maxCompletionTokensField, "a whole number"},
 		{"messages", &messages, "a list of messages"},
 	} {
-		if raw, ok := c.fields[f.name]; ok {
-			if err := json.Unmarshal(raw, f.to); err != nil {
-				return nil, wrong(f.name, "it must be %s", f.want)
+		if raw, ok := r.fields[field.name]; ok {
+			if err := json.Unmarshal(raw, field.to); err != nil {
+				return nil, invalid(field.name, "it must be %s", field.want)
 			}
 		}
 	}
-	var many int
-	if raw, ok := c.fields["n"]; ok && (json.Unmarshal(raw, &many) != nil || many != 1) {
-		return nil, wrong("n", "only one answer a call is given; it must be 1")
+	var choices int
+	if raw, ok := r.fields["n"]; ok && (json.Unmarshal(raw, &choices) != nil || choices != 1) {
+		return nil, invalid("n", "only one answer a call is given; it must be 1")
 	}
 	switch {
-	case c.Model == "" || len(c.Model) > maxName:
-		return nil, wrong("model", "it must name a model route in at most %d bytes", maxName)
+	case r.Model == "" || len(r.Model) > maxIDBytes:
+		return nil, invalid("model", "it must name a model route in at most %d bytes", maxIDBytes)
 	case len(messages) == 0 || len(messages) > maxMessages:
-		return nil, wrong("messages", "there must be 1 to %d", maxMessages)
+		return nil, invalid("messages", "there must be 1 to %d", maxMessages)
 	}
-	if limitNew != nil {
-		limit = limitNew
+	if maxCompletionTokensField != nil {
+		maxTokensField = maxCompletionTokensField
 	}
 	// 512: what most clients mean that say nothing; engines stop earlier by themselves.
-	c.MaxAnswer = 512
-	if limit != nil {
-		c.MaxAnswer = *limit
+	r.MaxOutputTokens = 512
+	if maxTokensField != nil {
+		r.MaxOutputTokens = *maxTokensField
 	}
-	if c.MaxAnswer < 1 || c.MaxAnswer > maxTokens {
-		return nil, wrong("max_tokens", "it must be 1 to %d", maxTokens)
+	if r.MaxOutputTokens < 1 || r.MaxOutputTokens > maxTokens {
+		return nil, invalid("max_tokens", "it must be 1 to %d", maxTokens)
 	}
-	if err := c.readHeaders(header, user); err != nil {
+	if err := r.parseHeaders(header, user); err != nil {
 		return nil, err
 	}
-	return c, c.readMessages(messages)
+	return r, r.measureMessages(messages)
 }
 
-func (c *Call) readHeaders(header http.Header, user string) error {
-	for _, h := range []struct {
+func (r *Request) parseHeaders(header http.Header, user string) error {
+	for _, field := range []struct {
 		name string
 		to   *string
-	}{{HeaderSession, &c.Session}, {HeaderRepeat, &c.RepeatMark}, {HeaderRequest, &c.Request}} {
-		*h.to = header.Get(h.name)
-		if len(*h.to) > maxName || strings.ContainsFunc(*h.to, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-			return wrong(h.name, "it must be printable and at most %d bytes", maxName)
+	}{{HeaderSession, &r.Session}, {HeaderIdempotencyKey, &r.IdempotencyKey}, {HeaderClientRequestID, &r.ClientRequestID}} {
+		*field.to = header.Get(field.name)
+		if len(*field.to) > maxIDBytes || strings.ContainsFunc(*field.to, func(r rune) bool { return r < ' ' || r == 0x7f }) {
+			return invalid(field.name, "it must be printable and at most %d bytes", maxIDBytes)
 		}
 	}
-	if c.Session == "" {
-		c.Session = user
+	if r.Session == "" {
+		r.Session = user
 	}
-	if len(c.Session) > maxName {
-		return wrong("user", "it must be at most %d bytes", maxName)
+	if len(r.Session) > maxIDBytes {
+		return invalid("user", "it must be at most %d bytes", maxIDBytes)
 	}
-	if text := header.Get(HeaderGiveUp); text != "" {
+	if text := header.Get(HeaderFirstTokenTimeout); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil || ms < 1 || ms > 3_600_000 {
-			return wrong(HeaderGiveUp, "it must be 1 to 3600000 milliseconds, not %q", text)
+			return invalid(HeaderFirstTokenTimeout, "it must be 1 to 3600000 milliseconds, not %q", text)
 		}
-		c.GiveUp = time.Duration(ms) * time.Millisecond
+		r.FirstTokenTimeout = time.Duration(ms) * time.Millisecond
 	}
-	if text := header.Get(HeaderRetry); text != "" {
+	if text := header.Get(HeaderRetryCount); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 0 || n > 1_000_000 {
-			return wrong(HeaderRetry, "it must be 0 to 1000000, not %q", text)
+			return invalid(HeaderRetryCount, "it must be 0 to 1000000, not %q", text)
 		}
-		c.Retry = n
+		r.RetryCount = n
 	}
 	return nil
 }
 
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// readMessages measures the prompt and hashes its beginning: the messages before the first that is not an
+// measureMessages measures the prompt and hashes its beginning: the messages before the first that is not an
 // instruction, as those are what many sessions have in common.
-func (c *Call) readMessages(messages []Message) error {
-	sum, leading := xxhash.New(), true
-	for i, m := range messages {
+func (r *Request) measureMessages(messages []Message) error {
+	hash, leading := xxhash.New(), true
+	for i, message := range messages {
 		known := false
-		for _, r := range roles {
-			known = known || r == m.Role
+		for _, role := range roles {
+			known = known || role == message.Role
 		}
 		if !known {
-			return wrong(fmt.Sprintf("messages[%d].role", i), "it must be one of %s", strings.Join(roles, ", "))
+			return invalid(fmt.Sprintf("messages[%d].role", i), "it must be one of %s", strings.Join(roles, ", "))
 		}
 		// Four tokens a message: role and separators in common chat templates.
-		n := Estimate(m.Content) + 4
-		c.Prompt += n
-		leading = leading && (m.Role == "system" || m.Role == "developer")
+		tokens := EstimateTokens(message.Content) + 4
+		r.PromptTokens += tokens
+		leading = leading && (message.Role == "system" || message.Role == "developer")
 		if leading {
 			// Length first, so that no two rows of messages hash alike by moving text from one to the next.
-			fmt.Fprintf(sum, "%s %d:", m.Role, len(m.Content))
-			sum.Write(m.Content)
-			c.BeginningLen += n
+			fmt.Fprintf(hash, "%s %d:", message.Role, len(message.Content))
+			hash.Write(message.Content)
+			r.PrefixTokens += tokens
 		}
 	}
-	if c.BeginningLen > 0 {
-		c.Beginning = fmt.Sprintf("%016x", sum.Sum64())
+	if r.PrefixTokens > 0 {
+		r.PrefixHash = fmt.Sprintf("%016x", hash.Sum64())
 	}
 	return nil
 }
 
-// Estimate guesses the tokens of a text: one for four bytes of ASCII, two for three letters of other scripts.
+// EstimateTokens guesses the tokens of a text: one for four bytes of ASCII, two for three letters of other scripts.
 // Against common byte-pair vocabularies it is within a third for English prose and within a half for Nepali; a
 // tokenizer at the node will replace it.
-func Estimate(text []byte) int {
+func EstimateTokens(text []byte) int {
 	ascii, other := 0, 0
 	for _, r := range string(text) {
 		if r < utf8.RuneSelf {
@@ -204,24 +204,24 @@
 	return ascii/4 + (2*other+2)/3
 }
 
-// Rewritten is the call's body with some fields put in the place of its own.
-func (c *Call) Rewritten(put map[string]any) ([]byte, error) {
-	fields := make(map[string]any, len(c.fields)+len(put))
-	for name, raw := range c.fields {
+// RewrittenBody is the call's body with some fields put in the place of its own.
+func (r *Request) RewrittenBody(replacements map[string]any) ([]byte, error) {
+	fields := make(map[string]any, len(r.fields)+len(replacements))
+	for name, raw := range r.fields {
 		fields[name] = raw
 	}
-	for name, v := range put {
-		if v == nil {
+	for name, value := range replacements {
+		if value == nil {
 			delete(fields, name)
 		} else {
-			fields[name] = v
+			fields[name] = value
 		}
 	}
 	return json.Marshal(fields)
 }
 
-// Event is what this program reads of a streamed event.
-type Event struct {
+// CompletionChunk is what this program reads of a streamed event.
+type CompletionChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Index int `json:"index"`
@@ -235,63 +235,65 @@
 
 // Usage counts tokens.
 type Usage struct {
-	Prompt    int `json:"prompt_tokens"`
-	Completed int `json:"completion_tokens"`
-	Total     int `json:"total_tokens"`
+	PromptTokens     int `json:"prompt_tokens"`
+	CompletionTokens int `json:"completion_tokens"`
+	TotalTokens      int `json:"total_tokens"`
 }
 
-// Whole collects a stream into one answer, within a bound of bytes.
-type Whole struct {
-	bound  int
-	id     string
-	text   strings.Builder
-	finish string
-	tokens int
-	usage  *Usage
+// CompletionBuilder collects a stream into one answer, within a bound of bytes.
+type CompletionBuilder struct {
+	maxBytes     int
+	id           string
+	text         strings.Builder
+	finishReason string
+	tokens       int
+	usage        *Usage
 }
 
-// NewWhole makes one that holds at most bound bytes of text.
-func NewWhole(bound int) *Whole { return &Whole{bound: bound, finish: "stop"} }
+// NewCompletionBuilder makes one that holds at most bound bytes of text.
+func NewCompletionBuilder(maxBytes int) *CompletionBuilder {
+	return &CompletionBuilder{maxBytes: maxBytes, finishReason: "stop"}
+}
 
-// Take adds an event.
-func (w *Whole) Take(data []byte) error {
-	var e Event
-	if err := json.Unmarshal(data, &e); err != nil {
+// Add adds an event.
+func (b *CompletionBuilder) Add(data []byte) error {
+	var chunk CompletionChunk
+	if err := json.Unmarshal(data, &chunk); err != nil {
 		return fmt.Errorf("event is not JSON: %w", err)
 	}
-	if w.id == "" {
-		w.id = e.ID
+	if b.id == "" {
+		b.id = chunk.ID
 	}
-	if e.Usage != nil {
-		w.usage = e.Usage
+	if chunk.Usage != nil {
+		b.usage = chunk.Usage
 	}
-	for _, choice := range e.Choices {
+	for _, choice := range chunk.Choices {
 		if choice.Index != 0 {
 			continue
 		}
-		if w.text.Len()+len(choice.Delta.Content) > w.bound {
+		if b.text.Len()+len(choice.Delta.Content) > b.maxBytes {
 			return errors.New("answer is over its bound")
 		}
 		if choice.Delta.Content != "" {
-			w.tokens++
+			b.tokens++
 		}
-		w.text.WriteString(choice.Delta.Content)
+		b.text.WriteString(choice.Delta.Content)
 		if choice.FinishReason != nil {
-			w.finish = *choice.FinishReason
+			b.finishReason = *choice.FinishReason
 		}
 	}
 	return nil
 }
 
 // Body is the whole answer.
-func (w *Whole) Body(c *Call) []byte {
-	usage := w.usage
+func (b *CompletionBuilder) Body(request *Request) []byte {
+	usage := b.usage
 	if usage == nil {
-		usage = &Usage{c.Prompt, w.tokens, c.Prompt + w.tokens}
+		usage = &Usage{request.PromptTokens, b.tokens, request.PromptTokens + b.tokens}
 	}
-	body, _ := json.Marshal(map[string]any{"id": w.id, "object": "chat.completion", "model": c.Model,
-		"choices": []any{map[string]any{"index": 0, "finish_reason": w.finish,
-			"message": map[string]any{"role": "assistant", "content": w.text.String()}}},
+	body, _ := json.Marshal(map[string]any{"id": b.id, "object": "chat.completion", "model": request.Model,
+		"choices": []any{map[string]any{"index": 0, "finish_reason": b.finishReason,
+			"message": map[string]any{"role": "assistant", "content": b.text.String()}}},
 		"usage": usage})
 	return body
 }
--- a/internal/protocol/chat/chat_test.go
+++ b/internal/protocol/chat/chat_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestEventsThereAndBack(t *testing.T) {
+func TestEventsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wire []byte
 		var want []string
@@ -34,7 +34,7 @@
 			}
 			rest = rest[n:]
 		}
-		if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !d.Between() {
+		if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !d.AtBoundary() {
 			t.Fatalf("%q, want %q", got, want)
 		}
 	})
@@ -55,76 +55,76 @@
 	})
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"a"}],"max_tokens":3}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		c, err := Parse(body, http.Header{})
+		c, err := ParseRequest(body, http.Header{})
 		if err != nil {
-			var w *Wrong
+			var w *InvalidRequestError
 			if !errors.As(err, &w) || w.Status != 400 || w.Param == "" {
 				t.Fatalf("%v", err)
 			}
 			return
 		}
-		out, err := c.Rewritten(map[string]any{"stream": true, "max_completion_tokens": nil})
-		if err != nil || !json.Valid(out) || c.Prompt < 4 || c.MaxAnswer < 1 {
+		out, err := c.RewrittenBody(map[string]any{"stream": true, "max_completion_tokens": nil})
+		if err != nil || !json.Valid(out) || c.PromptTokens < 4 || c.MaxOutputTokens < 1 {
 			t.Fatalf("%s, %v", out, err)
 		}
 	})
 }
 
-func parse(t *testing.T, body string, header ...string) *Call {
+func parse(t *testing.T, body string, header ...string) *Request {
 	t.Helper()
 	h := http.Header{}
 	for i := 0; i+1 < len(header); i += 2 {
 		h.Set(header[i], header[i+1])
 	}
-	c, err := Parse([]byte(body), h)
+	c, err := ParseRequest([]byte(body), h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func TestWhatACallGives(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	c := parse(t, `{"model":"fan-alert","user":"u","stream":true,"max_tokens":9,"x":{"y":[1]},"messages":[`+
 		`{"role":"system","content":"You write alerts."},{"role":"user","content":"गोल!"}]}`,
-		HeaderSession, "s1", HeaderGiveUp, "1500", HeaderRepeat, "k")
-	if c.Session != "s1" || c.GiveUp.Milliseconds() != 1500 || c.RepeatMark != "k" || c.MaxAnswer != 9 || !c.Stream {
+		HeaderSession, "s1", HeaderFirstTokenTimeout, "1500", HeaderIdempotencyKey, "k")
+	if c.Session != "s1" || c.FirstTokenTimeout.Milliseconds() != 1500 || c.IdempotencyKey != "k" || c.MaxOutputTokens != 9 || !c.Stream {
 		t.Errorf("%+v", c)
 	}
 	same := parse(t, `{"model":"m","messages":[{"role":"system","content":"You write alerts."},{"role":"user","content":"b"}]}`)
 	moved := parse(t, `{"model":"m","messages":[{"role":"system","content":"You write"},{"role":"system","content":" alerts."}]}`)
 	none := parse(t, `{"model":"m","messages":[{"role":"user","content":"b"}]}`)
-	if c.Beginning != same.Beginning || c.Beginning == moved.Beginning || none.Beginning != "" || none.BeginningLen != 0 {
-		t.Errorf("%q %q %q %q", c.Beginning, same.Beginning, moved.Beginning, none.Beginning)
+	if c.PrefixHash != same.PrefixHash || c.PrefixHash == moved.PrefixHash || none.PrefixHash != "" || none.PrefixTokens != 0 {
+		t.Errorf("%q %q %q %q", c.PrefixHash, same.PrefixHash, moved.PrefixHash, none.PrefixHash)
 	}
-	out, err := c.Rewritten(map[string]any{"max_tokens": 1})
+	out, err := c.RewrittenBody(map[string]any{"max_tokens": 1})
 	if err != nil || !strings.Contains(string(out), `"x":{"y":[1]}`) || !strings.Contains(string(out), `"max_tokens":1`) {
 		t.Errorf("%s %v", out, err)
 	}
 	for _, bad := range []string{`[]`, `null`, `{}`, `{"model":3}`, `{"model":"m","messages":[]}`,
 		`{"model":"m","messages":[{"role":"x","content":"a"}]}`, `{"model":"m","n":2,"messages":[{"role":"user"}]}`,
 		`{"model":"m","max_tokens":0,"messages":[{"role":"user"}]}`, `{"model":"m","stream":"yes","messages":[{"role":"user"}]}`} {
-		if _, err := Parse([]byte(bad), http.Header{}); err == nil {
+		if _, err := ParseRequest([]byte(bad), http.Header{}); err == nil {
 			t.Errorf("%s is taken", bad)
 		}
 	}
 }
 
-func TestWhole(t *testing.T) {
+func TestCompletionBuilder(t *testing.T) {
 	c := parse(t, `{"model":"m","messages":[{"role":"user","content":"a"}]}`)
-	w := NewWhole(10)
+	w := NewCompletionBuilder(10)
 	for _, e := range []string{`{"id":"i","choices":[{"index":0,"delta":{"content":"Go"}}]}`,
 		`{"choices":[{"index":0,"delta":{"content":"al"},"finish_reason":"length"}]}`} {
-		if err := w.Take([]byte(e)); err != nil {
+		if err := w.Add([]byte(e)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if body := string(w.Body(c)); !strings.Contains(body, `"content":"Goal"`) || !strings.Contains(body, `"finish_reason":"length"`) {
 		t.Error(body)
 	}
-	if w.Take([]byte(`{"choices":[{"index":0,"delta":{"content":"too much text"}}]}`)) == nil || w.Take([]byte(`x`)) == nil {
+	if w.Add([]byte(`{"choices":[{"index":0,"delta":{"content":"too much text"}}]}`)) == nil || w.Add([]byte(`x`)) == nil {
 		t.Error("over the bound, or no JSON, is taken")
 	}
 }
--- a/internal/protocol/chat/events.go
+++ b/internal/protocol/chat/events.go
@@ -14,7 +14,7 @@
 // AppendEvent writes one event of a stream with this data. Line ends in data become lines of data, as the
 // event-stream format has it (HTML standard, section 9.2).
 func AppendEvent(to []byte, data []byte) []byte {
-	for line := range bytes.Lines(normal(data)) {
+	for line := range bytes.Lines(normalizeLineEnds(data)) {
 		to = append(to, "data: "...)
 		to = append(append(to, bytes.TrimSuffix(line, []byte("\n"))...), '\n')
 	}
@@ -26,19 +26,19 @@
 	return append(to, '\n')
 }
 
-// Chunk frames one event as a chunk of a streamed answer.
-func Chunk(event []byte) []byte {
+// EncodeChunk frames one event as a chunk of a streamed answer.
+func EncodeChunk(event []byte) []byte {
 	data := AppendEvent(nil, event)
 	return append(append(fmt.Appendf(make([]byte, 0, len(data)+16), "%x\r\n", len(data)), data...), '\r', '\n')
 }
 
-// Streams is whether an answer's head announces a stream of events.
-func Streams(h http.Header) bool {
-	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
+// IsEventStream is whether an answer's head announces a stream of events.
+func IsEventStream(header http.Header) bool {
+	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// normal makes all line ends line feeds.
-func normal(data []byte) []byte {
+// normalizeLineEnds makes all line ends line feeds.
+func normalizeLineEnds(data []byte) []byte {
 	if bytes.IndexByte(data, '\r') < 0 {
 		return data
 	}
@@ -51,25 +51,25 @@
 // Decoder cuts a stream of events. Only the data field is kept; other fields are passed over, and comments
 // where nobody wants them.
 type Decoder struct {
-	Comment func(text []byte) // is told of comments, if set; the slice is its own to keep
+	OnComment func(text []byte) // is told of comments, if set; the slice is its own to keep
 
-	bound int
-	line  []byte // of the line under way
-	data  []byte // of the event under way
-	some  bool   // the event has a data field
-	cr    bool   // the last byte was a carriage return: a line feed that follows belongs to it
-	begun bool   // the byte order mark, if any, is past
-	err   error
+	maxBytes int
+	line     []byte // of the line under way
+	data     []byte // of the event under way
+	hasData  bool   // the event has a data field
+	afterCR  bool   // the last byte was a carriage return: a line feed that follows belongs to it
+	started  bool   // the byte order mark, if any, is past
+	err      error
 }
 
 // NewDecoder makes a decoder that holds at most bound bytes of one event.
-func NewDecoder(bound int) *Decoder { return &Decoder{bound: bound} }
+func NewDecoder(maxBytes int) *Decoder { return &Decoder{maxBytes: maxBytes} }
 
 // Feed takes bytes and hands each whole event's data to emit; the slice is emit's to keep.
 func (d *Decoder) Feed(in []byte, emit func(data []byte)) error {
 	for len(in) > 0 && d.err == nil {
-		if d.cr {
-			d.cr = false
+		if d.afterCR {
+			d.afterCR = false
 			if in[0] == '\n' {
 				in = in[1:]
 				continue
@@ -77,54 +77,54 @@
 		}
 		i := bytes.IndexAny(in, "\r\n")
 		if i < 0 {
-			d.grow(in)
+			d.appendToLine(in)
 			break
 		}
-		d.grow(in[:i])
-		d.cr = in[i] == '\r'
+		d.appendToLine(in[:i])
+		d.afterCR = in[i] == '\r'
 		in = in[i+1:]
 		if d.err == nil {
-			d.take(emit)
+			d.handleLine(emit)
 		}
 	}
 	return d.err
 }
 
-// Between is whether no event is under way.
-func (d *Decoder) Between() bool { return len(d.line) == 0 && !d.some && d.err == nil }
+// AtBoundary is whether no event is under way.
+func (d *Decoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
 
-func (d *Decoder) grow(more []byte) {
-	if len(d.line)+len(d.data)+len(more) > d.bound {
+func (d *Decoder) appendToLine(more []byte) {
+	if len(d.line)+len(d.data)+len(more) > d.maxBytes {
 		d.err = ErrEventTooLong
 		return
 	}
 	d.line = append(d.line, more...)
 }
 
-func (d *Decoder) take(emit func([]byte)) {
+func (d *Decoder) handleLine(emit func([]byte)) {
 	line := d.line
-	if !d.begun {
-		d.begun, line = true, bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
+	if !d.started {
+		d.started, line = true, bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
 	}
 	defer func() { d.line = d.line[:0] }()
 	if len(line) == 0 {
-		if d.some {
+		if d.hasData {
 			emit(bytes.Clone(d.data))
 		}
-		d.data, d.some = d.data[:0], false
+		d.data, d.hasData = d.data[:0], false
 		return
 	}
-	if line[0] == ':' && d.Comment != nil {
-		d.Comment(bytes.Clone(line[1:]))
+	if line[0] == ':' && d.OnComment != nil {
+		d.OnComment(bytes.Clone(line[1:]))
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	if string(name) != "data" {
 		return
 	}
-	if d.some {
+	if d.hasData {
 		d.data = append(d.data, '\n')
 	}
-	d.some = true
+	d.hasData = true
 	d.data = append(d.data, bytes.TrimPrefix(value, []byte(" "))...)
 }
--- a/internal/protocol/chatapi/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -18,166 +18,168 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// Dialect is the chat API's.
-type Dialect struct{ models []byte }
-
-// New makes the dialect of a node that serves these model routes.
-func New(routes []string) *Dialect {
-	var row []any
-	for _, name := range routes {
-		row = append(row, map[string]any{"id": name, "object": "model", "owned_by": "sandcourse"})
+// Codec is the chat API's.
+type Codec struct{ models []byte }
+
+// NewCodec makes the dialect of a node that serves these model routes.
+func NewCodec(routes []string) *Codec {
+	var entries []any
+	for _, requestID := range routes {
+		entries = append(entries, map[string]any{"id": requestID, "object": "model", "owned_by": "sandcourse"})
 	}
-	models, _ := json.Marshal(map[string]any{"object": "list", "data": row})
-	return &Dialect{models}
+	models, _ := json.Marshal(map[string]any{"object": "list", "data": entries})
+	return &Codec{models}
 }
 
-// Call is a chat call as the core takes it.
-func Call(c *chat.Call) *protocol.Call {
-	return &protocol.Call{Route: c.Model, Session: c.Session, Beginning: c.Beginning, Prompt: c.Prompt,
-		BeginningLen: c.BeginningLen, MaxAnswer: c.MaxAnswer, Stream: c.Stream, Repeat: c.RepeatMark != "",
-		Retried: c.Retry > 0, GiveUp: c.GiveUp, Own: c}
+// ToRequest is a chat call as the core takes it.
+func ToRequest(request *chat.Request) *protocol.Request {
+	return &protocol.Request{Route: request.Model, Session: request.Session, Prefix: request.PrefixHash, PromptTokens: request.PromptTokens,
+		PrefixTokens: request.PrefixTokens, MaxOutputTokens: request.MaxOutputTokens, Stream: request.Stream, Idempotent: request.IdempotencyKey != "",
+		Retried: request.RetryCount > 0, FirstTokenTimeout: request.FirstTokenTimeout, ProtocolData: request}
 }
 
-func answer(status int, body []byte, headers ...string) protocol.Answer {
-	return protocol.Answer{Status: status, Type: "application/json", Headers: headers, Body: body}
+func jsonResponse(status int, body []byte, headers ...string) protocol.Response {
+	return protocol.Response{Status: status, ContentType: "application/json", Headers: headers, Body: body}
 }
 
-func (*Dialect) Parse(r *http.Request, body []byte) (*protocol.Call, string, *protocol.Answer) {
+func (*Codec) ParseRequest(r *http.Request, body []byte) (*protocol.Request, string, *protocol.Response) {
 	if r.Method != http.MethodPost || r.URL.Path != engineapi.ChatPath {
 		return nil, "", nil
 	}
-	c, err := chat.Parse(body, r.Header)
+	request, err := chat.ParseRequest(body, r.Header)
 	if err != nil {
-		var w *chat.Wrong
-		errors.As(err, &w)
-		a := answer(w.Status, chat.ErrorBody("invalid_request_error", "bad_call", w.Param, w.Error()))
-		return nil, "", &a
+		var invalid *chat.InvalidRequestError
+		errors.As(err, &invalid)
+		response := jsonResponse(invalid.Status, chat.ErrorBody("invalid_request_error", "bad_call", invalid.Param, invalid.Error()))
+		return nil, "", &response
 	}
-	party := ""
+	tenant := ""
 	if key := r.Header.Get("Authorization"); key != "" {
-		party = fmt.Sprintf("%016x", xxhash.Sum64String(key))
+		tenant = fmt.Sprintf("%016x", xxhash.Sum64String(key))
 	}
-	return Call(c), party, nil
+	return ToRequest(request), tenant, nil
 }
 
-func (d *Dialect) Page(r *http.Request, notReady string) protocol.Answer {
+func (d *Codec) AuxiliaryResponse(r *http.Request, notReady string) protocol.Response {
 	path, method := r.URL.Path, r.Method
 	switch {
 	case path == "/v1/models" && method == http.MethodGet:
-		return answer(http.StatusOK, d.models)
+		return jsonResponse(http.StatusOK, d.models)
 	case path == "/healthz" && method == http.MethodGet:
-		return answer(http.StatusOK, []byte(`{"status":"alive"}`))
+		return jsonResponse(http.StatusOK, []byte(`{"status":"alive"}`))
 	case path == "/readyz" && method == http.MethodGet:
 		if notReady != "" {
-			return answer(http.StatusServiceUnavailable, chat.ErrorBody("unavailable", "not_ready", "", notReady))
+			return jsonResponse(http.StatusServiceUnavailable, chat.ErrorBody("unavailable", "not_ready", "", notReady))
 		}
-		return answer(http.StatusOK, []byte(`{"status":"ready"}`))
+		return jsonResponse(http.StatusOK, []byte(`{"status":"ready"}`))
 	case path == engineapi.ChatPath || path == "/v1/models" || path == "/healthz" || path == "/readyz":
-		return d.Refusal(http.StatusMethodNotAllowed, "bad_method", "", method+" is not served at "+path)
+		return d.InvalidRequestResponse(http.StatusMethodNotAllowed, "bad_method", "", method+" is not served at "+path)
 	}
-	return d.Refusal(http.StatusNotFound, "not_found", "", "nothing is served at "+path)
+	return d.InvalidRequestResponse(http.StatusNotFound, "not_found", "", "nothing is served at "+path)
 }
 
-func (*Dialect) Refusal(status int, code, param, why string) protocol.Answer {
-	return answer(status, chat.ErrorBody("invalid_request_error", code, param, why))
+func (*Codec) InvalidRequestResponse(status int, code, param, reason string) protocol.Response {
+	return jsonResponse(status, chat.ErrorBody("invalid_request_error", code, param, reason))
 }
 
-func (*Dialect) Shed(status int, name, why string, again time.Duration) protocol.Answer {
-	headers := []string{"Retry-After", fmt.Sprint(int64(math.Ceil(max(1, again.Seconds())))),
-		"Retry-After-Ms", fmt.Sprint(again.Milliseconds()), chat.HeaderFinal, "shed"}
-	if name != "" {
-		headers = append(headers, chat.HeaderInference, name)
+func (*Codec) ShedResponse(status int, requestID, reason string, retryAfter time.Duration) protocol.Response {
+	headers := []string{"Retry-After", fmt.Sprint(int64(math.Ceil(max(1, retryAfter.Seconds())))),
+		"Retry-After-Ms", fmt.Sprint(retryAfter.Milliseconds()), chat.HeaderOutcome, "shed"}
+	if requestID != "" {
+		headers = append(headers, chat.HeaderRequestID, requestID)
 	}
-	return answer(status, chat.ErrorBody("overloaded", "shed", "", why+"; a further try is harmless"), headers...)
+	return jsonResponse(status, chat.ErrorBody("overloaded", "shed", "", reason+"; a further try is harmless"), headers...)
 }
 
-func (*Dialect) Errored(name, why string, late bool) protocol.Answer {
+func (*Codec) ErrorResponse(requestID, reason string, timedOut bool) protocol.Response {
 	status := http.StatusBadGateway
-	if late {
+	if timedOut {
 		status = http.StatusGatewayTimeout
 	}
-	return answer(status, chat.ErrorBody("server_error", "errored", "",
-		why+"; it may have run, nothing is promised of a further try"),
-		chat.HeaderInference, name, chat.HeaderFinal, "errored")
+	return jsonResponse(status, chat.ErrorBody("server_error", "errored", "",
+		reason+"; it may have run, nothing is promised of a further try"),
+		chat.HeaderRequestID, requestID, chat.HeaderOutcome, "errored")
 }
 
 // The most bytes of text of an answer that is collected for a client that wants it whole.
-const answerWhole = 1 << 20
+const maxCollectedBytes = 1 << 20
 
-func (*Dialect) Collect(c *protocol.Call) protocol.Collector {
-	if c.Stream {
+func (*Codec) NewCollector(request *protocol.Request) protocol.Collector {
+	if request.Stream {
 		return nil
 	}
-	return chat.NewWhole(answerWhole)
+	return chat.NewCompletionBuilder(maxCollectedBytes)
 }
 
-func (*Dialect) Whole(c *protocol.Call, name string, from protocol.Collector) protocol.Answer {
-	return answer(http.StatusOK, from.(*chat.Whole).Body(c.Own.(*chat.Call)),
-		chat.HeaderInference, name, chat.HeaderFinal, "completed")
+func (*Codec) CompleteResponse(request *protocol.Request, requestID string, from protocol.Collector) protocol.Response {
+	return jsonResponse(http.StatusOK, from.(*chat.CompletionBuilder).Body(request.ProtocolData.(*chat.Request)),
+		chat.HeaderRequestID, requestID, chat.HeaderOutcome, "completed")
 }
 
-func (*Dialect) Open(name string) []byte {
+func (*Codec) StreamHead(requestID string) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"+
-		"Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n%s: %s\r\n\r\n", chat.HeaderInference, name)
+		"Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n%s: %s\r\n\r\n", chat.HeaderRequestID, requestID)
 }
 
-func (*Dialect) Event(event []byte) []byte { return chat.Chunk(event) }
+func (*Codec) StreamEvent(event []byte) []byte { return chat.EncodeChunk(event) }
 
-func (*Dialect) Close(completed bool, why string) ([]byte, bool) {
-	last := chat.Chunk([]byte(chat.Done))
+func (*Codec) StreamEnd(completed bool, reason string) ([]byte, bool) {
+	last := chat.EncodeChunk([]byte(chat.Done))
 	if !completed {
-		last = chat.Chunk(chat.ErrorBody("server_error", "errored", "", why))
+		last = chat.EncodeChunk(chat.ErrorBody("server_error", "errored", "", reason))
 	}
 	return append(last, "0\r\n\r\n"...), true
 }
 
-func job(c *protocol.Call, name string) engineapi.Job {
-	return engineapi.Job{Call: c.Own.(*chat.Call), Name: name}
+func engineRequest(request *protocol.Request, requestID string) engineapi.Request {
+	return engineapi.Request{Chat: request.ProtocolData.(*chat.Request), ID: requestID}
 }
 
-func (*Dialect) Read(c *protocol.Call, name string, to protocol.Engine, send int, _ time.Duration) ([]byte, error) {
-	return job(c, name).Read(to.Host, to.Epoch, send)
+func (*Codec) PrefillRequest(request *protocol.Request, requestID string, target protocol.Target, attemptIndex int, _ time.Duration) ([]byte, error) {
+	return engineRequest(request, requestID).Prefill(target.Address, target.RoleEpoch, attemptIndex)
 }
 
-func (*Dialect) Write(c *protocol.Call, name string, to protocol.Engine, from protocol.State,
+func (*Codec) DecodeRequest(request *protocol.Request, requestID string, target protocol.Target, handle protocol.ReservationHandle,
 	_ time.Duration) ([]byte, error) {
-	t, _ := from.(engineapi.Transfer)
-	return job(c, name).Write(to.Host, to.Epoch, t)
+	t, _ := handle.(engineapi.KVTransfer)
+	return engineRequest(request, requestID).Decode(target.Address, target.RoleEpoch, t)
 }
 
-func (*Dialect) Probe(to protocol.Engine) []byte { return engineapi.Probe(to.Host) }
+func (*Codec) HealthCheckRequest(target protocol.Target) []byte {
+	return engineapi.HealthCheck(target.Address)
+}
 
-func (*Dialect) Release(to protocol.Engine, name string, send int) []byte {
-	return engineapi.Release(to.Host, name, send)
+func (*Codec) ReleaseRequest(target protocol.Target, requestID string, attemptIndex int) []byte {
+	return engineapi.Release(target.Address, requestID, attemptIndex)
 }
 
-func (*Dialect) Sort(head *http.Response, writes bool) attempt.Input {
-	in := engineapi.SortHead(head)
-	if in == attempt.Accepted && writes != chat.Streams(head.Header) {
+func (*Codec) ClassifyResponse(head *http.Response, isDecode bool) attempt.Input {
+	outcome := engineapi.ClassifyHead(head)
+	if outcome == attempt.Accepted && isDecode != chat.IsEventStream(head.Header) {
 		return attempt.Garbled
 	}
-	return in
+	return outcome
 }
 
-func (*Dialect) Held(body []byte) (protocol.State, int, error) {
-	t, kept, err := engineapi.ReadAnswer(body)
-	return t, kept, err
+func (*Codec) ParseReservation(body []byte) (protocol.ReservationHandle, int, error) {
+	t, cachedTokens, err := engineapi.ParsePrefillResponse(body)
+	return t, cachedTokens, err
 }
 
-func (*Dialect) Load(head *http.Response, _ []byte) map[string]float64 {
-	return engineapi.Report(head.Header)
+func (*Codec) ParseLoadReport(head *http.Response, _ []byte) map[string]float64 {
+	return engineapi.ParseLoadReport(head.Header)
 }
 
-func (*Dialect) Comment([]byte) map[string]float64 { return nil }
+func (*Codec) ParseLoadComment([]byte) map[string]float64 { return nil }
 
-// MixedAnswers is false: an engine is told in the call whether it is to read or to answer.
-func (*Dialect) MixedAnswers() bool { return false }
+// MixedEnginePrefillsOnDecode is false: an engine is told in the call whether it is to read or to answer.
+func (*Codec) MixedEnginePrefillsOnDecode() bool { return false }
 
-// ReleasesAnywhere is false: an engine lets go of its own states only.
-func (*Dialect) ReleasesAnywhere() bool { return false }
+// ReleaseReachesAllEngines is false: an engine lets go of its own states only.
+func (*Codec) ReleaseReachesAllEngines() bool { return false }
 
-func (*Dialect) Last(event []byte) bool { return string(event) == chat.Done }
+func (*Codec) IsFinalEvent(event []byte) bool { return string(event) == chat.Done }
 
-func (*Dialect) Cut(bool) (attempt.Input, string) {
+func (*Codec) ClassifyStreamEnd(bool) (attempt.Input, string) {
 	return attempt.Reset, "the stream ended without its last event"
 }
--- a/internal/protocol/engineapi/engine.go
+++ b/internal/protocol/engineapi/engine.go
@@ -20,25 +20,25 @@
 	LoadPath    = "/sandcourse/load"
 	ReleasePath = "/sandcourse/release"
 
-	HeaderRefused = "X-Sandcourse-Refused" // why an engine surely did not run a send
-	HeaderMemory  = "X-Sandcourse-Memory"  // share of memory held, 0 to 1
-	HeaderWaiting = "X-Sandcourse-Waiting" // thousands of prompt tokens to read or fetch
-	HeaderOpen    = "X-Sandcourse-Open"    // inferences it holds
-	HeaderSend    = "X-Sandcourse-Send"    // which send of the inference a read is; its state goes by both
-	HeaderEpoch   = "X-Sandcourse-Epoch"   // of the engine's role, as the edge knows it
+	HeaderRejected      = "X-Sandcourse-Refused" // why an engine surely did not run a send
+	HeaderMemoryShare   = "X-Sandcourse-Memory"  // share of memory held, 0 to 1
+	HeaderWaitingTokens = "X-Sandcourse-Waiting" // thousands of prompt tokens to read or fetch
+	HeaderOpenRequests  = "X-Sandcourse-Open"    // inferences it holds
+	HeaderAttempt       = "X-Sandcourse-Send"    // which send of the inference a read is; its state goes by both
+	HeaderRoleEpoch     = "X-Sandcourse-Epoch"   // of the engine's role, as the edge knows it
 )
 
 // The words of HeaderRefused.
 const (
-	RefusedFull     = "full"
-	RefusedDraining = "draining"
-	RefusedNoState  = "no-state"
-	RefusedEpoch    = "epoch" // its role has another epoch by now, or it loads for the next one
-	RefusedRole     = "role"  // it has no epochs, or the same, and another role
+	RejectedFull          = "full"
+	RejectedDraining      = "draining"
+	RejectedNoReservation = "no-state"
+	RejectedRoleEpoch     = "epoch" // its role has another epoch by now, or it loads for the next one
+	RejectedRole          = "role"  // it has no epochs, or the same, and another role
 )
 
-// Transfer is kv_transfer_params: how a read state is named.
-type Transfer struct {
+// KVTransfer is kv_transfer_params: how a read state is named.
+type KVTransfer struct {
 	RemoteDecode  bool   `json:"do_remote_decode"`
 	RemotePrefill bool   `json:"do_remote_prefill"`
 	Engine        string `json:"remote_engine_id,omitempty"`
@@ -47,43 +47,43 @@
 	Blocks        []int  `json:"remote_block_ids,omitempty"`
 }
 
-// Job is one inference on its way to engines.
-type Job struct {
-	Call *chat.Call
-	Name string // of the inference, unique over nodes and restarts
+// Request is one inference on its way to engines.
+type Request struct {
+	Chat *chat.Request
+	ID   string // of the inference, unique over nodes and restarts
 }
 
-// Read asks a reader for a state; send is its number among the inference's sends. Epoch is of the engine's role, 0
+// Prefill asks a reader for a state; send is its number among the inference's sends. Epoch is of the engine's role, 0
 // where it has none.
-func (j Job) Read(host string, epoch int64, send int) ([]byte, error) {
-	return j.request(host, epoch, send, map[string]any{"stream": false, "stream_options": nil, "max_tokens": 1,
-		"max_completion_tokens": nil, "kv_transfer_params": Transfer{RemoteDecode: true}})
+func (r Request) Prefill(host string, roleEpoch int64, attemptIndex int) ([]byte, error) {
+	return r.encode(host, roleEpoch, attemptIndex, map[string]any{"stream": false, "stream_options": nil, "max_tokens": 1,
+		"max_completion_tokens": nil, "kv_transfer_params": KVTransfer{RemoteDecode: true}})
 }
 
-// Write asks a writer for the answer from a state.
-func (j Job) Write(host string, epoch int64, t Transfer) ([]byte, error) {
-	return j.request(host, epoch, -1, map[string]any{"stream": true, "max_tokens": j.Call.MaxAnswer,
+// Decode asks a writer for the answer from a state.
+func (r Request) Decode(host string, roleEpoch int64, t KVTransfer) ([]byte, error) {
+	return r.encode(host, roleEpoch, -1, map[string]any{"stream": true, "max_tokens": r.Chat.MaxOutputTokens,
 		"max_completion_tokens": nil, "kv_transfer_params": t})
 }
 
-func (j Job) request(host string, epoch int64, send int, put map[string]any) ([]byte, error) {
-	body, err := j.Call.Rewritten(put)
+func (r Request) encode(host string, roleEpoch int64, attemptIndex int, replacements map[string]any) ([]byte, error) {
+	body, err := r.Chat.RewrittenBody(replacements)
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	b.Grow(len(body) + 512)
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n%s: %s\r\n",
-		ChatPath, host, len(body), chat.HeaderInference, j.Name)
-	if send >= 0 {
-		fmt.Fprintf(&b, "%s: %d\r\n", HeaderSend, send)
+		ChatPath, host, len(body), chat.HeaderRequestID, r.ID)
+	if attemptIndex >= 0 {
+		fmt.Fprintf(&b, "%s: %d\r\n", HeaderAttempt, attemptIndex)
 	}
-	if epoch > 0 {
-		fmt.Fprintf(&b, "%s: %d\r\n", HeaderEpoch, epoch)
+	if roleEpoch > 0 {
+		fmt.Fprintf(&b, "%s: %d\r\n", HeaderRoleEpoch, roleEpoch)
 	}
-	for _, h := range [][2]string{{chat.HeaderRequest, j.Call.Request}, {chat.HeaderRepeat, j.Call.RepeatMark}} {
-		if h[1] != "" {
-			fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
+	for _, field := range [][2]string{{chat.HeaderClientRequestID, r.Chat.ClientRequestID}, {chat.HeaderIdempotencyKey, r.Chat.IdempotencyKey}} {
+		if field[1] != "" {
+			fmt.Fprintf(&b, "%s: %s\r\n", field[0], field[1])
 		}
 	}
 	b.WriteString("\r\n")
@@ -91,65 +91,65 @@
 	return b.Bytes(), nil
 }
 
-// Probe asks an engine for its load.
-func Probe(host string) []byte {
+// HealthCheck asks an engine for its load.
+func HealthCheck(host string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", LoadPath, host)
 }
 
 // Release asks a reader to let go of what it holds, or comes to hold, from one send of an inference.
-func Release(host, name string, send int) []byte {
-	body, _ := json.Marshal(map[string]any{"inference": name, "send": send})
+func Release(host, requestID string, attemptIndex int) []byte {
+	body, _ := json.Marshal(map[string]any{"inference": requestID, "send": attemptIndex})
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
 		"Content-Length: %d\r\n\r\n%s", ReleasePath, host, len(body), body)
 }
 
-// SortHead says what a status line and its head mean for a send.
-func SortHead(a *http.Response) attempt.Input {
-	word := a.Header.Get(HeaderRefused)
+// ClassifyHead says what a status line and its head mean for a send.
+func ClassifyHead(response *http.Response) attempt.Input {
+	rejection := response.Header.Get(HeaderRejected)
 	switch {
-	case a.StatusCode == http.StatusOK && word == "":
+	case response.StatusCode == http.StatusOK && rejection == "":
 		return attempt.Accepted
-	case a.StatusCode < 400:
+	case response.StatusCode < 400:
 		return attempt.Garbled
-	case word == RefusedNoState:
+	case rejection == RejectedNoReservation:
 		return attempt.NoState
-	case word == RefusedFull, word == RefusedDraining, word == RefusedEpoch, word == RefusedRole:
+	case rejection == RejectedFull, rejection == RejectedDraining, rejection == RejectedRoleEpoch, rejection == RejectedRole:
 		return attempt.Refused
 	}
 	// A status alone, 503 too, does not say that nothing ran.
 	return attempt.Failed
 }
 
-// ReadAnswer reads a reader's answer: the state's name and how many prompt tokens it had kept.
-func ReadAnswer(body []byte) (t Transfer, kept int, err error) {
-	var a struct {
-		Transfer *Transfer `json:"kv_transfer_params"`
+// ParsePrefillResponse reads a reader's answer: the state's name and how many prompt tokens it had kept.
+func ParsePrefillResponse(body []byte) (transfer KVTransfer, cachedTokens int, err error) {
+	var response struct {
+		Transfer *KVTransfer `json:"kv_transfer_params"`
 		Usage    struct {
 			Details struct {
 				Cached int `json:"cached_tokens"`
 			} `json:"prompt_tokens_details"`
 		} `json:"usage"`
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
-		return t, 0, fmt.Errorf("reader's answer is not JSON: %w", err)
+	if err := json.Unmarshal(body, &response); err != nil {
+		return transfer, 0, fmt.Errorf("reader's answer is not JSON: %w", err)
 	}
-	if a.Transfer == nil || !a.Transfer.RemotePrefill || a.Transfer.Host == "" ||
-		a.Transfer.Port < 1 || a.Transfer.Port > 65535 {
-		return t, 0, fmt.Errorf("reader's answer names no state to fetch")
+	if response.Transfer == nil || !response.Transfer.RemotePrefill || response.Transfer.Host == "" ||
+		response.Transfer.Port < 1 || response.Transfer.Port > 65535 {
+		return transfer, 0, fmt.Errorf("reader's answer names no state to fetch")
 	}
-	return *a.Transfer, max(0, a.Usage.Details.Cached), nil
+	return *response.Transfer, max(0, response.Usage.Details.Cached), nil
 }
 
-// Report reads an engine's load as the module names its parts; what is missing or no sane figure is left out,
+// ParseLoadReport reads an engine's load as the module names its parts; what is missing or no sane figure is left out,
 // so that an engine that lies in this way is only unheard of.
-func Report(h http.Header) map[string]float64 {
+func ParseLoadReport(header http.Header) map[string]float64 {
 	report := map[string]float64{}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		header, name string
 		most         float64
-	}{{HeaderMemory, "memory_share", 4}, {HeaderWaiting, "waiting_thousand_tokens", 1e6}, {HeaderOpen, "open", 1e6}} {
-		if v, err := strconv.ParseFloat(h.Get(f.header), 64); err == nil && v >= 0 && v <= f.most {
-			report[f.name] = v
+	}{{HeaderMemoryShare, "memory_share", 4}, {HeaderWaitingTokens, "waiting_thousand_tokens", 1e6}, {HeaderOpenRequests, "open", 1e6}} {
+		if v, err := strconv.ParseFloat(header.Get(field.header), 64); err == nil && v >= 0 && v <= field.most {
+			report[field.name] = v
 		}
 	}
 	// One without the other would be taken for zero.
--- a/internal/protocol/httpframing/framing_test.go
+++ b/internal/protocol/httpframing/framing_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-var small = Bounds{Head: 512, Body: 1024}
+var small = Limits{HeadBytes: 512, BodyBytes: 1024}
 
 // read cuts messages given in pieces and returns their bodies.
-func read(side Side, parts ...[]byte) (bodies []string, c *Cutter, err error) {
-	c = New(side, small)
+func read(side Direction, parts ...[]byte) (bodies []string, c *Parser, err error) {
+	c = NewParser(side, small)
 	var body []byte
 	for _, part := range parts {
 		pieces, err := c.Feed(part)
@@ -36,7 +36,7 @@
 }
 
 // However the bytes are split, the same messages come out.
-func TestSplits(t *testing.T) {
+func TestSplitInputGivesTheSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wire bytes.Buffer
 		var want []string
@@ -62,24 +62,24 @@
 			rest = rest[n:]
 		}
 		got, c, err := read(Requests, parts...)
-		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !c.Between() {
+		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !c.AtBoundary() {
 			t.Fatalf("%q, %v; want %q", got, err, want)
 		}
 	})
 }
 
 // What goes ahead of an answer is passed over, whatever it says of a length.
-func TestInterimAnswers(t *testing.T) {
-	got, c, err := read(Answers, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
+func TestInterimResponses(t *testing.T) {
+	got, c, err := read(Responses, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
-	if err != nil || fmt.Sprint(got) != "[ok]" || !c.Between() {
+	if err != nil || fmt.Sprint(got) != "[ok]" || !c.AtBoundary() {
 		t.Fatal(got, err)
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
-		side   Side
+		side   Direction
 		wire   string
 		status int
 	}{
@@ -95,17 +95,17 @@
 		"large chunks":      {Requests, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n", 413},
 		"chunk size":        {Requests, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", 400},
 		"endless extension": {Requests, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 2000), 400},
-		"no status":         {Answers, "HTTP/1.1 abc\r\n\r\n", 502},
-		"no length":         {Answers, "HTTP/1.1 200 OK\r\n\r\n", 502},
-		"interim for ever":  {Answers, strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", mostInterim+1), 502},
-		"other protocol":    {Answers, "HTTP/1.1 101 Switching\r\n\r\n", 502},
+		"no status":         {Responses, "HTTP/1.1 abc\r\n\r\n", 502},
+		"no length":         {Responses, "HTTP/1.1 200 OK\r\n\r\n", 502},
+		"interim for ever":  {Responses, strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", maxInterimResponses+1), 502},
+		"other protocol":    {Responses, "HTTP/1.1 101 Switching\r\n\r\n", 502},
 	} {
 		_, cutter, err := read(c.side, []byte(c.wire))
-		var f *Fault
+		var f *MessageError
 		if !errors.As(err, &f) || f.Status != c.status {
 			t.Errorf("%s: %v", name, err)
 		}
-		if _, again := cutter.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); again == nil || cutter.Between() {
+		if _, again := cutter.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); again == nil || cutter.AtBoundary() {
 			t.Errorf("%s: goes on after its fault", name)
 		}
 	}
@@ -115,14 +115,14 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"), 5)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 9)
 	f.Fuzz(func(t *testing.T, wire []byte, cut int) {
-		for _, side := range []Side{Requests, Answers} {
+		for _, side := range []Direction{Requests, Responses} {
 			whole, _, errWhole := read(side, wire)
 			cut := min(len(wire), max(0, cut))
 			parts, c, errParts := read(side, wire[:cut], wire[cut:])
 			if (errWhole == nil) != (errParts == nil) || fmt.Sprint(whole) != fmt.Sprint(parts) {
 				t.Fatalf("split at %d: %q %v against %q %v", cut, parts, errParts, whole, errWhole)
 			}
-			if c.Held() > small.Head+small.Body+4096 && c.Held() > len(wire) {
+			if c.Buffered() > small.HeadBytes+small.BodyBytes+4096 && c.Buffered() > len(wire) {
 				t.Fatal("holds more than it was given")
 			}
 		}
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -8,8 +8,8 @@
 )
 
 // What the platform tells a node is found under the same keys as when the golden file was written.
-func TestGoldenTold(t *testing.T) {
-	told, err := ReadTold("test", []byte(`{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:10","seed":"ff",
+func TestGoldenNodeConfig(t *testing.T) {
+	c, err := ParseNodeConfig("test", []byte(`{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:10","seed":"ff",
 		"limits":{"cores":2.5,"memory_mb":300,"sockets":777},"peer_listen":"127.0.0.1:11","peers":["127.0.0.1:12","127.0.0.1:13"],
 		"peers_all":"127.0.0.1:14","known":{"generation":1},"settings":{"areas":["a","b"],"zone":1,"index":2,"peers_total":3,
 		"tick_us":4000,"flavors":["m1","m2"],"ceilings":{"try_limit":7,"cancel":true,"probes":true,"peers":true,"retry_after":true,
@@ -21,44 +21,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := told.Deployment("test")
+	d, err := c.Deployment("test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	say := func(what string, value any) { fmt.Fprintf(&out, "%s: %v\n", what, value) }
-	say("name", told.Name)
-	say("listen", told.Listen)
-	say("discovery", told.Discovery)
-	say("seed", told.SeedNumber())
-	say("cores", told.Limits.Cores)
-	say("memory", told.Memory())
-	say("sockets", told.Limits.Sockets)
-	say("listen for peers", told.PeerListen)
-	say("peers", told.Peers)
-	say("all peers", told.PeersAll)
-	say("known", string(told.Known))
-	say("fields of reports", told.Reports())
-	say("own number", d.Me)
-	say("nodes", d.Nodes)
-	say("zones", d.Zones)
+	line := func(what string, value any) { fmt.Fprintf(&out, "%s: %v\n", what, value) }
+	line("name", c.Name)
+	line("listen", c.ListenAddress)
+	line("discovery", c.DiscoveryAddress)
+	line("seed", c.SeedValue())
+	line("cores", c.Limits.Cores)
+	line("memory", c.MemoryBytes())
+	line("sockets", c.Limits.Sockets)
+	line("listen for peers", c.PeerListenAddress)
+	line("peers", c.Peers)
+	line("all peers", c.PeerBroadcastAddress)
+	line("known", string(c.CachedEndpoints))
+	line("fields of reports", c.LoadReportFields())
+	line("own number", d.Me)
+	line("nodes", d.Nodes)
+	line("zones", d.Zones)
 	for _, k := range d.Kinds {
-		say("engine type", fmt.Sprintf("%q %v", k.Name, k.Memory))
+		line("engine type", fmt.Sprintf("%q %v", k.Name, k.Memory))
 	}
 	for _, r := range d.Routes {
-		say("route", fmt.Sprintf("%q %v %v %v %v", r.Name, r.Value, r.FirstToken, r.Timeout, r.DedupWindow))
+		line("route", fmt.Sprintf("%q %v %v %v %v", r.Name, r.Value, r.FirstToken, r.Timeout, r.DedupWindow))
 	}
-	say("drain grace", d.Rules.DrainGrace)
-	say("pin", d.Rules.Pin)
-	say("time to dial", d.Lines.DialTime)
-	say("idle connections", fmt.Sprint(d.Lines.Idle, " ", d.Lines.IdleUnsafe))
-	say("attempts", d.Sends)
-	say("tick", d.Tick)
-	say("probes", d.Probes)
-	say("retry after", d.RetryAfter)
-	say("connections of clients", d.Limits.Conns)
-	say("connections to engines", d.Lines.All)
-	say("bytes", d.Limits.Bytes)
-	say("stay, hand over", fmt.Sprint(d.Stay, " ", d.HandOver))
+	line("drain grace", d.Rules.DrainGrace)
+	line("pin", d.Rules.Pin)
+	line("time to dial", d.Lines.DialTime)
+	line("idle connections", fmt.Sprint(d.Lines.Idle, " ", d.Lines.IdleUnsafe))
+	line("attempts", d.Sends)
+	line("tick", d.Tick)
+	line("probes", d.Probes)
+	line("retry after", d.RetryAfter)
+	line("connections of clients", d.Limits.Conns)
+	line("connections to engines", d.Lines.All)
+	line("bytes", d.Limits.Bytes)
+	line("stay, hand over", fmt.Sprint(d.Stay, " ", d.HandOver))
 	golden.Check(t, "told.golden", out.String())
 }
--- a/internal/protocol/platform/idle_test.go
+++ b/internal/protocol/platform/idle_test.go
@@ -10,16 +10,16 @@
 
 // An engine closes an idle connection at the latest after the time in the settings. What a node writes to one that it
 // keeps must arrive before, also where the node is held up on the way.
-func TestIdleConnectionsLeaveRoomForANodeThatIsHeldUp(t *testing.T) {
+func TestIdleTimeoutLeavesMarginForStalls(t *testing.T) {
 	for _, idle := range []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, 5 * time.Second} {
 		text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","settings":{"flavors":["m1","m2"],
  "ceilings":{"try_limit":5,"conn_idle_us":%d},"family_info":{"stage_of_kind":["read","write"]},"classes":[{"name":"a",
  "effect":"retryable","objective_us":1000000}]}}`, idle.Microseconds())
-		told, err := ReadTold("test", []byte(text))
+		c, err := ParseNodeConfig("test", []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := told.Deployment("test")
+		d, err := c.Deployment("test")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -20,48 +20,48 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-const good = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
+const sampleHead = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
 	"Request-Class: chat\r\nAffinity-Key: 7f3a\r\nRequest-Timeout: 4.800\r\nContent-Type: application/json\r\n" +
 	"Request-Info: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n"
 
-func parse(t testing.TB, head, body string) (*protocol.Call, *protocol.Answer) {
+func parse(t testing.TB, head, body string) (*protocol.Request, *protocol.Response) {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(
 		fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, len(body)))))
 	if err != nil {
 		t.Skip()
 	}
-	call, _, wrong := New(nil).Parse(r, []byte(body))
+	call, _, wrong := NewCodec(nil).ParseRequest(r, []byte(body))
 	return call, wrong
 }
 
 // What a client asks reaches an engine unchanged, and the module hears the lengths that the client told.
-func TestCallGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	const body = `{"model":"chat","max_tokens":800}`
-	c, wrong := parse(t, good+"Client-Retry: again\r\n", body)
-	if wrong != nil || c.Prompt != 5120 || c.BeginningLen != 2048 || c.Beginning != "5c0f" || c.MaxAnswer != 800 ||
-		c.GiveUp != 4800*time.Millisecond || !c.Resumed || !c.Repeat || c.Route != "chat" || c.Session != "7f3a" {
+	c, wrong := parse(t, sampleHead+"Client-Retry: again\r\n", body)
+	if wrong != nil || c.PromptTokens != 5120 || c.PrefixTokens != 2048 || c.Prefix != "5c0f" || c.MaxOutputTokens != 800 ||
+		c.FirstTokenTimeout != 4800*time.Millisecond || !c.Resumes || !c.Idempotent || c.Route != "chat" || c.Session != "7f3a" {
 		t.Fatalf("%+v %v", c, wrong)
 	}
-	sent, err := New(nil).Read(c, c.Name, protocol.Engine{Host: "127.0.0.9:1"}, 0, 1500*time.Millisecond)
+	sent, err := NewCodec(nil).PrefillRequest(c, c.ID, protocol.Target{Address: "127.0.0.9:1"}, 0, 1500*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pieces, err := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(sent)
+	pieces, err := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 14, BodyBytes: 1 << 14}).Feed(sent)
 	if err != nil || len(pieces) != 3 || string(pieces[1].Data) != body {
 		t.Fatal(pieces, err)
 	}
 	r := pieces[0].Request
-	if r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get(HeaderName) != "9b1f03aa5c7e2d41" ||
-		r.Header.Get(HeaderGiveUp) != "1.500" || r.Header.Get("Content-Type") != "application/json" {
+	if r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get(HeaderRequestID) != "9b1f03aa5c7e2d41" ||
+		r.Header.Get(HeaderTimeout) != "1.500" || r.Header.Get("Content-Type") != "application/json" {
 		t.Fatalf("%s %v", r.RequestURI, r.Header)
 	}
 }
 
-func TestWhatIsNoCallIsRefused(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	with := func(name, value string) string {
 		var row []string
-		for line := range strings.SplitAfterSeq(good, "\r\n") {
+		for line := range strings.SplitAfterSeq(sampleHead, "\r\n") {
 			if strings.HasPrefix(line, name+":") {
 				line = strings.TrimRight(name+": "+value, " ") + "\r\n"
 				if value == "" {
@@ -72,25 +72,25 @@
 		}
 		return strings.Join(row, "")
 	}
-	for what, head := range map[string]string{"no name": with(HeaderName, ""), "a path": with(HeaderName, "../x"),
-		"long name": with(HeaderName, strings.Repeat("a", 200)), "two names": good + "Request-Id: b\r\n",
-		"no route": with(HeaderRoute, ""), "no time": with(HeaderGiveUp, ""), "words": with(HeaderGiveUp, "soon"),
-		"not a number": with(HeaderGiveUp, "nan"), "endless": with(HeaderGiveUp, "inf"), "past": with(HeaderGiveUp, "-1"),
-		"negative length": with(HeaderPrompt, "prompt_len=-1"), "huge length": with(HeaderPrompt, "max_out=99999999999"),
+	for what, head := range map[string]string{"no name": with(HeaderRequestID, ""), "a path": with(HeaderRequestID, "../x"),
+		"long name": with(HeaderRequestID, strings.Repeat("a", 200)), "two names": sampleHead + "Request-Id: b\r\n",
+		"no route": with(HeaderRequestClass, ""), "no time": with(HeaderTimeout, ""), "words": with(HeaderTimeout, "soon"),
+		"not a number": with(HeaderTimeout, "nan"), "endless": with(HeaderTimeout, "inf"), "past": with(HeaderTimeout, "-1"),
+		"negative length": with(HeaderRequestInfo, "prompt_len=-1"), "huge length": with(HeaderRequestInfo, "max_out=99999999999"),
 	} {
 		if c, wrong := parse(t, head, "{}"); wrong == nil || wrong.Status/100 != 4 {
 			t.Errorf("%s: taken as %+v", what, c)
 		}
 	}
 	for _, body := range []string{"", "[]", "{", "\xff", "null"} {
-		if c, wrong := parse(t, good, body); wrong == nil {
+		if c, wrong := parse(t, sampleHead, body); wrong == nil {
 			t.Errorf("body %q: taken as %+v", body, c)
 		}
 	}
 }
 
 // No status says that nothing ran without the engine's own word.
-func TestSort(t *testing.T) {
+func TestClassifyResponse(t *testing.T) {
 	for _, c := range []struct {
 		status       int
 		word, stream bool
@@ -110,24 +110,24 @@
 		if c.stream {
 			head.Header.Set("Content-Type", "text/event-stream")
 		}
-		d := New(nil)
-		if r, w := d.Sort(head, false), d.Sort(head, true); r != c.read || w != c.write {
+		d := NewCodec(nil)
+		if r, w := d.ClassifyResponse(head, false), d.ClassifyResponse(head, true); r != c.read || w != c.write {
 			t.Errorf("%+v: read %v, write %v", c, r, w)
 		}
 	}
 }
 
-func TestReport(t *testing.T) {
-	d := New([]string{"x0", "x1"})
+func TestParseLoadComment(t *testing.T) {
+	d := NewCodec([]string{"x0", "x1"})
 	for text, sane := range map[string]bool{"TEXT x0=0.5, x1=2": true, "x0=0.5,x1=2,new=1": true, "TEXT x0=0.5": false,
 		"TEXT x0=0.5, x1=nan": false, "TEXT x0=0.5, x1=-1": false, "TEXT x0=0.5, x1=inf": false, "{": false, "": false,
 		"TEXT x0=0.5, x1": false, strings.Repeat("x0=1,", 1000) + "x1=1": false} {
-		got := d.Comment([]byte(" Server-Load: " + text))
+		got := d.ParseLoadComment([]byte(" Server-Load: " + text))
 		if (got != nil) != sane || sane && (got["memory_share"] != 0.5 || got["waiting_thousand_tokens"] != 2) {
 			t.Errorf("%.40q: %v", text, got)
 		}
 	}
-	if d.Comment([]byte(" keep-alive")) != nil || New(nil).Comment([]byte(" Server-Load: TEXT x0=1, x1=1")) != nil {
+	if d.ParseLoadComment([]byte(" keep-alive")) != nil || NewCodec(nil).ParseLoadComment([]byte(" Server-Load: TEXT x0=1, x1=1")) != nil {
 		t.Error("a comment that is no report counts as one")
 	}
 }
@@ -135,12 +135,12 @@
 // A stream's events come out as they went in, whatever they hold, and a stream that broke has no last chunk.
 func TestEventsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := New(nil)
+		d := NewCodec(nil)
 		data := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "event")
 		completed := rapid.Bool().Draw(t, "completed")
-		last, keep := d.Close(completed, "why")
-		wire := append(append(d.Open("n"), d.Event([]byte(data))...), last...)
-		pieces, err := httpframing.New(httpframing.Answers, httpframing.Bounds{Head: 1 << 14, Body: 1 << 14}).Feed(wire)
+		last, keep := d.StreamEnd(completed, "why")
+		wire := append(append(d.StreamHead("n"), d.StreamEvent([]byte(data))...), last...)
+		pieces, err := httpframing.NewParser(httpframing.Responses, httpframing.Limits{HeadBytes: 1 << 14, BodyBytes: 1 << 14}).Feed(wire)
 		var body []byte
 		ended := false
 		for _, p := range pieces {
@@ -157,37 +157,37 @@
 	})
 }
 
-func FuzzParse(f *testing.F) {
-	f.Add(good, "{}")
-	f.Add(good+"Request-Info: a=b,,=,prefix\r\n", "{}")
+func FuzzParseRequest(f *testing.F) {
+	f.Add(sampleHead, "{}")
+	f.Add(sampleHead+"Request-Info: a=b,,=,prefix\r\n", "{}")
 	f.Fuzz(func(t *testing.T, head, body string) {
 		c, wrong := parse(t, head, body)
 		if c == nil {
 			return
 		}
-		if wrong != nil || c.GiveUp <= 0 || c.GiveUp > maxGiveUp || c.Prompt < 0 || c.MaxAnswer < 0 || c.Prompt > maxTokens+len(body) {
+		if wrong != nil || c.FirstTokenTimeout <= 0 || c.FirstTokenTimeout > maxTimeout || c.PromptTokens < 0 || c.MaxOutputTokens < 0 || c.PromptTokens > maxTokens+len(body) {
 			t.Fatalf("%+v %v", c, wrong)
 		}
-		for _, wire := range [][]byte{New(nil).Release(protocol.Engine{Host: "h:1"}, c.Name, 0), func() []byte {
-			b, _ := New(nil).Write(c, c.Name, protocol.Engine{Host: "h:1"}, nil, time.Second)
+		for _, wire := range [][]byte{NewCodec(nil).ReleaseRequest(protocol.Target{Address: "h:1"}, c.ID, 0), func() []byte {
+			b, _ := NewCodec(nil).DecodeRequest(c, c.ID, protocol.Target{Address: "h:1"}, nil, time.Second)
 			return b
 		}()} {
-			cutter := httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 1 << 20, Body: 1 << 20})
-			if pieces, err := cutter.Feed(wire); err != nil || !cutter.Between() || pieces[0].Request.Header.Get("Host") != "" {
+			cutter := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 20, BodyBytes: 1 << 20})
+			if pieces, err := cutter.Feed(wire); err != nil || !cutter.AtBoundary() || pieces[0].Request.Header.Get("Host") != "" {
 				t.Fatalf("%q is not one request: %v", wire, err)
 			}
 		}
 	})
 }
 
-func FuzzAnswers(f *testing.F) {
+func FuzzEngineResponses(f *testing.F) {
 	f.Add(`{"cached_tokens":4096}`, "TEXT x0=1, x1=2")
 	f.Fuzz(func(t *testing.T, body, load string) {
-		d := New([]string{"x0"})
-		if _, kept, err := d.Held([]byte(body)); err == nil && kept < 0 {
+		d := NewCodec([]string{"x0"})
+		if _, kept, err := d.ParseReservation([]byte(body)); err == nil && kept < 0 {
 			t.Fatal(kept)
 		}
-		for _, v := range d.Load(&http.Response{Header: http.Header{HeaderLoad: {load}}}, []byte(body)) {
+		for _, v := range d.ParseLoadReport(&http.Response{Header: http.Header{HeaderLoadReport: {load}}}, []byte(body)) {
 			if !(v >= 0 && v <= 1e9) {
 				t.Fatal(v)
 			}
@@ -195,7 +195,7 @@
 	})
 }
 
-const told = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const sampleConfig = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":32,"sockets":256},"peers":["127.3.0.1:7946","127.3.0.2:7946"],"settings":{
  "areas":["dc1","dc2"],"zone":1,"index":1,"peers_total":2,"tick_us":4000,"flavors":["prefill","decode"],
  "ceilings":{"try_limit":5,"conn_idle_us":15000000,"dial_timeout_us":250000,"probes":true,"retry_after":true,
@@ -206,7 +206,7 @@
 // The settings reach the module by the same translation as the simulator's, and what a node may hold fits its
 // limits.
 func TestDeployment(t *testing.T) {
-	m, err := ReadTold("c", []byte(told))
+	m, err := ParseNodeConfig("c", []byte(sampleConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,23 +216,23 @@
 	}
 	f := d.Facts()
 	if f["routes.0.effect"] != "non-retriable" || f["routes.0.first_token_target"] != 8e8 || f["zone"] != 1.0 ||
-		d.Role("decode") != "write" || d.Route("chat") != 0 || d.Me != 1 || fmt.Sprint(m.Reports()) != "[x0 x1]" {
+		d.Role("decode") != "write" || d.Route("chat") != 0 || d.Me != 1 || fmt.Sprint(m.LoadReportFields()) != "[x0 x1]" {
 		t.Errorf("%+v %v", d, f)
 	}
 	if f["engine_facts.pin"] != 625e6 {
 		t.Errorf("the module may keep states for %v, which leaves no time to let go of them", f["engine_facts.pin"])
 	}
-	if d.Limits.Conns+d.Lines.All+spent > 256 || d.Limits.Conns < 256/3 || d.Limits.Bytes+d.Inbox > 16<<20 {
+	if d.Limits.Conns+d.Lines.All+reservedSockets > 256 || d.Limits.Conns < 256/3 || d.Limits.Bytes+d.Inbox > 16<<20 {
 		t.Errorf("%+v %+v do not fit", d.Limits, d.Lines)
 	}
 }
 
-func TestBadConfigurationIsToldWhole(t *testing.T) {
+func TestInvalidConfigReportsAllFaults(t *testing.T) {
 	for old, with := range map[string]string{`"pin_limit_us":1000000`: `"pin_limit_us":0`, `"pin_limit_us":1000000,`: `"pin_limit_us":-5,`,
 		`"tick_us":4000`: `"tick_us":200000`, `_limit_us":1000000`: `_limit_us":"long"`, `limit_us":1000000`: `limit_us":1000`,
 		`"127.0.0.4:3000"`: `"nowhere"`, `"fragile"`: `"odd"`, `"sockets":256`: `"sockets":9`,
 		`["read","write"]`: `["read","read"]`, `"settings":{`: `"else":{`, `{"name"`: `{`, `"index":1`: `"index":7`} {
-		m, err := ReadTold("c", []byte(strings.Replace(told, old, with, 1)))
+		m, err := ParseNodeConfig("c", []byte(strings.Replace(sampleConfig, old, with, 1)))
 		if err == nil {
 			_, err = m.Deployment("c")
 		}
@@ -245,12 +245,12 @@
 
 // Found on settings with a deduplicated class: engines want their clients' idempotency key, and the node dropped each
 // field that it did not know. What concerns one connection only ends here, and nothing stands twice.
-func TestFieldsArePassedOn(t *testing.T) {
+func TestHeaderFieldsAreForwarded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`X-[a-z]{1,8}`).Draw(t, "name")
 		value := rapid.StringMatching(`[!-~]([ -~]{0,20}[!-~])?`).Draw(t, "value")
 		listed := rapid.Bool().Draw(t, "listed in Connection")
-		head := good + "Idempotency-Key: \"8e03978e\"\r\nTE: trailers\r\nKeep-Alive: 5\r\n" + name + ": " + value + "\r\n"
+		head := sampleHead + "Idempotency-Key: \"8e03978e\"\r\nTE: trailers\r\nKeep-Alive: 5\r\n" + name + ": " + value + "\r\n"
 		if listed {
 			head += "Connection: keep-alive, " + name + "\r\n"
 		}
@@ -258,11 +258,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		call, _, wrong := New(nil).Parse(r, []byte("{}"))
+		call, _, wrong := NewCodec(nil).ParseRequest(r, []byte("{}"))
 		if wrong != nil {
 			t.Fatalf("%s", wrong.Body)
 		}
-		wire, err := New(nil).Write(call, call.Name, protocol.Engine{Host: "h:1"}, nil, time.Second)
+		wire, err := NewCodec(nil).DecodeRequest(call, call.ID, protocol.Target{Address: "h:1"}, nil, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -14,16 +14,16 @@
 	"sandcourse/internal/golden"
 )
 
-// goTypes are where the JSON reader's own words name structs of this program, which may change. What is kept is where the
+// goTypeNames are where the JSON reader's own words name structs of this program, which may change. What is kept is where the
 // field stands, and what it must be if that is a plain type.
-var goTypes = []*regexp.Regexp{regexp.MustCompile(`(?m)(Go value of type )[a-z]+\.[A-Za-z]+$`),
+var goTypeNames = []*regexp.Regexp{regexp.MustCompile(`(?m)(Go value of type )[a-z]+\.[A-Za-z]+$`),
 	regexp.MustCompile(`(Go struct field )[A-Za-z]*\.`),
 	regexp.MustCompile(`(?m)( of type )(?:struct \{.*\}|[a-z]+\.[A-Za-z]+)$`)}
 
 // Each bad configuration is refused with these words. It is the sample with one text in it put in place of another.
 func TestGoldenRefusals(t *testing.T) {
 	var b strings.Builder
-	for _, c := range [][2]string{{told, ""}, {told, "{"}, {told, "[]"}, {told, "null"}, {told, "{}"}, {told, "x"}, {`{"name"`, `{`},
+	for _, c := range [][2]string{{sampleConfig, ""}, {sampleConfig, "{"}, {sampleConfig, "[]"}, {sampleConfig, "null"}, {sampleConfig, "{}"}, {sampleConfig, "x"}, {`{"name"`, `{`},
 		{`"name":"n3"`, `"name":3`}, {`"listen":"127.0.0.4:3000"`, `"listen":7`}, {`"127.0.0.4:3000"`, `"nowhere"`},
 		{`"127.0.0.4:3000"`, `"127.0.0.4:0"`}, {`"listen":"127.0.0.4:3000",`, ``}, {`"127.2.0.1:8500"`, `"localhost:8500"`},
 		{`"discovery":"127.2.0.1:8500",`, ``}, {`"127.3.0.2:7946"`, `"127.3.0.2"`}, {`"peers":["127.3.0.1:7946",`, `"peers":["",`},
@@ -43,10 +43,10 @@
 		{`"listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500"`, `"listen":"a","discovery":"b","peers_all":"c"`},
 		{`"index":1,"peers_total":2,"tick_us":4000,"flavors":["prefill","decode"]`, `"index":9,"tick_us":900000,"flavors":[]`},
 	} {
-		if !strings.Contains(told, c[0]) {
+		if !strings.Contains(sampleConfig, c[0]) {
 			t.Errorf("the sample has no %s", c[0])
 		}
-		m, err := ReadTold("c.json", []byte(strings.Replace(told, c[0], c[1], 1)))
+		m, err := ParseNodeConfig("c.json", []byte(strings.Replace(sampleConfig, c[0], c[1], 1)))
 		if err == nil {
 			_, err = m.Deployment("c.json")
 		}
@@ -55,12 +55,12 @@
 			t.Errorf("%s: the error is not one of an operator's: %v", c[1], err)
 		}
 		old, answer := c[0], "taken"
-		if old == told {
+		if old == sampleConfig {
 			old = "(all)"
 		}
 		if err != nil {
 			answer = err.Error()
-			for _, names := range goTypes {
+			for _, names := range goTypeNames {
 				answer = names.ReplaceAllString(answer, "$1")
 			}
 		}
@@ -69,8 +69,8 @@
 	golden.Check(t, "refusals.golden", b.String())
 }
 
-// full names all that a configuration may say to this program, in the platform's words.
-const full = `{"name":"n4","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"ff","limits":{"cores":2,"memory_mb":96,
+// fullConfig names all that a configuration may say to this program, in the platform's words.
+const fullConfig = `{"name":"n4","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"ff","limits":{"cores":2,"memory_mb":96,
  "sockets":512},"peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],"peers_all":"127.0.0.9:7946","known":{"generation":3},
  "settings":{"areas":["dc1","dc2"],"zone":1,"index":2,"peers_total":3,"tick_us":5000,"flavors":["read","write","mixed"],
  "discovery":"subscribe","accounts":["t1","t2"],"ceilings":{"try_limit":3,"parallel_tries":2,"cancel":true,"probes":false,
@@ -86,8 +86,8 @@
 // What an accepted configuration comes to: what the decision module is handed, and what the node keeps to.
 func TestGoldenDeployment(t *testing.T) {
 	var b strings.Builder
-	for _, c := range [][2]string{{"sample", told}, {"full", full}} {
-		m, err := ReadTold("c.json", []byte(c[1]))
+	for _, c := range [][2]string{{"sample", sampleConfig}, {"full", fullConfig}} {
+		m, err := ParseNodeConfig("c.json", []byte(c[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,8 +101,8 @@
 			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
 		}
 		fmt.Fprintf(&b, "\ntold\nname = %s\nlisten = %s\ndiscovery = %s\nseed = %d\npeer_listen = %s\npeers = %q\npeers_all = %s\n"+
-			"known = %s\nmemory = %d\nreports = %q\n", m.Name, m.Listen, m.Discovery, m.SeedNumber(), m.PeerListen, m.Peers,
-			m.PeersAll, m.Known, m.Memory(), m.Reports())
+			"known = %s\nmemory = %d\nreports = %q\n", m.Name, m.ListenAddress, m.DiscoveryAddress, m.SeedValue(), m.PeerListenAddress, m.Peers,
+			m.PeerBroadcastAddress, m.CachedEndpoints, m.MemoryBytes(), m.LoadReportFields())
 		fmt.Fprintf(&b, "\nnode\nnode = %s\nchat = %s\nme = %d of %d\nzones = %q\nsends = %d\ntick = %v\nprobes = %v\n",
 			d.Node, d.Chat, d.Me, d.Nodes, d.Zones, d.Sends, d.Tick, d.Probes)
 		for _, k := range d.Kinds {
--- a/internal/replay/puppet.go
+++ b/internal/replay/puppet.go
@@ -57,7 +57,7 @@
 				if err != nil {
 					return
 				}
-				a := &ask{kind: "read", engine: name, send: r.Header.Get(engineapi.HeaderSend), conn: c, done: make(chan struct{})}
+				a := &ask{kind: "read", engine: name, send: r.Header.Get(engineapi.HeaderAttempt), conn: c, done: make(chan struct{})}
 				switch {
 				case r.URL.Path == engineapi.ReleasePath:
 					a.kind = "release"
@@ -119,7 +119,7 @@
 func whole(c net.Conn, status int, refused, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if refused != "" {
-		fmt.Fprintf(c, "%s: %s\r\n", engineapi.HeaderRefused, refused)
+		fmt.Fprintf(c, "%s: %s\r\n", engineapi.HeaderRejected, refused)
 	}
 	fmt.Fprintf(c, "\r\n%s", body)
 }
@@ -150,8 +150,8 @@
 	{" gives another token", func(_ *stage, a *ask) { event(a.conn, `{"choices":[]}`) }},
 	{" ends well", func(st *stage, a *ask) { event(a.conn, chat.Done); fmt.Fprint(a.conn, "0\r\n\r\n"); st.end(a, false) }},
 	{" ends without its last event", func(st *stage, a *ask) { fmt.Fprint(a.conn, "0\r\n\r\n"); st.end(a, false) }},
-	{" finds no state", func(st *stage, a *ask) { whole(a.conn, 409, engineapi.RefusedNoState, "{}"); st.end(a, false) }},
-	{" is refused: full", func(st *stage, a *ask) { whole(a.conn, 429, engineapi.RefusedFull, "{}"); st.end(a, false) }},
+	{" finds no state", func(st *stage, a *ask) { whole(a.conn, 409, engineapi.RejectedNoReservation, "{}"); st.end(a, false) }},
+	{" is refused: full", func(st *stage, a *ask) { whole(a.conn, 429, engineapi.RejectedFull, "{}"); st.end(a, false) }},
 	{" fails without a word why", func(st *stage, a *ask) { whole(a.conn, 503, "", "{}"); st.end(a, false) }},
 	{" is lost with its connection", func(st *stage, a *ask) { st.end(a, true) }},
 	{" is answered", func(st *stage, a *ask) { whole(a.conn, 200, "", "{}"); st.end(a, false) }},
@@ -194,7 +194,7 @@
 		}
 		defer l.Close()
 		go st.serve(l, name)
-		list.Engines = append(list.Engines, endpoint.Entry{Engine: l.Addr().String(), Kind: d.Kinds[i].Name, Weight: 1, State: endpoint.Ready})
+		list.Entries = append(list.Entries, endpoint.Entry{ID: l.Addr().String(), Kind: d.Kinds[i].Name, Weight: 1, State: endpoint.Ready})
 	}
 	d.Chat = "127.0.0.1:0"
 	n := edge.New(d, zap.NewNop(), source, 1)
@@ -238,11 +238,11 @@
 					continue
 				}
 				list.Revision++
-				list.Engines = append([]endpoint.Entry{}, list.Engines...)
+				list.Entries = append([]endpoint.Entry{}, list.Entries...)
 				if strings.HasSuffix(name, " drains") {
-					list.Engines[j].State = endpoint.Draining
+					list.Entries[j].State = endpoint.Draining
 				} else {
-					list.Engines[j].UpSince = time.Now().UnixMilli()
+					list.Entries[j].StartedAtMs = time.Now().UnixMilli()
 					for a, err := st.find(now(), "", e); err == nil; a, err = st.find(now(), "", e) {
 						st.end(a, true)
 					}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -26,7 +26,7 @@
 	lastToken int64
 	relay     Relay // of its stream, if it has one
 	kept      float64
-	transfer  protocol.State
+	transfer  protocol.ReservationHandle
 	report    map[string]float64
 	verdict   routing.Verdict
 	ended     bool
@@ -62,7 +62,7 @@
 func (o *Core) maySend(s *send, l *Line) invariant.Reason {
 	inf := s.inf
 	a := invariant.Attempt{Answered: inf.final != "", ClientGone: inf.client.gone, GiveUpAt: inf.giveUpAt, Drained: o.told[s.engine],
-		Moved: l != nil && l.Host != o.reach(s.engine).Host, Effect: inf.effect(o.d),
+		Moved: l != nil && l.Host != o.reach(s.engine).Address, Effect: inf.effect(o.d),
 		Window: int64(o.d.Routes[inf.route].DedupWindow)}
 	for _, before := range inf.sends {
 		if before != s {
@@ -83,16 +83,16 @@
 	to := o.reach(l.Engine)
 	if e := l.control; e != nil {
 		if e.hold != nil {
-			return o.protocol.Release(to, e.hold.ID.Request, e.hold.ID.Attempt), nil
+			return o.protocol.ReleaseRequest(to, e.hold.ID.Request, e.hold.ID.Attempt), nil
 		}
-		return o.protocol.Probe(to), nil
+		return o.protocol.HealthCheckRequest(to), nil
 	}
 	s := l.send
 	inf, left := s.inf, o.toldTime(s.inf)
 	if s.writes {
-		return o.protocol.Write(inf.asked.Call, inf.name, to, inf.transfer, left)
+		return o.protocol.DecodeRequest(inf.asked.Call, inf.name, to, inf.transfer, left)
 	}
-	return o.protocol.Read(inf.asked.Call, inf.name, to, s.n, left)
+	return o.protocol.PrefillRequest(inf.asked.Call, inf.name, to, s.n, left)
 }
 
 // toldMargin is by how much less time an engine is told than is left, so that a node which is held up between its look at
@@ -191,14 +191,14 @@
 		o.monitor.Began(inf.id)
 		o.changeHolds(inf, reservation.Taken)
 		if inf.whole == nil && inf.final == "" {
-			o.write(inf.client, o.protocol.Open(inf.name))
+			o.write(inf.client, o.protocol.StreamHead(inf.name))
 		}
-		o.watch.First(o.d.Routes[inf.route].Name, time.Duration(o.now-inf.at), inf.asked.Call.Prompt)
+		o.watch.First(o.d.Routes[inf.route].Name, time.Duration(o.now-inf.at), inf.asked.Call.PromptTokens)
 		o.tell(routing.FirstToken{Inf: inf.id, Send: s.n, Engine: s.engine, Lag: o.now - s.at})
 	}
 	inf.tokens++
 	if inf.whole == nil && inf.final == "" {
-		o.write(inf.client, o.protocol.Event(s.token))
+		o.write(inf.client, o.protocol.StreamEvent(s.token))
 	}
 	s.token = nil
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -28,7 +28,7 @@
 	if !ok {
 		// A request may be on its way on it already, and is owed an answer.
 		o.watch.Refused("connections")
-		o.reply(c, nil, o.protocol.Shed(http.StatusServiceUnavailable, "", "this node has all the connections that it may",
+		o.reply(c, nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node has all the connections that it may",
 			o.d.RetryAfter))
 	}
 }
@@ -118,7 +118,7 @@
 	c.held = held
 	if id := o.gate.Fattest(); id != 0 {
 		o.watch.Refused("bytes")
-		o.reply(o.clients[id], nil, o.protocol.Shed(http.StatusServiceUnavailable, "", "this node holds all that it may",
+		o.reply(o.clients[id], nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node holds all that it may",
 			o.d.RetryAfter))
 	}
 }
@@ -126,13 +126,13 @@
 // RefuseMessage answers what is no request, and reads nothing more: where one message ends is not known.
 func (o *Core) RefuseMessage(c *Client, err error) {
 	status := http.StatusBadRequest
-	var f *httpframing.Fault
+	var f *httpframing.MessageError
 	if errors.As(err, &f) {
 		status = f.Status
 	}
 	o.watch.Refused("message")
 	// What was asked for before it gets its answers first.
-	wrong := o.protocol.Refusal(status, "bad_message", "", err.Error())
+	wrong := o.protocol.InvalidRequestResponse(status, "bad_message", "", err.Error())
 	c.waiting = append(c.waiting, &Asked{Wrong: &wrong, ends: true})
 	o.next(c)
 }
@@ -212,14 +212,14 @@
 	case a.Call != nil:
 		o.arrive(c, a)
 	default:
-		o.reply(c, a, o.protocol.Page(a.Request, o.unready()))
+		o.reply(c, a, o.protocol.AuxiliaryResponse(a.Request, o.unready()))
 	}
 }
 
 // reply writes a whole answer and ends the request.
-func (o *Core) reply(c *Client, a *Asked, with protocol.Answer) {
+func (o *Core) reply(c *Client, a *Asked, with protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
-		with.Status, http.StatusText(with.Status), with.Type, len(with.Body))
+		with.Status, http.StatusText(with.Status), with.ContentType, len(with.Body))
 	for i := 0; i+1 < len(with.Headers); i += 2 {
 		head = fmt.Appendf(head, "%s: %s\r\n", with.Headers[i], with.Headers[i+1])
 	}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -54,7 +54,7 @@
 		}
 	case ok:
 		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Completed, Lag: o.now - e.at,
-			Report: o.protocol.Load(head, body)})
+			Report: o.protocol.ParseLoadReport(head, body)})
 	case head != nil: // it is there, and has no answer now
 		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Full, Lag: o.now - e.at})
 	default:
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -28,7 +28,7 @@
 	watch Watch
 	now   int64
 	// protocol is how clients and engines are met; it may keep nothing of its own that changes.
-	protocol protocol.Dialect
+	protocol protocol.Codec
 
 	brain  *routing.Brain
 	lives  uint64 // of the module: a panic begins a new one
@@ -96,13 +96,13 @@
 }
 
 // New makes the core of a node that starts at now. Epoch must differ between lives of a node.
-func New(d *config.Deployment, protocol protocol.Dialect, seed uint64, epoch, now int64, wire Wire,
+func New(d *config.Deployment, protocol protocol.Codec, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
 		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
 			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
-		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleasesAnywhere(),
+		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleaseReachesAllEngines(),
 			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
 	o.brain = routing.New(seed, d.Facts())
 	return o
@@ -158,7 +158,7 @@
 			return // a request has come in this moment
 		}
 	case admission.Heading, admission.Bodying:
-		o.reply(c, nil, o.protocol.Refusal(http.StatusRequestTimeout, "too_slow", "",
+		o.reply(c, nil, o.protocol.InvalidRequestResponse(http.StatusRequestTimeout, "too_slow", "",
 			"the request did not come in time"))
 	default:
 		o.closeClient(c, CloseUnread)
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -111,7 +111,7 @@
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
 func newBench(t *testing.T) *bench {
-	told, err := platform.ReadTold("test", []byte(told))
+	told, err := platform.ParseNodeConfig("test", []byte(told))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, now: 1e15}
-	b.core = router.New(d, platform.New(told.Reports()), 1, 1, b.now, b, b)
+	b.core = router.New(d, platform.NewCodec(told.LoadReportFields()), 1, 1, b.now, b, b)
 	b.list("r", "w")
 	return b
 }
@@ -140,7 +140,7 @@
 		if id[0] == 'r' {
 			kind = "m1"
 		}
-		list.Engines = append(list.Engines, endpoint.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
+		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
 			State: endpoint.Ready})
 	}
 	b.core.Begin(b.now)
@@ -219,7 +219,7 @@
 		if r.Method != http.MethodPost {
 			continue
 		}
-		left, err := strconv.ParseFloat(r.Header.Get(platform.HeaderGiveUp), 64)
+		left, err := strconv.ParseFloat(r.Header.Get(platform.HeaderTimeout), 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,7 +265,7 @@
 		b.t.Fatal(err)
 	}
 	a := &router.Asked{Request: r, Bytes: 2}
-	a.Call, a.Party, a.Wrong = platform.New(nil).Parse(r, []byte("{}"))
+	a.Call, a.Party, a.Wrong = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
 	b.core.Begin(b.now)
 	b.core.Ask(c, a)
 	b.core.Turn(b.now)
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -25,14 +25,14 @@
 	case "write":
 		return false
 	}
-	return inf.transfer == nil && !o.protocol.MixedAnswers()
+	return inf.transfer == nil && !o.protocol.MixedEnginePrefillsOnDecode()
 }
 
 // entry is what the list says of an engine; nothing of one that is not in it.
 func (o *Core) entry(engineID string) endpoint.Entry {
 	if o.list != nil {
-		for _, e := range o.list.Engines {
-			if e.Engine == engineID {
+		for _, e := range o.list.Entries {
+			if e.ID == engineID {
 				return e
 			}
 		}
@@ -41,14 +41,14 @@
 }
 
 // reach is how an engine is reached from this node: by its id, unless the list says another place.
-func (o *Core) reach(engineID string) protocol.Engine {
+func (o *Core) reach(engineID string) protocol.Target {
 	e := o.entry(engineID)
-	return protocol.Engine{Host: cmp.Or(e.Host, engineID), Epoch: e.Epoch}
+	return protocol.Target{Address: cmp.Or(e.Address, engineID), RoleEpoch: e.RoleEpoch}
 }
 
 // takeList takes a list of engines, which replaces the one before.
 func (o *Core) takeList(list endpoint.List) {
-	list.Engines = o.starts.settle(list.Engines, o.now)
+	list.Entries = o.starts.settle(list.Entries, o.now)
 	news, unknown := o.d.News(list)
 	ready := map[string]bool{}
 	for _, e := range news.Engines {
@@ -80,8 +80,8 @@
 // there by now. Those that carry something are left to it, and closed behind it.
 func (o *Core) closeMoved() {
 	hosts := map[string]string{}
-	for _, e := range o.list.Engines {
-		hosts[e.Engine] = cmp.Or(e.Host, e.Engine)
+	for _, e := range o.list.Entries {
+		hosts[e.ID] = cmp.Or(e.Address, e.ID)
 	}
 	for _, id := range o.pool.All() {
 		l := o.lines[id]
@@ -101,7 +101,7 @@
 		return "this node is stopping"
 	case o.list == nil:
 		return "no list of engines has come yet"
-	case len(o.list.Engines) == 0:
+	case len(o.list.Entries) == 0:
 		return "the list of engines is empty"
 	}
 	return ""
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -33,7 +33,7 @@
 	t        *testing.T
 	core     *router.Core
 	d        *config.Deployment
-	protocol protocol.Dialect
+	protocol protocol.Codec
 	chat     bool // the chat dialect; else the platform's
 	start    int64
 	now      int64
@@ -77,17 +77,17 @@
 		}
 		r.d = d
 		d.Nodes = nodes
-		r.protocol = chatapi.New([]string{d.Routes[0].Name, d.Routes[1].Name})
+		r.protocol = chatapi.NewCodec([]string{d.Routes[0].Name, d.Routes[1].Name})
 	} else {
 		text := strings.Replace(told, `"peers_total":1`, fmt.Sprintf(`"peers_total":%d`, nodes), 1)
-		told, err := platform.ReadTold("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
+		told, err := platform.ParseNodeConfig("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r.d, err = told.Deployment("test"); err != nil {
 			t.Fatal(err)
 		}
-		r.protocol = platform.New(told.Reports())
+		r.protocol = platform.NewCodec(told.LoadReportFields())
 	}
 	for _, f := range alter {
 		f(r.d)
@@ -295,7 +295,7 @@
 type goldenClient struct {
 	r      *recorder
 	core   *router.Client
-	cutter *httpframing.Cutter
+	cutter *httpframing.Parser
 	head   *http.Request
 	body   []byte
 	gone   bool
@@ -322,7 +322,7 @@
 
 func (r *recorder) client() *goldenClient {
 	r.clients++
-	c := &goldenClient{r: r, cutter: httpframing.New(httpframing.Requests, httpframing.Bounds{Head: 2048, Body: 4096})}
+	c := &goldenClient{r: r, cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 2048, BodyBytes: 4096})}
 	c.core = &router.Client{ID: r.clients, Socket: c}
 	r.do(func() { r.core.ClientOpened(c.core) })
 	return c
@@ -351,7 +351,7 @@
 				c.body = append(c.body, p.Data...)
 			case httpframing.End:
 				a := &router.Asked{Request: c.head, Bytes: len(c.body)}
-				a.Call, a.Party, a.Wrong = c.r.protocol.Parse(c.head, c.body)
+				a.Call, a.Party, a.Wrong = c.r.protocol.ParseRequest(c.head, c.body)
 				core.Ask(c.core, a)
 			}
 		}
@@ -413,7 +413,7 @@
 		if drains {
 			state = endpoint.Draining
 		}
-		list.Engines = append(list.Engines, endpoint.Entry{Engine: id, Host: host, Kind: r.d.Kinds[kind].Name, Zone: zone,
+		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: host, Kind: r.d.Kinds[kind].Name, Zone: zone,
 			Weight: 1, State: state})
 	}
 	r.note("engines listed: %s", strings.Join(words, " "))
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -25,7 +25,7 @@
 	at       int64
 	giveUpAt int64
 	sends    []*send
-	transfer protocol.State
+	transfer protocol.ReservationHandle
 	whole    protocol.Collector // where the client wants one answer
 	began    bool
 	firstAt  int64
@@ -47,23 +47,23 @@
 	d := o.d
 	route := d.Route(a.Call.Route)
 	if route < 0 {
-		o.reply(c, a, o.protocol.Refusal(http.StatusNotFound, "model_not_found", "model",
+		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
 			fmt.Sprintf("there is no model route %q", a.Call.Route)))
 		return
 	}
 	if !a.Request.ProtoAtLeast(1, 1) {
-		o.reply(c, a, o.protocol.Refusal(http.StatusHTTPVersionNotSupported, "bad_protocol", "",
+		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusHTTPVersionNotSupported, "bad_protocol", "",
 			"calls are taken over HTTP/1.1"))
 		return
 	}
-	switch why := invariant.MayStart(invariant.Arrival{NameKnown: o.known(a.Call.Name), Taking: o.taking()}); why {
+	switch why := invariant.MayStart(invariant.Arrival{NameKnown: o.known(a.Call.ID), Taking: o.taking()}); why {
 	case invariant.Allowed:
-		if a.Call.Name != "" {
-			o.names.take(a.Call.Name)
+		if a.Call.ID != "" {
+			o.names.take(a.Call.ID)
 		}
 	case invariant.NameKnown:
 		o.watch.Refused("name known")
-		o.reply(c, a, o.protocol.Refusal(http.StatusConflict, "known", "", string(why)))
+		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusConflict, "known", "", string(why)))
 		return
 	default:
 		o.shedCall(c, a, http.StatusServiceUnavailable, string(why), 0)
@@ -87,14 +87,14 @@
 		return
 	}
 	o.nextInf++
-	inf := &inference{id: o.nextInf, name: cmp.Or(a.Call.Name, fmt.Sprintf("%s-%x-%d", d.Node, o.epoch, o.nextInf)),
+	inf := &inference{id: o.nextInf, name: cmp.Or(a.Call.ID, fmt.Sprintf("%s-%x-%d", d.Node, o.epoch, o.nextInf)),
 		client: c, asked: a, route: route, at: o.now}
 	patience := d.Routes[route].Timeout
-	if a.Call.GiveUp > 0 {
-		patience = min(patience, a.Call.GiveUp)
+	if a.Call.FirstTokenTimeout > 0 {
+		patience = min(patience, a.Call.FirstTokenTimeout)
 	}
 	inf.giveUpAt = o.arrivedAt() + int64(patience)
-	inf.whole = o.protocol.Collect(a.Call)
+	inf.whole = o.protocol.NewCollector(a.Call)
 	c.current = inf
 	o.infs[inf.id], o.byName[inf.name] = inf, inf
 	o.monitor.Taken(inf.id, inf.name, inf.effect(d), int64(d.Routes[route].DedupWindow), inf.giveUpAt)
@@ -102,9 +102,9 @@
 	if session == "" {
 		session = inf.name // one of its own: the module must not take strangers for one session
 	}
-	o.tell(routing.Arrival{Inf: inf.id, Route: route, Session: session, Prefix: a.Call.Beginning,
-		GiveUpAt: inf.giveUpAt, Prompt: float64(a.Call.Prompt), PrefixTokens: float64(a.Call.BeginningLen),
-		MaxAnswer: float64(a.Call.MaxAnswer), Repeat: a.Call.Repeat, Resumed: a.Call.Resumed})
+	o.tell(routing.Arrival{Inf: inf.id, Route: route, Session: session, Prefix: a.Call.Prefix,
+		GiveUpAt: inf.giveUpAt, Prompt: float64(a.Call.PromptTokens), PrefixTokens: float64(a.Call.PrefixTokens),
+		MaxAnswer: float64(a.Call.MaxOutputTokens), Repeat: a.Call.Idempotent, Resumed: a.Call.Resumes})
 	o.forget(inf)
 }
 
@@ -132,12 +132,12 @@
 // shedCall refuses a call that was never an inference. One that asks for the rest of a stream has run before, under
 // another name, so where it may not run twice a refusal, which says that a further try is harmless, would be untrue.
 func (o *Core) shedCall(c *Client, a *Asked, status int, why string, again time.Duration) {
-	o.watch.Shed(Shed{Request: a.Call.Name, Route: a.Call.Route, Why: why, Prompt: a.Call.Prompt})
-	if a.Call.Resumed && o.d.Routes[o.d.Route(a.Call.Route)].Effect != "retriable" {
-		o.reply(c, a, o.protocol.Errored("", why, false))
+	o.watch.Shed(Shed{Request: a.Call.ID, Route: a.Call.Route, Why: why, Prompt: a.Call.PromptTokens})
+	if a.Call.Resumes && o.d.Routes[o.d.Route(a.Call.Route)].Effect != "retriable" {
+		o.reply(c, a, o.protocol.ErrorResponse("", why, false))
 		return
 	}
-	o.reply(c, a, o.protocol.Shed(status, "", why, again))
+	o.reply(c, a, o.protocol.ShedResponse(status, "", why, again))
 }
 
 // end is the one gate of how an inference ends: the first call counts, and no token passes after it.
@@ -171,12 +171,12 @@
 	}
 	switch {
 	case final == completed && inf.whole != nil:
-		o.reply(c, inf.asked, o.protocol.Whole(inf.asked.Call, inf.name, inf.whole))
+		o.reply(c, inf.asked, o.protocol.CompleteResponse(inf.asked.Call, inf.name, inf.whole))
 	case inf.began && inf.whole == nil, final == completed:
 		if !inf.began { // an answer without a token
-			o.write(c, o.protocol.Open(inf.name))
+			o.write(c, o.protocol.StreamHead(inf.name))
 		}
-		last, keep := o.protocol.Close(final == completed, why)
+		last, keep := o.protocol.StreamEnd(final == completed, why)
 		o.write(c, last)
 		if !keep {
 			o.cut(c)
@@ -184,7 +184,7 @@
 		}
 		o.answered(c, inf.asked, !inf.asked.Request.Close)
 	default:
-		o.reply(c, inf.asked, o.protocol.Errored(inf.name, why, o.timeUp(inf)))
+		o.reply(c, inf.asked, o.protocol.ErrorResponse(inf.name, why, o.timeUp(inf)))
 	}
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	if c := inf.client; o.end(inf, shed, "") && !c.gone {
-		o.reply(c, inf.asked, o.protocol.Shed(http.StatusServiceUnavailable, inf.name, "it would not be answered in time",
+		o.reply(c, inf.asked, o.protocol.ShedResponse(http.StatusServiceUnavailable, inf.name, "it would not be answered in time",
 			time.Duration(again)))
 	}
 }
@@ -232,7 +232,7 @@
 
 func (o *Core) log(inf *inference, why string) {
 	f := Final{Inference: inf.name, Route: o.d.Routes[inf.route].Name, Session: inf.asked.Call.Session, Final: inf.final,
-		Took: time.Duration(o.now - inf.at), Prompt: inf.asked.Call.Prompt, Why: why}
+		Took: time.Duration(o.now - inf.at), Prompt: inf.asked.Call.PromptTokens, Why: why}
 	if inf.began {
 		f.First = time.Duration(inf.firstAt - inf.at)
 	}
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -37,7 +37,7 @@
 	}
 	l := o.lines[lease.ID]
 	if !lease.Reused {
-		l = &Line{ID: lease.ID, Engine: engineID, Host: o.reach(engineID).Host, dialAt: o.now}
+		l = &Line{ID: lease.ID, Engine: engineID, Host: o.reach(engineID).Address, dialAt: o.now}
 		o.lines[l.ID] = l
 	}
 	l.send, l.control, l.again = s, e, lease.Reused
@@ -144,8 +144,8 @@
 			o.happen(s, attempt.Garbled, "a second head")
 			return
 		}
-		s.report, s.relay = o.protocol.Load(head, nil), tokens
-		o.happen(s, o.protocol.Sort(head, s.writes), head.Status)
+		s.report, s.relay = o.protocol.ParseLoadReport(head, nil), tokens
+		o.happen(s, o.protocol.ClassifyResponse(head, s.writes), head.Status)
 	case l.control != nil:
 		l.control.head = head
 	case l.restSince == 0:
@@ -159,12 +159,12 @@
 	if s == nil {
 		return
 	}
-	if o.protocol.Last(event) {
+	if o.protocol.IsFinalEvent(event) {
 		o.happen(s, attempt.Finished, "")
 		return
 	}
 	if s.inf.whole != nil {
-		if err := s.inf.whole.Take(event); err != nil {
+		if err := s.inf.whole.Add(event); err != nil {
 			o.happen(s, attempt.Garbled, err.Error())
 			return
 		}
@@ -180,7 +180,7 @@
 
 // LineComment takes a comment of a stream, which may be the engine's load report.
 func (o *Core) LineComment(l *Line, text []byte) {
-	if report := o.protocol.Comment(text); report != nil && l.send != nil {
+	if report := o.protocol.ParseLoadComment(text); report != nil && l.send != nil {
 		l.send.report = report
 	}
 }
@@ -190,10 +190,10 @@
 	if s := l.send; s != nil {
 		switch {
 		case s.writes:
-			in, why := o.protocol.Cut(s.machine.Began)
+			in, why := o.protocol.ClassifyStreamEnd(s.machine.Began)
 			o.happen(s, in, why)
 		default:
-			t, kept, err := o.protocol.Held(body)
+			t, kept, err := o.protocol.ParseReservation(body)
 			if err != nil {
 				o.happen(s, attempt.Garbled, err.Error())
 			} else {
--- a/internal/router/lists.go
+++ b/internal/router/lists.go
@@ -24,7 +24,7 @@
 func (o *Core) TakeList(list endpoint.List) {
 	o.lists.latest, o.lists.againAt = list, 0
 	if list.Revision < o.lists.newest {
-		list.Engines = o.keepDrains(list.Engines)
+		list.Entries = o.keepDrains(list.Entries)
 	}
 	o.lists.newest = max(o.lists.newest, list.Revision)
 	o.takeList(list)
@@ -35,7 +35,7 @@
 	engines = slices.Clone(engines)
 	for i := range engines {
 		e := &engines[i]
-		told := o.told[e.Engine]
+		told := o.told[e.ID]
 		if e.State != endpoint.Ready || told == 0 || o.now-told >= olderListFor || o.starts.isNew(*e) {
 			continue
 		}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -164,10 +164,10 @@
 // Asked is one request of a client, whole.
 type Asked struct {
 	Request *http.Request
-	Call    *protocol.Call // nil where it is no call
-	Party   string         // who asks, empty for the connection itself
+	Call    *protocol.Request // nil where it is no call
+	Party   string            // who asks, empty for the connection itself
 	Bytes   int
-	Wrong   *protocol.Answer // to a call that is none
+	Wrong   *protocol.Response // to a call that is none
 
 	excess bool // more wait before it than may
 	ends   bool // nothing behind it can be read
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -100,9 +100,9 @@
 func TestEngineAtAnotherAddress(t *testing.T) {
 	move := func(b *bench) {
 		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: 2, Engines: []endpoint.Entry{
-			{Engine: "r", Host: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: endpoint.Ready},
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
+		b.core.TakeList(endpoint.List{Revision: 2, Entries: []endpoint.Entry{
+			{ID: "r", Address: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: endpoint.Ready},
+			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	b := newBench(t)
@@ -248,9 +248,9 @@
 	b := newBench(t)
 	tell := func(revision int64, state string, started int64) {
 		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: revision, Engines: []endpoint.Entry{
-			{Engine: "r", Host: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state, UpSince: started},
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
+		b.core.TakeList(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
+			{ID: "r", Address: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state, StartedAtMs: started},
+			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	sent := func() bool {
@@ -282,8 +282,8 @@
 	}
 	gone := func(revision int64) {
 		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: revision, Engines: []endpoint.Entry{
-			{Engine: "w", Host: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
+		b.core.TakeList(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
+			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
 		b.core.Turn(b.now)
 	}
 	begun := b.now/int64(time.Millisecond) - 1000
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -99,7 +99,7 @@
 	}
 	for _, engine := range o.releaseTargets(h, first) {
 		// Where only one engine can take it, every second try is on a connection of its own.
-		fresh := !o.protocol.ReleasesAnywhere() && len(h.Asked)%2 == 1
+		fresh := !o.protocol.ReleaseReachesAllEngines() && len(h.Asked)%2 == 1
 		h.Asked = append(h.Asked, engine)
 		o.startControl(&controlRequest{engine: engine, hold: h, round: h.Round, fresh: fresh})
 	}
@@ -108,12 +108,12 @@
 // releaseTargets are the engines that a release goes to now. Where any engine takes releases, that is the one that
 // holds the state, and with it one that the node has a connection to; then those that answered last, as they run.
 func (o *Core) releaseTargets(h *reservation.Hold, first bool) []string {
-	if !o.protocol.ReleasesAnywhere() || o.list == nil {
+	if !o.protocol.ReleaseReachesAllEngines() || o.list == nil {
 		return []string{h.Engine}
 	}
 	var row []string
-	for _, listed := range o.list.Engines {
-		row = append(row, listed.Engine)
+	for _, listed := range o.list.Entries {
+		row = append(row, listed.ID)
 	}
 	if len(h.Asked) >= len(row) {
 		h.Asked = h.Asked[:0] // all were asked: from the beginning
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -120,12 +120,12 @@
 		e.kind = ""
 	}
 	if e.kind == http.MethodDelete {
-		w.release(strings.TrimPrefix(r.URL.Path, platform.HoldsPath))
+		w.release(strings.TrimPrefix(r.URL.Path, platform.ReservationsPath))
 	}
 	if r.Method != http.MethodPost {
 		return nil
 	}
-	i := slices.IndexFunc(w.callers, func(c *caller) bool { return c.name == r.Header.Get(platform.HeaderName) })
+	i := slices.IndexFunc(w.callers, func(c *caller) bool { return c.name == r.Header.Get(platform.HeaderRequestID) })
 	e.caller = w.callers[i]
 	e.post = &post{engine: e.line.Engine, at: w.now, reads: w.d.Role(w.list[e.line.Engine].Kind) == "read"}
 	w.judgePost(e.caller, e.post)
@@ -314,14 +314,14 @@
 	retry := rapid.SampledFrom([]string{"", "", "Client-Retry: 1\r\n", "Client-Retry: again\r\n"}).Draw(w.t, "retry")
 	c.resumes = strings.Contains(retry, "again")
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nAffinity-Key: k%d\r\n"+
-		"Request-Timeout: %.3f\r\n%sContent-Length: 2\r\n\r\n{}", platform.CallPath, c.name, route.Name, len(w.callers)%3,
+		"Request-Timeout: %.3f\r\n%sContent-Length: 2\r\n\r\n{}", platform.CompletionsPath, c.name, route.Name, len(w.callers)%3,
 		wait.Seconds(), retry)
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	a := &router.Asked{Request: r, Bytes: 2}
-	a.Call, a.Party, a.Wrong = platform.New(nil).Parse(r, []byte("{}"))
+	a.Call, a.Party, a.Wrong = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
 	w.callers = append(w.callers, c)
 	w.do(func() { w.core.ClientOpened(c.client); w.core.Ask(c.client, a) })
 }
@@ -422,7 +422,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if w.list[id].State != "" {
-			list.Engines = append(list.Engines, w.list[id])
+			list.Entries = append(list.Entries, w.list[id])
 		}
 	}
 	w.do(func() { w.core.TakeList(list) })
@@ -473,7 +473,7 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	told, err := platform.ReadTold("settings", anySettings(t))
+	told, err := platform.ParseNodeConfig("settings", anySettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -482,10 +482,10 @@
 	if w.d, err = told.Deployment("settings"); err != nil {
 		t.Fatal(err)
 	}
-	w.core = router.New(w.d, platform.New(told.Reports()), 1, 1, w.now, w, w)
+	w.core = router.New(w.d, platform.NewCodec(told.LoadReportFields()), 1, 1, w.now, w, w)
 	for i, kind := range []string{"p", "p", "d", "d", "m"}[:rapid.IntRange(3, 5).Draw(t, "engines")] {
 		id := fmt.Sprint("s", i)
-		w.list[id] = endpoint.Entry{Engine: id, Host: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
+		w.list[id] = endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
 			Cell:  fmt.Sprint(i % 3),
 			State: endpoint.Ready}
 	}
--- a/internal/router/starts.go
+++ b/internal/router/starts.go
@@ -33,11 +33,11 @@
 	next := make(map[string]start, len(engines))
 	out := make([]endpoint.Entry, len(engines))
 	for i, e := range engines {
-		if e.UpSince > 0 {
+		if e.StartedAtMs > 0 {
 			known := s.of(e, now)
 			known.seen = now
-			next[e.Engine] = known
-			e.UpSince = known.at / perMilli
+			next[e.ID] = known
+			e.StartedAtMs = known.at / perMilli
 		}
 		out[i] = e
 	}
@@ -52,18 +52,18 @@
 
 // isNew is whether an entry tells a start of its engine that was not told before.
 func (s *starts) isNew(e endpoint.Entry) bool {
-	return e.UpSince > 0 && s.known[e.Engine].told != e.UpSince
+	return e.StartedAtMs > 0 && s.known[e.ID].told != e.StartedAtMs
 }
 
 func (s *starts) of(e endpoint.Entry, now int64) start {
-	before, known := s.known[e.Engine]
-	if known && before.told == e.UpSince {
+	before, known := s.known[e.ID]
+	if known && before.told == e.StartedAtMs {
 		return before
 	}
-	at := e.UpSince * perMilli
+	at := e.StartedAtMs * perMilli
 	if at > now || s.began && now-at > int64(lateNews) {
 		at = now
 	}
 	// A new start is never before the last one, whatever the clocks say.
-	return start{told: e.UpSince, at: max(at, before.at+perMilli)}
+	return start{told: e.StartedAtMs, at: max(at, before.at+perMilli)}
 }
--- a/internal/router/starts_test.go
+++ b/internal/router/starts_test.go
@@ -28,27 +28,27 @@
 		if !c.first {
 			s.settle(nil, now-perMilli)
 		}
-		row := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told}}, now)
-		if age := time.Duration(now - row[0].UpSince*perMilli); age != c.age {
+		row := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now)
+		if age := time.Duration(now - row[0].StartedAtMs*perMilli); age != c.age {
 			t.Errorf("%s: the engine is taken to be %v old, want %v", name, age, c.age)
 		}
 		// Time passes, and the same start is told again: it stays.
-		again := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told}}, now+int64(time.Minute))
-		if again[0].UpSince != row[0].UpSince {
-			t.Errorf("%s: the same start moves by %d ms", name, again[0].UpSince-row[0].UpSince)
+		again := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now+int64(time.Minute))
+		if again[0].StartedAtMs != row[0].StartedAtMs {
+			t.Errorf("%s: the same start moves by %d ms", name, again[0].StartedAtMs-row[0].StartedAtMs)
 		}
 		// It starts anew, stamped by a clock that was set back meanwhile.
-		anew := s.settle([]endpoint.Entry{{Engine: "e", UpSince: c.told - hour}}, now+2*int64(time.Minute))
-		if anew[0].UpSince <= row[0].UpSince {
+		anew := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told - hour}}, now+2*int64(time.Minute))
+		if anew[0].StartedAtMs <= row[0].StartedAtMs {
 			t.Errorf("%s: a start stamped by a clock that was set back is not seen", name)
 		}
 	}
 	s := starts{}
-	if row := s.settle([]endpoint.Entry{{Engine: "e"}}, now); row[0].UpSince != 0 {
+	if row := s.settle([]endpoint.Entry{{ID: "e"}}, now); row[0].StartedAtMs != 0 {
 		t.Error("an engine that came up long ago is given a start")
 	}
 	for i := range 100 {
-		s.settle([]endpoint.Entry{{Engine: string(rune('a' + i)), UpSince: 1}}, now+int64(i)*departed/10)
+		s.settle([]endpoint.Entry{{ID: string(rune('a' + i)), StartedAtMs: 1}}, now+int64(i)*departed/10)
 	}
 	if len(s.known) > 12 {
 		t.Errorf("%d engines are remembered, one is listed and ten left in the last minute", len(s.known))
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -42,27 +42,27 @@
 	return careless{t, log, fleet}
 }
 
-func (c careless) send(to *standin.Engine, name, request string, transfer *engineapi.Transfer) engineapi.Transfer {
-	call, err := chat.Parse([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
+func (c careless) send(to *standin.Engine, name, request string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
+	call, err := chat.ParseRequest([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil { // it may be called in a goroutine of its own, where Fatal must not be
 		c.t.Error(err)
-		return engineapi.Transfer{}
+		return engineapi.KVTransfer{}
 	}
-	put := map[string]any{"kv_transfer_params": engineapi.Transfer{RemoteDecode: true}}
+	put := map[string]any{"kv_transfer_params": engineapi.KVTransfer{RemoteDecode: true}}
 	if transfer != nil {
 		put["kv_transfer_params"] = transfer
 	}
-	body, _ := call.Rewritten(put)
+	body, _ := call.RewrittenBody(put)
 	r, _ := http.NewRequest(http.MethodPost, "http://"+to.Addr()+engineapi.ChatPath, bytes.NewReader(body))
-	r.Header.Set(chat.HeaderInference, name)
-	r.Header.Set(chat.HeaderRequest, request)
+	r.Header.Set(chat.HeaderRequestID, name)
+	r.Header.Set(chat.HeaderClientRequestID, request)
 	answer, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return engineapi.Transfer{}
+		return engineapi.KVTransfer{}
 	}
 	defer answer.Body.Close()
 	text, _ := io.ReadAll(answer.Body)
-	got, _, _ := engineapi.ReadAnswer(text)
+	got, _, _ := engineapi.ParsePrefillResponse(text)
 	return got
 }
 
@@ -110,7 +110,7 @@
 		call(c, "x-2", "two", "lost", 0, now)
 		call(c, "x-3", "three", "shed", 1, now.Add(2*time.Second))
 		call(c, "x-4", "four", "shed", 1, now.Add(-time.Second))
-		c.send(c.fleet.Engines[1], "x-4", "four", &engineapi.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
+		c.send(c.fleet.Engines[1], "x-4", "four", &engineapi.KVTransfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
 		if got := c.broken(); !reflect.DeepEqual(got, []int{1, 1, 1, 1}) {
 			t.Error(got)
 		}
@@ -140,7 +140,7 @@
 		c := newCareless(t)
 		c.fleet.Drain(c.fleet.Engines[1], true)
 		time.Sleep(600 * time.Millisecond)
-		c.send(c.fleet.Engines[1], "x-1", "one", &engineapi.Transfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
+		c.send(c.fleet.Engines[1], "x-1", "one", &engineapi.KVTransfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
 		c.want(3)
 	})
 	t.Run("4 a cold engine is pushed over", func(t *testing.T) {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -46,11 +46,11 @@
 		}
 		f.Engines = append(f.Engines, e)
 		kind := map[string]string{"read": "prefill", "write": "decode"}[m.Role]
-		f.list.Engines = append(f.list.Engines, endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1,
+		f.list.Entries = append(f.list.Entries, endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1,
 			Cell: fmt.Sprint("c", i%max(1, len(makes)/5)), State: endpoint.Ready})
 	}
 	f.list.Revision = 1
-	return f, endpoint.Write(f.Path, f.list)
+	return f, endpoint.WriteFile(f.Path, f.list)
 }
 
 // Stop ends all engines.
@@ -79,15 +79,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.list
-	list.Engines = slices.Clone(list.Engines)
-	if err := endpoint.Write(f.Path, list); err != nil {
+	list.Entries = slices.Clone(list.Entries)
+	if err := endpoint.WriteFile(f.Path, list); err != nil {
 		fmt.Fprintln(os.Stderr, "badday: roster:", err)
 		return
 	}
 	at, listed := time.Now(), map[string]bool{}
-	for _, e := range list.Engines {
-		listed[e.Engine] = true
-		f.Log.Tell(audit.Told{At: at, Engine: e.Engine, Ready: e.State == endpoint.Ready})
+	for _, e := range list.Entries {
+		listed[e.ID] = true
+		f.Log.Tell(audit.Told{At: at, Engine: e.ID, Ready: e.State == endpoint.Ready})
 	}
 	for _, e := range f.Engines {
 		if !listed[e.Addr()] {
@@ -102,9 +102,9 @@
 // Drain lists an engine as draining, or as ready again.
 func (f *Fleet) Drain(e *engine.Engine, on bool) {
 	f.change(func(list *endpoint.List) {
-		for i := range list.Engines {
-			if list.Engines[i].Engine == e.Addr() {
-				list.Engines[i].State = map[bool]string{true: endpoint.Draining, false: endpoint.Ready}[on]
+		for i := range list.Entries {
+			if list.Entries[i].ID == e.Addr() {
+				list.Entries[i].State = map[bool]string{true: endpoint.Draining, false: endpoint.Ready}[on]
 			}
 		}
 	})
@@ -113,7 +113,7 @@
 // Gone takes an engine off the list; Back puts it there again as just started.
 func (f *Fleet) Gone(e *engine.Engine) {
 	f.change(func(list *endpoint.List) {
-		list.Engines = slices.DeleteFunc(list.Engines, func(o endpoint.Entry) bool { return o.Engine == e.Addr() })
+		list.Entries = slices.DeleteFunc(list.Entries, func(o endpoint.Entry) bool { return o.ID == e.Addr() })
 	})
 }
 
@@ -121,16 +121,16 @@
 func (f *Fleet) Back(e *engine.Engine) {
 	kind := map[string]string{"read": "prefill", "write": "decode"}[e.Role()]
 	f.change(func(list *endpoint.List) {
-		entry := endpoint.Entry{Engine: e.Addr(), Kind: kind, Weight: 1, Cell: "c0", State: endpoint.Ready,
-			UpSince: time.Now().UnixMilli()}
-		for i, o := range list.Engines {
-			if o.Engine == e.Addr() {
+		entry := endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1, Cell: "c0", State: endpoint.Ready,
+			StartedAtMs: time.Now().UnixMilli()}
+		for i, o := range list.Entries {
+			if o.ID == e.Addr() {
 				entry.Cell = o.Cell
-				list.Engines[i] = entry
+				list.Entries[i] = entry
 				return
 			}
 		}
-		list.Engines = append(list.Engines, entry)
+		list.Entries = append(list.Entries, entry)
 	})
 }
 
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -88,12 +88,12 @@
 	follows, stale := *d, *d
 	follows.Roster, follows.Planner = "", p.Addr()
 	list := endpoint.List{Revision: 1}
-	for _, e := range fleet.list.Engines {
-		e.Epoch = 1
-		list.Engines = append(list.Engines, e)
+	for _, e := range fleet.list.Entries {
+		e.RoleEpoch = 1
+		list.Entries = append(list.Entries, e)
 	}
 	stale.Roster = filepath.Join(dir, "stale.json")
-	if err := endpoint.Write(stale.Roster, list); err != nil {
+	if err := endpoint.WriteFile(stale.Roster, list); err != nil {
 		t.Fatal(err)
 	}
 	var addrs []string
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -96,8 +96,8 @@
 func (r request) text() string {
 	body := `{"model":"chat","messages":[]}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\n%s: s%s\r\n%s: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		platform.CallPath, platform.HeaderName, r.name, platform.HeaderRoute, r.class, platform.HeaderSession, r.name[len(r.name)-2:],
-		platform.HeaderGiveUp, r.wait.Seconds(), len(body), body)
+		platform.CompletionsPath, platform.HeaderRequestID, r.name, platform.HeaderRequestClass, r.class, platform.HeaderAffinityKey, r.name[len(r.name)-2:],
+		platform.HeaderTimeout, r.wait.Seconds(), len(body), body)
 }
 
 // ask sends one request and judges its answer. One in ten clients leaves early. Where the close of a resting connection
