--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -131,58 +131,58 @@
 			continue
 		}
 		heard := "never"
-		if e.HeardMs >= 0 {
-			heard = (time.Duration(e.HeardMs) * time.Millisecond).String()
+		if e.ReportedMsAgo >= 0 {
+			heard = (time.Duration(e.ReportedMsAgo) * time.Millisecond).String()
 		}
 		note := ""
 		if e.Pinned {
-			note = "pinned, " + e.Why
+			note = "pinned, " + e.Reason
 		} else if e.State == "aside" {
-			note = e.Trouble
+			note = e.Fault
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Engine, e.Role, e.Epoch, e.State, e.Next,
-			e.Said.Open, e.Said.Held, heard, note)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Engine, e.Role, e.Epoch, e.State, e.NextRole,
+			e.Report.Open, e.Report.Held, heard, note)
 	}
 	t.Flush()
 }
 
 func explainDecision(w io.Writer, s planner.Shown) {
 	d := s.Decision
-	fmt.Fprintf(w, "edges heard: %d of %d; engines changing: %d; stopped: %v\n", d.Edges, d.EdgesKnown,
+	fmt.Fprintf(w, "edges heard: %d of %d; engines changing: %d; stopped: %v\n", d.EdgesReporting, d.EdgesKnown,
 		d.Changing, d.Stopped)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\tengines kept busy\tserving\ton their way\ttokens/s of one")
 	for _, role := range []string{planapi.Read, planapi.Write} {
-		fmt.Fprintf(t, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role, d.Need[role], d.Serve[role], d.Coming[role],
-			d.Pace[role])
+		fmt.Fprintf(t, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role, d.RequiredEngines[role], d.ServingEngines[role], d.IncomingEngines[role],
+			d.Throughput[role])
 	}
 	fmt.Fprintln(t, "route\tarrivals/s\tread tokens\twritten tokens\tvalue")
 	for _, f := range d.Mix {
-		fmt.Fprintf(t, "%s\t%.2f\t%.0f\t%.0f\t%.2f\n", f.Route, f.Rate, f.Reads, f.Writes, f.Value)
+		fmt.Fprintf(t, "%s\t%.2f\t%.0f\t%.0f\t%.2f\n", f.Route, f.Rate, f.PrefillTokens, f.DecodeTokens, f.Value)
 	}
 	t.Flush()
-	for _, x := range d.Weighed {
+	for _, x := range d.Evaluations {
 		engine := x.Engine
 		if engine == "" {
 			engine = "no engine"
 		}
 		fmt.Fprintf(w, "to %s, %s: gains %.2f of value a second, for %.0f s already and perhaps %.0f more; %.2f when the load turns, %.2f on "+
-			"average; costs %.2f: %s\n", x.To, engine, x.Gain, x.For, x.Left, x.Usual, x.Mean, x.Cost, x.Why)
+			"average; costs %.2f: %s\n", x.ToRole, engine, x.Gain, x.GainingSeconds, x.RemainingSeconds, x.ReversalLoss, x.MeanGain, x.Cost, x.Reason)
 	}
 }
 
-func explainEngine(w io.Writer, e assignment.Shown) {
+func explainEngine(w io.Writer, e assignment.EngineView) {
 	fmt.Fprintf(w, "%s: %s of epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State, time.Unix(0,
-		e.Since).Format(time.TimeOnly))
-	for _, line := range [][2]string{{"last order or change", e.Why}, {"may not change now", e.Barred},
-		{"trouble", e.Trouble}} {
+		e.StateSince).Format(time.TimeOnly))
+	for _, line := range [][2]string{{"last order or change", e.Reason}, {"may not change now", e.IneligibleReason},
+		{"trouble", e.Fault}} {
 		if line[1] != "" {
 			fmt.Fprintf(w, "  %s: %s\n", line[0], line[1])
 		}
 	}
-	if e.Next != "" {
-		fmt.Fprintf(w, "  on its way to %s of epoch %d\n", e.Next, e.NextEpoch)
+	if e.NextRole != "" {
+		fmt.Fprintf(w, "  on its way to %s of epoch %d\n", e.NextRole, e.NextEpoch)
 	}
-	fmt.Fprintf(w, "  it says: %s of epoch %d, open %d, held %d, kept %.0f tokens\n", e.Said.Role,
-		e.Said.Epoch, e.Said.Open, e.Said.Held, e.Said.Kept)
+	fmt.Fprintf(w, "  it says: %s of epoch %d, open %d, held %d, kept %.0f tokens\n", e.Report.Role,
+		e.Report.Epoch, e.Report.Open, e.Report.Held, e.Report.Kept)
 }
--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -37,12 +37,12 @@
 		Short: "Play tilting days in simulated time: where does changing roles pay?", Args: cobra.NoArgs,
 		Long: "The real roles code on a fluid fleet, against fixed roles and a plain threshold. Writes a table and charts.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			base := fluidmodel.Day{Engines: 40, Readers: 20, Cells: 4, Edges: 6, Length: 20 * time.Minute,
-				Period: 10 * time.Minute, Depth: 0.8, Square: true,
-				Load: 0.85, Reload: 5 * time.Second, Cold: 10 * time.Second, Drain: 4 * time.Second}
+			base := fluidmodel.Scenario{Engines: 40, PrefillEngines: 20, Cells: 4, Edges: 6, Duration: 20 * time.Minute,
+				Period: 10 * time.Minute, SkewDepth: 0.8, SquareWave: true,
+				Utilization: 0.85, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second}
 			var points []*point
 			var days []todo
-			add := func(factor, level string, at float64, change func(*fluidmodel.Day)) {
+			add := func(factor, level string, at float64, change func(*fluidmodel.Scenario)) {
 				points = append(points, &point{factor: factor, level: level, at: at,
 					arms: map[string][]fluidmodel.Result{}})
 				p := points[len(points)-1]
@@ -59,30 +59,30 @@
 			}
 			for _, s := range []float64{10, 30, 60, 120, 240, 600, 1200} {
 				add("period of the swing, s", fmt.Sprint(s), s,
-					func(d *fluidmodel.Day) { d.Period = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Scenario) { d.Period = time.Duration(s) * time.Second })
 			}
 			for _, depth := range []float64{0.1, 0.3, 0.5, 0.8, 1} {
-				add("depth of the swing", fmt.Sprint(depth), depth, func(d *fluidmodel.Day) { d.Depth = depth })
+				add("depth of the swing", fmt.Sprint(depth), depth, func(d *fluidmodel.Scenario) { d.SkewDepth = depth })
 			}
 			for _, s := range []float64{1, 5, 15, 40, 90} {
 				add("reload time, s", fmt.Sprint(s), s,
-					func(d *fluidmodel.Day) { d.Reload = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Scenario) { d.ReloadTime = time.Duration(s) * time.Second })
 			}
 			for _, s := range []float64{0, 1, 3, 8} {
 				add("lag of reports, s", fmt.Sprint(s), s,
-					func(d *fluidmodel.Day) { d.Lag = time.Duration(s) * time.Second })
+					func(d *fluidmodel.Scenario) { d.ReportDelay = time.Duration(s) * time.Second })
 			}
 			for _, n := range []int{8, 20, 40, 110, 300} {
-				add("engines", fmt.Sprint(n), float64(n), func(d *fluidmodel.Day) {
-					d.Engines, d.Readers,
+				add("engines", fmt.Sprint(n), float64(n), func(d *fluidmodel.Scenario) {
+					d.Engines, d.PrefillEngines,
 						d.Cells = n, n/2, max(1, n/10)
 				})
 			}
 			for _, load := range []float64{0.5, 0.7, 0.85, 1, 1.2} {
-				add("load, of the best split", fmt.Sprint(load), load, func(d *fluidmodel.Day) { d.Load = load })
+				add("load, of the best split", fmt.Sprint(load), load, func(d *fluidmodel.Scenario) { d.Utilization = load })
 			}
 			for _, part := range []float64{0, 0.33, 0.6} {
-				add("reports missing, share", fmt.Sprint(part), part, func(d *fluidmodel.Day) { d.Missing = part })
+				add("reports missing, share", fmt.Sprint(part), part, func(d *fluidmodel.Scenario) { d.MissingReports = part })
 			}
 			runDays(days)
 			if err := os.MkdirAll(out, 0o755); err != nil {
@@ -113,7 +113,7 @@
 type todo struct {
 	p    *point
 	seed int
-	d    fluidmodel.Day
+	d    fluidmodel.Scenario
 }
 
 // runDays plays all on all cores; each day is deterministic by itself.
@@ -121,13 +121,13 @@
 	onAllCores(len(days), func(i int) {
 		t := days[i]
 		begun := time.Now()
-		t.p.arms["roles"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{Roles: true})
+		t.p.arms["roles"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{Adaptive: true})
 		if t.seed == 0 {
 			t.p.took = time.Since(begun)
 		}
-		t.p.arms["best fixed"][t.seed], t.p.best[t.seed] = fluidmodel.Best(t.d)
-		t.p.arms["fixed at start"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{})
-		t.p.arms["threshold"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Arm{Plain: true})
+		t.p.arms["best fixed"][t.seed], t.p.best[t.seed] = fluidmodel.BestFixedSplit(t.d)
+		t.p.arms["fixed at start"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{})
+		t.p.arms["threshold"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{Threshold: true})
 	})
 }
 
@@ -173,10 +173,10 @@
 		fmt.Fprintf(&b, "| %s | %.3f ± %.3f | %.3f | %.3f | %.3f | %.2f | %.2f | %.0f | %.3f |\n", p.level,
 			mean, dev, m("best fixed", value),
 			m("fixed at start", value), m("threshold", value), m("roles",
-				func(r fluidmodel.Result) float64 { return r.Worst }),
-			m("best fixed", func(r fluidmodel.Result) float64 { return r.Worst }),
-			m("roles", func(r fluidmodel.Result) float64 { return float64(r.Switch) }), m("roles",
-				func(r fluidmodel.Result) float64 { return r.Lost }))
+				func(r fluidmodel.Result) float64 { return r.WorstWindow }),
+			m("best fixed", func(r fluidmodel.Result) float64 { return r.WorstWindow }),
+			m("roles", func(r fluidmodel.Result) float64 { return float64(r.Changes) }), m("roles",
+				func(r fluidmodel.Result) float64 { return r.LostEngineTime }))
 	}
 	return b.String()
 }
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -15,7 +15,7 @@
 	TakeOver                    bool // by the command line: begin a new store though engines follow another planner
 	Kinds                       []EngineKind
 	Pairs                       [][2]string // kinds that are two roles of the same engines
-	Roles                       assignment.Bounds
+	Roles                       assignment.Config
 }
 
 // LoadPlanner reads a planner's script from a file. Paths in it are taken from its folder.
@@ -39,10 +39,10 @@
 // PlanningDefaults are those of a script that names only its files and kinds.
 func PlanningDefaults() *Planning {
 	return &Planning{Listen: "127.0.0.1:9090", Store: "planner.db",
-		Roles: assignment.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second,
-			Load: 2 * time.Minute, Trial: 5 * time.Second, Cold: 12 * time.Second, Rest: 30 * time.Second,
-			Floor: 1, Changing: 0.1, PerMinute: 0.25,
-			Grace: 250 * time.Millisecond, Values: map[string]float64{}}}
+		Roles: assignment.Config{DrainTimeout: 20 * time.Second, OrderTimeout: 3 * time.Second,
+			LoadTimeout: 2 * time.Minute, TrialTimeout: 5 * time.Second, WarmUp: 12 * time.Second, Cooldown: 30 * time.Second,
+			MinServing: 1, MaxChangingShare: 0.1, MaxSharePerMinute: 0.25,
+			DrainGrace: 250 * time.Millisecond, RouteValues: map[string]float64{}}}
 }
 
 // ReadPlanner runs a planner's script. The error, if any, is of type script.Faults.
@@ -78,22 +78,22 @@
 			route, value := "", 1.0
 			return []script.Key{{Name: "route", To: &route, Need: true},
 					{Name: "value", To: &value, Min: 0.001, Max: 1e6, Need: true}},
-				func(fault) { r.Values[route] = value }
+				func(fault) { r.RouteValues[route] = value }
 		},
 		"changes": func() ([]script.Key, func(fault)) {
 			explain := false
-			return []script.Key{{Name: "drain_time", To: &r.Drain, Min: 0.1, Max: 3600},
-				{Name: "order_time", To: &r.Order, Min: 0.1, Max: 600},
-				{Name: "load_time", To: &r.Load, Min: 0.1, Max: 7200},
-				{Name: "trial_time", To: &r.Trial, Min: 0.1, Max: 600},
-				{Name: "cold", To: &r.Cold, Max: 600}, {Name: "rest", To: &r.Rest, Min: 0.1, Max: 86400},
-				{Name: "floor", To: &r.Floor, Min: 1, Max: 10000},
-				{Name: "share", To: &r.Changing, Min: 0.001, Max: 0.5},
-				{Name: "per_minute", To: &r.PerMinute, Min: 0.001, Max: 10},
-				{Name: "drain_grace", To: &r.Grace, Min: 0.05, Max: 60},
-				{Name: "read_pace", To: &r.ReadPace, Max: 1e9},
-				{Name: "write_pace", To: &r.WritePace, Max: 1e9},
-				{Name: "explain_only", To: &explain}}, func(fault) { r.Off = explain }
+			return []script.Key{{Name: "drain_time", To: &r.DrainTimeout, Min: 0.1, Max: 3600},
+				{Name: "order_time", To: &r.OrderTimeout, Min: 0.1, Max: 600},
+				{Name: "load_time", To: &r.LoadTimeout, Min: 0.1, Max: 7200},
+				{Name: "trial_time", To: &r.TrialTimeout, Min: 0.1, Max: 600},
+				{Name: "cold", To: &r.WarmUp, Max: 600}, {Name: "rest", To: &r.Cooldown, Min: 0.1, Max: 86400},
+				{Name: "floor", To: &r.MinServing, Min: 1, Max: 10000},
+				{Name: "share", To: &r.MaxChangingShare, Min: 0.001, Max: 0.5},
+				{Name: "per_minute", To: &r.MaxSharePerMinute, Min: 0.001, Max: 10},
+				{Name: "drain_grace", To: &r.DrainGrace, Min: 0.05, Max: 60},
+				{Name: "read_pace", To: &r.PrefillThroughput, Max: 1e9},
+				{Name: "write_pace", To: &r.DecodeThroughput, Max: 1e9},
+				{Name: "explain_only", To: &explain}}, func(fault) { r.ExplainOnly = explain }
 		},
 	}
 	err := script.Run(name, text, calls, func(say func(format string, args ...any)) {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -140,7 +140,7 @@
 changes(floor = 2, drain_time = "3s")
 `
 	p, err := ReadPlanner("p.star", []byte(good))
-	if err != nil || p.Roles.Floor != 2 || p.Roles.Drain != 3*time.Second || p.Pairs[0] != [2]string{"p", "d"} {
+	if err != nil || p.Roles.MinServing != 2 || p.Roles.DrainTimeout != 3*time.Second || p.Pairs[0] != [2]string{"p", "d"} {
 		t.Errorf("%+v %v", p, err)
 	}
 	for script, want := range map[string]string{
--- a/internal/fluidmodel/sway.go
+++ b/internal/fluidmodel/sway.go
@@ -16,469 +16,471 @@
 
 // Route is one model route of the load. Its reading and writing work are tokens of one inference.
 type Route struct {
-	Name        string
-	Share       float64
-	Reads       float64
-	Writes      float64
-	Value       float64
-	Target      float64 // seconds to the first token
-	ReadsTilted float64 // of an inference when the load is tilted all the way to reading
-	WriteTilted float64 // and all the way to writing
+	Name                string
+	Share               float64
+	PrefillTokens       float64
+	DecodeTokens        float64
+	Value               float64
+	LatencyObjective    float64 // seconds to the first token
+	SkewedPrefillTokens float64 // of an inference when the load is tilted all the way to reading
+	SkewedDecodeTokens  float64 // and all the way to writing
 }
 
-// Day is one day.
-type Day struct {
-	Engines, Readers, Cells int
-	Edges                   int
-	Length, Period          time.Duration
-	Depth                   float64 // 0 for none, 1 for all of the tilt
-	Square                  bool    // the load jumps; else it swings
-	Load                    float64 // of what the best split of roles could do
-	Reload, Cold, Drain     time.Duration
-	Lag                     time.Duration // of all reports
-	Missing                 float64       // share of engines and edges that report nothing
-	Lying                   float64       // share of engines that report ten times their work
-	Slow                    [2]float64    // from and to, as shares of the day: writers go at half their pace
-	Fixed                   float64       // share of engines that cannot change
-	Dies                    float64       // of the day: when all readers but one drain for good; 0 for never
-	Seed                    uint64
+// Scenario is one day.
+type Scenario struct {
+	Engines, PrefillEngines, Cells int
+	Edges                          int
+	Duration, Period               time.Duration
+	SkewDepth                      float64 // 0 for none, 1 for all of the tilt
+	SquareWave                     bool    // the load jumps; else it swings
+	Utilization                    float64 // of what the best split of roles could do
+	ReloadTime, WarmUp, DrainTime  time.Duration
+	ReportDelay                    time.Duration // of all reports
+	MissingReports                 float64       // share of engines and edges that report nothing
+	FalseReports                   float64       // share of engines that report ten times their work
+	SlowDecode                     [2]float64    // from and to, as shares of the day: writers go at half their pace
+	FixedRoles                     float64       // share of engines that cannot change
+	PrefillLossAt                  float64       // of the day: when all readers but one drain for good; 0 for never
+	Seed                           uint64
 }
 
-// Arm is a way to give roles.
-type Arm struct {
-	Name    string
-	Roles   bool // the real code
-	Plain   bool // the plain threshold
-	Readers int  // fixed
+// Strategy is a way to give roles.
+type Strategy struct {
+	Name           string
+	Adaptive       bool // the real code
+	Threshold      bool // the plain threshold
+	PrefillEngines int  // fixed
 }
 
 // Result is what a day came to.
 type Result struct {
-	Value   float64   `json:"value"`   // in time, of what was offered
-	Worst   float64   `json:"worst"`   // the worst ten seconds
-	Switch  int       `json:"changes"` // engines that came to another role
-	Lost    float64   `json:"lost"`    // engine-seconds out of service for changes, of all
-	Readers []float64 `json:"-"`       // serving, every second
-	Window  []float64 `json:"-"`       // value share, every ten seconds
-	Recover float64   `json:"recover"` // seconds from the first tilt until nine tenths of value are in time again; -1 for never
+	Value           float64   `json:"value"`   // in time, of what was offered
+	WorstWindow     float64   `json:"worst"`   // the worst ten seconds
+	Changes         int       `json:"changes"` // engines that came to another role
+	LostEngineTime  float64   `json:"lost"`    // engine-seconds out of service for changes, of all
+	ServingPrefill  []float64 `json:"-"`       // serving, every second
+	Windows         []float64 `json:"-"`       // value share, every ten seconds
+	RecoverySeconds float64   `json:"recover"` // seconds from the first tilt until nine tenths of value are in time again; -1 for never
 }
 
 // The paces of one engine, tokens a second: a reader's prompts and a writer's answers over all its slots.
 const (
-	readPace  = 20_000.0
-	writePace = 1_600.0
-	step      = 100 * time.Millisecond
+	prefillThroughput = 20_000.0
+	decodeThroughput  = 1_600.0
+	timeStep          = 100 * time.Millisecond
 )
 
 // Routes are two: a cheap one of long texts, a dear one of short.
 func Routes() []Route {
 	return []Route{
-		{Name: "fan-alert", Share: 0.4, Reads: 300, Writes: 60, Value: 5, Target: 0.8, ReadsTilted: 1500,
-			WriteTilted: 150},
-		{Name: "clip-summary", Share: 0.6, Reads: 1200, Writes: 100, Value: 1, Target: 1.5,
-			ReadsTilted: 4000, WriteTilted: 250},
+		{Name: "fan-alert", Share: 0.4, PrefillTokens: 300, DecodeTokens: 60, Value: 5, LatencyObjective: 0.8, SkewedPrefillTokens: 1500,
+			SkewedDecodeTokens: 150},
+		{Name: "clip-summary", Share: 0.6, PrefillTokens: 1200, DecodeTokens: 100, Value: 1, LatencyObjective: 1.5,
+			SkewedPrefillTokens: 4000, SkewedDecodeTokens: 250},
 	}
 }
 
-type machine struct {
-	name, role, claims string
-	epoch, term        int64
-	cell               string
-	loading, leaving   bool
-	until              time.Duration // it is loaded, or what is open has ended
-	began              time.Duration // of its role, -1 for long ago
-	read, written      float64
-	busy               float64
-	canChange          bool
-	silent, lies       bool
-	out                bool // drained for good
-	plainNext          string
+type engineModel struct {
+	name, role, reportedRole    string
+	epoch, term                 int64
+	cell                        string
+	loading, draining           bool
+	phaseEndsAt                 time.Duration // it is loaded, or what is open has ended
+	servingSince                time.Duration // of its role, -1 for long ago
+	prefillTokens, decodeTokens float64
+	busySeconds                 float64
+	canChange                   bool
+	silent, reportsFalsely      bool
+	removed                     bool // drained for good
+	nextRole                    string
 }
 
 type fleet struct {
-	d        Day
-	routes   []Route
-	arm      Arm
-	rng      *rand.Rand
-	now      time.Duration
-	engines  []*machine
-	core     *assignment.Core
-	plan     map[string]planapi.Engine // what edges follow
-	late     []func()                  // by time: reports on their way
-	lateAt   []time.Duration
-	counts   []planapi.RouteCount
-	wantRead float64 // backlog, tokens
-	wantWrit float64
-	perRead  float64 // answer tokens that follow a token read
-	result   Result
+	scenario              Scenario
+	routes                []Route
+	strategy              Strategy
+	rng                   *rand.Rand
+	now                   time.Duration
+	engines               []*engineModel
+	controller            *assignment.Controller
+	plan                  map[string]planapi.Engine // what edges follow
+	delayed               []func()                  // by time: reports on their way
+	delayedUntil          []time.Duration
+	counts                []planapi.RouteCount
+	prefillBacklog        float64 // backlog, tokens
+	decodeBacklog         float64
+	decodePerPrefillToken float64 // answer tokens that follow a token read
+	result                Result
 }
 
-const start = int64(1_000_000) * int64(time.Second)
+const startTime = int64(1_000_000) * int64(time.Second)
 
-func (f *fleet) clock() int64 { return start + int64(f.now) }
+func (f *fleet) clock() int64 { return startTime + int64(f.now) }
 
-// tilt is 1 when the load is all the way at reading, -1 at writing.
-func (f *fleet) tilt() float64 {
-	if f.d.Period == 0 {
+// skew is 1 when the load is all the way at reading, -1 at writing.
+func (f *fleet) skew() float64 {
+	if f.scenario.Period == 0 {
 		return 0
 	}
-	at := math.Mod(f.now.Seconds(), f.d.Period.Seconds()) / f.d.Period.Seconds()
+	at := math.Mod(f.now.Seconds(), f.scenario.Period.Seconds()) / f.scenario.Period.Seconds()
 	v := math.Sin(2 * math.Pi * at)
-	if f.d.Square {
+	if f.scenario.SquareWave {
 		v = 1
 		if at >= 0.5 {
 			v = -1
 		}
 	}
-	return v * f.d.Depth
+	return v * f.scenario.SkewDepth
 }
 
-func (r Route) work(tilt float64) (reads, writes float64) {
-	return r.Reads + max(tilt, 0)*(r.ReadsTilted-r.Reads), r.Writes + max(-tilt, 0)*(r.WriteTilted-r.Writes)
+func (r Route) tokensAt(skew float64) (prefillTokens, decodeTokens float64) {
+	return r.PrefillTokens + max(skew, 0)*(r.SkewedPrefillTokens-r.PrefillTokens), r.DecodeTokens + max(-skew, 0)*(r.SkewedDecodeTokens-r.DecodeTokens)
 }
 
-// rate is how many inferences a second arrive: Load of what all engines could do with the best split of
+// arrivalRate is how many inferences a second arrive: Load of what all engines could do with the best split of
 // roles.
-func (f *fleet) rate() float64 {
+func (f *fleet) arrivalRate() float64 {
 	r, w := 0.0, 0.0
-	for _, t := range f.routes {
-		a, b := t.work(f.tilt())
-		r, w = r+t.Share*a/readPace, w+t.Share*b/writePace
+	for _, route := range f.routes {
+		a, b := route.tokensAt(f.skew())
+		r, w = r+route.Share*a/prefillThroughput, w+route.Share*b/decodeThroughput
 	}
-	return f.d.Load * float64(f.d.Engines) / (r + w)
+	return f.scenario.Utilization * float64(f.scenario.Engines) / (r + w)
 }
 
 // Run plays a day.
-func Run(d Day, arm Arm) Result {
-	f := &fleet{d: d, routes: Routes(), arm: arm, rng: rand.New(rand.NewPCG(d.Seed, 11)),
+func Run(scenario Scenario, strategy Strategy) Result {
+	f := &fleet{scenario: scenario, routes: Routes(), strategy: strategy, rng: rand.New(rand.NewPCG(scenario.Seed, 11)),
 		plan: map[string]planapi.Engine{}}
-	f.result.Recover = -1
-	readers := d.Readers
-	if arm.Readers > 0 {
-		readers = arm.Readers
-	}
-	var boxes []assignment.Box
-	for i := range d.Engines {
-		m := &machine{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Write, epoch: 1,
-			began: -1,
-			cell:  fmt.Sprint("c", i%max(1, d.Cells))}
-		if i < readers {
-			m.role = planapi.Read
+	f.result.RecoverySeconds = -1
+	prefillEngines := scenario.PrefillEngines
+	if strategy.PrefillEngines > 0 {
+		prefillEngines = strategy.PrefillEngines
+	}
+	var listed []assignment.ListedEngine
+	for i := range scenario.Engines {
+		engine := &engineModel{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Write, epoch: 1,
+			servingSince: -1,
+			cell:         fmt.Sprint("c", i%max(1, scenario.Cells))}
+		if i < prefillEngines {
+			engine.role = planapi.Read
 		}
-		m.claims, m.canChange = m.role, f.rng.Float64() >= d.Fixed
-		m.silent, m.lies = f.rng.Float64() < d.Missing, f.rng.Float64() < d.Lying
-		f.engines = append(f.engines, m)
-		kinds := map[string]string{m.role: m.role}
-		if m.canChange {
+		engine.reportedRole, engine.canChange = engine.role, f.rng.Float64() >= scenario.FixedRoles
+		engine.silent, engine.reportsFalsely = f.rng.Float64() < scenario.MissingReports, f.rng.Float64() < scenario.FalseReports
+		f.engines = append(f.engines, engine)
+		kinds := map[string]string{engine.role: engine.role}
+		if engine.canChange {
 			kinds = map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}
 		}
-		boxes = append(boxes, assignment.Box{Engine: m.name, Role: m.role, Cell: m.cell, Weight: 1, Ready: true,
-			CanChange: m.canChange, Kinds: kinds})
-		f.plan[m.name] = planapi.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: 1}
+		listed = append(listed, assignment.ListedEngine{Engine: engine.name, Role: engine.role, Cell: engine.cell, Weight: 1, Ready: true,
+			CanChange: engine.canChange, Kinds: kinds})
+		f.plan[engine.name] = planapi.Engine{Engine: engine.name, Kind: engine.role, State: "ready", Epoch: 1}
 	}
-	for _, r := range f.routes {
-		f.counts = append(f.counts, planapi.RouteCount{Route: r.Name})
+	for _, route := range f.routes {
+		f.counts = append(f.counts, planapi.RouteCount{Route: route.Name})
 	}
-	if arm.Roles {
+	if strategy.Adaptive {
 		values := map[string]float64{}
-		for _, r := range f.routes {
-			values[r.Name] = r.Value
+		for _, route := range f.routes {
+			values[route.Name] = route.Value
 		}
-		f.core = assignment.New(assignment.Bounds{Drain: 20 * time.Second, Order: 3 * time.Second, Load: 2*d.Reload +
-			10*time.Second, Trial: 5 * time.Second,
-			Cold: d.Cold, Rest: 30 * time.Second, Floor: 1, Changing: 0.1, PerMinute: 0.25,
-			Grace: 250 * time.Millisecond, ReadPace: readPace,
-			WritePace: writePace, Values: values}, 1, f.clock(), nil, assignment.Meta{})
-		f.carryOut(f.core.Step(f.clock(), assignment.Listed{Boxes: boxes}))
-	}
-	offered, got := 0.0, 0.0
-	partOffered, partGot, parts := 0.0, 0.0, 0
-	f.result.Worst = 1
-	first := time.Duration(float64(d.Period) / 8)
-	for f.now = 0; f.now < d.Length; f.now += step {
-		if d.Dies > 0 && f.now >= time.Duration(d.Dies*float64(d.Length)) &&
-			f.now < time.Duration(d.Dies*float64(d.Length))+step {
-			f.die(boxes)
+		f.controller = assignment.New(assignment.Config{DrainTimeout: 20 * time.Second, OrderTimeout: 3 * time.Second, LoadTimeout: 2*scenario.ReloadTime +
+			10*time.Second, TrialTimeout: 5 * time.Second,
+			WarmUp: scenario.WarmUp, Cooldown: 30 * time.Second, MinServing: 1, MaxChangingShare: 0.1, MaxSharePerMinute: 0.25,
+			DrainGrace: 250 * time.Millisecond, PrefillThroughput: prefillThroughput,
+			DecodeThroughput: decodeThroughput, RouteValues: values}, 1, f.clock(), nil, assignment.Meta{})
+		f.execute(f.controller.Step(f.clock(), assignment.EnginesListed{Engines: listed}))
+	}
+	offered, served := 0.0, 0.0
+	windowOffered, windowServed, windowSteps := 0.0, 0.0, 0
+	f.result.WorstWindow = 1
+	firstSkew := time.Duration(float64(scenario.Period) / 8)
+	for f.now = 0; f.now < scenario.Duration; f.now += timeStep {
+		if scenario.PrefillLossAt > 0 && f.now >= time.Duration(scenario.PrefillLossAt*float64(scenario.Duration)) &&
+			f.now < time.Duration(scenario.PrefillLossAt*float64(scenario.Duration))+timeStep {
+			f.removePrefillEngines(listed)
 		}
-		f.deliver()
-		o, g := f.arrive()
-		f.work()
-		f.control()
-		offered, got = offered+o, got+g
-		partOffered, partGot = partOffered+o, partGot+g
+		f.deliverDue()
+		stepOffered, stepServed := f.admitArrivals()
+		f.processBacklog()
+		f.runStrategy()
+		offered, served = offered+stepOffered, served+stepServed
+		windowOffered, windowServed = windowOffered+stepOffered, windowServed+stepServed
 		if f.now%time.Second == 0 {
-			readers := 0.0
-			for _, m := range f.engines {
-				if f.serves(m, planapi.Read) > 0 {
-					readers++
+			prefillEngines := 0.0
+			for _, engine := range f.engines {
+				if f.capacityShare(engine, planapi.Read) > 0 {
+					prefillEngines++
 				}
 			}
-			f.result.Readers = append(f.result.Readers, readers)
+			f.result.ServingPrefill = append(f.result.ServingPrefill, prefillEngines)
 		}
-		if parts++; parts == int(10*time.Second/step) {
-			share := partGot / max(partOffered, 1e-9)
-			f.result.Window = append(f.result.Window, share)
-			f.result.Worst = min(f.result.Worst, share)
-			if share >= 0.9 && f.result.Recover < 0 && f.now > first {
-				f.result.Recover = f.now.Seconds()
+		if windowSteps++; windowSteps == int(10*time.Second/timeStep) {
+			share := windowServed / max(windowOffered, 1e-9)
+			f.result.Windows = append(f.result.Windows, share)
+			f.result.WorstWindow = min(f.result.WorstWindow, share)
+			if share >= 0.9 && f.result.RecoverySeconds < 0 && f.now > firstSkew {
+				f.result.RecoverySeconds = f.now.Seconds()
 			}
-			partOffered, partGot, parts = 0, 0, 0
+			windowOffered, windowServed, windowSteps = 0, 0, 0
 		}
 	}
-	f.result.Value = got / offered
-	f.result.Lost /= float64(d.Engines) * d.Length.Seconds()
+	f.result.Value = served / offered
+	f.result.LostEngineTime /= float64(scenario.Engines) * scenario.Duration.Seconds()
 	return f.result
 }
 
-// die drains all readers but one for good: discovery lists them so.
-func (f *fleet) die(boxes []assignment.Box) {
+// removePrefillEngines drains all readers but one for good: discovery lists them so.
+func (f *fleet) removePrefillEngines(listed []assignment.ListedEngine) {
 	kept := false
-	for i, m := range f.engines {
-		if m.role != planapi.Read {
+	for i, engine := range f.engines {
+		if engine.role != planapi.Read {
 			continue
 		}
 		if !kept {
 			kept = true
 			continue
 		}
-		m.out = true
-		boxes[i].Ready = false
+		engine.removed = true
+		listed[i].Ready = false
 	}
-	if f.core != nil {
-		f.carryOut(f.core.Step(f.clock(), assignment.Listed{Boxes: boxes}))
+	if f.controller != nil {
+		f.execute(f.controller.Step(f.clock(), assignment.EnginesListed{Engines: listed}))
 	}
 }
 
-// serves is the part of its power that an engine has for a role, as edges know it: they send by their plan,
+// capacityShare is the part of its power that an engine has for a role, as edges know it: they send by their plan,
 // and the engine takes only what fits its epoch.
-func (f *fleet) serves(m *machine, role string) float64 {
-	p, ok := f.plan[m.name]
-	if m.out || m.loading || m.leaving || m.role != role || !ok || p.State != "ready" || p.Kind != role ||
-		p.Epoch != 0 && p.Epoch != m.epoch {
+func (f *fleet) capacityShare(engine *engineModel, role string) float64 {
+	planned, ok := f.plan[engine.name]
+	if engine.removed || engine.loading || engine.draining || engine.role != role || !ok || planned.State != "ready" || planned.Kind != role ||
+		planned.Epoch != 0 && planned.Epoch != engine.epoch {
 		return 0
 	}
-	part := 1.0
-	if m.began >= 0 && f.now-m.began < f.d.Cold { // a cold one does a quarter at first
-		part = 0.25 + 0.75*float64(f.now-m.began)/float64(f.d.Cold)
+	share := 1.0
+	if engine.servingSince >= 0 && f.now-engine.servingSince < f.scenario.WarmUp { // a cold one does a quarter at first
+		share = 0.25 + 0.75*float64(f.now-engine.servingSince)/float64(f.scenario.WarmUp)
 	}
-	if at := float64(f.now) / float64(f.d.Length); role == planapi.Write && at >= f.d.Slow[0] &&
-		at < f.d.Slow[1] {
-		part /= 2
+	if at := float64(f.now) / float64(f.scenario.Duration); role == planapi.Write && at >= f.scenario.SlowDecode[0] &&
+		at < f.scenario.SlowDecode[1] {
+		share /= 2
 	}
-	return part
+	return share
 }
 
-func (f *fleet) power(role string) (sum float64) {
-	for _, m := range f.engines {
-		sum += f.serves(m, role)
+func (f *fleet) capacity(role string) (total float64) {
+	for _, engine := range f.engines {
+		total += f.capacityShare(engine, role)
 	}
-	return sum
+	return total
 }
 
-// arrive lets a step's inferences come. Edges take what can be in time, of high value for longer, as the
+// admitArrivals lets a step's inferences come. Edges take what can be in time, of high value for longer, as the
 // module does.
-func (f *fleet) arrive() (offered, got float64) {
-	readers, writers := f.power(planapi.Read)*readPace, f.power(planapi.Write)*writePace
-	n := f.rate() * step.Seconds()
-	n += math.Sqrt(n) * f.rng.NormFloat64()
-	n = max(0, n)
-	top := 0.0
-	for _, r := range f.routes {
-		top = max(top, r.Value)
-	}
-	for i, r := range f.routes {
-		reads, writes := r.work(f.tilt())
-		mine := n * r.Share
-		offered += mine * r.Value
-		c := &f.counts[i]
-		c.Arrived, c.Prompt = c.Arrived+mine, c.Prompt+mine*reads
-		wait := 2 * r.Target
-		if readers > 0 && writers > 0 {
-			wait = f.wantRead/readers + f.wantWrit/writers + reads/readPace
+func (f *fleet) admitArrivals() (offered, served float64) {
+	prefillCapacity, decodeCapacity := f.capacity(planapi.Read)*prefillThroughput, f.capacity(planapi.Write)*decodeThroughput
+	arrivals := f.arrivalRate() * timeStep.Seconds()
+	arrivals += math.Sqrt(arrivals) * f.rng.NormFloat64()
+	arrivals = max(0, arrivals)
+	maxValue := 0.0
+	for _, route := range f.routes {
+		maxValue = max(maxValue, route.Value)
+	}
+	for i, route := range f.routes {
+		prefillTokens, decodeTokens := route.tokensAt(f.skew())
+		arrived := arrivals * route.Share
+		offered += arrived * route.Value
+		count := &f.counts[i]
+		count.Arrived, count.Prompt = count.Arrived+arrived, count.Prompt+arrived*prefillTokens
+		wait := 2 * route.LatencyObjective
+		if prefillCapacity > 0 && decodeCapacity > 0 {
+			wait = f.prefillBacklog/prefillCapacity + f.decodeBacklog/decodeCapacity + prefillTokens/prefillThroughput
 		}
-		if wait > (0.4+0.4*r.Value/top)*r.Target {
-			c.Shed += mine
+		if wait > (0.4+0.4*route.Value/maxValue)*route.LatencyObjective {
+			count.Shed += arrived
 			continue
 		}
-		got += mine * r.Value
-		f.wantRead += mine * reads
-		f.perRead += (writes/reads - f.perRead) * min(1, mine*reads/max(f.wantRead, 1))
-		c.Began, c.BegunFor, c.InTime = c.Began+mine, c.BegunFor+mine*reads, c.InTime+mine
-		c.Ended, c.Answer = c.Ended+mine, c.Answer+mine*writes
+		served += arrived * route.Value
+		f.prefillBacklog += arrived * prefillTokens
+		f.decodePerPrefillToken += (decodeTokens/prefillTokens - f.decodePerPrefillToken) * min(1, arrived*prefillTokens/max(f.prefillBacklog, 1))
+		count.Began, count.BegunFor, count.InTime = count.Began+arrived, count.BegunFor+arrived*prefillTokens, count.InTime+arrived
+		count.Ended, count.Answer = count.Ended+arrived, count.Answer+arrived*decodeTokens
 	}
-	return offered, got
+	return offered, served
 }
 
-// work lets engines do a step's part.
-func (f *fleet) work() {
+// processBacklog lets engines do a step's part.
+func (f *fleet) processBacklog() {
 	for _, role := range []string{planapi.Read, planapi.Write} {
-		power := f.power(role)
-		pace, want := readPace, &f.wantRead
+		capacity := f.capacity(role)
+		throughput, backlog := prefillThroughput, &f.prefillBacklog
 		if role == planapi.Write {
-			pace, want = writePace, &f.wantWrit
+			throughput, backlog = decodeThroughput, &f.decodeBacklog
 		}
-		done := min(*want, power*pace*step.Seconds())
-		*want -= done
+		done := min(*backlog, capacity*throughput*timeStep.Seconds())
+		*backlog -= done
 		if role == planapi.Read {
-			f.wantWrit += done * f.perRead
+			f.decodeBacklog += done * f.decodePerPrefillToken
 		}
-		for _, m := range f.engines {
-			if part := f.serves(m, role); part > 0 {
-				mine := done * part / power
+		for _, engine := range f.engines {
+			if share := f.capacityShare(engine, role); share > 0 {
+				processed := done * share / capacity
 				if role == planapi.Read {
-					m.read += mine
+					engine.prefillTokens += processed
 				} else {
-					m.written += mine
+					engine.decodeTokens += processed
 				}
-				m.busy += mine / (pace * part)
+				engine.busySeconds += processed / (throughput * share)
 			}
 		}
 	}
-	for _, m := range f.engines {
-		if m.loading || m.leaving {
-			f.result.Lost += step.Seconds()
+	for _, engine := range f.engines {
+		if engine.loading || engine.draining {
+			f.result.LostEngineTime += timeStep.Seconds()
 		}
-		if m.loading && f.now >= m.until {
-			m.loading, m.role, m.began = false, m.claims, f.now
-			f.result.Switch++
-			if f.arm.Plain {
-				f.plan[m.name] = planapi.Engine{Engine: m.name, Kind: m.role, State: "ready", Epoch: m.epoch}
+		if engine.loading && f.now >= engine.phaseEndsAt {
+			engine.loading, engine.role, engine.servingSince = false, engine.reportedRole, f.now
+			f.result.Changes++
+			if f.strategy.Threshold {
+				f.plan[engine.name] = planapi.Engine{Engine: engine.name, Kind: engine.role, State: "ready", Epoch: engine.epoch}
 			}
 		}
 	}
 }
 
-// later hands something over after the reports' lag.
-func (f *fleet) later(do func()) {
-	f.late, f.lateAt = append(f.late, do), append(f.lateAt, f.now+f.d.Lag)
+// deliverLater hands something over after the reports' lag.
+func (f *fleet) deliverLater(do func()) {
+	f.delayed, f.delayedUntil = append(f.delayed, do), append(f.delayedUntil, f.now+f.scenario.ReportDelay)
 }
 
-func (f *fleet) deliver() {
-	for len(f.late) > 0 && f.lateAt[0] <= f.now {
-		do := f.late[0]
-		f.late, f.lateAt = f.late[1:], f.lateAt[1:]
+func (f *fleet) deliverDue() {
+	for len(f.delayed) > 0 && f.delayedUntil[0] <= f.now {
+		do := f.delayed[0]
+		f.delayed, f.delayedUntil = f.delayed[1:], f.delayedUntil[1:]
 		do()
 	}
 }
 
-func (f *fleet) report(m *machine) planapi.EngineReport {
-	r := planapi.EngineReport{Engine: m.name, Role: m.claims, Epoch: m.epoch, Term: m.term, Life: 1,
-		Changing: m.loading, Draining: m.leaving,
-		Read: m.read, Written: m.written, Busy: m.busy}
-	if m.began >= 0 {
-		r.UpFor = (f.now - m.began).Milliseconds() + 1
+func (f *fleet) reportOf(engine *engineModel) planapi.EngineReport {
+	report := planapi.EngineReport{Engine: engine.name, Role: engine.reportedRole, Epoch: engine.epoch, Term: engine.term, Life: 1,
+		Changing: engine.loading, Draining: engine.draining,
+		Read: engine.prefillTokens, Written: engine.decodeTokens, Busy: engine.busySeconds}
+	if engine.servingSince >= 0 {
+		report.UpFor = (f.now - engine.servingSince).Milliseconds() + 1
 	}
-	if m.leaving && f.now < m.until {
-		r.Open = 1
+	if engine.draining && f.now < engine.phaseEndsAt {
+		report.Open = 1
 	}
-	if m.lies {
-		r.Read, r.Written = 10*r.Read, 10*r.Written
+	if engine.reportsFalsely {
+		report.Read, report.Written = 10*report.Read, 10*report.Written
 	}
-	return r
+	return report
 }
 
-// control lets whoever gives roles look and act.
-func (f *fleet) control() {
-	if f.arm.Plain {
-		f.threshold()
+// runStrategy lets whoever gives roles look and act.
+func (f *fleet) runStrategy() {
+	if f.strategy.Threshold {
+		f.runThreshold()
 		return
 	}
-	if f.core == nil {
+	if f.controller == nil {
 		return
 	}
-	for i, m := range f.engines {
-		urgent := m.leaving || m.loading || f.plan[m.name].Epoch != m.epoch
+	for i, engine := range f.engines {
+		urgent := engine.draining || engine.loading || f.plan[engine.name].Epoch != engine.epoch
 		// Each second, spread over its ten steps; those that are changing every step.
-		if m.silent && !urgent || !urgent && int(f.now/step)%10 != i%10 {
+		if engine.silent && !urgent || !urgent && int(f.now/timeStep)%10 != i%10 {
 			continue
 		}
-		asked, r := f.clock(), f.report(m)
-		f.later(func() { f.carryOut(f.core.Step(f.clock(), assignment.EngineSaid{AskedAt: asked, Report: r})) })
+		requestedAt, report := f.clock(), f.reportOf(engine)
+		f.deliverLater(func() {
+			f.execute(f.controller.Step(f.clock(), assignment.EngineReported{RequestedAt: requestedAt, Report: report}))
+		})
 	}
-	for e := range f.d.Edges {
-		if int(f.now/step)%10 != e%10 || float64(e) < f.d.Missing*float64(f.d.Edges) {
+	for edge := range f.scenario.Edges {
+		if int(f.now/timeStep)%10 != edge%10 || float64(edge) < f.scenario.MissingReports*float64(f.scenario.Edges) {
 			continue
 		}
-		r := planapi.EdgeReport{Edge: fmt.Sprint("edge", e), Life: 1}
-		for _, c := range f.counts {
-			part := 1 / float64(f.d.Edges)
-			r.Routes = append(r.Routes, planapi.RouteCount{Route: c.Route, Arrived: c.Arrived * part,
-				Prompt: c.Prompt * part, Began: c.Began * part,
-				BegunFor: c.BegunFor * part, Ended: c.Ended * part, Answer: c.Answer * part,
-				InTime: c.InTime * part, Shed: c.Shed * part})
+		report := planapi.EdgeReport{Edge: fmt.Sprint("edge", edge), Life: 1}
+		for _, count := range f.counts {
+			share := 1 / float64(f.scenario.Edges)
+			report.Routes = append(report.Routes, planapi.RouteCount{Route: count.Route, Arrived: count.Arrived * share,
+				Prompt: count.Prompt * share, Began: count.Began * share,
+				BegunFor: count.BegunFor * share, Ended: count.Ended * share, Answer: count.Answer * share,
+				InTime: count.InTime * share, Shed: count.Shed * share})
 		}
-		f.later(func() { f.carryOut(f.core.Step(f.clock(), assignment.EdgeSaid{Report: r})) })
+		f.deliverLater(func() { f.execute(f.controller.Step(f.clock(), assignment.EdgeReported{Report: report})) })
 	}
-	f.carryOut(f.core.Step(f.clock(), assignment.Tick{}))
+	f.execute(f.controller.Step(f.clock(), assignment.Tick{}))
 }
 
-func (f *fleet) machine(name string) *machine {
-	return f.engines[slices.IndexFunc(f.engines, func(m *machine) bool { return m.name == name })]
+func (f *fleet) engineNamed(name string) *engineModel {
+	return f.engines[slices.IndexFunc(f.engines, func(engine *engineModel) bool { return engine.name == name })]
 }
 
-func (f *fleet) carryOut(effects []assignment.Effect) {
-	for _, e := range effects {
-		switch e := e.(type) {
-		case assignment.Publish:
+func (f *fleet) execute(actions []assignment.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case assignment.PublishPlan:
 			clear(f.plan)
-			for _, x := range e.Plan.Engines {
-				f.plan[x.Engine] = x
+			for _, planned := range action.Plan.Engines {
+				f.plan[planned.Engine] = planned
 			}
-		case assignment.Ask:
-			f.follow(f.machine(e.Engine), e.Order)
-		case assignment.Try:
-			m := f.machine(e.Engine)
-			ok := m.role == e.Role && m.epoch == e.Epoch && !m.loading
-			f.later(func() {
-				f.carryOut(f.core.Step(f.clock(), assignment.Tried{Engine: e.Engine, Number: e.Number, OK: ok}))
+		case assignment.SendRoleOrder:
+			f.applyOrder(f.engineNamed(action.Engine), action.Order)
+		case assignment.StartTrial:
+			engine := f.engineNamed(action.Engine)
+			ok := engine.role == action.Role && engine.epoch == action.Epoch && !engine.loading
+			f.deliverLater(func() {
+				f.execute(f.controller.Step(f.clock(), assignment.TrialEnded{Engine: action.Engine, Number: action.Number, OK: ok}))
 			})
 		}
 	}
 }
 
-func (f *fleet) follow(m *machine, o planapi.RoleOrder) {
-	m.term = o.Term
+func (f *fleet) applyOrder(engine *engineModel, order planapi.RoleOrder) {
+	engine.term = order.Term
 	switch {
-	case o.Epoch == m.epoch && !m.loading:
-		if o.Drain && !m.leaving { // what is open ends within the drain's time
-			m.until = f.now + time.Duration(f.rng.Float64()*float64(f.d.Drain))
+	case order.Epoch == engine.epoch && !engine.loading:
+		if order.Drain && !engine.draining { // what is open ends within the drain's time
+			engine.phaseEndsAt = f.now + time.Duration(f.rng.Float64()*float64(f.scenario.DrainTime))
 		}
-		m.leaving = o.Drain
-	case o.Epoch > m.epoch && (!m.leaving || f.now >= m.until):
-		m.epoch, m.leaving = o.Epoch, false
-		if o.Role != m.role || m.loading {
-			m.claims, m.loading, m.until = o.Role, true, f.now+f.d.Reload
+		engine.draining = order.Drain
+	case order.Epoch > engine.epoch && (!engine.draining || f.now >= engine.phaseEndsAt):
+		engine.epoch, engine.draining = order.Epoch, false
+		if order.Role != engine.role || engine.loading {
+			engine.reportedRole, engine.loading, engine.phaseEndsAt = order.Role, true, f.now+f.scenario.ReloadTime
 		}
 	}
 }
 
-// threshold is the plain baseline: every five seconds, if one role has more than eight tenths of its work for
+// runThreshold is the plain baseline: every five seconds, if one role has more than eight tenths of its work for
 // the last of them and the other less than half, one engine changes.
-func (f *fleet) threshold() {
-	for _, m := range f.engines {
-		if m.leaving && f.now >= m.until {
-			m.leaving, m.loading, m.until = false, true, f.now+f.d.Reload
-			m.claims = m.plainNext
-			m.epoch++
+func (f *fleet) runThreshold() {
+	for _, engine := range f.engines {
+		if engine.draining && f.now >= engine.phaseEndsAt {
+			engine.draining, engine.loading, engine.phaseEndsAt = false, true, f.now+f.scenario.ReloadTime
+			engine.reportedRole = engine.nextRole
+			engine.epoch++
 		}
 	}
 	if f.now%(5*time.Second) != 0 || f.now == 0 {
 		return
 	}
-	need := map[string]float64{}
-	for _, r := range f.routes {
-		reads, writes := r.work(f.tilt())
-		need[planapi.Read] += f.rate() * r.Share * reads / readPace
-		need[planapi.Write] += f.rate() * r.Share * writes / writePace
+	required := map[string]float64{}
+	for _, route := range f.routes {
+		prefillTokens, decodeTokens := route.tokensAt(f.skew())
+		required[planapi.Read] += f.arrivalRate() * route.Share * prefillTokens / prefillThroughput
+		required[planapi.Write] += f.arrivalRate() * route.Share * decodeTokens / decodeThroughput
 	}
-	full := func(role string) float64 { return need[role] / max(f.power(role), 0.1) }
+	utilization := func(role string) float64 { return required[role] / max(f.capacity(role), 0.1) }
 	for _, to := range []string{planapi.Read, planapi.Write} {
 		from := planapi.Other(to)
-		if full(to) > 0.8 && full(from) < 0.5 && f.power(from) > 1.5 {
-			for _, m := range f.engines {
-				if m.canChange && f.serves(m, from) > 0 {
-					m.leaving, m.plainNext = true, to
-					m.until = f.now + time.Duration(f.rng.Float64()*float64(f.d.Drain))
+		if utilization(to) > 0.8 && utilization(from) < 0.5 && f.capacity(from) > 1.5 {
+			for _, engine := range f.engines {
+				if engine.canChange && f.capacityShare(engine, from) > 0 {
+					engine.draining, engine.nextRole = true, to
+					engine.phaseEndsAt = f.now + time.Duration(f.rng.Float64()*float64(f.scenario.DrainTime))
 					return
 				}
 			}
@@ -486,14 +488,14 @@
 	}
 }
 
-// Best is the fixed split that a day would have been best with, in hindsight: some twelve are tried.
-func Best(d Day) (Result, int) {
-	best, at := Result{Value: -1}, 0
-	by := max(1, d.Engines/12)
-	for n := by; n < d.Engines; n += by {
-		if r := Run(d, Arm{Readers: n}); r.Value > best.Value {
-			best, at = r, n
+// BestFixedSplit is the fixed split that a day would have been best with, in hindsight: some twelve are tried.
+func BestFixedSplit(scenario Scenario) (Result, int) {
+	best, bestEngines := Result{Value: -1}, 0
+	increment := max(1, scenario.Engines/12)
+	for prefillEngines := increment; prefillEngines < scenario.Engines; prefillEngines += increment {
+		if result := Run(scenario, Strategy{PrefillEngines: prefillEngines}); result.Value > best.Value {
+			best, bestEngines = result, prefillEngines
 		}
 	}
-	return best, at
+	return best, bestEngines
 }
--- a/internal/modelcheck/roles.go
+++ b/internal/modelcheck/roles.go
@@ -19,15 +19,15 @@
 type roleSim struct {
 	w       World
 	now     int64
-	core    *assignment.Core
-	queue   []assignment.Effect // decided and not carried out yet
+	core    *assignment.Controller
+	queue   []assignment.Action // decided and not carried out yet
 	kept    map[string]assignment.Record
 	meta    assignment.Meta
 	term    int64
 	up      bool
 	boxes   []*roleBox
 	orders  []order // on their way
-	trials  []assignment.Try
+	trials  []assignment.StartTrial
 	plan    planapi.Plan // the newest published
 	edges   []planapi.Plan
 	wishes  int // operator's moves left
@@ -91,11 +91,11 @@
 	return s
 }
 
-func (s *roleSim) bounds() assignment.Bounds {
-	return assignment.Bounds{Drain: roleDrain, Order: 300 * time.Millisecond, Load: 600 * time.Millisecond,
-		Trial: 300 * time.Millisecond,
-		Cold:  200 * time.Millisecond, Rest: 500 * time.Millisecond, Floor: 1, Changing: 0.1,
-		Grace: 50 * time.Millisecond}
+func (s *roleSim) bounds() assignment.Config {
+	return assignment.Config{DrainTimeout: roleDrain, OrderTimeout: 300 * time.Millisecond, LoadTimeout: 600 * time.Millisecond,
+		TrialTimeout: 300 * time.Millisecond,
+		WarmUp:       200 * time.Millisecond, Cooldown: 500 * time.Millisecond, MinServing: 1, MaxChangingShare: 0.1,
+		DrainGrace: 50 * time.Millisecond}
 }
 
 func (s *roleSim) begin() {
@@ -106,21 +106,21 @@
 	s.term++
 	s.up, s.queue, s.down = true, nil, 0
 	s.core = assignment.New(s.bounds(), s.term, s.now, records, s.meta)
-	var boxes []assignment.Box
+	var boxes []assignment.ListedEngine
 	for i, b := range s.boxes {
 		listed := planapi.Read
 		if i >= s.w.Readers {
 			listed = planapi.Write
 		}
-		boxes = append(boxes, assignment.Box{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
+		boxes = append(boxes, assignment.ListedEngine{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
 			Kinds: map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}})
 	}
-	s.step(assignment.Listed{Boxes: boxes})
+	s.step(assignment.EnginesListed{Engines: boxes})
 }
 
-func (s *roleSim) step1(e assignment.Effect) {
+func (s *roleSim) step1(e assignment.Action) {
 	switch e := e.(type) {
-	case assignment.Keep:
+	case assignment.Persist:
 		for _, r := range e.Records {
 			if old, ok := s.kept[r.Engine]; ok && r.Epoch < old.Epoch {
 				s.tell("R4 the epoch of %s goes back from %d to %d", r.Engine, old.Epoch, r.Epoch)
@@ -128,14 +128,14 @@
 			s.kept[r.Engine] = r
 		}
 		s.meta = e.Meta
-	case assignment.Publish:
+	case assignment.PublishPlan:
 		if !e.Plan.Newer(s.plan) {
 			s.tell("R5 plan %d of term %d follows %d of %d", e.Plan.Number, e.Plan.Term, s.plan.Number,
 				s.plan.Term)
 		}
 		s.plan = e.Plan
 		s.checkPlan()
-	case assignment.Ask:
+	case assignment.SendRoleOrder:
 		s.checkAsk(e)
 		if !slices.ContainsFunc(s.orders, func(o order) bool {
 			return o.to == e.Engine &&
@@ -143,7 +143,7 @@
 		}) {
 			s.orders = append(s.orders, order{to: e.Engine, order: e.Order})
 		}
-	case assignment.Try:
+	case assignment.StartTrial:
 		s.trials = append(s.trials, e)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-func (s *roleSim) step(in assignment.Input) { s.queue = append(s.queue, s.core.Step(s.now, in)...) }
+func (s *roleSim) step(in assignment.Event) { s.queue = append(s.queue, s.core.Step(s.now, in)...) }
 
 func (s *roleSim) tell(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
@@ -176,7 +176,7 @@
 	r := planapi.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Life: b.life,
 		UpFor: 0, Changing: b.loading,
 		Draining: b.leaving, Open: b.open}
-	s.step(assignment.EngineSaid{AskedAt: askedAt, Report: r})
+	s.step(assignment.EngineReported{RequestedAt: askedAt, Report: r})
 }
 
 func (b *roleBox) follow(o planapi.RoleOrder) {
@@ -218,10 +218,10 @@
 	}
 	if s.settled() {
 		for _, b := range s.boxes {
-			if s.kept[b.name].State == assignment.Aside {
+			if s.kept[b.name].State == assignment.Quarantined {
 				add("an operator mends and readmits "+b.name, "leave", func() {
 					b.never, b.lies = false, false
-					if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "readmit", Engine: b.name,
+					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "readmit", Engine: b.name,
 						Who: "w", Why: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
@@ -248,7 +248,7 @@
 			if i == 0 || i == s.w.Readers {
 				add("an operator moves "+b.name, "", func() {
 					s.wishes--
-					if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "move", Engine: b.name,
+					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "move", Engine: b.name,
 						Who: "w", Why: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
@@ -275,7 +275,7 @@
 		take := func() { s.trials = slices.Delete(s.trials, i, i+1) }
 		add("the trial of "+t.Engine+" ends", "", func() {
 			take()
-			s.step(assignment.Tried{Engine: t.Engine, Number: t.Number, OK: ok, Why: "no"})
+			s.step(assignment.TrialEnded{Engine: t.Engine, Number: t.Number, OK: ok, Reason: "no"})
 		})
 		add("the trial of "+t.Engine+" is lost", "reset", take)
 	}
@@ -335,7 +335,7 @@
 	if !s.meta.Stopped && !s.stopped {
 		add("an operator stops all changes", "leave", func() {
 			s.stopped = true
-			if _, effects, err := s.core.Order(s.now, planapi.Order{Op: "stop", Who: "w",
+			if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "stop", Who: "w",
 				Why: "y"}); err == nil {
 				s.queue = append(s.queue, effects...)
 			}
@@ -354,7 +354,7 @@
 }
 
 func (s *roleSim) killPlanner() {
-	s.took |= s.core.Took()
+	s.took |= s.core.FiredTransitions()
 	s.up, s.queue, s.trials = false, nil, nil
 }
 
@@ -374,7 +374,7 @@
 	}
 	for _, b := range s.boxes {
 		k, ok := s.kept[b.name]
-		if ok && k.State != assignment.Serving && !(k.State == assignment.Aside && (b.never || b.lies)) ||
+		if ok && k.State != assignment.Serving && !(k.State == assignment.Quarantined && (b.never || b.lies)) ||
 			b.loading && !b.never || b.open > 0 && !b.endless {
 			return false
 		}
@@ -395,7 +395,7 @@
 	for _, e := range s.plan.Engines {
 		if e.State == endpoint.Ready {
 			ready[e.Kind]++
-			if k, ok := s.kept[e.Engine]; ok && k.State != assignment.Serving && k.State != assignment.Cold {
+			if k, ok := s.kept[e.Engine]; ok && k.State != assignment.Serving && k.State != assignment.WarmingUp {
 				s.tell("R8 plan %d lists %s as ready, which is %s", s.plan.Number, e.Engine, k.State)
 			}
 		}
@@ -408,8 +408,8 @@
 	for _, role := range []string{planapi.Read, planapi.Write} {
 		lost := 0 // to its own fault, not to a change
 		for _, b := range s.boxes {
-			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == assignment.Returning ||
-				k.State == assignment.Aside || k.State == assignment.Trying) {
+			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == assignment.RollingBack ||
+				k.State == assignment.Quarantined || k.State == assignment.InTrial) {
 				lost++
 			}
 		}
@@ -420,7 +420,7 @@
 }
 
 // checkAsk holds an order against what is kept: nothing may be asked that a kill would forget.
-func (s *roleSim) checkAsk(a assignment.Ask) {
+func (s *roleSim) checkAsk(a assignment.SendRoleOrder) {
 	k, ok := s.kept[a.Engine]
 	if !ok && a.Order.Epoch > s.box(a.Engine).epoch || ok && max(k.Epoch, k.NextEpoch) < a.Order.Epoch {
 		s.tell("R6 %s is ordered to epoch %d, which is not kept", a.Engine, a.Order.Epoch)
@@ -459,7 +459,7 @@
 func (s roleState) checkEnd()            {}
 func (s roleState) found() []string      { return s.broken }
 func (s roleState) clock() time.Duration { return time.Duration(s.now - int64(1000*time.Second)) }
-func (s roleState) cover() Cover         { return Cover{Roles: s.took | s.core.Took()} }
+func (s roleState) cover() Cover         { return Cover{Roles: s.took | s.core.FiredTransitions()} }
 
 func (s roleState) finals() (row []string) {
 	for _, b := range s.boxes {
@@ -476,17 +476,17 @@
 	for _, id := range slices.Sorted(maps.Keys(s.kept)) {
 		k := s.kept[id]
 		row = append(row, fmt.Sprintf("kept of %s: %s, %s of %d, next %s of %d", id, k.State, k.Role,
-			k.Epoch, k.Next, k.NextEpoch))
+			k.Epoch, k.NextRole, k.NextEpoch))
 	}
 	return row
 }
 
 func (s roleState) digest() uint64 {
 	h := xxhash.New()
-	s.core.Digest(h)
+	s.core.Fingerprint(h)
 	for _, id := range slices.Sorted(maps.Keys(s.kept)) {
 		k := s.kept[id]
-		k.Since, k.Began = s.now-k.Since, 0
+		k.StateSince, k.ServingSince = s.now-k.StateSince, 0
 		fmt.Fprintln(h, k)
 	}
 	for _, b := range s.boxes {
--- a/internal/planner/assignment/decide.go
+++ b/internal/planner/assignment/decide.go
@@ -10,75 +10,75 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Weighed is what a change to one role would bring.
-type Weighed struct {
-	To     string  `json:"to"`
-	Gain   float64 `json:"gain"`     // value a second, under the mix that arrives now
-	Usual  float64 `json:"usual"`    // the same, on average, under those mixes of the last minutes that lose by it
-	Mean   float64 `json:"mean"`     // the same, on average, under all mixes of the last minutes
-	Left   float64 `json:"left_s"`   // how long the shift is expected to go on
-	Cost   float64 `json:"cost"`     // value lost while the engine changes
-	For    float64 `json:"for_s"`    // how long it would have gained already
-	Engine string  `json:"engine"`   // the best one to change
-	Lost   float64 `json:"lost_tok"` // kept tokens that nobody else keeps
-	Why    string  `json:"why"`      // it is done, or not
-	Done   bool    `json:"done"`
+// Evaluation is what a change to one role would bring.
+type Evaluation struct {
+	ToRole           string  `json:"to"`
+	Gain             float64 `json:"gain"`     // value a second, under the mix that arrives now
+	ReversalLoss     float64 `json:"usual"`    // the same, on average, under those mixes of the last minutes that lose by it
+	MeanGain         float64 `json:"mean"`     // the same, on average, under all mixes of the last minutes
+	RemainingSeconds float64 `json:"left_s"`   // how long the shift is expected to go on
+	Cost             float64 `json:"cost"`     // value lost while the engine changes
+	GainingSeconds   float64 `json:"for_s"`    // how long it would have gained already
+	Engine           string  `json:"engine"`   // the best one to change
+	LostTokens       float64 `json:"lost_tok"` // kept tokens that nobody else keeps
+	Reason           string  `json:"why"`      // it is done, or not
+	Chosen           bool    `json:"done"`
 }
 
-// Explained is the last decision, for people.
-type Explained struct {
-	At         int64              `json:"at"`
-	Mix        mix                `json:"mix"`
-	Edges      int                `json:"edges_heard"`
-	EdgesKnown int                `json:"edges_known"`
-	Need       map[string]float64 `json:"need"`   // engines that the mix keeps busy, by role
-	Serve      map[string]float64 `json:"serve"`  // engines that serve, by role
-	Coming     map[string]float64 `json:"coming"` // and that are changing to it
-	Pace       map[string]float64 `json:"pace"`
-	Weighed    []Weighed          `json:"weighed"`
-	Changing   int                `json:"changing"`
-	Stopped    bool               `json:"stopped"`
+// Decision is the last decision, for people.
+type Decision struct {
+	At              int64              `json:"at"`
+	Mix             trafficMix         `json:"mix"`
+	EdgesReporting  int                `json:"edges_heard"`
+	EdgesKnown      int                `json:"edges_known"`
+	RequiredEngines map[string]float64 `json:"need"`   // engines that the mix keeps busy, by role
+	ServingEngines  map[string]float64 `json:"serve"`  // engines that serve, by role
+	IncomingEngines map[string]float64 `json:"coming"` // and that are changing to it
+	Throughput      map[string]float64 `json:"pace"`
+	Evaluations     []Evaluation       `json:"weighed"`
+	Changing        int                `json:"changing"`
+	Stopped         bool               `json:"stopped"`
 }
 
-// Explained is the last decision.
-func (c *Core) Explained() Explained { return c.last }
+// LastDecision is the last decision.
+func (c *Controller) LastDecision() Decision { return c.lastDecision }
 
-// Shown is one engine as operators see it.
-type Shown struct {
+// EngineView is one engine as operators see it.
+type EngineView struct {
 	Record
-	Listed    bool                 `json:"Listed"`
-	CanChange bool                 `json:"CanChange"`
-	Said      planapi.EngineReport `json:"said"`
-	HeardMs   int64                `json:"heard_ms_ago"` // -1 for never
-	Barred    string               `json:"barred,omitempty"`
-	Trouble   string               `json:"trouble,omitempty"`
+	Listed           bool                 `json:"Listed"`
+	CanChange        bool                 `json:"CanChange"`
+	Report           planapi.EngineReport `json:"said"`
+	ReportedMsAgo    int64                `json:"heard_ms_ago"` // -1 for never
+	IneligibleReason string               `json:"barred,omitempty"`
+	Fault            string               `json:"trouble,omitempty"`
 }
 
-// Show lists all engines.
-func (c *Core) Show() (row []Shown) {
-	for _, id := range c.ids {
-		b := c.boxes[id]
-		s := Shown{Record: b.Record, Listed: b.present, CanChange: b.listed.CanChange, Said: b.said,
-			HeardMs: -1, Barred: c.barred(b),
-			Trouble: b.trouble}
-		if b.saidAt > 0 {
-			s.HeardMs = (c.now - b.saidAt) / 1e6
+// Engines lists all engines.
+func (c *Controller) Engines() (views []EngineView) {
+	for _, id := range c.engineIDs {
+		engine := c.engines[id]
+		view := EngineView{Record: engine.Record, Listed: engine.present, CanChange: engine.listed.CanChange, Report: engine.report,
+			ReportedMsAgo: -1, IneligibleReason: c.ineligibleReason(engine),
+			Fault: engine.fault}
+		if engine.reportedAt > 0 {
+			view.ReportedMsAgo = (c.now - engine.reportedAt) / 1e6
 		}
-		row = append(row, s)
+		views = append(views, view)
 	}
-	return row
+	return views
 }
 
-// Asked are the engines to ask for reports, and those of them whose change waits for what they say.
-func (c *Core) Asked() (all, urgent []string) {
-	for _, id := range c.ids {
-		b := c.boxes[id]
-		if !b.present {
+// ReportTargets are the engines to ask for reports, and those of them whose change waits for what they say.
+func (c *Controller) ReportTargets() (all, urgent []string) {
+	for _, id := range c.engineIDs {
+		engine := c.engines[id]
+		if !engine.present {
 			continue
 		}
 		all = append(all, id)
-		switch b.State {
-		case Serving, Cold, Aside:
+		switch engine.State {
+		case Serving, WarmingUp, Quarantined:
 		default:
 			urgent = append(urgent, id)
 		}
@@ -86,348 +86,350 @@
 	return all, urgent
 }
 
-// Count is how many listed engines stand in each role and state.
-func (c *Core) Count() map[[2]string]int {
-	n := map[[2]string]int{}
-	for _, id := range c.ids {
-		if b := c.boxes[id]; b.present {
-			n[[2]string{b.Role, string(b.State)}]++
+// CountEngines is how many listed engines stand in each role and state.
+func (c *Controller) CountEngines() map[[2]string]int {
+	counts := map[[2]string]int{}
+	for _, id := range c.engineIDs {
+		if engine := c.engines[id]; engine.present {
+			counts[[2]string{engine.Role, string(engine.State)}]++
 		}
 	}
-	return n
+	return counts
 }
 
-// usable is how much of its work an engine can be given before queues make first tokens late. Over nine
+// usableCapacity is how much of its work an engine can be given before queues make first tokens late. Over nine
 // tenths a few arrivals together wait longer than their own reading takes; at 0.75 changes began where
 // nothing was lost yet.
-const usable = 0.9
+const usableCapacity = 0.9
 
-// served is the value a second that a mix brings with so many engines in each role: routes of highest value
+// servedValue is the value a second that a mix brings with so many engines in each role: routes of highest value
 // first, each as far as both roles have room.
-func (m mix) served(readers, writers, readPace, writePace float64) (value float64) {
-	r, w := readers*readPace*usable, writers*writePace*usable
-	for _, f := range m {
+func (m trafficMix) servedValue(prefillEngines, decodeEngines, prefillThroughput, decodeThroughput float64) (value float64) {
+	prefillCapacity, decodeCapacity := prefillEngines*prefillThroughput*usableCapacity, decodeEngines*decodeThroughput*usableCapacity
+	for _, demand := range m {
 		share := 1.0
-		if f.Reads > 0 {
-			share = min(share, r/(f.Rate*f.Reads))
+		if demand.PrefillTokens > 0 {
+			share = min(share, prefillCapacity/(demand.Rate*demand.PrefillTokens))
 		}
-		if f.Writes > 0 {
-			share = min(share, w/(f.Rate*f.Writes))
+		if demand.DecodeTokens > 0 {
+			share = min(share, decodeCapacity/(demand.Rate*demand.DecodeTokens))
 		}
 		share = max(share, 0)
-		r, w = r-share*f.Rate*f.Reads, w-share*f.Rate*f.Writes
-		value += share * f.Rate * f.Value
+		prefillCapacity, decodeCapacity = prefillCapacity-share*demand.Rate*demand.PrefillTokens, decodeCapacity-share*demand.Rate*demand.DecodeTokens
+		value += share * demand.Rate * demand.Value
 	}
 	return value
 }
 
-// all is the value a second that arrives; lost is that which is not in time.
-func (m mix) all() (v float64) {
-	for _, f := range m {
-		v += f.Rate * f.Value
+// offeredValue is the value a second that arrives; lost is that which is not in time.
+func (m trafficMix) offeredValue() (value float64) {
+	for _, demand := range m {
+		value += demand.Rate * demand.Value
 	}
-	return v
+	return value
 }
 
-func (m mix) lost() (v float64) {
-	for _, f := range m {
-		v += f.Lost * f.Value
+func (m trafficMix) lostValue() (value float64) {
+	for _, demand := range m {
+		value += demand.LostRate * demand.Value
 	}
-	return v
+	return value
 }
 
-// fresh is how many engines come to a role, or came so late that what is lost now is still counted without
+// recentlyAdded is how many engines come to a role, or came so late that what is lost now is still counted without
 // them.
-func (c *Core) fresh(role string) (n float64) {
-	for _, id := range c.ids {
-		b := c.boxes[id]
-		if b.present && (b.Next == role || b.Role == role && b.Began > 0 && c.now-b.Began < int64(seen)) {
-			n += cmp.Or(b.listed.Weight, 1)
+func (c *Controller) recentlyAdded(role string) (weight float64) {
+	for _, id := range c.engineIDs {
+		engine := c.engines[id]
+		if engine.present && (engine.NextRole == role || engine.Role == role && engine.ServingSince > 0 && c.now-engine.ServingSince < int64(shiftDetectionTime)) {
+			weight += cmp.Or(engine.listed.Weight, 1)
 		}
 	}
-	return n
+	return weight
 }
 
 // supply counts engines of a role that serve, by weight, and those that are on the way to it. One that says
 // nothing is not counted: what it can do is not known.
-func (c *Core) supply(role string) (serve, coming float64) {
-	for _, id := range c.ids {
-		b := c.boxes[id]
-		if !b.present {
+func (c *Controller) supply(role string) (serving, incoming float64) {
+	for _, id := range c.engineIDs {
+		engine := c.engines[id]
+		if !engine.present {
 			continue
 		}
-		weight := cmp.Or(b.listed.Weight, 1)
-		switch b.State {
-		case Serving, Cold:
-			if b.Role == role && b.listed.Ready && !c.mute(b) {
-				serve += weight
+		weight := cmp.Or(engine.listed.Weight, 1)
+		switch engine.State {
+		case Serving, WarmingUp:
+			if engine.Role == role && engine.listed.Ready && !c.unresponsive(engine) {
+				serving += weight
 			}
-		case Aside:
+		case Quarantined:
 		default:
-			if b.Next == role {
-				coming += weight
+			if engine.NextRole == role {
+				incoming += weight
 			}
 		}
 	}
-	return serve, coming
+	return serving, incoming
 }
 
-// mute is whether nothing was heard of an engine for so long that it may be dead: four questions.
-func (c *Core) mute(b *box) bool { return c.now-b.saidAt > int64(4*time.Second) }
+// unresponsive is whether nothing was heard of an engine for so long that it may be dead: four questions.
+func (c *Controller) unresponsive(engine *engineRecord) bool {
+	return c.now-engine.reportedAt > int64(4*time.Second)
+}
 
 // The figures of the decision.
 const (
 	// A shift is expected to last as long again as it has lasted, at most this: mixes change with matches.
-	longest = 2 * time.Minute
+	maxShiftForecast = 2 * time.Minute
 	// How long it takes until a load that has turned is seen to have: what demand looks back on, and three
 	// reports.
-	seen = 13 * time.Second
+	shiftDetectionTime = 13 * time.Second
 	// Of all value, a hundredth is within the error of the estimate.
-	little = 0.01
+	noiseShare = 0.01
 	// Of what is lost now, a change may be hoped to bring back this much more: counts of ten seconds are
 	// rough.
-	hope = 1.5
+	maxGainPerLoss = 1.5
 	// Nothing is decided on less than this: three reports.
-	atLeast = 3 * time.Second
+	minShiftDuration = 3 * time.Second
 	// What a change is to gain must be worth this many times what it costs: the estimate is rough.
-	margin = 1.5
+	gainCostMargin = 1.5
 	// Mixes of the last four minutes, one every ten seconds: what the load usually is.
 	// From a minute on they say something of the average.
-	mixEvery, mixesKept, mixesFew = 10 * time.Second, 24, 6
+	mixInterval, maxMixes, minMixes = 10 * time.Second, 24, 6
 )
 
 // decide weighs one change in each direction and begins at most one.
-func (c *Core) decide() {
-	m, heard, known := c.demand()
-	paces := map[string]float64{planapi.Read: c.pace(planapi.Read), planapi.Write: c.pace(planapi.Write)}
-	x := Explained{At: c.now, Mix: m, Edges: heard, EdgesKnown: known, Need: map[string]float64{},
-		Serve:  map[string]float64{},
-		Coming: map[string]float64{}, Pace: paces, Stopped: c.meta.Stopped || c.bounds.Off,
-		Changing: c.changing()}
-	for _, f := range m {
-		x.Need[planapi.Read] += f.Rate * f.Reads / max(paces[planapi.Read], 1)
-		x.Need[planapi.Write] += f.Rate * f.Writes / max(paces[planapi.Write], 1)
+func (c *Controller) decide() {
+	mix, reporting, known := c.estimateDemand()
+	throughputs := map[string]float64{planapi.Read: c.throughput(planapi.Read), planapi.Write: c.throughput(planapi.Write)}
+	decision := Decision{At: c.now, Mix: mix, EdgesReporting: reporting, EdgesKnown: known, RequiredEngines: map[string]float64{},
+		ServingEngines:  map[string]float64{},
+		IncomingEngines: map[string]float64{}, Throughput: throughputs, Stopped: c.meta.Stopped || c.config.ExplainOnly,
+		Changing: c.changingCount()}
+	for _, demand := range mix {
+		decision.RequiredEngines[planapi.Read] += demand.Rate * demand.PrefillTokens / max(throughputs[planapi.Read], 1)
+		decision.RequiredEngines[planapi.Write] += demand.Rate * demand.DecodeTokens / max(throughputs[planapi.Write], 1)
 	}
 	for _, role := range []string{planapi.Read, planapi.Write} {
-		x.Serve[role], x.Coming[role] = c.supply(role)
+		decision.ServingEngines[role], decision.IncomingEngines[role] = c.supply(role)
 	}
-	if len(m) > 0 && (len(c.history) == 0 || c.now-c.mixAt >= int64(mixEvery)) {
-		c.history, c.mixAt = last(c.history, past{m, c.worse(m, x, paces)}, mixesKept), c.now
+	if len(mix) > 0 && (len(c.mixHistory) == 0 || c.now-c.mixRecordedAt >= int64(mixInterval)) {
+		c.mixHistory, c.mixRecordedAt = appendBounded(c.mixHistory, mixSample{mix, c.lossFactor(mix, decision, throughputs)}, maxMixes), c.now
 	}
-	c.turn(x.Need)
+	c.trackSkew(decision.RequiredEngines)
 	for _, to := range []string{planapi.Read, planapi.Write} {
-		x.Weighed = append(x.Weighed, c.weigh(to, m, paces, x))
+		decision.Evaluations = append(decision.Evaluations, c.evaluate(to, mix, throughputs, decision))
 	}
-	slices.SortStableFunc(x.Weighed, func(a, b Weighed) int { return cmp.Compare(b.Gain, a.Gain) })
-	for i := range x.Weighed {
-		if w := &x.Weighed[i]; w.Why == "" {
-			w.Done, w.Why = true, "it is worth its cost"
-			c.change(c.boxes[w.Engine],
+	slices.SortStableFunc(decision.Evaluations, func(a, b Evaluation) int { return cmp.Compare(b.Gain, a.Gain) })
+	for i := range decision.Evaluations {
+		if evaluation := &decision.Evaluations[i]; evaluation.Reason == "" {
+			evaluation.Chosen, evaluation.Reason = true, "it is worth its cost"
+			c.beginChange(c.engines[evaluation.Engine],
 				fmt.Sprintf("%s has work for %.1f engines and %.1f, %s for %.1f and %.1f: %.2f of value a second gained for %.0f s, "+
-					"%.0f s more, cost %.2f", w.To, x.Need[w.To], x.Serve[w.To]+x.Coming[w.To],
-					planapi.Other(w.To), x.Need[planapi.Other(w.To)],
-					x.Serve[planapi.Other(w.To)], w.Gain, w.For, w.Left, w.Cost))
+					"%.0f s more, cost %.2f", evaluation.ToRole, decision.RequiredEngines[evaluation.ToRole], decision.ServingEngines[evaluation.ToRole]+decision.IncomingEngines[evaluation.ToRole],
+					planapi.Other(evaluation.ToRole), decision.RequiredEngines[planapi.Other(evaluation.ToRole)],
+					decision.ServingEngines[planapi.Other(evaluation.ToRole)], evaluation.Gain, evaluation.GainingSeconds, evaluation.RemainingSeconds, evaluation.Cost))
 			break
 		}
 	}
-	c.last = x
+	c.lastDecision = decision
 }
 
-// weigh judges one change to a role. Why is empty if it is to be done.
-func (c *Core) weigh(to string, m mix, paces map[string]float64, x Explained) (w Weighed) {
+// evaluate judges one change to a role. Why is empty if it is to be done.
+func (c *Controller) evaluate(to string, mix trafficMix, throughputs map[string]float64, decision Decision) (evaluation Evaluation) {
 	from := planapi.Other(to)
-	w.To = to
-	value := func(p past, moved float64) float64 {
-		n := map[string]float64{to: x.Serve[to] + x.Coming[to] + moved, from: x.Serve[from] +
-			x.Coming[from] - moved}
-		all := p.mix.all()
-		return all - p.worse*(all-p.mix.served(n[planapi.Read], n[planapi.Write], paces[planapi.Read],
-			paces[planapi.Write]))
-	}
-	now := past{m, c.worse(m, x, paces)}
-	if len(m) == 0 || paces[planapi.Read] == 0 || paces[planapi.Write] == 0 {
-		w.Why = "nothing is known yet of what arrives or of how fast engines are"
-		if c.alone(from, to, x) && len(m) > 0 {
-			w.Gain = 1
+	evaluation.ToRole = to
+	value := func(p mixSample, moved float64) float64 {
+		n := map[string]float64{to: decision.ServingEngines[to] + decision.IncomingEngines[to] + moved, from: decision.ServingEngines[from] +
+			decision.IncomingEngines[from] - moved}
+		offered := p.mix.offeredValue()
+		return offered - p.lossFactor*(offered-p.mix.servedValue(n[planapi.Read], n[planapi.Write], throughputs[planapi.Read],
+			throughputs[planapi.Write]))
+	}
+	now := mixSample{mix, c.lossFactor(mix, decision, throughputs)}
+	if len(mix) == 0 || throughputs[planapi.Read] == 0 || throughputs[planapi.Write] == 0 {
+		evaluation.Reason = "nothing is known yet of what arrives or of how fast engines are"
+		if c.roleUnserved(from, to, decision) && len(mix) > 0 {
+			evaluation.Gain = 1
 		} else {
-			return w
+			return evaluation
 		}
 	} else {
 		// What is reckoned may not be more than what edges lose by their counts: where nothing is lost,
 		// nothing is to be gained, however full a role looks. Engines that are on their way, or have come
 		// since, bring back a part of that already.
-		w.Gain = min(value(now, 1)-value(now, 0), hope*m.lost()-max(0, value(now, 0)-value(now,
-			-c.fresh(to))))
+		evaluation.Gain = min(value(now, 1)-value(now, 0), maxGainPerLoss*mix.lostValue()-max(0, value(now, 0)-value(now,
+			-c.recentlyAdded(to))))
 	}
-	w.Why = ""
-	if w.Gain <= 1e-9 {
-		c.longing[to] = 0
-		w.Why = "it would gain nothing"
-		return w
+	evaluation.Reason = ""
+	if evaluation.Gain <= 1e-9 {
+		c.gainSince[to] = 0
+		evaluation.Reason = "it would gain nothing"
+		return evaluation
 	}
-	if c.longing[to] == 0 {
-		c.longing[to] = c.now
+	if c.gainSince[to] == 0 {
+		c.gainSince[to] = c.now
 	}
-	w.For = float64(c.now-c.longing[to]) / 1e9
+	evaluation.GainingSeconds = float64(c.now-c.gainSince[to]) / 1e9
 	turned, away := 0, 0.0
-	for _, h := range c.history {
+	for _, h := range c.mixHistory {
 		g := value(h, 1) - value(h, 0)
-		w.Mean += g / float64(len(c.history))
+		evaluation.MeanGain += g / float64(len(c.mixHistory))
 		if g < 0 {
-			w.Usual, turned = w.Usual+g, turned+1
+			evaluation.ReversalLoss, turned = evaluation.ReversalLoss+g, turned+1
 		}
 	}
-	w.Usual /= float64(max(turned, 1))
+	evaluation.ReversalLoss /= float64(max(turned, 1))
 	// How many engines have left the split that would have been best on average, this way: they all have to
 	// come back.
-	for ; away < x.Serve[to] && w.Mean < 0; away++ {
+	for ; away < decision.ServingEngines[to] && evaluation.MeanGain < 0; away++ {
 		mean := 0.0
-		for _, h := range c.history {
+		for _, h := range c.mixHistory {
 			mean += value(h, -away) - value(h, -away-1)
 		}
 		if mean >= 0 {
 			break
 		}
 	}
-	batch := max(1, c.bounds.Changing*(x.Serve[to]+x.Serve[from]))
-	best, why := c.best(from)
-	if best == nil {
-		w.Why = why
-		return w
+	batch := max(1, c.config.MaxChangingShare*(decision.ServingEngines[to]+decision.ServingEngines[from]))
+	candidate, reason := c.cheapestEngine(from)
+	if candidate == nil {
+		evaluation.Reason = reason
+		return evaluation
 	}
-	w.Engine, w.Lost = best.Engine, c.lost(best)
+	evaluation.Engine, evaluation.LostTokens = candidate.Engine, c.lostCacheTokens(candidate)
 	// While it changes, its old role lacks it and the new one does not have it yet; and its texts are read
 	// again.
-	took := c.takes()
+	took := c.changeSeconds()
 	serving := func(less float64) float64 {
-		n := map[string]float64{to: x.Serve[to], from: x.Serve[from] - less}
-		return m.served(n[planapi.Read], n[planapi.Write], paces[planapi.Read], paces[planapi.Write])
+		n := map[string]float64{to: decision.ServingEngines[to], from: decision.ServingEngines[from] - less}
+		return mix.servedValue(n[planapi.Read], n[planapi.Write], throughputs[planapi.Read], throughputs[planapi.Write])
 	}
-	w.Cost = max(0, serving(0)-serving(1)) * took
-	if all, need := 0.0, x.Need[planapi.Read]; need > 0 && from == planapi.Read {
-		all = m.all()
+	evaluation.Cost = max(0, serving(0)-serving(1)) * took
+	if offered, need := 0.0, decision.RequiredEngines[planapi.Read]; need > 0 && from == planapi.Read {
+		offered = mix.offeredValue()
 		// Reading again is work that others could have used: a second of one reader is worth its part of all
 		// value, the more so the fuller readers are.
-		full := min(1, need/max(usable*(x.Serve[from]-1), 0.1))
-		w.Cost += w.Lost / max(paces[planapi.Read], 1) * all / need * full
+		full := min(1, need/max(usableCapacity*(decision.ServingEngines[from]-1), 0.1))
+		evaluation.Cost += evaluation.LostTokens / max(throughputs[planapi.Read], 1) * offered / need * full
 	}
 	// What is left of the shift, less the time until the engine serves; and once the load has turned, what
 	// its absence costs until it is seen and the engine is back.
-	w.Left = c.left(to, w.For)
-	gains := w.Gain*max(0, w.Left-took) + w.Usual*(took*(1+away/batch)+seen.Seconds())
+	evaluation.RemainingSeconds = c.expectedRemaining(to, evaluation.GainingSeconds)
+	gains := evaluation.Gain*max(0, evaluation.RemainingSeconds-took) + evaluation.ReversalLoss*(took*(1+away/batch)+shiftDetectionTime.Seconds())
 	// What would have been better under all mixes of the last minutes needs no forecast.
-	if len(c.history) >= mixesFew {
-		if w.Mean > little*m.all() {
-			gains = max(gains, w.Mean*longest.Seconds())
+	if len(c.mixHistory) >= minMixes {
+		if evaluation.MeanGain > noiseShare*mix.offeredValue() {
+			gains = max(gains, evaluation.MeanGain*maxShiftForecast.Seconds())
 		}
 	}
 	switch {
-	case c.alone(from, to, x) && w.For >= 1:
+	case c.roleUnserved(from, to, decision) && evaluation.GainingSeconds >= 1:
 		// Nobody serves in that role: all value is lost until somebody does.
-	case w.For < atLeast.Seconds():
-		w.Why = fmt.Sprintf("it has lasted %.0f s only", w.For)
-	case gains <= margin*w.Cost || gains <= little*m.all():
-		w.Why = fmt.Sprintf("%.2f of value is expected, %.2f would be lost", gains, w.Cost)
+	case evaluation.GainingSeconds < minShiftDuration.Seconds():
+		evaluation.Reason = fmt.Sprintf("it has lasted %.0f s only", evaluation.GainingSeconds)
+	case gains <= gainCostMargin*evaluation.Cost || gains <= noiseShare*mix.offeredValue():
+		evaluation.Reason = fmt.Sprintf("%.2f of value is expected, %.2f would be lost", gains, evaluation.Cost)
 	}
-	if w.Why == "" && c.meta.Stopped {
-		w.Why = fmt.Sprintf("changes are stopped by %s: %s", c.meta.Who, c.meta.Why)
+	if evaluation.Reason == "" && c.meta.Stopped {
+		evaluation.Reason = fmt.Sprintf("changes are stopped by %s: %s", c.meta.StoppedBy, c.meta.StopReason)
 	}
-	if w.Why == "" && c.bounds.Off {
-		w.Why = "the settings only let it be explained"
+	if evaluation.Reason == "" && c.config.ExplainOnly {
+		evaluation.Reason = "the settings only let it be explained"
 	}
-	return w
+	return evaluation
 }
 
-// turn notes when the load tilts to the other side of what it was on average, and how long each side lasted.
-func (c *Core) turn(need map[string]float64) {
-	all := need[planapi.Read] + need[planapi.Write]
-	if all == 0 {
+// trackSkew notes when the load tilts to the other side of what it was on average, and how long each side lasted.
+func (c *Controller) trackSkew(required map[string]float64) {
+	total := required[planapi.Read] + required[planapi.Write]
+	if total == 0 {
 		return
 	}
-	share := need[planapi.Read] / all
-	c.shares = last(c.shares, share, 240) // four minutes of seconds
+	share := required[planapi.Read] / total
+	c.prefillShares = appendBounded(c.prefillShares, share, 240) // four minutes of seconds
 	mean := 0.0
-	for _, s := range c.shares {
-		mean += s / float64(len(c.shares))
+	for _, s := range c.prefillShares {
+		mean += s / float64(len(c.prefillShares))
 	}
-	side := c.side
+	skewed := c.skewedRole
 	// A twentieth: less is noise of counts.
 	if share > mean+0.05 {
-		side = planapi.Read
+		skewed = planapi.Read
 	} else if share < mean-0.05 {
-		side = planapi.Write
+		skewed = planapi.Write
 	}
-	if side == c.side {
+	if skewed == c.skewedRole {
 		return
 	}
-	if c.side != "" && c.sideAt > 0 {
-		c.spells[c.side] = last(c.spells[c.side], c.now-c.sideAt, 6)
+	if c.skewedRole != "" && c.skewedSince > 0 {
+		c.skewDurations[c.skewedRole] = appendBounded(c.skewDurations[c.skewedRole], c.now-c.skewedSince, 6)
 	}
-	c.side, c.sideAt = side, c.now
+	c.skewedRole, c.skewedSince = skewed, c.now
 }
 
-// left is how long a shift to a role is expected to go on: as long as earlier ones that had lasted as long by
+// expectedRemaining is how long a shift to a role is expected to go on: as long as earlier ones that had lasted as long by
 // then, or as long again as it has lasted, if there was none.
-func (c *Core) left(to string, longed float64) float64 {
-	if c.side != to {
-		return min(longed, longest.Seconds())
+func (c *Controller) expectedRemaining(to string, gainingSeconds float64) float64 {
+	if c.skewedRole != to {
+		return min(gainingSeconds, maxShiftForecast.Seconds())
 	}
-	since := c.now - c.sideAt
+	since := c.now - c.skewedSince
 	sum, n := 0.0, 0
-	for _, d := range c.spells[to] {
-		if d > since {
-			sum, n = sum+float64(d-since)/1e9, n+1
+	for _, duration := range c.skewDurations[to] {
+		if duration > since {
+			sum, n = sum+float64(duration-since)/1e9, n+1
 		}
 	}
 	if n > 0 {
-		return min(sum/float64(n), longest.Seconds())
+		return min(sum/float64(n), maxShiftForecast.Seconds())
 	}
-	return min(float64(since)/1e9, longest.Seconds())
+	return min(float64(since)/1e9, maxShiftForecast.Seconds())
 }
 
-// past is a mix that was, and how many times more value was lost under it than is reckoned: routes do not
+// mixSample is a mix that was, and how many times more value was lost under it than is reckoned: routes do not
 // lose in the order of their value alone, and one with a short target is late first.
-type past struct {
-	mix   mix
-	worse float64
+type mixSample struct {
+	mix        trafficMix
+	lossFactor float64
 }
 
-// worse is that for the present: by edges' counts, against what the engines that serve would lose. From a
+// lossFactor is that for the present: by edges' counts, against what the engines that serve would lose. From a
 // third to four times: beyond that the counts say more of other troubles than of roles.
-func (c *Core) worse(m mix, x Explained, paces map[string]float64) float64 {
-	all := m.all()
-	reckoned := all - m.served(x.Serve[planapi.Read], x.Serve[planapi.Write], paces[planapi.Read],
-		paces[planapi.Write])
-	if reckoned < little*all {
+func (c *Controller) lossFactor(mix trafficMix, decision Decision, throughputs map[string]float64) float64 {
+	offered := mix.offeredValue()
+	estimatedLoss := offered - mix.servedValue(decision.ServingEngines[planapi.Read], decision.ServingEngines[planapi.Write], throughputs[planapi.Read],
+		throughputs[planapi.Write])
+	if estimatedLoss < noiseShare*offered {
 		return 1
 	}
-	return min(max(m.lost()/reckoned, 1./3), 4)
+	return min(max(mix.lostValue()/estimatedLoss, 1./3), 4)
 }
 
-// alone is whether a role has nobody at all while the other has some.
-func (c *Core) alone(from, to string, x Explained) bool {
-	return x.Serve[to]+x.Coming[to] == 0 && x.Serve[from] > 1
+// roleUnserved is whether a role has nobody at all while the other has some.
+func (c *Controller) roleUnserved(from, to string, decision Decision) bool {
+	return decision.ServingEngines[to]+decision.IncomingEngines[to] == 0 && decision.ServingEngines[from] > 1
 }
 
-// takes is how long a change takes, by the last ones: from its drain until it is half warm.
-func (c *Core) takes() float64 {
-	took := float64(c.bounds.Drain)/4 + float64(c.bounds.Load)/2
-	if len(c.changes) > 0 {
-		var row []int64
-		for _, x := range c.changes {
-			row = append(row, x.took)
+// changeSeconds is how long a change takes, by the last ones: from its drain until it is half warm.
+func (c *Controller) changeSeconds() float64 {
+	duration := float64(c.config.DrainTimeout)/4 + float64(c.config.LoadTimeout)/2
+	if len(c.recentChanges) > 0 {
+		var durations []int64
+		for _, change := range c.recentChanges {
+			durations = append(durations, change.duration)
 		}
-		slices.Sort(row)
-		took = float64(row[len(row)/2])
+		slices.Sort(durations)
+		duration = float64(durations[len(durations)/2])
 	}
-	return (took + float64(c.bounds.Cold)/2) / 1e9
+	return (duration + float64(c.config.WarmUp)/2) / 1e9
 }
 
-// changing is how many engines are between two roles.
-func (c *Core) changing() (n int) {
-	for _, id := range c.ids {
-		switch c.boxes[id].State {
-		case Serving, Cold, Aside:
+// changingCount is how many engines are between two roles.
+func (c *Controller) changingCount() (n int) {
+	for _, id := range c.engineIDs {
+		switch c.engines[id].State {
+		case Serving, WarmingUp, Quarantined:
 		default:
 			n++
 		}
@@ -435,155 +437,155 @@
 	return n
 }
 
-// best is the engine that leaves a role at the least loss: of kept texts first, then of what is open.
-func (c *Core) best(from string) (best *box, why string) {
-	bars := map[string]int{}
-	least := math.Inf(1)
-	for _, id := range c.ids {
-		b := c.boxes[id]
-		if b.Role != from || !b.present {
+// cheapestEngine is the engine that leaves a role at the least loss: of kept texts first, then of what is open.
+func (c *Controller) cheapestEngine(from string) (best *engineRecord, reason string) {
+	counts := map[string]int{}
+	leastCost := math.Inf(1)
+	for _, id := range c.engineIDs {
+		engine := c.engines[id]
+		if engine.Role != from || !engine.present {
 			continue
 		}
-		if bar := c.barred(b); bar != "" {
-			bars[bar]++
+		if ineligible := c.ineligibleReason(engine); ineligible != "" {
+			counts[ineligible]++
 			continue
 		}
 		// A hundred tokens for each that is open: about what a half-done answer is worth.
-		if lost := c.lost(b) + 100*float64(b.said.Open+b.said.Held); lost < least {
-			best, least = b, lost
+		if cost := c.lostCacheTokens(engine) + 100*float64(engine.report.Open+engine.report.Held); cost < leastCost {
+			best, leastCost = engine, cost
 		}
 	}
 	if best == nil {
-		why = "there is no engine that could change"
+		reason = "there is no engine that could change"
 		most := 0
-		for bar, n := range bars {
-			if n > most || n == most && bar < why {
-				why, most = bar, n
+		for ineligible, n := range counts {
+			if n > most || n == most && ineligible < reason {
+				reason, most = ineligible, n
 			}
 		}
 	}
-	return best, why
+	return best, reason
 }
 
-// lost is how many tokens of kept texts go with an engine: those that no other serving reader keeps are read
+// lostCacheTokens is how many tokens of kept texts go with an engine: those that no other serving reader keeps are read
 // again by each edge's sessions, the rest costs a tenth, as its sessions must move.
-func (c *Core) lost(b *box) float64 {
-	if b.Role != planapi.Read {
+func (c *Controller) lostCacheTokens(engine *engineRecord) float64 {
+	if engine.Role != planapi.Read {
 		return 0
 	}
-	lost := 0.1 * b.said.Kept
-	for beginning, tokens := range b.said.Hot {
+	lostTokens := 0.1 * engine.report.Kept
+	for prefix, tokens := range engine.report.Hot {
 		copies := 0
-		for _, id := range c.ids {
-			o := c.boxes[id]
-			if _, ok := o.said.Hot[beginning]; ok && o.Role == planapi.Read && (o.State == Serving ||
-				o.State == Cold) {
+		for _, id := range c.engineIDs {
+			other := c.engines[id]
+			if _, ok := other.report.Hot[prefix]; ok && other.Role == planapi.Read && (other.State == Serving ||
+				other.State == WarmingUp) {
 				copies++
 			}
 		}
 		if copies == 1 {
-			lost += tokens * float64(max(1, len(c.edges)))
+			lostTokens += tokens * float64(max(1, len(c.edges)))
 		}
 	}
-	return lost
+	return lostTokens
 }
 
-// lagMost is how old reports may be: each of a change's five steps waits for one.
-const lagMost = int64(3 * time.Second)
+// maxReportDelay is how old reports may be: each of a change's five steps waits for one.
+const maxReportDelay = int64(3 * time.Second)
 
-// lag is how old the middle one of the last reports was when it came.
-func (c *Core) lag() int64 {
-	if len(c.lags) == 0 {
+// medianReportDelay is how old the middle one of the last reports was when it came.
+func (c *Controller) medianReportDelay() int64 {
+	if len(c.reportDelays) == 0 {
 		return 0
 	}
-	row := slices.Clone(c.lags)
-	slices.Sort(row)
-	return row[len(row)/2]
+	delays := slices.Clone(c.reportDelays)
+	slices.Sort(delays)
+	return delays[len(delays)/2]
 }
 
-// barred says why an engine may not change its role now, or nothing. It is the one gate of all changes,
+// ineligibleReason says why an engine may not change its role now, or nothing. It is the one gate of all changes,
 // whoever asks.
-func (c *Core) barred(b *box) string {
+func (c *Controller) ineligibleReason(engine *engineRecord) string {
 	switch {
-	case !b.present:
+	case !engine.present:
 		return "it is not listed"
-	case !b.listed.CanChange:
+	case !engine.listed.CanChange:
 		return "its kind has no other role"
-	case !b.known:
+	case !engine.roleKnown:
 		return "it has not said yet what its role is"
-	case b.State != Serving:
-		return "it is " + string(b.State)
-	case !b.listed.Ready:
+	case engine.State != Serving:
+		return "it is " + string(engine.State)
+	case !engine.listed.Ready:
 		return "discovery drains it"
-	case b.Pinned:
+	case engine.Pinned:
 		return "it is pinned"
-	case c.mute(b):
+	case c.unresponsive(engine):
 		return "nothing was heard of it"
-	case c.lag() > lagMost:
+	case c.medianReportDelay() > maxReportDelay:
 		return fmt.Sprintf("reports are %v old: a change could not be followed",
-			time.Duration(c.lag()).Round(100*time.Millisecond))
-	case b.rest > 0 && c.now-b.rest < int64(c.bounds.Rest):
-		return fmt.Sprintf("it changed within the last %v", c.bounds.Rest)
-	}
-	all, recent := 0, 0
-	for _, id := range c.ids {
-		if c.boxes[id].present {
-			all++
+			time.Duration(c.medianReportDelay()).Round(100*time.Millisecond))
+	case engine.lastChangeEndedAt > 0 && c.now-engine.lastChangeEndedAt < int64(c.config.Cooldown):
+		return fmt.Sprintf("it changed within the last %v", c.config.Cooldown)
+	}
+	listed, recent := 0, 0
+	for _, id := range c.engineIDs {
+		if c.engines[id].present {
+			listed++
 		}
 	}
-	for _, at := range c.starts {
+	for _, at := range c.changeStarts {
 		if c.now-at < int64(time.Minute) {
 			recent++
 		}
 	}
-	other, coming := c.supply(planapi.Other(b.Role))
-	if other+coming > 0 { // where a role has nobody, the budgets of calm times would only keep it so
-		if float64(c.changing()+1) > max(1, c.bounds.Changing*float64(all)) {
+	otherServing, otherIncoming := c.supply(planapi.Other(engine.Role))
+	if otherServing+otherIncoming > 0 { // where a role has nobody, the budgets of calm times would only keep it so
+		if float64(c.changingCount()+1) > max(1, c.config.MaxChangingShare*float64(listed)) {
 			return "as many engines are changing as may"
 		}
-		if float64(recent+1) > max(2, c.bounds.PerMinute*float64(all)) {
+		if float64(recent+1) > max(2, c.config.MaxSharePerMinute*float64(listed)) {
 			return "as many changes were begun within a minute as may"
 		}
-	} else if 3*(c.changing()+1) > max(3, all) {
+	} else if 3*(c.changingCount()+1) > max(3, listed) {
 		return "a third of all engines is changing"
 	}
-	return c.floors(b)
+	return c.floorReason(engine)
 }
 
-// floors keep each role, and within each zone and cell that has it, from being emptied: some must go on
+// floorReason keep each role, and within each zone and cell that has it, from being emptied: some must go on
 // serving, and two thirds of a cell's role are never away together.
-func (c *Core) floors(b *box) string {
-	count := func(in func(o *box) bool) (serve, away int) {
-		for _, id := range c.ids {
-			o := c.boxes[id]
-			if !o.present || !in(o) || o.Role != b.Role {
+func (c *Controller) floorReason(engine *engineRecord) string {
+	count := func(in func(other *engineRecord) bool) (serve, away int) {
+		for _, id := range c.engineIDs {
+			other := c.engines[id]
+			if !other.present || !in(other) || other.Role != engine.Role {
 				continue
 			}
 			switch {
 			// One that was never heard of may turn out to have the other role, and one that is silent may be dead.
-			case (o.State == Serving || o.State == Cold) && o.listed.Ready && o.known && !c.mute(o):
+			case (other.State == Serving || other.State == WarmingUp) && other.listed.Ready && other.roleKnown && !c.unresponsive(other):
 				serve++
-			case o.State != Serving && o.State != Cold:
+			case other.State != Serving && other.State != WarmingUp:
 				away++
 			}
 		}
 		return serve, away
 	}
-	if serve, _ := count(func(*box) bool { return true }); serve-1 < c.bounds.Floor {
-		return fmt.Sprintf("%d serve in its role, and %d must stay", serve, c.bounds.Floor)
+	if serve, _ := count(func(*engineRecord) bool { return true }); serve-1 < c.config.MinServing {
+		return fmt.Sprintf("%d serve in its role, and %d must stay", serve, c.config.MinServing)
 	}
 	zones, cells := map[string]bool{}, map[string]bool{}
-	for _, id := range c.ids {
-		zones[c.boxes[id].listed.Zone], cells[c.boxes[id].listed.Zone+"/"+c.boxes[id].listed.Cell] = true,
+	for _, id := range c.engineIDs {
+		zones[c.engines[id].listed.Zone], cells[c.engines[id].listed.Zone+"/"+c.engines[id].listed.Cell] = true,
 			true
 	}
-	if serve, _ := count(func(o *box) bool { return o.listed.Zone == b.listed.Zone }); len(zones) > 1 &&
+	if serve, _ := count(func(other *engineRecord) bool { return other.listed.Zone == engine.listed.Zone }); len(zones) > 1 &&
 		serve < 2 {
 		return "it is the last of its role in its zone"
 	}
-	serve, away := count(func(o *box) bool {
-		return o.listed.Zone == b.listed.Zone &&
-			o.listed.Cell == b.listed.Cell
+	serve, away := count(func(other *engineRecord) bool {
+		return other.listed.Zone == engine.listed.Zone &&
+			other.listed.Cell == engine.listed.Cell
 	})
 	if len(cells) > 1 && serve < 2 {
 		return "it is the last of its role in its cell"
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -99,7 +99,7 @@
 		mu.Unlock()
 		list.Entries[n%engines].Weight += 0.01
 		begun := time.Now()
-		p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) })
+		p.put(func() { p.step(assignment.EnginesListed{Engines: p.boxes(list)}) })
 		wait(last)
 		mu.Lock()
 		for _, t := range at {
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -29,14 +29,14 @@
 
 const storeTerm = 7
 
-func storeContent() assignment.Keep {
-	return assignment.Keep{Meta: assignment.Meta{Number: 41, Stopped: true, Who: "night shift", Why: "a switch is replaced"},
+func storeContent() assignment.Persist {
+	return assignment.Persist{Meta: assignment.Meta{PlanNumber: 41, Stopped: true, StoppedBy: "night shift", StopReason: "a switch is replaced"},
 		Records: []assignment.Record{
-			{Engine: "10.0.0.1:8000", Role: "read", Epoch: 3, State: assignment.Serving, Since: 1_700_000_000_000_000_000,
-				Began: 1_690_000_000_000_000_000, Life: 5, Pinned: true, Why: "night shift: keep it"},
-			{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, State: assignment.Draining, Next: "read", NextEpoch: 5,
-				Since: 1_700_000_001_000_000_000, Life: 6},
-			{Engine: "10.0.0.3:8000", Role: "write", Epoch: 1, State: assignment.Serving, Since: 1_700_000_002_000_000_000},
+			{Engine: "10.0.0.1:8000", Role: "read", Epoch: 3, State: assignment.Serving, StateSince: 1_700_000_000_000_000_000,
+				ServingSince: 1_690_000_000_000_000_000, Incarnation: 5, Pinned: true, Reason: "night shift: keep it"},
+			{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, State: assignment.Draining, NextRole: "read", NextEpoch: 5,
+				StateSince: 1_700_000_001_000_000_000, Incarnation: 6},
+			{Engine: "10.0.0.3:8000", Role: "write", Epoch: 1, State: assignment.Serving, StateSince: 1_700_000_002_000_000_000},
 		}}
 }
 
@@ -170,17 +170,17 @@
 // What operators are shown has these names and this form; the command line of another version reads it.
 func TestGoldenShown(t *testing.T) {
 	shown := Shown{Term: 8, Number: 42, Deposed: true, Stuck: true, Edges: 3,
-		Engines: []assignment.Shown{{Record: storeContent().Records[1], Listed: true, CanChange: true,
-			Said: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
+		Engines: []assignment.EngineView{{Record: storeContent().Records[1], Listed: true, CanChange: true,
+			Report: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
 				Changing: true, Draining: true, Read: 10.5, Written: 20, Busy: 0.25, Open: 2, Held: 1, Kept: 300,
 				Hot: map[string]float64{"5c0f": 2048, "0a11": 512}},
-			HeardMs: 120, Barred: "it drains", Trouble: "it said nothing"},
-			{Record: storeContent().Records[0], HeardMs: -1}},
-		Decision: assignment.Explained{At: 1_700_000_000_000_000_000, Edges: 2, EdgesKnown: 3,
-			Need: map[string]float64{"read": 1.5, "write": 2}, Serve: map[string]float64{"read": 1, "write": 3},
-			Coming: map[string]float64{"read": 1}, Pace: map[string]float64{"read": 9000, "write": 700},
-			Weighed: []assignment.Weighed{{To: "read", Gain: 1.5, Usual: 0.5, Mean: 0.75, Left: 60, Cost: 12, For: 5,
-				Engine: "10.0.0.2:8000", Lost: 100, Why: "it pays", Done: true}}, Changing: 1, Stopped: true}}
+			ReportedMsAgo: 120, IneligibleReason: "it drains", Fault: "it said nothing"},
+			{Record: storeContent().Records[0], ReportedMsAgo: -1}},
+		Decision: assignment.Decision{At: 1_700_000_000_000_000_000, EdgesReporting: 2, EdgesKnown: 3,
+			RequiredEngines: map[string]float64{"read": 1.5, "write": 2}, ServingEngines: map[string]float64{"read": 1, "write": 3},
+			IncomingEngines: map[string]float64{"read": 1}, Throughput: map[string]float64{"read": 9000, "write": 700},
+			Evaluations: []assignment.Evaluation{{ToRole: "read", Gain: 1.5, ReversalLoss: 0.5, MeanGain: 0.75, RemainingSeconds: 60, Cost: 12, GainingSeconds: 5,
+				Engine: "10.0.0.2:8000", LostTokens: 100, Reason: "it pays", Chosen: true}}, Changing: 1, Stopped: true}}
 	data, err := json.MarshalIndent(shown, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
 	}
-	shown.Engines[0].Said.Engine = "" // it is not sent
+	shown.Engines[0].Report.Engine = "" // it is not sent
 	if !reflect.DeepEqual(back, shown) {
 		t.Error("what was read back is not what was written")
 	}
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -63,13 +63,13 @@
 	f.d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	f.d.Pairs = [][2]string{{"prefill", "decode"}}
 	b := &f.d.Roles
-	b.Drain, b.Order, b.Load, b.Trial, b.Cold, b.Rest, b.Grace = 2*time.Second, time.Second, 2*time.Second,
+	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown, b.DrainGrace = 2*time.Second, time.Second, 2*time.Second,
 		time.Second, 100*time.Millisecond,
 		500*time.Millisecond, 50*time.Millisecond
 	return f
 }
 
-func (f *fleet) start(crash func(assignment.Effect) bool) *Planner {
+func (f *fleet) start(crash func(assignment.Action) bool) *Planner {
 	f.t.Helper()
 	p := New(f.d, zap.NewNop())
 	p.Crash = crash
@@ -106,7 +106,7 @@
 
 func serving(s Shown) bool {
 	return len(s.Engines) > 0 && !slices.ContainsFunc(s.Engines,
-		func(e assignment.Shown) bool { return e.State != assignment.Serving || e.HeardMs < 0 })
+		func(e assignment.EngineView) bool { return e.State != assignment.Serving || e.ReportedMsAgo < 0 })
 }
 
 func order(p *Planner, o planapi.Order) (int, string) {
@@ -130,7 +130,7 @@
 		f := newFleet(t, 2, 2)
 		var mu sync.Mutex
 		moving, count, killed := false, 0, ""
-		p := f.start(func(e assignment.Effect) bool {
+		p := f.start(func(e assignment.Action) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if !moving {
@@ -165,7 +165,7 @@
 			err = json.NewDecoder(answer.Body).Decode(&s)
 			answer.Body.Close()
 			if err == nil && serving(s) && f.engines[0].Role() == "write" &&
-				s.Engines[slices.IndexFunc(s.Engines, func(e assignment.Shown) bool {
+				s.Engines[slices.IndexFunc(s.Engines, func(e assignment.EngineView) bool {
 					return e.Engine == f.engines[0].Addr()
 				})].Role == "write" {
 				break
@@ -215,9 +215,9 @@
 			}
 			f.look(p, "set aside", func(s Shown) bool {
 				return slices.ContainsFunc(s.Engines,
-					func(x assignment.Shown) bool {
-						return x.Engine == e.Addr() && x.State == assignment.Aside &&
-							x.Trouble != ""
+					func(x assignment.EngineView) bool {
+						return x.Engine == e.Addr() && x.State == assignment.Quarantined &&
+							x.Fault != ""
 					})
 			})
 			f.mu.Lock()
@@ -388,7 +388,7 @@
 func TestDamagedStores(t *testing.T) {
 	dir := t.TempDir()
 	records := []assignment.Record{{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: assignment.Ordered,
-		Next: "write", NextEpoch: 4}}
+		NextRole: "write", NextEpoch: 4}}
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n++
@@ -398,7 +398,7 @@
 			t.Fatal(err)
 		}
 		s.SaveTerm(7)
-		if err := s.Save(assignment.Keep{Records: records, Meta: assignment.Meta{Number: 9}}); err != nil {
+		if err := s.Save(assignment.Persist{Records: records, Meta: assignment.Meta{PlanNumber: 9}}); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -36,7 +36,7 @@
 	began time.Time
 
 	in     chan func()
-	core   *assignment.Core
+	core   *assignment.Controller
 	kinds  map[string]config.EngineKind
 	listen net.Listener
 	server *http.Server
@@ -48,7 +48,7 @@
 	// OnPublish, if set before Start, is told of each plan before edges can have it.
 	OnPublish func(planapi.Plan)
 	// Crash, if set before Start, is asked before each effect; true ends the planner there, as a kill would.
-	Crash func(assignment.Effect) bool
+	Crash func(assignment.Action) bool
 
 	mu      sync.Mutex
 	line    []byte // the newest plan, as sent
@@ -149,7 +149,7 @@
 	p.over.Go(p.loop)
 	p.over.Go(p.askAll)
 	p.over.Go(func() {
-		take := func(list endpoint.List) { p.put(func() { p.step(assignment.Listed{Boxes: p.boxes(list)}) }) }
+		take := func(list endpoint.List) { p.put(func() { p.step(assignment.EnginesListed{Engines: p.boxes(list)}) }) }
 		endpoint.FileSource{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
 			p.log.Warn("roster",
 				zap.Error(err))
@@ -233,7 +233,7 @@
 			event()
 		case <-tick.C:
 			if p.stuck {
-				p.keep(assignment.Keep{Meta: p.unkeptAs})
+				p.keep(assignment.Persist{Meta: p.unkeptAs})
 			}
 			p.step(assignment.Tick{})
 			p.meters.see(p.core)
@@ -241,11 +241,11 @@
 	}
 }
 
-func (p *Planner) step(in assignment.Input) { p.carryOut(p.core.Step(p.clock(), in)) }
+func (p *Planner) step(in assignment.Event) { p.carryOut(p.core.Step(p.clock(), in)) }
 
 // carryOut does what roles decided, in order. What could not be kept must not be followed by what hangs on
 // it: until a save goes well nothing is asked or published, and asking again is roles' habit anyway.
-func (p *Planner) carryOut(effects []assignment.Effect) {
+func (p *Planner) carryOut(effects []assignment.Action) {
 	for _, e := range effects {
 		if p.ctx.Err() != nil {
 			return
@@ -255,30 +255,30 @@
 			return
 		}
 		switch e := e.(type) {
-		case assignment.Keep:
+		case assignment.Persist:
 			p.keep(e)
-		case assignment.Publish:
+		case assignment.PublishPlan:
 			if !p.stuck {
 				p.publish(e.Plan)
 			}
-		case assignment.Ask:
+		case assignment.SendRoleOrder:
 			if !p.stuck {
 				p.over.Go(func() { p.order(e) })
 			}
-		case assignment.Try:
+		case assignment.StartTrial:
 			if !p.stuck {
 				p.over.Go(func() {
 					err := p.try(e)
-					in := assignment.Tried{Engine: e.Engine, Number: e.Number, OK: err == nil}
+					in := assignment.TrialEnded{Engine: e.Engine, Number: e.Number, OK: err == nil}
 					if err != nil {
-						in.Why = err.Error()
+						in.Reason = err.Error()
 					}
 					p.put(func() { p.step(in) })
 				})
 			}
-		case assignment.Tell:
+		case assignment.NotifyOperators:
 			p.log.Warn("roles", zap.String("what", e.Text))
-		case assignment.Deposed:
+		case assignment.StepDown:
 			p.log.Error("deposed: this planner orders and publishes nothing more", zap.Int64("by_term",
 				e.Term))
 			p.mu.Lock()
@@ -291,7 +291,7 @@
 	p.whom()
 }
 
-func (p *Planner) keep(k assignment.Keep) {
+func (p *Planner) keep(k assignment.Persist) {
 	for _, r := range k.Records {
 		p.unkept[r.Engine] = r
 	}
@@ -334,14 +334,14 @@
 
 // whom notes which engines to ask, and which of them often.
 func (p *Planner) whom() {
-	all, urgent := p.core.Asked()
+	all, urgent := p.core.ReportTargets()
 	p.mu.Lock()
 	p.engines, p.urgent = all, urgent
 	p.mu.Unlock()
 }
 
 // boxes are discovery's engines as roles knows them.
-func (p *Planner) boxes(list endpoint.List) (row []assignment.Box) {
+func (p *Planner) boxes(list endpoint.List) (row []assignment.ListedEngine) {
 	for _, e := range list.Entries {
 		k, ok := p.kinds[e.Kind]
 		if !ok || k.Role == "both" {
@@ -349,7 +349,7 @@
 				e.ID), zap.String("kind", e.Kind))
 			continue
 		}
-		b := assignment.Box{Engine: e.ID, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
+		b := assignment.ListedEngine{Engine: e.ID, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			Ready:   e.State == endpoint.Ready,
 			UpSince: e.StartedAtMs * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
 		for _, pair := range p.d.Pairs {
@@ -380,7 +380,7 @@
 					continue // that nothing was heard of it is seen by the time
 				}
 				p.put(func() {
-					p.step(assignment.EngineSaid{AskedAt: asked, Report: r})
+					p.step(assignment.EngineReported{RequestedAt: asked, Report: r})
 				})
 			}
 		})
@@ -439,7 +439,7 @@
 }
 
 // order sends an order; whether it arrived shows in the engine's reports.
-func (p *Planner) order(a assignment.Ask) {
+func (p *Planner) order(a assignment.SendRoleOrder) {
 	data, err := json.Marshal(a.Order)
 	if err != nil {
 		return
@@ -556,26 +556,26 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.put(func() { p.step(assignment.EdgeSaid{Report: report}) })
+	p.put(func() { p.step(assignment.EdgeReported{Report: report}) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // Shown is what operators see.
 type Shown struct {
-	Term     int64                `json:"term"`
-	Number   int64                `json:"number"`
-	Deposed  bool                 `json:"deposed"`
-	Stuck    bool                 `json:"stuck"`
-	Edges    int                  `json:"edges_following"`
-	Engines  []assignment.Shown   `json:"engines"`
-	Decision assignment.Explained `json:"decision"`
+	Term     int64                   `json:"term"`
+	Number   int64                   `json:"number"`
+	Deposed  bool                    `json:"deposed"`
+	Stuck    bool                    `json:"stuck"`
+	Edges    int                     `json:"edges_following"`
+	Engines  []assignment.EngineView `json:"engines"`
+	Decision assignment.Decision     `json:"decision"`
 }
 
 func (p *Planner) serveRoles(w http.ResponseWriter, r *http.Request) {
 	got := make(chan Shown, 1)
 	p.put(func() {
-		s := Shown{Term: p.term, Deposed: p.core.Deposed(), Stuck: p.stuck, Engines: p.core.Show(),
-			Decision: p.core.Explained()}
+		s := Shown{Term: p.term, Deposed: p.core.SteppedDown(), Stuck: p.stuck, Engines: p.core.Engines(),
+			Decision: p.core.LastDecision()}
 		p.mu.Lock()
 		s.Number, s.Edges = p.number, p.streams
 		p.mu.Unlock()
@@ -607,11 +607,11 @@
 	}
 	got := make(chan answer, 1)
 	p.put(func() {
-		if p.core.Deposed() {
+		if p.core.SteppedDown() {
 			got <- answer{err: errors.New("this planner is deposed")}
 			return
 		}
-		text, effects, err := p.core.Order(p.clock(), o)
+		text, effects, err := p.core.ApplyOrder(p.clock(), o)
 		if err == nil {
 			p.carryOut(effects)
 			if p.stuck {
@@ -660,12 +660,12 @@
 	return m
 }
 
-func (m meters) see(c *assignment.Core) {
+func (m meters) see(c *assignment.Controller) {
 	m.engines.Reset()
-	for as, n := range c.Count() {
+	for as, n := range c.CountEngines() {
 		m.engines.WithLabelValues(as[0], as[1]).Set(float64(n))
 	}
-	for role, need := range c.Explained().Need {
+	for role, need := range c.LastDecision().RequiredEngines {
 		m.need.WithLabelValues(role).Set(need)
 	}
 }
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -231,7 +231,7 @@
 }
 
 // Save keeps records and meta together, on disk when it returns.
-func (s *Store) Save(k assignment.Keep) (err error) {
+func (s *Store) Save(k assignment.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil { // the file was damaged under it
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -32,8 +32,8 @@
 // try gives an engine a small piece of work under its new epoch, through the protocol that edges speak. A
 // reader shows a state for a prompt of one word; a writer, asked for the answer from a state that does not
 // exist, says so, which only an engine that writes knows.
-func (p *Planner) try(t assignment.Try) error {
-	ctx, cancel := context.WithTimeout(p.ctx, p.d.Roles.Trial)
+func (p *Planner) try(t assignment.StartTrial) error {
+	ctx, cancel := context.WithTimeout(p.ctx, p.d.Roles.TrialTimeout)
 	defer cancel()
 	call, err := chat.ParseRequest([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil {
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -70,10 +70,10 @@
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	p.Pairs = [][2]string{{"prefill", "decode"}}
 	b := &p.Roles
-	b.Drain, b.Order, b.Load, b.Trial, b.Cold, b.Rest = 4*time.Second, time.Second, 5*time.Second,
+	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown = 4*time.Second, time.Second, 5*time.Second,
 		2*time.Second, 2*time.Second, 4*time.Second
-	b.Changing, b.PerMinute, b.Floor, b.Off = 0.25, 1, 1, t.Fixed
-	b.ReadPace, b.WritePace = 20_000, 1_600
+	b.MaxChangingShare, b.MaxSharePerMinute, b.MinServing, b.ExplainOnly = 0.25, 1, 1, t.Fixed
+	b.PrefillThroughput, b.DecodeThroughput = 20_000, 1_600
 	return p
 }
 
