--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -16,17 +16,17 @@
 )
 
 func main() {
-	asked := process.CatchSignals()
+	signals := process.CatchSignals()
 	var file string
 	var takeOver, check bool
-	c := &cobra.Command{Use: "sandcourse-plan --settings FILE", Short: "The planner of sandcourse", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "sandcourse-plan --settings FILE", Short: "The planner of sandcourse", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
-		RunE: func(*cobra.Command, []string) error { return run(file, asked, takeOver, check) }}
-	c.Flags().StringVar(&file, "settings", "", "the planner's script")
-	c.Flags().BoolVar(&takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
-	c.Flags().BoolVar(&check, "check", false, "check the script and end")
-	c.MarkFlagRequired("settings")
-	if err := c.Execute(); err != nil {
+		RunE: func(*cobra.Command, []string) error { return run(file, signals, takeOver, check) }}
+	command.Flags().StringVar(&file, "settings", "", "the planner's script")
+	command.Flags().BoolVar(&takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
+	command.Flags().BoolVar(&check, "check", false, "check the script and end")
+	command.MarkFlagRequired("settings")
+	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "sandcourse-plan:", err)
 		var faults script.Faults
 		if errors.As(err, &faults) {
@@ -36,19 +36,19 @@
 	}
 }
 
-func run(file string, asked process.Signals, takeOver, check bool) error {
-	d, err := config.LoadPlanner(file)
+func run(file string, signals process.Signals, takeOver, check bool) error {
+	settings, err := config.LoadPlanner(file)
 	if err != nil || check {
 		return err
 	}
-	d.TakeOver = takeOver
+	settings.TakeOver = takeOver
 	log := process.NewLog()
 	defer log.Sync()
-	p := planner.New(d, log)
-	if err := p.Start(); err != nil {
+	server := planner.New(settings, log)
+	if err := server.Start(); err != nil {
 		return err
 	}
-	asked.AwaitStop(log)
-	p.Stop()
+	signals.AwaitStop(log)
+	server.Stop()
 	return nil
 }
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -25,7 +25,7 @@
 	c := &cobra.Command{Use: "roles", Short: "Look at engines' roles, and order changes"}
 	c.PersistentFlags().StringVar(&at, "planner", "127.0.0.1:9090", "the planner's address")
 	client := &http.Client{Timeout: 10 * time.Second}
-	look := func() (s planner.Shown, err error) {
+	look := func() (s planner.Status, err error) {
 		answer, err := client.Get("http://" + at + planapi.RolesPath)
 		if err != nil {
 			return s, err
@@ -76,7 +76,7 @@
 		{"move", "Change an engine's role now, as far as floors and budgets let it", true},
 		{"readmit", "Ask an engine that was set aside to come back", true},
 		{"stop", "Begin no change; what drains goes back", false}, {"go", "Let changes go on", false}} {
-		order := planapi.Order{Op: o.op}
+		order := planapi.Order{Operation: o.op}
 		use, args := o.op+" --why TEXT", cobra.NoArgs
 		if o.engine {
 			use, args = o.op+" ENGINE --why TEXT", cobra.ExactArgs(1)
@@ -100,30 +100,30 @@
 			if answer.StatusCode != http.StatusOK {
 				return errors.New("refused: " + strings.TrimSpace(string(text)))
 			}
-			if order.Dry {
+			if order.DryRun {
 				fmt.Fprint(c.OutOrStdout(), "nothing is changed; it would be: ")
 			}
 			fmt.Fprint(c.OutOrStdout(), string(text))
 			return nil
 		}}
-		sub.Flags().StringVar(&order.Who, "who", os.Getenv("USER"), "who orders it")
-		sub.Flags().StringVar(&order.Why, "why", "", "why, for whoever reads it later")
-		sub.Flags().BoolVar(&order.Dry, "dry-run", false, "only say what would be done, or why not")
+		sub.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "who orders it")
+		sub.Flags().StringVar(&order.Reason, "why", "", "why, for whoever reads it later")
+		sub.Flags().BoolVar(&order.DryRun, "dry-run", false, "only say what would be done, or why not")
 		sub.MarkFlagRequired("why")
 		c.AddCommand(sub)
 	}
 	return c
 }
 
-func printRoles(w io.Writer, s planner.Shown) {
+func printRoles(w io.Writer, s planner.Status) {
 	note := ""
 	if s.Deposed {
 		note = "; DEPOSED by a later planner"
 	}
-	if s.Stuck {
+	if s.SaveFailing {
 		note += "; STUCK: its store cannot be written"
 	}
-	fmt.Fprintf(w, "plan %d of term %d, %d edges follow%s\n", s.Number, s.Term, s.Edges, note)
+	fmt.Fprintf(w, "plan %d of term %d, %d edges follow%s\n", s.Number, s.Term, s.FollowingEdges, note)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "engine\trole\tepoch\tstate\tnext\topen\theld\theard\tnote")
 	for _, e := range s.Engines {
@@ -141,18 +141,18 @@
 			note = e.Fault
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Engine, e.Role, e.Epoch, e.State, e.NextRole,
-			e.Report.Open, e.Report.Held, heard, note)
+			e.Report.OpenRequests, e.Report.Reservations, heard, note)
 	}
 	t.Flush()
 }
 
-func explainDecision(w io.Writer, s planner.Shown) {
+func explainDecision(w io.Writer, s planner.Status) {
 	d := s.Decision
 	fmt.Fprintf(w, "edges heard: %d of %d; engines changing: %d; stopped: %v\n", d.EdgesReporting, d.EdgesKnown,
 		d.Changing, d.Stopped)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\tengines kept busy\tserving\ton their way\ttokens/s of one")
-	for _, role := range []string{planapi.Read, planapi.Write} {
+	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		fmt.Fprintf(t, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role, d.RequiredEngines[role], d.ServingEngines[role], d.IncomingEngines[role],
 			d.Throughput[role])
 	}
@@ -184,5 +184,5 @@
 		fmt.Fprintf(w, "  on its way to %s of epoch %d\n", e.NextRole, e.NextEpoch)
 	}
 	fmt.Fprintf(w, "  it says: %s of epoch %d, open %d, held %d, kept %.0f tokens\n", e.Report.Role,
-		e.Report.Epoch, e.Report.Open, e.Report.Held, e.Report.Kept)
+		e.Report.Epoch, e.Report.OpenRequests, e.Report.Reservations, e.Report.CachedTokens)
 }
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -44,7 +44,7 @@
 			if err != nil {
 				return err
 			}
-			d.Chat, d.Roster = addr, fleet.Path
+			d.ChatAddress, d.EndpointFile = addr, fleet.Path
 			logger, err := zap.NewDevelopment()
 			if err != nil {
 				return err
@@ -96,7 +96,7 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %d model routes, %d kinds, %d engines listed, roster %q: no fault\n",
-				args[0], len(d.Routes), len(d.Kinds), len(d.Engines), d.Roster)
+				args[0], len(d.Routes), len(d.Kinds), len(d.Engines), d.EndpointFile)
 			return nil
 		}}
 }
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -16,33 +16,33 @@
 func (d *Deployment) Facts() map[string]any {
 	// The module may keep a state for five eighths of the pin limit. The rest is for telling its reader: one try
 	// may hang for a quarter, and another follows.
-	pin := float64(d.Rules.Pin) * 5 / 8
-	if d.Given != nil {
-		f := maps.Clone(d.Given)
+	pin := float64(d.Rules.ReservationLimit) * 5 / 8
+	if d.GivenFacts != nil {
+		f := maps.Clone(d.GivenFacts)
 		f["engine_facts.pin"] = pin
 		d.setWindows(f)
 		return f
 	}
 	f := map[string]any{
-		"limits.sends": float64(d.Sends), "limits.cancel": true, "limits.probes": d.Probes, "limits.peers": false,
-		"limits.retry_after": d.RetryAfter > 0, "limits.max_retry_after": float64(d.RetryAfter),
-		"nodes": float64(d.Nodes), "me": float64(d.Me), "zone": float64(number(d.zones(), d.Zone)),
-		"tick": float64(d.Tick), "discovery": "automatic",
+		"limits.sends": float64(d.MaxAttempts), "limits.cancel": true, "limits.probes": d.HealthChecks, "limits.peers": false,
+		"limits.retry_after": d.MaxRetryAfter > 0, "limits.max_retry_after": float64(d.MaxRetryAfter),
+		"nodes": float64(d.NodeCount), "me": float64(d.NodeNumber), "zone": float64(number(d.zones(), d.Zone)),
+		"tick": float64(d.TickInterval), "discovery": "automatic",
 		"engine_facts.pin": pin,
-		"rules.cold":       float64(d.Rules.Cold), "rules.cold_share": d.Rules.ColdShare,
-		"rules.fall_multiple": d.Rules.FallMultiple, "rules.fall_window": float64(d.Rules.FallWindow),
+		"rules.cold":       float64(d.Rules.SlowStart), "rules.cold_share": d.Rules.SlowStartShare,
+		"rules.fall_multiple": d.Rules.OverloadMultiple, "rules.fall_window": float64(d.Rules.OverloadWindow),
 		"routes.count": float64(len(d.Routes)),
 	}
 	for i, t := range d.Routes {
-		for name, v := range map[string]any{"effect": t.Effect, "value": t.Value, "dedup_group": t.DedupGroup,
-			"first_token_target": float64(t.FirstToken)} {
+		for name, v := range map[string]any{"effect": t.Effect, "value": t.PriorityWeight, "dedup_group": t.DedupGroup,
+			"first_token_target": float64(t.FirstTokenObjective)} {
 			f[fmt.Sprintf("routes.%d.%s", i, name)] = v
 		}
-		f[fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i)] = float64(t.PerTokns)
+		f[fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i)] = float64(t.ObjectivePer1000Tokens)
 	}
 	for i, k := range d.Kinds {
 		f[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = k.Role
-		f[fmt.Sprintf("engine_facts.memory_of_kind.%d", i)] = k.Memory
+		f[fmt.Sprintf("engine_facts.memory_of_kind.%d", i)] = k.MemoryTokens
 	}
 	d.setWindows(f)
 	return f
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,14 +14,14 @@
 	"sandcourse/settings"
 )
 
-// sample is a script without a fault, part by part.
-var sample = [][2]string{{"kinds", "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"},
+// sampleScript is a script without a fault, part by part.
+var sampleScript = [][2]string{{"kinds", "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"},
 	{"route", "route(name = \"r\", effect = \"retriable\")\n"}, {"roster", "roster(file = \"roster.json\")\n"}}
 
-// without is the sample with a part left out or another put in its place.
-func without(part, instead string) string {
+// sampleWithout is the sample with a part left out or another put in its place.
+func sampleWithout(part, instead string) string {
 	var b strings.Builder
-	for _, p := range sample {
+	for _, p := range sampleScript {
 		if p[0] == part {
 			b.WriteString(instead)
 		} else {
@@ -53,18 +53,18 @@
 
 // Each bad script is refused with these words: the line, the key, what is allowed and what is there.
 func TestGoldenRefusals(t *testing.T) {
-	good := without("", "")
+	good := sampleWithout("", "")
 	if _, err := Read("s.star", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	row := []string{"", "(", "nonsense(1)\n", "node(name = 1 / 0)\n", "load(\"x.star\", \"y\")\n", "while True:\n    pass\n",
 		"for i in range(10000000):\n    x = i\n", "def f():\n    node(name = \"\")\nf()\n", strings.Repeat("#", script.MaxBytes+1),
-		without("kinds", ""), without("route", ""), without("roster", ""),
-		without("kinds", "kind(name = \"a\", role = \"read\")\n"), without("kinds", "kind(name = \"b\", role = \"write\")\n"),
-		without("kinds", "kind(name = \"a\", role = \"both\")\nkind(name = \"a\", role = \"cook\", memory = 0)\n"),
-		without("route", "route()\n"), without("route", "route(name = \"r\", effect = \"fragile\")\n"),
-		without("route", "route(name = \"r\", effect = \"retriable\")\nroute(name = \"r\", effect = \"deduped\", dedup_group = \"town\")\n"),
-		without("route", "route(name = \"r\", effect = \"retriable\", first_token_target = \"2s\", route_timeout = \"1s\")\n"),
+		sampleWithout("kinds", ""), sampleWithout("route", ""), sampleWithout("roster", ""),
+		sampleWithout("kinds", "kind(name = \"a\", role = \"read\")\n"), sampleWithout("kinds", "kind(name = \"b\", role = \"write\")\n"),
+		sampleWithout("kinds", "kind(name = \"a\", role = \"both\")\nkind(name = \"a\", role = \"cook\", memory = 0)\n"),
+		sampleWithout("route", "route()\n"), sampleWithout("route", "route(name = \"r\", effect = \"fragile\")\n"),
+		sampleWithout("route", "route(name = \"r\", effect = \"retriable\")\nroute(name = \"r\", effect = \"deduped\", dedup_group = \"town\")\n"),
+		sampleWithout("route", "route(name = \"r\", effect = \"retriable\", first_token_target = \"2s\", route_timeout = \"1s\")\n"),
 		good + "planner(at = \"127.0.0.1:9090\")\n", good + "planner()\n", good + "planner(at = \"nowhere\")\n",
 		good + "engine(at = \"127.0.0.1:1\", kind = \"c\")\n", good + "engine(at = \"x\", kind = \"a\", weight = -1)\n",
 		good + "engine(at = \"127.0.0.1:1\", kind = \"a\")\nengine(at = \"127.0.0.1:1\", kind = \"a\")\n",
@@ -75,8 +75,8 @@
 			"limits(open = 1.5,\n       probes = 1)\nlines(dials = 0)\n"}
 	// Each key of each call, once of no type that a key has and once with a text that no key but a name takes.
 	d := Defaults()
-	for _, call := range slices.Sorted(maps.Keys(d.Calls())) {
-		keys, _ := d.Calls()[call]()
+	for _, call := range slices.Sorted(maps.Keys(d.ScriptFunctions())) {
+		keys, _ := d.ScriptFunctions()[call]()
 		for _, v := range []string{"[1]", "-1", "\"1e99h\"", "1e99"} {
 			var all []string
 			for _, k := range keys {
@@ -128,7 +128,7 @@
 `
 	var b strings.Builder
 	for _, c := range [][2]string{{"demo.star", settings.Demo}, {"all.star", all},
-		{"no-retry.star", without("", "") + "limits(max_retry_after = \"0s\")\n"}} {
+		{"no-retry.star", sampleWithout("", "") + "limits(max_retry_after = \"0s\")\n"}} {
 		d, err := Read(c[0], []byte(c[1]))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -27,31 +27,31 @@
 	maxSteps = 5_000_000
 )
 
-// Key is one key of a call: where its value goes, and what is allowed. Times are bounded in seconds.
-type Key struct {
+// Argument is one key of a call: where its value goes, and what is allowed. Times are bounded in seconds.
+type Argument struct {
 	Name     string
-	To       any // *string, *float64, *int, *bool or *time.Duration
+	Target   any // *string, *float64, *int, *bool or *time.Duration
 	Min, Max float64
-	Words    []string
-	Need     bool
+	Allowed  []string
+	Required bool
 	Address  bool
 }
 
-// Call is one function of a script. It makes a fresh set of keys for each call; done, if not nil, runs after the
+// Function is one function of a script. It makes a fresh set of keys for each call; done, if not nil, runs after the
 // keys are set and may tell more faults.
-type Call func() (keys []Key, done func(fault func(key, format string, args ...any)))
+type Function func() (keys []Argument, done func(fault func(key, format string, args ...any)))
 
-// told is a fault and the line that it stands in; 0 for the script as a whole.
-type told struct {
+// locatedFault is a fault and the line that it stands in; 0 for the script as a whole.
+type locatedFault struct {
 	line int32
 	text string
 }
 
-type reader struct {
-	name   string
-	calls  map[string]Call
-	faults []told
-	lines  map[syntax.Position]map[string]syntax.Position // of a call's bracket: where its keys stand
+type interpreter struct {
+	name              string
+	functions         map[string]Function
+	faults            []locatedFault
+	argumentPositions map[syntax.Position]map[string]syntax.Position // of a call's bracket: where its keys stand
 }
 
 // ReadFile reads a script's text; the error, if any, is of type Faults.
@@ -71,52 +71,52 @@
 }
 
 // Run runs a script; the error, if any, is of type Faults. Whole, if not nil, checks what no single call can.
-func Run(name string, text []byte, calls map[string]Call, whole func(fault func(format string, args ...any))) error {
+func Run(name string, text []byte, functions map[string]Function, check func(fault func(format string, args ...any))) error {
 	if len(text) > MaxBytes {
 		return Faults{fmt.Sprintf("%s: has %d bytes, at most %d are read", name, len(text), MaxBytes)}
 	}
-	r := &reader{name: name, calls: calls, lines: map[syntax.Position]map[string]syntax.Position{}}
+	in := &interpreter{name: name, functions: functions, argumentPositions: map[syntax.Position]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
 		return Faults{err.Error()}
 	}
-	syntax.Walk(file, r.note)
+	syntax.Walk(file, in.recordArguments)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
 		Load: func(_ *starlark.Thread, module string) (starlark.StringDict, error) {
 			return nil, fmt.Errorf("load(%q): a script is one file", module)
 		}}
 	thread.SetMaxExecutionSteps(maxSteps)
-	env := starlark.StringDict{}
-	for fn := range calls {
-		env[fn] = starlark.NewBuiltin(fn, r.call)
-	}
-	if _, err := starlark.ExecFileOptions(options, thread, name, text, env); err != nil {
-		var e *starlark.EvalError
-		if errors.As(err, &e) && len(e.CallStack) > 0 {
-			line := e.CallStack[0].Pos.Line
-			r.faults = append(r.faults, told{line, fmt.Sprintf("%s:%d: %s", name, line, e.Msg)})
+	predeclared := starlark.StringDict{}
+	for fn := range functions {
+		predeclared[fn] = starlark.NewBuiltin(fn, in.call)
+	}
+	if _, err := starlark.ExecFileOptions(options, thread, name, text, predeclared); err != nil {
+		var evalError *starlark.EvalError
+		if errors.As(err, &evalError) && len(evalError.CallStack) > 0 {
+			line := evalError.CallStack[0].Pos.Line
+			in.faults = append(in.faults, locatedFault{line, fmt.Sprintf("%s:%d: %s", name, line, evalError.Msg)})
 		} else {
-			r.faults = append(r.faults, told{0, err.Error()})
+			in.faults = append(in.faults, locatedFault{0, err.Error()})
 		}
-	} else if whole != nil { // what a script lacks that was not run to its end is not known
-		whole(func(format string, args ...any) {
-			r.faults = append(r.faults, told{0, name + ": " + fmt.Sprintf(format, args...)})
+	} else if check != nil { // what a script lacks that was not run to its end is not known
+		check(func(format string, args ...any) {
+			in.faults = append(in.faults, locatedFault{0, name + ": " + fmt.Sprintf(format, args...)})
 		})
 	}
-	if len(r.faults) == 0 {
+	if len(in.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b told) int { return cmp.Compare(a.line, b.line) })
+	slices.SortStableFunc(in.faults, func(a, b locatedFault) int { return cmp.Compare(a.line, b.line) })
 	var faults Faults
-	for _, f := range slices.Compact(r.faults) {
+	for _, f := range slices.Compact(in.faults) {
 		faults = append(faults, f.text)
 	}
 	return faults
 }
 
-// note remembers where each key of each call stands, which the interpreter does not tell.
-func (r *reader) note(n syntax.Node) bool {
+// recordArguments remembers where each key of each call stands, which the interpreter does not tell.
+func (in *interpreter) recordArguments(n syntax.Node) bool {
 	if call, ok := n.(*syntax.CallExpr); ok {
 		keys := map[string]syntax.Position{}
 		for _, arg := range call.Args {
@@ -126,100 +126,100 @@
 				}
 			}
 		}
-		r.lines[bare(call.Lparen)] = keys
+		in.argumentPositions[withoutFile(call.Lparen)] = keys
 	}
 	return true
 }
 
-func bare(p syntax.Position) syntax.Position {
+func withoutFile(p syntax.Position) syntax.Position {
 	return syntax.MakePosition(nil, p.Line, p.Col)
 }
 
-func (r *reader) fault(at syntax.Position, key, format string, args ...any) {
-	if pos, ok := r.lines[bare(at)][key]; ok {
-		at = pos
+func (in *interpreter) addFault(position syntax.Position, key, format string, args ...any) {
+	if argument, ok := in.argumentPositions[withoutFile(position)][key]; ok {
+		position = argument
 	}
 	if key != "" {
 		key += ": "
 	}
-	r.faults = append(r.faults, told{at.Line, fmt.Sprintf("%s:%d: %s%s", r.name, at.Line, key, fmt.Sprintf(format, args...))})
+	in.faults = append(in.faults, locatedFault{position.Line, fmt.Sprintf("%s:%d: %s%s", in.name, position.Line, key, fmt.Sprintf(format, args...))})
 }
 
-func (r *reader) call(thread *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple,
+func (in *interpreter) call(thread *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple,
 	kwargs []starlark.Tuple) (starlark.Value, error) {
-	at := thread.CallFrame(1).Pos
+	position := thread.CallFrame(1).Pos
 	if len(args) > 0 {
-		r.fault(at, "", "%s takes keys only, such as %s(name = ...)", fn.Name(), fn.Name())
+		in.addFault(position, "", "%s takes keys only, such as %s(name = ...)", fn.Name(), fn.Name())
 	}
-	keys, done := r.calls[fn.Name()]()
+	arguments, done := in.functions[fn.Name()]()
 	given := map[string]bool{}
-	for _, kw := range kwargs {
-		name := string(kw[0].(starlark.String))
+	for _, keyword := range kwargs {
+		name := string(keyword[0].(starlark.String))
 		given[name] = true
-		i := slices.IndexFunc(keys, func(k Key) bool { return k.Name == name })
+		i := slices.IndexFunc(arguments, func(k Argument) bool { return k.Name == name })
 		if i < 0 {
 			var names []string
-			for _, k := range keys {
+			for _, k := range arguments {
 				names = append(names, k.Name)
 			}
-			r.fault(at, name, "unknown key of %s; it has %s", fn.Name(), strings.Join(names, ", "))
+			in.addFault(position, name, "unknown key of %s; it has %s", fn.Name(), strings.Join(names, ", "))
 			continue
 		}
-		if why := keys[i].take(kw[1]); why != "" {
-			r.fault(at, name, "%s, not %s", why, kw[1])
+		if allowed := arguments[i].set(keyword[1]); allowed != "" {
+			in.addFault(position, name, "%s, not %s", allowed, keyword[1])
 		}
 	}
-	for _, k := range keys {
-		if k.Need && !given[k.Name] {
-			r.fault(at, "", "%s needs the key %s", fn.Name(), k.Name)
+	for _, k := range arguments {
+		if k.Required && !given[k.Name] {
+			in.addFault(position, "", "%s needs the key %s", fn.Name(), k.Name)
 		}
 	}
 	if done != nil {
-		done(func(key, format string, args ...any) { r.fault(at, key, format, args...) })
+		done(func(key, format string, args ...any) { in.addFault(position, key, format, args...) })
 	}
 	return starlark.None, nil
 }
 
-// take sets a key, or says what is allowed.
-func (k Key) take(v starlark.Value) string {
-	switch to := k.To.(type) {
+// set sets a key, or says what is allowed.
+func (a Argument) set(value starlark.Value) string {
+	switch target := a.Target.(type) {
 	case *string:
-		s, ok := starlark.AsString(v)
+		s, ok := starlark.AsString(value)
 		switch {
 		case !ok || s == "" || len(s) > 256:
 			return "it must be a text of 1 to 256 bytes"
-		case len(k.Words) > 0 && !slices.Contains(k.Words, s):
-			return "it must be one of " + strings.Join(k.Words, ", ")
+		case len(a.Allowed) > 0 && !slices.Contains(a.Allowed, s):
+			return "it must be one of " + strings.Join(a.Allowed, ", ")
 		}
-		if at, err := netip.ParseAddrPort(s); k.Address && (err != nil || !at.IsValid()) {
+		if at, err := netip.ParseAddrPort(s); a.Address && (err != nil || !at.IsValid()) {
 			return `it must be address:port, such as "127.0.0.1:8080"`
 		}
-		*to = s
+		*target = s
 	case *bool:
-		b, ok := v.(starlark.Bool)
+		b, ok := value.(starlark.Bool)
 		if !ok {
 			return "it must be True or False"
 		}
-		*to = bool(b)
+		*target = bool(b)
 	case *int:
 		var n int
-		if err := starlark.AsInt(v, &n); err != nil || float64(n) < k.Min || float64(n) > k.Max {
-			return fmt.Sprintf("it must be a whole number of %.0f to %.0f", k.Min, k.Max)
+		if err := starlark.AsInt(value, &n); err != nil || float64(n) < a.Min || float64(n) > a.Max {
+			return fmt.Sprintf("it must be a whole number of %.0f to %.0f", a.Min, a.Max)
 		}
-		*to = n
+		*target = n
 	case *float64:
-		f, ok := starlark.AsFloat(v)
-		if !ok || !(f >= k.Min && f <= k.Max) {
-			return fmt.Sprintf("it must be a number of %g to %g", k.Min, k.Max)
+		f, ok := starlark.AsFloat(value)
+		if !ok || !(f >= a.Min && f <= a.Max) {
+			return fmt.Sprintf("it must be a number of %g to %g", a.Min, a.Max)
 		}
-		*to = f
+		*target = f
 	case *time.Duration:
-		s, _ := starlark.AsString(v)
+		s, _ := starlark.AsString(value)
 		t, err := time.ParseDuration(s)
-		if err != nil || t.Seconds() < k.Min || t.Seconds() > k.Max {
-			return fmt.Sprintf(`it must be a time of %gs to %gs, such as "250ms"`, k.Min, k.Max)
+		if err != nil || t.Seconds() < a.Min || t.Seconds() > a.Max {
+			return fmt.Sprintf(`it must be a time of %gs to %gs, such as "250ms"`, a.Min, a.Max)
 		}
-		*to = t
+		*target = t
 	}
 	return ""
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,75 +17,75 @@
 
 // Route is one model route.
 type Route struct {
-	Name                 string
-	Effect               string
-	Value                float64
-	FirstToken, PerTokns time.Duration // target for the first token, and more of it for each 1,000 prompt tokens
-	Timeout              time.Duration
-	DedupWindow          time.Duration
-	DedupGroup           string
+	Name                                        string
+	Effect                                      string
+	PriorityWeight                              float64
+	FirstTokenObjective, ObjectivePer1000Tokens time.Duration // target for the first token, and more of it for each 1,000 prompt tokens
+	Timeout                                     time.Duration
+	DedupWindow                                 time.Duration
+	DedupGroup                                  string
 }
 
 // EngineKind is one kind of engine.
 type EngineKind struct {
-	Name, Role string
-	Memory     float64 // tokens
+	Name, Role   string
+	MemoryTokens float64 // tokens
 }
 
-// Lines bounds a node's connections to engines.
-type Lines struct {
-	PerEngine, Dials int
-	DialTime         time.Duration
-	Idle, IdleUnsafe time.Duration // how long an idle one is used again; for what must not run twice
-	All              int           // to all engines together; 0 for any
-	Settle           time.Duration // how long one that carried a stream is not used again
+// ConnectionLimits bounds a node's connections to engines.
+type ConnectionLimits struct {
+	PerEngine, ConcurrentDials            int
+	DialTimeout                           time.Duration
+	IdleTimeout, NonIdempotentIdleTimeout time.Duration // how long an idle one is used again; for what must not run twice
+	Total                                 int           // to all engines together; 0 for any
+	ReuseDelay                            time.Duration // how long one that carried a stream is not used again
 }
 
 // Rules are the figures of the five rules and what goes with them.
 type Rules struct {
-	DrainGrace, Pin, Cold, FallWindow time.Duration
-	ColdShare, FallMultiple           float64
+	DrainGrace, ReservationLimit, SlowStart, OverloadWindow time.Duration
+	SlowStartShare, OverloadMultiple                        float64
 }
 
 // Deployment is all that a script says.
 type Deployment struct {
-	File          string
-	Node          string
-	Me, Nodes     int
-	Zone          string
-	Chat, Metrics string
-	Roster        string
-	Planner       string // its address; plans take the place of a roster
-	Engines       []endpoint.Entry
-	Kinds         []EngineKind
-	Routes        []Route
-	Rules         Rules
-	Lines         Lines
-	Limits        admission.Bounds
-	Body, Head    int // bytes of one call
-	ClientBuffer  int // bytes of an answer that wait for a slow client
-	Sends         int
-	Tick, Stall   time.Duration
-	RetryAfter    time.Duration
-	Finish        time.Duration // how long open inferences may go on once the node is told to stop
-	Probes        bool
+	File                        string
+	NodeName                    string
+	NodeNumber, NodeCount       int
+	Zone                        string
+	ChatAddress, MetricsAddress string
+	EndpointFile                string
+	PlannerAddress              string // its address; plans take the place of a roster
+	Engines                     []endpoint.Entry
+	Kinds                       []EngineKind
+	Routes                      []Route
+	Rules                       Rules
+	Connections                 ConnectionLimits
+	Limits                      admission.Bounds
+	MaxBodyBytes, MaxHeadBytes  int // bytes of one call
+	ClientBufferBytes           int // bytes of an answer that wait for a slow client
+	MaxAttempts                 int
+	TickInterval, StallTimeout  time.Duration
+	MaxRetryAfter               time.Duration
+	ShutdownTimeout             time.Duration // how long open inferences may go on once the node is told to stop
+	HealthChecks                bool
 	// What only a platform's configuration says: the module's facts as they are given, the names of zones by
 	// their numbers, how long a node that is told to stop takes what still comes, how long it stays with its
 	// clients where no other node is heard, when it hands over what came later than it had to take, and bytes
 	// that may wait for its owner.
-	Given    map[string]any
-	Zones    []string
-	Linger   time.Duration
-	Stay     time.Duration
-	HandOver time.Duration
-	Inbox    int
+	GivenFacts           map[string]any
+	Zones                []string
+	ShutdownAcceptTime   time.Duration
+	ShutdownStayTime     time.Duration
+	ShutdownHandoverTime time.Duration
+	QueueBytes           int
 	// ReleaseFor is for how long releases are repeated after an attempt was given up, where engines forget them: an
 	// attempt that goes on after its connection ended comes to hold its state, or gives it back, later.
-	ReleaseFor time.Duration
+	ReleaseRepeatTime time.Duration
 }
 
 // Engines that one script may list.
-const maxListed = 20_000
+const maxEngines = 20_000
 
 // Load reads a script from a file.
 func Load(path string) (*Deployment, error) {
@@ -94,8 +94,8 @@
 		return nil, err
 	}
 	d, err := Read(path, text)
-	if err == nil && d.Roster != "" && !filepath.IsAbs(d.Roster) {
-		d.Roster = filepath.Join(filepath.Dir(path), d.Roster)
+	if err == nil && d.EndpointFile != "" && !filepath.IsAbs(d.EndpointFile) {
+		d.EndpointFile = filepath.Join(filepath.Dir(path), d.EndpointFile)
 	}
 	return d, err
 }
@@ -104,7 +104,7 @@
 func Read(name string, text []byte) (*Deployment, error) {
 	d := Defaults()
 	d.File = name
-	if err := script.Run(name, text, d.Calls(), d.Whole); err != nil {
+	if err := script.Run(name, text, d.ScriptFunctions(), d.CheckScript); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -112,79 +112,79 @@
 
 // Defaults is a deployment with no route, kind or engine.
 func Defaults() *Deployment {
-	return &Deployment{Node: "edge", Nodes: 1, Chat: "127.0.0.1:8080",
-		Rules: Rules{DrainGrace: 250 * time.Millisecond, Pin: time.Second, Cold: 12 * time.Second,
-			FallWindow: time.Second, ColdShare: 0.25, FallMultiple: 3},
-		Lines: Lines{PerEngine: 512, Dials: 16, DialTime: 250 * time.Millisecond, Idle: 15 * time.Second,
-			IdleUnsafe: 2 * time.Second},
+	return &Deployment{NodeName: "edge", NodeCount: 1, ChatAddress: "127.0.0.1:8080",
+		Rules: Rules{DrainGrace: 250 * time.Millisecond, ReservationLimit: time.Second, SlowStart: 12 * time.Second,
+			OverloadWindow: time.Second, SlowStartShare: 0.25, OverloadMultiple: 3},
+		Connections: ConnectionLimits{PerEngine: 512, ConcurrentDials: 16, DialTimeout: 250 * time.Millisecond, IdleTimeout: 15 * time.Second,
+			NonIdempotentIdleTimeout: 2 * time.Second},
 		Limits: admission.Bounds{Conns: 12_000, Open: 8_000, Bytes: 256 << 20, HeadTime: 5 * time.Second,
 			BodyTime: 15 * time.Second, IdleTime: 75 * time.Second, DrainTime: 2 * time.Second},
-		Body: 1 << 20, Head: 16 << 10, ClientBuffer: 48 << 10, Sends: 4,
+		MaxBodyBytes: 1 << 20, MaxHeadBytes: 16 << 10, ClientBufferBytes: 48 << 10, MaxAttempts: 4,
 		// The module answers three ticks before a client gives up.
-		Tick: 5 * time.Millisecond, Stall: 5 * time.Second, RetryAfter: time.Second, Inbox: 16 << 20, Finish: 20 * time.Second,
-		Probes: true}
+		TickInterval: 5 * time.Millisecond, StallTimeout: 5 * time.Second, MaxRetryAfter: time.Second, QueueBytes: 16 << 20, ShutdownTimeout: 20 * time.Second,
+		HealthChecks: true}
 }
 
-type fault = func(key, format string, args ...any)
+type faultFunc = func(key, format string, args ...any)
 
-// Calls lists what a script may call, and the keys of each.
-func (d *Deployment) Calls() map[string]script.Call {
-	return map[string]script.Call{
-		"node": func() ([]script.Key, func(fault)) {
+// ScriptFunctions lists what a script may call, and the keys of each.
+func (d *Deployment) ScriptFunctions() map[string]script.Function {
+	return map[string]script.Function{
+		"node": func() ([]script.Argument, func(faultFunc)) {
 
-			return []script.Key{{Name: "name", To: &d.Node}, {Name: "zone", To: &d.Zone},
-				{Name: "number", To: &d.Me, Max: 100_000}, {Name: "nodes", To: &d.Nodes, Min: 1, Max: 100_000}}, nil
+			return []script.Argument{{Name: "name", Target: &d.NodeName}, {Name: "zone", Target: &d.Zone},
+				{Name: "number", Target: &d.NodeNumber, Max: 100_000}, {Name: "nodes", Target: &d.NodeCount, Min: 1, Max: 100_000}}, nil
 		},
-		"listen": func() ([]script.Key, func(fault)) {
-			return []script.Key{{Name: "chat", To: &d.Chat, Address: true}, {Name: "metrics", To: &d.Metrics, Address: true}}, nil
+		"listen": func() ([]script.Argument, func(faultFunc)) {
+			return []script.Argument{{Name: "chat", Target: &d.ChatAddress, Address: true}, {Name: "metrics", Target: &d.MetricsAddress, Address: true}}, nil
 		},
-		"roster": func() ([]script.Key, func(fault)) {
-			return []script.Key{{Name: "file", To: &d.Roster, Need: true}}, nil
+		"roster": func() ([]script.Argument, func(faultFunc)) {
+			return []script.Argument{{Name: "file", Target: &d.EndpointFile, Required: true}}, nil
 		},
-		"planner": func() ([]script.Key, func(fault)) {
-			return []script.Key{{Name: "at", To: &d.Planner, Need: true, Address: true}}, nil
+		"planner": func() ([]script.Argument, func(faultFunc)) {
+			return []script.Argument{{Name: "at", Target: &d.PlannerAddress, Required: true, Address: true}}, nil
 		},
-		"kind": func() ([]script.Key, func(fault)) {
+		"kind": func() ([]script.Argument, func(faultFunc)) {
 			k := EngineKind{}
-			return []script.Key{{Name: "name", To: &k.Name, Need: true},
-					{Name: "role", To: &k.Role, Words: []string{"read", "write", "both"}, Need: true},
-					{Name: "memory", To: &k.Memory, Min: 1, Max: 1e9}},
-				func(say fault) {
+			return []script.Argument{{Name: "name", Target: &k.Name, Required: true},
+					{Name: "role", Target: &k.Role, Allowed: []string{"read", "write", "both"}, Required: true},
+					{Name: "memory", Target: &k.MemoryTokens, Min: 1, Max: 1e9}},
+				func(say faultFunc) {
 					if slices.ContainsFunc(d.Kinds, func(o EngineKind) bool { return o.Name == k.Name }) {
 						say("name", "kind %q stands twice", k.Name)
 					}
 					d.Kinds = append(d.Kinds, k)
 				}
 		},
-		"route": func() ([]script.Key, func(fault)) {
-			t := Route{Value: 1, FirstToken: time.Second, Timeout: 5 * time.Second, DedupGroup: "all",
+		"route": func() ([]script.Argument, func(faultFunc)) {
+			t := Route{PriorityWeight: 1, FirstTokenObjective: time.Second, Timeout: 5 * time.Second, DedupGroup: "all",
 				DedupWindow: 5 * time.Second}
-			return []script.Key{{Name: "name", To: &t.Name, Need: true},
-					{Name: "effect", To: &t.Effect, Words: Effects, Need: true},
-					{Name: "value", To: &t.Value, Min: 0.001, Max: 1e6},
-					{Name: "first_token_target", To: &t.FirstToken, Min: 0.01, Max: 600},
-					{Name: "target_per_1000_tokens", To: &t.PerTokns, Max: 60},
-					{Name: "route_timeout", To: &t.Timeout, Min: 0.05, Max: 3600},
-					{Name: "dedup_window", To: &t.DedupWindow, Max: 3600},
-					{Name: "dedup_group", To: &t.DedupGroup, Words: []string{"all", "zone", "cell"}}},
-				func(say fault) {
+			return []script.Argument{{Name: "name", Target: &t.Name, Required: true},
+					{Name: "effect", Target: &t.Effect, Allowed: Effects, Required: true},
+					{Name: "value", Target: &t.PriorityWeight, Min: 0.001, Max: 1e6},
+					{Name: "first_token_target", Target: &t.FirstTokenObjective, Min: 0.01, Max: 600},
+					{Name: "target_per_1000_tokens", Target: &t.ObjectivePer1000Tokens, Max: 60},
+					{Name: "route_timeout", Target: &t.Timeout, Min: 0.05, Max: 3600},
+					{Name: "dedup_window", Target: &t.DedupWindow, Max: 3600},
+					{Name: "dedup_group", Target: &t.DedupGroup, Allowed: []string{"all", "zone", "cell"}}},
+				func(say faultFunc) {
 					if slices.ContainsFunc(d.Routes, func(o Route) bool { return o.Name == t.Name }) {
 						say("name", "route %q stands twice", t.Name)
 					}
-					if t.Timeout < t.FirstToken {
-						say("route_timeout", "%v is under the first-token target of %v", t.Timeout, t.FirstToken)
+					if t.Timeout < t.FirstTokenObjective {
+						say("route_timeout", "%v is under the first-token target of %v", t.Timeout, t.FirstTokenObjective)
 					}
 					d.Routes = append(d.Routes, t)
 				}
 		},
-		"engine": func() ([]script.Key, func(fault)) {
+		"engine": func() ([]script.Argument, func(faultFunc)) {
 			e := endpoint.Entry{State: endpoint.Ready, Weight: 1}
-			return []script.Key{{Name: "at", To: &e.ID, Need: true, Address: true}, {Name: "kind", To: &e.Kind, Need: true},
-					{Name: "zone", To: &e.Zone}, {Name: "cell", To: &e.Cell},
-					{Name: "weight", To: &e.Weight, Min: 0.01, Max: 1000}},
-				func(say fault) {
-					if len(d.Engines) >= maxListed {
-						say("", "more than %d engines", maxListed)
+			return []script.Argument{{Name: "at", Target: &e.ID, Required: true, Address: true}, {Name: "kind", Target: &e.Kind, Required: true},
+					{Name: "zone", Target: &e.Zone}, {Name: "cell", Target: &e.Cell},
+					{Name: "weight", Target: &e.Weight, Min: 0.01, Max: 1000}},
+				func(say faultFunc) {
+					if len(d.Engines) >= maxEngines {
+						say("", "more than %d engines", maxEngines)
 						return
 					}
 					if slices.ContainsFunc(d.Engines, func(o endpoint.Entry) bool { return o.ID == e.ID }) {
@@ -197,64 +197,64 @@
 					d.Engines = append(d.Engines, e)
 				}
 		},
-		"rules": func() ([]script.Key, func(fault)) {
+		"rules": func() ([]script.Argument, func(faultFunc)) {
 			u := &d.Rules
-			return []script.Key{{Name: "drain_grace", To: &u.DrainGrace, Min: 0.05, Max: 60}, {Name: "pin", To: &u.Pin, Min: 0.1, Max: 60},
-				{Name: "cold", To: &u.Cold, Max: 600}, {Name: "fall_window", To: &u.FallWindow, Min: 0.1, Max: 60},
-				{Name: "cold_share", To: &u.ColdShare, Min: 0.01, Max: 1},
-				{Name: "fall_multiple", To: &u.FallMultiple, Min: 1, Max: 100}}, nil
+			return []script.Argument{{Name: "drain_grace", Target: &u.DrainGrace, Min: 0.05, Max: 60}, {Name: "pin", Target: &u.ReservationLimit, Min: 0.1, Max: 60},
+				{Name: "cold", Target: &u.SlowStart, Max: 600}, {Name: "fall_window", Target: &u.OverloadWindow, Min: 0.1, Max: 60},
+				{Name: "cold_share", Target: &u.SlowStartShare, Min: 0.01, Max: 1},
+				{Name: "fall_multiple", Target: &u.OverloadMultiple, Min: 1, Max: 100}}, nil
 		},
-		"lines": func() ([]script.Key, func(fault)) {
-			l := &d.Lines
-			return []script.Key{{Name: "per_engine", To: &l.PerEngine, Min: 1, Max: 60_000}, {Name: "all", To: &l.All, Max: 1e6}, {Name: "dials", To: &l.Dials, Min: 1, Max: 10_000},
-				{Name: "dial_time", To: &l.DialTime, Min: 0.01, Max: 30}, {Name: "conn_idle", To: &l.Idle, Min: 0, Max: 3600},
-				{Name: "conn_idle_non_retriable", To: &l.IdleUnsafe, Min: 0, Max: 3600}}, nil
+		"lines": func() ([]script.Argument, func(faultFunc)) {
+			l := &d.Connections
+			return []script.Argument{{Name: "per_engine", Target: &l.PerEngine, Min: 1, Max: 60_000}, {Name: "all", Target: &l.Total, Max: 1e6}, {Name: "dials", Target: &l.ConcurrentDials, Min: 1, Max: 10_000},
+				{Name: "dial_time", Target: &l.DialTimeout, Min: 0.01, Max: 30}, {Name: "conn_idle", Target: &l.IdleTimeout, Min: 0, Max: 3600},
+				{Name: "conn_idle_non_retriable", Target: &l.NonIdempotentIdleTimeout, Min: 0, Max: 3600}}, nil
 		},
-		"limits": func() ([]script.Key, func(fault)) {
+		"limits": func() ([]script.Argument, func(faultFunc)) {
 			l := &d.Limits
-			return []script.Key{{Name: "connections", To: &l.Conns, Min: 1, Max: 1e6}, {Name: "open", To: &l.Open, Min: 1, Max: 1e6},
-				{Name: "bytes", To: &l.Bytes, Min: 1 << 16, Max: 1 << 36}, {Name: "head_time", To: &l.HeadTime, Min: 0.01, Max: 600},
-				{Name: "body_time", To: &l.BodyTime, Min: 0.01, Max: 600}, {Name: "idle_time", To: &l.IdleTime, Min: 0.01, Max: 86400},
-				{Name: "drain_time", To: &l.DrainTime, Min: 0.01, Max: 600}, {Name: "body", To: &d.Body, Min: 256, Max: 64 << 20},
-				{Name: "head", To: &d.Head, Min: 256, Max: 1 << 20}, {Name: "client_buffer", To: &d.ClientBuffer, Min: 1024, Max: 64 << 20},
-				{Name: "sends", To: &d.Sends, Min: 1, Max: 20}, {Name: "retry_share", To: &l.Retries, Max: 1}, {Name: "probes", To: &d.Probes},
-				{Name: "stall", To: &d.Stall, Min: 0.05, Max: 600}, {Name: "tick", To: &d.Tick, Min: 0.001, Max: 0.1},
-				{Name: "max_retry_after", To: &d.RetryAfter, Max: 600}, {Name: "finish_time", To: &d.Finish, Max: 3600}}, nil
+			return []script.Argument{{Name: "connections", Target: &l.Conns, Min: 1, Max: 1e6}, {Name: "open", Target: &l.Open, Min: 1, Max: 1e6},
+				{Name: "bytes", Target: &l.Bytes, Min: 1 << 16, Max: 1 << 36}, {Name: "head_time", Target: &l.HeadTime, Min: 0.01, Max: 600},
+				{Name: "body_time", Target: &l.BodyTime, Min: 0.01, Max: 600}, {Name: "idle_time", Target: &l.IdleTime, Min: 0.01, Max: 86400},
+				{Name: "drain_time", Target: &l.DrainTime, Min: 0.01, Max: 600}, {Name: "body", Target: &d.MaxBodyBytes, Min: 256, Max: 64 << 20},
+				{Name: "head", Target: &d.MaxHeadBytes, Min: 256, Max: 1 << 20}, {Name: "client_buffer", Target: &d.ClientBufferBytes, Min: 1024, Max: 64 << 20},
+				{Name: "sends", Target: &d.MaxAttempts, Min: 1, Max: 20}, {Name: "retry_share", Target: &l.Retries, Max: 1}, {Name: "probes", Target: &d.HealthChecks},
+				{Name: "stall", Target: &d.StallTimeout, Min: 0.05, Max: 600}, {Name: "tick", Target: &d.TickInterval, Min: 0.001, Max: 0.1},
+				{Name: "max_retry_after", Target: &d.MaxRetryAfter, Max: 600}, {Name: "finish_time", Target: &d.ShutdownTimeout, Max: 3600}}, nil
 		},
 	}
 }
 
-// leastPin is the shortest limit for held states that a node can keep: a release needs a way there on a loaded machine.
-const leastPin = 20 * time.Millisecond
+// minReservationLimit is the shortest limit for held states that a node can keep: a release needs a way there on a loaded machine.
+const minReservationLimit = 20 * time.Millisecond
 
 // Check checks what no single value can.
-func (d *Deployment) Check(say func(format string, args ...any)) {
+func (d *Deployment) Check(addFault func(format string, args ...any)) {
 	if len(d.Routes) == 0 {
-		say("route: none is given; at least one is needed")
+		addFault("route: none is given; at least one is needed")
 	}
 	reads := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != "write" })
 	writes := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != "read" })
 	if !reads || !writes {
-		say("kind: there must be one that reads and one that writes")
+		addFault("kind: there must be one that reads and one that writes")
 	}
-	if d.Me >= d.Nodes {
-		say("node: number %d must be under nodes, which is %d", d.Me, d.Nodes)
+	if d.NodeNumber >= d.NodeCount {
+		addFault("node: number %d must be under nodes, which is %d", d.NodeNumber, d.NodeCount)
 	}
-	if least := max(leastPin, 8*d.Tick); d.Rules.Pin < least {
-		say("rules: pin is %v; it must be at least %v: eight ticks, and %v", d.Rules.Pin, least, leastPin)
+	if least := max(minReservationLimit, 8*d.TickInterval); d.Rules.ReservationLimit < least {
+		addFault("rules: pin is %v; it must be at least %v: eight ticks, and %v", d.Rules.ReservationLimit, least, minReservationLimit)
 	}
 }
 
-// Whole checks what no single call of a script can.
-func (d *Deployment) Whole(say func(format string, args ...any)) {
-	d.Check(say)
+// CheckScript checks what no single call of a script can.
+func (d *Deployment) CheckScript(addFault func(format string, args ...any)) {
+	d.Check(addFault)
 	given := 0
-	for _, is := range []bool{d.Roster != "", d.Planner != "", len(d.Engines) > 0} {
+	for _, is := range []bool{d.EndpointFile != "", d.PlannerAddress != "", len(d.Engines) > 0} {
 		if is {
 			given++
 		}
 	}
 	if given != 1 {
-		say("roster, planner or engine: one of them is needed, and only one")
+		addFault("roster, planner or engine: one of them is needed, and only one")
 	}
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -15,7 +15,7 @@
 	"sandcourse/settings"
 )
 
-func TestDemo(t *testing.T) {
+func TestDemoScript(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestScriptsThatDoNotEnd(t *testing.T) {
+func TestBrokenScriptsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{"loop": "def f():\n  for i in range(1000000000):\n    pass\nf()\n",
 		"load": `load("http://example.org/x", "y")`, "syntax": "route(", "crash": "x = 1 // 0",
 		"size": "#" + strings.Repeat("x", 2<<20)} {
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestNews(t *testing.T) {
+func TestEndpointListToEvent(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 
 // Found by random settings: cells were numbered list by list, so one that left gave its number to another, and what
 // may have run at an engine of it was sent to that other cell, which did not know it.
-func TestPlacesKeepTheirNumbers(t *testing.T) {
+func TestZoneAndCellNumbersAreStable(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 changes(floor = 2, drain_time = "3s")
 `
 	p, err := ReadPlanner("p.star", []byte(good))
-	if err != nil || p.Roles.MinServing != 2 || p.Roles.DrainTimeout != 3*time.Second || p.Pairs[0] != [2]string{"p", "d"} {
+	if err != nil || p.Assignment.MinServing != 2 || p.Assignment.DrainTimeout != 3*time.Second || p.RolePairs[0] != [2]string{"p", "d"} {
 		t.Errorf("%+v %v", p, err)
 	}
 	for script, want := range map[string]string{
--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -85,7 +85,7 @@
 // connect makes a connection within the settings' time. Where this machine lacks something for a moment, such as
 // descriptors or ports, it is tried again until that time is over; the error then is a node.ErrLocal.
 func (n *Node) connect(address string) (*nbio.Conn, error) {
-	ctx, cancel := context.WithTimeout(n.alive, n.d.Lines.DialTime)
+	ctx, cancel := context.WithTimeout(n.alive, n.d.Connections.DialTimeout)
 	defer cancel()
 	for pause := redialFirst; ; pause = min(2*pause, redialMost) {
 		conn, err := n.connectOnce(ctx, address)
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -105,14 +105,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Roster, d.Chat, d.Lines.PerEngine, d.Lines.Dials = "", "127.0.0.1:0", 8000, 8000
+	d.EndpointFile, d.ChatAddress, d.Connections.PerEngine, d.Connections.ConcurrentDials = "", "127.0.0.1:0", 8000, 8000
 	d.Limits.Open, d.Limits.Conns = 20000, 20000
 	// The module keeps each writer's memory by the prompts sent there; thousands of streams need engines for them.
 	for i := range d.Kinds {
-		d.Kinds[i].Memory = 0
+		d.Kinds[i].MemoryTokens = 0
 	}
 	for i := range d.Routes {
-		d.Routes[i].Timeout, d.Routes[i].FirstToken = 60*time.Second, 30*time.Second
+		d.Routes[i].Timeout, d.Routes[i].FirstTokenObjective = 60*time.Second, 30*time.Second
 	}
 	for _, r := range readers {
 		d.Engines = append(d.Engines, endpoint.Entry{ID: r, Kind: "prefill", Weight: 1, State: endpoint.Ready})
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -117,7 +117,7 @@
 
 // leavesAtOnce is a node that goes from its clients as soon as it is told to stop.
 func leavesAtOnce(d *config.Deployment) {
-	d.Linger, d.Stay, d.HandOver = time.Millisecond, 0, 0
+	d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 0, 0
 }
 
 // stops is whether a node tells that it stops, or takes no connection any more. Its owner has looked after its
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Roster, d.Engines, d.Chat = r.fleet.Path, nil, ""
+	d.EndpointFile, d.Engines, d.ChatAddress = r.fleet.Path, nil, ""
 	if alter != nil {
 		alter(d)
 	}
@@ -161,7 +161,7 @@
 func TestStreamThatStopsEndsInOneError(t *testing.T) {
 	for name, f := range map[string]engine.Faults{"stalls": {StallAfter: 1}, "breaks": {BreakAfter: 3}} {
 		t.Run(name, func(t *testing.T) {
-			r, _, writer := only(t, func(d *config.Deployment) { d.Stall = 200 * time.Millisecond })
+			r, _, writer := only(t, func(d *config.Deployment) { d.StallTimeout = 200 * time.Millisecond })
 			writer.Set(f)
 			got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "cut"})
 			if got.Final != "errored" || got.Finals != 1 || got.Tokens == 0 {
@@ -322,7 +322,7 @@
 }
 
 func TestStopTakesNothingNewAndFinishesWhatIsOpen(t *testing.T) {
-	r, _, writer := only(t, func(d *config.Deployment) { d.Finish = 400 * time.Millisecond })
+	r, _, writer := only(t, func(d *config.Deployment) { d.ShutdownTimeout = 400 * time.Millisecond })
 	writer.Set(engine.Faults{Slow: 3})
 	slow := make(chan audit.Call)
 	go func() { slow <- r.ask(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
@@ -340,7 +340,7 @@
 }
 
 func TestLateTimersKeepTheRules(t *testing.T) {
-	r, _, writer := only(t, func(d *config.Deployment) { d.Tick = 30 * time.Millisecond })
+	r, _, writer := only(t, func(d *config.Deployment) { d.TickInterval = 30 * time.Millisecond })
 	writer.Set(engine.Faults{StallFirst: true})
 	done := make(chan audit.Call)
 	for i := range 4 {
@@ -386,7 +386,7 @@
 
 func TestMessagesThatAreRefused(t *testing.T) {
 	r, _, _ := only(t, func(d *config.Deployment) {
-		d.Head, d.Body, d.Limits.HeadTime, d.Limits.BodyTime = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
+		d.MaxHeadBytes, d.MaxBodyBytes, d.Limits.HeadTime, d.Limits.BodyTime = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
 	})
 	call := func(body string) string {
 		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -426,7 +426,7 @@
 }
 
 func TestClientThatDoesNotReadHoldsUpNobody(t *testing.T) {
-	r := newRig(t, func(d *config.Deployment) { d.ClientBuffer = 4096 },
+	r := newRig(t, func(d *config.Deployment) { d.ClientBufferBytes = 4096 },
 		engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write", TokenTime: 20 * time.Microsecond})
 	c, err := net.Dial("tcp", r.edges.Addrs()[0])
 	if err != nil {
--- a/internal/edge/flat_test.go
+++ b/internal/edge/flat_test.go
@@ -58,7 +58,7 @@
 	// Connections to engines are kept for a while, more or fewer of them as the machine's load has it: they have to age
 	// within the test, or their number is taken for a leak.
 	keepsShortly := func(d *config.Deployment) {
-		d.Lines.Idle, d.Lines.IdleUnsafe = 300*time.Millisecond, 300*time.Millisecond
+		d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 	}
 	n := onPlatform(t, 1024, keepsShortly, newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	defer n.Stop()
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -126,7 +126,7 @@
 	}
 	n.frontBarrier.wait(conn)
 	c := &client{node: n, conn: conn,
-		cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: n.d.Head, BodyBytes: n.d.Body})}
+		cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: n.d.MaxHeadBytes, BodyBytes: n.d.MaxBodyBytes})}
 	c.core = &router.Client{ID: n.ids.Add(1), Socket: c}
 	conn.SetSession(c)
 	n.room.come()
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	reader := newBox(t, "127.0.0.21", func(int, *http.Request) (string, bool) { return heldWire, false })
 	writer := newBox(t, "127.0.0.22", func(int, *http.Request) (string, bool) { return wholeStream, false })
-	n := onPlatform(t, 1024, func(d *config.Deployment) { d.Metrics = "127.0.0.1:0" }, reader, writer)
+	n := onPlatform(t, 1024, func(d *config.Deployment) { d.MetricsAddress = "127.0.0.1:0" }, reader, writer)
 	t.Cleanup(n.Stop)
 	return n
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -78,17 +78,17 @@
 // NewOn makes a node that speaks a dialect.
 func NewOn(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
 	protocol protocol.Codec) *Node {
-	n := &Node{d: d, log: log.With(zap.String("node", d.Node)), source: source, seed: seed, in: newInbox(d.Inbox),
+	n := &Node{d: d, log: log.With(zap.String("node", d.NodeName)), source: source, seed: seed, in: newInbox(d.QueueBytes),
 		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
 		pollers: defaultPollers, dial: dialTCP}
 	n.epoch = n.started.UnixMilli()
 	n.alive, n.cancel = context.WithCancel(context.Background())
 	n.metrics = newMeters()
-	if n.source == nil && d.Roster != "" {
-		n.source = endpoint.FileSource{Path: d.Roster}
+	if n.source == nil && d.EndpointFile != "" {
+		n.source = endpoint.FileSource{Path: d.EndpointFile}
 	}
-	if n.source == nil && d.Planner != "" {
-		n.source = planclient.Planner{Addr: d.Planner, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
+	if n.source == nil && d.PlannerAddress != "" {
+		n.source = planclient.Client{Addr: d.PlannerAddress, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
 	}
 	n.counts = map[string]*planapi.RouteCount{}
 	n.core = router.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
@@ -109,7 +109,7 @@
 func (n *Node) report(ctx context.Context) (planapi.EdgeReport, error) {
 	got := make(chan planapi.EdgeReport, 1)
 	n.in.put(0, func() {
-		r := planapi.EdgeReport{Edge: n.d.Node, Life: n.epoch}
+		r := planapi.EdgeReport{Edge: n.d.NodeName, Incarnation: n.epoch}
 		for _, route := range slices.Sorted(maps.Keys(n.counts)) {
 			r.Routes = append(r.Routes, *n.counts[route])
 		}
@@ -136,22 +136,22 @@
 	logging.SetLevel(logging.LevelNone)
 	var err error
 	listen := func() error {
-		n.chat, err = net.Listen("tcp", n.d.Chat)
+		n.chat, err = net.Listen("tcp", n.d.ChatAddress)
 		return err
 	}
 	if err := n.untilItStands(listen); err != nil {
-		return fmt.Errorf("listen for chat calls on %s: %w", n.d.Chat, err)
+		return fmt.Errorf("listen for chat calls on %s: %w", n.d.ChatAddress, err)
 	}
 	addr := n.chat.Addr().String()
 	n.front = nbio.NewEngine(nbio.Config{Name: "front", Network: "tcp", Addrs: []string{addr}, NPoller: n.pollers,
-		MaxWriteBufferSize: n.d.ClientBuffer,
+		MaxWriteBufferSize: n.d.ClientBufferBytes,
 		Listen:             func(string, string) (net.Listener, error) { return boundedListener{n.chat, n.room}, nil }})
 	n.front.OnOpen(n.frontOpened)
 	n.front.OnClose(n.frontClosed)
 	n.front.OnRead(n.frontReadable)
 	n.front.OnWrittenSize(n.frontWrote)
 	n.back = nbio.NewEngine(nbio.Config{Name: "back", NPoller: n.pollers,
-		MaxWriteBufferSize: 2 * n.d.Body})
+		MaxWriteBufferSize: 2 * n.d.MaxBodyBytes})
 	n.back.OnOpen(n.backOpened)
 	n.back.OnClose(n.backClosed)
 	n.back.OnRead(n.backReadable)
@@ -166,11 +166,11 @@
 		return err
 	}
 	ctx := n.alive
-	if n.d.Metrics != "" {
-		if n.pages, err = net.Listen("tcp", n.d.Metrics); err != nil {
+	if n.d.MetricsAddress != "" {
+		if n.pages, err = net.Listen("tcp", n.d.MetricsAddress); err != nil {
 			n.chat.Close()
 			n.back.Stop()
-			return fmt.Errorf("listen for metrics on %s: %w", n.d.Metrics, err)
+			return fmt.Errorf("listen for metrics on %s: %w", n.d.MetricsAddress, err)
 		}
 		mux := http.NewServeMux()
 		mux.Handle("/metrics", promhttp.HandlerFor(n.metrics.registry, promhttp.HandlerOpts{}))
@@ -198,7 +198,7 @@
 		n.Stop()
 		return err
 	}
-	n.log.Info("serving", zap.String("chat", addr), zap.String("metrics", n.d.Metrics))
+	n.log.Info("serving", zap.String("chat", addr), zap.String("metrics", n.d.MetricsAddress))
 	return nil
 }
 
@@ -284,9 +284,9 @@
 // Drain takes no new inference and waits until those open are answered; past the settings' finish time, or
 // when ctx ends, the rest gets its error. Then the node stops.
 func (n *Node) Drain(ctx context.Context) error {
-	n.log.Info("stopping: no new inference is taken", zap.Duration("linger", n.d.Linger))
+	n.log.Info("stopping: no new inference is taken", zap.Duration("linger", n.d.ShutdownAcceptTime))
 	n.in.put(0, func() { n.core.Stopping() })
-	ctx, cancel := context.WithTimeout(ctx, n.d.Finish)
+	ctx, cancel := context.WithTimeout(ctx, n.d.ShutdownTimeout)
 	defer cancel()
 	var err error
 	for err == nil {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		who := slices.Index(n.peers.row, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if size > peerText || who < 0 || who == n.d.Me {
+		if size > peerText || who < 0 || who == n.d.NodeNumber {
 			continue
 		}
 		text := string(buffer[:size])
@@ -90,7 +90,7 @@
 		at = p.row
 	}
 	for _, a := range at {
-		if !p.all.IsValid() && a == p.row[n.d.Me] {
+		if !p.all.IsValid() && a == p.row[n.d.NodeNumber] {
 			continue
 		}
 		if _, err := p.conn.WriteToUDPAddrPort([]byte(text), a); err != nil {
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -183,7 +183,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Chat = "127.0.0.1:0"
+	d.ChatAddress = "127.0.0.1:0"
 	if alter != nil {
 		alter(d)
 	}
@@ -355,7 +355,7 @@
 
 // A node that is told to stop still answers what comes while it lingers, and then ends by itself.
 func TestPlatformStop(t *testing.T) {
-	n := onPlatform(t, 1024, func(d *config.Deployment) { d.Linger = 300 * time.Millisecond },
+	n := onPlatform(t, 1024, func(d *config.Deployment) { d.ShutdownAcceptTime = 300 * time.Millisecond },
 		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	over := make(chan error, 1)
 	go func() { over <- n.Drain(context.Background()) }()
@@ -425,7 +425,7 @@
 	for _, alone := range []bool{true, false} {
 		var listen string
 		n := onPlatform(t, 1024, func(d *config.Deployment) {
-			d.Linger, d.Stay, d.HandOver = 50*time.Millisecond, 800*time.Millisecond, 2*time.Second
+			d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = 50*time.Millisecond, 800*time.Millisecond, 2*time.Second
 		}, newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 		if !alone {
 			free, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -461,7 +461,7 @@
 func TestPlatformHandsOver(t *testing.T) {
 	writer := newBox(t, "127.0.0.3", always(streamHead+event("{}"))) // a stream that goes on
 	n := onPlatform(t, 1024, func(d *config.Deployment) {
-		d.Linger, d.Stay, d.HandOver = time.Millisecond, 400*time.Millisecond, 600*time.Millisecond
+		d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 400*time.Millisecond, 600*time.Millisecond
 	}, newBox(t, "127.0.0.2", always(heldWire)), writer)
 	over := make(chan error, 1)
 	go func() { over <- n.Drain(context.Background()) }()
@@ -487,8 +487,8 @@
 func TestPlatformLateReads(t *testing.T) {
 	reader := newBox(t, "127.0.0.2", func(n int, _ *http.Request) (string, bool) { return "", true })
 	n := onPlatform(t, 1024, func(d *config.Deployment) {
-		d.Rules.Pin = 100 * time.Millisecond
-		d.ReleaseFor = 200 * time.Millisecond
+		d.Rules.ReservationLimit = 100 * time.Millisecond
+		d.ReleaseRepeatTime = 200 * time.Millisecond
 	},
 		reader, newBox(t, "127.0.0.3", always(wholeStream)))
 	defer n.Stop()
@@ -507,7 +507,7 @@
 	n := onPlatform(t, 1024, func(d *config.Deployment) {
 		for i := range d.Kinds {
 			d.Kinds[i].Role = "both"
-			d.Given[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = "both"
+			d.GivenFacts[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = "both"
 		}
 	}, mixed, mixed)
 	defer n.Stop()
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -34,10 +34,10 @@
 	w.n.metrics.finals.WithLabelValues(f.Route, f.Final).Inc()
 	c := w.n.count(f.Route)
 	c.Arrived++
-	c.Prompt += float64(f.Prompt)
+	c.PromptTokens += float64(f.Prompt)
 	if f.First > 0 {
-		c.Ended++
-		c.Answer += float64(f.Tokens)
+		c.Completed++
+		c.CompletionTokens += float64(f.Tokens)
 	}
 	if f.Final == "shed" {
 		c.Shed++
@@ -57,7 +57,7 @@
 func (w watch) Shed(s router.Shed) {
 	w.n.metrics.finals.WithLabelValues(s.Route, "shed").Inc()
 	c := w.n.count(s.Route)
-	c.Arrived, c.Prompt, c.Shed = c.Arrived+1, c.Prompt+float64(s.Prompt), c.Shed+1
+	c.Arrived, c.PromptTokens, c.Shed = c.Arrived+1, c.PromptTokens+float64(s.Prompt), c.Shed+1
 	w.n.log.Info("refused", zap.String("inference", s.Request), zap.String("route", s.Route), zap.String("why", s.Why))
 }
 
@@ -102,10 +102,10 @@
 func (w watch) First(route string, after time.Duration, prompt int) {
 	w.n.metrics.firsts.WithLabelValues(route).Observe(after.Seconds())
 	c := w.n.count(route)
-	c.Began++
-	c.BegunFor += float64(prompt)
-	if t := w.n.d.Routes[w.n.d.Route(route)]; after <= t.FirstToken+time.Duration(float64(t.PerTokns)*float64(prompt)/1000) {
-		c.InTime++
+	c.Started++
+	c.StartedPromptTokens += float64(prompt)
+	if t := w.n.d.Routes[w.n.d.Route(route)]; after <= t.FirstTokenObjective+time.Duration(float64(t.ObjectivePer1000Tokens)*float64(prompt)/1000) {
+		c.WithinObjective++
 	}
 }
 
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -73,13 +73,13 @@
 
 func (w *world) build() {
 	d := config.Defaults()
-	d.Nodes, d.Limits.Retries = w.d.Nodes, w.d.Budget
-	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", Memory: w.d.Engine.Memory},
-		{Name: "decode", Role: "write", Memory: w.d.Engine.Memory}}
-	d.Rules.Cold, d.Rules.ColdShare = w.d.Engine.Cold, w.d.Engine.ColdShare
+	d.NodeCount, d.Limits.Retries = w.d.Nodes, w.d.Budget
+	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", MemoryTokens: w.d.Engine.Memory},
+		{Name: "decode", Role: "write", MemoryTokens: w.d.Engine.Memory}}
+	d.Rules.SlowStart, d.Rules.SlowStartShare = w.d.Engine.Cold, w.d.Engine.ColdShare
 	for _, r := range w.d.Routes {
-		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, Value: r.Value,
-			FirstToken: r.Target, Timeout: r.Timeout,
+		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, PriorityWeight: r.Value,
+			FirstTokenObjective: r.Target, Timeout: r.Timeout,
 			DedupWindow: 5 * time.Second, DedupGroup: "all"})
 	}
 	for i := range w.d.Readers + w.d.Writers {
@@ -94,7 +94,7 @@
 	}
 	for i := range w.d.Nodes {
 		mine := *d
-		mine.Me, mine.Node = i, fmt.Sprint("n", i)
+		mine.NodeNumber, mine.NodeName = i, fmt.Sprint("n", i)
 		e := &edge{w: w, n: i}
 		e.core = router.New(&mine, chatapi.NewCodec(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
 		w.nodes = append(w.nodes, e)
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -29,62 +29,62 @@
 	d := Defaults()
 	var routes []Route
 	type fault = func(key, format string, args ...any)
-	keys := func(d *Day) []script.Key {
-		return []script.Key{{Name: "nodes", To: &d.Nodes, Min: 1, Max: 300},
-			{Name: "readers", To: &d.Readers, Min: 1, Max: 1000},
-			{Name: "writers", To: &d.Writers, Min: 1, Max: 1000},
-			{Name: "rate", To: &d.Rate, Min: 0.01, Max: 1e5},
-			{Name: "beginnings", To: &d.Beginnings, Min: 1, Max: 1e6},
-			{Name: "shared_tokens", To: &d.Shared, Max: 1e6},
-			{Name: "turns", To: &d.Turns, Min: 1, Max: 100}, {Name: "retries", To: &d.Retries, Max: 100},
-			{Name: "retry_share", To: &d.Budget, Max: 1}}
+	keys := func(d *Day) []script.Argument {
+		return []script.Argument{{Name: "nodes", Target: &d.Nodes, Min: 1, Max: 300},
+			{Name: "readers", Target: &d.Readers, Min: 1, Max: 1000},
+			{Name: "writers", Target: &d.Writers, Min: 1, Max: 1000},
+			{Name: "rate", Target: &d.Rate, Min: 0.01, Max: 1e5},
+			{Name: "beginnings", Target: &d.Beginnings, Min: 1, Max: 1e6},
+			{Name: "shared_tokens", Target: &d.Shared, Max: 1e6},
+			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "retries", Target: &d.Retries, Max: 100},
+			{Name: "retry_share", Target: &d.Budget, Max: 1}}
 	}
 	var arms []func()
-	calls := map[string]script.Call{
-		"day": func() ([]script.Key, func(fault)) {
-			return append(keys(&d), script.Key{Name: "length", To: &d.Length, Min: 1, Max: 36000},
-				script.Key{Name: "seeds", To: &x.Seeds, Min: 1, Max: 1000}), nil
+	calls := map[string]script.Function{
+		"day": func() ([]script.Argument, func(fault)) {
+			return append(keys(&d), script.Argument{Name: "length", Target: &d.Length, Min: 1, Max: 36000},
+				script.Argument{Name: "seeds", Target: &x.Seeds, Min: 1, Max: 1000}), nil
 		},
-		"engine": func() ([]script.Key, func(fault)) {
+		"engine": func() ([]script.Argument, func(fault)) {
 			e := &d.Engine
-			return []script.Key{{Name: "read_slots", To: &e.ReadSlots, Min: 1, Max: 1000},
-				{Name: "write_slots", To: &e.WriteSlots, Min: 1, Max: 1000},
-				{Name: "read_pace", To: &e.ReadPace, Min: 1, Max: 1e7},
-				{Name: "token_time", To: &e.TokenTime, Min: 0.0001, Max: 1},
-				{Name: "batch", To: &e.Batch, Max: 100}, {Name: "queue", To: &e.Queue, Min: 1, Max: 100_000},
-				{Name: "memory", To: &e.Memory, Min: 100, Max: 1e9},
-				{Name: "move", To: &e.Move, Min: 1, Max: 1e9},
-				{Name: "cold", To: &e.Cold, Max: 600},
-				{Name: "cold_share", To: &e.ColdShare, Min: 0.01, Max: 1}}, nil
+			return []script.Argument{{Name: "read_slots", Target: &e.ReadSlots, Min: 1, Max: 1000},
+				{Name: "write_slots", Target: &e.WriteSlots, Min: 1, Max: 1000},
+				{Name: "read_pace", Target: &e.ReadPace, Min: 1, Max: 1e7},
+				{Name: "token_time", Target: &e.TokenTime, Min: 0.0001, Max: 1},
+				{Name: "batch", Target: &e.Batch, Max: 100}, {Name: "queue", Target: &e.Queue, Min: 1, Max: 100_000},
+				{Name: "memory", Target: &e.Memory, Min: 100, Max: 1e9},
+				{Name: "move", Target: &e.Move, Min: 1, Max: 1e9},
+				{Name: "cold", Target: &e.Cold, Max: 600},
+				{Name: "cold_share", Target: &e.ColdShare, Min: 0.01, Max: 1}}, nil
 		},
-		"route": func() ([]script.Key, func(fault)) {
+		"route": func() ([]script.Argument, func(fault)) {
 			r := Route{Effect: "retriable", Share: 1, Value: 1, Target: time.Second,
 				Timeout: 5 * time.Second, Prompt: 300, Answer: 60}
-			return []script.Key{{Name: "name", To: &r.Name, Need: true},
-					{Name: "effect", To: &r.Effect, Words: []string{"retriable", "deduped", "non-retriable"}},
-					{Name: "share", To: &r.Share, Min: 0.0001, Max: 1e6},
-					{Name: "value", To: &r.Value, Min: 0.001, Max: 1e6},
-					{Name: "first_token_target", To: &r.Target, Min: 0.01, Max: 600},
-					{Name: "route_timeout", To: &r.Timeout, Min: 0.05, Max: 3600},
-					{Name: "prompt_tokens", To: &r.Prompt, Min: 1, Max: 1e6},
-					{Name: "answer_tokens", To: &r.Answer, Min: 2, Max: 1e6}},
+			return []script.Argument{{Name: "name", Target: &r.Name, Required: true},
+					{Name: "effect", Target: &r.Effect, Allowed: []string{"retriable", "deduped", "non-retriable"}},
+					{Name: "share", Target: &r.Share, Min: 0.0001, Max: 1e6},
+					{Name: "value", Target: &r.Value, Min: 0.001, Max: 1e6},
+					{Name: "first_token_target", Target: &r.Target, Min: 0.01, Max: 600},
+					{Name: "route_timeout", Target: &r.Timeout, Min: 0.05, Max: 3600},
+					{Name: "prompt_tokens", Target: &r.Prompt, Min: 1, Max: 1e6},
+					{Name: "answer_tokens", Target: &r.Answer, Min: 2, Max: 1e6}},
 				func(fault) { routes = append(routes, r) }
 		},
-		"trouble": func() ([]script.Key, func(fault)) {
+		"trouble": func() ([]script.Argument, func(fault)) {
 			t := Trouble{For: 10 * time.Second, Part: 0.25}
-			return []script.Key{{Name: "kind", To: &t.Kind, Words: Kinds, Need: true},
-					{Name: "at", To: &t.At, Max: 36000},
-					{Name: "length", To: &t.For, Max: 36000}, {Name: "part", To: &t.Part, Max: 1000},
-					{Name: "role", To: &t.Role, Words: []string{"read", "write"}}},
+			return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: Kinds, Required: true},
+					{Name: "at", Target: &t.At, Max: 36000},
+					{Name: "length", Target: &t.For, Max: 36000}, {Name: "part", Target: &t.Part, Max: 1000},
+					{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}},
 				func(fault) { d.Troubles = append(d.Troubles, t) }
 		},
 		// An arm's keys are set once more on a day that is whole: what stands below an arm in the script
 		// holds for it too.
-		"arm": func() ([]script.Key, func(fault)) {
+		"arm": func() ([]script.Argument, func(fault)) {
 			a := &Arm{}
 			was, set := d, d
 			a.Change = set
-			row := append([]script.Key{{Name: "name", To: &a.Name, Need: true}}, keys(&a.Change)...)
+			row := append([]script.Argument{{Name: "name", Target: &a.Name, Required: true}}, keys(&a.Change)...)
 			return row, func(say fault) {
 				if slices.ContainsFunc(x.Arms, func(o Arm) bool { return o.Name == a.Name }) {
 					say("name", "arm %q stands twice", a.Name)
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -397,7 +397,7 @@
 	}
 	writes := a.Transfer.RemotePrefill
 	// A trial is the planner's question for the role, and no send of an edge.
-	a.trial = strings.HasPrefix(a.name, planapi.Trial)
+	a.trial = strings.HasPrefix(a.name, planapi.TrialPrefix)
 	e.seeOf(a, audit.Seen{What: audit.Began, Inference: a.name, Request: a.request, Writes: writes})
 	defer e.seeOf(a, audit.Seen{What: audit.Ended, Inference: a.name, Request: a.request, Writes: writes})
 	if !e.hush(r.Context(), silent) {
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -19,20 +19,20 @@
 	}
 	e.report(w)
 	e.mu.Lock()
-	p := planapi.EngineReport{Role: e.claims, Epoch: e.epoch, Term: e.term, Life: e.lives,
+	p := planapi.EngineReport{Role: e.claims, Epoch: e.epoch, Term: e.term, Incarnation: e.lives,
 		Changing: e.loading, Draining: e.leaving,
-		Read: e.readTokens, Written: e.written, Busy: e.busy, Open: e.open, Held: len(e.states),
-		Hot: map[string]float64{}}
+		PrefillTokens: e.readTokens, DecodeTokens: e.written, BusySeconds: e.busy, OpenRequests: e.open, Reservations: len(e.states),
+		HotPrefixes: map[string]float64{}}
 	if !e.began.IsZero() {
-		p.UpFor = max(1, time.Since(e.began).Milliseconds())
+		p.UptimeMillis = max(1, time.Since(e.began).Milliseconds())
 	}
 	if lie := e.faults.LieWork; lie > 0 {
-		p.Read, p.Written = p.Read*lie, p.Written*lie
+		p.PrefillTokens, p.DecodeTokens = p.PrefillTokens*lie, p.DecodeTokens*lie
 	}
 	for h, tokens := range e.kept {
-		p.Kept += float64(tokens)
-		if e.uses[h] >= 3 && len(p.Hot) < 16 { // a beginning that three have used may be used again
-			p.Hot[strconv.FormatUint(h, 16)] = float64(tokens)
+		p.CachedTokens += float64(tokens)
+		if e.uses[h] >= 3 && len(p.HotPrefixes) < 16 { // a beginning that three have used may be used again
+			p.HotPrefixes[strconv.FormatUint(h, 16)] = float64(tokens)
 		}
 	}
 	e.mu.Unlock()
@@ -46,7 +46,7 @@
 	if err != nil || !e.hush(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
-	o, err := planapi.ReadRoleOrder(body)
+	o, err := planapi.ParseRoleOrder(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/fluidmodel/sway.go
+++ b/internal/fluidmodel/sway.go
@@ -159,18 +159,18 @@
 	}
 	var listed []assignment.ListedEngine
 	for i := range scenario.Engines {
-		engine := &engineModel{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Write, epoch: 1,
+		engine := &engineModel{name: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1), role: planapi.Decode, epoch: 1,
 			servingSince: -1,
 			cell:         fmt.Sprint("c", i%max(1, scenario.Cells))}
 		if i < prefillEngines {
-			engine.role = planapi.Read
+			engine.role = planapi.Prefill
 		}
 		engine.reportedRole, engine.canChange = engine.role, f.rng.Float64() >= scenario.FixedRoles
 		engine.silent, engine.reportsFalsely = f.rng.Float64() < scenario.MissingReports, f.rng.Float64() < scenario.FalseReports
 		f.engines = append(f.engines, engine)
 		kinds := map[string]string{engine.role: engine.role}
 		if engine.canChange {
-			kinds = map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}
+			kinds = map[string]string{planapi.Prefill: planapi.Prefill, planapi.Decode: planapi.Decode}
 		}
 		listed = append(listed, assignment.ListedEngine{Engine: engine.name, Role: engine.role, Cell: engine.cell, Weight: 1, Ready: true,
 			CanChange: engine.canChange, Kinds: kinds})
@@ -209,7 +209,7 @@
 		if f.now%time.Second == 0 {
 			prefillEngines := 0.0
 			for _, engine := range f.engines {
-				if f.capacityShare(engine, planapi.Read) > 0 {
+				if f.capacityShare(engine, planapi.Prefill) > 0 {
 					prefillEngines++
 				}
 			}
@@ -234,7 +234,7 @@
 func (f *fleet) removePrefillEngines(listed []assignment.ListedEngine) {
 	kept := false
 	for i, engine := range f.engines {
-		if engine.role != planapi.Read {
+		if engine.role != planapi.Prefill {
 			continue
 		}
 		if !kept {
@@ -261,7 +261,7 @@
 	if engine.servingSince >= 0 && f.now-engine.servingSince < f.scenario.WarmUp { // a cold one does a quarter at first
 		share = 0.25 + 0.75*float64(f.now-engine.servingSince)/float64(f.scenario.WarmUp)
 	}
-	if at := float64(f.now) / float64(f.scenario.Duration); role == planapi.Write && at >= f.scenario.SlowDecode[0] &&
+	if at := float64(f.now) / float64(f.scenario.Duration); role == planapi.Decode && at >= f.scenario.SlowDecode[0] &&
 		at < f.scenario.SlowDecode[1] {
 		share /= 2
 	}
@@ -278,7 +278,7 @@
 // admitArrivals lets a step's inferences come. Edges take what can be in time, of high value for longer, as the
 // module does.
 func (f *fleet) admitArrivals() (offered, served float64) {
-	prefillCapacity, decodeCapacity := f.capacity(planapi.Read)*prefillThroughput, f.capacity(planapi.Write)*decodeThroughput
+	prefillCapacity, decodeCapacity := f.capacity(planapi.Prefill)*prefillThroughput, f.capacity(planapi.Decode)*decodeThroughput
 	arrivals := f.arrivalRate() * timeStep.Seconds()
 	arrivals += math.Sqrt(arrivals) * f.rng.NormFloat64()
 	arrivals = max(0, arrivals)
@@ -291,7 +291,7 @@
 		arrived := arrivals * route.Share
 		offered += arrived * route.Value
 		count := &f.counts[i]
-		count.Arrived, count.Prompt = count.Arrived+arrived, count.Prompt+arrived*prefillTokens
+		count.Arrived, count.PromptTokens = count.Arrived+arrived, count.PromptTokens+arrived*prefillTokens
 		wait := 2 * route.LatencyObjective
 		if prefillCapacity > 0 && decodeCapacity > 0 {
 			wait = f.prefillBacklog/prefillCapacity + f.decodeBacklog/decodeCapacity + prefillTokens/prefillThroughput
@@ -303,29 +303,29 @@
 		served += arrived * route.Value
 		f.prefillBacklog += arrived * prefillTokens
 		f.decodePerPrefillToken += (decodeTokens/prefillTokens - f.decodePerPrefillToken) * min(1, arrived*prefillTokens/max(f.prefillBacklog, 1))
-		count.Began, count.BegunFor, count.InTime = count.Began+arrived, count.BegunFor+arrived*prefillTokens, count.InTime+arrived
-		count.Ended, count.Answer = count.Ended+arrived, count.Answer+arrived*decodeTokens
+		count.Started, count.StartedPromptTokens, count.WithinObjective = count.Started+arrived, count.StartedPromptTokens+arrived*prefillTokens, count.WithinObjective+arrived
+		count.Completed, count.CompletionTokens = count.Completed+arrived, count.CompletionTokens+arrived*decodeTokens
 	}
 	return offered, served
 }
 
 // processBacklog lets engines do a step's part.
 func (f *fleet) processBacklog() {
-	for _, role := range []string{planapi.Read, planapi.Write} {
+	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		capacity := f.capacity(role)
 		throughput, backlog := prefillThroughput, &f.prefillBacklog
-		if role == planapi.Write {
+		if role == planapi.Decode {
 			throughput, backlog = decodeThroughput, &f.decodeBacklog
 		}
 		done := min(*backlog, capacity*throughput*timeStep.Seconds())
 		*backlog -= done
-		if role == planapi.Read {
+		if role == planapi.Prefill {
 			f.decodeBacklog += done * f.decodePerPrefillToken
 		}
 		for _, engine := range f.engines {
 			if share := f.capacityShare(engine, role); share > 0 {
 				processed := done * share / capacity
-				if role == planapi.Read {
+				if role == planapi.Prefill {
 					engine.prefillTokens += processed
 				} else {
 					engine.decodeTokens += processed
@@ -362,17 +362,17 @@
 }
 
 func (f *fleet) reportOf(engine *engineModel) planapi.EngineReport {
-	report := planapi.EngineReport{Engine: engine.name, Role: engine.reportedRole, Epoch: engine.epoch, Term: engine.term, Life: 1,
+	report := planapi.EngineReport{Engine: engine.name, Role: engine.reportedRole, Epoch: engine.epoch, Term: engine.term, Incarnation: 1,
 		Changing: engine.loading, Draining: engine.draining,
-		Read: engine.prefillTokens, Written: engine.decodeTokens, Busy: engine.busySeconds}
+		PrefillTokens: engine.prefillTokens, DecodeTokens: engine.decodeTokens, BusySeconds: engine.busySeconds}
 	if engine.servingSince >= 0 {
-		report.UpFor = (f.now - engine.servingSince).Milliseconds() + 1
+		report.UptimeMillis = (f.now - engine.servingSince).Milliseconds() + 1
 	}
 	if engine.draining && f.now < engine.phaseEndsAt {
-		report.Open = 1
+		report.OpenRequests = 1
 	}
 	if engine.reportsFalsely {
-		report.Read, report.Written = 10*report.Read, 10*report.Written
+		report.PrefillTokens, report.DecodeTokens = 10*report.PrefillTokens, 10*report.DecodeTokens
 	}
 	return report
 }
@@ -401,13 +401,13 @@
 		if int(f.now/timeStep)%10 != edge%10 || float64(edge) < f.scenario.MissingReports*float64(f.scenario.Edges) {
 			continue
 		}
-		report := planapi.EdgeReport{Edge: fmt.Sprint("edge", edge), Life: 1}
+		report := planapi.EdgeReport{Edge: fmt.Sprint("edge", edge), Incarnation: 1}
 		for _, count := range f.counts {
 			share := 1 / float64(f.scenario.Edges)
 			report.Routes = append(report.Routes, planapi.RouteCount{Route: count.Route, Arrived: count.Arrived * share,
-				Prompt: count.Prompt * share, Began: count.Began * share,
-				BegunFor: count.BegunFor * share, Ended: count.Ended * share, Answer: count.Answer * share,
-				InTime: count.InTime * share, Shed: count.Shed * share})
+				PromptTokens: count.PromptTokens * share, Started: count.Started * share,
+				StartedPromptTokens: count.StartedPromptTokens * share, Completed: count.Completed * share, CompletionTokens: count.CompletionTokens * share,
+				WithinObjective: count.WithinObjective * share, Shed: count.Shed * share})
 		}
 		f.deliverLater(func() { f.execute(f.controller.Step(f.clock(), assignment.EdgeReported{Report: report})) })
 	}
@@ -470,12 +470,12 @@
 	required := map[string]float64{}
 	for _, route := range f.routes {
 		prefillTokens, decodeTokens := route.tokensAt(f.skew())
-		required[planapi.Read] += f.arrivalRate() * route.Share * prefillTokens / prefillThroughput
-		required[planapi.Write] += f.arrivalRate() * route.Share * decodeTokens / decodeThroughput
+		required[planapi.Prefill] += f.arrivalRate() * route.Share * prefillTokens / prefillThroughput
+		required[planapi.Decode] += f.arrivalRate() * route.Share * decodeTokens / decodeThroughput
 	}
 	utilization := func(role string) float64 { return required[role] / max(f.capacity(role), 0.1) }
-	for _, to := range []string{planapi.Read, planapi.Write} {
-		from := planapi.Other(to)
+	for _, to := range []string{planapi.Prefill, planapi.Decode} {
+		from := planapi.OtherRole(to)
 		if utilization(to) > 0.8 && utilization(from) < 0.5 && f.capacity(from) > 1.5 {
 			for _, engine := range f.engines {
 				if engine.canChange && f.capacityShare(engine, from) > 0 {
--- a/internal/modelcheck/fleet.go
+++ b/internal/modelcheck/fleet.go
@@ -131,12 +131,12 @@
 // checkCold adds up what all nodes sent each cold engine within one window. Two of slack: sends are lumps.
 func (f *fleet) checkCold() {
 	u := f.sims[0].d.Rules
-	budget := u.FallMultiple*u.ColdShare*warmRate*u.FallWindow.Seconds() + 2
+	budget := u.OverloadMultiple*u.SlowStartShare*warmRate*u.OverloadWindow.Seconds() + 2
 	for _, e := range f.list.Entries {
 		n := 0
 		for _, s := range f.sims {
 			s.toCold = slices.DeleteFunc(s.toCold, func(c coldSend) bool {
-				return s.now-c.at >= int64(u.FallWindow) || s.now-c.since >= int64(u.Cold)
+				return s.now-c.at >= int64(u.OverloadWindow) || s.now-c.since >= int64(u.SlowStart)
 			})
 			for _, c := range s.toCold {
 				if c.engine == e.ID {
@@ -147,7 +147,7 @@
 		f.most = max(f.most, n)
 		if float64(n) > budget {
 			f.said = append(f.said, fmt.Sprintf("P14 %s is cold and gets %d sends in %v, budget %.0f",
-				e.ID, n, u.FallWindow, budget))
+				e.ID, n, u.OverloadWindow, budget))
 		}
 	}
 }
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -58,7 +58,7 @@
 	{"what may have run is shed", "internal/routing/brain.go", "if mayShed || !ran {", "if true || mayShed || !ran {", "one", "P3"},
 	{"no timer for the end", "internal/routing/api.go", "b.arm(b.infs[in.Inf], timeUp,", "b.arm(b.infs[in.Inf], nothing,", "one", "P4 P9 P10"},
 	{"the end comes late", "internal/routing/brain.go", "return 3 * int64(b.num(\"tick\", float64(time.Millisecond)))", "return -60 * int64(b.num(\"tick\", float64(time.Millisecond)))", "one", "P4 P5"},
-	{"states are kept past the pin limit", "internal/config/facts.go", "float64(d.Rules.Pin) * 5 / 8", "float64(d.Rules.Pin) * 4", "one", "P5"},
+	{"states are kept past the pin limit", "internal/config/facts.go", "float64(d.Rules.ReservationLimit) * 5 / 8", "float64(d.Rules.ReservationLimit) * 4", "one", "P5"},
 	{"what is held is not let go of at the end", "internal/routing/brain.go", "\tb.effects = append(b.effects, Discard{inf.Inf})\n\treturn nothing", "\treturn nothing", "one", "P5 P9 P10"},
 	{"every node has a lot", "internal/routing/brain.go", "math.Mod(b.num(\"me\", 0)+first, nodes) < rest*nodes/7.5", "first+rest >= 0", "crowd-300", "P14"},
 	{"the cold budget is six times as large", "internal/routing/brain.go", "places := 1.2 *", "places := 6 * 1.2 *", "crowd-300", "P14"},
--- a/internal/modelcheck/roles.go
+++ b/internal/modelcheck/roles.go
@@ -69,9 +69,9 @@
 func newRoleSim(w World) *roleSim {
 	s := &roleSim{w: w, now: int64(1000 * time.Second), kept: map[string]assignment.Record{}, wishes: 1}
 	for i := range w.Readers + w.Writers {
-		role := planapi.Read
+		role := planapi.Prefill
 		if i >= w.Readers {
-			role = planapi.Write
+			role = planapi.Decode
 		}
 		s.boxes = append(s.boxes, &roleBox{name: engineName(w, i), role: role, claims: role, epoch: 1,
 			life: 1, epochs: map[int64]string{1: role}})
@@ -108,12 +108,12 @@
 	s.core = assignment.New(s.bounds(), s.term, s.now, records, s.meta)
 	var boxes []assignment.ListedEngine
 	for i, b := range s.boxes {
-		listed := planapi.Read
+		listed := planapi.Prefill
 		if i >= s.w.Readers {
-			listed = planapi.Write
+			listed = planapi.Decode
 		}
 		boxes = append(boxes, assignment.ListedEngine{Engine: b.name, Role: listed, Weight: 1, Ready: true, CanChange: true,
-			Kinds: map[string]string{planapi.Read: planapi.Read, planapi.Write: planapi.Write}})
+			Kinds: map[string]string{planapi.Prefill: planapi.Prefill, planapi.Decode: planapi.Decode}})
 	}
 	s.step(assignment.EnginesListed{Engines: boxes})
 }
@@ -173,9 +173,9 @@
 
 // say hands over an engine's report, as it is now, to a question of askedAt.
 func (s *roleSim) say(b *roleBox, askedAt int64) {
-	r := planapi.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Life: b.life,
-		UpFor: 0, Changing: b.loading,
-		Draining: b.leaving, Open: b.open}
+	r := planapi.EngineReport{Engine: b.name, Role: b.claims, Epoch: b.epoch, Term: b.term, Incarnation: b.life,
+		UptimeMillis: 0, Changing: b.loading,
+		Draining: b.leaving, OpenRequests: b.open}
 	s.step(assignment.EngineReported{RequestedAt: askedAt, Report: r})
 }
 
@@ -221,8 +221,8 @@
 			if s.kept[b.name].State == assignment.Quarantined {
 				add("an operator mends and readmits "+b.name, "leave", func() {
 					b.never, b.lies = false, false
-					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "readmit", Engine: b.name,
-						Who: "w", Why: "y"}); err == nil {
+					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Operation: "readmit", Engine: b.name,
+						Operator: "w", Reason: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
 				})
@@ -248,8 +248,8 @@
 			if i == 0 || i == s.w.Readers {
 				add("an operator moves "+b.name, "", func() {
 					s.wishes--
-					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "move", Engine: b.name,
-						Who: "w", Why: "y"}); err == nil {
+					if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Operation: "move", Engine: b.name,
+						Operator: "w", Reason: "y"}); err == nil {
 						s.queue = append(s.queue, effects...)
 					}
 				})
@@ -335,8 +335,8 @@
 	if !s.meta.Stopped && !s.stopped {
 		add("an operator stops all changes", "leave", func() {
 			s.stopped = true
-			if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Op: "stop", Who: "w",
-				Why: "y"}); err == nil {
+			if _, effects, err := s.core.ApplyOrder(s.now, planapi.Order{Operation: "stop", Operator: "w",
+				Reason: "y"}); err == nil {
 				s.queue = append(s.queue, effects...)
 			}
 		})
@@ -405,7 +405,7 @@
 				e.Engine, e.Kind, e.Epoch, role)
 		}
 	}
-	for _, role := range []string{planapi.Read, planapi.Write} {
+	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		lost := 0 // to its own fault, not to a change
 		for _, b := range s.boxes {
 			if k, ok := s.kept[b.name]; ok && k.Role == role && (k.State == assignment.RollingBack ||
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -141,20 +141,20 @@
 
 func (w World) deployment() *config.Deployment {
 	d := config.Defaults()
-	d.Node, d.Tick, d.Stall, d.Probes = "n", tick, stall, w.Probes
-	d.Rules.DrainGrace, d.Rules.Pin = grace, pin
-	d.Lines.Idle, d.Lines.DialTime = 150*time.Millisecond, 100*time.Millisecond
-	d.Lines.PerEngine = max(1, w.PerConn)
+	d.NodeName, d.TickInterval, d.StallTimeout, d.HealthChecks = "n", tick, stall, w.Probes
+	d.Rules.DrainGrace, d.Rules.ReservationLimit = grace, pin
+	d.Connections.IdleTimeout, d.Connections.DialTimeout = 150*time.Millisecond, 100*time.Millisecond
+	d.Connections.PerEngine = max(1, w.PerConn)
 	if w.PerConn == 0 {
-		d.Lines.PerEngine = 4
+		d.Connections.PerEngine = 4
 	}
 	if w.Open > 0 {
 		d.Limits.Open = w.Open
 	}
-	d.Nodes = max(1, w.Nodes)
+	d.NodeCount = max(1, w.Nodes)
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	for _, effect := range []string{"retriable", "deduped", "non-retriable"} {
-		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, Value: 1, FirstToken: target,
+		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, PriorityWeight: 1, FirstTokenObjective: target,
 			Timeout: giveUp, DedupWindow: time.Second, DedupGroup: "all"})
 	}
 	return d
@@ -166,9 +166,9 @@
 func newNode(w World, me int, tell bool) *sim {
 	s := &sim{w: w, d: w.deployment(), now: int64(1000 * time.Second), toldAt: map[string]int64{}, tell: tell,
 		asks: map[int]int{}, node: me, apart: w.Nodes > 1 || w.Crowd}
-	s.d.Me = me
+	s.d.NodeNumber = me
 	if s.apart {
-		s.d.Node = fmt.Sprint("n", me)
+		s.d.NodeName = fmt.Sprint("n", me)
 	}
 	s.begin()
 	for i := range w.Readers + w.Writers {
@@ -661,7 +661,7 @@
 	}
 	r, _ := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	s.asks[s.life]++
-	c.name = fmt.Sprintf("%s-%x-%d", s.d.Node, s.life, s.asks[s.life])
+	c.name = fmt.Sprintf("%s-%x-%d", s.d.NodeName, s.life, s.asks[s.life])
 	before := s.core.Holding().Inferences
 	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)}) })
 	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderRequestID) { // refused before it was an inference
@@ -676,7 +676,7 @@
 func (s *sim) pass(to int64) {
 	s.now = to
 	for _, l := range s.lines {
-		if !l.closed && l.hangs > 0 && s.now-l.hangs >= int64(s.d.Lines.DialTime) {
+		if !l.closed && l.hangs > 0 && s.now-l.hangs >= int64(s.d.Connections.DialTimeout) {
 			l.closed = true
 			s.do(func() { s.core.LineDialled(l.core, nil, io.ErrUnexpectedEOF) })
 		}
--- a/internal/planner/assignment/core.go
+++ b/internal/planner/assignment/core.go
@@ -347,9 +347,9 @@
 	}
 	if !engine.roleKnown { // a planner without records takes the engine's word for what it is
 		engine.roleKnown = true
-		engine.Role, engine.Epoch, engine.Incarnation, engine.StateSince = report.Role, report.Epoch, report.Life, c.now
-		if report.UpFor > 0 {
-			engine.ServingSince = max(1, c.now-report.UpFor*int64(time.Millisecond))
+		engine.Role, engine.Epoch, engine.Incarnation, engine.StateSince = report.Role, report.Epoch, report.Incarnation, c.now
+		if report.UptimeMillis > 0 {
+			engine.ServingSince = max(1, c.now-report.UptimeMillis*int64(time.Millisecond))
 		}
 		c.publishPending = true
 		c.markDirty(engine)
@@ -367,10 +367,10 @@
 			engine.fault = fmt.Sprintf("it says role %s of epoch %d, it was given %s of %d", report.Role, report.Epoch,
 				engine.Role, engine.Epoch)
 			c.fire(engine, mismatchReported)
-		case report.Life != engine.Incarnation && engine.Incarnation != 0:
+		case report.Incarnation != engine.Incarnation && engine.Incarnation != 0:
 			c.fire(engine, restarted)
 		case engine.Incarnation == 0:
-			engine.Incarnation = report.Life
+			engine.Incarnation = report.Incarnation
 			c.markDirty(engine)
 		case report.Draining: // its drain was ended, and the order for that got lost
 			c.resendOrder(engine)
@@ -382,7 +382,7 @@
 			c.fire(engine, mismatchReported)
 		case !report.Draining:
 			c.resendOrder(engine)
-		case report.Open == 0 && report.Held == 0 && c.now-engine.StateSince >= 2*int64(c.config.DrainGrace):
+		case report.OpenRequests == 0 && report.Reservations == 0 && c.now-engine.StateSince >= 2*int64(c.config.DrainGrace):
 			c.fire(engine, drained)
 		}
 	case Ordered, Loading, RollingBack:
@@ -467,28 +467,28 @@
 	if order.Engine != "" && (engine == nil || !engine.present) {
 		return "", nil, fmt.Errorf("%s: no such engine is listed", order.Engine)
 	}
-	requestedBy := fmt.Sprintf("%s: %s", order.Who, order.Why)
-	switch order.Op {
+	requestedBy := fmt.Sprintf("%s: %s", order.Operator, order.Reason)
+	switch order.Operation {
 	case "pin", "unpin":
-		if engine.Pinned == (order.Op == "pin") {
-			return "", nil, fmt.Errorf("%s is %sned already", order.Engine, order.Op)
+		if engine.Pinned == (order.Operation == "pin") {
+			return "", nil, fmt.Errorf("%s is %sned already", order.Engine, order.Operation)
 		}
-		text = fmt.Sprintf("%s is %sned in its role, %s", engine.Engine, order.Op, engine.Role)
-		if !order.Dry {
-			engine.Pinned, engine.Reason = order.Op == "pin", requestedBy
+		text = fmt.Sprintf("%s is %sned in its role, %s", engine.Engine, order.Operation, engine.Role)
+		if !order.DryRun {
+			engine.Pinned, engine.Reason = order.Operation == "pin", requestedBy
 			c.markDirty(engine)
 		}
 	case "stop", "go":
-		if c.meta.Stopped == (order.Op == "stop") {
+		if c.meta.Stopped == (order.Operation == "stop") {
 			return "", nil, fmt.Errorf("changes are %s already", map[string]string{"stop": "stopped",
-				"go": "going on"}[order.Op])
+				"go": "going on"}[order.Operation])
 		}
 		text = "changes go on"
-		if order.Op == "stop" {
+		if order.Operation == "stop" {
 			text = "no change begins; engines that drain go back, what is loading comes to its end"
 		}
-		if !order.Dry {
-			c.meta.Stopped, c.meta.StoppedBy, c.meta.StopReason, c.metaDirty = order.Op == "stop", order.Who, order.Why, true
+		if !order.DryRun {
+			c.meta.Stopped, c.meta.StoppedBy, c.meta.StopReason, c.metaDirty = order.Operation == "stop", order.Operator, order.Reason, true
 			for _, id := range c.engineIDs {
 				if c.meta.Stopped {
 					c.fire(c.engines[id], changesStopped)
@@ -500,7 +500,7 @@
 			return "", nil, fmt.Errorf("%s is %s, not aside", engine.Engine, engine.State)
 		}
 		text = engine.Engine + " is asked to come back as " + engine.Role
-		if !order.Dry {
+		if !order.DryRun {
 			engine.quarantineCount = 0
 			c.fire(engine, readmitted)
 		}
@@ -508,8 +508,8 @@
 		if why := c.ineligibleReason(engine); why != "" {
 			return "", nil, fmt.Errorf("%s may not change: %s", engine.Engine, why)
 		}
-		text = fmt.Sprintf("%s leaves %s for %s", engine.Engine, engine.Role, planapi.Other(engine.Role))
-		if !order.Dry {
+		text = fmt.Sprintf("%s leaves %s for %s", engine.Engine, engine.Role, planapi.OtherRole(engine.Role))
+		if !order.DryRun {
 			c.beginChange(engine, "by order of "+requestedBy)
 		}
 	}
@@ -546,7 +546,7 @@
 			Epoch: engine.Epoch}
 		// Ten minutes is long for any cold start.
 		if servingSince := max(engine.ServingSince, engine.listed.UpSince); servingSince > 0 && c.now-servingSince < int64(10*time.Minute) {
-			entry.UpFor = max(1, (c.now-servingSince)/int64(time.Millisecond))
+			entry.UptimeMillis = max(1, (c.now-servingSince)/int64(time.Millisecond))
 		}
 		plan.Engines = append(plan.Engines, entry)
 	}
--- a/internal/planner/assignment/decide.go
+++ b/internal/planner/assignment/decide.go
@@ -201,23 +201,23 @@
 // decide weighs one change in each direction and begins at most one.
 func (c *Controller) decide() {
 	mix, reporting, known := c.estimateDemand()
-	throughputs := map[string]float64{planapi.Read: c.throughput(planapi.Read), planapi.Write: c.throughput(planapi.Write)}
+	throughputs := map[string]float64{planapi.Prefill: c.throughput(planapi.Prefill), planapi.Decode: c.throughput(planapi.Decode)}
 	decision := Decision{At: c.now, Mix: mix, EdgesReporting: reporting, EdgesKnown: known, RequiredEngines: map[string]float64{},
 		ServingEngines:  map[string]float64{},
 		IncomingEngines: map[string]float64{}, Throughput: throughputs, Stopped: c.meta.Stopped || c.config.ExplainOnly,
 		Changing: c.changingCount()}
 	for _, demand := range mix {
-		decision.RequiredEngines[planapi.Read] += demand.Rate * demand.PrefillTokens / max(throughputs[planapi.Read], 1)
-		decision.RequiredEngines[planapi.Write] += demand.Rate * demand.DecodeTokens / max(throughputs[planapi.Write], 1)
+		decision.RequiredEngines[planapi.Prefill] += demand.Rate * demand.PrefillTokens / max(throughputs[planapi.Prefill], 1)
+		decision.RequiredEngines[planapi.Decode] += demand.Rate * demand.DecodeTokens / max(throughputs[planapi.Decode], 1)
 	}
-	for _, role := range []string{planapi.Read, planapi.Write} {
+	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		decision.ServingEngines[role], decision.IncomingEngines[role] = c.supply(role)
 	}
 	if len(mix) > 0 && (len(c.mixHistory) == 0 || c.now-c.mixRecordedAt >= int64(mixInterval)) {
 		c.mixHistory, c.mixRecordedAt = appendBounded(c.mixHistory, mixSample{mix, c.lossFactor(mix, decision, throughputs)}, maxMixes), c.now
 	}
 	c.trackSkew(decision.RequiredEngines)
-	for _, to := range []string{planapi.Read, planapi.Write} {
+	for _, to := range []string{planapi.Prefill, planapi.Decode} {
 		decision.Evaluations = append(decision.Evaluations, c.evaluate(to, mix, throughputs, decision))
 	}
 	slices.SortStableFunc(decision.Evaluations, func(a, b Evaluation) int { return cmp.Compare(b.Gain, a.Gain) })
@@ -227,8 +227,8 @@
 			c.beginChange(c.engines[evaluation.Engine],
 				fmt.Sprintf("%s has work for %.1f engines and %.1f, %s for %.1f and %.1f: %.2f of value a second gained for %.0f s, "+
 					"%.0f s more, cost %.2f", evaluation.ToRole, decision.RequiredEngines[evaluation.ToRole], decision.ServingEngines[evaluation.ToRole]+decision.IncomingEngines[evaluation.ToRole],
-					planapi.Other(evaluation.ToRole), decision.RequiredEngines[planapi.Other(evaluation.ToRole)],
-					decision.ServingEngines[planapi.Other(evaluation.ToRole)], evaluation.Gain, evaluation.GainingSeconds, evaluation.RemainingSeconds, evaluation.Cost))
+					planapi.OtherRole(evaluation.ToRole), decision.RequiredEngines[planapi.OtherRole(evaluation.ToRole)],
+					decision.ServingEngines[planapi.OtherRole(evaluation.ToRole)], evaluation.Gain, evaluation.GainingSeconds, evaluation.RemainingSeconds, evaluation.Cost))
 			break
 		}
 	}
@@ -237,17 +237,17 @@
 
 // evaluate judges one change to a role. Why is empty if it is to be done.
 func (c *Controller) evaluate(to string, mix trafficMix, throughputs map[string]float64, decision Decision) (evaluation Evaluation) {
-	from := planapi.Other(to)
+	from := planapi.OtherRole(to)
 	evaluation.ToRole = to
 	value := func(p mixSample, moved float64) float64 {
 		n := map[string]float64{to: decision.ServingEngines[to] + decision.IncomingEngines[to] + moved, from: decision.ServingEngines[from] +
 			decision.IncomingEngines[from] - moved}
 		offered := p.mix.offeredValue()
-		return offered - p.lossFactor*(offered-p.mix.servedValue(n[planapi.Read], n[planapi.Write], throughputs[planapi.Read],
-			throughputs[planapi.Write]))
+		return offered - p.lossFactor*(offered-p.mix.servedValue(n[planapi.Prefill], n[planapi.Decode], throughputs[planapi.Prefill],
+			throughputs[planapi.Decode]))
 	}
 	now := mixSample{mix, c.lossFactor(mix, decision, throughputs)}
-	if len(mix) == 0 || throughputs[planapi.Read] == 0 || throughputs[planapi.Write] == 0 {
+	if len(mix) == 0 || throughputs[planapi.Prefill] == 0 || throughputs[planapi.Decode] == 0 {
 		evaluation.Reason = "nothing is known yet of what arrives or of how fast engines are"
 		if c.roleUnserved(from, to, decision) && len(mix) > 0 {
 			evaluation.Gain = 1
@@ -303,15 +303,15 @@
 	took := c.changeSeconds()
 	serving := func(less float64) float64 {
 		n := map[string]float64{to: decision.ServingEngines[to], from: decision.ServingEngines[from] - less}
-		return mix.servedValue(n[planapi.Read], n[planapi.Write], throughputs[planapi.Read], throughputs[planapi.Write])
+		return mix.servedValue(n[planapi.Prefill], n[planapi.Decode], throughputs[planapi.Prefill], throughputs[planapi.Decode])
 	}
 	evaluation.Cost = max(0, serving(0)-serving(1)) * took
-	if offered, need := 0.0, decision.RequiredEngines[planapi.Read]; need > 0 && from == planapi.Read {
+	if offered, need := 0.0, decision.RequiredEngines[planapi.Prefill]; need > 0 && from == planapi.Prefill {
 		offered = mix.offeredValue()
 		// Reading again is work that others could have used: a second of one reader is worth its part of all
 		// value, the more so the fuller readers are.
 		full := min(1, need/max(usableCapacity*(decision.ServingEngines[from]-1), 0.1))
-		evaluation.Cost += evaluation.LostTokens / max(throughputs[planapi.Read], 1) * offered / need * full
+		evaluation.Cost += evaluation.LostTokens / max(throughputs[planapi.Prefill], 1) * offered / need * full
 	}
 	// What is left of the shift, less the time until the engine serves; and once the load has turned, what
 	// its absence costs until it is seen and the engine is back.
@@ -342,11 +342,11 @@
 
 // trackSkew notes when the load tilts to the other side of what it was on average, and how long each side lasted.
 func (c *Controller) trackSkew(required map[string]float64) {
-	total := required[planapi.Read] + required[planapi.Write]
+	total := required[planapi.Prefill] + required[planapi.Decode]
 	if total == 0 {
 		return
 	}
-	share := required[planapi.Read] / total
+	share := required[planapi.Prefill] / total
 	c.prefillShares = appendBounded(c.prefillShares, share, 240) // four minutes of seconds
 	mean := 0.0
 	for _, s := range c.prefillShares {
@@ -355,9 +355,9 @@
 	skewed := c.skewedRole
 	// A twentieth: less is noise of counts.
 	if share > mean+0.05 {
-		skewed = planapi.Read
+		skewed = planapi.Prefill
 	} else if share < mean-0.05 {
-		skewed = planapi.Write
+		skewed = planapi.Decode
 	}
 	if skewed == c.skewedRole {
 		return
@@ -398,8 +398,8 @@
 // third to four times: beyond that the counts say more of other troubles than of roles.
 func (c *Controller) lossFactor(mix trafficMix, decision Decision, throughputs map[string]float64) float64 {
 	offered := mix.offeredValue()
-	estimatedLoss := offered - mix.servedValue(decision.ServingEngines[planapi.Read], decision.ServingEngines[planapi.Write], throughputs[planapi.Read],
-		throughputs[planapi.Write])
+	estimatedLoss := offered - mix.servedValue(decision.ServingEngines[planapi.Prefill], decision.ServingEngines[planapi.Decode], throughputs[planapi.Prefill],
+		throughputs[planapi.Decode])
 	if estimatedLoss < noiseShare*offered {
 		return 1
 	}
@@ -451,7 +451,7 @@
 			continue
 		}
 		// A hundred tokens for each that is open: about what a half-done answer is worth.
-		if cost := c.lostCacheTokens(engine) + 100*float64(engine.report.Open+engine.report.Held); cost < leastCost {
+		if cost := c.lostCacheTokens(engine) + 100*float64(engine.report.OpenRequests+engine.report.Reservations); cost < leastCost {
 			best, leastCost = engine, cost
 		}
 	}
@@ -470,15 +470,15 @@
 // lostCacheTokens is how many tokens of kept texts go with an engine: those that no other serving reader keeps are read
 // again by each edge's sessions, the rest costs a tenth, as its sessions must move.
 func (c *Controller) lostCacheTokens(engine *engineRecord) float64 {
-	if engine.Role != planapi.Read {
+	if engine.Role != planapi.Prefill {
 		return 0
 	}
-	lostTokens := 0.1 * engine.report.Kept
-	for prefix, tokens := range engine.report.Hot {
+	lostTokens := 0.1 * engine.report.CachedTokens
+	for prefix, tokens := range engine.report.HotPrefixes {
 		copies := 0
 		for _, id := range c.engineIDs {
 			other := c.engines[id]
-			if _, ok := other.report.Hot[prefix]; ok && other.Role == planapi.Read && (other.State == Serving ||
+			if _, ok := other.report.HotPrefixes[prefix]; ok && other.Role == planapi.Prefill && (other.State == Serving ||
 				other.State == WarmingUp) {
 				copies++
 			}
@@ -538,7 +538,7 @@
 			recent++
 		}
 	}
-	otherServing, otherIncoming := c.supply(planapi.Other(engine.Role))
+	otherServing, otherIncoming := c.supply(planapi.OtherRole(engine.Role))
 	if otherServing+otherIncoming > 0 { // where a role has nobody, the budgets of calm times would only keep it so
 		if float64(c.changingCount()+1) > max(1, c.config.MaxChangingShare*float64(listed)) {
 			return "as many engines are changing as may"
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -42,14 +42,14 @@
 func (engine *engineRecord) recordSample(report planapi.EngineReport, now int64) {
 	previous := engine.report
 	elapsed := now - engine.reportedAt
-	if engine.reportedAt == 0 || previous.Life != report.Life || previous.Role != report.Role || report.Read < previous.Read ||
-		report.Written < previous.Written || report.Busy < previous.Busy || elapsed <= 0 {
+	if engine.reportedAt == 0 || previous.Incarnation != report.Incarnation || previous.Role != report.Role || report.PrefillTokens < previous.PrefillTokens ||
+		report.DecodeTokens < previous.DecodeTokens || report.BusySeconds < previous.BusySeconds || elapsed <= 0 {
 		return
 	}
-	sample := workSample{takenAt: now, duration: elapsed, tokens: report.Written - previous.Written, busySeconds: report.Busy - previous.Busy,
-		prefill: report.Role == planapi.Read}
+	sample := workSample{takenAt: now, duration: elapsed, tokens: report.DecodeTokens - previous.DecodeTokens, busySeconds: report.BusySeconds - previous.BusySeconds,
+		prefill: report.Role == planapi.Prefill}
 	if sample.prefill {
-		sample.tokens = report.Read - previous.Read
+		sample.tokens = report.PrefillTokens - previous.PrefillTokens
 	}
 	// Reports come four times a second; a second of them makes a sample.
 	if n := len(engine.samples); n > 0 && engine.samples[n-1].duration < int64(time.Second) &&
@@ -71,7 +71,7 @@
 		edge = &edgeRecord{}
 		c.edges[report.Edge] = edge
 	}
-	if edge.reportedAt > 0 && edge.report.Life == report.Life && c.now > edge.reportedAt {
+	if edge.reportedAt > 0 && edge.report.Incarnation == report.Incarnation && c.now > edge.reportedAt {
 		delta := countDelta{takenAt: c.now, duration: c.now - edge.reportedAt}
 		for _, count := range report.Routes {
 			i := slices.IndexFunc(edge.report.Routes,
@@ -81,11 +81,11 @@
 				previous = edge.report.Routes[i]
 			}
 			difference := planapi.RouteCount{Route: count.Route, Arrived: count.Arrived - previous.Arrived,
-				Prompt: count.Prompt - previous.Prompt, Began: count.Began - previous.Began,
-				BegunFor: count.BegunFor - previous.BegunFor, Ended: count.Ended - previous.Ended, Answer: count.Answer - previous.Answer,
-				InTime: count.InTime - previous.InTime,
-				Shed:   count.Shed - previous.Shed}
-			if min(difference.Arrived, difference.Prompt, difference.Began, difference.BegunFor, difference.Ended, difference.Answer, difference.InTime, difference.Shed) < 0 {
+				PromptTokens: count.PromptTokens - previous.PromptTokens, Started: count.Started - previous.Started,
+				StartedPromptTokens: count.StartedPromptTokens - previous.StartedPromptTokens, Completed: count.Completed - previous.Completed, CompletionTokens: count.CompletionTokens - previous.CompletionTokens,
+				WithinObjective: count.WithinObjective - previous.WithinObjective,
+				Shed:            count.Shed - previous.Shed}
+			if min(difference.Arrived, difference.PromptTokens, difference.Started, difference.StartedPromptTokens, difference.Completed, difference.CompletionTokens, difference.WithinObjective, difference.Shed) < 0 {
 				continue // it counts backwards: no life does
 			}
 			delta.routes = append(delta.routes, difference)
@@ -136,10 +136,10 @@
 					totals[count.Route] = &sum{}
 				}
 				total := totals[count.Route]
-				total.arrived, total.prompt, total.ended, total.answer = total.arrived+count.Arrived, total.prompt+count.Prompt,
-					total.ended+count.Ended, total.answer+count.Answer
-				total.lost += count.Shed + max(0, count.Began-count.InTime)
-				read += count.BegunFor
+				total.arrived, total.prompt, total.ended, total.answer = total.arrived+count.Arrived, total.prompt+count.PromptTokens,
+					total.ended+count.Completed, total.answer+count.CompletionTokens
+				total.lost += count.Shed + max(0, count.Started-count.WithinObjective)
+				read += count.StartedPromptTokens
 			}
 		}
 		begun += read / max(span, 0.1)
@@ -148,11 +148,11 @@
 			rates[route] = append(rates[route], n/max(span, 0.1))
 		}
 	}
-	if read, n := c.tokenRate(planapi.Read); begun > 0 && n > 0 {
+	if read, n := c.tokenRate(planapi.Prefill); begun > 0 && n > 0 {
 		// What is read of each prompt token. Readers and edges that are not heard are as the others are. A
 		// reader may read again what another kept, so more than all is possible; under a fiftieth is not
 		// believed.
-		all, _ := c.supply(planapi.Read)
+		all, _ := c.supply(planapi.Prefill)
 		read *= max(1, all/float64(n))
 		begun *= float64(known) / float64(reporting)
 		c.uncachedRatio = min(max(read/begun, 0.02), 1.5)
@@ -198,7 +198,7 @@
 		engine := c.engines[id]
 		tokens, span := 0.0, int64(0)
 		for _, sample := range engine.samples {
-			if sample.prefill == (role == planapi.Read) && c.now-sample.takenAt < int64(maxDeltas*time.Second) {
+			if sample.prefill == (role == planapi.Prefill) && c.now-sample.takenAt < int64(maxDeltas*time.Second) {
 				tokens, span = tokens+sample.tokens, span+sample.duration
 			}
 		}
@@ -226,7 +226,7 @@
 		var ownThroughputs []float64
 		for _, sample := range engine.samples {
 			// A twentieth busy: less work than that says little of how fast it goes.
-			if sample.prefill == (role == planapi.Read) && sample.busySeconds > 0.05*float64(sample.duration)/1e9 && sample.tokens > 0 {
+			if sample.prefill == (role == planapi.Prefill) && sample.busySeconds > 0.05*float64(sample.duration)/1e9 && sample.tokens > 0 {
 				ownThroughputs = append(ownThroughputs, sample.tokens/sample.busySeconds/cmp.Or(engine.listed.Weight, 1))
 			}
 		}
@@ -240,8 +240,8 @@
 		c.throughputs[role] = throughputs[len(throughputs)/2]
 	}
 	if c.throughputs[role] == 0 {
-		c.throughputs[role] = map[string]float64{planapi.Read: c.config.PrefillThroughput,
-			planapi.Write: c.config.DecodeThroughput}[role]
+		c.throughputs[role] = map[string]float64{planapi.Prefill: c.config.PrefillThroughput,
+			planapi.Decode: c.config.DecodeThroughput}[role]
 	}
 	return c.throughputs[role]
 }
--- a/internal/planner/assignment/roles_test.go
+++ b/internal/planner/assignment/roles_test.go
@@ -21,13 +21,13 @@
 }
 
 func listEngines(n int) (engines []ListedEngine) {
-	kinds := map[string]string{planapi.Read: "prefill", planapi.Write: "decode"}
+	kinds := map[string]string{planapi.Prefill: "prefill", planapi.Decode: "decode"}
 	for i := range n {
-		engine := ListedEngine{Engine: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1), Role: planapi.Read,
+		engine := ListedEngine{Engine: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200+1), Role: planapi.Prefill,
 			Cell: fmt.Sprint("c", i%max(1, n/10)), Weight: 1, Ready: true,
 			CanChange: true, Kinds: kinds}
 		if i >= n/2 {
-			engine.Role = planapi.Write
+			engine.Role = planapi.Decode
 		}
 		engines = append(engines, engine)
 	}
@@ -46,7 +46,7 @@
 		persisted := map[string]Record{}
 		reports := map[string]planapi.EngineReport{}
 		for _, listed := range engines {
-			reports[listed.Engine] = planapi.EngineReport{Engine: listed.Engine, Role: listed.Role, Epoch: 1, Life: 1}
+			reports[listed.Engine] = planapi.EngineReport{Engine: listed.Engine, Role: listed.Role, Epoch: 1, Incarnation: 1}
 		}
 		step := func(act func(*Controller) []Action) {
 			actions := act(controller)
@@ -86,7 +86,7 @@
 					}
 				}
 			}
-			for _, role := range []string{planapi.Read, planapi.Write} {
+			for _, role := range []string{planapi.Prefill, planapi.Decode} {
 				leaving, serving := 0, 0
 				for _, view := range controller.Engines() {
 					if view.Role != role {
@@ -115,11 +115,11 @@
 					r.Changing = false
 					reports[engine] = r
 				}
-				r.Read += 100
+				r.PrefillTokens += 100
 				step(func(c *Controller) []Action { return c.Step(now, EngineReported{now - 1e6, r}) })
 			case 4:
 				falseReport := r
-				falseReport.Epoch, falseReport.Role = int64(rapid.IntRange(0, 5).Draw(t, "epoch")), planapi.Other(r.Role)
+				falseReport.Epoch, falseReport.Role = int64(rapid.IntRange(0, 5).Draw(t, "epoch")), planapi.OtherRole(r.Role)
 				step(func(c *Controller) []Action { return c.Step(now, EngineReported{now - 1e6, falseReport}) })
 			case 5:
 				ok := rapid.Bool().Draw(t, "good")
@@ -128,19 +128,19 @@
 						"no"})
 				})
 			case 6:
-				op := rapid.SampledFrom(planapi.Ops).Draw(t, "op")
-				order := planapi.Order{Op: op, Engine: engine}
+				op := rapid.SampledFrom(planapi.Operations).Draw(t, "op")
+				order := planapi.Order{Operation: op, Engine: engine}
 				if op == "stop" || op == "go" {
 					order.Engine = ""
 				}
 				step(func(c *Controller) []Action { _, actions, _ := c.ApplyOrder(now, order); return actions })
 			case 7:
 				step(func(c *Controller) []Action {
-					return c.Step(now, EdgeReported{planapi.EdgeReport{Edge: "e", Life: 1,
+					return c.Step(now, EdgeReported{planapi.EdgeReport{Edge: "e", Incarnation: 1,
 						Routes: []planapi.RouteCount{{Route: "a",
-							Arrived: float64(now-int64(1000*time.Second)) / 1e8,
-							Prompt:  float64(now-int64(1000*time.Second)) / 1e5,
-							Shed:    float64(now-int64(1000*time.Second)) / 1e9}}}})
+							Arrived:      float64(now-int64(1000*time.Second)) / 1e8,
+							PromptTokens: float64(now-int64(1000*time.Second)) / 1e5,
+							Shed:         float64(now-int64(1000*time.Second)) / 1e9}}}})
 				})
 			default:
 				step(func(c *Controller) []Action { return c.Step(now, Tick{}) })
@@ -151,7 +151,7 @@
 			now += int64(100 * time.Millisecond)
 			for _, listed := range engines {
 				r := reports[listed.Engine]
-				r.Changing, r.Open, r.Held = false, 0, 0
+				r.Changing, r.OpenRequests, r.Reservations = false, 0, 0
 				reports[listed.Engine] = r
 				step(func(c *Controller) []Action { return c.Step(now, EngineReported{now - 1e6, r}) })
 				if controller.engines[listed.Engine].State == InTrial {
@@ -189,14 +189,14 @@
 	engines := listEngines(8)
 	c.Step(now, EnginesListed{engines})
 	for i, engine := range engines {
-		report := planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Life: 1, Kept: 1000,
-			Hot: map[string]float64{"common": 500}}
+		report := planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Incarnation: 1, CachedTokens: 1000,
+			HotPrefixes: map[string]float64{"common": 500}}
 		if i != 2 {
-			report.Hot[fmt.Sprint("only", i)] = 9000
+			report.HotPrefixes[fmt.Sprint("only", i)] = 9000
 		}
 		c.Step(now, EngineReported{now, report})
 	}
-	if best, reason := c.cheapestEngine(planapi.Read); best == nil || best.Engine != engines[2].Engine {
+	if best, reason := c.cheapestEngine(planapi.Prefill); best == nil || best.Engine != engines[2].Engine {
 		t.Errorf("%+v %s", best, reason)
 	}
 }
@@ -209,9 +209,9 @@
 	engines := listEngines(4)
 	c.Step(now, EnginesListed{engines})
 	for _, engine := range engines[:3] {
-		c.Step(now, EngineReported{now, planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Life: 1}})
+		c.Step(now, EngineReported{now, planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Incarnation: 1}})
 	}
-	_, _, err := c.ApplyOrder(now, planapi.Order{Op: "move", Engine: engines[2].Engine})
+	_, _, err := c.ApplyOrder(now, planapi.Order{Operation: "move", Engine: engines[2].Engine})
 	if err == nil || !strings.Contains(err.Error(), "must stay") {
 		t.Errorf("moved: %v", err)
 	}
@@ -222,15 +222,15 @@
 	for _, offset := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
 		now := int64(10_000 * time.Second)
 		engines := listEngines(4)
-		c := New(testConfig(), 2, now+int64(offset), []Record{{Engine: engines[0].Engine, Role: planapi.Read,
-			Epoch: 1, State: Ordered, NextRole: planapi.Write,
+		c := New(testConfig(), 2, now+int64(offset), []Record{{Engine: engines[0].Engine, Role: planapi.Prefill,
+			Epoch: 1, State: Ordered, NextRole: planapi.Decode,
 			NextEpoch: 2, StateSince: now}}, Meta{PlanNumber: 5})
 		at := now + int64(offset)
 		c.Step(at, EnginesListed{engines})
 		for range 100 {
 			at += int64(100 * time.Millisecond)
 			for _, engine := range engines {
-				report := planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Life: 1}
+				report := planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Incarnation: 1}
 				if record := c.engines[engine.Engine]; record.NextEpoch > 0 {
 					report.Role, report.Epoch = record.NextRole, record.NextEpoch
 				} else if record.roleKnown {
@@ -259,15 +259,15 @@
 		for i, x := range engines {
 			now += int64(time.Second) / 300
 			c.Step(now, EngineReported{now, planapi.EngineReport{Engine: x.Engine, Role: x.Role, Epoch: 1,
-				Life: 1, Read: float64(n * 900), Written: float64(n * 90),
-				Busy: float64(n), Hot: map[string]float64{"a": 1, fmt.Sprint(i): 2}}})
+				Incarnation: 1, PrefillTokens: float64(n * 900), DecodeTokens: float64(n * 90),
+				BusySeconds: float64(n), HotPrefixes: map[string]float64{"a": 1, fmt.Sprint(i): 2}}})
 			v := float64(n * 10)
-			c.Step(now, EdgeReported{planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
+			c.Step(now, EdgeReported{planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Incarnation: 1,
 				Routes: []planapi.RouteCount{
-					{Route: "a", Arrived: v, Prompt: 300 * v, Began: v, BegunFor: 300 * v, Ended: v,
-						Answer: 50 * v, InTime: v},
-					{Route: "b", Arrived: v, Prompt: 900 * v, Began: v, BegunFor: 900 * v, Ended: v,
-						Answer: 90 * v, InTime: v, Shed: v / 10}}}})
+					{Route: "a", Arrived: v, PromptTokens: 300 * v, Started: v, StartedPromptTokens: 300 * v, Completed: v,
+						CompletionTokens: 50 * v, WithinObjective: v},
+					{Route: "b", Arrived: v, PromptTokens: 900 * v, Started: v, StartedPromptTokens: 900 * v, Completed: v,
+						CompletionTokens: 90 * v, WithinObjective: v, Shed: v / 10}}}})
 			if i%30 == 0 {
 				c.Step(now, Tick{})
 			}
--- a/internal/planner/assignment/table.go
+++ b/internal/planner/assignment/table.go
@@ -117,7 +117,7 @@
 }
 
 func (c *Controller) startDrain(engine *engineRecord) {
-	engine.NextRole, engine.NextEpoch = planapi.Other(engine.Role), engine.Epoch+1
+	engine.NextRole, engine.NextEpoch = planapi.OtherRole(engine.Role), engine.Epoch+1
 	c.publishPending = true
 	c.sendOrder(engine)
 }
@@ -150,18 +150,18 @@
 
 // adoptRole is the one place where an engine gets a role: it has shown it in a trial under the new epoch.
 func (c *Controller) adoptRole(engine *engineRecord) {
-	engine.ServingSince = max(1, c.now-engine.report.UpFor*int64(time.Millisecond)) // one that only took up its old role is no colder
+	engine.ServingSince = max(1, c.now-engine.report.UptimeMillis*int64(time.Millisecond)) // one that only took up its old role is no colder
 	if engine.Role != engine.NextRole {
 		c.recentChanges = appendBounded(c.recentChanges, completedChange{c.now, c.now - engine.changeStartedAt}, 8)
 		engine.samples, engine.ServingSince = nil, c.now
 	}
 	engine.Role, engine.Epoch, engine.NextRole, engine.NextEpoch = engine.NextRole, engine.NextEpoch, "", 0
-	engine.Incarnation, engine.lastChangeEndedAt = engine.report.Life, c.now
+	engine.Incarnation, engine.lastChangeEndedAt = engine.report.Incarnation, c.now
 	c.publishPending = true
 }
 
 func (c *Controller) noteRestart(engine *engineRecord) {
-	engine.Incarnation, engine.ServingSince = engine.report.Life, max(1, c.now-engine.report.UpFor*int64(time.Millisecond))
+	engine.Incarnation, engine.ServingSince = engine.report.Incarnation, max(1, c.now-engine.report.UptimeMillis*int64(time.Millisecond))
 	c.publishPending = true
 }
 
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -21,7 +21,7 @@
 	"sandcourse/internal/planner/planclient"
 )
 
-func cpu() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -48,24 +48,24 @@
 			State: endpoint.Ready})
 	}
 	dir := b.TempDir()
-	d := config.PlanningDefaults()
-	d.Listen, d.Store, d.Roster = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
-	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	d.Pairs = [][2]string{{"prefill", "decode"}}
-	endpoint.WriteFile(d.Roster, list)
-	p := New(d, zap.NewNop())
+	settings := config.DefaultPlanner()
+	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
+	settings.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	settings.RolePairs = [][2]string{{"prefill", "decode"}}
+	endpoint.WriteFile(settings.EndpointFile, list)
+	p := New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
 		b.Fatal(err)
 	}
-	d.Listen = p.Addr()
+	settings.Listen = p.Addr()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var mu sync.Mutex
 	got := make([]int64, edges) // revision each follows
 	at := make([]time.Time, edges)
 	for i := range edges {
-		go planclient.Planner{Addr: p.Addr(), Report: func(context.Context) (planapi.EdgeReport, error) {
-			return planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Life: 1,
+		go planclient.Client{Addr: p.Addr(), Report: func(context.Context) (planapi.EdgeReport, error) {
+			return planapi.EdgeReport{Edge: fmt.Sprint("edge", i), Incarnation: 1,
 				Routes: []planapi.RouteCount{{Route: "a"}, {Route: "b"}}}, nil
 		}}.Run(ctx, func(l endpoint.List) {
 			mu.Lock()
@@ -88,9 +88,9 @@
 	wait(0)
 	time.Sleep(2 * time.Second)
 	// At rest: reports of all engines and edges, nothing changes.
-	before, rest := cpu(), time.Now()
+	before, rest := processCPUTime(), time.Now()
 	time.Sleep(5 * time.Second)
-	busy := float64(cpu()-before) / float64(time.Since(rest)) * 100
+	busy := float64(processCPUTime()-before) / float64(time.Since(rest)) * 100
 	var took []time.Duration
 	b.ResetTimer()
 	for n := range b.N {
@@ -99,7 +99,7 @@
 		mu.Unlock()
 		list.Entries[n%engines].Weight += 0.01
 		begun := time.Now()
-		p.put(func() { p.step(assignment.EnginesListed{Engines: p.boxes(list)}) })
+		p.enqueue(func() { p.step(assignment.EnginesListed{Engines: p.engineRecords(list)}) })
 		wait(last)
 		mu.Lock()
 		for _, t := range at {
@@ -117,7 +117,7 @@
 	mu.Unlock()
 	p.Stop()
 	begun := time.Now()
-	p = New(d, zap.NewNop())
+	p = New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/planner/fulldisk_test.go
+++ b/internal/planner/fulldisk_test.go
@@ -29,8 +29,8 @@
 	run()
 }
 
-// others lists what lies beside a store.
-func others(t *testing.T, path string) (names []string) {
+// otherFiles lists what lies beside a store.
+func otherFiles(t *testing.T, path string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Dir(path))
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // A planner that starts while its disk is full, or cannot be read, has not lost its store: it must not begin an empty one,
 // as a planner that forgets its term gives orders that look old, or new ones under an old term.
-func TestStoreOpenedOnAFullDisk(t *testing.T) {
+func TestStoreIsKeptWhenOpenedOnFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, _, err := Open(path)
 	if err != nil {
@@ -61,18 +61,18 @@
 			s.Close() // nothing had to be written: that is fine, too
 		}
 	})
-	s, kept, err := Open(path)
+	s, stored, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if kept.Term != 7 || len(kept.Faults) > 0 || len(others(t, path)) > 0 {
-		t.Errorf("term %d, faults %q, beside the store lie %q; want term 7 and nothing else", kept.Term, kept.Faults, others(t, path))
+	if stored.Term != 7 || len(stored.Faults) > 0 || len(otherFiles(t, path)) > 0 {
+		t.Errorf("term %d, faults %q, beside the store lie %q; want term 7 and nothing else", stored.Term, stored.Faults, otherFiles(t, path))
 	}
 }
 
 // A start that failed on a full disk leaves nothing that the next one takes for a damaged store.
-func TestStoreMadeOnAFullDisk(t *testing.T) {
+func TestFailedStoreCreationLeavesNoFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	withFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
@@ -80,12 +80,12 @@
 			s.Close()
 		}
 	})
-	s, kept, err := Open(path)
+	s, stored, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if len(kept.Faults) > 0 || len(others(t, path)) > 0 {
-		t.Errorf("faults %q, beside the store lie %q", kept.Faults, others(t, path))
+	if len(stored.Faults) > 0 || len(otherFiles(t, path)) > 0 {
+		t.Errorf("faults %q, beside the store lie %q", stored.Faults, otherFiles(t, path))
 	}
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -57,17 +57,17 @@
 // A store of an earlier version opens as it is: its term, its orders and all engines come back, and nothing is put aside.
 func TestGoldenEarlierStoreOpens(t *testing.T) {
 	path := copyStore(t)
-	store, kept, err := Open(path)
+	store, stored, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
 	want := storeContent()
-	if kept.Term != storeTerm || len(kept.Faults) != 0 || !reflect.DeepEqual(kept.Meta, want.Meta) ||
-		!reflect.DeepEqual(kept.Records, want.Records) {
-		meta, _ := json.Marshal(kept.Meta)
-		records, _ := json.Marshal(kept.Records)
-		t.Errorf("term %d, faults %q, meta %s, records %s", kept.Term, kept.Faults, meta, records)
+	if stored.Term != storeTerm || len(stored.Faults) != 0 || !reflect.DeepEqual(stored.Meta, want.Meta) ||
+		!reflect.DeepEqual(stored.Records, want.Records) {
+		meta, _ := json.Marshal(stored.Meta)
+		records, _ := json.Marshal(stored.Records)
+		t.Errorf("term %d, faults %q, meta %s, records %s", stored.Term, stored.Faults, meta, records)
 	}
 	files, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(files) != 1 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// dump is all that a store's file holds, bucket by bucket, with each value's checksum in hexadecimal digits.
-func dump(t *testing.T, path string) string {
+// dumpStore is all that a store's file holds, bucket by bucket, with each value's checksum in hexadecimal digits.
+func dumpStore(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -118,9 +118,9 @@
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	got := dump(t, path)
+	got := dumpStore(t, path)
 	golden.Check(t, "store.golden", got)
-	if earlier := dump(t, copyStore(t)); got != earlier {
+	if earlier := dumpStore(t, copyStore(t)); got != earlier {
 		t.Errorf("written now:\n%s\nbefore:\n%s", got, earlier)
 	}
 }
@@ -128,9 +128,9 @@
 // A planner that starts with an earlier store goes on from it: one term later, stopped as it was ordered to be, with each
 // engine's role and epoch, and with the same words for whoever looks.
 func TestGoldenPlannerGoesOnFromEarlierStore(t *testing.T) {
-	d := config.PlanningDefaults()
-	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
-	p := New(d, zap.NewNop())
+	settings := config.DefaultPlanner()
+	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
+	p := New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -160,20 +160,20 @@
 		fmt.Fprintf(&b, "%v %v of epoch %v, pinned %v\n", e["engine"], e["role"], e["epoch"], e["pinned"])
 	}
 	golden.Check(t, "continued.golden", b.String())
-	_, kept, err := Open(d.Store)
-	if err != nil || kept.Term != storeTerm+1 || !reflect.DeepEqual(kept.Meta, storeContent().Meta) {
-		meta, _ := json.Marshal(kept.Meta)
-		t.Errorf("%v: term %d, meta %s", err, kept.Term, meta)
+	_, stored, err := Open(settings.Store)
+	if err != nil || stored.Term != storeTerm+1 || !reflect.DeepEqual(stored.Meta, storeContent().Meta) {
+		meta, _ := json.Marshal(stored.Meta)
+		t.Errorf("%v: term %d, meta %s", err, stored.Term, meta)
 	}
 }
 
 // What operators are shown has these names and this form; the command line of another version reads it.
-func TestGoldenShown(t *testing.T) {
-	shown := Shown{Term: 8, Number: 42, Deposed: true, Stuck: true, Edges: 3,
+func TestGoldenStatus(t *testing.T) {
+	shown := Status{Term: 8, Number: 42, Deposed: true, SaveFailing: true, FollowingEdges: 3,
 		Engines: []assignment.EngineView{{Record: storeContent().Records[1], Listed: true, CanChange: true,
-			Report: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Life: 6, UpFor: 1500,
-				Changing: true, Draining: true, Read: 10.5, Written: 20, Busy: 0.25, Open: 2, Held: 1, Kept: 300,
-				Hot: map[string]float64{"5c0f": 2048, "0a11": 512}},
+			Report: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Incarnation: 6, UptimeMillis: 1500,
+				Changing: true, Draining: true, PrefillTokens: 10.5, DecodeTokens: 20, BusySeconds: 0.25, OpenRequests: 2, Reservations: 1, CachedTokens: 300,
+				HotPrefixes: map[string]float64{"5c0f": 2048, "0a11": 512}},
 			ReportedMsAgo: 120, IneligibleReason: "it drains", Fault: "it said nothing"},
 			{Record: storeContent().Records[0], ReportedMsAgo: -1}},
 		Decision: assignment.Decision{At: 1_700_000_000_000_000_000, EdgesReporting: 2, EdgesKnown: 3,
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "shown.golden", string(data)+"\n")
-	var back Shown
+	var back Status
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
 	}
@@ -197,19 +197,19 @@
 }
 
 // A line of the stream that is sent again later differs only in how long engines have been up.
-func TestGoldenAgedLine(t *testing.T) {
+func TestGoldenStreamLine(t *testing.T) {
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
 		`"state":"draining"}]}` + "\n"
-	golden.Check(t, "stream.golden", line+string(aged([]byte(line), 49*time.Millisecond))+
-		string(aged([]byte(line), 1250*time.Millisecond)))
+	golden.Check(t, "stream.golden", line+string(withUptimeAdded([]byte(line), 49*time.Millisecond))+
+		string(withUptimeAdded([]byte(line), 1250*time.Millisecond)))
 }
 
 // What a planner answers at each of its paths. Requests stand here as they are sent.
 func TestGoldenAnswers(t *testing.T) {
-	d := config.PlanningDefaults()
-	d.Listen, d.Store, d.Roster = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
-	p := New(d, zap.NewNop())
+	settings := config.DefaultPlanner()
+	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
+	p := New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -253,12 +253,12 @@
 
 // The planner's metrics by their names, labels and words.
 func TestGoldenMetrics(t *testing.T) {
-	m := newMeters()
+	m := newMetrics()
 	m.plans.Add(3)
 	m.streams.Set(2)
 	m.engines.WithLabelValues("read", "serving").Set(5)
 	m.engines.WithLabelValues("write", "draining").Set(1)
-	m.need.WithLabelValues("read").Set(1.5)
+	m.neededEngines.WithLabelValues("read").Set(1.5)
 	w := httptest.NewRecorder()
 	promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	golden.Check(t, "metrics.golden", w.Body.String())
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -27,11 +27,11 @@
 
 // fleet is stand-ins, their roster and what a planner of them is told.
 type fleet struct {
-	t       *testing.T
-	engines []*engine.Engine
-	d       *config.Planning
-	mu      sync.Mutex
-	plans   []planapi.Plan
+	t        *testing.T
+	engines  []*engine.Engine
+	settings *config.Planner
+	mu       sync.Mutex
+	plans    []planapi.Plan
 }
 
 func newFleet(t *testing.T, readers, writers int) *fleet {
@@ -58,21 +58,21 @@
 	if err := endpoint.WriteFile(path, list); err != nil {
 		t.Fatal(err)
 	}
-	f.d = config.PlanningDefaults()
-	f.d.Listen, f.d.Store, f.d.Roster = "127.0.0.1:0", filepath.Join(dir, "planner.db"), path
-	f.d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	f.d.Pairs = [][2]string{{"prefill", "decode"}}
-	b := &f.d.Roles
+	f.settings = config.DefaultPlanner()
+	f.settings.Listen, f.settings.Store, f.settings.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), path
+	f.settings.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
+	f.settings.RolePairs = [][2]string{{"prefill", "decode"}}
+	b := &f.settings.Assignment
 	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown, b.DrainGrace = 2*time.Second, time.Second, 2*time.Second,
 		time.Second, 100*time.Millisecond,
 		500*time.Millisecond, 50*time.Millisecond
 	return f
 }
 
-func (f *fleet) start(crash func(assignment.Action) bool) *Planner {
+func (f *fleet) startPlanner(crash func(assignment.Action) bool) *Planner {
 	f.t.Helper()
-	p := New(f.d, zap.NewNop())
-	p.Crash = crash
+	p := New(f.settings, zap.NewNop())
+	p.CrashBefore = crash
 	p.OnPublish = func(plan planapi.Plan) {
 		f.mu.Lock()
 		f.plans = append(f.plans, plan)
@@ -84,16 +84,16 @@
 	return p
 }
 
-// look waits until ok holds of what the planner shows.
-func (f *fleet) look(p *Planner, what string, ok func(Shown) bool) Shown {
+// awaitStatus waits until ok holds of what the planner shows.
+func (f *fleet) awaitStatus(p *Planner, what string, ok func(Status) bool) Status {
 	f.t.Helper()
-	var s Shown
+	var s Status
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		answer, err := http.Get("http://" + p.Addr() + planapi.RolesPath)
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		s = Shown{}
+		s = Status{}
 		err = json.NewDecoder(answer.Body).Decode(&s)
 		answer.Body.Close()
 		if err == nil && ok(s) {
@@ -104,13 +104,13 @@
 	return s
 }
 
-func serving(s Shown) bool {
+func allServing(s Status) bool {
 	return len(s.Engines) > 0 && !slices.ContainsFunc(s.Engines,
 		func(e assignment.EngineView) bool { return e.State != assignment.Serving || e.ReportedMsAgo < 0 })
 }
 
-func order(p *Planner, o planapi.Order) (int, string) {
-	o.Who, o.Why = "test", "test"
+func postOrder(p *Planner, o planapi.Order) (int, string) {
+	o.Operator, o.Reason = "test", "test"
 	data, _ := json.Marshal(o)
 	answer, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 		strings.NewReader(string(data)))
@@ -125,12 +125,12 @@
 
 // The planner is killed before each effect of a change in turn. The next life must bring the change to its
 // end, with plan and engine of one mind.
-func TestKilledBeforeEachEffectOfAChange(t *testing.T) {
+func TestCrashBeforeEachEffectOfARoleChange(t *testing.T) {
 	for k := 1; ; k++ {
 		f := newFleet(t, 2, 2)
 		var mu sync.Mutex
 		moving, count, killed := false, 0, ""
-		p := f.start(func(e assignment.Action) bool {
+		p := f.startPlanner(func(e assignment.Action) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if !moving {
@@ -143,12 +143,12 @@
 			}
 			return false
 		})
-		f.look(p, "ready", serving)
+		f.awaitStatus(p, "ready", allServing)
 		mu.Lock()
 		moving = true
 		mu.Unlock()
-		order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()})
-		done := func(s Shown) bool { return serving(s) }
+		postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[0].Addr()})
+		done := func(s Status) bool { return allServing(s) }
 		crashed := false
 		for !crashed {
 			select {
@@ -157,14 +157,14 @@
 				continue
 			case <-time.After(50 * time.Millisecond):
 			}
-			var s Shown
+			var s Status
 			answer, err := http.Get("http://" + p.Addr() + planapi.RolesPath)
 			if err != nil {
 				continue
 			}
 			err = json.NewDecoder(answer.Body).Decode(&s)
 			answer.Body.Close()
-			if err == nil && serving(s) && f.engines[0].Role() == "write" &&
+			if err == nil && allServing(s) && f.engines[0].Role() == "write" &&
 				s.Engines[slices.IndexFunc(s.Engines, func(e assignment.EngineView) bool {
 					return e.Engine == f.engines[0].Addr()
 				})].Role == "write" {
@@ -178,8 +178,8 @@
 			}
 			return
 		}
-		q := f.start(nil)
-		s := f.look(q, "settled after a kill before "+killed, done)
+		q := f.startPlanner(nil)
+		s := f.awaitStatus(q, "settled after a kill before "+killed, done)
 		for _, e := range s.Engines {
 			i := slices.IndexFunc(f.engines, func(x *engine.Engine) bool { return x.Addr() == e.Engine })
 			if x := f.engines[i]; x.Role() != e.Role || x.Epoch() != e.Epoch {
@@ -204,16 +204,16 @@
 		"never back": {NeverBack: true}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 2)
-			p := f.start(nil)
+			p := f.startPlanner(nil)
 			defer p.Stop()
-			f.look(p, "ready", serving)
+			f.awaitStatus(p, "ready", allServing)
 			e := f.engines[0]
 			e.Set(faults)
-			if status, text := order(p, planapi.Order{Op: "move",
+			if status, text := postOrder(p, planapi.Order{Operation: "move",
 				Engine: e.Addr()}); status != http.StatusOK {
 				t.Fatal(status, text)
 			}
-			f.look(p, "set aside", func(s Shown) bool {
+			f.awaitStatus(p, "set aside", func(s Status) bool {
 				return slices.ContainsFunc(s.Engines,
 					func(x assignment.EngineView) bool {
 						return x.Engine == e.Addr() && x.State == assignment.Quarantined &&
@@ -231,7 +231,7 @@
 			f.mu.Unlock()
 			// Mended, it comes back by itself after its rest, in the role that it had.
 			e.Set(engine.Faults{})
-			f.look(p, "back", serving)
+			f.awaitStatus(p, "back", allServing)
 			if e.Role() != "read" {
 				t.Errorf("it came back as %s", e.Role())
 			}
@@ -240,36 +240,36 @@
 }
 
 // A drain that an engine does not come to the end of is called off; nothing is cut.
-func TestOrdersAreRefusedWithTheirReason(t *testing.T) {
+func TestOperatorOrdersAreRejectedWithReason(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	p := f.start(nil)
+	p := f.startPlanner(nil)
 	defer p.Stop()
-	f.look(p, "ready", serving)
+	f.awaitStatus(p, "ready", allServing)
 	for _, c := range []struct {
 		o    planapi.Order
 		want string
 	}{
-		{planapi.Order{Op: "move", Engine: f.engines[0].Addr()}, "must stay"},
-		{planapi.Order{Op: "move", Engine: "127.0.0.1:1"}, "no such engine"},
-		{planapi.Order{Op: "readmit", Engine: f.engines[1].Addr()}, "not aside"},
-		{planapi.Order{Op: "go"}, "already"},
-		{planapi.Order{Op: "fly"}, "one of"},
-		{planapi.Order{Op: "stop", Engine: "x"}, "with engine"},
+		{planapi.Order{Operation: "move", Engine: f.engines[0].Addr()}, "must stay"},
+		{planapi.Order{Operation: "move", Engine: "127.0.0.1:1"}, "no such engine"},
+		{planapi.Order{Operation: "readmit", Engine: f.engines[1].Addr()}, "not aside"},
+		{planapi.Order{Operation: "go"}, "already"},
+		{planapi.Order{Operation: "fly"}, "one of"},
+		{planapi.Order{Operation: "stop", Engine: "x"}, "with engine"},
 	} {
-		if status, text := order(p, c.o); status < 400 || !strings.Contains(text, c.want) {
+		if status, text := postOrder(p, c.o); status < 400 || !strings.Contains(text, c.want) {
 			t.Errorf("%+v: %d %s", c.o, status, text)
 		}
 	}
-	if status, _ := order(p, planapi.Order{Op: "pin",
+	if status, _ := postOrder(p, planapi.Order{Operation: "pin",
 		Engine: f.engines[1].Addr()}); status != http.StatusOK {
 		t.Error("pin refused")
 	}
-	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 ||
+	if status, text := postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[1].Addr()}); status < 400 ||
 		!strings.Contains(text, "pinned") {
 		t.Error(status, text)
 	}
-	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[2].Addr(),
-		Dry: true}); status != http.StatusOK || !strings.Contains(text, "leaves") {
+	if status, text := postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[2].Addr(),
+		DryRun: true}); status != http.StatusOK || !strings.Contains(text, "leaves") {
 		t.Error(status, text)
 	}
 	if f.engines[2].Epoch() != 1 {
@@ -281,16 +281,16 @@
 // then the first one is fenced off by its engines.
 func TestSecondPlannerIsFenced(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	p := f.start(nil)
+	p := f.startPlanner(nil)
 	defer p.Stop()
-	f.look(p, "ready", serving)
+	f.awaitStatus(p, "ready", allServing)
 	// An order makes the engines know of its term.
-	order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()})
-	f.look(p, "moved", func(s Shown) bool { return serving(s) && f.engines[0].Role() == "write" })
-	if err := New(f.d, zap.NewNop()).Start(); !errors.Is(err, ErrTaken) {
+	postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[0].Addr()})
+	f.awaitStatus(p, "moved", func(s Status) bool { return allServing(s) && f.engines[0].Role() == "write" })
+	if err := New(f.settings, zap.NewNop()).Start(); !errors.Is(err, ErrStoreInUse) {
 		t.Errorf("on the same store: %v", err)
 	}
-	other := *f.d
+	other := *f.settings
 	other.Store = filepath.Join(t.TempDir(), "other.db")
 	if err := New(&other, zap.NewNop()).Start(); err == nil || !strings.Contains(err.Error(), "--take-over") {
 		t.Errorf("with a new store: %v", err)
@@ -301,30 +301,30 @@
 		t.Fatal(err)
 	}
 	defer q.Stop()
-	f.look(q, "ready", serving)
-	if status, text := order(q, planapi.Order{Op: "move",
+	f.awaitStatus(q, "ready", allServing)
+	if status, text := postOrder(q, planapi.Order{Operation: "move",
 		Engine: f.engines[0].Addr()}); status != http.StatusOK {
 		t.Fatal(text)
 	}
-	f.look(p, "deposed", func(s Shown) bool { return s.Deposed })
-	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[1].Addr()}); status < 400 {
+	f.awaitStatus(p, "deposed", func(s Status) bool { return s.Deposed })
+	if status, text := postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[1].Addr()}); status < 400 {
 		t.Errorf("a deposed planner takes orders: %s", text)
 	}
 }
 
 // While nothing can be kept, nothing is asked and nothing published; once it can, it goes on.
-func TestNothingGoesOutThatIsNotKept(t *testing.T) {
+func TestNothingIsSentBeforeItIsSaved(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	p := f.start(nil)
+	p := f.startPlanner(nil)
 	defer p.Stop()
-	f.look(p, "ready", serving)
+	f.awaitStatus(p, "ready", allServing)
 	f.mu.Lock()
 	before := len(f.plans)
 	f.mu.Unlock()
 	var mu sync.Mutex
 	full := true
-	p.put(func() {
-		p.store.fail = func() error {
+	p.enqueue(func() {
+		p.store.failSave = func() error {
 			mu.Lock()
 			defer mu.Unlock()
 			if full {
@@ -333,11 +333,11 @@
 			return nil
 		}
 	})
-	if status, text := order(p, planapi.Order{Op: "move", Engine: f.engines[0].Addr()}); status < 400 ||
+	if status, text := postOrder(p, planapi.Order{Operation: "move", Engine: f.engines[0].Addr()}); status < 400 ||
 		!strings.Contains(text, "could not be kept") {
 		t.Error(status, text)
 	}
-	f.look(p, "stuck", func(s Shown) bool { return s.Stuck })
+	f.awaitStatus(p, "stuck", func(s Status) bool { return s.SaveFailing })
 	f.mu.Lock()
 	if len(f.plans) != before {
 		t.Errorf("%d plans went out while nothing could be kept", len(f.plans)-before)
@@ -346,24 +346,24 @@
 	mu.Lock()
 	full = false
 	mu.Unlock()
-	f.look(p, "going on", func(s Shown) bool {
-		return !s.Stuck && serving(s) &&
+	f.awaitStatus(p, "going on", func(s Status) bool {
+		return !s.SaveFailing && allServing(s) &&
 			f.engines[0].Role() == "write"
 	})
 }
 
 // An edge follows over restarts of the planner, and never goes back to an older plan.
-func TestFollowerKeepsThePlanWhileThePlannerIsAway(t *testing.T) {
+func TestClientKeepsPlanWhilePlannerIsDown(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	p := f.start(nil)
-	f.d.Listen = p.Addr()
+	p := f.startPlanner(nil)
+	f.settings.Listen = p.Addr()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	lists := make(chan endpoint.List, 100)
 	faults := make(chan error, 100)
 	var all sync.WaitGroup
 	all.Go(func() {
-		planclient.Planner{Addr: p.Addr(), Quiet: 2 * time.Second}.Run(ctx, func(l endpoint.List) { lists <- l },
+		planclient.Client{Addr: p.Addr(), IdleTimeout: 2 * time.Second}.Run(ctx, func(l endpoint.List) { lists <- l },
 			func(err error) { faults <- err })
 	})
 	first := <-lists
@@ -374,9 +374,9 @@
 	if err := <-faults; !strings.Contains(err.Error(), "the plan before stays") {
 		t.Error(err)
 	}
-	q := f.start(nil)
+	q := f.startPlanner(nil)
 	defer q.Stop()
-	f.look(q, "ready", serving)
+	f.awaitStatus(q, "ready", allServing)
 	if later := <-lists; later.Revision <= first.Revision {
 		t.Errorf("list %d after %d", later.Revision, first.Revision)
 	}
@@ -385,7 +385,7 @@
 }
 
 // Whatever happens to a store's bytes, it is opened or told, and what comes out of it is what was kept.
-func TestDamagedStores(t *testing.T) {
+func TestDamagedStoreIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	records := []assignment.Record{{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: assignment.Ordered,
 		NextRole: "write", NextEpoch: 4}}
@@ -416,14 +416,14 @@
 			clear(data[at:min(len(data), at+4096)])
 		}
 		os.WriteFile(path, data, 0o600)
-		s, kept, err := Open(path)
+		s, stored, err := Open(path)
 		if err != nil {
 			return // told, and nothing is invented
 		}
 		defer s.Close()
-		if kept.Term != 0 && kept.Term != 7 || len(kept.Records) > 1 || len(kept.Records) == 1 &&
-			kept.Records[0] != records[0] {
-			t.Fatalf("invented: %+v", kept)
+		if stored.Term != 0 && stored.Term != 7 || len(stored.Records) > 1 || len(stored.Records) == 1 &&
+			stored.Records[0] != records[0] {
+			t.Fatalf("invented: %+v", stored)
 		}
 	})
 }
--- a/internal/planner/planapi/planwire_test.go
+++ b/internal/planner/planapi/planwire_test.go
@@ -8,34 +8,34 @@
 	"pgregory.net/rapid"
 )
 
-func plan() Plan {
+func samplePlan() Plan {
 	return Plan{Term: 2, Number: 9, Engines: []Engine{{Engine: "10.0.0.1:80", Kind: "prefill", Weight: 1,
-		State: "ready", Epoch: 3, UpFor: 5},
+		State: "ready", Epoch: 3, UptimeMillis: 5},
 		{Engine: "10.0.0.2:80", Kind: "decode", State: "draining"}}}
 }
 
 // A plan that is cut at any byte is told, never taken for a shorter one; whole, it is what was sent.
-func TestPlanCutAtEachByte(t *testing.T) {
-	data, _ := json.Marshal(plan())
+func TestTruncatedPlanIsRejected(t *testing.T) {
+	data, _ := json.Marshal(samplePlan())
 	for i := range data {
-		if p, err := ReadPlan(data[:i]); err == nil {
+		if p, err := ParsePlan(data[:i]); err == nil {
 			t.Errorf("cut at %d it reads as %+v", i, p)
 		}
 	}
-	if p, err := ReadPlan(append(data, '\n')); err != nil || !reflect.DeepEqual(p, plan()) {
+	if p, err := ParsePlan(append(data, '\n')); err != nil || !reflect.DeepEqual(p, samplePlan()) {
 		t.Errorf("%+v %v", p, err)
 	}
 	// One version later may say more.
-	if _, err := ReadPlan([]byte(`{"term":1,"number":1,"engines":[],"leases":{"a":1}}`)); err != nil {
+	if _, err := ParsePlan([]byte(`{"term":1,"number":1,"engines":[],"leases":{"a":1}}`)); err != nil {
 		t.Error(err)
 	}
 }
 
 // Whatever the bytes, the readers return and what they let through is within bounds.
-func TestReadersBoundWhatComes(t *testing.T) {
-	bases := []any{plan(), EngineReport{Role: Read, Epoch: 1}, EdgeReport{Edge: "e",
+func TestParsersReturnOnlyValuesInRange(t *testing.T) {
+	bases := []any{samplePlan(), EngineReport{Role: Prefill, Epoch: 1}, EdgeReport{Edge: "e",
 		Routes: []RouteCount{{Route: "a", Arrived: 1}}},
-		RoleOrder{Term: 1, Role: Write}, Order{Op: "move", Engine: "x"}}
+		RoleOrder{Term: 1, Role: Decode}, Order{Operation: "move", Engine: "x"}}
 	rapid.Check(t, func(t *rapid.T) {
 		data, _ := json.Marshal(rapid.SampledFrom(bases).Draw(t, "base"))
 		for range rapid.IntRange(0, 6).Draw(t, "changes") {
@@ -53,23 +53,23 @@
 				return
 			}
 		}
-		if p, err := ReadPlan(data); err == nil && (p.Term < 1 || p.Number < 1 || p.Engines == nil) {
+		if p, err := ParsePlan(data); err == nil && (p.Term < 1 || p.Number < 1 || p.Engines == nil) {
 			t.Fatalf("%+v", p)
 		}
-		if r, err := ReadEngineReport(data); err == nil && (!sane(r.Read, r.Written, r.Busy, r.Kept) ||
-			r.Epoch < 0 || r.Open < 0) {
+		if r, err := ParseEngineReport(data); err == nil && (!inRange(r.PrefillTokens, r.DecodeTokens, r.BusySeconds, r.CachedTokens) ||
+			r.Epoch < 0 || r.OpenRequests < 0) {
 			t.Fatalf("%+v", r)
 		}
-		if r, err := ReadEdgeReport(data); err == nil {
+		if r, err := ParseEdgeReport(data); err == nil {
 			for _, x := range r.Routes {
-				if !sane(x.Arrived, x.Prompt, x.Shed) {
+				if !inRange(x.Arrived, x.PromptTokens, x.Shed) {
 					t.Fatalf("%+v", r)
 				}
 			}
 		}
-		if o, err := ReadRoleOrder(data); err == nil && (o.Term < 1 || o.Epoch < 0) {
+		if o, err := ParseRoleOrder(data); err == nil && (o.Term < 1 || o.Epoch < 0) {
 			t.Fatalf("%+v", o)
 		}
-		ReadOrder(data)
+		ParseOrder(data)
 	})
 }
--- a/internal/planner/planclient/follow.go
+++ b/internal/planner/planclient/follow.go
@@ -19,51 +19,51 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Planner is a roster.Source that follows the planner at Addr.
-type Planner struct {
-	Addr   string
-	Report func(ctx context.Context) (planapi.EdgeReport, error) // the edge's counts; nil to send none
-	Every  time.Duration                                         // between two reports; 0 for a second
-	Quiet  time.Duration                                         // a stream that says nothing for longer is given up; 0 for 5 s
-	Now    func() int64                                          // the node's clock in Unix milliseconds; nil for the machine's
+// Client is a roster.Source that follows the planner at Addr.
+type Client struct {
+	Addr           string
+	Report         func(ctx context.Context) (planapi.EdgeReport, error) // the edge's counts; nil to send none
+	ReportInterval time.Duration                                         // between two reports; 0 for a second
+	IdleTimeout    time.Duration                                         // a stream that says nothing for longer is given up; 0 for 5 s
+	Now            func() int64                                          // the node's clock in Unix milliseconds; nil for the machine's
 }
 
-// last is the newest plan taken, over all streams.
-type last struct {
-	mu     sync.Mutex
-	plan   planapi.Plan
-	starts starts // used by the one stream alone
+// followedPlan is the newest plan taken, over all streams.
+type followedPlan struct {
+	mu         sync.Mutex
+	plan       planapi.Plan
+	startTimes startTimes // used by the one stream alone
 }
 
 // Run is roster.Source's.
-func (p Planner) Run(ctx context.Context, take func(endpoint.List), fault func(error)) {
-	every, quiet := p.Every, p.Quiet
-	if every <= 0 {
-		every = time.Second
+func (c Client) Run(ctx context.Context, take func(endpoint.List), fault func(error)) {
+	reportInterval, idleTimeout := c.ReportInterval, c.IdleTimeout
+	if reportInterval <= 0 {
+		reportInterval = time.Second
 	}
-	if quiet <= 0 {
-		quiet = 5 * time.Second
+	if idleTimeout <= 0 {
+		idleTimeout = 5 * time.Second
 	}
-	if p.Now == nil {
-		p.Now = func() int64 { return time.Now().UnixMilli() }
+	if c.Now == nil {
+		c.Now = func() int64 { return time.Now().UnixMilli() }
 	}
-	l := &last{starts: starts{}}
+	followed := &followedPlan{startTimes: startTimes{}}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
-	defer all.Wait()
-	if p.Report != nil {
-		all.Go(func() { p.reports(ctx, client, every, l) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	if c.Report != nil {
+		tasks.Go(func() { c.sendReports(ctx, client, reportInterval, followed) })
 	}
-	said := ""
+	lastFault := ""
 	for ctx.Err() == nil {
-		err := p.stream(ctx, client, quiet, l, take)
+		err := c.follow(ctx, client, idleTimeout, followed, take)
 		if ctx.Err() != nil {
 			return
 		}
-		if err.Error() != said {
-			said = err.Error()
-			fault(fmt.Errorf("planner %s: %w; the plan before stays", p.Addr, err))
+		if err.Error() != lastFault {
+			lastFault = err.Error()
+			fault(fmt.Errorf("planner %s: %w; the plan before stays", c.Addr, err))
 		}
 		// All edges lose a planner together, so they come back spread over a second.
 		select {
@@ -73,50 +73,50 @@
 	}
 }
 
-// stream follows one connection until it ends.
-func (p Planner) stream(ctx context.Context, client *http.Client, quiet time.Duration, l *last,
+// follow follows one connection until it ends.
+func (c Client) follow(ctx context.Context, client *http.Client, idleTimeout time.Duration, followed *followedPlan,
 	take func(endpoint.List)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(quiet, cancel)
-	defer silence.Stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+planapi.StreamPath, nil)
+	idle := time.AfterFunc(idleTimeout, cancel)
+	defer idle.Stop()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Addr+planapi.StreamPath, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("it answers %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("it answers %s", response.Status)
 	}
-	lines := bufio.NewScanner(answer.Body)
-	lines.Buffer(make([]byte, 0, 64<<10), planapi.MaxPlan+1)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(make([]byte, 0, 64<<10), planapi.MaxPlanBytes+1)
 	for lines.Scan() {
-		silence.Reset(quiet)
+		idle.Reset(idleTimeout)
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue // it is there, and nothing has changed
 		}
-		plan, err := planapi.ReadPlan(lines.Bytes())
+		plan, err := planapi.ParsePlan(lines.Bytes())
 		if err != nil {
 			return err // a line cut short, too: the whole plan comes again with the next stream
 		}
-		l.mu.Lock()
-		newer := plan.Newer(l.plan)
-		older := l.plan.Newer(plan)
+		followed.mu.Lock()
+		newer := plan.Newer(followed.plan)
+		older := followed.plan.Newer(plan)
 		if newer {
-			l.plan = plan
+			followed.plan = plan
 		}
-		l.mu.Unlock()
+		followed.mu.Unlock()
 		if older {
 			return fmt.Errorf("it speaks of term %d number %d, older than what was followed", plan.Term,
 				plan.Number)
 		}
 		if newer {
-			list := plan.List(p.Now())
-			l.starts.settle(&list)
+			list := plan.EndpointList(c.Now())
+			followed.startTimes.stabilize(&list)
 			take(list)
 		}
 	}
@@ -126,8 +126,8 @@
 	return errors.New("the stream ended")
 }
 
-func (p Planner) reports(ctx context.Context, client *http.Client, every time.Duration, l *last) {
-	tick := time.NewTicker(every)
+func (c Client) sendReports(ctx context.Context, client *http.Client, interval time.Duration, followed *followedPlan) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -135,24 +135,24 @@
 			return
 		case <-tick.C:
 		}
-		report, err := p.Report(ctx)
+		report, err := c.Report(ctx)
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		report.Term, report.Plan = l.plan.Term, l.plan.Number
-		l.mu.Unlock()
+		followed.mu.Lock()
+		report.Term, report.PlanNumber = followed.plan.Term, followed.plan.Number
+		followed.mu.Unlock()
 		data, err := json.Marshal(report)
 		if err != nil {
 			continue
 		}
-		once, cancel := context.WithTimeout(ctx, every)
-		r, err := http.NewRequestWithContext(once, http.MethodPost, "http://"+p.Addr+planapi.ReportPath,
+		attemptContext, cancel := context.WithTimeout(ctx, interval)
+		request, err := http.NewRequestWithContext(attemptContext, http.MethodPost, "http://"+c.Addr+planapi.ReportPath,
 			bytes.NewReader(data))
 		if err == nil {
-			if answer, err := client.Do(r); err == nil {
-				io.Copy(io.Discard, io.LimitReader(answer.Body, 4096))
-				answer.Body.Close()
+			if response, err := client.Do(request); err == nil {
+				io.Copy(io.Discard, io.LimitReader(response.Body, 4096))
+				response.Body.Close()
 			}
 		}
 		cancel()
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -54,11 +54,11 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		Planner{Addr: strings.TrimPrefix(planner.URL, "http://"), Every: 20 * time.Millisecond, Quiet: time.Minute,
+		Client{Addr: strings.TrimPrefix(planner.URL, "http://"), ReportInterval: 20 * time.Millisecond, IdleTimeout: time.Minute,
 			Now: func() int64 { return 1_700_000_000_000 },
 			Report: func(context.Context) (planapi.EdgeReport, error) {
-				return planapi.EdgeReport{Edge: "edge0", Life: 9, Routes: []planapi.RouteCount{{Route: "clip-summary",
-					Arrived: 1, Prompt: 2, Began: 3, BegunFor: 4, Ended: 5, Answer: 6, InTime: 7, Shed: 8}}}, nil
+				return planapi.EdgeReport{Edge: "edge0", Incarnation: 9, Routes: []planapi.RouteCount{{Route: "clip-summary",
+					Arrived: 1, PromptTokens: 2, Started: 3, StartedPromptTokens: 4, Completed: 5, CompletionTokens: 6, WithinObjective: 7, Shed: 8}}}, nil
 			}}.Run(ctx, func(list endpoint.List) { lists <- list }, func(err error) { t.Log(err) })
 	}()
 	var b strings.Builder
--- a/internal/planner/planclient/starts_test.go
+++ b/internal/planner/planclient/starts_test.go
@@ -8,11 +8,11 @@
 
 // A plan tells for how long an engine has been up, as the planner last heard it. Late plans and old figures must not look
 // like a new start of the engine, as its node then forgets all that it has kept; a new start must.
-func TestStarts(t *testing.T) {
-	s := starts{}
+func TestStartTimesAreStable(t *testing.T) {
+	s := startTimes{}
 	take := func(upSince int64) int64 {
 		list := endpoint.List{Entries: []endpoint.Entry{{ID: "e", StartedAtMs: upSince}}}
-		s.settle(&list)
+		s.stabilize(&list)
 		return list.Entries[0].StartedAtMs
 	}
 	first := take(100_000)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -29,144 +29,146 @@
 
 // Planner is one running planner.
 type Planner struct {
-	d     *config.Planning
-	log   *zap.Logger
-	store *Store
-	term  int64
-	began time.Time
-
-	in     chan func()
-	core   *assignment.Controller
-	kinds  map[string]config.EngineKind
-	listen net.Listener
-	server *http.Server
-	client *http.Client
-	ctx    context.Context
-	cancel context.CancelFunc
-	over   sync.WaitGroup
+	settings *config.Planner
+	log      *zap.Logger
+	store    *Store
+	term     int64
+	started  time.Time
+
+	events   chan func()
+	core     *assignment.Controller
+	kinds    map[string]config.EngineKind
+	listener net.Listener
+	server   *http.Server
+	client   *http.Client
+	ctx      context.Context
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
 
 	// OnPublish, if set before Start, is told of each plan before edges can have it.
 	OnPublish func(planapi.Plan)
 	// Crash, if set before Start, is asked before each effect; true ends the planner there, as a kill would.
-	Crash func(assignment.Action) bool
-
-	mu      sync.Mutex
-	line    []byte // the newest plan, as sent
-	number  int64
-	sent    time.Time // when it was made
-	changed chan struct{}
-	engines []string // to ask
-	urgent  []string // those that are changing
-	streams int
-
-	unkept   map[string]assignment.Record // what could not be kept yet
-	unkeptAs assignment.Meta
-	stuck    bool
-	meters   meters
+	CrashBefore func(assignment.Action) bool
+
+	mu              sync.Mutex
+	planLine        []byte // the newest plan, as sent
+	planNumber      int64
+	planMadeAt      time.Time // when it was made
+	planChanged     chan struct{}
+	polledEngines   []string // to ask
+	changingEngines []string // those that are changing
+	streams         int
+
+	unsavedRecords map[string]assignment.Record // what could not be kept yet
+	unsavedMeta    assignment.Meta
+	saveFailing    bool
+	metrics        metrics
 }
 
 // Bounds of the planner's sockets.
 const (
-	maxStreams = 5000
-	maxInbox   = 4096
-	askers     = 16
-	askTime    = time.Second
-	askEvery   = time.Second
-	urgentTime = 100 * time.Millisecond // between two questions to an engine that is changing
-	beat       = time.Second            // a stream with no news says at least this often that it is there
+	maxStreams           = 5000
+	eventQueueLength     = 4096
+	pollers              = 16
+	pollTimeout          = time.Second
+	pollInterval         = time.Second
+	changingPollInterval = 100 * time.Millisecond // between two questions to an engine that is changing
+	heartbeatInterval    = time.Second            // a stream with no news says at least this often that it is there
 )
 
 // New makes a planner; Start runs it.
-func New(d *config.Planning, log *zap.Logger) *Planner {
-	p := &Planner{d: d, log: log, in: make(chan func(), maxInbox), began: time.Now(),
-		changed: make(chan struct{}),
-		kinds:   map[string]config.EngineKind{}, unkept: map[string]assignment.Record{}, meters: newMeters()}
-	for _, k := range d.Kinds {
+func New(settings *config.Planner, log *zap.Logger) *Planner {
+	p := &Planner{settings: settings, log: log, events: make(chan func(), eventQueueLength), started: time.Now(),
+		planChanged: make(chan struct{}),
+		kinds:       map[string]config.EngineKind{}, unsavedRecords: map[string]assignment.Record{}, metrics: newMetrics()}
+	for _, k := range settings.Kinds {
 		p.kinds[k.Name] = k
 	}
-	p.client = &http.Client{Timeout: askTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2,
+	p.client = &http.Client{Timeout: pollTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2,
 		MaxConnsPerHost: 4,
 		IdleConnTimeout: time.Minute}}
 	return p
 }
 
-// clock is Unix nanoseconds that never go back within a life.
-func (p *Planner) clock() int64 { return p.began.UnixNano() + int64(time.Since(p.began)) }
+// now is Unix nanoseconds that never go back within a life.
+func (p *Planner) now() int64 { return p.started.UnixNano() + int64(time.Since(p.started)) }
 
 // A disk may be full or fail for a while: the store is tried again for so long before the planner gives its start up.
 const (
-	storeTime  = 30 * time.Second
-	storePause = 200 * time.Millisecond
+	storeOpenTimeout       = 30 * time.Second
+	storeOpenRetryInterval = 200 * time.Millisecond
 )
 
-func (p *Planner) openStore() (*Store, Kept, error) {
-	end := time.Now().Add(storeTime)
+func (p *Planner) openStore() (*Store, StoredState, error) {
+	end := time.Now().Add(storeOpenTimeout)
 	for {
-		store, kept, err := Open(p.d.Store)
-		if err == nil || !retriable(err) || time.Now().After(end) {
-			return store, kept, err
+		store, stored, err := Open(p.settings.Store)
+		if err == nil || !retryable(err) || time.Now().After(end) {
+			return store, stored, err
 		}
 		p.log.Warn("store", zap.Error(err))
-		time.Sleep(storePause)
+		time.Sleep(storeOpenRetryInterval)
 	}
 }
 
-// retriable is whether the system may let a store be opened later. What is not there or not permitted stays so.
-func retriable(err error) bool {
-	return ofTheSystem(err) && !errors.Is(err, os.ErrPermission) && !errors.Is(err, os.ErrNotExist)
+// retryable is whether the system may let a store be opened later. What is not there or not permitted stays so.
+func retryable(err error) bool {
+	return isSystemError(err) && !errors.Is(err, os.ErrPermission) && !errors.Is(err, os.ErrNotExist)
 }
 
 // Start opens the store, takes a new term, and runs until Stop.
 func (p *Planner) Start() error {
-	store, kept, err := p.openStore()
+	store, stored, err := p.openStore()
 	if err != nil {
 		return err
 	}
 	p.store = store
-	for _, f := range kept.Faults {
+	for _, f := range stored.Faults {
 		p.log.Error("store", zap.String("fault", f))
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	if p.term, err = p.newTerm(kept); err == nil {
+	if p.term, err = p.nextTerm(stored); err == nil {
 		err = store.SaveTerm(p.term)
 	}
 	if err == nil {
-		p.listen, err = net.Listen("tcp", p.d.Listen)
+		p.listener, err = net.Listen("tcp", p.settings.Listen)
 	}
 	if err != nil {
 		store.Close()
 		return err
 	}
-	p.core = assignment.New(p.d.Roles, p.term, p.clock(), kept.Records, kept.Meta)
+	p.core = assignment.New(p.settings.Assignment, p.term, p.now(), stored.Records, stored.Meta)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+planapi.StreamPath, p.serveStream)
-	mux.HandleFunc("POST "+planapi.ReportPath, p.serveReport)
-	mux.HandleFunc("GET "+planapi.RolesPath, p.serveRoles)
-	mux.HandleFunc("POST "+planapi.OrderPath, p.serveOrder)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(p.meters.registry, promhttp.HandlerOpts{}))
+	mux.HandleFunc("POST "+planapi.ReportPath, p.serveEdgeReport)
+	mux.HandleFunc("GET "+planapi.RolesPath, p.serveStatus)
+	mux.HandleFunc("POST "+planapi.OrderPath, p.serveOperatorOrder)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(p.metrics.registry, promhttp.HandlerOpts{}))
 	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
-	p.over.Go(func() { p.server.Serve(p.listen) })
-	p.over.Go(p.loop)
-	p.over.Go(p.askAll)
-	p.over.Go(func() {
-		take := func(list endpoint.List) { p.put(func() { p.step(assignment.EnginesListed{Engines: p.boxes(list)}) }) }
-		endpoint.FileSource{Path: p.d.Roster}.Run(p.ctx, take, func(err error) {
+	p.tasks.Go(func() { p.server.Serve(p.listener) })
+	p.tasks.Go(p.run)
+	p.tasks.Go(p.pollEngines)
+	p.tasks.Go(func() {
+		take := func(list endpoint.List) {
+			p.enqueue(func() { p.step(assignment.EnginesListed{Engines: p.engineRecords(list)}) })
+		}
+		endpoint.FileSource{Path: p.settings.EndpointFile}.Run(p.ctx, take, func(err error) {
 			p.log.Warn("roster",
 				zap.Error(err))
 		})
 	})
 	p.log.Info("planning", zap.String("at", p.Addr()), zap.Int64("term", p.term), zap.Int("records",
-		len(kept.Records)))
+		len(stored.Records)))
 	return nil
 }
 
-// newTerm is over all that this store had. A planner whose store is new and whose engines follow another one
+// nextTerm is over all that this store had. A planner whose store is new and whose engines follow another one
 // would fence that one off, so it only starts if it is told to.
-func (p *Planner) newTerm(kept Kept) (int64, error) {
-	if kept.Term > 0 {
-		return kept.Term + 1, nil
+func (p *Planner) nextTerm(stored StoredState) (int64, error) {
+	if stored.Term > 0 {
+		return stored.Term + 1, nil
 	}
-	data, err := readFile(p.d.Roster)
+	data, err := readEndpointFile(p.settings.EndpointFile)
 	if err != nil {
 		return 1, nil // nothing is known of engines yet
 	}
@@ -177,12 +179,12 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	most, at := int64(0), ""
-	room := make(chan struct{}, askers)
+	room := make(chan struct{}, pollers)
 	for _, e := range list.Entries {
 		all.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			if r, err := p.ask(p.ctx, e.ID); err == nil {
+			if r, err := p.poll(p.ctx, e.ID); err == nil {
 				mu.Lock()
 				if r.Term > most {
 					most, at = r.Term, e.ID
@@ -192,21 +194,21 @@
 		})
 	}
 	all.Wait()
-	if most > 0 && !p.d.TakeOver {
+	if most > 0 && !p.settings.TakeOver {
 		return 0, fmt.Errorf("store %s is new, and %s follows a planner of term %d; if that one is gone for good, start with --take-over",
-			p.d.Store, at, most)
+			p.settings.Store, at, most)
 	}
 	return most + 1, nil
 }
 
 // Addr is where it listens.
-func (p *Planner) Addr() string { return p.listen.Addr().String() }
+func (p *Planner) Addr() string { return p.listener.Addr().String() }
 
 // Stop ends it. Half-done changes are taken up by the next life.
 func (p *Planner) Stop() {
 	p.cancel()
 	p.server.Close()
-	p.over.Wait()
+	p.tasks.Wait()
 	p.store.Close()
 	p.client.CloseIdleConnections()
 }
@@ -214,66 +216,66 @@
 // Done is closed when the planner ends.
 func (p *Planner) Done() <-chan struct{} { return p.ctx.Done() }
 
-func (p *Planner) put(event func()) {
+func (p *Planner) enqueue(event func()) {
 	select {
-	case p.in <- event:
+	case p.events <- event:
 	case <-p.ctx.Done():
 	}
 }
 
-// loop is the one goroutine that owns the core.
-func (p *Planner) loop() {
+// run is the one goroutine that owns the core.
+func (p *Planner) run() {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
-		case event := <-p.in:
+		case event := <-p.events:
 			event()
 		case <-tick.C:
-			if p.stuck {
-				p.keep(assignment.Persist{Meta: p.unkeptAs})
+			if p.saveFailing {
+				p.save(assignment.Persist{Meta: p.unsavedMeta})
 			}
 			p.step(assignment.Tick{})
-			p.meters.see(p.core)
+			p.metrics.observe(p.core)
 		}
 	}
 }
 
-func (p *Planner) step(in assignment.Event) { p.carryOut(p.core.Step(p.clock(), in)) }
+func (p *Planner) step(in assignment.Event) { p.applyEffects(p.core.Step(p.now(), in)) }
 
-// carryOut does what roles decided, in order. What could not be kept must not be followed by what hangs on
+// applyEffects does what roles decided, in order. What could not be kept must not be followed by what hangs on
 // it: until a save goes well nothing is asked or published, and asking again is roles' habit anyway.
-func (p *Planner) carryOut(effects []assignment.Action) {
+func (p *Planner) applyEffects(effects []assignment.Action) {
 	for _, e := range effects {
 		if p.ctx.Err() != nil {
 			return
 		}
-		if p.Crash != nil && p.Crash(e) {
+		if p.CrashBefore != nil && p.CrashBefore(e) {
 			p.cancel()
 			return
 		}
 		switch e := e.(type) {
 		case assignment.Persist:
-			p.keep(e)
+			p.save(e)
 		case assignment.PublishPlan:
-			if !p.stuck {
+			if !p.saveFailing {
 				p.publish(e.Plan)
 			}
 		case assignment.SendRoleOrder:
-			if !p.stuck {
-				p.over.Go(func() { p.order(e) })
+			if !p.saveFailing {
+				p.tasks.Go(func() { p.sendRoleOrder(e) })
 			}
 		case assignment.StartTrial:
-			if !p.stuck {
-				p.over.Go(func() {
-					err := p.try(e)
+			if !p.saveFailing {
+				p.tasks.Go(func() {
+					err := p.runTrial(e)
 					in := assignment.TrialEnded{Engine: e.Engine, Number: e.Number, OK: err == nil}
 					if err != nil {
 						in.Reason = err.Error()
 					}
-					p.put(func() { p.step(in) })
+					p.enqueue(func() { p.step(in) })
 				})
 			}
 		case assignment.NotifyOperators:
@@ -282,34 +284,34 @@
 			p.log.Error("deposed: this planner orders and publishes nothing more", zap.Int64("by_term",
 				e.Term))
 			p.mu.Lock()
-			p.line = nil // edges that ask are sent away
-			close(p.changed)
-			p.changed = make(chan struct{})
+			p.planLine = nil // edges that ask are sent away
+			close(p.planChanged)
+			p.planChanged = make(chan struct{})
 			p.mu.Unlock()
 		}
 	}
-	p.whom()
+	p.updatePollTargets()
 }
 
-func (p *Planner) keep(k assignment.Persist) {
+func (p *Planner) save(k assignment.Persist) {
 	for _, r := range k.Records {
-		p.unkept[r.Engine] = r
+		p.unsavedRecords[r.Engine] = r
 	}
-	p.unkeptAs = k.Meta
+	p.unsavedMeta = k.Meta
 	k.Records = k.Records[:0:0]
-	for _, r := range p.unkept {
+	for _, r := range p.unsavedRecords {
 		k.Records = append(k.Records, r)
 	}
 	if err := p.store.Save(k); err != nil {
-		if !p.stuck {
+		if !p.saveFailing {
 			p.log.Error("nothing can be kept: no order and no plan goes out until it can", zap.Error(err))
 		}
-		p.stuck = true
+		p.saveFailing = true
 		return
 	}
-	clear(p.unkept)
-	if p.stuck {
-		p.stuck = false
+	clear(p.unsavedRecords)
+	if p.saveFailing {
+		p.saveFailing = false
 		p.log.Info("kept again")
 		p.publish(p.core.Plan())
 	}
@@ -325,23 +327,23 @@
 		p.OnPublish(plan)
 	}
 	p.mu.Lock()
-	p.line, p.number, p.sent = append(line, '\n'), plan.Number, time.Now()
-	close(p.changed)
-	p.changed = make(chan struct{})
+	p.planLine, p.planNumber, p.planMadeAt = append(line, '\n'), plan.Number, time.Now()
+	close(p.planChanged)
+	p.planChanged = make(chan struct{})
 	p.mu.Unlock()
-	p.meters.plans.Inc()
+	p.metrics.plans.Inc()
 }
 
-// whom notes which engines to ask, and which of them often.
-func (p *Planner) whom() {
+// updatePollTargets notes which engines to ask, and which of them often.
+func (p *Planner) updatePollTargets() {
 	all, urgent := p.core.ReportTargets()
 	p.mu.Lock()
-	p.engines, p.urgent = all, urgent
+	p.polledEngines, p.changingEngines = all, urgent
 	p.mu.Unlock()
 }
 
-// boxes are discovery's engines as roles knows them.
-func (p *Planner) boxes(list endpoint.List) (row []assignment.ListedEngine) {
+// engineRecords are discovery's engines as roles knows them.
+func (p *Planner) engineRecords(list endpoint.List) (row []assignment.ListedEngine) {
 	for _, e := range list.Entries {
 		k, ok := p.kinds[e.Kind]
 		if !ok || k.Role == "both" {
@@ -352,7 +354,7 @@
 		b := assignment.ListedEngine{Engine: e.ID, Role: k.Role, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight,
 			Ready:   e.State == endpoint.Ready,
 			UpSince: e.StartedAtMs * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
-		for _, pair := range p.d.Pairs {
+		for _, pair := range p.settings.RolePairs {
 			if pair[0] == k.Name || pair[1] == k.Name {
 				for _, name := range pair {
 					b.Kinds[p.kinds[name].Role] = name
@@ -367,19 +369,19 @@
 
 // ---- engines
 
-// askAll asks all engines for their reports, those that are changing more often.
-func (p *Planner) askAll() {
+// pollEngines asks all engines for their reports, those that are changing more often.
+func (p *Planner) pollEngines() {
 	jobs := make(chan string)
 	var workers sync.WaitGroup
-	for range askers {
+	for range pollers {
 		workers.Go(func() {
 			for engine := range jobs {
-				asked := p.clock()
-				r, err := p.ask(p.ctx, engine)
+				asked := p.now()
+				r, err := p.poll(p.ctx, engine)
 				if err != nil {
 					continue // that nothing was heard of it is seen by the time
 				}
-				p.put(func() {
+				p.enqueue(func() {
 					p.step(assignment.EngineReported{RequestedAt: asked, Report: r})
 				})
 			}
@@ -387,7 +389,7 @@
 	}
 	defer workers.Wait()
 	defer close(jobs)
-	tick := time.NewTicker(urgentTime)
+	tick := time.NewTicker(changingPollInterval)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -396,10 +398,10 @@
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		all, urgent := p.engines, p.urgent
+		all, urgent := p.polledEngines, p.changingEngines
 		p.mu.Unlock()
 		// Each tick asks a tenth of all: an even load on both sides.
-		const parts = int(askEvery / urgentTime)
+		const parts = int(pollInterval / changingPollInterval)
 		row := slices.Clone(urgent)
 		for i := n % parts; i < len(all); i += parts {
 			if !slices.Contains(urgent, all[i]) {
@@ -416,7 +418,7 @@
 	}
 }
 
-func (p *Planner) ask(ctx context.Context, engine string) (planapi.EngineReport, error) {
+func (p *Planner) poll(ctx context.Context, engine string) (planapi.EngineReport, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+engine+loadPath, nil)
 	if err != nil {
 		return planapi.EngineReport{}, err
@@ -426,20 +428,20 @@
 		return planapi.EngineReport{}, err
 	}
 	defer answer.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, planapi.MaxReport+1))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, planapi.MaxReportBytes+1))
 	if err != nil {
 		return planapi.EngineReport{}, err
 	}
 	if answer.StatusCode != http.StatusOK {
 		return planapi.EngineReport{}, errors.New(answer.Status)
 	}
-	report, err := planapi.ReadEngineReport(data)
+	report, err := planapi.ParseEngineReport(data)
 	report.Engine = engine
 	return report, err
 }
 
-// order sends an order; whether it arrived shows in the engine's reports.
-func (p *Planner) order(a assignment.SendRoleOrder) {
+// sendRoleOrder sends an order; whether it arrived shows in the engine's reports.
+func (p *Planner) sendRoleOrder(a assignment.SendRoleOrder) {
 	data, err := json.Marshal(a.Order)
 	if err != nil {
 		return
@@ -472,21 +474,21 @@
 	}
 	p.streams++
 	p.mu.Unlock()
-	p.meters.streams.Inc()
+	p.metrics.streams.Inc()
 	defer func() {
 		p.mu.Lock()
 		p.streams--
 		p.mu.Unlock()
-		p.meters.streams.Dec()
+		p.metrics.streams.Dec()
 	}()
 	out := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	beats := time.NewTicker(beat)
+	beats := time.NewTicker(heartbeatInterval)
 	defer beats.Stop()
 	sent := int64(0)
 	for {
 		p.mu.Lock()
-		line, number, made, changed := p.line, p.number, p.sent, p.changed
+		line, number, made, changed := p.planLine, p.planNumber, p.planMadeAt, p.planChanged
 		p.mu.Unlock()
 		// A slow edge gets the newest plan when it has taken the one before: there is no queue.
 		out.SetWriteDeadline(time.Now().Add(5 * time.Second))
@@ -496,7 +498,7 @@
 			return // deposed
 		case line != nil && number != sent:
 			sent = number
-			_, err = w.Write(aged(line, time.Since(made)))
+			_, err = w.Write(withUptimeAdded(line, time.Since(made)))
 		default:
 			_, err = w.Write([]byte("\n"))
 		}
@@ -517,8 +519,8 @@
 	}
 }
 
-// aged is a plan as it reads some time after it was made: engines have been up for longer.
-func aged(line []byte, by time.Duration) []byte {
+// withUptimeAdded is a plan as it reads some time after it was made: engines have been up for longer.
+func withUptimeAdded(line []byte, by time.Duration) []byte {
 	if by < 50*time.Millisecond {
 		return line
 	}
@@ -527,8 +529,8 @@
 		return line
 	}
 	for i := range plan.Engines {
-		if plan.Engines[i].UpFor > 0 {
-			plan.Engines[i].UpFor += by.Milliseconds()
+		if plan.Engines[i].UptimeMillis > 0 {
+			plan.Engines[i].UptimeMillis += by.Milliseconds()
 		}
 	}
 	data, err := json.Marshal(plan)
@@ -538,46 +540,46 @@
 	return append(data, '\n')
 }
 
-func (p *Planner) body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planapi.MaxReport+1))
+func (p *Planner) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planapi.MaxReportBytes+1))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
 	return data, err == nil
 }
 
-func (p *Planner) serveReport(w http.ResponseWriter, r *http.Request) {
-	data, ok := p.body(w, r)
+func (p *Planner) serveEdgeReport(w http.ResponseWriter, r *http.Request) {
+	data, ok := p.readBody(w, r)
 	if !ok {
 		return
 	}
-	report, err := planapi.ReadEdgeReport(data)
+	report, err := planapi.ParseEdgeReport(data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.put(func() { p.step(assignment.EdgeReported{Report: report}) })
+	p.enqueue(func() { p.step(assignment.EdgeReported{Report: report}) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Shown is what operators see.
-type Shown struct {
-	Term     int64                   `json:"term"`
-	Number   int64                   `json:"number"`
-	Deposed  bool                    `json:"deposed"`
-	Stuck    bool                    `json:"stuck"`
-	Edges    int                     `json:"edges_following"`
-	Engines  []assignment.EngineView `json:"engines"`
-	Decision assignment.Decision     `json:"decision"`
+// Status is what operators see.
+type Status struct {
+	Term           int64                   `json:"term"`
+	Number         int64                   `json:"number"`
+	Deposed        bool                    `json:"deposed"`
+	SaveFailing    bool                    `json:"stuck"`
+	FollowingEdges int                     `json:"edges_following"`
+	Engines        []assignment.EngineView `json:"engines"`
+	Decision       assignment.Decision     `json:"decision"`
 }
 
-func (p *Planner) serveRoles(w http.ResponseWriter, r *http.Request) {
-	got := make(chan Shown, 1)
-	p.put(func() {
-		s := Shown{Term: p.term, Deposed: p.core.SteppedDown(), Stuck: p.stuck, Engines: p.core.Engines(),
+func (p *Planner) serveStatus(w http.ResponseWriter, r *http.Request) {
+	got := make(chan Status, 1)
+	p.enqueue(func() {
+		s := Status{Term: p.term, Deposed: p.core.SteppedDown(), SaveFailing: p.saveFailing, Engines: p.core.Engines(),
 			Decision: p.core.LastDecision()}
 		p.mu.Lock()
-		s.Number, s.Edges = p.number, p.streams
+		s.Number, s.FollowingEdges = p.planNumber, p.streams
 		p.mu.Unlock()
 		got <- s
 	})
@@ -591,12 +593,12 @@
 	}
 }
 
-func (p *Planner) serveOrder(w http.ResponseWriter, r *http.Request) {
-	data, ok := p.body(w, r)
+func (p *Planner) serveOperatorOrder(w http.ResponseWriter, r *http.Request) {
+	data, ok := p.readBody(w, r)
 	if !ok {
 		return
 	}
-	o, err := planapi.ReadOrder(data)
+	o, err := planapi.ParseOrder(data)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -606,21 +608,21 @@
 		err  error
 	}
 	got := make(chan answer, 1)
-	p.put(func() {
+	p.enqueue(func() {
 		if p.core.SteppedDown() {
 			got <- answer{err: errors.New("this planner is deposed")}
 			return
 		}
-		text, effects, err := p.core.ApplyOrder(p.clock(), o)
+		text, effects, err := p.core.ApplyOrder(p.now(), o)
 		if err == nil {
-			p.carryOut(effects)
-			if p.stuck {
+			p.applyEffects(effects)
+			if p.saveFailing {
 				err = errors.New("it could not be kept, and takes effect once it can")
 			}
 		}
-		p.log.Info("operator", zap.String("op", o.Op), zap.String("engine", o.Engine), zap.String("who",
-			o.Who), zap.String("why", o.Why),
-			zap.Bool("dry", o.Dry), zap.Error(err))
+		p.log.Info("operator", zap.String("op", o.Operation), zap.String("engine", o.Engine), zap.String("who",
+			o.Operator), zap.String("why", o.Reason),
+			zap.Bool("dry", o.DryRun), zap.Error(err))
 		got <- answer{text, err}
 	})
 	select {
@@ -636,17 +638,17 @@
 	}
 }
 
-// meters are the planner's metrics.
-type meters struct {
-	registry *prometheus.Registry
-	plans    prometheus.Counter
-	streams  prometheus.Gauge
-	engines  *prometheus.GaugeVec
-	need     *prometheus.GaugeVec
+// metrics are the planner's metrics.
+type metrics struct {
+	registry      *prometheus.Registry
+	plans         prometheus.Counter
+	streams       prometheus.Gauge
+	engines       *prometheus.GaugeVec
+	neededEngines *prometheus.GaugeVec
 }
 
-func newMeters() meters {
-	m := meters{registry: prometheus.NewRegistry(),
+func newMetrics() metrics {
+	m := metrics{registry: prometheus.NewRegistry(),
 		plans: prometheus.NewCounter(prometheus.CounterOpts{Name: "sandcourse_plans_total",
 			Help: "Plans published."}),
 		streams: prometheus.NewGauge(prometheus.GaugeOpts{Name: "sandcourse_plan_streams",
@@ -654,18 +656,18 @@
 		engines: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "sandcourse_roles",
 			Help: "Engines by role and state."},
 			[]string{"role", "state"}),
-		need: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "sandcourse_roles_needed",
+		neededEngines: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "sandcourse_roles_needed",
 			Help: "Engines that what arrives keeps busy, by role."}, []string{"role"})}
-	m.registry.MustRegister(m.plans, m.streams, m.engines, m.need)
+	m.registry.MustRegister(m.plans, m.streams, m.engines, m.neededEngines)
 	return m
 }
 
-func (m meters) see(c *assignment.Controller) {
+func (m metrics) observe(c *assignment.Controller) {
 	m.engines.Reset()
 	for as, n := range c.CountEngines() {
 		m.engines.WithLabelValues(as[0], as[1]).Set(float64(n))
 	}
 	for role, need := range c.LastDecision().RequiredEngines {
-		m.need.WithLabelValues(role).Set(need)
+		m.neededEngines.WithLabelValues(role).Set(need)
 	}
 }
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -20,9 +20,9 @@
 // Store keeps the planner's intent: its term, its orders, and where each engine's role stands. A transaction
 // is whole or not there; each value has a checksum of its own as well, for what a disk does to it later.
 type Store struct {
-	path string
-	db   *bbolt.DB
-	fail func() error // a test's full disk
+	path     string
+	db       *bbolt.DB
+	failSave func() error // a test's full disk
 }
 
 var (
@@ -32,11 +32,11 @@
 	termKey       = []byte("term")
 )
 
-// ErrTaken says that another planner has the store open.
-var ErrTaken = errors.New("another planner has it open")
+// ErrStoreInUse says that another planner has the store open.
+var ErrStoreInUse = errors.New("another planner has it open")
 
-// Kept is what a store held.
-type Kept struct {
+// StoredState is what a store held.
+type StoredState struct {
 	Term    int64
 	Meta    assignment.Meta
 	Records []assignment.Record
@@ -46,64 +46,64 @@
 // Open opens the store at path, or makes it. A file that is damaged as a whole is put beside under another
 // name, and an empty one takes its place: engines are asked for their roles then. Where the disk or the machine fails, the
 // file stays as it is, and the error is told.
-func Open(path string) (*Store, Kept, error) {
+func Open(path string) (*Store, StoredState, error) {
 	s := &Store{path: path}
-	kept, err := s.open()
+	stored, err := s.open()
 	if err == nil {
-		return s, kept, nil
+		return s, stored, nil
 	}
 	if s.db != nil {
 		s.db.Close()
 	}
-	if errors.Is(err, ErrTaken) || ofTheSystem(err) {
-		return s, kept, err
+	if errors.Is(err, ErrStoreInUse) || isSystemError(err) {
+		return s, stored, err
 	}
 	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().Unix())
 	if e := os.Rename(path, aside); e != nil {
-		return s, kept, errors.Join(err, e)
+		return s, stored, errors.Join(err, e)
 	}
 	why := fmt.Sprintf("store %s: %v; it is kept as %s, and a new one begun", path, err, aside)
-	kept, err = s.open()
-	kept.Faults = append(kept.Faults, why)
-	return s, kept, err
+	stored, err = s.open()
+	stored.Faults = append(stored.Faults, why)
+	return s, stored, err
 }
 
-// ofTheSystem is whether an error is that of a system call, as on a full or failing disk, or where descriptors have run
+// isSystemError is whether an error is that of a system call, as on a full or failing disk, or where descriptors have run
 // out. It says nothing of what the file holds.
-func ofTheSystem(err error) bool {
+func isSystemError(err error) bool {
 	var no syscall.Errno
 	return errors.As(err, &no)
 }
 
-// freshEnding is of the name under which a new store is made. It gets its own name once it is whole.
-const freshEnding = ".new"
+// newStoreSuffix is of the name under which a new store is made. It gets its own name once it is whole.
+const newStoreSuffix = ".new"
 
-// makeFresh makes an empty store where there is none. A start that fails in the middle leaves nothing under the store's name.
-func makeFresh(path string) error {
+// createStore makes an empty store where there is none. A start that fails in the middle leaves nothing under the store's name.
+func createStore(path string) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	fresh := path + freshEnding
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
+	newPath := path + newStoreSuffix
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	db, err := bbolt.Open(fresh, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(newPath, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err == nil {
-		err = errors.Join(makeBuckets(db), db.Close())
+		err = errors.Join(createBuckets(db), db.Close())
 	}
 	if err != nil {
-		os.Remove(fresh)
+		os.Remove(newPath)
 		return err
 	}
-	defer os.Remove(fresh)
+	defer os.Remove(newPath)
 	// A link, and not a new name: another planner may have made the store meanwhile, and have it open.
-	if err := os.Link(fresh, path); !errors.Is(err, os.ErrExist) {
+	if err := os.Link(newPath, path); !errors.Is(err, os.ErrExist) {
 		return err
 	}
 	return nil
 }
 
-func makeBuckets(db *bbolt.DB) error {
+func createBuckets(db *bbolt.DB) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{recordsBucket, metaBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -114,7 +114,7 @@
 	})
 }
 
-func (s *Store) open() (kept Kept, err error) {
+func (s *Store) open() (stored StoredState, err error) {
 	// bbolt reads its pages from mapped memory as they are: a damaged one ends in a panic, or a fault. Its
 	// locks are not given back then, so what it opened is left as it is.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -124,54 +124,54 @@
 		}
 	}()
 	s.db = nil
-	if err := makeFresh(s.path); err != nil {
-		return kept, fmt.Errorf("store %s: %w", s.path, err)
+	if err := createStore(s.path); err != nil {
+		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
-	if err := wholeFile(s.path); err != nil {
-		return kept, fmt.Errorf("store %s: %w", s.path, err)
+	if err := checkFileSize(s.path); err != nil {
+		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
 	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return kept, fmt.Errorf("store %s: %w", s.path, ErrTaken)
+		return stored, fmt.Errorf("store %s: %w", s.path, ErrStoreInUse)
 	} else if err != nil {
-		return kept, fmt.Errorf("store %s: %w", s.path, err)
+		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
 	s.db = db
-	if err := makeBuckets(db); err != nil {
-		return kept, fmt.Errorf("store %s: %w", s.path, err)
+	if err := createBuckets(db); err != nil {
+		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		for _, v := range []struct {
 			key  []byte
 			into any
-		}{{termKey, &kept.Term}, {metaKey, &kept.Meta}} {
+		}{{termKey, &stored.Term}, {metaKey, &stored.Meta}} {
 			if data := meta.Get(v.key); data != nil {
-				if err := unseal(data, v.into); err != nil {
+				if err := decodeWithChecksum(data, v.into); err != nil {
 					return fmt.Errorf("%s: %w", v.key, err) // without a term it must not go on
 				}
 			}
 		}
 		return tx.Bucket(recordsBucket).ForEach(func(key, data []byte) error {
 			var r assignment.Record
-			if err := unseal(data, &r); err != nil {
-				kept.Faults = append(kept.Faults,
+			if err := decodeWithChecksum(data, &r); err != nil {
+				stored.Faults = append(stored.Faults,
 					fmt.Sprintf("store %s: engine %s: %v; it is asked for its role", s.path, key, err))
 				return nil
 			}
-			kept.Records = append(kept.Records, r)
+			stored.Records = append(stored.Records, r)
 			return nil
 		})
 	})
 	if err != nil {
-		return kept, fmt.Errorf("store %s: %w", s.path, err)
+		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
-	return kept, nil
+	return stored, nil
 }
 
-// wholeFile is whether a store's file is as long as its newest page table says; a shorter one would fault
+// checkFileSize is whether a store's file is as long as its newest page table says; a shorter one would fault
 // when it is read. The layout is bbolt's own: two pages, each with a header of 16 bytes and a meta record.
-func wholeFile(path string) error {
+func checkFileSize(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// seal puts a checksum before a value.
-func seal(v any) ([]byte, error) {
+// encodeWithChecksum puts a checksum before a value.
+func encodeWithChecksum(v any) ([]byte, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)), data...), nil
 }
 
-func unseal(data []byte, into any) error {
+func decodeWithChecksum(data []byte, into any) error {
 	if len(data) < 8 || binary.BigEndian.Uint64(data) != xxhash.Sum64(data[8:]) {
 		return errors.New("its checksum does not fit")
 	}
@@ -223,7 +223,7 @@
 
 // SaveTerm keeps the term of this life.
 func (s *Store) SaveTerm(term int64) error {
-	data, err := seal(term)
+	data, err := encodeWithChecksum(term)
 	if err != nil {
 		return err
 	}
@@ -238,13 +238,13 @@
 			err = fmt.Errorf("store %s is damaged: %v", s.path, p)
 		}
 	}()
-	if s.fail != nil {
-		if err := s.fail(); err != nil {
+	if s.failSave != nil {
+		if err := s.failSave(); err != nil {
 			return err
 		}
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		data, err := seal(k.Meta)
+		data, err := encodeWithChecksum(k.Meta)
 		if err != nil {
 			return err
 		}
@@ -252,7 +252,7 @@
 			return err
 		}
 		for _, r := range k.Records {
-			if data, err = seal(r); err != nil {
+			if data, err = encodeWithChecksum(r); err != nil {
 				return err
 			}
 			if err := tx.Bucket(recordsBucket).Put([]byte(r.Engine), data); err != nil {
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -19,8 +19,8 @@
 
 const loadPath = engineapi.LoadPath
 
-// readFile reads a roster, bounded as the follower of the file bounds it.
-func readFile(path string) ([]byte, error) {
+// readEndpointFile reads a roster, bounded as the follower of the file bounds it.
+func readEndpointFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -29,19 +29,19 @@
 	return io.ReadAll(io.LimitReader(f, 4<<20+1))
 }
 
-// try gives an engine a small piece of work under its new epoch, through the protocol that edges speak. A
+// runTrial gives an engine a small piece of work under its new epoch, through the protocol that edges speak. A
 // reader shows a state for a prompt of one word; a writer, asked for the answer from a state that does not
 // exist, says so, which only an engine that writes knows.
-func (p *Planner) try(t assignment.StartTrial) error {
-	ctx, cancel := context.WithTimeout(p.ctx, p.d.Roles.TrialTimeout)
+func (p *Planner) runTrial(t assignment.StartTrial) error {
+	ctx, cancel := context.WithTimeout(p.ctx, p.settings.Assignment.TrialTimeout)
 	defer cancel()
 	call, err := chat.ParseRequest([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil {
 		return err
 	}
-	job := engineapi.Request{Chat: call, ID: fmt.Sprintf("%s%d-%d", planapi.Trial, p.term, t.Number)}
+	job := engineapi.Request{Chat: call, ID: fmt.Sprintf("%s%d-%d", planapi.TrialPrefix, p.term, t.Number)}
 	request, err := job.Prefill(t.Engine, t.Epoch, 0)
-	if t.Role == planapi.Write {
+	if t.Role == planapi.Decode {
 		host, port, e := net.SplitHostPort(t.Engine)
 		if e != nil {
 			return e
@@ -76,7 +76,7 @@
 	}
 	defer answer.Body.Close()
 	word := answer.Header.Get(engineapi.HeaderRejected)
-	if t.Role == planapi.Write {
+	if t.Role == planapi.Decode {
 		if word != engineapi.RejectedNoReservation {
 			return fmt.Errorf("asked to write from a state that is not there, it answers %s %s",
 				answer.Status, word)
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -117,7 +117,7 @@
 func (c *NodeConfig) Deployment(file string) (*config.Deployment, error) {
 	d := config.Defaults()
 	settings := params.Of(c.Settings)
-	d.File, d.Node, d.Chat, d.Given = file, c.Name, c.ListenAddress, settings
+	d.File, d.NodeName, d.ChatAddress, d.GivenFacts = file, c.Name, c.ListenAddress, settings
 	number := func(name string, fallback float64) float64 {
 		if v, ok := settings[name].(float64); ok {
 			return v
@@ -131,34 +131,34 @@
 		v, _ := settings[fmt.Sprintf(format, args...)].(string)
 		return v
 	}
-	d.Me, d.Nodes = int(number("me", 0)), max(1, int(number("nodes", 1)))
+	d.NodeNumber, d.NodeCount = int(number("me", 0)), max(1, int(number("nodes", 1)))
 	for i := range listLength(settings, "zones") {
 		d.Zones = append(d.Zones, text("zones.%d", i))
 	}
 	for i := range listLength(settings, "kinds") {
 		role := text("engine_facts.role_of_kind.%d", i)
 		d.Kinds = append(d.Kinds, config.EngineKind{Name: text("kinds.%d", i), Role: role,
-			Memory: number(fmt.Sprintf("engine_facts.memory_of_kind.%d", i), 0)})
+			MemoryTokens: number(fmt.Sprintf("engine_facts.memory_of_kind.%d", i), 0)})
 	}
 	for i := range listLength(settings, "routes") {
 		route := func(name string) string { return fmt.Sprintf("routes.%d.%s", i, name) }
 		d.Routes = append(d.Routes, config.Route{Name: text("%s", route("name")), Effect: text("%s", route("effect")),
-			Value: number(route("value"), 1), FirstToken: duration(route("first_token_target"), time.Second),
-			PerTokns: duration(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
+			PriorityWeight: number(route("value"), 1), FirstTokenObjective: duration(route("first_token_target"), time.Second),
+			ObjectivePer1000Tokens: duration(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
 			// A client's own word stands for the time that it waits, be it longer than the route's.
 			Timeout: maxTimeout, DedupWindow: duration(route("dedup_window"), 0), DedupGroup: text("%s", route("dedup_group"))})
 	}
 	d.Rules.DrainGrace = duration("rules.drain_grace", d.Rules.DrainGrace)
-	d.Rules.Pin = duration("engine_facts.pin", d.Rules.Pin)
-	d.Lines.DialTime = duration("limits.dial_timeout", d.Lines.DialTime)
+	d.Rules.ReservationLimit = duration("engine_facts.pin", d.Rules.ReservationLimit)
+	d.Connections.DialTimeout = duration("limits.dial_timeout", d.Connections.DialTimeout)
 	// Engines close at the latest then, so nothing is written to one that has been idle for nearly as long.
-	idle := duration("limits.conn_idle", d.Lines.Idle)
-	d.Lines.Idle = max(0, min(idle*2/3, idle-invariant.HoldUp))
+	idle := duration("limits.conn_idle", d.Connections.IdleTimeout)
+	d.Connections.IdleTimeout = max(0, min(idle*2/3, idle-invariant.HoldUp))
 	// A second answer may come some milliseconds behind a stream. Twenty is a way there and back on a loaded machine.
-	d.Lines.Settle = 20 * time.Millisecond
-	d.Lines.IdleUnsafe = min(d.Lines.IdleUnsafe, d.Lines.Idle)
-	d.Sends, d.Tick = int(number("limits.sends", float64(d.Sends))), duration("tick", d.Tick)
-	d.Probes, _ = settings["limits.probes"].(bool)
+	d.Connections.ReuseDelay = 20 * time.Millisecond
+	d.Connections.NonIdempotentIdleTimeout = min(d.Connections.NonIdempotentIdleTimeout, d.Connections.IdleTimeout)
+	d.MaxAttempts, d.TickInterval = int(number("limits.sends", float64(d.MaxAttempts))), duration("tick", d.TickInterval)
+	d.HealthChecks, _ = settings["limits.probes"].(bool)
 	applyResourceLimits(d, c, settings)
 	var faults script.Faults
 	// Absent, it has a default. What is there and no number must not be taken for absent.
@@ -186,26 +186,26 @@
 func applyResourceLimits(d *config.Deployment, c *NodeConfig, settings map[string]any) {
 	sockets, memory := cmp.Or(c.Limits.Sockets, 1024)-reservedSockets, c.MemoryBytes()
 	// An inference has a client's connection and at most one line, and lines that lie idle are had back at need.
-	d.Limits.Conns, d.Lines.All = sockets*46/100, sockets/2
+	d.Limits.Conns, d.Connections.Total = sockets*46/100, sockets/2
 	d.Limits.Open = d.Limits.Conns
-	d.Limits.Bytes, d.Inbox = memory/6, memory/16
-	d.Body, d.Head = 256<<10, 16<<10
+	d.Limits.Bytes, d.QueueBytes = memory/6, memory/16
+	d.MaxBodyBytes, d.MaxHeadBytes = 256<<10, 16<<10
 	// Half a second under the three that the platform waits for a word to one that says nothing of use.
 	d.Limits.FirstTime = 2500 * time.Millisecond
 	d.Limits.HeadTime, d.Limits.BodyTime = d.Limits.FirstTime, d.Limits.FirstTime
 	d.Limits.IdleTime, d.Limits.DrainTime = time.Minute, time.Second
 	// A second under the five after which a client that is left waiting has lost its stream.
-	d.Stall = 4 * time.Second
-	d.RetryAfter = 0
+	d.StallTimeout = 4 * time.Second
+	d.MaxRetryAfter = 0
 	if retryAfter, _ := settings["limits.retry_after"].(bool); retryAfter {
 		maxRetryAfter, _ := settings["limits.max_retry_after"].(float64)
-		d.RetryAfter = min(500*time.Millisecond, time.Duration(maxRetryAfter))
+		d.MaxRetryAfter = min(500*time.Millisecond, time.Duration(maxRetryAfter))
 	}
 	// For as long as long reads in a queue take.
-	d.ReleaseFor = 3 * d.Rules.Pin
+	d.ReleaseRepeatTime = 3 * d.Rules.ReservationLimit
 	// Connections still come for 0.4 s after the word to stop.
-	d.Linger = 600 * time.Millisecond
-	d.Finish = time.Minute
+	d.ShutdownAcceptTime = 600 * time.Millisecond
+	d.ShutdownTimeout = time.Minute
 	// The kill comes 0.7 s after the longest wait of a client, or after three seconds if that is longer. Streams
 	// that are cut then go on elsewhere only where clients ask for the rest.
 	if resume, _ := settings["engine_facts.resume"].(bool); resume {
@@ -215,6 +215,6 @@
 			longest = max(longest, time.Duration(wait))
 		}
 		killAfter := min(longest, 3*time.Second) + 700*time.Millisecond
-		d.Stay, d.HandOver = max(d.Linger, killAfter-1500*time.Millisecond), max(d.Linger, killAfter-400*time.Millisecond)
+		d.ShutdownStayTime, d.ShutdownHandoverTime = max(d.ShutdownAcceptTime, killAfter-1500*time.Millisecond), max(d.ShutdownAcceptTime, killAfter-400*time.Millisecond)
 	}
 }
--- a/internal/protocol/platform/idle_test.go
+++ b/internal/protocol/platform/idle_test.go
@@ -23,8 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.Lines.Idle > max(0, idle-invariant.HoldUp) {
-			t.Errorf("engines close after %v, the node uses a connection up to %v", idle, d.Lines.Idle)
+		if d.Connections.IdleTimeout > max(0, idle-invariant.HoldUp) {
+			t.Errorf("engines close after %v, the node uses a connection up to %v", idle, d.Connections.IdleTimeout)
 		}
 	}
 }
