--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -216,14 +216,14 @@
 	}
 	f := d.Facts()
 	if f["routes.0.effect"] != "non-retriable" || f["routes.0.first_token_target"] != 8e8 || f["zone"] != 1.0 ||
-		d.Role("decode") != "write" || d.Route("chat") != 0 || d.Me != 1 || fmt.Sprint(m.LoadReportFields()) != "[x0 x1]" {
+		d.Role("decode") != "write" || d.Route("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(m.LoadReportFields()) != "[x0 x1]" {
 		t.Errorf("%+v %v", d, f)
 	}
 	if f["engine_facts.pin"] != 625e6 {
 		t.Errorf("the module may keep states for %v, which leaves no time to let go of them", f["engine_facts.pin"])
 	}
-	if d.Limits.Conns+d.Lines.All+reservedSockets > 256 || d.Limits.Conns < 256/3 || d.Limits.Bytes+d.Inbox > 16<<20 {
-		t.Errorf("%+v %+v do not fit", d.Limits, d.Lines)
+	if d.Limits.Conns+d.Connections.Total+reservedSockets > 256 || d.Limits.Conns < 256/3 || d.Limits.Bytes+d.QueueBytes > 16<<20 {
+		t.Errorf("%+v %+v do not fit", d.Limits, d.Connections)
 	}
 }
 
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -104,24 +104,24 @@
 			"known = %s\nmemory = %d\nreports = %q\n", m.Name, m.ListenAddress, m.DiscoveryAddress, m.SeedValue(), m.PeerListenAddress, m.Peers,
 			m.PeerBroadcastAddress, m.CachedEndpoints, m.MemoryBytes(), m.LoadReportFields())
 		fmt.Fprintf(&b, "\nnode\nnode = %s\nchat = %s\nme = %d of %d\nzones = %q\nsends = %d\ntick = %v\nprobes = %v\n",
-			d.Node, d.Chat, d.Me, d.Nodes, d.Zones, d.Sends, d.Tick, d.Probes)
+			d.NodeName, d.ChatAddress, d.NodeNumber, d.NodeCount, d.Zones, d.MaxAttempts, d.TickInterval, d.HealthChecks)
 		for _, k := range d.Kinds {
-			fmt.Fprintf(&b, "kind %s: role %s, memory %g\n", k.Name, k.Role, k.Memory)
+			fmt.Fprintf(&b, "kind %s: role %s, memory %g\n", k.Name, k.Role, k.MemoryTokens)
 		}
 		for _, r := range d.Routes {
 			fmt.Fprintf(&b, "route %s: effect %s, value %g, first token %v, per 1000 tokens %v, timeout %v, dedup window %v, group %q\n",
-				r.Name, r.Effect, r.Value, r.FirstToken, r.PerTokns, r.Timeout, r.DedupWindow, r.DedupGroup)
+				r.Name, r.Effect, r.PriorityWeight, r.FirstTokenObjective, r.ObjectivePer1000Tokens, r.Timeout, r.DedupWindow, r.DedupGroup)
 		}
 		fmt.Fprintf(&b, "rules: drain grace %v, pin %v, cold %v, cold share %g, fall window %v, fall multiple %g\n",
-			d.Rules.DrainGrace, d.Rules.Pin, d.Rules.Cold, d.Rules.ColdShare, d.Rules.FallWindow, d.Rules.FallMultiple)
+			d.Rules.DrainGrace, d.Rules.ReservationLimit, d.Rules.SlowStart, d.Rules.SlowStartShare, d.Rules.OverloadWindow, d.Rules.OverloadMultiple)
 		fmt.Fprintf(&b, "lines: per engine %d, all %d, dials %d, dial time %v, idle %v, idle unsafe %v, settle %v\n",
-			d.Lines.PerEngine, d.Lines.All, d.Lines.Dials, d.Lines.DialTime, d.Lines.Idle, d.Lines.IdleUnsafe, d.Lines.Settle)
+			d.Connections.PerEngine, d.Connections.Total, d.Connections.ConcurrentDials, d.Connections.DialTimeout, d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout, d.Connections.ReuseDelay)
 		fmt.Fprintf(&b, "limits: connections %d, open %d, bytes %d, head time %v, body time %v, first time %v, idle time %v, "+
 			"drain time %v, inbox %d, body %d, head %d, client buffer %d\n", d.Limits.Conns, d.Limits.Open, d.Limits.Bytes,
-			d.Limits.HeadTime, d.Limits.BodyTime, d.Limits.FirstTime, d.Limits.IdleTime, d.Limits.DrainTime, d.Inbox, d.Body,
-			d.Head, d.ClientBuffer)
+			d.Limits.HeadTime, d.Limits.BodyTime, d.Limits.FirstTime, d.Limits.IdleTime, d.Limits.DrainTime, d.QueueBytes, d.MaxBodyBytes,
+			d.MaxHeadBytes, d.ClientBufferBytes)
 		fmt.Fprintf(&b, "times: stall %v, retry after %v, finish %v, linger %v, stay %v, hand over %v, release for %v\n\n",
-			d.Stall, d.RetryAfter, d.Finish, d.Linger, d.Stay, d.HandOver, d.ReleaseFor)
+			d.StallTimeout, d.MaxRetryAfter, d.ShutdownTimeout, d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime, d.ReleaseRepeatTime)
 	}
 	golden.Check(t, "deployment.golden", b.String())
 }
--- a/internal/replay/puppet.go
+++ b/internal/replay/puppet.go
@@ -196,7 +196,7 @@
 		go st.serve(l, name)
 		list.Entries = append(list.Entries, endpoint.Entry{ID: l.Addr().String(), Kind: d.Kinds[i].Name, Weight: 1, State: endpoint.Ready})
 	}
-	d.Chat = "127.0.0.1:0"
+	d.ChatAddress = "127.0.0.1:0"
 	n := edge.New(d, zap.NewNop(), source, 1)
 	if err := n.Start(); err != nil {
 		return nil, nil, err
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -48,9 +48,9 @@
 		o.happen(s, attempt.Barred, string(why))
 		return
 	}
-	atMost := int64(o.d.Lines.Idle)
+	atMost := int64(o.d.Connections.IdleTimeout)
 	if s.writes && o.d.Routes[inf.route].Effect != "retriable" {
-		atMost = int64(o.d.Lines.IdleUnsafe)
+		atMost = int64(o.d.Connections.NonIdempotentIdleTimeout)
 	}
 	if !o.carry(e.Engine, s, nil, atMost) {
 		// The node's own bound says nothing of the engine.
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -29,7 +29,7 @@
 		// A request may be on its way on it already, and is owed an answer.
 		o.watch.Refused("connections")
 		o.reply(c, nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node has all the connections that it may",
-			o.d.RetryAfter))
+			o.d.MaxRetryAfter))
 	}
 }
 
@@ -119,7 +119,7 @@
 	if id := o.gate.Fattest(); id != 0 {
 		o.watch.Refused("bytes")
 		o.reply(o.clients[id], nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node holds all that it may",
-			o.d.RetryAfter))
+			o.d.MaxRetryAfter))
 	}
 }
 
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -19,13 +19,15 @@
 }
 
 // controlTime is how long one may take: a quarter of the pin limit, and never more than a quarter second.
-func (o *Core) controlTime() int64 { return min(int64(250*time.Millisecond), int64(o.d.Rules.Pin)/4) }
+func (o *Core) controlTime() int64 {
+	return min(int64(250*time.Millisecond), int64(o.d.Rules.ReservationLimit)/4)
+}
 
 // startControl sends a control request.
 func (o *Core) startControl(e *controlRequest) {
 	e.at = o.now
 	o.controls[e] = true
-	if !o.carry(e.engine, nil, e, int64(o.d.Lines.Idle)) {
+	if !o.carry(e.engine, nil, e, int64(o.d.Connections.IdleTimeout)) {
 		o.controlDone(e, nil, nil)
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -99,11 +99,11 @@
 func New(d *config.Deployment, protocol protocol.Codec, seed uint64, epoch, now int64, wire Wire,
 	watch Watch) *Core {
 	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
-		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Lines.PerEngine,
-			Dials: d.Lines.Dials, All: d.Lines.All, IdleNs: int64(d.Lines.Idle), SettleNs: int64(d.Lines.Settle)}),
+		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Connections.PerEngine,
+			Dials: d.Connections.ConcurrentDials, All: d.Connections.Total, IdleNs: int64(d.Connections.IdleTimeout), SettleNs: int64(d.Connections.ReuseDelay)}),
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
-		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.Pin, protocol.ReleaseReachesAllEngines(),
-			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.Pin)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
+		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
+			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.ReservationLimit)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
 	o.brain = routing.New(seed, d.Facts())
 	return o
 }
@@ -143,7 +143,7 @@
 			if s.relay != nil {
 				idle = min(idle, o.now-s.relay.Last())
 			}
-			if attempt.Stalled(s.machine.State, idle, int64(o.d.Stall)) {
+			if attempt.Stalled(s.machine.State, idle, int64(o.d.StallTimeout)) {
 				o.happen(s, attempt.Silent, "no token for "+time.Duration(idle).String())
 			}
 		}
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		r.d = d
-		d.Nodes = nodes
+		d.NodeCount = nodes
 		r.protocol = chatapi.NewCodec([]string{d.Routes[0].Name, d.Routes[1].Name})
 	} else {
 		text := strings.Replace(told, `"peers_total":1`, fmt.Sprintf(`"peers_total":%d`, nodes), 1)
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -71,23 +71,23 @@
 	}
 	if a.excess {
 		o.watch.Refused("pipelined")
-		o.shedCall(c, a, http.StatusServiceUnavailable, "too many requests wait on this connection", d.RetryAfter)
+		o.shedCall(c, a, http.StatusServiceUnavailable, "too many requests wait on this connection", d.MaxRetryAfter)
 		return
 	}
 	if !o.again.Take(o.now, a.Call.Retried) {
-		o.shedCall(c, a, http.StatusServiceUnavailable, "more calls are repeated than this node takes", d.RetryAfter)
+		o.shedCall(c, a, http.StatusServiceUnavailable, "more calls are repeated than this node takes", d.MaxRetryAfter)
 		return
 	}
 	switch o.gate.Admit(c.ID, a.Party) {
 	case admission.OwnShare:
-		o.shedCall(c, a, http.StatusTooManyRequests, "you have your share of this node open already", d.RetryAfter)
+		o.shedCall(c, a, http.StatusTooManyRequests, "you have your share of this node open already", d.MaxRetryAfter)
 		return
 	case admission.NodeFull, admission.BytesFull:
-		o.shedCall(c, a, http.StatusServiceUnavailable, "this node holds all that it may", d.RetryAfter)
+		o.shedCall(c, a, http.StatusServiceUnavailable, "this node holds all that it may", d.MaxRetryAfter)
 		return
 	}
 	o.nextInf++
-	inf := &inference{id: o.nextInf, name: cmp.Or(a.Call.ID, fmt.Sprintf("%s-%x-%d", d.Node, o.epoch, o.nextInf)),
+	inf := &inference{id: o.nextInf, name: cmp.Or(a.Call.ID, fmt.Sprintf("%s-%x-%d", d.NodeName, o.epoch, o.nextInf)),
 		client: c, asked: a, route: route, at: o.now}
 	patience := d.Routes[route].Timeout
 	if a.Call.FirstTokenTimeout > 0 {
@@ -161,7 +161,7 @@
 }
 
 // timeUp is whether an inference's client is about to give up, or has.
-func (o *Core) timeUp(inf *inference) bool { return o.now >= inf.giveUpAt-4*int64(o.d.Tick) }
+func (o *Core) timeUp(inf *inference) bool { return o.now >= inf.giveUpAt-4*int64(o.d.TickInterval) }
 
 // finish gives the final answer, other than shed, of an inference that the module has taken.
 func (o *Core) finish(inf *inference, final, why string) {
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -298,7 +298,7 @@
 		// A second: the rest of an answer that is over is an end of chunks or a short body.
 		if l.restSince > 0 && o.now-l.restSince > int64(time.Second) ||
 			l.control != nil && o.now-l.control.at > o.controlTime() ||
-			l.socket == nil && o.now-l.dialAt > 2*int64(o.d.Lines.DialTime) {
+			l.socket == nil && o.now-l.dialAt > 2*int64(o.d.Connections.DialTimeout) {
 			o.spoil(l)
 		}
 	}
--- a/internal/router/monitor.go
+++ b/internal/router/monitor.go
@@ -25,7 +25,7 @@
 func (o *Core) checkHeld() {
 	for _, h := range o.holds.All() {
 		free := time.Duration(o.now - h.FreeSince())
-		if h.Acknowledged() || free <= o.d.Rules.Pin || o.mayBeTaken(h.ID.Request) {
+		if h.Acknowledged() || free <= o.d.Rules.ReservationLimit || o.mayBeTaken(h.ID.Request) {
 			continue
 		}
 		o.monitor.Held(h.ID.Request, free)
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -21,9 +21,9 @@
 func (o *Core) noteOutcome(s *send, in attempt.Input, r attempt.Result) {
 	inf := s.inf
 	cut := r.Leaves && in != attempt.Failed // without an engine's word for it
-	if cut && o.d.ReleaseFor > 0 {
+	if cut && o.d.ReleaseRepeatTime > 0 {
 		// Engines are told the time of a request, and need some to notice its end.
-		inf.cutUntil = max(o.now+int64(o.d.ReleaseFor), inf.giveUpAt+int64(o.d.Rules.Pin))
+		inf.cutUntil = max(o.now+int64(o.d.ReleaseRepeatTime), inf.giveUpAt+int64(o.d.Rules.ReservationLimit))
 	}
 	switch {
 	case s.writes:
@@ -125,7 +125,7 @@
 	}
 	if first { // a connection more for each release would be dear
 		i := slices.IndexFunc(row, func(engine string) bool {
-			return engine != h.Engine && o.pool.Rests(engine, o.now, int64(o.d.Lines.Idle))
+			return engine != h.Engine && o.pool.Rests(engine, o.now, int64(o.d.Connections.IdleTimeout))
 		})
 		if i < 0 {
 			return row[:min(1, len(row))]
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -216,7 +216,7 @@
 		if slices.ContainsFunc(h.caller.posts, func(p *post) bool { return p.out }) {
 			h.since = w.now
 		}
-		if w.now-h.since > int64(w.d.Rules.Pin+holdSlack) {
+		if w.now-h.since > int64(w.d.Rules.ReservationLimit+holdSlack) {
 			w.t.Fatalf("%s is held at %s for %v", h.caller.name, h.engine, time.Duration(w.now-h.since))
 		}
 	}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -48,32 +48,32 @@
 	d := &Day{Length: 20 * time.Second, Rate: 30, Seed: 1, Retries: 2, Turns: 3, Beginnings: 6, Words: 200, Edges: 3,
 		Readers: 4, Writers: 4, Pace: 200_000, SendRate: 60, TokenTime: 5 * time.Millisecond,
 		Deployment: config.Defaults()}
-	d.Deployment.File, d.Deployment.Roster, d.Deployment.Chat = name, "roster.json", ""
-	calls := d.Deployment.Calls()
+	d.Deployment.File, d.Deployment.EndpointFile, d.Deployment.ChatAddress = name, "roster.json", ""
+	calls := d.Deployment.ScriptFunctions()
 	for _, not := range []string{"listen", "node", "roster", "engine"} {
 		delete(calls, not) // the day makes these itself
 	}
 	type say = func(key, format string, args ...any)
-	calls["day"] = func() ([]script.Key, func(say)) {
-		return []script.Key{{Name: "length", To: &d.Length, Min: 0.5, Max: 3600}, {Name: "rate", To: &d.Rate, Min: 0.1, Max: 5000},
-			{Name: "seed", To: &d.Seed, Max: 1 << 31}, {Name: "retries", To: &d.Retries, Max: 10},
-			{Name: "turns", To: &d.Turns, Min: 1, Max: 100}, {Name: "beginnings", To: &d.Beginnings, Min: 1, Max: 10_000},
-			{Name: "words", To: &d.Words, Min: 1, Max: 20_000}, {Name: "leave", To: &d.Leave, Max: 1}}, nil
+	calls["day"] = func() ([]script.Argument, func(say)) {
+		return []script.Argument{{Name: "length", Target: &d.Length, Min: 0.5, Max: 3600}, {Name: "rate", Target: &d.Rate, Min: 0.1, Max: 5000},
+			{Name: "seed", Target: &d.Seed, Max: 1 << 31}, {Name: "retries", Target: &d.Retries, Max: 10},
+			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "beginnings", Target: &d.Beginnings, Min: 1, Max: 10_000},
+			{Name: "words", Target: &d.Words, Min: 1, Max: 20_000}, {Name: "leave", Target: &d.Leave, Max: 1}}, nil
 	}
-	calls["edges"] = func() ([]script.Key, func(say)) {
-		return []script.Key{{Name: "count", To: &d.Edges, Min: 1, Max: 32}}, nil
+	calls["edges"] = func() ([]script.Argument, func(say)) {
+		return []script.Argument{{Name: "count", Target: &d.Edges, Min: 1, Max: 32}}, nil
 	}
-	calls["fleet"] = func() ([]script.Key, func(say)) {
-		return []script.Key{{Name: "readers", To: &d.Readers, Min: 1, Max: 200}, {Name: "writers", To: &d.Writers, Min: 1, Max: 200},
-			{Name: "reader_slots", To: &d.Slots, Min: 1, Max: 1000}, {Name: "queue", To: &d.Queue, Min: 1, Max: 10_000},
-			{Name: "writer_slots", To: &d.WriteSlots, Min: 1, Max: 1000}, {Name: "memory", To: &d.Memory, Min: 1000, Max: 1e9},
-			{Name: "pace", To: &d.Pace, Min: 100, Max: 1e8}, {Name: "send_rate", To: &d.SendRate, Min: 0.1, Max: 1e5},
-			{Name: "token_time", To: &d.TokenTime, Min: 0.0001, Max: 1}}, nil
+	calls["fleet"] = func() ([]script.Argument, func(say)) {
+		return []script.Argument{{Name: "readers", Target: &d.Readers, Min: 1, Max: 200}, {Name: "writers", Target: &d.Writers, Min: 1, Max: 200},
+			{Name: "reader_slots", Target: &d.Slots, Min: 1, Max: 1000}, {Name: "queue", Target: &d.Queue, Min: 1, Max: 10_000},
+			{Name: "writer_slots", Target: &d.WriteSlots, Min: 1, Max: 1000}, {Name: "memory", Target: &d.Memory, Min: 1000, Max: 1e9},
+			{Name: "pace", Target: &d.Pace, Min: 100, Max: 1e8}, {Name: "send_rate", Target: &d.SendRate, Min: 0.1, Max: 1e5},
+			{Name: "token_time", Target: &d.TokenTime, Min: 0.0001, Max: 1}}, nil
 	}
-	calls["client"] = func() ([]script.Key, func(say)) {
+	calls["client"] = func() ([]script.Argument, func(say)) {
 		c := Client{Share: 1, Most: 32}
-		return []script.Key{{Name: "route", To: &c.Route, Need: true}, {Name: "share", To: &c.Share, Min: 0.0001, Max: 1e6},
-				{Name: "max_tokens", To: &c.Most, Min: 1, Max: 4096}},
+		return []script.Argument{{Name: "route", Target: &c.Route, Required: true}, {Name: "share", Target: &c.Share, Min: 0.0001, Max: 1e6},
+				{Name: "max_tokens", Target: &c.Most, Min: 1, Max: 4096}},
 			func(fault say) {
 				if c.Route != "" && d.Deployment.Route(c.Route) < 0 {
 					fault("route", "%q is no route named above", c.Route)
@@ -81,11 +81,11 @@
 				d.Clients = append(d.Clients, c)
 			}
 	}
-	calls["trouble"] = func() ([]script.Key, func(say)) {
+	calls["trouble"] = func() ([]script.Argument, func(say)) {
 		t := Trouble{Length: 3 * time.Second, Part: 0.25}
-		return []script.Key{{Name: "kind", To: &t.Kind, Words: Kinds(), Need: true}, {Name: "at", To: &t.At, Max: 3600},
-				{Name: "length", To: &t.Length, Max: 3600}, {Name: "part", To: &t.Part, Max: 1}, {Name: "size", To: &t.Size, Max: 1000},
-				{Name: "role", To: &t.Role, Words: []string{"read", "write"}}, {Name: "on", To: &t.On, Max: 1e6}},
+		return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: Kinds(), Required: true}, {Name: "at", Target: &t.At, Max: 3600},
+				{Name: "length", Target: &t.Length, Max: 3600}, {Name: "part", Target: &t.Part, Max: 1}, {Name: "size", Target: &t.Size, Max: 1000},
+				{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}, {Name: "on", Target: &t.On, Max: 1e6}},
 			func(fault say) {
 				if len(d.Troubles) >= 1000 {
 					fault("", "more than 1000 troubles")
@@ -95,7 +95,7 @@
 			}
 	}
 	err := script.Run(name, text, calls, func(fault func(string, ...any)) {
-		d.Deployment.Whole(fault)
+		d.Deployment.CheckScript(fault)
 		if len(d.Clients) == 0 {
 			fault("client: none is given; at least one is needed")
 		}
@@ -129,8 +129,8 @@
 	var makes []engine.Make
 	for i := range d.Readers + d.Writers {
 		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: d.Slots, Queue: d.Queue, Memory: d.Memory,
-			Pace: d.Pace, Rate: d.SendRate, TokenTime: d.TokenTime, Cold: r.Cold, ColdShare: r.ColdShare,
-			FallMultiple: r.FallMultiple, FallWindow: r.FallWindow}
+			Pace: d.Pace, Rate: d.SendRate, TokenTime: d.TokenTime, Cold: r.SlowStart, ColdShare: r.SlowStartShare,
+			FallMultiple: r.OverloadMultiple, FallWindow: r.OverloadWindow}
 		if i >= d.Readers {
 			m.Role, m.Slots = "write", d.WriteSlots
 		}
@@ -142,7 +142,7 @@
 	}
 	defer fleet.Stop()
 	base := *d.Deployment
-	base.Roster = fleet.Path
+	base.EndpointFile = fleet.Path
 	edges, err := StartEdges(d.Edges, base, log, seen, uint64(d.Seed))
 	if err != nil {
 		return res, err
@@ -204,8 +204,8 @@
 func (d *Day) routes() (row []loadgen.Route) {
 	for _, c := range d.Clients {
 		t := d.Deployment.Routes[d.Deployment.Route(c.Route)]
-		row = append(row, loadgen.Route{Name: t.Name, Share: c.Share, Value: t.Value, Retriable: t.Effect == "retriable",
-			Target: t.FirstToken, GiveUp: t.Timeout, Most: c.Most})
+		row = append(row, loadgen.Route{Name: t.Name, Share: c.Share, Value: t.PriorityWeight, Retriable: t.Effect == "retriable",
+			Target: t.FirstTokenObjective, GiveUp: t.Timeout, Most: c.Most})
 	}
 	return row
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -150,8 +150,8 @@
 	es := &Edges{base: base, log: log, seen: seen, seed: seed, nodes: make([]*edge.Node, n), addrs: make([]string, n)}
 	for i := range n {
 		es.addrs[i] = "127.0.0.1:0"
-		if base.Chat != "" && n == 1 {
-			es.addrs[i] = base.Chat
+		if base.ChatAddress != "" && n == 1 {
+			es.addrs[i] = base.ChatAddress
 		}
 		if err := es.start(i); err != nil {
 			es.Stop()
@@ -163,7 +163,7 @@
 
 func (es *Edges) start(i int) error {
 	d := es.base
-	d.Node, d.Me, d.Nodes, d.Chat = fmt.Sprint("edge", i), i, len(es.nodes), es.addrs[i]
+	d.NodeName, d.NodeNumber, d.NodeCount, d.ChatAddress = fmt.Sprint("edge", i), i, len(es.nodes), es.addrs[i]
 	n := edge.New(&d, es.log, nil, es.seed+uint64(i))
 	// A port that was free for a while may be some other connection's for a moment.
 	for try := 0; ; try++ {
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -54,9 +54,9 @@
 func tiltMake(i, readers int, r config.Rules) engine.Make {
 	m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: 2, OtherSlots: 16, Queue: 64,
 		Pace: 20_000, Rate: 30,
-		TokenTime: 10 * time.Millisecond, Memory: 400_000, Cold: r.Cold, ColdShare: r.ColdShare,
-		FallMultiple: r.FallMultiple,
-		FallWindow:   r.FallWindow, Reload: 300 * time.Millisecond}
+		TokenTime: 10 * time.Millisecond, Memory: 400_000, Cold: r.SlowStart, ColdShare: r.SlowStartShare,
+		FallMultiple: r.OverloadMultiple,
+		FallWindow:   r.OverloadWindow, Reload: 300 * time.Millisecond}
 	if i >= readers {
 		m.Role, m.Slots, m.OtherSlots = "write", 16, 2
 	}
@@ -64,12 +64,12 @@
 }
 
 // Planning is the planner's part of a tilted day.
-func (t Tilt) Planning(fleet *Fleet, dir string) *config.Planning {
-	p := config.PlanningDefaults()
-	p.Listen, p.Store, p.Roster = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
+func (t Tilt) Planning(fleet *Fleet, dir string) *config.Planner {
+	p := config.DefaultPlanner()
+	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	p.Pairs = [][2]string{{"prefill", "decode"}}
-	b := &p.Roles
+	p.RolePairs = [][2]string{{"prefill", "decode"}}
+	b := &p.Assignment
 	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown = 4*time.Second, time.Second, 5*time.Second,
 		2*time.Second, 2*time.Second, 4*time.Second
 	b.MaxChangingShare, b.MaxSharePerMinute, b.MinServing, b.ExplainOnly = 0.25, 1, 1, t.Fixed
@@ -114,7 +114,7 @@
 	if err != nil {
 		return res, err
 	}
-	d.Rules.Cold = 2 * time.Second
+	d.Rules.SlowStart = 2 * time.Second
 	var makes []engine.Make
 	for i := range t.Readers + t.Writers {
 		makes = append(makes, tiltMake(i, t.Readers, d.Rules))
@@ -153,7 +153,7 @@
 		planner.Addr(), planner.Addr())
 	defer func() { mu.Lock(); planner.Stop(); mu.Unlock() }()
 	base := *d
-	base.Roster, base.Engines, base.Planner = "", nil, planner.Addr()
+	base.EndpointFile, base.Engines, base.PlannerAddress = "", nil, planner.Addr()
 	edges, err := StartEdges(t.Edges, base, log, seen, t.Seed)
 	if err != nil {
 		return res, err
@@ -200,8 +200,8 @@
 	}
 	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.Value,
-			Retriable: r.Effect == "retriable", Target: r.FirstToken,
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.PriorityWeight,
+			Retriable: r.Effect == "retriable", Target: r.FirstTokenObjective,
 			GiveUp: r.Timeout})
 	}
 	for i, ph := range t.Phases {
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -86,19 +86,19 @@
 	}
 	defer p.Stop()
 	follows, stale := *d, *d
-	follows.Roster, follows.Planner = "", p.Addr()
+	follows.EndpointFile, follows.PlannerAddress = "", p.Addr()
 	list := endpoint.List{Revision: 1}
 	for _, e := range fleet.list.Entries {
 		e.RoleEpoch = 1
 		list.Entries = append(list.Entries, e)
 	}
-	stale.Roster = filepath.Join(dir, "stale.json")
-	if err := endpoint.WriteFile(stale.Roster, list); err != nil {
+	stale.EndpointFile = filepath.Join(dir, "stale.json")
+	if err := endpoint.WriteFile(stale.EndpointFile, list); err != nil {
 		t.Fatal(err)
 	}
 	var addrs []string
 	for i, base := range []config.Deployment{follows, stale} {
-		base.Chat = "127.0.0.1:0"
+		base.ChatAddress = "127.0.0.1:0"
 		edges, err := StartEdges(1, base, zap.NewNop(), seen, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -121,8 +121,8 @@
 	})
 	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.Value,
-			Retriable: r.Effect == "retriable", Target: r.FirstToken,
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.PriorityWeight,
+			Retriable: r.Effect == "retriable", Target: r.FirstTokenObjective,
 			GiveUp: r.Timeout, Most: 24})
 	}
 	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Length: 8 * time.Second,
