--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -21,8 +21,8 @@
 
 func run(in io.Reader, out, log io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
-	nodes := map[string]*routing.Brain{} // nil: created once, down now
-	for number := 1; ; number++ {
+	policies := map[string]*routing.Policy{} // nil: created once, down now
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := reader.ReadBytes('\n')
 		if err == io.EOF && len(line) == 0 {
 			return nil
@@ -30,9 +30,9 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		reply, err := answer(line, nodes, func(text string) { fmt.Fprintf(log, "drill: line %d: %s\n", number, text) })
+		reply, err := handleBatch(line, policies, func(text string) { fmt.Fprintf(log, "drill: line %d: %s\n", lineNumber, text) })
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		if _, err := out.Write(append(reply, '\n')); err != nil {
 			return err
@@ -40,38 +40,38 @@
 	}
 }
 
-func answer(line []byte, nodes map[string]*routing.Brain, note func(string)) ([]byte, error) {
+func handleBatch(line []byte, policies map[string]*routing.Policy, warn func(string)) ([]byte, error) {
 	now, events, err := simproto.Decode(line)
 	if err != nil {
 		return nil, err
 	}
 	actions := []simproto.Action{}
-	for i, ev := range events {
-		node, created := nodes[ev.Node]
+	for i, event := range events {
+		policy, created := policies[event.Node]
 		switch {
-		case ev.Create != nil:
-			nodes[ev.Node] = routing.New(ev.Create.Seed, ev.Create.Facts)
-		case ev.Unknown != "":
-			note(fmt.Sprintf("event %d: unknown event %q passed over", i, ev.Unknown))
+		case event.Create != nil:
+			policies[event.Node] = routing.New(event.Create.Seed, event.Create.Facts)
+		case event.Unknown != "":
+			warn(fmt.Sprintf("event %d: unknown event %q passed over", i, event.Unknown))
 		case !created:
-			return nil, fmt.Errorf("event %d: field i: %q was never created", i, ev.Node)
-		case ev.Down:
-			nodes[ev.Node] = nil
-		case node != nil:
-			actions = append(actions, step(node, ev.Node, now, ev.Input)...)
+			return nil, fmt.Errorf("event %d: field i: %q was never created", i, event.Node)
+		case event.Down:
+			policies[event.Node] = nil
+		case policy != nil:
+			actions = append(actions, stepPolicy(policy, event.Node, now, event.Payload)...)
 		}
 	}
 	return json.Marshal(map[string][]simproto.Action{"out": actions})
 }
 
-func step(node *routing.Brain, name string, now int64, in routing.Input) (actions []simproto.Action) {
+func stepPolicy(policy *routing.Policy, name string, now int64, event routing.Event) (actions []simproto.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			actions = []simproto.Action{simproto.Die(name, fmt.Sprint(p))}
+			actions = []simproto.Action{simproto.NodeFailed(name, fmt.Sprint(p))}
 		}
 	}()
-	for _, effect := range node.Step(now, in) {
-		actions = append(actions, simproto.Encode(name, effect))
+	for _, action := range policy.Step(now, event) {
+		actions = append(actions, simproto.Encode(name, action))
 	}
 	return actions
 }
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -87,7 +87,7 @@
 	{from: []State{Writing, Waiting}, in: NoState, next: Over, ends: true, verdict: routing.Full, line: Keep},
 
 	// Surely ran.
-	{from: []State{Answering}, in: Read, next: Over, ends: true, verdict: routing.ReadDone, line: Keep},
+	{from: []State{Answering}, in: Read, next: Over, ends: true, verdict: routing.PrefillDone, line: Keep},
 	{from: []State{Answering, Flowing}, in: Finished, next: Over, ends: true, verdict: routing.Completed, line: Keep},
 
 	// May have run.
@@ -98,7 +98,7 @@
 		verdict: routing.ConnectionLost, line: Close, leaves: true},
 	{from: []State{Flowing}, in: Silent, next: Over, ends: true, verdict: routing.ConnectionLost, line: Close},
 	{from: []State{Waiting, Answering, Flowing}, in: WithdrawnBy, next: Over, ends: true,
-		verdict: routing.Withdrawn, line: Close, leaves: true},
+		verdict: routing.Canceled, line: Close, leaves: true},
 }
 
 // Send is the state machine of one send. The zero value has just been asked for.
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -44,7 +44,7 @@
 			if r.Line == Keep && slices.Contains([]Input{Reset, Silent, Garbled, WithdrawnBy}, in) {
 				t.Fatalf("a line with an unread rest is kept after %v", in)
 			}
-			if r.Verdict == routing.ReadDone && in != Read || r.Verdict == routing.Completed && in != Finished {
+			if r.Verdict == routing.PrefillDone && in != Read || r.Verdict == routing.Completed && in != Finished {
 				t.Fatalf("%v is taken as %v", in, r.Verdict)
 			}
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -134,7 +134,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n", c[0])
-		facts := d.Facts()
+		facts := d.RoutingConfig()
 		for _, name := range slices.Sorted(maps.Keys(facts)) {
 			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
 		}
--- a/internal/config/params/facts.go
+++ b/internal/config/params/facts.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// words maps the wire's names in settings to the users' words; names not here stay as they are.
-var words = map[string]string{
+// settingNames maps the wire's names in settings to the users' words; names not here stay as they are.
+var settingNames = map[string]string{
 	"accounts": "tenants", "areas": "zones", "ceilings": "limits", "classes": "routes", "flavors": "kinds",
 	"obligations": "rules", "family_info": "engine_facts", "peers_total": "nodes", "index": "me",
 	"objective": "first_token_target", "deadline": "route_timeout", "worth": "value", "late_worth": "late_value",
@@ -20,13 +20,13 @@
 	"kind_memory_tokens": "memory_of_kind",
 }
 
-// values maps the wire's words in setting values to the users' words.
-var values = map[string]string{
+// settingValues maps the wire's words in setting values to the users' words.
+var settingValues = map[string]string{
 	"retryable": "retriable", "dedup": "deduped", "fragile": "non-retriable", "subscribe": "watch",
 }
 
-// Of flattens settings into dotted names in the users' words, times in nanoseconds.
-func Of(params map[string]any) map[string]any {
+// Flatten flattens settings into dotted names in the users' words, times in nanoseconds.
+func Flatten(params map[string]any) map[string]any {
 	out := map[string]any{}
 	flatten("", 1, params, out)
 	return out
@@ -45,7 +45,7 @@
 				}
 				key = strings.Replace(key, "_us_per_", "_per_", 1)
 			}
-			if w, ok := words[key]; ok {
+			if w, ok := settingNames[key]; ok {
 				key = w
 			}
 			flatten(join(name, key), unit, inner, out)
@@ -58,7 +58,7 @@
 	case float64:
 		out[name] = v * scale
 	case string:
-		if w, ok := values[v]; ok {
+		if w, ok := settingValues[v]; ok {
 			v = w
 		}
 		out[name] = v
@@ -74,15 +74,15 @@
 	return a + "." + b
 }
 
-// reports maps the wire's names of load figures to the users' words.
-var reports = map[string]string{"x0": "memory_share", "x1": "waiting_thousand_tokens", "active": "open",
+// reportNames maps the wire's names of load figures to the users' words.
+var reportNames = map[string]string{"x0": "memory_share", "x1": "waiting_thousand_tokens", "active": "open",
 	"avg_ms": "recent_lag_ms"}
 
-// Report names the figures of a load report in the users' words.
-func Report(telemetry map[string]float64) map[string]float64 {
+// LoadReport names the figures of a load report in the users' words.
+func LoadReport(telemetry map[string]float64) map[string]float64 {
 	out := map[string]float64{}
 	for name, v := range telemetry {
-		if w, ok := reports[name]; ok {
+		if w, ok := reportNames[name]; ok {
 			name = w
 		}
 		out[name] = v
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.Facts()
+	f := d.RoutingConfig()
 	for name, want := range map[string]any{"routes.1.effect": "non-retriable", "routes.1.value": 5.0,
 		"routes.0.first_token_target": 1e9, "engine_facts.role_of_kind.1": "write", "engine_facts.pin": 6.25e8,
 		"engine_facts.target_per_1000_tokens.0": 4e7, "rules.cold": 1e10, "limits.cancel": true} {
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	news, unknown := d.News(endpoint.List{Entries: []endpoint.Entry{
+	news, unknown := d.EndpointUpdate(endpoint.List{Entries: []endpoint.Entry{
 		{ID: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, StartedAtMs: 7},
 		{ID: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
 		{ID: "c:1", Kind: "mixed", State: endpoint.Ready}}})
@@ -88,10 +88,10 @@
 			e.Zone = 0
 		}
 	}
-	want := []routing.EngineEntry{{Engine: "a:1", Kind: 0, Weight: 2, UpSince: 7e6, Ready: true},
-		{Engine: "b:1", Kind: 1, Zone: 0, Drains: true}}
+	want := []routing.Endpoint{{Engine: "a:1", Kind: 0, Weight: 2, StartedAt: 7e6, Ready: true},
+		{Engine: "b:1", Kind: 1, Zone: 0, Draining: true}}
 	if len(unknown) != 1 || unknown[0] != "c:1" || len(news.Engines) != 2 || news.Engines[0] != want[0] ||
-		news.Engines[1] != want[1] || !news.Whole {
+		news.Engines[1] != want[1] || !news.Complete {
 		t.Errorf("%+v, unknown %v", news, unknown)
 	}
 }
@@ -113,7 +113,7 @@
 					Zone: rapid.SampledFrom([]string{"ktm-dc1", "a", "b"}).Draw(t, "zone"),
 					Cell: rapid.SampledFrom([]string{"0", "1", "2"}).Draw(t, "cell")})
 			}
-			news, _ := d.News(list)
+			news, _ := d.EndpointUpdate(list)
 			for i, e := range news.Engines {
 				zone := list.Entries[i].Zone
 				cell := zone + "/" + list.Entries[i].Cell
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -304,8 +304,8 @@
 	}
 	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Inferences == 6 })
 	once := true
-	r.edges.Node(0).FailOn(func(in routing.Input) bool {
-		_, news := in.(routing.EngineNews)
+	r.edges.Node(0).FailOn(func(in routing.Event) bool {
+		_, news := in.(routing.EndpointUpdate)
 		fail := once && !news
 		once = once && !fail
 		return fail
--- a/internal/edge/export_test.go
+++ b/internal/edge/export_test.go
@@ -14,9 +14,9 @@
 func (n *Node) Freeze(d time.Duration) { n.in.put(0, func() { time.Sleep(d) }) }
 
 // FailOn makes the module panic on inputs that fit.
-func (n *Node) FailOn(fits func(routing.Input) bool) {
+func (n *Node) FailOn(fits func(routing.Event) bool) {
 	n.in.put(0, func() {
-		n.fail = func(in routing.Input) {
+		n.fail = func(in routing.Event) {
 			if fits(in) {
 				panic("a fault put in by a test")
 			}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -60,7 +60,7 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	over   sync.WaitGroup
-	fail   func(routing.Input) // a test's panic inside the module
+	fail   func(routing.Event) // a test's panic inside the module
 	hold   func(Point)         // a test's stop at a point; set before Start
 	dial   func(ctx context.Context, address string) (net.Conn, error)
 	counts map[string]*planapi.RouteCount
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -15,7 +15,7 @@
 // watch writes what the core tells to the log and to the metrics.
 type watch struct{ n *Node }
 
-func (w watch) Around(in routing.Input, step func()) {
+func (w watch) Around(in routing.Event, step func()) {
 	begun := time.Now()
 	defer func() { w.n.metrics.module.Add(time.Since(begun).Seconds()) }()
 	if w.n.fail != nil {
@@ -24,7 +24,7 @@
 	step()
 }
 
-func (w watch) ModuleFailed(p any, in routing.Input, stack []byte) {
+func (w watch) ModuleFailed(p any, in routing.Event, stack []byte) {
 	w.n.metrics.panics.Inc()
 	w.n.log.Error("module failed", zap.Any("panic", p), zap.String("input", fmt.Sprintf("%T", in)),
 		zap.ByteString("stack", stack))
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -452,8 +452,8 @@
 // quiet is a node.Watch that hears nothing.
 type quiet struct{}
 
-func (quiet) Around(_ routing.Input, step func())           { step() }
-func (quiet) ModuleFailed(p any, _ routing.Input, _ []byte) { panic(p) }
+func (quiet) Around(_ routing.Event, step func())           { step() }
+func (quiet) ModuleFailed(p any, _ routing.Event, _ []byte) { panic(p) }
 func (quiet) Final(router.Final)                            {}
 func (quiet) Shed(router.Shed)                              {}
 func (quiet) Attempt(router.AttemptEnd)                     {}
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -125,7 +125,7 @@
 	for _, t := range []struct {
 		took uint64
 		rows []string
-	}{{c.Brain, routing.Rows()}, {c.Attempt, attempt.Rows()}, {c.Conns, connpool.Rows()}, {c.Roles, assignment.TransitionNames()}} {
+	}{{c.Brain, routing.TransitionNames()}, {c.Attempt, attempt.Rows()}, {c.Conns, connpool.Rows()}, {c.Roles, assignment.TransitionNames()}} {
 		for i, name := range t.rows {
 			if t.took&(1<<i) == 0 {
 				row = append(row, name)
@@ -138,7 +138,7 @@
 // Taken is how many rows were taken, of how many.
 func (c Cover) Taken() (taken, of int) {
 	return bits.OnesCount64(c.Brain) + bits.OnesCount64(c.Attempt) + bits.OnesCount64(c.Conns) + bits.OnesCount64(c.Roles),
-		len(routing.Rows()) + len(attempt.Rows()) + len(connpool.Rows()) + len(assignment.TransitionNames())
+		len(routing.TransitionNames()) + len(attempt.Rows()) + len(connpool.Rows()) + len(assignment.TransitionNames())
 }
 
 // Snapshot is an exploration between two levels, to go on from.
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -377,8 +377,8 @@
 // watch learns the names of inferences, and nothing else.
 type watch struct{ s *sim }
 
-func (w watch) Around(_ routing.Input, step func()) { step() }
-func (w watch) ModuleFailed(p any, in routing.Input, _ []byte) {
+func (w watch) Around(_ routing.Event, step func()) { step() }
+func (w watch) ModuleFailed(p any, in routing.Event, _ []byte) {
 	w.s.say("P12 the module fails on %T: %v", in, p)
 }
 func (w watch) Final(router.Final)        {}
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -84,7 +84,7 @@
 
 // LoadReportFields are the fields of load reports; none where the deployment has no reports.
 func (c *NodeConfig) LoadReportFields() (fields []string) {
-	settings := params.Of(c.Settings)
+	settings := params.Flatten(c.Settings)
 	if mode, _ := settings["report.how"].(string); mode == "" || mode == "off" {
 		return nil
 	}
@@ -116,7 +116,7 @@
 // script.Faults.
 func (c *NodeConfig) Deployment(file string) (*config.Deployment, error) {
 	d := config.Defaults()
-	settings := params.Of(c.Settings)
+	settings := params.Flatten(c.Settings)
 	d.File, d.NodeName, d.ChatAddress, d.GivenFacts = file, c.Name, c.ListenAddress, settings
 	number := func(name string, fallback float64) float64 {
 		if v, ok := settings[name].(float64); ok {
--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -326,7 +326,7 @@
 	if slices.ContainsFunc(d.reportFields, func(name string) bool { _, ok := values[name]; return !ok }) {
 		return nil
 	}
-	return params.Report(values)
+	return params.LoadReport(values)
 }
 
 // IsFinalEvent is never so: the event that says the stream is done is the client's too.
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.Facts()
+	f := d.RoutingConfig()
 	if f["routes.0.effect"] != "non-retriable" || f["routes.0.first_token_target"] != 8e8 || f["zone"] != 1.0 ||
 		d.Role("decode") != "write" || d.Route("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(m.LoadReportFields()) != "[x0 x1]" {
 		t.Errorf("%+v %v", d, f)
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n\nfacts\n", c[0])
-		facts := d.Facts()
+		facts := d.RoutingConfig()
 		for _, name := range slices.Sorted(maps.Keys(facts)) {
 			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
 		}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -35,7 +35,7 @@
 }
 
 func (o *Core) send(e routing.Send) {
-	inf := o.infs[e.Inf]
+	inf := o.infs[e.RequestID]
 	if inf == nil {
 		return
 	}
@@ -145,7 +145,7 @@
 	}
 	o.endOfAttempt(s)
 	note := 0.0
-	if r.Verdict == routing.ReadDone {
+	if r.Verdict == routing.PrefillDone {
 		note, inf.transfer = s.kept, s.transfer
 	}
 	o.noteOutcome(s, in, r)
@@ -163,8 +163,8 @@
 	} else if r.Verdict == routing.Completed {
 		o.finish(inf, completed, "") // an answer without a token
 	}
-	o.tell(routing.Outcome{Inf: inf.id, Send: s.n, Engine: s.engine, Verdict: r.Verdict, Lag: o.now - s.at,
-		Ended: inf.final != "", Note: note, Report: s.report, Stale: s.stale})
+	o.tell(routing.Outcome{RequestID: inf.id, Attempt: s.n, Engine: s.engine, Verdict: r.Verdict, Latency: o.now - s.at,
+		RequestEnded: inf.final != "", Note: note, Report: s.report, StaleConnection: s.stale})
 	// What came after the end is let go of here too: a read whose inference nobody waits for.
 	if inf.final != "" {
 		o.letGo(inf)
@@ -194,7 +194,7 @@
 			o.write(inf.client, o.protocol.StreamHead(inf.name))
 		}
 		o.watch.First(o.d.Routes[inf.route].Name, time.Duration(o.now-inf.at), inf.asked.Call.PromptTokens)
-		o.tell(routing.FirstToken{Inf: inf.id, Send: s.n, Engine: s.engine, Lag: o.now - s.at})
+		o.tell(routing.FirstToken{RequestID: inf.id, Attempt: s.n, Engine: s.engine, Latency: o.now - s.at})
 	}
 	inf.tokens++
 	if inf.whole == nil && inf.final == "" {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -39,7 +39,7 @@
 	}
 	delete(o.controls, e)
 	if e.hold == nil { // a release is sent again by its hold
-		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.NotSent, Lag: o.now - e.at})
+		o.tell(routing.HealthCheckResult{Engine: e.engine, Verdict: routing.NotSent, Latency: o.now - e.at})
 	}
 }
 
@@ -55,11 +55,11 @@
 			o.released(e)
 		}
 	case ok:
-		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Completed, Lag: o.now - e.at,
+		o.tell(routing.HealthCheckResult{Engine: e.engine, Verdict: routing.Completed, Latency: o.now - e.at,
 			Report: o.protocol.ParseLoadReport(head, body)})
 	case head != nil: // it is there, and has no answer now
-		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.Full, Lag: o.now - e.at})
+		o.tell(routing.HealthCheckResult{Engine: e.engine, Verdict: routing.Full, Latency: o.now - e.at})
 	default:
-		o.tell(routing.ProbeResult{Engine: e.engine, Verdict: routing.TimedOut, Lag: o.now - e.at})
+		o.tell(routing.HealthCheckResult{Engine: e.engine, Verdict: routing.TimedOut, Latency: o.now - e.at})
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -30,9 +30,9 @@
 	// protocol is how clients and engines are met; it may keep nothing of its own that changes.
 	protocol protocol.Codec
 
-	brain  *routing.Brain
+	brain  *routing.Policy
 	lives  uint64 // of the module: a panic begins a new one
-	inputs []routing.Input
+	inputs []routing.Event
 	busy   bool // inputs are being handed over
 	timers timers
 	armed  int64
@@ -104,7 +104,7 @@
 		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
 		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
 			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.ReservationLimit)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
-	o.brain = routing.New(seed, d.Facts())
+	o.brain = routing.New(seed, d.RoutingConfig())
 	return o
 }
 
@@ -117,7 +117,7 @@
 
 func (o *Core) due(t timer) {
 	if t.lives == o.lives {
-		o.tell(routing.TimerDue{Token: t.token})
+		o.tell(routing.TimerFired{Token: t.token})
 	}
 }
 
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -27,14 +27,14 @@
 	now   int64
 	dials []*router.Line
 	lines []*socket
-	heard []routing.Input
+	heard []routing.Event
 
 	fails, mayFail bool           // the module, at its next input; and whether that is wanted
 	expected       invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
 }
 
 func (b *bench) Dial(l *router.Line) { b.dials = append(b.dials, l) }
-func (b *bench) Around(in routing.Input, step func()) {
+func (b *bench) Around(in routing.Event, step func()) {
 	if b.fails {
 		b.fails = false
 		panic("a fault put in by a test")
@@ -42,7 +42,7 @@
 	b.heard = append(b.heard, in)
 	step()
 }
-func (b *bench) ModuleFailed(p any, _ routing.Input, row []byte) {
+func (b *bench) ModuleFailed(p any, _ routing.Event, row []byte) {
 	if !b.mayFail {
 		b.t.Fatalf("%v\n%s", p, row)
 	}
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -13,7 +13,7 @@
 // Digest writes all that later events may hang on: the module's state, what is open, lines by what they carry
 // and not by their numbers, timers by what they stand for. It is for explorers and decides nothing.
 func (o *Core) Digest(w io.Writer) {
-	o.brain.Digest(w)
+	o.brain.Fingerprint(w)
 	for _, id := range o.ids() {
 		inf := o.infs[id]
 		fmt.Fprintln(w, "inf", id, inf.client.ID, inf.began, inf.final, inf.transfer, o.now-inf.at,
@@ -44,7 +44,7 @@
 		rows = append(rows, fmt.Sprintln("control", e.engine, e.what(), o.now-e.at))
 	}
 	for _, t := range o.timers {
-		if what := o.brain.TimerOf(t.token); what != "" {
+		if what := o.brain.DescribeTimer(t.token); what != "" {
 			rows = append(rows, fmt.Sprintln("timer", t.at-o.now, what))
 		}
 	}
@@ -94,7 +94,7 @@
 
 // Took is which rows of the tables of brain, attempt and conns were taken so far, a bit each from bit 0.
 func (o *Core) Took() (brain, attempts, lines uint64) {
-	return o.brain.Took(), o.took >> 1, o.pool.Took()
+	return o.brain.FiredTransitions(), o.took >> 1, o.pool.Took()
 }
 
 // BusyLines is how many lines carry something or wait for the rest of an answer.
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -49,7 +49,7 @@
 // takeList takes a list of engines, which replaces the one before.
 func (o *Core) takeList(list endpoint.List) {
 	list.Entries = o.starts.settle(list.Entries, o.now)
-	news, unknown := o.d.News(list)
+	news, unknown := o.d.EndpointUpdate(list)
 	ready := map[string]bool{}
 	for _, e := range news.Engines {
 		ready[e.Engine] = e.Ready
@@ -110,5 +110,5 @@
 // Heard takes a text of another node.
 func (o *Core) Heard(from int, text string) {
 	o.heardAt = o.now
-	o.tell(routing.PeerMessage{From: from, Text: text})
+	o.tell(routing.GossipReceived{From: from, Text: text})
 }
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-func (r *recorder) Around(_ routing.Input, step func())             { step() }
-func (r *recorder) ModuleFailed(p any, _ routing.Input, row []byte) { r.t.Fatalf("%v\n%s", p, row) }
+func (r *recorder) Around(_ routing.Event, step func())             { step() }
+func (r *recorder) ModuleFailed(p any, _ routing.Event, row []byte) { r.t.Fatalf("%v\n%s", p, row) }
 func (r *recorder) Violated(v invariant.Violation)                  { r.t.Errorf("rule broken: %+v", v) }
 func (r *recorder) Tell(to int, text string)                        { r.bytes(fmt.Sprintf("to peer %d", to), []byte(text)) }
 
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -102,9 +102,9 @@
 	if session == "" {
 		session = inf.name // one of its own: the module must not take strangers for one session
 	}
-	o.tell(routing.Arrival{Inf: inf.id, Route: route, Session: session, Prefix: a.Call.Prefix,
-		GiveUpAt: inf.giveUpAt, Prompt: float64(a.Call.PromptTokens), PrefixTokens: float64(a.Call.PrefixTokens),
-		MaxAnswer: float64(a.Call.MaxOutputTokens), Repeat: a.Call.Idempotent, Resumed: a.Call.Resumes})
+	o.tell(routing.RequestArrived{RequestID: inf.id, Route: route, Session: session, Prefix: a.Call.Prefix,
+		Deadline: inf.giveUpAt, PromptTokens: float64(a.Call.PromptTokens), PrefixTokens: float64(a.Call.PrefixTokens),
+		MaxOutputTokens: float64(a.Call.MaxOutputTokens), ClientRetry: a.Call.Idempotent, Resumed: a.Call.Resumes})
 	o.forget(inf)
 }
 
@@ -202,7 +202,7 @@
 // clientLeft ends an inference that nobody waits for.
 func (o *Core) clientLeft(inf *inference) {
 	o.end(inf, left, "")
-	o.tell(routing.ClientGone{Inf: inf.id})
+	o.tell(routing.ClientDisconnected{RequestID: inf.id})
 	for _, s := range inf.sends {
 		if !s.ended { // the module does not withdraw streams; one that nobody reads ends by its connection
 			o.happen(s, attempt.WithdrawnBy, "its client left")
@@ -252,5 +252,5 @@
 
 var verdictNames = map[routing.Verdict]string{routing.Completed: "completed", routing.EngineError: "engine error",
 	routing.Full: "full", routing.TimedOut: "timed out", routing.NotConnected: "not connected",
-	routing.ConnectionLost: "connection lost", routing.Withdrawn: "withdrawn", routing.NotSent: "not sent",
-	routing.ReadDone: "read"}
+	routing.ConnectionLost: "connection lost", routing.Canceled: "withdrawn", routing.NotSent: "not sent",
+	routing.PrefillDone: "read"}
--- a/internal/router/module.go
+++ b/internal/router/module.go
@@ -9,7 +9,7 @@
 
 // tell hands an input to the module and carries out what it decides. Effects may make further inputs, which
 // wait their turn.
-func (o *Core) tell(in routing.Input) {
+func (o *Core) tell(in routing.Event) {
 	o.inputs = append(o.inputs, in)
 	if o.busy {
 		return
@@ -37,7 +37,7 @@
 }
 
 // step is the only place that calls the module. A panic there must not take the node's inferences with it.
-func (o *Core) step(in routing.Input) (effects []routing.Effect, ok bool) {
+func (o *Core) step(in routing.Event) (effects []routing.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			o.watch.ModuleFailed(p, in, debug.Stack())
@@ -52,9 +52,9 @@
 // list at hand. What was out may have run, so the answers promise nothing.
 func (o *Core) renew() {
 	o.lives++
-	o.brain = routing.New(o.seed+o.lives, o.d.Facts())
+	o.brain = routing.New(o.seed+o.lives, o.d.RoutingConfig())
 	if o.list != nil { // before the calls that wait behind those answered now
-		news, _ := o.d.News(*o.list)
+		news, _ := o.d.EndpointUpdate(*o.list)
 		o.inputs = append(o.inputs, news)
 	}
 	for _, id := range o.ids() {
@@ -63,7 +63,7 @@
 		for _, s := range inf.sends {
 			if !s.ended {
 				s.ended = true
-				o.noteOutcome(s, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Withdrawn, Leaves: true})
+				o.noteOutcome(s, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Canceled, Leaves: true})
 				if s.line != nil && s.line.send == s {
 					s.line.send = nil
 					o.spoil(s.line)
@@ -77,35 +77,35 @@
 	}
 }
 
-func (o *Core) carryOut(e routing.Effect) {
+func (o *Core) carryOut(e routing.Action) {
 	switch e := e.(type) {
 	case routing.Send:
 		o.send(e)
 	case routing.Shed:
-		if inf := o.infs[e.Inf]; inf != nil {
-			o.finishShed(inf, e.ComeBack)
+		if inf := o.infs[e.RequestID]; inf != nil {
+			o.finishShed(inf, e.RetryAfter)
 		}
 	case routing.Fail:
-		if inf := o.infs[e.Inf]; inf != nil {
+		if inf := o.infs[e.RequestID]; inf != nil {
 			why := "the answer could not be given"
 			if o.timeUp(inf) {
 				why = "time is up"
 			}
 			o.finish(inf, errored, why)
 		}
-	case routing.Withdraw:
-		if inf := o.infs[e.Inf]; inf != nil && e.Send < len(inf.sends) {
-			o.happen(inf.sends[e.Send], attempt.WithdrawnBy, "withdrawn")
+	case routing.CancelAttempt:
+		if inf := o.infs[e.RequestID]; inf != nil && e.Attempt < len(inf.sends) {
+			o.happen(inf.sends[e.Attempt], attempt.WithdrawnBy, "withdrawn")
 		}
-	case routing.Discard:
-		if inf := o.infs[e.Inf]; inf != nil {
+	case routing.Release:
+		if inf := o.infs[e.RequestID]; inf != nil {
 			o.letGo(inf)
 		}
-	case routing.ArmTimer:
-		o.after(e.In, timer{token: e.Token, lives: o.lives})
-	case routing.Probe:
+	case routing.StartTimer:
+		o.after(e.After, timer{token: e.Token, lives: o.lives})
+	case routing.HealthCheck:
 		o.startControl(&controlRequest{engine: e.Engine})
-	case routing.Tell:
+	case routing.SendGossip:
 		o.wire.Tell(e.To, e.Text)
 	}
 }
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -117,8 +117,8 @@
 
 // Watch is told what happens; nothing hangs on it.
 type Watch interface {
-	Around(in routing.Input, step func()) // runs a step of the module
-	ModuleFailed(p any, in routing.Input, stack []byte)
+	Around(in routing.Event, step func()) // runs a step of the module
+	ModuleFailed(p any, in routing.Event, stack []byte)
 	Final(f Final)
 	Shed(s Shed) // before it was an inference
 	First(route string, after time.Duration, prompt int)
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -164,7 +164,7 @@
 	b.core.LineDialled(line, nil, fmt.Errorf("%w: no descriptor", router.ErrLocal))
 	b.core.Turn(b.now)
 	for _, in := range b.heard {
-		if p, ok := in.(routing.ProbeResult); ok && p.Verdict != routing.NotSent {
+		if p, ok := in.(routing.HealthCheckResult); ok && p.Verdict != routing.NotSent {
 			t.Errorf("the module is told verdict %d of an engine that was never asked", p.Verdict)
 		}
 	}
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -28,7 +28,7 @@
 	switch {
 	case s.writes:
 		o.changeHolds(inf, claimEnded(r.Verdict, cut))
-	case r.Verdict == routing.ReadDone:
+	case r.Verdict == routing.PrefillDone:
 		o.addHold(s, reservation.ReadDone)
 	case r.Leaves:
 		o.addHold(s, reservation.ReadLost)
--- a/internal/router/rules_test.go
+++ b/internal/router/rules_test.go
@@ -98,8 +98,8 @@
 
 func (w *world) Dial(l *router.Line)                               { w.dialling = append(w.dialling, l) }
 func (w *world) Violated(v invariant.Violation)                    { w.t.Fatalf("the monitor: %+v", v) }
-func (w *world) Around(_ routing.Input, step func())               { step() }
-func (w *world) ModuleFailed(p any, _ routing.Input, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
+func (w *world) Around(_ routing.Event, step func())               { step() }
+func (w *world) ModuleFailed(p any, _ routing.Event, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
 
 func (c *caller) Send(data []byte) error { c.out.Write(data); return nil }
 func (c *caller) Drained() bool          { return true }
--- a/internal/routing/brain.go
+++ b/internal/routing/brain.go
@@ -14,594 +14,600 @@
 	"time"
 )
 
-// table lists, for the states in the first column, what an input leads to: the next state and the effect.
-var table = []rule{
-	{is(taken), in(arrive), asking, (*Brain).askEngines},
-	{is(asking), in(told), taken, (*Brain).chooseReader},
-	{is(taken), in(wake), taken, (*Brain).chooseReader},
-	{is(taken), in(chosen), taken, (*Brain).admit},
-	{is(taken), in(admitted), reading, (*Brain).sendToReader},
-	{is(taken, reading), in(noReader, noWriter), taken, (*Brain).wait},
-	{is(reading), in(readLost, notWritten, mayHaveRun, stateGone), taken, (*Brain).chooseReader},
-	{is(reading), in(readDone), held, (*Brain).askWriters},
-	{is(held), in(told, wake), writing, (*Brain).sendToWriter},
-	{is(writing), in(notWritten, mayHaveRun), writing, (*Brain).sendToWriter},
-	{is(writing), in(noWriter), held, (*Brain).wait},
-	{is(writing), in(stateGone), taken, (*Brain).chooseReader},
-	{is(reading, writing), in(firstToken), streaming, nil}, // a mixed engine answers what it reads
-	{is(reading), in(tooLate), reading, (*Brain).dropLate},
-	{is(reading), in(unheard), reading, (*Brain).askSilent},
-	{is(writing), in(unheard), writing, (*Brain).askSilent},
-	{is(reading), in(overtaken, silent), reading, (*Brain).withdraw},
-	{is(writing), in(overtaken, silent), writing, (*Brain).withdraw},
-	{open, in(timeUp, spent, hopeless), ended, (*Brain).giveUp},
-	{all, in(clientGone, over), ended, (*Brain).letGo},
+// transitions lists, for the states in the first column, what an input leads to: the next state and the effect.
+var transitions = []transition{
+	{states(pending), triggers(arrived), checkingLoad, (*Policy).requestLoad},
+	{states(checkingLoad), triggers(loadKnown), pending, (*Policy).choosePrefill},
+	{states(pending), triggers(retryDue), pending, (*Policy).choosePrefill},
+	{states(pending), triggers(prefillChosen), pending, (*Policy).admit},
+	{states(pending), triggers(admitted), prefilling, (*Policy).sendToPrefill},
+	{states(pending, prefilling), triggers(noPrefillEngine, noDecodeEngine), pending, (*Policy).scheduleRetry},
+	{states(prefilling), triggers(prefillFailed, decodeNotStarted, mayHaveRun, reservationLost), pending, (*Policy).choosePrefill},
+	{states(prefilling), triggers(prefillDone), reserved, (*Policy).requestDecodeLoad},
+	{states(reserved), triggers(loadKnown, retryDue), decoding, (*Policy).sendToDecode},
+	{states(decoding), triggers(decodeNotStarted, mayHaveRun), decoding, (*Policy).sendToDecode},
+	{states(decoding), triggers(noDecodeEngine), reserved, (*Policy).scheduleRetry},
+	{states(decoding), triggers(reservationLost), pending, (*Policy).choosePrefill},
+	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // a mixed engine answers what it reads
+	{states(prefilling), triggers(targetMissed), prefilling, (*Policy).shedLate},
+	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkUnresponsive},
+	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkUnresponsive},
+	{states(prefilling), triggers(passedByLaterResponse, engineUnresponsive), prefilling, (*Policy).cancelLastAttempt},
+	{states(decoding), triggers(passedByLaterResponse, engineUnresponsive), decoding, (*Policy).cancelLastAttempt},
+	{openStates, triggers(deadlineNear, attemptsExhausted, cannotMeetTarget), ended, (*Policy).reject},
+	{allStates, triggers(clientDisconnected, finished), ended, (*Policy).releaseAll},
 	// What comes after the end still lets go of what is held.
-	{is(ended), in(readDone, readLost, notWritten, stateGone, mayHaveRun), ended, (*Brain).letGo},
+	{states(ended), triggers(prefillDone, prefillFailed, decodeNotStarted, reservationLost, mayHaveRun), ended, (*Policy).releaseAll},
 }
 
-func (b *Brain) drive(inf *inference, happens input) {
-	for happens != nothing {
-		i := slices.IndexFunc(table, func(r rule) bool {
-			return slices.Contains(r.from, inf.state) && slices.Contains(r.inputs, happens)
+func (p *Policy) fire(req *request, event trigger) {
+	for event != noTrigger {
+		i := slices.IndexFunc(transitions, func(r transition) bool {
+			return slices.Contains(r.from, req.state) && slices.Contains(r.triggers, event)
 		})
 		if i < 0 {
 			return
 		}
-		inf.state, happens = table[i].next, nothing
-		b.took |= 1 << i
-		if table[i].effect != nil {
-			happens = table[i].effect(b, inf)
+		req.state, event = transitions[i].next, noTrigger
+		p.firedTransitions |= 1 << i
+		if transitions[i].action != nil {
+			event = transitions[i].action(p, req)
 		}
 	}
 }
 
-// takeFirst notes who serves the session, how long the wait was, and how far over the target it came.
-func (b *Brain) takeFirst(inf *inference, in FirstToken) {
-	inf.sends[in.Send].began, b.counted = true, nil
-	b.learnLag(b.engines[in.Engine], in.Lag, inf.sends[in.Send].at)
-	b.pairs[inf.Session] = pair{inf.reader, in.Engine, b.now}
-	b.tell(inf)
-	b.firsts = last(b.firsts, sample{b.now, b.now - inf.at - int64(b.target(inf))}, 32)
-	b.drive(inf, firstToken)
+// handleFirstToken notes who serves the session, how long the wait was, and how far over the target it came.
+func (p *Policy) handleFirstToken(req *request, in FirstToken) {
+	req.attempts[in.Attempt].streaming, p.countedLoads = true, nil
+	p.recordLatency(p.engines[in.Engine], in.Latency, req.attempts[in.Attempt].sentAt)
+	p.affinities[req.Session] = affinity{req.prefillEngine, in.Engine, p.now}
+	p.gossipAffinity(req)
+	p.firstTokenOverruns = appendBounded(p.firstTokenOverruns, sample{p.now, p.now - req.arrivedAt - int64(p.firstTokenTarget(req))}, 32)
+	p.fire(req, firstToken)
 }
 
-// takeOutcome sorts an outcome into the table's inputs.
-func (b *Brain) takeOutcome(o Outcome) {
-	inf := b.infs[o.Inf]
-	if inf == nil || o.Send < 0 || o.Send >= len(inf.sends) || !inf.sends[o.Send].out {
-		if o.Verdict == ReadDone {
-			b.effects = append(b.effects, Discard{o.Inf}) // came after all was forgotten
+// handleOutcome sorts an outcome into the table's inputs.
+func (p *Policy) handleOutcome(o Outcome) {
+	req := p.requests[o.RequestID]
+	if req == nil || o.Attempt < 0 || o.Attempt >= len(req.attempts) || !req.attempts[o.Attempt].inFlight {
+		if o.Verdict == PrefillDone {
+			p.actions = append(p.actions, Release{o.RequestID}) // came after all was forgotten
 		}
 		return
 	}
-	s := &inf.sends[o.Send]
-	s.out, b.counted = false, nil
+	s := &req.attempts[o.Attempt]
+	s.inFlight, p.countedLoads = false, nil
 	// What never reached a writer has not begun to fetch: the reader has held the state all the while.
-	if !s.writes || !s.withdrawn && o.Verdict != NotConnected && o.Verdict != NotSent {
-		inf.freeAt = b.now
-	}
-	b.learnReport(b.engines[o.Engine], o.Report)
-	s.kept = o.Verdict == ReadDone
-	s.neverRan = !s.writes || o.Verdict == Full || o.Verdict == NotConnected || o.Verdict == NotSent
-	b.learnOutcome(inf, s, o)
-	happens := over
+	if !s.decode || !s.canceled && o.Verdict != NotConnected && o.Verdict != NotSent {
+		req.idleSince = p.now
+	}
+	p.recordReport(p.engines[o.Engine], o.Report)
+	s.prefilled = o.Verdict == PrefillDone
+	s.neverRan = !s.decode || o.Verdict == Full || o.Verdict == NotConnected || o.Verdict == NotSent
+	p.recordOutcome(req, s, o)
+	event := finished
 	switch {
-	case o.Ended:
-	case o.Verdict == ReadDone:
-		happens = readDone
-	case !s.writes:
-		happens = readLost
+	case o.RequestEnded:
+	case o.Verdict == PrefillDone:
+		event = prefillDone
+	case !s.decode:
+		event = prefillFailed
 	case o.Verdict == Full && o.Note == 1:
-		happens = stateGone
+		event = reservationLost
 	case s.neverRan:
-		happens = notWritten
+		event = decodeNotStarted
 	default:
-		happens = mayHaveRun
+		event = mayHaveRun
 	}
-	b.drive(inf, happens)
-	b.forget(inf)
+	p.fire(req, event)
+	p.forgetIfDone(req)
 }
 
 // ---- gates: every send and every final answer passes one of these, which check the rules
 
-// gate sends to an engine if the rules allow it, else says what stands against it.
-func (b *Brain) gate(inf *inference, e *engine) input {
+// sendTo sends to an engine if the rules allow it, else says what stands against it.
+func (p *Policy) sendTo(req *request, e *engine) trigger {
 	switch {
-	case len(inf.sends) >= int(b.num("limits.sends", 1)) || !b.mayRepeat(inf, e):
-		return spent
-	case b.now >= inf.GiveUpAt-b.margin():
-		return spent
-	case inf.isOut(), !e.Ready, !b.coldRoom(e):
-		return noWriter
+	case len(req.attempts) >= int(p.num("limits.sends", 1)) || !p.mayRetryOn(req, e):
+		return attemptsExhausted
+	case p.now >= req.Deadline-p.deadlineMargin():
+		return attemptsExhausted
+	case req.inFlight(), !e.Ready, !p.withinSlowStart(e):
+		return noDecodeEngine
 	}
-	e.sent, b.counted = last(e.sent, b.now, 64), nil
-	inf.sends = append(inf.sends, send{engine: e.Engine, at: b.now, writes: e.writer, out: true})
-	if b.fresh(e) {
-		inf.sends[len(inf.sends)-1].waits = 1 + e.waits
+	e.sendTimes, p.countedLoads = appendBounded(e.sendTimes, p.now, 64), nil
+	req.attempts = append(req.attempts, attempt{engine: e.Engine, sentAt: p.now, decode: e.canDecode, inFlight: true})
+	if p.hasFreshLoad(e) {
+		req.attempts[len(req.attempts)-1].queuedWork = 1 + e.queuedWork
 	}
-	b.effects = append(b.effects, Send{Inf: inf.Inf, Engine: e.Engine})
-	b.arm(inf, unheard, b.quietFor(inf))
-	return nothing
+	p.actions = append(p.actions, Send{RequestID: req.RequestID, Engine: e.Engine})
+	p.startTimer(req, responseOverdue, p.responseTimeout(req))
+	return noTrigger
 }
 
-// mayRepeat keeps an effect from happening twice: what may have run goes out again only as its route allows.
+// mayRetryOn keeps an effect from happening twice: what may have run goes out again only as its route allows.
 // Reads have no effect.
-func (b *Brain) mayRepeat(inf *inference, e *engine) bool {
-	effect := b.word(b.route(inf, "effect"))
+func (p *Policy) mayRetryOn(req *request, e *engine) bool {
+	effect := p.word(p.route(req, "effect"))
 	if effect == "retriable" {
 		return true
 	}
-	for _, s := range inf.sends {
-		if s.neverRan || !s.writes {
+	for _, s := range req.attempts {
+		if s.neverRan || !s.decode {
 			continue
 		}
-		if effect != "deduped" || b.now-s.at >= int64(b.num(b.route(inf, "dedup_window"), 0)) {
+		if effect != "deduped" || p.now-s.sentAt >= int64(p.num(p.route(req, "dedup_window"), 0)) {
 			return false
 		}
-		first, group := b.engines[s.engine], b.word(b.route(inf, "dedup_group"))
-		near := first != nil && (group == "zone" && first.Zone == e.Zone || group == "cell" && first.Cell == e.Cell)
-		if e.writer && group != "all" && !near {
+		first, dedupGroup := p.engines[s.engine], p.word(p.route(req, "dedup_group"))
+		sameGroup := first != nil && (dedupGroup == "zone" && first.Zone == e.Zone || dedupGroup == "cell" && first.Cell == e.Cell)
+		if e.canDecode && dedupGroup != "all" && !sameGroup {
 			return false
 		}
 	}
 	return true
 }
 
-// giveUp is the gate of final answers: shed where that is true, else errored. What is held or out goes too.
-func (b *Brain) giveUp(inf *inference) input {
-	effect := b.word(b.route(inf, "effect"))
-	mayShed := effect == "retriable" || effect == "deduped" && b.word(b.route(inf, "dedup_group")) == "all"
+// reject is the gate of final answers: shed where that is true, else errored. What is held or out goes too.
+func (p *Policy) reject(req *request) trigger {
+	effect := p.word(p.route(req, "effect"))
+	mayShed := effect == "retriable" || effect == "deduped" && p.word(p.route(req, "dedup_group")) == "all"
 	// A stream that returned after a break has run before, under another id. A send that is out is not known
 	// not to have run, at a reader neither.
-	ran := inf.Resumed || slices.ContainsFunc(inf.sends, func(s send) bool { return s.out || !s.neverRan })
+	ran := req.Resumed || slices.ContainsFunc(req.attempts, func(s attempt) bool { return s.inFlight || !s.neverRan })
 	if mayShed || !ran {
-		var comeBack int64
-		if b.flag("limits.retry_after") {
+		var retryAfter int64
+		if p.flag("limits.retry_after") {
 			// Half a second: longer than a jam of a few reads, shorter than most clients' patience.
-			comeBack = min(int64(500*time.Millisecond), int64(b.num("limits.max_retry_after", 0)))
+			retryAfter = min(int64(500*time.Millisecond), int64(p.num("limits.max_retry_after", 0)))
 		}
-		b.effects = append(b.effects, Shed{inf.Inf, comeBack})
+		p.actions = append(p.actions, Shed{req.RequestID, retryAfter})
 	} else {
-		b.effects = append(b.effects, Fail{inf.Inf})
+		p.actions = append(p.actions, Fail{req.RequestID})
 	}
-	return b.letGo(inf)
+	return p.releaseAll(req)
 }
 
-// letGo withdraws what is out and discards what is held. A read that still ends is discarded when it does.
-func (b *Brain) letGo(inf *inference) input {
-	for i, s := range inf.sends {
-		if s.out && !s.began && b.flag("limits.cancel") {
-			b.effects = append(b.effects, Withdraw{inf.Inf, i})
+// releaseAll withdraws what is out and discards what is held. A read that still ends is discarded when it does.
+func (p *Policy) releaseAll(req *request) trigger {
+	for i, s := range req.attempts {
+		if s.inFlight && !s.streaming && p.flag("limits.cancel") {
+			p.actions = append(p.actions, CancelAttempt{req.RequestID, i})
 		}
 	}
-	b.effects = append(b.effects, Discard{inf.Inf})
-	return nothing
+	p.actions = append(p.actions, Release{req.RequestID})
+	return noTrigger
 }
 
 // 30 ms: a few writer steps, so a freed slot is not left idle for long.
-const waitStep = int64(30 * time.Millisecond)
+const retryDelay = int64(30 * time.Millisecond)
 
-// wait tries again a little later; a held state is sent on before its time is up.
-func (b *Brain) wait(inf *inference) input {
-	if !inf.wakeSet {
-		inf.wakeSet = true
-		b.arm(inf, wake, waitStep)
+// scheduleRetry tries again a little later; a held state is sent on before its time is up.
+func (p *Policy) scheduleRetry(req *request) trigger {
+	if !req.retryScheduled {
+		req.retryScheduled = true
+		p.startTimer(req, retryDue, retryDelay)
 	}
-	return nothing
+	return noTrigger
 }
 
-// margin is how long before the client gives up the answer must go: timer and answer may each wait a tick.
-func (b *Brain) margin() int64 { return 3 * int64(b.num("tick", float64(time.Millisecond))) }
+// deadlineMargin is how long before the client gives up the answer must go: timer and answer may each wait a tick.
+func (p *Policy) deadlineMargin() int64 { return 3 * int64(p.num("tick", float64(time.Millisecond))) }
 
 // ---- shedding
 
-const lately, few = 4 * time.Second, 32 // a jam lasts longer, and a few late ones make none
+const overloadWindow, overloadMinSamples = 4 * time.Second, 32 // a jam lasts longer, and a few late ones make none
 
 // admit sheds at once what would not be in time: queues that only grow leave everybody late and never clear,
 // whatever filled them: too much traffic, engines lost, slow or forgetful. It harms where lags are high but
 // harmless. Streams that return after a break are always taken.
-func (b *Brain) admit(inf *inference) input {
-	loads := b.loads()
-	reader := b.engines[inf.reader]
-	writers := b.usable(inf, loads, func(e *engine) bool { return e.writer })
-	if len(writers) == 0 || inf.Resumed {
+func (p *Policy) admit(req *request) trigger {
+	loads := p.openLoads()
+	prefillEngine := p.engines[req.prefillEngine]
+	decodeEngines := p.usableEngines(req, loads, func(e *engine) bool { return e.canDecode })
+	if len(decodeEngines) == 0 || req.Resumed {
 		return admitted
 	}
-	value, least := b.valueShare(inf), math.Inf(1)
-	var lags []int64
-	for _, e := range writers {
-		lag, _ := b.lag(e, loads[e.Engine])
-		lags = append(lags, lag)
-		if b.fresh(e) {
-			least = min(least, e.memory)
+	value, leastMemory := p.valueShare(req), math.Inf(1)
+	var latencies []int64
+	for _, e := range decodeEngines {
+		latency, _ := p.latency(e, loads[e.Engine])
+		latencies = append(latencies, latency)
+		if p.hasFreshLoad(e) {
+			leastMemory = min(leastMemory, e.memoryShare)
 		}
 	}
 	// Where all writers heard of are out of memory, states queue: those of least value go first.
-	if !math.IsInf(least, 1) && least > 0.9+0.1*value {
-		return hopeless
+	if !math.IsInf(leastMemory, 1) && leastMemory > 0.9+0.1*value {
+		return cannotMeetTarget
 	}
-	lag, _ := b.lag(reader, loads[reader.Engine])
+	latency, _ := p.latency(prefillEngine, loads[prefillEngine.Engine])
 	// States that wait here for a writer tell more than any lag.
-	expected := float64(b.now - inf.at + median(b.heldFor()) + lag + median(lags))
+	expected := float64(p.now - req.arrivedAt + median(p.reservationWaits()) + latency + median(latencies))
 	// Lags are late news and swing, so the line lies under the target: at 0.8 of it for the route of highest
 	// value, nearer to 0.4 the less a route is worth. What came late of late tells what lags do not, and in a
 	// lasting jam, of first tokens or of lags, what must be read in full feeds the jam.
-	unread := 1 - b.overlap(inf, reader)/max(inf.Prompt, 1)
-	b.expects = last(b.expects, sample{b.now, int64(expected - 0.25*b.target(inf))}, 48)
-	late, jam := b.over(b.firsts, lately, few), b.over(b.expects, lately, few)
-	line := (0.4 + 0.4*value) * (1 - late*(0.4+0.6*unread)) * (1 - 0.6*jam*unread)
-	if expected > line*b.target(inf) {
-		return hopeless
+	uncachedShare := 1 - p.cachedTokens(req, prefillEngine)/max(req.PromptTokens, 1)
+	p.expectedOverruns = appendBounded(p.expectedOverruns, sample{p.now, int64(expected - 0.25*p.firstTokenTarget(req))}, 48)
+	lateShare, overloadShare := p.shareAbove(p.firstTokenOverruns, overloadWindow, overloadMinSamples), p.shareAbove(p.expectedOverruns, overloadWindow, overloadMinSamples)
+	limit := (0.4 + 0.4*value) * (1 - lateShare*(0.4+0.6*uncachedShare)) * (1 - 0.6*overloadShare*uncachedShare)
+	if expected > limit*p.firstTokenTarget(req) {
+		return cannotMeetTarget
 	}
 	return admitted
 }
 
-// dropLate sheds a read that has not ended by its target, where that may be said with a send out: in a jam it
+// shedLate sheds a read that has not ended by its target, where that may be said with a send out: in a jam it
 // takes the place of one that could be in time.
-func (b *Brain) dropLate(inf *inference) input {
-	if b.word(b.route(inf, "effect")) == "retriable" && !inf.Resumed && b.over(b.firsts, lately, few) > 0.2 {
-		return hopeless
+func (p *Policy) shedLate(req *request) trigger {
+	if p.word(p.route(req, "effect")) == "retriable" && !req.Resumed && p.shareAbove(p.firstTokenOverruns, overloadWindow, overloadMinSamples) > 0.2 {
+		return cannotMeetTarget
 	}
-	return nothing
+	return noTrigger
 }
 
-// lag is how long sends wait at an engine now, and whether that is known: the least seen of late, as heavy
+// latency is how long sends wait at an engine now, and whether that is known: the least seen of late, as heavy
 // sends need long anywhere, or what its report makes of it, or what is out where that has waited longer.
-func (b *Brain) lag(e *engine, l load) (int64, bool) {
-	seen, least := false, int64(math.MaxInt64)
-	for _, s := range e.samples[max(0, len(e.samples)-8):] {
+func (p *Policy) latency(e *engine, l engineLoad) (int64, bool) {
+	seen, leastLatency := false, int64(math.MaxInt64)
+	for _, s := range e.latencySamples[max(0, len(e.latencySamples)-8):] {
 		// 2 s: about the time that a queue takes to change; less where nothing waits there, so none is.
-		if age := b.now - s.at; age < freshFor || len(l.waits) > 0 && age < int64(2*time.Second) {
-			seen, least = true, min(least, s.lag)
+		if age := p.now - s.at; age < reportTTL || len(l.waits) > 0 && age < int64(2*time.Second) {
+			seen, leastLatency = true, min(leastLatency, s.value)
 		}
 	}
-	if !seen && e.reader && b.now-e.reportAt < freshFor {
-		seen, least = true, int64(float64(quartile(b.paces))*(1+e.waits))
+	if !seen && e.canPrefill && p.now-e.reportedAt < reportTTL {
+		seen, leastLatency = true, int64(float64(lowerQuartile(p.recentLatencyPerWork))*(1+e.queuedWork))
 	}
 	if !seen {
-		least = 0
+		leastLatency = 0
 	}
-	return max(least, median(l.waits)), seen || len(l.waits) > 0
+	return max(leastLatency, median(l.waits)), seen || len(l.waits) > 0
 }
 
 // ---- readers
 
-func (b *Brain) sendToReader(inf *inference) input { return b.gate(inf, b.engines[inf.reader]) }
+func (p *Policy) sendToPrefill(req *request) trigger {
+	return p.sendTo(req, p.engines[req.prefillEngine])
+}
 
-func (b *Brain) chooseReader(inf *inference) input {
-	e := b.pickReader(inf, b.loads())
-	if e == nil || b.hasty(inf, e) {
-		return noReader
+func (p *Policy) choosePrefill(req *request) trigger {
+	e := p.pickPrefill(req, p.openLoads())
+	if e == nil || p.triedJustNow(req, e) {
+		return noPrefillEngine
 	}
-	inf.reader = e.Engine
-	return chosen
+	req.prefillEngine = e.Engine
+	return prefillChosen
 }
 
-// margin is the design's starting value; 1.5 and 3 did no better.
-const margin = 0.75
+// loadMargin is the design's starting value; 1.5 and 3 did no better.
+const loadMargin = 0.75
 
-// pickReader is the design's ladder: the session's pair, overlap under the cap, hash, least load.
-func (b *Brain) pickReader(inf *inference, loads map[string]load) *engine {
-	ready := b.usable(inf, loads, func(e *engine) bool { return e.reader })
+// pickPrefill is the design's ladder: the session's pair, overlap under the cap, hash, least load.
+func (p *Policy) pickPrefill(req *request, loads map[string]engineLoad) *engine {
+	ready := p.usableEngines(req, loads, func(e *engine) bool { return e.canPrefill })
 	if len(ready) == 0 {
 		return nil
 	}
-	pinned := b.pairOf(inf).reader
-	if i := slices.IndexFunc(ready, func(e *engine) bool { return e.Engine == pinned }); i >= 0 {
+	sticky := p.affinityOf(req).prefillEngine
+	if i := slices.IndexFunc(ready, func(e *engine) bool { return e.Engine == sticky }); i >= 0 {
 		return ready[i]
 	}
-	capacity := func(e *engine) float64 { return b.capacity(inf, e, loads[e.Engine]) }
+	capacity := func(e *engine) float64 { return p.effectiveWeight(req, e, loads[e.Engine]) }
 	total, weights := 1.0, 0.0
 	for _, e := range ready {
-		total += float64(loads[e.Engine].reads)
+		total += float64(loads[e.Engine].prefills)
 		weights += capacity(e)
 	}
-	load := func(e *engine) int { return loads[e.Engine].reads }
-	away := func(e *engine) int { return differ(e.Zone, int(b.num("zone", 0))) } // crossing zones costs
+	load := func(e *engine) int { return loads[e.Engine].prefills }
+	crossZone := func(e *engine) int { return differ(e.Zone, int(p.num("zone", 0))) } // crossing zones costs
 	under := func(e *engine) bool {
-		return float64(load(e)) < math.Ceil((1+margin)*total*capacity(e)/weights)
+		return float64(load(e)) < math.Ceil((1+loadMargin)*total*capacity(e)/weights)
 	}
-	least := func(x, y *engine) int { return cmp.Or(load(x)-load(y), away(x)-away(y)) }
-	overlap := func(e *engine) float64 { return b.overlap(inf, e) }
+	least := func(x, y *engine) int { return cmp.Or(load(x)-load(y), crossZone(x)-crossZone(y)) }
+	overlap := func(e *engine) float64 { return p.cachedTokens(req, e) }
 	// A node that no other tells does not know a session's earlier reader. Then a session unknown here goes to
 	// its home, or its second one where the first is over the cap, also by its report, or silent.
-	homes := b.homes(inf, ready)
-	calm := func(e *engine) bool { return under(e) && b.calm(inf, e) }
-	if e := best(homes, calm, func(x, y *engine) int { return b.nearer(inf, homes, x, y) }); e != nil {
+	preferred := p.preferredEngines(req, ready)
+	available := func(e *engine) bool { return under(e) && p.lightlyLoaded(req, e) }
+	if e := best(preferred, available, func(x, y *engine) int { return p.compareWork(req, preferred, x, y) }); e != nil {
 		return e
 	}
 	// A cold reader that has a place is idle, which a crowded home is not.
-	if i := slices.IndexFunc(ready, b.cold); i >= 0 && len(homes) > 0 {
+	if i := slices.IndexFunc(ready, p.warmingUp); i >= 0 && len(preferred) > 0 {
 		return ready[i]
 	}
-	if i := slices.IndexFunc(homes, under); i >= 0 {
-		return homes[i]
+	if i := slices.IndexFunc(preferred, under); i >= 0 {
+		return preferred[i]
 	}
 	some := func(e *engine) bool { return overlap(e) > 0 }
 	most := func(x, y *engine) int { return cmp.Or(-cmp.Compare(overlap(x), overlap(y)), least(x, y)) }
 	both := func(e *engine) bool { return under(e) && some(e) }
-	if e := best(byHash(inf.Session, ready), both, most); e != nil {
+	if e := best(byHash(req.Session, ready), both, most); e != nil {
 		return e
 	}
 	if !slices.ContainsFunc(ready, some) {
-		if e := byHash(cmp.Or(inf.Prefix, inf.Session), ready)[0]; under(e) {
+		if e := byHash(cmp.Or(req.Prefix, req.Session), ready)[0]; under(e) {
 			return e
 		}
 	}
-	return cmp.Or(best(ready, under, least), best(ready, some, least), b.roundRobin(ready, least))
+	return cmp.Or(best(ready, under, least), best(ready, some, least), p.roundRobin(ready, least))
 }
 
-// homes are the two first readers, the same at all nodes, that a session hashes to among those that keep its
+// preferredEngines are the two first readers, the same at all nodes, that a session hashes to among those that keep its
 // shared beginning: two, as copies take memory that sessions need, or so many that none reads more than two
 // thirds of a reader's fair share for it. There are none where the session is known here or others tell.
-func (b *Brain) homes(inf *inference, ready []*engine) []*engine {
-	known := func(e *engine) bool { return b.kept[keptKey{true, inf.Session, e.Engine}].tokens > 0 }
-	if b.num("nodes", 1) < 2 || b.tells() || slices.ContainsFunc(ready, known) {
+func (p *Policy) preferredEngines(req *request, ready []*engine) []*engine {
+	known := func(e *engine) bool { return p.cached[cacheKey{true, req.Session, e.Engine}].tokens > 0 }
+	if p.num("nodes", 1) < 2 || p.gossipEnabled() || slices.ContainsFunc(ready, known) {
 		return nil
 	}
-	homes := slices.Clone(ready)
-	if inf.Prefix != "" {
+	preferred := slices.Clone(ready)
+	if req.Prefix != "" {
 		seen := -1 // this one tells nothing of how many there are
-		for _, p := range b.prefixes {
-			seen += 1 - differ(p, inf.Prefix)
+		for _, recent := range p.recentPrefixes {
+			seen += 1 - differ(recent, req.Prefix)
 		}
-		n := max(2, int(math.Ceil(1.5*float64(seen*len(ready))/float64(len(b.prefixes)))))
-		homes = byHash(inf.Prefix, homes)[:min(n, len(homes))]
+		wanted := max(2, int(math.Ceil(1.5*float64(seen*len(ready))/float64(len(p.recentPrefixes)))))
+		preferred = byHash(req.Prefix, preferred)[:min(wanted, len(preferred))]
 	}
-	homes = byHash(inf.Session, homes)
-	return homes[:min(2, len(homes))]
+	preferred = byHash(req.Session, preferred)
+	return preferred[:min(2, len(preferred))]
 }
 
-// nearer compares two homes by how much must be read until the inference is, in thousands of tokens: what
+// compareWork compares two homes by how much must be read until the inference is, in thousands of tokens: what
 // waits there by its report, and what of the prompt it is not thought to keep. A home keeps the shared
 // beginning. Only the first may keep what follows, of which as much is counted as was found of late. Where
 // a report is not fresh the first home stays first.
-func (b *Brain) nearer(inf *inference, homes []*engine, x, y *engine) int {
-	if !b.fresh(x) || !b.fresh(y) {
+func (p *Policy) compareWork(req *request, preferred []*engine, x, y *engine) int {
+	if !p.hasFreshLoad(x) || !p.hasFreshLoad(y) {
 		return 0
 	}
 	work := func(e *engine) float64 {
-		keeps := min(inf.PrefixTokens, inf.Prompt)
-		if e == homes[0] {
-			keeps += float64(mean(b.found)) / 1e6 * (inf.Prompt - keeps)
+		cachedHere := min(req.PrefixTokens, req.PromptTokens)
+		if e == preferred[0] {
+			cachedHere += float64(mean(p.recentCacheHits)) / 1e6 * (req.PromptTokens - cachedHere)
 		}
-		return e.waits + (inf.Prompt-keeps)/1000
+		return e.queuedWork + (req.PromptTokens-cachedHere)/1000
 	}
 	return cmp.Compare(work(x), work(y))
 }
 
-// calm is whether an engine answers, and its reported load makes a wait shorter than a full read elsewhere,
+// lightlyLoaded is whether an engine answers, and its reported load makes a wait shorter than a full read elsewhere,
 // or is under the cap over the readers heard of in 10 s.
-func (b *Brain) calm(inf *inference, e *engine) bool {
-	if e.askedAt > e.heardAt || e.silentAt > max(e.reportAt, b.now-int64(5*time.Second)) {
+func (p *Policy) lightlyLoaded(req *request, e *engine) bool {
+	if e.checkedAt > e.checkAnsweredAt || e.unresponsiveAt > max(e.reportedAt, p.now-int64(5*time.Second)) {
 		return false
 	}
-	lag, _ := b.lag(e, load{})
-	return float64(lag) < b.target(inf)/2 || e.waits <= (1+margin)*b.meanWaits(10*time.Second)
+	latency, _ := p.latency(e, engineLoad{})
+	return float64(latency) < p.firstTokenTarget(req)/2 || e.queuedWork <= (1+loadMargin)*p.meanQueuedWork(10*time.Second)
 }
 
-// pairOf is where the session was served last, if that is not too long ago.
-func (b *Brain) pairOf(inf *inference) pair {
+// affinityOf is where the session was served last, if that is not too long ago.
+func (p *Policy) affinityOf(req *request) affinity {
 	// 30 s: the design's starting value.
-	if p, ok := b.pairs[inf.Session]; ok && inf.Session != "" && b.now-p.at < int64(30*time.Second) {
-		return p
+	if last, ok := p.affinities[req.Session]; ok && req.Session != "" && p.now-last.servedAt < int64(30*time.Second) {
+		return last
 	}
-	return pair{}
+	return affinity{}
 }
 
-// capacity is the weight that the operator gives. What other nodes load, and what is slow, shows only as lag,
+// effectiveWeight is the weight that the operator gives. What other nodes load, and what is slow, shows only as lag,
 // so past a fifth of the target, which calm sends stay under, it falls as lag grows.
-func (b *Brain) capacity(inf *inference, e *engine, l load) float64 {
-	lag, _ := b.lag(e, l)
-	return e.Weight / max(1, 5*float64(lag)/b.target(inf))
+func (p *Policy) effectiveWeight(req *request, e *engine, l engineLoad) float64 {
+	latency, _ := p.latency(e, l)
+	return e.Weight / max(1, 5*float64(latency)/p.firstTokenTarget(req))
 }
 
-// overlap is how much of the prompt a reader is thought to keep; under a fifth counts as none.
-func (b *Brain) overlap(inf *inference, e *engine) float64 {
+// cachedTokens is how much of the prompt a reader is thought to keep; under a fifth counts as none.
+func (p *Policy) cachedTokens(req *request, e *engine) float64 {
 	// Five minutes: engines keep texts until memory runs out, which no node sees; kept counts correct the rest.
-	const age = int64(5 * time.Minute)
-	most := 0.0
-	for _, k := range []keptKey{{true, inf.Session, e.Engine}, {false, inf.Prefix, e.Engine}} {
-		if v, ok := b.kept[k]; ok && k.key != "" && b.now-v.at < age {
+	const maxAge = int64(5 * time.Minute)
+	longest := 0.0
+	for _, k := range []cacheKey{{true, req.Session, e.Engine}, {false, req.Prefix, e.Engine}} {
+		if v, ok := p.cached[k]; ok && k.key != "" && p.now-v.at < maxAge {
 			n := v.tokens
-			if !k.session {
-				n = min(n, inf.PrefixTokens)
+			if !k.isSession {
+				n = min(n, req.PrefixTokens)
 			}
-			most = max(most, min(n, inf.Prompt))
+			longest = max(longest, min(n, req.PromptTokens))
 		}
 	}
-	if most < 0.2*inf.Prompt {
+	if longest < 0.2*req.PromptTokens {
 		return 0
 	}
-	return most
+	return longest
 }
 
-// learnKept notes after a read what the reader keeps now. A shared beginning that should have been kept and
+// recordCached notes after a read what the reader keeps now. A shared beginning that should have been kept and
 // was not tells a reader that has forgotten: all else remembered of it is dropped too.
-func (b *Brain) learnKept(inf *inference, reader string, keptTokens float64) {
-	prefix := keptKey{false, inf.Prefix, reader}
-	if v, ok := b.kept[prefix]; ok && inf.Prefix != "" && keptTokens < 0.5*min(v.tokens, inf.PrefixTokens) {
-		b.dropKept(reader, inf.at)
+func (p *Policy) recordCached(req *request, prefillEngine string, keptTokens float64) {
+	prefix := cacheKey{false, req.Prefix, prefillEngine}
+	if v, ok := p.cached[prefix]; ok && req.Prefix != "" && keptTokens < 0.5*min(v.tokens, req.PrefixTokens) {
+		p.dropCached(prefillEngine, req.arrivedAt)
 	}
-	if rest := inf.Prompt - inf.PrefixTokens; rest > 0 {
-		b.found = last(b.found, int64(1e6*max(0, keptTokens-inf.PrefixTokens)/rest), 64)
+	if rest := req.PromptTokens - req.PrefixTokens; rest > 0 {
+		p.recentCacheHits = appendBounded(p.recentCacheHits, int64(1e6*max(0, keptTokens-req.PrefixTokens)/rest), 64)
 	}
-	b.kept[keptKey{true, inf.Session, reader}] = kept{inf.Prompt, b.now}
-	if inf.Prefix != "" {
-		b.kept[prefix] = kept{inf.PrefixTokens, b.now}
+	p.cached[cacheKey{true, req.Session, prefillEngine}] = cacheEntry{req.PromptTokens, p.now}
+	if req.Prefix != "" {
+		p.cached[prefix] = cacheEntry{req.PrefixTokens, p.now}
 	}
-	b.bound()
+	p.evictOldEntries()
 }
 
-// bound keeps what is remembered to 20,000 entries of a kind, a few megabytes; then what is older than a
+// evictOldEntries keeps what is remembered to 20,000 entries of a kind, a few megabytes; then what is older than a
 // minute goes.
-func (b *Brain) bound() {
-	if len(b.kept) > 20000 {
-		maps.DeleteFunc(b.kept, func(_ keptKey, v kept) bool { return b.now-v.at > int64(time.Minute) })
+func (p *Policy) evictOldEntries() {
+	if len(p.cached) > 20000 {
+		maps.DeleteFunc(p.cached, func(_ cacheKey, v cacheEntry) bool { return p.now-v.at > int64(time.Minute) })
 	}
-	if len(b.pairs) > 20000 {
-		maps.DeleteFunc(b.pairs, func(_ string, p pair) bool { return b.now-p.at > int64(time.Minute) })
+	if len(p.affinities) > 20000 {
+		maps.DeleteFunc(p.affinities, func(_ string, entry affinity) bool { return p.now-entry.servedAt > int64(time.Minute) })
 	}
 }
 
-// tells is whether other nodes are told where a session's text is kept: where that is allowed, and a word to
+// gossipEnabled is whether other nodes are told where a session's text is kept: where that is allowed, and a word to
 // all costs no more than 0.005 of the value, about what a text found again saves.
-func (b *Brain) tells() bool {
-	others := b.num("nodes", 1) - 1
-	return b.flag("limits.peers") && others > 0 && b.num("prices.peer", 0)*others*100/256 < 0.005
+func (p *Policy) gossipEnabled() bool {
+	others := p.num("nodes", 1) - 1
+	return p.flag("limits.peers") && others > 0 && p.num("prices.peer", 0)*others*100/256 < 0.005
 }
 
-// tell lets the other nodes know where a session was served: a front spreads its turns over all nodes. Lost
+// gossipAffinity lets the other nodes know where a session was served: a front spreads its turns over all nodes. Lost
 // messages cost one read in full.
-func (b *Brain) tell(inf *inference) {
-	if b.tells() {
-		text := fmt.Sprintf("kept %q %q %q %.0f", inf.Session, inf.reader, inf.writer, inf.Prompt)
-		b.effects = append(b.effects, Tell{-1, text})
+func (p *Policy) gossipAffinity(req *request) {
+	if p.gossipEnabled() {
+		text := fmt.Sprintf("kept %q %q %q %.0f", req.Session, req.prefillEngine, req.decodeEngine, req.PromptTokens)
+		p.actions = append(p.actions, SendGossip{-1, text})
 	}
 }
 
-// freshFor is how long news of an engine stands: queues turn over, and reports are renewed, in that time.
-const freshFor = int64(700 * time.Millisecond)
+// reportTTL is how long news of an engine stands: queues turn over, and reports are renewed, in that time.
+const reportTTL = int64(700 * time.Millisecond)
 
-// fresh is whether an engine's load is known; a cold one that has a place has hardly any.
-func (b *Brain) fresh(e *engine) bool { return b.now-e.reportAt < freshFor || b.cold(e) }
+// hasFreshLoad is whether an engine's load is known; a cold one that has a place has hardly any.
+func (p *Policy) hasFreshLoad(e *engine) bool {
+	return p.now-e.reportedAt < reportTTL || p.warmingUp(e)
+}
 
-// askEngines asks homes and some writers for their load, which a node among many cannot know.
-func (b *Brain) askEngines(inf *inference) input {
-	b.prefixes = last(b.prefixes, inf.Prefix, 64)
-	homes := b.homes(inf, b.usable(inf, b.loads(), func(e *engine) bool { return e.reader }))
-	if len(homes) > 0 {
-		inf.reader = homes[0].Engine
+// requestLoad asks homes and some writers for their load, which a node among many cannot know.
+func (p *Policy) requestLoad(req *request) trigger {
+	p.recentPrefixes = appendBounded(p.recentPrefixes, req.Prefix, 64)
+	preferred := p.preferredEngines(req, p.usableEngines(req, p.openLoads(), func(e *engine) bool { return e.canPrefill }))
+	if len(preferred) > 0 {
+		req.prefillEngine = preferred[0].Engine
 	}
-	return b.ask(inf, append(homes, b.someWriters(inf)...))
+	return p.requestLoadOf(req, append(preferred, p.decodeCandidates(req)...))
 }
 
-func (b *Brain) askWriters(inf *inference) input { return b.ask(inf, b.someWriters(inf)) }
+func (p *Policy) requestDecodeLoad(req *request) trigger {
+	return p.requestLoadOf(req, p.decodeCandidates(req))
+}
 
-// someWriters are two of those that tie for fewest own streams and are nearest to the reader, and one from
+// decodeCandidates are two of those that tie for fewest own streams and are nearest to the reader, and one from
 // farther off in case these are full; none if news at hand will do.
-func (b *Brain) someWriters(inf *inference) []*engine {
-	tied, from, mix := b.fewestStreams(inf), b.engines[inf.reader], map[*engine]float64{}
+func (p *Policy) decodeCandidates(req *request) []*engine {
+	tied, from, rank := p.fewestStreams(req), p.engines[req.prefillEngine], map[*engine]float64{}
 	for _, e := range tied {
-		mix[e] = float64(far(from, e)) + b.chance()
+		rank[e] = float64(distance(from, e)) + p.random()
 	}
-	slices.SortFunc(tied, func(x, y *engine) int { return cmp.Compare(mix[x], mix[y]) })
-	nearest := func(e *engine) bool { return far(from, e) == far(from, tied[0]) }
-	will := func(e *engine) bool { return nearest(e) && b.fresh(e) && e.memory < roomy }
-	if len(tied) < 2 || slices.ContainsFunc(tied, will) {
+	slices.SortFunc(tied, func(x, y *engine) int { return cmp.Compare(rank[x], rank[y]) })
+	nearest := func(e *engine) bool { return distance(from, e) == distance(from, tied[0]) }
+	suffices := func(e *engine) bool { return nearest(e) && p.hasFreshLoad(e) && e.memoryShare < lowMemoryShare }
+	if len(tied) < 2 || slices.ContainsFunc(tied, suffices) {
 		return nil
 	}
 	other := slices.IndexFunc(tied, func(e *engine) bool { return !nearest(e) })
 	return append(tied[:2:2], tied[max(1, other)])
 }
 
-// ask probes those of whom nothing was heard of late; a probe to a cold engine would count as work.
-func (b *Brain) ask(inf *inference, engines []*engine) input {
-	inf.asked = inf.asked[:0]
+// requestLoadOf probes those of whom nothing was heard of late; a probe to a cold engine would count as work.
+func (p *Policy) requestLoadOf(req *request, engines []*engine) trigger {
+	req.awaitedEngines = req.awaitedEngines[:0]
 	for _, e := range engines {
-		unknown := b.now-e.heardAt >= freshFor && !b.fresh(e)
-		if b.flag("limits.probes") && unknown && !slices.Contains(inf.asked, e.Engine) {
-			b.probe(e)
-			inf.asked = append(inf.asked, e.Engine)
+		unknown := p.now-e.checkAnsweredAt >= reportTTL && !p.hasFreshLoad(e)
+		if p.flag("limits.probes") && unknown && !slices.Contains(req.awaitedEngines, e.Engine) {
+			p.healthCheck(e)
+			req.awaitedEngines = append(req.awaitedEngines, e.Engine)
 		}
 	}
-	if len(inf.asked) == 0 {
-		return told
+	if len(req.awaitedEngines) == 0 {
+		return loadKnown
 	}
 	// 50 ms: several times what an engine needs that is not in trouble.
-	b.arm(inf, told, int64(50*time.Millisecond))
-	return nothing
+	p.startTimer(req, loadKnown, int64(50*time.Millisecond))
+	return noTrigger
 }
 
-// takeAnswer notes what an engine says of itself; one that says nothing is in trouble.
-func (b *Brain) takeAnswer(p ProbeResult) {
-	e := b.engines[p.Engine]
+// handleHealthCheck notes what an engine says of itself; one that says nothing is in trouble.
+func (p *Policy) handleHealthCheck(result HealthCheckResult) {
+	e := p.engines[result.Engine]
 	if e == nil {
 		return
 	}
-	e.heardAt = b.now
-	switch p.Verdict {
+	e.checkAnsweredAt = p.now
+	switch result.Verdict {
 	case Completed:
-		b.learnReport(e, p.Report)
+		p.recordReport(e, result.Report)
 	case NotSent: // for a want of this machine: it says nothing of the engine
 	default:
-		e.silentAt = b.now
+		e.unresponsiveAt = p.now
 	}
-	for _, inf := range b.those(func(inf *inference) bool { return inf.answered(p.Engine) }) {
-		b.drive(inf, told)
-		b.forget(inf)
+	for _, req := range p.requestsWhere(func(req *request) bool { return req.checkAnswered(result.Engine) }) {
+		p.fire(req, loadKnown)
+		p.forgetIfDone(req)
 	}
 	// Busy engines say so; one that says nothing has not taken what was written to it before either.
-	if p.Verdict != TimedOut && p.Verdict != NotConnected && p.Verdict != ConnectionLost {
+	if result.Verdict != TimedOut && result.Verdict != NotConnected && result.Verdict != ConnectionLost {
 		return
 	}
-	for _, inf := range b.those(func(inf *inference) bool {
-		n := len(inf.sends) - 1
-		return n >= 0 && inf.sends[n].engine == p.Engine && inf.sends[n].at < e.askedAt && b.unseen(inf)
+	for _, req := range p.requestsWhere(func(req *request) bool {
+		n := len(req.attempts) - 1
+		return n >= 0 && req.attempts[n].engine == result.Engine && req.attempts[n].sentAt < e.checkedAt && p.lastUnanswered(req)
 	}) {
-		b.strike(e)
-		b.drive(inf, silent)
+		p.recordFault(e)
+		p.fire(req, engineUnresponsive)
 	}
 }
 
 // ---- writers
 
-func (b *Brain) sendToWriter(inf *inference) input {
+func (p *Policy) sendToDecode(req *request) trigger {
 	// A non-retriable that may have run gets its error at once; so does what no engine may take again.
-	if !slices.ContainsFunc(b.ids, func(id string) bool { return b.mayRepeat(inf, b.engines[id]) }) {
-		return spent
+	if !slices.ContainsFunc(p.engineIDs, func(id string) bool { return p.mayRetryOn(req, p.engines[id]) }) {
+		return attemptsExhausted
 	}
-	if b.now-inf.freeAt > int64(b.num("engine_facts.pin", 0))-2*b.margin()-waitStep {
-		return spent
+	if p.now-req.idleSince > int64(p.num("engine_facts.pin", 0))-2*p.deadlineMargin()-retryDelay {
+		return attemptsExhausted
 	}
-	e := b.pickWriter(inf)
-	if e == nil || b.hasty(inf, e) {
-		return noWriter
+	e := p.pickDecode(req)
+	if e == nil || p.triedJustNow(req, e) {
+		return noDecodeEngine
 	}
-	inf.writer = e.Engine
-	return b.gate(inf, e)
+	req.decodeEngine = e.Engine
+	return p.sendTo(req, e)
 }
 
-// hasty is whether a send has just come back from there. Where nothing else is left, the next waits a step:
+// triedJustNow is whether a send has just come back from there. Where nothing else is left, the next waits a step:
 // an engine that is gone refuses at once, and would take all sends of an inference within a millisecond.
-func (b *Brain) hasty(inf *inference, e *engine) bool {
-	return slices.ContainsFunc(inf.sends, func(s send) bool {
-		return s.engine == e.Engine && s.writes == e.writer && b.now-s.at < waitStep
+func (p *Policy) triedJustNow(req *request, e *engine) bool {
+	return slices.ContainsFunc(req.attempts, func(s attempt) bool {
+		return s.engine == e.Engine && s.decode == e.canDecode && p.now-s.sentAt < retryDelay
 	})
 }
 
-// roomy is the share of its memory up to which a writer counts as empty; 0.85 did far worse among many nodes.
-const roomy = 0.7
+// lowMemoryShare is the share of its memory up to which a writer counts as empty; 0.85 did far worse among many nodes.
+const lowMemoryShare = 0.7
 
-// pickWriter takes the session's writer if it is valid, else one with fewest own streams. Among many nodes
+// pickDecode takes the session's writer if it is valid, else one with fewest own streams. Among many nodes
 // nearly all tie, so what is known of their memory comes next, weighed against the move, then turns.
-func (b *Brain) pickWriter(inf *inference) *engine {
-	tied := b.fewestStreams(inf)
+func (p *Policy) pickDecode(req *request) *engine {
+	tied := p.fewestStreams(req)
 	if len(tied) == 0 {
 		return nil
 	}
-	from := b.engines[inf.reader]
-	if slices.ContainsFunc(tied, b.fresh) {
-		tied = slices.DeleteFunc(tied, func(e *engine) bool { return !b.fresh(e) })
+	from := p.engines[req.prefillEngine]
+	if slices.ContainsFunc(tied, p.hasFreshLoad) {
+		tied = slices.DeleteFunc(tied, func(e *engine) bool { return !p.hasFreshLoad(e) })
 	}
 	// Leaving the cell is worth a tenth of a writer's memory, leaving the zone, where a state takes several
 	// times as long and holds up others on the link, four; within a tenth, reports are noise.
 	cost := func(e *engine) float64 {
-		return [...]float64{0, 1, 4}[far(from, e)] + math.Round(10*max(roomy, e.memory))
+		return [...]float64{0, 1, 4}[distance(from, e)] + math.Round(10*max(lowMemoryShare, e.memoryShare))
 	}
-	return b.roundRobin(tied, func(x, y *engine) int { return cmp.Compare(cost(x), cost(y)) })
+	return p.roundRobin(tied, func(x, y *engine) int { return cmp.Compare(cost(x), cost(y)) })
 }
 
 // fewestStreams are the writers that tie: the session's if it is valid, else those with fewest own streams.
-func (b *Brain) fewestStreams(inf *inference) []*engine {
-	loads := b.loads()
-	ready := b.usable(inf, loads, func(e *engine) bool {
-		return e.writer && e.fullUntil <= b.now && b.mayRepeat(inf, e) && b.hasRoom(inf, e, loads[e.Engine])
+func (p *Policy) fewestStreams(req *request) []*engine {
+	loads := p.openLoads()
+	ready := p.usableEngines(req, loads, func(e *engine) bool {
+		return e.canDecode && e.fullUntil <= p.now && p.mayRetryOn(req, e) && p.hasCapacity(req, e, loads[e.Engine])
 	})
-	pinned := b.pairOf(inf).writer
-	if i := slices.IndexFunc(ready, func(e *engine) bool { return e.Engine == pinned }); i >= 0 {
-		if lag, _ := b.lag(ready[i], loads[pinned]); float64(lag) < b.target(inf)/3 {
+	sticky := p.affinityOf(req).decodeEngine
+	if i := slices.IndexFunc(ready, func(e *engine) bool { return e.Engine == sticky }); i >= 0 {
+		if latency, _ := p.latency(ready[i], loads[sticky]); float64(latency) < p.firstTokenTarget(req)/3 {
 			return ready[i : i+1]
 		}
 	}
@@ -614,274 +620,274 @@
 // Reports travel and are refreshed for about half a second; what was sent since then is not in them.
 const reportDelay = int64(500 * time.Millisecond)
 
-// hasRoom keeps a writer from running out of memory, which throws its newest answers back to be read anew. It
+// hasCapacity keeps a writer from running out of memory, which throws its newest answers back to be read anew. It
 // goes by a fresh report and what was sent since, else by this node's own part, as if all nodes sent alike. A
 // wrong guess costs a wait of three quarters of the pin limit. 1.05: reports are noisy.
-func (b *Brain) hasRoom(inf *inference, e *engine, l load) bool {
-	memory := b.num(fmt.Sprintf("engine_facts.memory_of_kind.%d", e.Kind), 0)
-	used := l.tokens * b.num("nodes", 1)
-	if b.fresh(e) {
-		used = e.memory*memory + l.unseen
+func (p *Policy) hasCapacity(req *request, e *engine, l engineLoad) bool {
+	memory := p.num(fmt.Sprintf("engine_facts.memory_of_kind.%d", e.Kind), 0)
+	used := l.promptTokens * p.num("nodes", 1)
+	if p.hasFreshLoad(e) {
+		used = e.memoryShare*memory + l.unreportedTokens
 	}
-	waited := inf.freeAt > 0 && float64(b.now-inf.freeAt) > 0.75*b.num("engine_facts.pin", 0)
-	return memory == 0 || waited || used == 0 || used+inf.Prompt < 1.05*memory
+	waited := req.idleSince > 0 && float64(p.now-req.idleSince) > 0.75*p.num("engine_facts.pin", 0)
+	return memory == 0 || waited || used == 0 || used+req.PromptTokens < 1.05*memory
 }
 
 // ---- engines
 
-// slow is whether a reader needs three times as long for its work as the median of readers; its work is what
+// isSlow is whether a reader needs three times as long for its work as the median of readers; its work is what
 // it reported to wait and what it had to read itself. Lags are high at busy engines too, and this is not. It
 // does harm where an engine reports less work than it has: that one then counts as slow.
-func (b *Brain) slow(e *engine) bool {
+func (p *Policy) isSlow(e *engine) bool {
 	var all []int64
-	for _, id := range b.ids {
-		if o := b.engines[id]; o.Ready && len(o.paces) > 2 {
-			all = append(all, median(o.paces))
+	for _, id := range p.engineIDs {
+		if other := p.engines[id]; other.Ready && len(other.latencyPerWork) > 2 {
+			all = append(all, median(other.latencyPerWork))
 		}
 	}
-	return len(e.paces) > 2 && len(all) > 2 && median(e.paces) > 3*median(all)
+	return len(e.latencyPerWork) > 2 && len(all) > 2 && median(e.latencyPerWork) > 3*median(all)
 }
 
-// recently is for how long strikes count: a minute, several times the longest that they keep an engine out.
-const recently = int64(time.Minute)
+// faultWindow is for how long strikes count: a minute, several times the longest that they keep an engine out.
+const faultWindow = int64(time.Minute)
 
-// departed is whether an engine has been out of the list for longer than what it did still counts, with
+// expired is whether an engine has been out of the list for longer than what it did still counts, with
 // nothing out there. A fleet that is always replaced would else be remembered whole.
-func (b *Brain) departed(e *engine, l load) bool {
-	return e.goneAt > 0 && b.now-e.goneAt > recently && l.reads+l.streams == 0
-}
-
-// usable lists the engines that fit and are healthy, by id. Where none is healthy, the best that fit are.
-func (b *Brain) usable(inf *inference, loads map[string]load, fits func(*engine) bool) []*engine {
-	fit, well, lags, strikes := []*engine{}, []*engine{}, []int64{}, []int64{}
-	for _, id := range b.ids {
-		if e := b.engines[id]; e.Ready && fits(e) && b.coldRoom(e) {
-			fit, strikes = append(fit, e), append(strikes, int64(b.since(e.strikes, recently)))
-			if lag, known := b.lag(e, loads[id]); known {
-				lags = append(lags, lag)
+func (p *Policy) expired(e *engine, l engineLoad) bool {
+	return e.removedAt > 0 && p.now-e.removedAt > faultWindow && l.prefills+l.streams == 0
+}
+
+// usableEngines lists the engines that fit and are healthy, by id. Where none is healthy, the best that fit are.
+func (p *Policy) usableEngines(req *request, loads map[string]engineLoad, fits func(*engine) bool) []*engine {
+	fitting, healthyOnes, latencies, faults := []*engine{}, []*engine{}, []int64{}, []int64{}
+	for _, id := range p.engineIDs {
+		if e := p.engines[id]; e.Ready && fits(e) && p.withinSlowStart(e) {
+			fitting, faults = append(fitting, e), append(faults, int64(p.countSince(e.faultTimes, faultWindow)))
+			if lag, known := p.latency(e, loads[id]); known {
+				latencies = append(latencies, lag)
 			}
 		}
 	}
 	// The usual is of the others: an engine far over it is the largest. Of two or four, half would else be
 	// usual.
-	usual, often := median(slices.Sorted(slices.Values(lags))[:max(0, len(lags)-1)]), float64(median(strikes))
-	for _, e := range fit {
-		if b.healthy(inf, e, loads[e.Engine], usual, often) {
-			well = append(well, e)
+	usualLatency, usualFaults := median(slices.Sorted(slices.Values(latencies))[:max(0, len(latencies)-1)]), float64(median(faults))
+	for _, e := range fitting {
+		if p.isHealthy(req, e, loads[e.Engine], usualLatency, usualFaults) {
+			healthyOnes = append(healthyOnes, e)
 		}
 	}
-	if len(well) > 0 {
-		return well
+	if len(healthyOnes) > 0 {
+		return healthyOnes
 	}
 	// Of those in trouble, some have done well since, and any other is better than one that this has come back
 	// from: an engine that is gone has the fewest streams. It harms where all fail alike, as turns are then less
 	// even.
 	for _, worse := range []func(*engine) bool{
-		func(e *engine) bool { return e.trial || inf.backFrom(e) }, inf.backFrom,
+		func(e *engine) bool { return e.suspect || req.failedOn(e) }, req.failedOn,
 	} {
-		if row := slices.DeleteFunc(slices.Clone(fit), worse); len(row) > 0 {
-			return row
+		if better := slices.DeleteFunc(slices.Clone(fitting), worse); len(better) > 0 {
+			return better
 		}
 	}
-	return fit
+	return fitting
 }
 
-// healthy holds against failing, silent and slow engines alike: each sign of trouble is a strike, which keeps
+// isHealthy holds against failing, silent and slow engines alike: each sign of trouble is a strike, which keeps
 // an engine out for 2 s, twice as long with each more, 16 s at most. Then one send at a time tries it, beside
 // the streams that have begun there. A busy fleet's lags look like trouble too, so they are measured against
 // other engines'; so are strikes: what breaks sends on the way strikes all alike, and to keep out whoever was
 // met last leaves all to one or two. It does harm where most engines fail in part.
-func (b *Brain) healthy(inf *inference, e *engine, l load, usual int64, often float64) bool {
+func (p *Policy) isHealthy(req *request, e *engine, l engineLoad, usualLatency int64, usualFaults float64) bool {
 	// Three times the usual lag and a third of the target: noise seldom makes that, slow and silent engines do.
-	if lag, _ := b.lag(e, l); float64(lag) > b.target(inf)/3 && (lag > 3*usual || b.slow(e)) {
+	if latency, _ := p.latency(e, l); float64(latency) > p.firstTokenTarget(req)/3 && (latency > 3*usualLatency || p.isSlow(e)) {
 		return false
 	}
-	if len(e.strikes) > 0 {
+	if len(e.faultTimes) > 0 {
 		// Half a second: all that one blow breaks comes within it.
-		out, more := int64(0), b.since(e.strikes, recently)-often
-		if e.trial {
-			out = int64(500 * time.Millisecond)
+		ejectedFor, excess := int64(0), p.countSince(e.faultTimes, faultWindow)-usualFaults
+		if e.suspect {
+			ejectedFor = int64(500 * time.Millisecond)
 		}
-		if more > 0 {
-			out = int64(2*time.Second) << min(int(more)-1, 3)
+		if excess > 0 {
+			ejectedFor = int64(2*time.Second) << min(int(excess)-1, 3)
 		}
-		if b.now-e.strikes[len(e.strikes)-1] < out {
+		if p.now-e.faultTimes[len(e.faultTimes)-1] < ejectedFor {
 			return false
 		}
 	}
 	// What has come back from there once tries another first.
-	return (!e.trial || len(l.waits) == 0) && !inf.backFrom(e)
+	return (!e.suspect || len(l.waits) == 0) && !req.failedOn(e)
 }
 
-// backFrom is whether a send has come back from an engine with nothing.
-func (inf *inference) backFrom(e *engine) bool {
-	return slices.ContainsFunc(inf.sends, func(s send) bool { return s.engine == e.Engine && !s.kept })
+// failedOn is whether a send has come back from an engine with nothing.
+func (req *request) failedOn(e *engine) bool {
+	return slices.ContainsFunc(req.attempts, func(s attempt) bool { return s.engine == e.Engine && !s.prefilled })
 }
 
-// strike notes trouble with an engine.
-func (b *Brain) strike(e *engine) {
-	if len(e.strikes) == 0 || b.now-e.strikes[len(e.strikes)-1] > int64(500*time.Millisecond) {
-		e.strikes = last(e.strikes, b.now, 6)
+// recordFault notes trouble with an engine.
+func (p *Policy) recordFault(e *engine) {
+	if len(e.faultTimes) == 0 || p.now-e.faultTimes[len(e.faultTimes)-1] > int64(500*time.Millisecond) {
+		e.faultTimes = appendBounded(e.faultTimes, p.now, 6)
 	}
-	e.trial = true
+	e.suspect = true
 }
 
-func (b *Brain) learnOutcome(inf *inference, s *send, o Outcome) {
-	e := b.engines[s.engine]
+func (p *Policy) recordOutcome(req *request, s *attempt, o Outcome) {
+	e := p.engines[s.engine]
 	if e == nil {
 		return
 	}
 	switch o.Verdict {
 	case Completed:
-		e.trial, e.goodAt = false, b.now // a stream to its end is a sign of health too
-	case ReadDone:
-		b.learnKept(inf, s.engine, o.Note)
-		b.learnLag(e, o.Lag, s.at)
+		e.suspect, e.healthyAt = false, p.now // a stream to its end is a sign of health too
+	case PrefillDone:
+		p.recordCached(req, s.engine, o.Note)
+		p.recordLatency(e, o.Latency, s.sentAt)
 		// Half a thousand tokens: less work than that says more of the way than of the engine.
-		if work := s.waits - 1 + (inf.Prompt-o.Note)/1000; s.waits > 0 && work > 0.5 {
-			e.paces = last(e.paces, int64(float64(o.Lag)/work), 5)
+		if work := s.queuedWork - 1 + (req.PromptTokens-o.Note)/1000; s.queuedWork > 0 && work > 0.5 {
+			e.latencyPerWork = appendBounded(e.latencyPerWork, int64(float64(o.Latency)/work), 5)
 		}
-		if s.waits > 0 {
-			b.paces = last(b.paces, int64(float64(o.Lag)/s.waits), 32)
+		if s.queuedWork > 0 {
+			p.recentLatencyPerWork = appendBounded(p.recentLatencyPerWork, int64(float64(o.Latency)/s.queuedWork), 32)
 		}
 	case Full:
 		// 150 ms: about the time in which a busy writer ends one answer.
-		e.fullUntil = b.now + int64(150*time.Millisecond)
+		e.fullUntil = p.now + int64(150*time.Millisecond)
 	case TimedOut, NotConnected, ConnectionLost:
-		if !o.Stale && inf.state != ended && b.now < inf.GiveUpAt-b.margin() {
-			b.strike(e)
+		if !o.StaleConnection && req.state != ended && p.now < req.Deadline-p.deadlineMargin() {
+			p.recordFault(e)
 		}
 	case EngineError:
-		b.strike(e)
+		p.recordFault(e)
 	}
 }
 
-// learnLag takes an answer as a sign of health. Engines take sends in turn, so a send that two later ones
+// recordLatency takes an answer as a sign of health. Engines take sends in turn, so a send that two later ones
 // have overtaken, though it has waited a sixth of its target, was lost on the way or in the engine.
-func (b *Brain) learnLag(e *engine, lag, sentAt int64) {
+func (p *Policy) recordLatency(e *engine, latency, sentAt int64) {
 	if e == nil {
 		return
 	}
-	e.samples, e.did = last(e.samples, sample{b.now, lag}, 64), last(e.did, b.now, 64)
+	e.latencySamples, e.progressTimes = appendBounded(e.latencySamples, sample{p.now, latency}, 64), appendBounded(e.progressTimes, p.now, 64)
 	// An engine that failed and said nothing good for 3 s, longer than any jam, may have started anew unseen.
-	if e.trial && b.now-e.goodAt > int64(3*time.Second) {
-		e.coldFrom = b.now
+	if e.suspect && p.now-e.healthyAt > int64(3*time.Second) {
+		e.warmingSince = p.now
 	}
-	e.trial, e.goodAt = false, b.now
-	for _, inf := range b.those(func(inf *inference) bool {
-		n := len(inf.sends) - 1
-		if n < 0 || !inf.sends[n].out || inf.sends[n].began || inf.sends[n].engine != e.Engine {
+	e.suspect, e.healthyAt = false, p.now
+	for _, req := range p.requestsWhere(func(req *request) bool {
+		n := len(req.attempts) - 1
+		if n < 0 || !req.attempts[n].inFlight || req.attempts[n].streaming || req.attempts[n].engine != e.Engine {
 			return false
 		}
-		s := &inf.sends[n]
-		if s.at < sentAt {
-			s.overtaken++
+		s := &req.attempts[n]
+		if s.sentAt < sentAt {
+			s.laterResponses++
 		}
-		return s.overtaken >= 2 && float64(b.now-s.at) > b.target(inf)/6
+		return s.laterResponses >= 2 && float64(p.now-s.sentAt) > p.firstTokenTarget(req)/6
 	}) {
-		b.drive(inf, overtaken)
+		p.fire(req, passedByLaterResponse)
 	}
 }
 
-// withdraw gives up the wait for the send that is out, where another may follow it. Else its state is let go
+// cancelLastAttempt gives up the wait for the send that is out, where another may follow it. Else its state is let go
 // of all the same: most likely it was not fetched, and if it is queued after all, its writer will say so.
-func (b *Brain) withdraw(inf *inference) input {
-	s := &inf.sends[len(inf.sends)-1]
+func (p *Policy) cancelLastAttempt(req *request) trigger {
+	s := &req.attempts[len(req.attempts)-1]
 	// A read has no effect, yet reads given up have counted as such that may have run: docs/incidents.
-	again := b.word(b.route(inf, "effect")) == "retriable"
+	mayRetry := p.word(p.route(req, "effect")) == "retriable"
 	switch {
-	case s.withdrawn:
-	case again && len(inf.sends) < int(b.num("limits.sends", 1)) && b.flag("limits.cancel"):
-		s.withdrawn = true
-		b.effects = append(b.effects, Withdraw{inf.Inf, len(inf.sends) - 1})
-	case s.writes:
-		b.effects = append(b.effects, Discard{inf.Inf})
+	case s.canceled:
+	case mayRetry && len(req.attempts) < int(p.num("limits.sends", 1)) && p.flag("limits.cancel"):
+		s.canceled = true
+		p.actions = append(p.actions, CancelAttempt{req.RequestID, len(req.attempts) - 1})
+	case s.decode:
+		p.actions = append(p.actions, Release{req.RequestID})
 	}
-	return nothing
+	return noTrigger
 }
 
-// quietFor is how long the last send may go without a sign of its engine. Nothing tells a machine that is cut
+// responseTimeout is how long the last send may go without a sign of its engine. Nothing tells a machine that is cut
 // off from a busy one, and what is written to a kept connection is lost without a word. A writer is asked
 // after a third of the pin limit, so that the wait for its answer and another try fit in before it; a reader
 // after half the target, as another read would be too late later.
-func (b *Brain) quietFor(inf *inference) int64 {
-	if inf.sends[len(inf.sends)-1].writes {
-		return int64(b.num("engine_facts.pin", 1e9)) / 3
+func (p *Policy) responseTimeout(req *request) int64 {
+	if req.attempts[len(req.attempts)-1].decode {
+		return int64(p.num("engine_facts.pin", 1e9)) / 3
 	}
-	return int64(b.target(inf) / 2)
+	return int64(p.firstTokenTarget(req) / 2)
 }
 
-// unseen is whether the last send is out and nothing came from its engine since it was sent.
-func (b *Brain) unseen(inf *inference) bool {
-	s := &inf.sends[len(inf.sends)-1]
-	e := b.engines[s.engine]
-	return s.out && !s.began && e != nil && max(e.goodAt, e.reportAt) < s.at
+// lastUnanswered is whether the last send is out and nothing came from its engine since it was sent.
+func (p *Policy) lastUnanswered(req *request) bool {
+	s := &req.attempts[len(req.attempts)-1]
+	e := p.engines[s.engine]
+	return s.inFlight && !s.streaming && e != nil && max(e.healthyAt, e.reportedAt) < s.sentAt
 }
 
-// askSilent probes an engine that has been quiet for too long; a cold one would count that as work.
-func (b *Brain) askSilent(inf *inference) input {
-	s := &inf.sends[len(inf.sends)-1]
-	e := b.engines[s.engine]
-	if b.unseen(inf) && b.now-s.at >= b.quietFor(inf) && b.flag("limits.probes") && !b.cold(e) {
-		b.probe(e)
+// checkUnresponsive probes an engine that has been quiet for too long; a cold one would count that as work.
+func (p *Policy) checkUnresponsive(req *request) trigger {
+	s := &req.attempts[len(req.attempts)-1]
+	e := p.engines[s.engine]
+	if p.lastUnanswered(req) && p.now-s.sentAt >= p.responseTimeout(req) && p.flag("limits.probes") && !p.warmingUp(e) {
+		p.healthCheck(e)
 	}
-	return nothing
+	return noTrigger
 }
 
-// probe asks an engine for its load, unless an answer is under way.
-func (b *Brain) probe(e *engine) {
-	if e.askedAt <= e.heardAt {
-		e.askedAt = b.now
-		b.effects = append(b.effects, Probe{e.Engine})
+// healthCheck asks an engine for its load, unless an answer is under way.
+func (p *Policy) healthCheck(e *engine) {
+	if e.checkedAt <= e.checkAnsweredAt {
+		e.checkedAt = p.now
+		p.actions = append(p.actions, HealthCheck{e.Engine})
 	}
 }
 
-func (b *Brain) cold(e *engine) bool {
-	return e.coldFrom != 0 && b.now-e.coldFrom <= int64(b.num("rules.cold", 0))
+func (p *Policy) warmingUp(e *engine) bool {
+	return e.warmingSince != 0 && p.now-e.warmingSince <= int64(p.num("rules.cold", 0))
 }
 
-// coldRoom keeps all nodes together from pushing a cold engine over. What the engines of that role did for
+// withinSlowStart keeps all nodes together from pushing a cold engine over. What the engines of that role did for
 // this node of late, each on average, gone ones too, is what one can do at least; its cold share is this
 // node's part of the budget. Whole places are its own; for the rest all nodes draw the same lots.
-func (b *Brain) coldRoom(e *engine) bool {
-	if !b.cold(e) {
+func (p *Policy) withinSlowStart(e *engine) bool {
+	if !p.warmingUp(e) {
 		return true
 	}
 	const span = int64(20 * time.Second) // a node among many sends little; and all of a role may be cold at once
-	window, done, like := max(4, int64(b.num("rules.fall_window", 1e9))), 0.0, 0.0
-	for _, o := range b.engines {
-		if did := b.since(o.did, span); o.reader == e.reader && o.writer == e.writer && (o.Ready || did > 0) {
-			done, like = done+did, like+1
+	window, done, alike := max(4, int64(p.num("rules.fall_window", 1e9))), 0.0, 0.0
+	for _, other := range p.engines {
+		if recent := p.countSince(other.progressTimes, span); other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
+			done, alike = done+recent, alike+1
 		}
 	}
 	// 1.2: engines seldom do all that they can. Lots get two thirds of it, as they fall unevenly.
-	places := 1.2 * b.num("rules.cold_share", 0) * b.num("rules.fall_multiple", 0) * done / max(1, like) *
-		float64(window) / float64(min(span, max(window, b.now-b.firstAt)))
+	places := 1.2 * p.num("rules.cold_share", 0) * p.num("rules.fall_multiple", 0) * done / max(1, alike) *
+		float64(window) / float64(min(span, max(window, p.now-p.startedAt)))
 	// Any window touches five quarters at most, so each quarter gives out a fifth.
-	nodes := max(1, b.num("nodes", 1))
+	nodes := max(1, p.num("nodes", 1))
 	whole, rest := math.Modf(places)
-	first := float64(hash(fmt.Sprint(e.Engine, 4*b.now/window))%1e6) / 1e6 * nodes
-	if math.Mod(b.num("me", 0)+first, nodes) < rest*nodes/7.5 && b.since(e.sent, window/4) == 0 {
+	first := float64(hash(fmt.Sprint(e.Engine, 4*p.now/window))%1e6) / 1e6 * nodes
+	if math.Mod(p.num("me", 0)+first, nodes) < rest*nodes/7.5 && p.countSince(e.sendTimes, window/4) == 0 {
 		whole++
 	}
-	return b.since(e.sent, window) < whole
+	return p.countSince(e.sendTimes, window) < whole
 }
 
-func (b *Brain) learnEngines(news EngineNews) {
-	if news.Failed {
-		b.token++
-		b.timers[b.token] = timer{-1, wake}
+func (p *Policy) handleEndpoints(update EndpointUpdate) {
+	if update.Failed {
+		p.lastTimerToken++
+		p.timers[p.lastTimerToken] = timer{-1, retryDue}
 		// 300 ms and up to as much again: all nodes fail at once, and discovery serves one call at a time.
-		after := int64(300*time.Millisecond) + int64(b.chance()*float64(300*time.Millisecond))
-		b.effects = append(b.effects, ArmTimer{b.token, after})
+		after := int64(300*time.Millisecond) + int64(p.random()*float64(300*time.Millisecond))
+		p.actions = append(p.actions, StartTimer{p.lastTimerToken, after})
 		return
 	}
-	b.keepList(news)
+	p.updateEndpoints(update)
 }
 
-// watch asks discovery for news where it does not come by itself.
-func (b *Brain) watch() {
-	if b.word("discovery") == "watch" {
-		b.effects = append(b.effects, Watch{})
+// watchEndpoints asks discovery for news where it does not come by itself.
+func (p *Policy) watchEndpoints() {
+	if p.word("discovery") == "watch" {
+		p.actions = append(p.actions, WatchEndpoints{})
 	}
 }
--- a/internal/routing/help.go
+++ b/internal/routing/help.go
@@ -12,26 +12,26 @@
 )
 
 // median is 0 of none.
-func median(row []int64) int64 {
-	if len(row) == 0 {
+func median(values []int64) int64 {
+	if len(values) == 0 {
 		return 0
 	}
-	row = slices.Sorted(slices.Values(row))
-	return row[len(row)/2]
+	values = slices.Sorted(slices.Values(values))
+	return values[len(values)/2]
 }
 
 // mean is 0 of none.
-func mean(row []int64) (sum int64) {
-	for _, v := range row {
+func mean(values []int64) (sum int64) {
+	for _, v := range values {
 		sum += v
 	}
-	return sum / int64(max(1, len(row)))
+	return sum / int64(max(1, len(values)))
 }
 
 // best is the first of the least by order among those that fit.
-func best(row []*engine, fits func(*engine) bool, order func(x, y *engine) int) *engine {
+func best(engines []*engine, fits func(*engine) bool, order func(x, y *engine) int) *engine {
 	var found *engine
-	for _, e := range row {
+	for _, e := range engines {
 		if fits(e) && (found == nil || order(e, found) < 0) {
 			found = e
 		}
@@ -40,19 +40,19 @@
 }
 
 // roundRobin takes turns, from a place of this node's own, among those that tie for the least.
-func (b *Brain) roundRobin(row []*engine, order func(x, y *engine) int) *engine {
-	least := slices.MinFunc(row, order)
+func (p *Policy) roundRobin(engines []*engine, order func(x, y *engine) int) *engine {
+	least := slices.MinFunc(engines, order)
 	var tied []*engine
-	for _, e := range row {
+	for _, e := range engines {
 		if order(e, least) == 0 {
 			tied = append(tied, e)
 		}
 	}
-	if b.turn == 0 {
-		b.turn = int(b.chance() * 1e6) // nodes that start together must not go the same round
+	if p.roundRobinTurn == 0 {
+		p.roundRobinTurn = int(p.random() * 1e6) // nodes that start together must not go the same round
 	}
-	b.turn++
-	return tied[b.turn%len(tied)]
+	p.roundRobinTurn++
+	return tied[p.roundRobinTurn%len(tied)]
 }
 
 // hash mixes the sum once more: texts that differ only in their last letters share its upper bits.
@@ -65,120 +65,120 @@
 }
 
 // byHash sorts engines by a hash of id and key, the same at all nodes.
-func byHash(key string, row []*engine) []*engine {
+func byHash(key string, engines []*engine) []*engine {
 	sums := map[*engine]uint64{}
-	for _, e := range row {
+	for _, e := range engines {
 		sums[e] = hash(key + e.Engine)
 	}
-	slices.SortFunc(row, func(x, y *engine) int { return cmp.Compare(sums[x], sums[y]) })
-	return row
+	slices.SortFunc(engines, func(x, y *engine) int { return cmp.Compare(sums[x], sums[y]) })
+	return engines
 }
 
-// far is 0 within a cell, 1 within a zone, else 2.
-func far(from, to *engine) int {
+// distance is 0 within a cell, 1 within a zone, else 2.
+func distance(from, to *engine) int {
 	if from == nil || to.Cell == from.Cell {
 		return 0
 	}
 	return 1 + differ(to.Zone, from.Zone)
 }
 
-// since counts the times in a row that are less than a span ago.
-func (b *Brain) since(row []int64, span int64) (n float64) {
-	for _, at := range row {
-		if b.now-at < span {
+// countSince counts the times in a row that are less than a span ago.
+func (p *Policy) countSince(times []int64, span int64) (n float64) {
+	for _, at := range times {
+		if p.now-at < span {
 			n++
 		}
 	}
 	return n
 }
 
-// chance is the next number of this instance between 0 and 1.
-func (b *Brain) chance() float64 {
-	b.draws++
-	return float64(hash(fmt.Sprint(b.seed, b.draws))>>11) / (1 << 53)
+// random is the next number of this instance between 0 and 1.
+func (p *Policy) random() float64 {
+	p.randomDraws++
+	return float64(hash(fmt.Sprint(p.seed, p.randomDraws))>>11) / (1 << 53)
 }
 
-func (b *Brain) route(inf *inference, name string) string {
-	return fmt.Sprintf("routes.%d.%s", inf.Route, name)
+func (p *Policy) route(req *request, name string) string {
+	return fmt.Sprintf("routes.%d.%s", req.Route, name)
 }
 
-func (b *Brain) num(name string, absent float64) float64 {
-	if v, ok := b.facts[name].(float64); ok {
+func (p *Policy) num(name string, absent float64) float64 {
+	if v, ok := p.config[name].(float64); ok {
 		return v
 	}
 	return absent
 }
 
-func (b *Brain) word(name string) string { v, _ := b.facts[name].(string); return v }
+func (p *Policy) word(name string) string { v, _ := p.config[name].(string); return v }
 
-func (b *Brain) flag(name string) bool { v, _ := b.facts[name].(bool); return v }
+func (p *Policy) flag(name string) bool { v, _ := p.config[name].(bool); return v }
 
-func is(s ...state) []state { return s }
+func states(s ...state) []state { return s }
 
-func in(i ...input) []input { return i }
+func triggers(i ...trigger) []trigger { return i }
 
-func (b *Brain) arm(inf *inference, in input, after int64) {
-	b.token++
-	b.timers[b.token] = timer{inf.Inf, in}
-	b.effects = append(b.effects, ArmTimer{b.token, after})
+func (p *Policy) startTimer(req *request, in trigger, after int64) {
+	p.lastTimerToken++
+	p.timers[p.lastTimerToken] = timer{req.RequestID, in}
+	p.actions = append(p.actions, StartTimer{p.lastTimerToken, after})
 }
 
-func (inf *inference) isOut() bool {
-	return slices.ContainsFunc(inf.sends, func(s send) bool { return s.out })
+func (req *request) inFlight() bool {
+	return slices.ContainsFunc(req.attempts, func(s attempt) bool { return s.inFlight })
 }
 
-// forget drops an inference that has ended and has nothing out.
-func (b *Brain) forget(inf *inference) {
-	if inf.state == ended && !inf.isOut() {
-		delete(b.infs, inf.Inf)
+// forgetIfDone drops an inference that has ended and has nothing out.
+func (p *Policy) forgetIfDone(req *request) {
+	if req.state == ended && !req.inFlight() {
+		delete(p.requests, req.RequestID)
 	}
 }
 
-// loads counts what this node has open at each engine.
-func (b *Brain) loads() map[string]load {
-	if b.counted != nil {
-		return b.counted
+// openLoads counts what this node has open at each engine.
+func (p *Policy) openLoads() map[string]engineLoad {
+	if p.countedLoads != nil {
+		return p.countedLoads
 	}
 	// One look-up for each send: with thousands open, these are most of a step's time.
-	counts := map[string]*load{}
-	for _, inf := range b.infs {
-		for i := range inf.sends {
-			s := &inf.sends[i]
-			if !s.out {
+	counts := map[string]*engineLoad{}
+	for _, req := range p.requests {
+		for i := range req.attempts {
+			s := &req.attempts[i]
+			if !s.inFlight {
 				continue
 			}
 			l := counts[s.engine]
 			if l == nil {
-				l = &load{reportAt: b.engines[s.engine].reportAt}
+				l = &engineLoad{reportedAt: p.engines[s.engine].reportedAt}
 				counts[s.engine] = l
 			}
-			if s.writes {
+			if s.decode {
 				l.streams++
-				l.tokens += inf.Prompt
-				if s.at > l.reportAt-reportDelay {
-					l.unseen += inf.Prompt
+				l.promptTokens += req.PromptTokens
+				if s.sentAt > l.reportedAt-reportDelay {
+					l.unreportedTokens += req.PromptTokens
 				}
 			} else {
-				l.reads++
+				l.prefills++
 			}
-			if !s.began {
-				l.waits = append(l.waits, b.now-s.at)
+			if !s.streaming {
+				l.waits = append(l.waits, p.now-s.sentAt)
 			}
 		}
 	}
-	loads := make(map[string]load, len(counts))
+	loads := make(map[string]engineLoad, len(counts))
 	for id, l := range counts {
 		loads[id] = *l
 	}
-	b.counted = loads
+	p.countedLoads = loads
 	return loads
 }
 
-// dropKept forgets what a reader was known to keep before a time.
-func (b *Brain) dropKept(reader string, before int64) {
-	for k, v := range b.kept {
-		if k.reader == reader && v.at < before {
-			delete(b.kept, k)
+// dropCached forgets what a reader was known to keep before a time.
+func (p *Policy) dropCached(prefillEngine string, before int64) {
+	for k, v := range p.cached {
+		if k.engine == prefillEngine && v.at < before {
+			delete(p.cached, k)
 		}
 	}
 }
@@ -191,145 +191,145 @@
 	return 1
 }
 
-// keepList takes over what a list says. An engine that has started anew is cold, and all that it kept is
+// updateEndpoints takes over what a list says. An engine that has started anew is cold, and all that it kept is
 // gone.
-func (b *Brain) keepList(news EngineNews) {
+func (p *Policy) updateEndpoints(update EndpointUpdate) {
 	seen := map[string]bool{}
-	for _, n := range news.Engines {
+	for _, n := range update.Engines {
 		seen[n.Engine] = true
-		e, known := b.engines[n.Engine]
+		e, known := p.engines[n.Engine]
 		if !known {
 			e = &engine{}
-			b.engines[n.Engine] = e
+			p.engines[n.Engine] = e
 		}
-		if n.UpSince > e.UpSince {
-			e.coldFrom, e.samples, e.paces, e.strikes, e.trial = n.UpSince, nil, nil, nil, false
-			b.dropKept(n.Engine, b.now)
+		if n.StartedAt > e.StartedAt {
+			e.warmingSince, e.latencySamples, e.latencyPerWork, e.faultTimes, e.suspect = n.StartedAt, nil, nil, nil, false
+			p.dropCached(n.Engine, p.now)
 		}
 		if n.Weight <= 0 {
 			n.Weight = 1
 		}
-		e.EngineEntry, e.goneAt = n, 0
-		role := b.word(fmt.Sprintf("engine_facts.role_of_kind.%d", n.Kind))
-		e.reader, e.writer = role != "write", role != "read"
+		e.Endpoint, e.removedAt = n, 0
+		role := p.word(fmt.Sprintf("engine_facts.role_of_kind.%d", n.Kind))
+		e.canPrefill, e.canDecode = role != "write", role != "read"
 	}
-	for id, e := range b.engines {
-		if news.Whole && !seen[id] || e.Out {
+	for id, e := range p.engines {
+		if update.Complete && !seen[id] || e.Removed {
 			e.Ready = false
-			b.dropKept(id, b.now)
-			if e.goneAt == 0 {
-				e.goneAt = b.now
+			p.dropCached(id, p.now)
+			if e.removedAt == 0 {
+				e.removedAt = p.now
 			}
 		}
 	}
-	loads := b.loads()
-	maps.DeleteFunc(b.engines, func(id string, e *engine) bool { return b.departed(e, loads[id]) })
-	b.ids = b.ids[:0]
-	for id := range b.engines {
-		b.ids = append(b.ids, id)
+	loads := p.openLoads()
+	maps.DeleteFunc(p.engines, func(id string, e *engine) bool { return p.expired(e, loads[id]) })
+	p.engineIDs = p.engineIDs[:0]
+	for id := range p.engines {
+		p.engineIDs = append(p.engineIDs, id)
 	}
-	slices.Sort(b.ids)
+	slices.Sort(p.engineIDs)
 }
 
-// target is the time in which the first token is wanted.
-func (b *Brain) target(inf *inference) float64 {
-	per := b.num(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", inf.Route), 0)
-	return b.num(b.route(inf, "first_token_target"), 1e9) + per*inf.Prompt/1000
+// firstTokenTarget is the time in which the first token is wanted.
+func (p *Policy) firstTokenTarget(req *request) float64 {
+	per := p.num(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", req.Route), 0)
+	return p.num(p.route(req, "first_token_target"), 1e9) + per*req.PromptTokens/1000
 }
 
-func (b *Brain) hear(text string) {
-	var session, reader, writer string
+func (p *Policy) handleGossip(text string) {
+	var session, prefillEngine, decodeEngine string
 	var tokens float64
-	_, err := fmt.Sscanf(text, "kept %q %q %q %f", &session, &reader, &writer, &tokens)
-	if err != nil || b.engines[reader] == nil {
+	_, err := fmt.Sscanf(text, "kept %q %q %q %f", &session, &prefillEngine, &decodeEngine, &tokens)
+	if err != nil || p.engines[prefillEngine] == nil {
 		return // of another version, or of an engine that this node does not know
 	}
-	b.pairs[session] = pair{reader, writer, b.now}
-	b.kept[keptKey{true, session, reader}] = kept{tokens, b.now}
+	p.affinities[session] = affinity{prefillEngine, decodeEngine, p.now}
+	p.cached[cacheKey{true, session, prefillEngine}] = cacheEntry{tokens, p.now}
 }
 
-// learnReport keeps an engine's load as it counts all nodes' sends: thousands of tokens to read, else
+// recordReport keeps an engine's load as it counts all nodes' sends: thousands of tokens to read, else
 // inferences.
-func (b *Brain) learnReport(e *engine, report map[string]float64) {
+func (p *Policy) recordReport(e *engine, report map[string]float64) {
 	if e == nil || len(report) == 0 {
 		return
 	}
-	e.memory, e.reportAt, b.counted = report["memory_share"], b.now, nil
-	if lag, ok := report["recent_lag_ms"]; ok {
-		e.samples = last(e.samples, sample{b.now, int64(lag * float64(time.Millisecond))}, 64)
+	e.memoryShare, e.reportedAt, p.countedLoads = report["memory_share"], p.now, nil
+	if latency, ok := report["recent_lag_ms"]; ok {
+		e.latencySamples = appendBounded(e.latencySamples, sample{p.now, int64(latency * float64(time.Millisecond))}, 64)
 	}
-	e.waits = report["open"]
+	e.queuedWork = report["open"]
 	if w, ok := report["waiting_thousand_tokens"]; ok {
-		e.waits = w
+		e.queuedWork = w
 	}
 }
 
-// those are the inferences that fit, in order of their ids.
-func (b *Brain) those(fit func(*inference) bool) []*inference {
-	var row []*inference
-	for _, inf := range b.infs {
-		if fit(inf) {
-			row = append(row, inf)
+// requestsWhere are the inferences that fit, in order of their ids.
+func (p *Policy) requestsWhere(fit func(*request) bool) []*request {
+	var found []*request
+	for _, req := range p.requests {
+		if fit(req) {
+			found = append(found, req)
 		}
 	}
-	slices.SortFunc(row, func(x, y *inference) int { return cmp.Compare(x.Inf, y.Inf) })
-	return row
+	slices.SortFunc(found, func(x, y *request) int { return cmp.Compare(x.RequestID, y.RequestID) })
+	return found
 }
 
 // valueShare is a route's value over that of the highest.
-func (b *Brain) valueShare(inf *inference) float64 {
+func (p *Policy) valueShare(req *request) float64 {
 	most := 1e-9
-	for i := range int(b.num("routes.count", 0)) {
-		most = max(most, b.num(fmt.Sprintf("routes.%d.value", i), 1))
+	for i := range int(p.num("routes.count", 0)) {
+		most = max(most, p.num(fmt.Sprintf("routes.%d.value", i), 1))
 	}
-	return b.num(b.route(inf, "value"), 1) / most
+	return p.num(p.route(req, "value"), 1) / most
 }
 
-// heldFor is how long the states that wait here for a writer have waited.
-func (b *Brain) heldFor() (waits []int64) {
-	for _, inf := range b.infs {
-		if inf.state == held {
-			waits = append(waits, b.now-inf.freeAt)
+// reservationWaits is how long the states that wait here for a writer have waited.
+func (p *Policy) reservationWaits() (waits []int64) {
+	for _, req := range p.requests {
+		if req.state == reserved {
+			waits = append(waits, p.now-req.idleSince)
 		}
 	}
 	return waits
 }
 
-// quartile is the lower one, 0 of none.
-func quartile(row []int64) int64 {
-	if len(row) == 0 {
+// lowerQuartile is the lower one, 0 of none.
+func lowerQuartile(values []int64) int64 {
+	if len(values) == 0 {
 		return 0
 	}
-	return slices.Sorted(slices.Values(row))[len(row)/4]
+	return slices.Sorted(slices.Values(values))[len(values)/4]
 }
 
-// over is the share of a row within a span that was over its line; a row of few counts as one of that many.
-func (b *Brain) over(row []sample, span time.Duration, few int) float64 {
+// shareAbove is the share of a row within a span that was over its line; a row of few counts as one of that many.
+func (p *Policy) shareAbove(samples []sample, span time.Duration, few int) float64 {
 	n := 0.0
-	for _, s := range row {
-		if s.at > b.now-int64(span) && s.lag > 0 {
+	for _, s := range samples {
+		if s.at > p.now-int64(span) && s.value > 0 {
 			n++
 		}
 	}
-	return n / float64(max(few, len(row)))
+	return n / float64(max(few, len(samples)))
 }
 
-// meanWaits is the mean reported load of the readers that reported within a span.
-func (b *Brain) meanWaits(span time.Duration) float64 {
+// meanQueuedWork is the mean reported load of the readers that reported within a span.
+func (p *Policy) meanQueuedWork(span time.Duration) float64 {
 	sum, n := 0.0, 0.0
-	for _, id := range b.ids {
-		if e := b.engines[id]; e.reader && b.now-e.reportAt < int64(span) {
-			sum, n = sum+e.waits, n+1
+	for _, id := range p.engineIDs {
+		if e := p.engines[id]; e.canPrefill && p.now-e.reportedAt < int64(span) {
+			sum, n = sum+e.queuedWork, n+1
 		}
 	}
 	return sum / max(1, n)
 }
 
-// answered takes an engine off those that were asked, and says whether it was the last.
-func (inf *inference) answered(engine string) bool {
-	i := slices.Index(inf.asked, engine)
+// checkAnswered takes an engine off those that were asked, and says whether it was the last.
+func (req *request) checkAnswered(engine string) bool {
+	i := slices.Index(req.awaitedEngines, engine)
 	if i >= 0 {
-		inf.asked = slices.Delete(inf.asked, i, i+1)
+		req.awaitedEngines = slices.Delete(req.awaitedEngines, i, i+1)
 	}
-	return i >= 0 && len(inf.asked) == 0
+	return i >= 0 && len(req.awaitedEngines) == 0
 }
--- a/internal/routing/open_test.go
+++ b/internal/routing/open_test.go
@@ -12,14 +12,14 @@
 			br := New(1, map[string]any{"limits.sends": 4.0, "limits.cancel": true, "engine_facts.pin": 1e9, "nodes": 1.0,
 				"engine_facts.role_of_kind.0": "read", "engine_facts.role_of_kind.1": "write", "routes.0.effect": "retriable",
 				"routes.0.first_token_target": 1e9, "routes.count": 1.0})
-			news := EngineNews{Whole: true}
+			news := EndpointUpdate{Complete: true}
 			for i := range 8 {
-				news.Engines = append(news.Engines, EngineEntry{Engine: fmt.Sprint("e", i), Weight: 1, Kind: i / 4, Ready: true})
+				news.Engines = append(news.Engines, Endpoint{Engine: fmt.Sprint("e", i), Weight: 1, Kind: i / 4, Ready: true})
 			}
 			now := int64(1e9)
 			br.Step(now, news)
 			id := int64(0)
-			sendOf := func(effects []Effect) string {
+			sendOf := func(effects []Action) string {
 				for _, e := range effects {
 					if s, ok := e.(Send); ok {
 						return s.Engine
@@ -31,17 +31,17 @@
 			begin := func() (int64, string) {
 				id++
 				now += 1e6
-				reader := sendOf(br.Step(now, Arrival{Inf: id, Session: fmt.Sprint(id), GiveUpAt: now + 1e12, Prompt: 100}))
-				writer := sendOf(br.Step(now, Outcome{Inf: id, Engine: reader, Verdict: ReadDone, Lag: 1e6}))
-				br.Step(now, FirstToken{Inf: id, Send: 1, Engine: writer, Lag: 1e6})
-				return id, writer
+				prefillEngine := sendOf(br.Step(now, RequestArrived{RequestID: id, Session: fmt.Sprint(id), Deadline: now + 1e12, PromptTokens: 100}))
+				decodeEngine := sendOf(br.Step(now, Outcome{RequestID: id, Engine: prefillEngine, Verdict: PrefillDone, Latency: 1e6}))
+				br.Step(now, FirstToken{RequestID: id, Attempt: 1, Engine: decodeEngine, Latency: 1e6})
+				return id, decodeEngine
 			}
 			for range open {
 				begin()
 			}
 			for b.Loop() {
-				id, writer := begin()
-				br.Step(now, Outcome{Inf: id, Send: 1, Engine: writer, Verdict: Completed, Lag: 1e6, Ended: true})
+				id, decodeEngine := begin()
+				br.Step(now, Outcome{RequestID: id, Attempt: 1, Engine: decodeEngine, Verdict: Completed, Latency: 1e6, RequestEnded: true})
 			}
 		})
 	}
--- a/internal/routing/plain_test.go
+++ b/internal/routing/plain_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// node is one brain with two readers r0, r1 and two writers w0, w1.
-type node struct {
-	t   *testing.T
-	b   *Brain
-	now int64
-	got []Effect
+// testNode is one brain with two readers r0, r1 and two writers w0, w1.
+type testNode struct {
+	t       *testing.T
+	policy  *Policy
+	now     int64
+	actions []Action
 }
 
-func newNode(t *testing.T, more map[string]any) *node {
+func newTestNode(t *testing.T, more map[string]any) *testNode {
 	facts := map[string]any{
 		"limits.sends": 4.0, "limits.cancel": true, "tick": 4e6, "nodes": 2.0, "routes.count": 2.0,
 		"engine_facts.pin": 500e6, "engine_facts.role_of_kind.0": "read", "engine_facts.role_of_kind.1": "write",
@@ -24,13 +24,13 @@
 	for name, v := range more {
 		facts[name] = v
 	}
-	n := &node{t: t, b: New(1, facts), now: 1e12}
-	n.engines(EngineEntry{}, "r0", "r1", "w0", "w1")
+	n := &testNode{t: t, policy: New(1, facts), now: 1e12}
+	n.engines(Endpoint{}, "r0", "r1", "w0", "w1")
 	return n
 }
 
-func (n *node) engines(like EngineEntry, ids ...string) {
-	news := EngineNews{}
+func (n *testNode) engines(like Endpoint, ids ...string) {
+	news := EndpointUpdate{}
 	for _, id := range ids {
 		like.Engine, like.Ready, like.Kind = id, true, 0
 		if id[0] == 'w' {
@@ -42,10 +42,10 @@
 }
 
 // step feeds an input after some milliseconds and returns the engine that was sent to, if one was.
-func (n *node) step(after int64, in Input) string {
+func (n *testNode) step(after int64, in Event) string {
 	n.now += after * ms
-	n.got = n.b.Step(n.now, in)
-	for _, e := range n.got {
+	n.actions = n.policy.Step(n.now, in)
+	for _, e := range n.actions {
 		if s, ok := e.(Send); ok {
 			return s.Engine
 		}
@@ -53,75 +53,75 @@
 	return ""
 }
 
-func (n *node) arrive(inf int64, route int, session string) string {
-	return n.step(0, Arrival{Inf: inf, Route: route, Session: session, Prefix: "p", Prompt: 2000, PrefixTokens: 1500,
-		GiveUpAt: n.now + 4000*ms})
+func (n *testNode) arrive(req int64, route int, session string) string {
+	return n.step(0, RequestArrived{RequestID: req, Route: route, Session: session, Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500,
+		Deadline: n.now + 4000*ms})
 }
 
-func (n *node) read(after, inf int64, reader string) string {
-	return n.step(after, Outcome{Inf: inf, Engine: reader, Verdict: ReadDone, Lag: after * ms})
+func (n *testNode) prefill(after, req int64, prefillEngine string) string {
+	return n.step(after, Outcome{RequestID: req, Engine: prefillEngine, Verdict: PrefillDone, Latency: after * ms})
 }
 
-func (n *node) first(after, inf int64, writer string) {
-	n.step(after, FirstToken{Inf: inf, Send: 1, Engine: writer, Lag: after * ms})
+func (n *testNode) firstToken(after, req int64, decodeEngine string) {
+	n.step(after, FirstToken{RequestID: req, Attempt: 1, Engine: decodeEngine, Latency: after * ms})
 }
 
 // serve takes an inference through to its first token and returns its engines.
-func (n *node) serve(inf int64, session string) (reader, writer string) {
-	reader = n.arrive(inf, 0, session)
-	writer = n.read(20, inf, reader)
-	n.first(20, inf, writer)
-	return reader, writer
+func (n *testNode) serve(req int64, session string) (prefillEngine, decodeEngine string) {
+	prefillEngine = n.arrive(req, 0, session)
+	decodeEngine = n.prefill(20, req, prefillEngine)
+	n.firstToken(20, req, decodeEngine)
+	return prefillEngine, decodeEngine
 }
 
-func (n *node) want(effects ...Effect) {
+func (n *testNode) want(effects ...Action) {
 	n.t.Helper()
-	if fmt.Sprintf("%T%v", n.got, n.got) != fmt.Sprintf("%T%v", effects, effects) {
-		n.t.Fatalf("got %+v, want %+v", n.got, effects)
+	if fmt.Sprintf("%T%v", n.actions, n.actions) != fmt.Sprintf("%T%v", effects, effects) {
+		n.t.Fatalf("got %+v, want %+v", n.actions, effects)
 	}
 }
 
-func TestSessionKeepsItsPair(t *testing.T) {
-	n := newNode(t, nil)
-	reader, writer := n.serve(1, "s")
-	if r, w := n.serve(2, "s"); r != reader || w != writer {
-		t.Fatalf("the session went from %s, %s to %s, %s", reader, writer, r, w)
+func TestSessionAffinityIsKept(t *testing.T) {
+	n := newTestNode(t, nil)
+	prefillEngine, decodeEngine := n.serve(1, "s")
+	if r, w := n.serve(2, "s"); r != prefillEngine || w != decodeEngine {
+		t.Fatalf("the session went from %s, %s to %s, %s", prefillEngine, decodeEngine, r, w)
 	}
 }
 
-func TestLateReadIsDiscarded(t *testing.T) {
-	n := newNode(t, nil)
-	reader := n.arrive(1, 0, "s")
-	n.step(5, ClientGone{1})
-	n.want(Withdraw{1, 0}, Discard{1})
-	n.read(5, 1, reader)
-	n.want(Discard{1})
+func TestLatePrefillIsReleased(t *testing.T) {
+	n := newTestNode(t, nil)
+	prefillEngine := n.arrive(1, 0, "s")
+	n.step(5, ClientDisconnected{1})
+	n.want(CancelAttempt{1, 0}, Release{1})
+	n.prefill(5, 1, prefillEngine)
+	n.want(Release{1})
 }
 
 // Found on the first standard days: a shed with a read out counts as one that may have run.
-func TestNonRetriableIsNotShedWhileASendIsOut(t *testing.T) {
-	n := newNode(t, nil)
+func TestNonRetriableIsNotShedWithAnAttemptInFlight(t *testing.T) {
+	n := newTestNode(t, nil)
 	n.arrive(1, 1, "s")
-	n.step(3990, TimerDue{1})
-	n.want(Fail{1}, Withdraw{1, 0}, Discard{1})
+	n.step(3990, TimerFired{1})
+	n.want(Fail{1}, CancelAttempt{1, 0}, Release{1})
 }
 
-func TestWriterThatMayHaveRunEndsANonRetriable(t *testing.T) {
-	n := newNode(t, nil)
-	writer := n.read(20, 1, n.arrive(1, 1, "s"))
-	n.step(20, Outcome{Inf: 1, Send: 1, Engine: writer, Verdict: ConnectionLost})
-	n.want(Fail{1}, Discard{1})
+func TestDecodeThatMayHaveRunFailsANonRetriable(t *testing.T) {
+	n := newTestNode(t, nil)
+	decodeEngine := n.prefill(20, 1, n.arrive(1, 1, "s"))
+	n.step(20, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost})
+	n.want(Fail{1}, Release{1})
 }
 
 // Incident i368f41: single sends vanish while their engine answers later ones.
-func TestOvertakenSendIsWithdrawnAndSentElsewhere(t *testing.T) {
-	n := newNode(t, nil)
+func TestAttemptPassedByLaterResponsesIsCanceledAndRetriedElsewhere(t *testing.T) {
+	n := newTestNode(t, nil)
 	lost := n.arrive(1, 0, "s")
-	for inf := int64(2); inf <= 8; inf++ {
-		n.read(60, inf, n.arrive(inf, 0, "s")) // its home is where the lost one was sent
-		for _, e := range n.got {
-			if e == (Withdraw{1, 0}) {
-				if to := n.step(1, Outcome{Inf: 1, Engine: lost, Verdict: Withdrawn}); to == "" || to == lost {
+	for req := int64(2); req <= 8; req++ {
+		n.prefill(60, req, n.arrive(req, 0, "s")) // its home is where the lost one was sent
+		for _, e := range n.actions {
+			if e == (CancelAttempt{1, 0}) {
+				if to := n.step(1, Outcome{RequestID: 1, Engine: lost, Verdict: Canceled}); to == "" || to == lost {
 					t.Fatalf("sent again to %q", to)
 				}
 				return
@@ -132,15 +132,15 @@
 }
 
 // Incidents i384176 and i602403: writers that came back were left idle.
-func TestColdEngineGetsMoreThanOneSendAWindow(t *testing.T) {
-	n := newNode(t, nil)
-	for inf := int64(1); inf <= 100; inf++ {
-		n.serve(inf, fmt.Sprint("s", inf))
+func TestWarmingUpEngineGetsMoreThanOneRequestAWindow(t *testing.T) {
+	n := newTestNode(t, nil)
+	for req := int64(1); req <= 100; req++ {
+		n.serve(req, fmt.Sprint("s", req))
 	}
-	n.engines(EngineEntry{UpSince: n.now}, "w2")
+	n.engines(Endpoint{StartedAt: n.now}, "w2")
 	cold := 0
-	for inf := int64(101); inf <= 120; inf++ {
-		if _, w := n.serve(inf, fmt.Sprint("s", inf)); w == "w2" {
+	for req := int64(101); req <= 120; req++ {
+		if _, w := n.serve(req, fmt.Sprint("s", req)); w == "w2" {
 			cold++
 		}
 	}
@@ -150,23 +150,23 @@
 }
 
 // Incident i103f8c: queues that never clear.
-func TestArrivalIsShedOnceAllReadsTakeLong(t *testing.T) {
-	n := newNode(t, nil)
-	for inf := int64(1); inf <= 4; inf++ {
-		reader := n.arrive(inf, 0, fmt.Sprint("s", inf))
-		n.read(1500, inf, reader)
+func TestRequestIsShedOnceAllPrefillsAreSlow(t *testing.T) {
+	n := newTestNode(t, nil)
+	for req := int64(1); req <= 4; req++ {
+		prefillEngine := n.arrive(req, 0, fmt.Sprint("s", req))
+		n.prefill(1500, req, prefillEngine)
 	}
 	n.arrive(5, 0, "new")
-	n.got = n.got[2:] // its two timers
-	n.want(Shed{Inf: 5}, Discard{5})
+	n.actions = n.actions[2:] // its two timers
+	n.want(Shed{RequestID: 5}, Release{5})
 }
 
 // Incident i72c633: lags of before stood for a queue that had drained.
-func TestArrivalIsTakenOnceNothingWaits(t *testing.T) {
-	n := newNode(t, nil)
-	for inf := int64(1); inf <= 4; inf++ {
-		reader := n.arrive(inf, 0, fmt.Sprint("s", inf))
-		n.first(20, inf, n.read(1500, inf, reader))
+func TestRequestIsAdmittedOnceQueuesAreEmpty(t *testing.T) {
+	n := newTestNode(t, nil)
+	for req := int64(1); req <= 4; req++ {
+		prefillEngine := n.arrive(req, 0, fmt.Sprint("s", req))
+		n.firstToken(20, req, n.prefill(1500, req, prefillEngine))
 	}
 	n.now += 800 * ms
 	if n.arrive(5, 0, "new") == "" {
@@ -175,98 +175,98 @@
 }
 
 // The same incident: in a jam, a read that is late already makes room.
-func TestLateReadIsShedOnlyInAJam(t *testing.T) {
+func TestLatePrefillIsShedOnlyUnderOverload(t *testing.T) {
 	for _, others := range []int64{0, 8} {
-		n := newNode(t, nil)
-		for inf := int64(1); inf <= 1+others; inf++ {
-			n.arrive(inf, 0, fmt.Sprint("s", inf))
+		n := newTestNode(t, nil)
+		for req := int64(1); req <= 1+others; req++ {
+			n.arrive(req, 0, fmt.Sprint("s", req))
 		}
 		n.now += 1100 * ms
-		for inf := int64(2); inf <= 1+others; inf++ {
-			writer := n.read(0, inf, n.b.infs[inf].reader)
-			n.first(0, inf, writer)
+		for req := int64(2); req <= 1+others; req++ {
+			decodeEngine := n.prefill(0, req, n.policy.requests[req].prefillEngine)
+			n.firstToken(0, req, decodeEngine)
 		}
-		n.step(0, TimerDue{2})
+		n.step(0, TimerFired{2})
 		if others == 0 {
 			n.want()
 		} else {
-			n.want(Shed{Inf: 1}, Withdraw{1, 0}, Discard{1})
+			n.want(Shed{RequestID: 1}, CancelAttempt{1, 0}, Release{1})
 		}
 	}
 }
 
 // Day hd6b175: a session's writer has become slow.
-func TestSessionLeavesASlowWriter(t *testing.T) {
-	n := newNode(t, nil)
+func TestSessionLeavesASlowDecodeEngine(t *testing.T) {
+	n := newTestNode(t, nil)
 	_, slow := n.serve(1, "s")
 	n.now += 3000 * ms // the quick lag of before is old
-	writer := n.read(20, 2, n.arrive(2, 0, "s"))
-	n.first(600, 2, writer)
-	if w := n.read(20, 3, n.arrive(3, 0, "s")); w == slow {
+	decodeEngine := n.prefill(20, 2, n.arrive(2, 0, "s"))
+	n.firstToken(600, 2, decodeEngine)
+	if w := n.prefill(20, 3, n.arrive(3, 0, "s")); w == slow {
 		t.Fatalf("still sent to %s", w)
 	}
 }
 
-func TestWriterReportedFullIsPassedOver(t *testing.T) {
-	n := newNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
-	_, writer := n.serve(1, "s")
+func TestDecodeEngineReportedFullIsSkipped(t *testing.T) {
+	n := newTestNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
+	_, decodeEngine := n.serve(1, "s")
 	n.serve(2, "s")
-	n.step(5, Outcome{Inf: 1, Send: 1, Engine: writer, Verdict: Completed, Ended: true,
+	n.step(5, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true,
 		Report: map[string]float64{"memory_share": 1.2}})
-	if _, w := n.serve(3, "s"); w == writer {
+	if _, w := n.serve(3, "s"); w == decodeEngine {
 		t.Fatalf("sent to %s, which is full", w)
 	}
 }
 
-func TestReportsThatLieCostAWaitOnly(t *testing.T) {
-	n := newNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
-	for inf := int64(1); inf <= 2; inf++ {
-		n.serve(inf, fmt.Sprint("s", inf))
+func TestFalseLoadReportsOnlyDelayADecode(t *testing.T) {
+	n := newTestNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
+	for req := int64(1); req <= 2; req++ {
+		n.serve(req, fmt.Sprint("s", req))
 	}
-	reader := n.arrive(3, 0, "s3")
+	prefillEngine := n.arrive(3, 0, "s3")
 	for _, w := range []string{"w0", "w1"} {
-		n.b.engines[w].memory, n.b.engines[w].reportAt = 9, n.now+1000*ms
+		n.policy.engines[w].memoryShare, n.policy.engines[w].reportedAt = 9, n.now+1000*ms
 	}
-	if w := n.read(20, 3, reader); w != "" {
+	if w := n.prefill(20, 3, prefillEngine); w != "" {
 		t.Fatalf("sent to %s, which is reported full", w)
 	}
-	token := n.b.token
+	token := n.policy.lastTimerToken
 	for waited := 30; waited < 480; waited += 30 {
-		if w := n.step(30, TimerDue{token}); w != "" {
+		if w := n.step(30, TimerFired{token}); w != "" {
 			return
 		}
-		token = n.b.token
+		token = n.policy.lastTimerToken
 	}
 	t.Fatal("never sent to a writer")
 }
 
 // Incident i103f8c: a front spreads the turns of a session over nodes.
-func TestTurnsFindTheirReaderFromAnotherNode(t *testing.T) {
+func TestSessionAffinityIsSharedByGossip(t *testing.T) {
 	peers := map[string]any{"limits.peers": true}
-	a, b := newNode(t, peers), newNode(t, peers)
-	usual, _ := newNode(t, peers).serve(1, "s")
-	a.step(0, EngineNews{Engines: []EngineEntry{{Engine: usual, Drains: true}}})
-	reader, writer := a.serve(1, "s")
-	for _, e := range a.got {
-		if tell, ok := e.(Tell); ok {
-			b.step(0, PeerMessage{Text: tell.Text})
+	a, b := newTestNode(t, peers), newTestNode(t, peers)
+	usual, _ := newTestNode(t, peers).serve(1, "s")
+	a.step(0, EndpointUpdate{Engines: []Endpoint{{Engine: usual, Draining: true}}})
+	prefillEngine, decodeEngine := a.serve(1, "s")
+	for _, e := range a.actions {
+		if tell, ok := e.(SendGossip); ok {
+			b.step(0, GossipReceived{Text: tell.Text})
 		}
 	}
-	b.step(0, PeerMessage{Text: "kept nonsense"})
-	if r, w := b.serve(9, "s"); r != reader || w != writer {
-		t.Fatalf("%s, %s at one node and %s, %s at the other", reader, writer, r, w)
+	b.step(0, GossipReceived{Text: "kept nonsense"})
+	if r, w := b.serve(9, "s"); r != prefillEngine || w != decodeEngine {
+		t.Fatalf("%s, %s at one node and %s, %s at the other", prefillEngine, decodeEngine, r, w)
 	}
 }
 
 // Incident id5afd4: the same where nodes may not talk.
-func TestTurnsGoHomeWhereMessagesAreForbidden(t *testing.T) {
-	a, b := newNode(t, nil), newNode(t, nil)
+func TestSessionsUsePreferredEnginesWithoutGossip(t *testing.T) {
+	a, b := newTestNode(t, nil), newTestNode(t, nil)
 	used := map[string]bool{}
-	for inf := int64(1); inf <= 20; inf++ {
-		session := fmt.Sprint("s", inf)
-		r1, _ := a.serve(inf, session)
+	for req := int64(1); req <= 20; req++ {
+		session := fmt.Sprint("s", req)
+		r1, _ := a.serve(req, session)
 		used[r1] = true
-		if r2, _ := b.serve(inf, session); r1 != r2 {
+		if r2, _ := b.serve(req, session); r1 != r2 {
 			t.Fatalf("%s is read at %s and at %s", session, r1, r2)
 		}
 	}
@@ -276,24 +276,24 @@
 }
 
 // First scores at a hundred nodes: jams at one home while others idle.
-func TestCrowdedHomeIsPassedOver(t *testing.T) {
-	n := newNode(t, map[string]any{"limits.probes": true})
-	home, _ := newNode(t, nil).serve(1, "s")
-	n.step(0, Arrival{Inf: 1, Session: "s", Prefix: "p", Prompt: 2000, PrefixTokens: 1500, GiveUpAt: n.now + 4000*ms})
+func TestOverloadedPreferredEngineIsSkipped(t *testing.T) {
+	n := newTestNode(t, map[string]any{"limits.probes": true})
+	home, _ := newTestNode(t, nil).serve(1, "s")
+	n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 	var asked []string
-	for _, e := range n.got {
-		if p, ok := e.(Probe); ok {
+	for _, e := range n.actions {
+		if p, ok := e.(HealthCheck); ok {
 			asked = append(asked, p.Engine)
 		}
 	}
-	n.b.paces = []int64{100 * ms}
+	n.policy.recentLatencyPerWork = []int64{100 * ms}
 	to := ""
 	for _, id := range asked {
 		load := map[string]float64{"waiting_thousand_tokens": 1}
 		if id == home {
 			load["waiting_thousand_tokens"] = 50
 		}
-		to = n.step(1, ProbeResult{Engine: id, Verdict: Completed, Report: load})
+		to = n.step(1, HealthCheckResult{Engine: id, Verdict: Completed, Report: load})
 	}
 	if len(asked) < 3 || to == "" || to == home {
 		t.Fatalf("asked %v and sent to %q, its home being %s", asked, to, home)
@@ -301,15 +301,15 @@
 }
 
 // Incident i64730d: states that leave their cell crowd its link, and a full writer near is worse.
-func TestWriterIsNearUnlessKnownToBeFull(t *testing.T) {
+func TestDecodeEngineIsNearUnlessReportedFull(t *testing.T) {
 	for _, share := range []float64{0.2, 0.95} {
-		n := newNode(t, nil)
-		n.step(0, EngineNews{Engines: []EngineEntry{{Engine: "w1", Weight: 1, Kind: 1, Cell: 1, Ready: true}}})
-		reader := n.arrive(1, 0, "s")
+		n := newTestNode(t, nil)
+		n.step(0, EndpointUpdate{Engines: []Endpoint{{Engine: "w1", Weight: 1, Kind: 1, Cell: 1, Ready: true}}})
+		prefillEngine := n.arrive(1, 0, "s")
 		for id, memory := range map[string]float64{"w0": share, "w1": 0.1} {
-			n.b.learnReport(n.b.engines[id], map[string]float64{"memory_share": memory})
+			n.policy.recordReport(n.policy.engines[id], map[string]float64{"memory_share": memory})
 		}
-		if w := n.read(20, 1, reader); (w == "w0") != (share < 0.5) {
+		if w := n.prefill(20, 1, prefillEngine); (w == "w0") != (share < 0.5) {
 			t.Fatalf("sent to %s with the near writer's memory held to %.2f", w, share)
 		}
 	}
@@ -317,19 +317,19 @@
 
 // Found on sockets, a day of resets: what breaks on the way was held against one engine after the other,
 // until a single writer was left for all.
-func TestWhatBreaksOnTheWayKeepsNobodyOut(t *testing.T) {
-	n := newNode(t, nil)
-	e := n.b.engines["w0"]
+func TestNetworkFaultsEjectNoEngine(t *testing.T) {
+	n := newTestNode(t, nil)
+	e := n.policy.engines["w0"]
 	well := func() bool {
-		n.b.now = n.now
-		return n.b.healthy(&inference{}, e, load{}, 0, 1)
+		n.policy.now = n.now
+		return n.policy.isHealthy(&request{}, e, engineLoad{}, 0, 1)
 	}
-	writer := n.read(20, 1, n.arrive(1, 0, "s"))
-	n.step(20, Outcome{Inf: 1, Send: 1, Engine: writer, Verdict: ConnectionLost, Stale: true})
-	if n.b.engines[writer].trial || len(n.b.engines[writer].strikes) > 0 {
+	decodeEngine := n.prefill(20, 1, n.arrive(1, 0, "s"))
+	n.step(20, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost, StaleConnection: true})
+	if n.policy.engines[decodeEngine].suspect || len(n.policy.engines[decodeEngine].faultTimes) > 0 {
 		t.Fatal("a kept connection that broke as it was used again is a strike")
 	}
-	e.strikes, e.trial = []int64{n.now}, true
+	e.faultTimes, e.suspect = []int64{n.now}, true
 	if well() {
 		t.Fatal("struck just now, and tried at once")
 	}
@@ -337,54 +337,54 @@
 	if !well() {
 		t.Fatal("as often struck as others, and kept out past the blow")
 	}
-	if e.trial = false; !n.b.healthy(&inference{}, e, load{}, 0, 1) || n.b.healthy(&inference{}, e, load{}, 0, 0) {
+	if e.suspect = false; !n.policy.isHealthy(&request{}, e, engineLoad{}, 0, 1) || n.policy.isHealthy(&request{}, e, engineLoad{}, 0, 0) {
 		t.Fatal("who did well since is kept out, or not, whatever others' strikes are")
 	}
 }
 
 // A struck writer is tried beside streams that go on there, and one that ends well ends the trial.
-func TestTrialBesideOpenStreams(t *testing.T) {
-	n := newNode(t, nil)
-	_, writer := n.serve(1, "s")
-	e := n.b.engines[writer]
-	e.strikes, e.trial = []int64{n.now}, true
-	n.b.now += 5000 * ms
-	if !n.b.healthy(&inference{}, e, n.b.loads()[writer], 0, 0) {
+func TestSuspectEngineIsRetriedBesideOpenStreams(t *testing.T) {
+	n := newTestNode(t, nil)
+	_, decodeEngine := n.serve(1, "s")
+	e := n.policy.engines[decodeEngine]
+	e.faultTimes, e.suspect = []int64{n.now}, true
+	n.policy.now += 5000 * ms
+	if !n.policy.isHealthy(&request{}, e, n.policy.openLoads()[decodeEngine], 0, 0) {
 		t.Fatal("not tried while a stream goes on there")
 	}
-	n.step(0, Outcome{Inf: 1, Send: 1, Engine: writer, Verdict: Completed, Ended: true})
-	if e.trial {
+	n.step(0, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true})
+	if e.suspect {
 		t.Fatal("still on trial after a stream to its end")
 	}
 }
 
 // Found on sockets: a writer that was gone refused four sends within a millisecond, as it had the fewest
 // streams.
-func TestNoTwoSendsAtOnceToWhatRefused(t *testing.T) {
-	n := newNode(t, nil)
-	n.engines(EngineEntry{}, "r0") // the list stays; only what was struck changes
+func TestNoTwoAttemptsAtOnceToAnEngineThatRefused(t *testing.T) {
+	n := newTestNode(t, nil)
+	n.engines(Endpoint{}, "r0") // the list stays; only what was struck changes
 	for _, id := range []string{"w0", "w1"} {
-		n.b.engines[id].strikes, n.b.engines[id].trial = []int64{n.now}, true
+		n.policy.engines[id].faultTimes, n.policy.engines[id].suspect = []int64{n.now}, true
 	}
-	first := n.read(20, 1, n.arrive(1, 0, "s"))
-	second := n.step(1, Outcome{Inf: 1, Send: 1, Engine: first, Verdict: NotConnected})
+	first := n.prefill(20, 1, n.arrive(1, 0, "s"))
+	second := n.step(1, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
 	if second == "" || second == first {
 		t.Fatalf("%q after %q", second, first)
 	}
-	if again := n.step(1, Outcome{Inf: 1, Send: 2, Engine: second, Verdict: NotConnected}); again != "" {
+	if again := n.step(1, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected}); again != "" {
 		t.Fatalf("%q at once after both refused", again)
 	}
 }
 
 // Found on sockets: of four readers one was several times slower than the others, and half of them was usual.
-func TestUsualLagIsOfTheOthers(t *testing.T) {
-	n := newNode(t, nil)
-	n.engines(EngineEntry{}, "r2", "r3")
+func TestUsualLatencyExcludesTheOutlier(t *testing.T) {
+	n := newTestNode(t, nil)
+	n.engines(Endpoint{}, "r2", "r3")
 	for id, lag := range map[string]int64{"r0": 20, "r1": 260, "r2": 380, "r3": 900} {
-		n.b.engines[id].samples = []sample{{n.now, lag * ms}}
+		n.policy.engines[id].latencySamples = []sample{{n.now, lag * ms}}
 	}
-	inf := &inference{Arrival: Arrival{Prompt: 2000}}
-	for _, e := range n.b.usable(inf, n.b.loads(), func(e *engine) bool { return e.reader }) {
+	req := &request{RequestArrived: RequestArrived{PromptTokens: 2000}}
+	for _, e := range n.policy.usableEngines(req, n.policy.openLoads(), func(e *engine) bool { return e.canPrefill }) {
 		if e.Engine == "r3" {
 			t.Error("the slow one is as good as the others")
 		}
@@ -393,153 +393,153 @@
 
 // Found on sockets: sessions stuck to a reader that had become slow. A busy one has as high a lag for more
 // work.
-func TestSlowIsNotBusy(t *testing.T) {
-	n := newNode(t, nil)
-	n.engines(EngineEntry{}, "r2")
-	inf := &inference{Arrival: Arrival{Prompt: 4000}}
+func TestBusyEngineIsNotSlow(t *testing.T) {
+	n := newTestNode(t, nil)
+	n.engines(Endpoint{}, "r2")
+	req := &request{RequestArrived: RequestArrived{PromptTokens: 4000}}
 	lagged := func(id string, lag int64, waits float64) {
-		e := n.b.engines[id]
+		e := n.policy.engines[id]
 		for range 3 {
-			n.b.learnOutcome(inf, &send{engine: id, waits: 1 + waits}, Outcome{Verdict: ReadDone, Lag: lag * ms})
+			n.policy.recordOutcome(req, &attempt{engine: id, queuedWork: 1 + waits}, Outcome{Verdict: PrefillDone, Latency: lag * ms})
 		}
-		e.strikes = nil
+		e.faultTimes = nil
 	}
 	lagged("r0", 200, 0)
 	lagged("r1", 900, 16) // busy
 	lagged("r2", 900, 0)  // slow
 	for id, want := range map[string]bool{"r0": false, "r1": false, "r2": true} {
-		if e := n.b.engines[id]; n.b.slow(e) != want || n.b.healthy(inf, e, load{}, 800*ms, 0) == want {
-			t.Errorf("%s: slow %v", id, n.b.slow(e))
+		if e := n.policy.engines[id]; n.policy.isSlow(e) != want || n.policy.isHealthy(req, e, engineLoad{}, 800*ms, 0) == want {
+			t.Errorf("%s: slow %v", id, n.policy.isSlow(e))
 		}
 	}
 }
 
 // Found on split+term+brink: writers fell silent, each failed dial of a quarter second counted as news of the
 // state, and its reader held it for up to a second and a half.
-func TestFailedDialsGiveAStateNoMoreTime(t *testing.T) {
-	n := newNode(t, nil)
-	first := n.read(20, 1, n.arrive(1, 0, "s"))
-	second := n.step(240, Outcome{Inf: 1, Send: 1, Engine: first, Verdict: NotConnected})
+func TestFailedDialsDoNotExtendAReservation(t *testing.T) {
+	n := newTestNode(t, nil)
+	first := n.prefill(20, 1, n.arrive(1, 0, "s"))
+	second := n.step(240, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
 	if second == "" || second == first {
 		t.Fatalf("after %s it went to %q", first, second)
 	}
-	n.step(240, Outcome{Inf: 1, Send: 2, Engine: second, Verdict: NotConnected})
-	n.want(Shed{1, 0}, Discard{1})
+	n.step(240, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected})
+	n.want(Shed{1, 0}, Release{1})
 }
 
-// asked takes an inference of a route whose engines all answer when they are asked, and returns its reader.
-func (n *node) asked(route int) (reader string) {
+// prefillAfterChecks takes an inference of a route whose engines all answer when they are asked, and returns its reader.
+func (n *testNode) prefillAfterChecks(route int) (prefillEngine string) {
 	n.arrive(1, route, "s")
-	for _, e := range n.got {
-		if p, ok := e.(Probe); ok {
-			if to := n.step(1, ProbeResult{Engine: p.Engine, Verdict: Completed}); to != "" {
-				reader = to
+	for _, e := range n.actions {
+		if p, ok := e.(HealthCheck); ok {
+			if to := n.step(1, HealthCheckResult{Engine: p.Engine, Verdict: Completed}); to != "" {
+				prefillEngine = to
 			}
 		}
 	}
-	return reader
+	return prefillEngine
 }
 
-// quiet lets so much time pass since a send that its engine is asked whether it is there.
-func (n *node) quiet(engine string) {
+// letResponseBecomeOverdue lets so much time pass since a send that its engine is asked whether it is there.
+func (n *testNode) letResponseBecomeOverdue(engine string) {
 	n.t.Helper()
-	for _, e := range n.got {
-		if a, ok := e.(ArmTimer); ok {
-			n.step(a.In/ms+1, TimerDue{a.Token})
-			n.want(Probe{engine})
+	for _, e := range n.actions {
+		if a, ok := e.(StartTimer); ok {
+			n.step(a.After/ms+1, TimerFired{a.Token})
+			n.want(HealthCheck{engine})
 		}
 	}
 }
 
-// waiting is a node whose writer has had an inference of a route for so long that it is asked whether it is there.
-func waiting(t *testing.T, route int) (n *node, writer string) {
-	n = newNode(t, map[string]any{"limits.probes": true, "nodes": 1.0})
-	writer = n.read(20, 1, n.asked(route))
-	n.quiet(writer)
-	return n, writer
+// newTestNodeWithOverdueDecode is a node whose writer has had an inference of a route for so long that it is asked whether it is there.
+func newTestNodeWithOverdueDecode(t *testing.T, route int) (n *testNode, decodeEngine string) {
+	n = newTestNode(t, map[string]any{"limits.probes": true, "nodes": 1.0})
+	decodeEngine = n.prefill(20, 1, n.prefillAfterChecks(route))
+	n.letResponseBecomeOverdue(decodeEngine)
+	return n, decodeEngine
 }
 
 // Found on split+term+brink: what is written to a kept connection of a machine that is cut off is never answered,
 // and its state was held until the client gave up.
-func TestSilentWriterIsLeft(t *testing.T) {
-	n, writer := waiting(t, 0)
-	n.step(0, ProbeResult{Engine: writer, Verdict: TimedOut})
-	n.want(Withdraw{1, 1})
-	if to := n.step(0, Outcome{Inf: 1, Send: 1, Engine: writer, Verdict: Withdrawn}); to == "" || to == writer {
-		t.Fatalf("after %s it went to %q", writer, to)
+func TestUnresponsiveDecodeEngineIsAbandoned(t *testing.T) {
+	n, decodeEngine := newTestNodeWithOverdueDecode(t, 0)
+	n.step(0, HealthCheckResult{Engine: decodeEngine, Verdict: TimedOut})
+	n.want(CancelAttempt{1, 1})
+	if to := n.step(0, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Canceled}); to == "" || to == decodeEngine {
+		t.Fatalf("after %s it went to %q", decodeEngine, to)
 	}
 	// A non-retriable may have run, so it waits on; only its state goes.
-	n, writer = waiting(t, 1)
-	n.step(0, ProbeResult{Engine: writer, Verdict: TimedOut})
-	n.want(Discard{1})
+	n, decodeEngine = newTestNodeWithOverdueDecode(t, 1)
+	n.step(0, HealthCheckResult{Engine: decodeEngine, Verdict: TimedOut})
+	n.want(Release{1})
 	// One that answers is there, be it with nothing but that it is busy.
 	for _, v := range []Verdict{Completed, Full} {
-		n, writer = waiting(t, 0)
-		n.step(0, ProbeResult{Engine: writer, Verdict: v})
+		n, decodeEngine = newTestNodeWithOverdueDecode(t, 0)
+		n.step(0, HealthCheckResult{Engine: decodeEngine, Verdict: v})
 		n.want()
 	}
 }
 
 // What a node remembers is bounded, however many engines, sessions and inferences come and go.
-func TestMemoryOfADayWithoutEndIsBounded(t *testing.T) {
-	n := newNode(t, nil)
+func TestMemoryIsBounded(t *testing.T) {
+	n := newTestNode(t, nil)
 	for i := range int64(30000) {
 		if i%100 == 0 {
-			list := EngineNews{Whole: true}
+			list := EndpointUpdate{Complete: true}
 			for k, id := range []string{"r0", "r1", fmt.Sprint("w", i), fmt.Sprint("w", i+1)} {
-				list.Engines = append(list.Engines, EngineEntry{Engine: id, Weight: 1, Kind: k / 2, Ready: true})
+				list.Engines = append(list.Engines, Endpoint{Engine: id, Weight: 1, Kind: k / 2, Ready: true})
 			}
 			n.step(1000, list)
 		}
-		reader := n.arrive(i, 0, fmt.Sprint("s", i))
-		writer := n.read(20, i, reader)
-		n.first(20, i, writer)
-		n.step(60, Outcome{Inf: i, Send: 1, Engine: writer, Verdict: Completed, Ended: true})
-		for token := range n.b.timers {
+		prefillEngine := n.arrive(i, 0, fmt.Sprint("s", i))
+		decodeEngine := n.prefill(20, i, prefillEngine)
+		n.firstToken(20, i, decodeEngine)
+		n.step(60, Outcome{RequestID: i, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true})
+		for token := range n.policy.timers {
 			if i%50 == 0 {
-				n.step(0, TimerDue{token})
+				n.step(0, TimerFired{token})
 			}
 		}
 	}
-	b := n.b
-	if len(b.engines) > 40 || len(b.ids) > 40 || len(b.infs) > 0 || len(b.timers) > 300 || len(b.kept) > 20001 ||
-		len(b.pairs) > 20001 {
-		t.Errorf("engines %d, listed %d, inferences %d, timers %d, kept %d, pairs %d", len(b.engines), len(b.ids),
-			len(b.infs), len(b.timers), len(b.kept), len(b.pairs))
+	policy := n.policy
+	if len(policy.engines) > 40 || len(policy.engineIDs) > 40 || len(policy.requests) > 0 || len(policy.timers) > 300 || len(policy.cached) > 20001 ||
+		len(policy.affinities) > 20001 {
+		t.Errorf("engines %d, listed %d, inferences %d, timers %d, kept %d, pairs %d", len(policy.engines), len(policy.engineIDs),
+			len(policy.requests), len(policy.timers), len(policy.cached), len(policy.affinities))
 	}
 }
 
 // A read that is given up at a silent reader is repeated only where the inference may run twice: see
 // docs/incidents/read-given-up-at-a-silent-reader.md.
-func TestReadAtASilentReaderIsRepeatedOnlyWhereItMayRunTwice(t *testing.T) {
-	for route, effects := range [][]Effect{{Withdraw{1, 0}}, nil} {
-		n := newNode(t, map[string]any{"limits.probes": true})
-		reader := n.asked(route)
-		n.quiet(reader)
-		n.step(0, ProbeResult{Engine: reader, Verdict: TimedOut})
+func TestPrefillOnAnUnresponsiveEngineIsRetriedOnlyIfIdempotent(t *testing.T) {
+	for route, effects := range [][]Action{{CancelAttempt{1, 0}}, nil} {
+		n := newTestNode(t, map[string]any{"limits.probes": true})
+		prefillEngine := n.prefillAfterChecks(route)
+		n.letResponseBecomeOverdue(prefillEngine)
+		n.step(0, HealthCheckResult{Engine: prefillEngine, Verdict: TimedOut})
 		n.want(effects...)
 	}
 }
 
 // Found on the new engines' calm day: inferences stood behind tens of thousands of tokens at their first home, while
 // the second, which keeps the shared beginning as well, had none to read.
-func TestOfTwoHomesTheOneWithLessToRead(t *testing.T) {
-	home, _ := newNode(t, nil).serve(1, "s")
+func TestPreferredEngineWithLessQueuedWorkIsChosen(t *testing.T) {
+	home, _ := newTestNode(t, nil).serve(1, "s")
 	for _, at := range []struct {
 		home, other, found float64
 		moves              bool
 	}{{6, 3, 0, true}, {3.2, 3, 1, false}, {3.2, 3, 0, true}, {3, 3, 0, false}} {
-		n := newNode(t, map[string]any{"limits.probes": true})
-		n.b.paces, n.b.found = []int64{50 * ms}, []int64{int64(1e6 * at.found)}
-		n.step(0, Arrival{Inf: 1, Session: "s", Prefix: "p", Prompt: 2000, PrefixTokens: 1500, GiveUpAt: n.now + 4000*ms})
+		n := newTestNode(t, map[string]any{"limits.probes": true})
+		n.policy.recentLatencyPerWork, n.policy.recentCacheHits = []int64{50 * ms}, []int64{int64(1e6 * at.found)}
+		n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 		to := ""
-		for _, e := range n.got {
-			if p, ok := e.(Probe); ok {
+		for _, e := range n.actions {
+			if p, ok := e.(HealthCheck); ok {
 				load := map[string]float64{"waiting_thousand_tokens": at.other}
 				if p.Engine == home {
 					load["waiting_thousand_tokens"] = at.home
 				}
-				if sent := n.step(1, ProbeResult{Engine: p.Engine, Verdict: Completed, Report: load}); sent != "" {
+				if sent := n.step(1, HealthCheckResult{Engine: p.Engine, Verdict: Completed, Report: load}); sent != "" {
 					to = sent
 				}
 			}
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -14,67 +14,67 @@
 // Event is one event of a batch. Exactly one of Input, Create and Down is set; an unknown event sets Unknown.
 type Event struct {
 	Node    string
-	Input   routing.Input
-	Create  *Create
+	Payload routing.Event
+	Create  *NodeCreated
 	Down    bool
 	Unknown string
 }
 
-// Create starts a node.
-type Create struct {
+// NodeCreated starts a node.
+type NodeCreated struct {
 	Seed  uint64
 	Facts map[string]any
 }
 
-type eventHead struct {
-	T *string `json:"t"`
-	I *string `json:"i"`
+type eventHeader struct {
+	Type *string `json:"t"`
+	Node *string `json:"i"`
 }
 
 type rawEvent struct {
-	RandomSeed uint64             `json:"random_seed"`
-	Params     map[string]any     `json:"params"`
-	Form       int                `json:"form"`
-	Nodes      []rawEntry         `json:"nodes_list"`
-	Call       int64              `json:"call"`
-	Qos        int                `json:"qos"`
-	Session    string             `json:"session"`
-	GiveUpAt   int64              `json:"give_up_at_us"`
-	Prefix     string             `json:"prefix"`
-	InputLen   float64            `json:"input_len"`
-	PrefixLen  float64            `json:"prefix_len"`
-	NMax       float64            `json:"n_max"`
-	Bitmap     int64              `json:"bitmap"`
-	SeqNo      int                `json:"seq_no"`
-	Engine     string             `json:"engine"`
-	Verdict    string             `json:"verdict"`
-	Lag        int64              `json:"lag_us"`
-	Ended      bool               `json:"ended"`
-	Note       float64            `json:"note"`
-	Telemetry  map[string]float64 `json:"telemetry"`
-	Author     int                `json:"author"`
-	Content    string             `json:"content"`
-	Ctx        int64              `json:"ctx"`
-	What       int                `json:"what"`
+	RandomSeed      uint64             `json:"random_seed"`
+	Params          map[string]any     `json:"params"`
+	UpdateKind      int                `json:"form"`
+	Endpoints       []rawEndpoint      `json:"nodes_list"`
+	RequestID       int64              `json:"call"`
+	Route           int                `json:"qos"`
+	Session         string             `json:"session"`
+	Deadline        int64              `json:"give_up_at_us"`
+	Prefix          string             `json:"prefix"`
+	PromptTokens    float64            `json:"input_len"`
+	PrefixTokens    float64            `json:"prefix_len"`
+	MaxOutputTokens float64            `json:"n_max"`
+	Flags           int64              `json:"bitmap"`
+	Attempt         int                `json:"seq_no"`
+	Engine          string             `json:"engine"`
+	Verdict         string             `json:"verdict"`
+	Latency         int64              `json:"lag_us"`
+	Ended           bool               `json:"ended"`
+	Note            float64            `json:"note"`
+	LoadReport      map[string]float64 `json:"telemetry"`
+	Sender          int                `json:"author"`
+	Content         string             `json:"content"`
+	TimerToken      int64              `json:"ctx"`
+	Reservation     int                `json:"what"`
 }
 
-type rawEntry struct {
-	Power     float64 `json:"power_hint"`
-	Site      int     `json:"site"`
-	Sku       int     `json:"sku"`
-	UpSince   int64   `json:"up_since_us"`
-	Cohort    int     `json:"cohort"`
-	Lifecycle int     `json:"lifecycle"`
+type rawEndpoint struct {
+	Weight    float64 `json:"power_hint"`
+	Zone      int     `json:"site"`
+	Kind      int     `json:"sku"`
+	StartedAt int64   `json:"up_since_us"`
+	Cell      int     `json:"cohort"`
+	State     int     `json:"lifecycle"`
 	Engine    string  `json:"engine"`
 }
 
 var verdicts = map[string]routing.Verdict{
 	"S": routing.Completed, "E": routing.EngineError, "F": routing.Full, "T": routing.TimedOut, "C": routing.NotConnected,
-	"R": routing.ConnectionLost, "X": routing.Withdrawn, "N": routing.NotSent, "READ": routing.ReadDone,
+	"R": routing.ConnectionLost, "X": routing.Canceled, "N": routing.NotSent, "READ": routing.PrefillDone,
 }
 
-// needed names the fields without which an event makes no sense.
-var needed = map[string][]string{
+// requiredFields names the fields without which an event makes no sense.
+var requiredFields = map[string][]string{
 	"create": {"random_seed", "params"}, "endpoints": {"form"}, "req": {"call", "give_up_at_us"},
 	"down": nil, "expired": {"call"}, "response": {"call", "engine", "verdict"}, "peer_data": {"content"},
 	"flowing": {"call", "engine"}, "ring": {"ctx"}, "ping_result": {"engine", "verdict"},
@@ -105,122 +105,122 @@
 }
 
 func decodeEvent(raw json.RawMessage) (Event, error) {
-	var head eventHead
-	if err := json.Unmarshal(raw, &head); err != nil {
+	var header eventHeader
+	if err := json.Unmarshal(raw, &header); err != nil {
 		return Event{}, err
 	}
-	if head.T == nil || head.I == nil {
+	if header.Type == nil || header.Node == nil {
 		return Event{}, errors.New("field t or i is missing")
 	}
-	fields, known := needed[*head.T]
+	fields, known := requiredFields[*header.Type]
 	if !known {
-		return Event{Node: *head.I, Unknown: *head.T}, nil
+		return Event{Node: *header.Node, Unknown: *header.Type}, nil
 	}
 	for _, name := range fields {
 		if !bytes.Contains(raw, []byte(`"`+name+`"`)) {
-			return Event{}, fmt.Errorf("%s: field %s is missing", *head.T, name)
+			return Event{}, fmt.Errorf("%s: field %s is missing", *header.Type, name)
 		}
 	}
 	var r rawEvent
 	if err := json.Unmarshal(raw, &r); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return Event{}, fmt.Errorf("%s: field %s has a wrong type: %w", *head.T, wrong.Field, err)
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return Event{}, fmt.Errorf("%s: field %s has a wrong type: %w", *header.Type, typeError.Field, err)
 		}
-		return Event{}, fmt.Errorf("%s: %w", *head.T, err)
+		return Event{}, fmt.Errorf("%s: %w", *header.Type, err)
 	}
-	ev := Event{Node: *head.I}
+	ev := Event{Node: *header.Node}
 	verdict, ok := verdicts[r.Verdict]
 	if r.Verdict != "" && !ok {
-		return Event{}, fmt.Errorf("%s: field verdict has an unknown value %q", *head.T, r.Verdict)
+		return Event{}, fmt.Errorf("%s: field verdict has an unknown value %q", *header.Type, r.Verdict)
 	}
-	switch *head.T {
+	switch *header.Type {
 	case "create":
-		ev.Create = &Create{Seed: r.RandomSeed, Facts: params.Of(r.Params)}
+		ev.Create = &NodeCreated{Seed: r.RandomSeed, Facts: params.Flatten(r.Params)}
 	case "down":
 		ev.Down = true
 	case "endpoints":
-		news := routing.EngineNews{Whole: r.Form == 1 || r.Form == 2, Failed: r.Form == 3}
-		for _, n := range r.Nodes {
-			news.Engines = append(news.Engines, routing.EngineEntry{Engine: n.Engine, Weight: n.Power, Zone: n.Site,
-				Cell: n.Cohort, Kind: n.Sku, UpSince: n.UpSince * 1000,
-				Ready: n.Lifecycle == 1, Drains: n.Lifecycle == 2, Out: n.Lifecycle != 1 && n.Lifecycle != 2})
+		news := routing.EndpointUpdate{Complete: r.UpdateKind == 1 || r.UpdateKind == 2, Failed: r.UpdateKind == 3}
+		for _, n := range r.Endpoints {
+			news.Engines = append(news.Engines, routing.Endpoint{Engine: n.Engine, Weight: n.Weight, Zone: n.Zone,
+				Cell: n.Cell, Kind: n.Kind, StartedAt: n.StartedAt * 1000,
+				Ready: n.State == 1, Draining: n.State == 2, Removed: n.State != 1 && n.State != 2})
 		}
-		ev.Input = news
+		ev.Payload = news
 	case "req":
-		ev.Input = routing.Arrival{Inf: r.Call, Route: r.Qos, Session: r.Session, Prefix: r.Prefix,
-			GiveUpAt: r.GiveUpAt * 1000, Prompt: r.InputLen, PrefixTokens: r.PrefixLen, MaxAnswer: r.NMax,
-			Repeat: r.Bitmap&2 != 0, Resumed: r.Bitmap&16 != 0}
+		ev.Payload = routing.RequestArrived{RequestID: r.RequestID, Route: r.Route, Session: r.Session, Prefix: r.Prefix,
+			Deadline: r.Deadline * 1000, PromptTokens: r.PromptTokens, PrefixTokens: r.PrefixTokens, MaxOutputTokens: r.MaxOutputTokens,
+			ClientRetry: r.Flags&2 != 0, Resumed: r.Flags&16 != 0}
 	case "expired":
-		ev.Input = routing.ClientGone{Inf: r.Call}
+		ev.Payload = routing.ClientDisconnected{RequestID: r.RequestID}
 	case "response":
-		ev.Input = routing.Outcome{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Verdict: verdict,
-			Lag: r.Lag * 1000, Ended: r.Ended, Note: r.Note, Report: params.Report(r.Telemetry)}
+		ev.Payload = routing.Outcome{RequestID: r.RequestID, Attempt: r.Attempt, Engine: r.Engine, Verdict: verdict,
+			Latency: r.Latency * 1000, RequestEnded: r.Ended, Note: r.Note, Report: params.LoadReport(r.LoadReport)}
 	case "flowing":
-		ev.Input = routing.FirstToken{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Lag: r.Lag * 1000}
+		ev.Payload = routing.FirstToken{RequestID: r.RequestID, Attempt: r.Attempt, Engine: r.Engine, Latency: r.Latency * 1000}
 	case "ring":
-		ev.Input = routing.TimerDue{Token: r.Ctx}
+		ev.Payload = routing.TimerFired{Token: r.TimerToken}
 	case "ping_result":
-		ev.Input = routing.ProbeResult{Engine: r.Engine, Verdict: verdict, Lag: r.Lag * 1000, Report: params.Report(r.Telemetry)}
+		ev.Payload = routing.HealthCheckResult{Engine: r.Engine, Verdict: verdict, Latency: r.Latency * 1000, Report: params.LoadReport(r.LoadReport)}
 	case "peer_data":
-		ev.Input = routing.PeerMessage{From: r.Author, Text: r.Content}
+		ev.Payload = routing.GossipReceived{From: r.Sender, Text: r.Content}
 	case "reserved":
-		ev.Input = routing.PlaceNews{Inf: r.Call, Send: r.SeqNo, Engine: r.Engine, Held: r.What == 1}
+		ev.Payload = routing.ReservationResult{RequestID: r.RequestID, Attempt: r.Attempt, Engine: r.Engine, Reserved: r.Reservation == 1}
 	}
 	return ev, nil
 }
 
 // Action is one action of a reply.
 type Action struct {
-	T        string  `json:"t"`
-	I        string  `json:"i"`
-	Call     *int64  `json:"call,omitempty"`
-	Engine   string  `json:"engine,omitempty"`
-	TryFor   int64   `json:"try_for_us,omitempty"`
-	ComeBack int64   `json:"come_back_us,omitempty"`
-	SeqNo    *int    `json:"seq_no,omitempty"`
-	Ctx      *int64  `json:"ctx,omitempty"`
-	In       *int64  `json:"in_us,omitempty"`
-	Dest     *int    `json:"dest,omitempty"`
-	Content  string  `json:"content,omitempty"`
-	Want     *bool   `json:"want,omitempty"`
-	Body     *string `json:"body_text,omitempty"`
+	Type       string  `json:"t"`
+	Node       string  `json:"i"`
+	RequestID  *int64  `json:"call,omitempty"`
+	Engine     string  `json:"engine,omitempty"`
+	Timeout    int64   `json:"try_for_us,omitempty"`
+	RetryAfter int64   `json:"come_back_us,omitempty"`
+	Attempt    *int    `json:"seq_no,omitempty"`
+	TimerToken *int64  `json:"ctx,omitempty"`
+	After      *int64  `json:"in_us,omitempty"`
+	Peer       *int    `json:"dest,omitempty"`
+	Content    string  `json:"content,omitempty"`
+	Want       *bool   `json:"want,omitempty"`
+	Reason     *string `json:"body_text,omitempty"`
 }
 
-// Die says that a node's decisions have failed.
-func Die(node, why string) Action { return Action{T: "die", I: node, Body: &why} }
+// NodeFailed says that a node's decisions have failed.
+func NodeFailed(node, reason string) Action { return Action{Type: "die", Node: node, Reason: &reason} }
 
 // Encode turns an effect of a node into an action.
-func Encode(node string, effect routing.Effect) Action {
-	switch e := effect.(type) {
+func Encode(node string, action routing.Action) Action {
+	switch e := action.(type) {
 	case routing.Send:
-		return Action{T: "transmit", I: node, Call: &e.Inf, Engine: e.Engine, TryFor: micros(e.Patience)}
+		return Action{Type: "transmit", Node: node, RequestID: &e.RequestID, Engine: e.Engine, Timeout: micros(e.Timeout)}
 	case routing.Shed:
-		return Action{T: "refuse", I: node, Call: &e.Inf, ComeBack: micros(e.ComeBack)}
+		return Action{Type: "refuse", Node: node, RequestID: &e.RequestID, RetryAfter: micros(e.RetryAfter)}
 	case routing.Fail:
-		return Action{T: "surrender", I: node, Call: &e.Inf}
-	case routing.Withdraw:
-		return Action{T: "recall", I: node, Call: &e.Inf, SeqNo: &e.Send}
-	case routing.Discard:
-		return Action{T: "discard", I: node, Call: &e.Inf}
-	case routing.ArmTimer:
-		in := micros(e.In)
-		return Action{T: "arm", I: node, Ctx: &e.Token, In: &in}
-	case routing.Move:
-		return Action{T: "shift", I: node, Call: &e.Inf}
-	case routing.Probe:
-		return Action{T: "check", I: node, Engine: e.Engine}
-	case routing.Tell:
-		a := Action{T: "tell", I: node, Content: e.Text}
+		return Action{Type: "surrender", Node: node, RequestID: &e.RequestID}
+	case routing.CancelAttempt:
+		return Action{Type: "recall", Node: node, RequestID: &e.RequestID, Attempt: &e.Attempt}
+	case routing.Release:
+		return Action{Type: "discard", Node: node, RequestID: &e.RequestID}
+	case routing.StartTimer:
+		in := micros(e.After)
+		return Action{Type: "arm", Node: node, TimerToken: &e.Token, After: &in}
+	case routing.MigrateStream:
+		return Action{Type: "shift", Node: node, RequestID: &e.RequestID}
+	case routing.HealthCheck:
+		return Action{Type: "check", Node: node, Engine: e.Engine}
+	case routing.SendGossip:
+		a := Action{Type: "tell", Node: node, Content: e.Text}
 		if e.To >= 0 {
-			a.Dest = &e.To
+			a.Peer = &e.To
 		}
 		return a
-	case routing.Watch:
+	case routing.WatchEndpoints:
 		want := true
-		return Action{T: "subscribe", I: node, Want: &want}
+		return Action{Type: "subscribe", Node: node, Want: &want}
 	}
-	panic(fmt.Sprintf("simwire: no action for %T", effect))
+	panic(fmt.Sprintf("simwire: no action for %T", action))
 }
 
 // micros rounds up, so that no timer comes early.
