--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -26,7 +26,7 @@
 // link is one connection to an engine: the poller's part, and the socket that the core sees.
 type link struct {
 	n       *Node
-	core    *router.Line
+	core    *router.EngineConnection
 	conn    *nbio.Conn
 	cutter  *httpframing.Parser
 	events  *chat.Decoder // of the stream under way; nil where the answer is whole
@@ -44,20 +44,20 @@
 	l.toWrite = int64(len(request))
 	_, err := l.conn.Write(request)
 	if err != nil { // it may have closed before its session was set
-		l.n.in.put(0, func() { l.n.core.LineBroken(l.core) })
+		l.n.in.put(0, func() { l.n.core.EngineDisconnected(l.core) })
 	}
 	return err
 }
 
-func (l *link) Written() bool { return l.written.Load() >= l.toWrite }
+func (l *link) RequestWritten() bool { return l.written.Load() >= l.toWrite }
 
 func (l *link) Close() { l.conn.Close() }
 
 // Dial connects a line, within the settings' time. The socket library's own dial takes an IPv4 address for
 // 0.0.0.0, which reaches nothing but 127.0.0.1, and tells a refused connection as one that is there; so the
 // standard library dials, and the connection is handed over.
-func (n *Node) Dial(core *router.Line) {
-	failed := func(err error) { n.in.put(0, func() { n.core.LineDialled(core, nil, err) }) }
+func (n *Node) Dial(core *router.EngineConnection) {
+	failed := func(err error) { n.in.put(0, func() { n.core.EngineConnected(core, nil, err) }) }
 	n.over.Go(func() {
 		conn, err := n.connect(core.Host)
 		if err != nil {
@@ -72,7 +72,7 @@
 			failed(errors.Join(router.ErrLocal, err))
 			return
 		}
-		n.in.put(0, func() { n.core.LineDialled(core, l, nil) })
+		n.in.put(0, func() { n.core.EngineConnected(core, l, nil) })
 	})
 }
 
@@ -122,7 +122,7 @@
 func (n *Node) backClosed(conn *nbio.Conn, _ error) {
 	n.connUsed()
 	if l, ok := conn.Session().(*link); ok {
-		n.in.put(0, func() { n.core.LineBroken(l.core) })
+		n.in.put(0, func() { n.core.EngineDisconnected(l.core) })
 	}
 }
 
@@ -178,7 +178,7 @@
 			if chat.IsEventStream(p.Response.Header) {
 				l.events, l.relay = chat.NewDecoder(eventBound), &relay{frame: n.protocol.StreamEvent}
 				l.events.OnComment = func(text []byte) {
-					n.in.put(1+len(text), func() { n.core.LineComment(l.core, text) })
+					n.in.put(1+len(text), func() { n.core.StreamComment(l.core, text) })
 				}
 			}
 			head := p.Response
@@ -186,14 +186,14 @@
 			if l.relay != nil {
 				tokens = l.relay
 			}
-			n.in.put(1, func() { n.core.LineHead(l.core, head, tokens) })
+			n.in.put(1, func() { n.core.ResponseHead(l.core, head, tokens) })
 		case httpframing.Body:
 			if l.events != nil {
 				if e := l.events.Feed(p.Data, func(event []byte) {
 					if !n.protocol.IsFinalEvent(event) && l.relay.pass(event, n.clock()) {
 						return
 					}
-					n.in.put(1+len(event), func() { n.core.LineEvent(l.core, event) })
+					n.in.put(1+len(event), func() { n.core.StreamEvent(l.core, event) })
 				}); e != nil && err == nil {
 					err = e
 				}
@@ -204,10 +204,10 @@
 			// A whole answer that came behind this one belongs to nothing that was asked either.
 			body, clean := l.body, l.cutter.AtBoundary() && i == len(pieces)-1 && !l.closes
 			l.body = nil
-			n.in.put(1, func() { n.core.LineEnd(l.core, body, clean) })
+			n.in.put(1, func() { n.core.ResponseComplete(l.core, body, clean) })
 		}
 	}
 	if err != nil {
-		n.in.put(1, func() { n.core.LineGarbled(l.core, err) })
+		n.in.put(1, func() { n.core.ResponseInvalid(l.core, err) })
 	}
 }
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -258,7 +258,7 @@
 		release()
 		until(t, "the node holds nothing", func() bool {
 			h, err := n.Look(context.Background())
-			return err == nil && h.Inferences == 0 && h.Controls == 0
+			return err == nil && h.Requests == 0 && h.ControlRequests == 0
 		})
 		n.Stop()
 		if reader.saw("POST") != reads || writer.saw("POST") != 0 {
@@ -315,7 +315,7 @@
 	until(t, "the state is let go of", func() bool { return reader.saw("DELETE /v1/holds/a") > 0 })
 	until(t, "the node holds nothing", func() bool {
 		h, err := n.Look(context.Background())
-		return err == nil && h.Inferences == 0 && h.Controls == 0
+		return err == nil && h.Requests == 0 && h.ControlRequests == 0
 	})
 	if reader.saw("POST") != 1 || writer.saw("POST") != 0 {
 		t.Errorf("%d reads, %d writes", reader.saw("POST"), writer.saw("POST"))
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -95,7 +95,7 @@
 // judge waits until nothing is held any more and then asks the auditor.
 func (r *rig) judge() {
 	r.t.Helper()
-	var h router.Holding
+	var h router.InFlight
 	held := 0
 	defer func() {
 		if r.t.Failed() {
@@ -107,7 +107,7 @@
 		for _, e := range r.fleet.Engines {
 			held += e.Held()
 		}
-		return h.Inferences == 0 && h.Controls == 0 && held == 0
+		return h.Requests == 0 && h.ControlRequests == 0 && held == 0
 	})
 	for _, b := range r.log.Judge(r.rules, time.Now()) {
 		r.t.Error(b)
@@ -149,7 +149,7 @@
 			if got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
 				t.Errorf("%+v", got)
 			}
-			r.until("nothing is open", func() bool { return r.edges.Holding(context.Background()).Inferences == 0 })
+			r.until("nothing is open", func() bool { return r.edges.Holding(context.Background()).Requests == 0 })
 			reader.Set(engine.Faults{})
 			writer.Set(engine.Faults{})
 			writer.Drain(false)
@@ -302,7 +302,7 @@
 			results <- r.ask(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0})
 		}()
 	}
-	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Inferences == 6 })
+	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Requests == 6 })
 	once := true
 	r.edges.Node(0).FailOn(func(in routing.Event) bool {
 		_, news := in.(routing.EndpointUpdate)
@@ -326,7 +326,7 @@
 	writer.Set(engine.Faults{Slow: 3})
 	slow := make(chan audit.Call)
 	go func() { slow <- r.ask(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
-	r.until("it is open", func() bool { return r.edges.Holding(context.Background()).Inferences == 1 })
+	r.until("it is open", func() bool { return r.edges.Holding(context.Background()).Requests == 1 })
 	stopped := make(chan struct{})
 	go func() { r.edges.Drain(0); close(stopped) }()
 	r.until("new ones are shed", func() bool {
--- a/internal/edge/flat_test.go
+++ b/internal/edge/flat_test.go
@@ -64,7 +64,7 @@
 	defer n.Stop()
 	rests := func() bool {
 		h, err := n.Look(context.Background())
-		return err == nil && h.Lines == 0 && h.Clients == 0
+		return err == nil && h.EngineConnections == 0 && h.Clients == 0
 	}
 	const requests = 500
 	for i := range requests {
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -22,7 +22,7 @@
 type client struct {
 	node *Node
 	conn *nbio.Conn
-	core *router.Client
+	core *router.ClientConnection
 
 	mu      sync.Mutex // held while bytes are read and parsed, and while the owner decides on a close
 	cutter  *httpframing.Parser
@@ -50,8 +50,8 @@
 	return err
 }
 
-// Drained is node.ClientSocket's.
-func (c *client) Drained() bool { return c.flushed.Load() >= c.queued.Load() }
+// Flushed is node.ClientSocket's.
+func (c *client) Flushed() bool { return c.flushed.Load() >= c.queued.Load() }
 
 // StopReading is node.ClientSocket's. What has come of an unfinished request is dropped.
 func (c *client) StopReading() {
@@ -61,9 +61,9 @@
 	c.request, c.body = nil, nil
 }
 
-// Gone is node.ClientSocket's. The socket library marks a connection as closed once its poller has seen the end, and tells
+// Disconnected is node.ClientSocket's. The socket library marks a connection as closed once its poller has seen the end, and tells
 // of it later. Where the poller has not come to it, as in a process that was not run for a while, the kernel knows.
-func (c *client) Gone() bool {
+func (c *client) Disconnected() bool {
 	if c.ended() {
 		return true
 	}
@@ -84,10 +84,10 @@
 // Close is node.ClientSocket's.
 func (c *client) Close() { c.conn.Close() }
 
-// TryClose closes the connection unless a request that its client sent has been read, whole or in part, and is
+// CloseIfIdle closes the connection unless a request that its client sent has been read, whole or in part, and is
 // not answered yet. It is called by the owner between requests. Reading and this decision exclude each other, so
 // a request is either read and answered, or never read: then its client sees the close and asks elsewhere.
-func (c *client) TryClose() bool {
+func (c *client) CloseIfIdle() bool {
 	events, ok := c.decideClose()
 	for _, e := range events {
 		c.node.in.put(0, e.run) // weight 0: the owner must not wait for itself
@@ -127,7 +127,7 @@
 	n.frontBarrier.wait(conn)
 	c := &client{node: n, conn: conn,
 		cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: n.d.MaxHeadBytes, BodyBytes: n.d.MaxBodyBytes})}
-	c.core = &router.Client{ID: n.ids.Add(1), Socket: c}
+	c.core = &router.ClientConnection{ID: n.ids.Add(1), Socket: c}
 	conn.SetSession(c)
 	n.room.come()
 	n.connOpened()
@@ -138,7 +138,7 @@
 	n.connUsed()
 	if c, ok := conn.Session().(*client); ok {
 		n.room.leave()
-		n.in.put(0, func() { n.core.ClientGone(c.core) })
+		n.in.put(0, func() { n.core.ClientDisconnected(c.core) })
 	}
 }
 
@@ -235,19 +235,19 @@
 			c.request, c.body = p.Request, c.body[:0:0]
 			heads++
 			if strings.EqualFold(p.Request.Header.Get("Expect"), "100-continue") {
-				events = append(events, event{1, func() { n.core.Continue(c.core) }})
+				events = append(events, event{1, func() { n.core.ExpectContinue(c.core) }})
 			}
 		case httpframing.Body:
 			c.body = append(c.body, p.Data...)
 		case httpframing.End:
 			a := n.readCall(c.request, c.body)
 			c.request, c.body, c.begun, heads = nil, nil, false, 0
-			events = append(events, c.message(a.Bytes, func() { n.core.Ask(c.core, a) }))
+			events = append(events, c.message(a.Bytes, func() { n.core.ReceiveRequest(c.core, a) }))
 		}
 	}
 	if err != nil {
 		c.discards.Store(true)
-		return append(events, c.message(0, func() { n.core.RefuseMessage(c.core, err) }))
+		return append(events, c.message(0, func() { n.core.RejectMessage(c.core, err) }))
 	}
 	if c.cutter.AtBoundary() {
 		return events
@@ -258,7 +258,7 @@
 	}
 	if !c.begun || heads > 0 || c.request != nil {
 		c.begun = true
-		events = append(events, event{1, func() { n.core.Reading(c.core, input, held) }})
+		events = append(events, event{1, func() { n.core.ReceivePartial(c.core, input, held) }})
 	}
 	return events
 }
@@ -275,8 +275,8 @@
 	}}
 }
 
-func (n *Node) readCall(r *http.Request, body []byte) *router.Asked {
-	a := &router.Asked{Request: r, Bytes: len(body)}
-	a.Call, a.Party, a.Wrong = n.protocol.ParseRequest(r, body)
+func (n *Node) readCall(r *http.Request, body []byte) *router.ClientRequest {
+	a := &router.ClientRequest{Request: r, Bytes: len(body)}
+	a.Call, a.Caller, a.Rejection = n.protocol.ParseRequest(r, body)
 	return a
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -68,10 +68,10 @@
 	return m
 }
 
-func (m *meters) see(h router.Holding) {
-	for what, v := range map[string]int{"clients": h.Clients, "inferences": h.Inferences, "bytes": h.Bytes,
-		"lines": h.Lines, "states": h.Held} {
+func (m *meters) see(h router.InFlight) {
+	for what, v := range map[string]int{"clients": h.Clients, "inferences": h.Requests, "bytes": h.Bytes,
+		"lines": h.EngineConnections, "states": h.Reservations} {
 		m.holding.WithLabelValues(what).Set(float64(v))
 	}
-	m.oldest.Set(h.OldestHold.Seconds())
+	m.oldest.Set(h.OldestReservation.Seconds())
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -43,7 +43,7 @@
 	opened  atomic.Int64 // see connOpened
 
 	in       *inbox
-	core     *router.Core
+	core     *router.Router
 	protocol protocol.Codec
 	peers    *peers // nil where nodes tell one another nothing
 	room     *room  // for clients' connections
@@ -181,7 +181,7 @@
 	n.over.Go(func() { n.loop() })
 	take := func(list endpoint.List) {
 		n.pass(ListRead)
-		n.in.putUrgent(func() { n.core.TakeList(list) })
+		n.in.putUrgent(func() { n.core.UpdateEndpoints(list) })
 	}
 	if n.source != nil {
 		n.over.Go(func() {
@@ -206,9 +206,9 @@
 func (n *Node) Addr() string { return n.chat.Addr().String() }
 
 // Look asks the owner what it holds.
-func (n *Node) Look(ctx context.Context) (h router.Holding, err error) {
-	got := make(chan router.Holding, 1)
-	n.in.put(0, func() { got <- n.core.Holding() })
+func (n *Node) Look(ctx context.Context) (h router.InFlight, err error) {
+	got := make(chan router.InFlight, 1)
+	n.in.put(0, func() { got <- n.core.InFlight() })
 	select {
 	case h = <-got:
 		return h, nil
@@ -233,7 +233,7 @@
 	// hands over what it read before the last time.
 	looked, before := n.clock(), n.clock()
 	for {
-		wake.Reset(max(0, time.Duration(n.core.Due()-n.clock())))
+		wake.Reset(max(0, time.Duration(n.core.NextDue()-n.clock())))
 		select {
 		case <-n.done:
 			return
@@ -241,26 +241,26 @@
 		case <-wake.C:
 		}
 		turned := n.clock()
-		n.core.Begin(turned)
-		n.core.EventsSince(before)
+		n.core.SetTime(turned)
+		n.core.SetEarliestEventTime(before)
 		looked, before = turned, looked
 		row = n.in.take(row)
 		for _, event := range row {
 			now := n.clock()
 			if now-turned >= turnEvery {
-				n.core.Turn(now)
+				n.core.RunDue(now)
 				turned = now
 			}
-			n.core.Begin(now)
+			n.core.SetTime(now)
 			n.runUrgent()
 			event()
 		}
 		n.runUrgent()
-		n.core.Turn(n.clock())
+		n.core.RunDue(n.clock())
 		// Gauges are read every few seconds: they need not be set at every event.
 		if now := n.clock(); now-seen >= int64(100*time.Millisecond) {
 			seen = now
-			n.metrics.see(n.core.Holding())
+			n.metrics.see(n.core.InFlight())
 		}
 	}
 }
@@ -285,13 +285,13 @@
 // when ctx ends, the rest gets its error. Then the node stops.
 func (n *Node) Drain(ctx context.Context) error {
 	n.log.Info("stopping: no new inference is taken", zap.Duration("linger", n.d.ShutdownAcceptTime))
-	n.in.put(0, func() { n.core.Stopping() })
+	n.in.put(0, func() { n.core.Shutdown() })
 	ctx, cancel := context.WithTimeout(ctx, n.d.ShutdownTimeout)
 	defer cancel()
 	var err error
 	for err == nil {
-		var h router.Holding
-		if h, err = n.Look(ctx); err == nil && h.Inferences == 0 && h.Controls == 0 && !h.Stays {
+		var h router.InFlight
+		if h, err = n.Look(ctx); err == nil && h.Requests == 0 && h.ControlRequests == 0 && !h.Lingering {
 			break
 		}
 		select {
@@ -306,8 +306,8 @@
 		finished := make(chan struct{})
 		n.in.put(0, func() {
 			defer close(finished)
-			n.core.Abandon("this node is stopping")
-			n.core.Turn(n.clock())
+			n.core.AbandonAll("this node is stopping")
+			n.core.RunDue(n.clock())
 		})
 		select {
 		case <-finished:
@@ -332,7 +332,7 @@
 	defer cancel()
 	for {
 		busy := make(chan int, 1)
-		n.in.put(0, func() { busy <- n.core.CloseClients() })
+		n.in.put(0, func() { busy <- n.core.CloseIdleClients() })
 		select {
 		case count := <-busy:
 			if count == 0 {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -70,12 +70,12 @@
 			continue
 		}
 		text := string(buffer[:size])
-		n.in.put(size, func() { n.core.Heard(who, text) })
+		n.in.put(size, func() { n.core.ReceivePeerMessage(who, text) })
 	}
 }
 
-// Tell is node.Wire's.
-func (n *Node) Tell(to int, text string) {
+// SendToPeer is node.Wire's.
+func (n *Node) SendToPeer(to int, text string) {
 	if n.peers == nil || len(text) > peerText {
 		return
 	}
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -379,9 +379,9 @@
 	if err := n.HearPeers("127.0.0.1:0", []string{"127.0.0.9:9", other.LocalAddr().String()}, ""); err != nil {
 		t.Fatal(err)
 	}
-	n.Tell(1, "kept")
-	n.Tell(1, strings.Repeat("x", 300)) // over the bound: never sent
-	n.Tell(-1, "to all")
+	n.SendToPeer(1, "kept")
+	n.SendToPeer(1, strings.Repeat("x", 300)) // over the bound: never sent
+	n.SendToPeer(-1, "to all")
 	buffer := make([]byte, 512)
 	for _, want := range []string{"kept", "to all"} {
 		other.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -38,8 +38,8 @@
 	return true
 }
 
-// Took notes that the owner has passed one on; once none is queued, those that follow go straight to c.
-func (r *relay) Took(c router.ClientSocket, flush func()) {
+// Forwarded notes that the owner has passed one on; once none is queued, those that follow go straight to c.
+func (r *relay) Forwarded(c router.ClientSocket, flush func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.queued--; r.queued == 0 && !r.shut && c != nil {
@@ -55,8 +55,8 @@
 	r.mu.Unlock()
 }
 
-// Passed is how many tokens went past the owner.
-func (r *relay) Passed() int { return int(r.passed.Load()) }
+// Tokens is how many tokens went past the owner.
+func (r *relay) Tokens() int { return int(r.passed.Load()) }
 
-// Last is when a token last passed.
-func (r *relay) Last() int64 { return r.last.Load() }
+// LastTokenAt is when a token last passed.
+func (r *relay) LastTokenAt() int64 { return r.last.Load() }
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -52,7 +52,7 @@
 	h := r.edges.Holding(context.Background())
 	t.Logf("at rest: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
 		runtime.NumGoroutine(), h, len(r.log.Seen()))
-	if h.Clients+h.Inferences+h.Lines+h.Bytes+h.Controls > 0 {
+	if h.Clients+h.Requests+h.EngineConnections+h.Bytes+h.ControlRequests > 0 {
 		t.Error("the edge still holds something")
 	}
 }
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -31,9 +31,9 @@
 type edge struct {
 	w     *world
 	n     int
-	core  *router.Core
+	core  *router.Router
 	wake  int64 // when its next turn is set for, 0 for none
-	later []func(o *router.Core)
+	later []func(o *router.Router)
 	in    bool
 
 	clients int64
@@ -42,7 +42,7 @@
 // line is one connection to an engine.
 type line struct {
 	id     int64
-	core   *router.Line
+	core   *router.EngineConnection
 	node   *edge
 	box    *box
 	closed bool
@@ -63,7 +63,7 @@
 	firstAt int64 // its first token
 	try     int
 	node    *edge
-	core    *router.Client
+	core    *router.ClientConnection
 	out     []byte
 	began   bool
 	ended   bool
@@ -125,12 +125,12 @@
 		if w.list > 1 {
 			late = 400*time.Millisecond + time.Duration(w.rng.IntN(200))*time.Millisecond
 		}
-		w.after(late, func() { e.do(func(o *router.Core) { o.TakeList(list) }) })
+		w.after(late, func() { e.do(func(o *router.Router) { o.UpdateEndpoints(list) }) })
 	}
 }
 
 // do hands an event to the core and sets its next turn. What the event itself leads to waits its turn.
-func (e *edge) do(event func(o *router.Core)) {
+func (e *edge) do(event func(o *router.Router)) {
 	e.later = append(e.later, event)
 	if e.in {
 		return
@@ -139,37 +139,37 @@
 	for len(e.later) > 0 {
 		next := e.later[0]
 		e.later = e.later[1:]
-		e.core.Begin(e.w.now)
+		e.core.SetTime(e.w.now)
 		next(e.core)
-		e.core.Turn(e.w.now)
+		e.core.RunDue(e.w.now)
 	}
 	e.in = false
-	if due := max(e.core.Due(), e.w.now+1); e.wake == 0 || due < e.wake {
+	if due := max(e.core.NextDue(), e.w.now+1); e.wake == 0 || due < e.wake {
 		e.wake = due
 		e.w.at(due, func() {
 			if e.wake == due {
 				e.wake = 0
-				e.do(func(*router.Core) {})
+				e.do(func(*router.Router) {})
 			}
 		})
 	}
 }
 
-// Tell is node.Wire's: these nodes tell one another nothing.
-func (e *edge) Tell(int, string) {}
+// SendToPeer is node.Wire's: these nodes tell one another nothing.
+func (e *edge) SendToPeer(int, string) {}
 
 // Dial is node.Wire's.
-func (e *edge) Dial(core *router.Line) {
+func (e *edge) Dial(core *router.EngineConnection) {
 	b := e.w.byName[core.Engine]
 	if b == nil || !b.up {
 		e.w.after(way, func() {
-			e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("refused")) })
+			e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("refused")) })
 		})
 		return
 	}
 	if b.silent {
 		e.w.after(250*time.Millisecond, func() {
-			e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("no answer")) })
+			e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("no answer")) })
 		})
 		return
 	}
@@ -178,10 +178,10 @@
 	b.lines[l] = true
 	e.w.after(way, func() {
 		if !l.closed {
-			e.do(func(o *router.Core) { o.LineDialled(core, l, nil) })
+			e.do(func(o *router.Router) { o.EngineConnected(core, l, nil) })
 			return
 		}
-		e.do(func(o *router.Core) { o.LineDialled(core, nil, errors.New("reset")) })
+		e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("reset")) })
 	})
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	l.Close()
-	l.node.w.after(way, func() { l.node.do(func(o *router.Core) { o.LineBroken(l.core) }) })
+	l.node.w.after(way, func() { l.node.do(func(o *router.Router) { o.EngineDisconnected(l.core) }) })
 }
 
 // Write is node.LineSocket's.
@@ -266,8 +266,8 @@
 
 func node200(b *box) *http.Response { return head(http.StatusOK, b.report()) }
 
-// Written is node.LineSocket's.
-func (l *line) Written() bool { return true }
+// RequestWritten is node.LineSocket's.
+func (l *line) RequestWritten() bool { return true }
 
 // Close is node.LineSocket's, and aborts what the engine does for it.
 func (l *line) Close() {
@@ -343,7 +343,7 @@
 	w.asks[a.id] = a
 	a.node, a.at, a.out, a.began, a.ended = e, w.now, nil, false, false
 	e.clients++
-	c := &router.Client{ID: e.clients}
+	c := &router.ClientConnection{ID: e.clients}
 	c.Socket = &client{a: a, c: c}
 	a.core = c
 	request, err := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
@@ -354,16 +354,16 @@
 		PrefixTokens:    int(w.d.Shared),
 		MaxOutputTokens: int(a.answer) + 1, Stream: true, ClientRequestID: a.id, FirstTokenTimeout: r.Timeout, RetryCount: a.try}
 	w.after(way, func() {
-		e.do(func(o *router.Core) {
+		e.do(func(o *router.Router) {
 			o.ClientOpened(c)
-			o.Ask(c, &router.Asked{Request: request, Call: chatapi.ToRequest(call), Bytes: 4 * int(a.prompt), Party: a.session})
+			o.ReceiveRequest(c, &router.ClientRequest{Request: request, Call: chatapi.ToRequest(call), Bytes: 4 * int(a.prompt), Caller: a.session})
 		})
 	})
 	try := a.try
 	w.after(r.Timeout, func() {
 		if !a.ended && !a.began && a.try == try {
 			a.end("left")
-			e.do(func(o *router.Core) { o.ClientGone(c) })
+			e.do(func(o *router.Router) { o.ClientDisconnected(c) })
 		}
 	})
 }
@@ -371,7 +371,7 @@
 // client is a client's end of its connection.
 type client struct {
 	a *ask
-	c *router.Client
+	c *router.ClientConnection
 }
 
 // Send is node.ClientSocket's: what reaches the client.
@@ -408,12 +408,12 @@
 	return nil
 }
 
-// Drained, StopReading, Gone, TryClose and Close are node.ClientSocket's.
-func (k *client) Drained() bool  { return true }
-func (k *client) StopReading()   {}
-func (k *client) Gone() bool     { return false }
-func (k *client) TryClose() bool { return true }
-func (k *client) Close()         {}
+// Flushed, StopReading, Gone, TryClose and Close are node.ClientSocket's.
+func (k *client) Flushed() bool      { return true }
+func (k *client) StopReading()       {}
+func (k *client) Disconnected() bool { return false }
+func (k *client) CloseIfIdle() bool  { return true }
+func (k *client) Close()             {}
 
 func (w *world) first(a *ask) {
 	w.firsts = append(w.firsts, w.now-a.at)
@@ -428,7 +428,7 @@
 	w.res.Wasted += a.read
 	a.read = 0
 	c, e := a.core, a.node
-	w.after(way, func() { e.do(func(o *router.Core) { o.ClientGone(c) }) })
+	w.after(way, func() { e.do(func(o *router.Router) { o.ClientDisconnected(c) }) })
 	if final == "completed" {
 		// In time is by the client's first try: a retry's patience began there.
 		if time.Duration(a.firstAt-a.first) <= r.Target {
@@ -452,16 +452,16 @@
 // quiet is a node.Watch that hears nothing.
 type quiet struct{}
 
-func (quiet) Around(_ routing.Event, step func())           { step() }
-func (quiet) ModuleFailed(p any, _ routing.Event, _ []byte) { panic(p) }
-func (quiet) Final(router.Final)                            {}
-func (quiet) Shed(router.Shed)                              {}
-func (quiet) Attempt(router.AttemptEnd)                     {}
-func (quiet) Barred(string, invariant.Reason)               {}
-func (quiet) Violated(invariant.Violation)                  {}
-func (quiet) Closed(int64, router.CloseReason)              {}
-func (quiet) Connection(string, router.ConnectionEvent)     {}
-func (quiet) First(string, time.Duration, int)              {}
-func (quiet) Refused(string)                                {}
-func (quiet) Released(router.Release)                       {}
-func (quiet) Listed(int64, int, []string)                   {}
+func (quiet) AroundStep(_ routing.Event, step func())          { step() }
+func (quiet) PolicyPanicked(p any, _ routing.Event, _ []byte)  { panic(p) }
+func (quiet) RequestFinished(router.RequestSummary)            {}
+func (quiet) RequestShed(router.ShedRequest)                   {}
+func (quiet) AttemptEnded(router.AttemptSummary)               {}
+func (quiet) AttemptBlocked(string, invariant.Reason)          {}
+func (quiet) InvariantViolated(invariant.Violation)            {}
+func (quiet) ClientClosed(int64, router.CloseReason)           {}
+func (quiet) ConnectionChanged(string, router.ConnectionEvent) {}
+func (quiet) FirstToken(string, time.Duration, int)            {}
+func (quiet) Rejected(string)                                  {}
+func (quiet) ReservationChanged(router.ReservationEvent)       {}
+func (quiet) EndpointsUpdated(int64, int, []string)            {}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -317,19 +317,19 @@
 				}
 				h := b.report()
 				h.Set("Content-Type", "text/event-stream")
-				j.l.node.do(func(o *router.Core) { o.LineHead(j.l.core, head(http.StatusOK, h), nil) })
+				j.l.node.do(func(o *router.Router) { o.ResponseHead(j.l.core, head(http.StatusOK, h), nil) })
 			}
-			j.l.node.do(func(o *router.Core) { o.LineEvent(j.l.core, []byte(`{"choices":[]}`)) })
+			j.l.node.do(func(o *router.Router) { o.StreamEvent(j.l.core, []byte(`{"choices":[]}`)) })
 			if given += part; given < int(j.ask.answer) {
 				b.stream(j, given, done)
 				return
 			}
 			if !j.over {
 				j.over, j.l.job = true, nil
-				j.l.node.do(func(o *router.Core) {
-					o.LineEvent(j.l.core, []byte("[DONE]"))
+				j.l.node.do(func(o *router.Router) {
+					o.StreamEvent(j.l.core, []byte("[DONE]"))
 					if !j.l.closed {
-						o.LineEnd(j.l.core, nil, true)
+						o.ResponseComplete(j.l.core, nil, true)
 					}
 				})
 			}
@@ -344,10 +344,10 @@
 		return
 	}
 	j.over, j.l.job = true, nil
-	j.l.node.do(func(o *router.Core) {
-		o.LineHead(j.l.core, h, nil)
+	j.l.node.do(func(o *router.Router) {
+		o.ResponseHead(j.l.core, h, nil)
 		if !j.l.closed {
-			o.LineEnd(j.l.core, body, true)
+			o.ResponseComplete(j.l.core, body, true)
 		}
 	})
 }
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -175,7 +175,7 @@
 }
 
 func (s *sim) cover() (c Cover) {
-	c.Brain, c.Attempt, c.Conns = s.core.Took()
+	c.Brain, c.Attempt, c.Conns = s.core.FiredTransitions()
 	c.Add(s.took)
 	return c
 }
@@ -432,12 +432,12 @@
 			row = append(row, fmt.Sprintf("client %d, inference %s: %s, perhaps run by %d", c.n, c.name, state, c.ran))
 		}
 	}
-	for _, o := range s.core.Open() {
+	for _, o := range s.core.OpenAttempts() {
 		state := stateNames[o.State]
 		if o.Ended {
 			state = o.Verdict
 		}
-		row = append(row, fmt.Sprintf("send of %s to %s: %s", o.Inference, o.Engine, state))
+		row = append(row, fmt.Sprintf("send of %s to %s: %s", o.Request, o.Engine, state))
 	}
 	for _, h := range s.held {
 		row = append(row, fmt.Sprintf("%s holds a state of %s", h.reader, h.inference))
--- a/internal/modelcheck/fleet.go
+++ b/internal/modelcheck/fleet.go
@@ -81,9 +81,9 @@
 		shared(e.ID+" restarts cold", "restart", func() { f.restart(i) })
 	}
 	if !pending && !quiet {
-		due := f.sims[0].core.Due()
+		due := f.sims[0].core.NextDue()
 		for _, s := range f.sims {
-			due = min(due, s.core.Due())
+			due = min(due, s.core.NextDue())
 		}
 		due = max(due, f.sims[0].now)
 		shared("time passes", "", func() { f.pass(due) })
@@ -240,7 +240,7 @@
 		now := int64(1000*time.Second) + int64(at)
 		for _, s := range f.sims {
 			begun := len(s.clients) > 0
-			if s.core.Due() <= now || begun {
+			if s.core.NextDue() <= now || begun {
 				s.pass(now)
 			}
 			s.now = now
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -100,9 +100,9 @@
 			s.say("P6 a send of %s is still out after its client left", c.name)
 		}
 	}
-	for _, o := range s.core.Open() {
+	for _, o := range s.core.OpenAttempts() {
 		if !o.Ended { // a send that is being dialled is out too
-			s.freed(o.Inference)
+			s.freed(o.Request)
 		}
 	}
 	for _, h := range s.held {
@@ -111,25 +111,25 @@
 			s.say("P5 %s holds the state of %s for %v with no send out", h.reader, h.inference, time.Duration(s.now-h.since))
 		}
 	}
-	for _, o := range s.core.Open() {
-		c := s.client(o.Inference)
-		if c == nil || !o.Ended || !o.Writes {
+	for _, o := range s.core.OpenAttempts() {
+		c := s.client(o.Request)
+		if c == nil || !o.Ended || !o.Decode {
 			continue
 		}
 		if (o.Verdict == "engine error" || o.Verdict == "connection lost") && c.ran == 0 {
-			s.say("P11 %s: %s at %s, yet it cannot have run", o.Inference, o.Verdict, o.Engine)
+			s.say("P11 %s: %s at %s, yet it cannot have run", o.Request, o.Verdict, o.Engine)
 		}
 		proof := o.Verdict == "full" || o.Verdict == "not connected" || o.Verdict == "not sent"
-		if proof && c.ran > 0 && s.sendsRan(o.Inference) == 0 {
-			s.say("P11 %s: %s at %s, yet it may have run", o.Inference, o.Verdict, o.Engine)
+		if proof && c.ran > 0 && s.sendsRan(o.Request) == 0 {
+			s.say("P11 %s: %s at %s, yet it may have run", o.Request, o.Verdict, o.Engine)
 		}
 	}
 }
 
 // sendsRan is how many writers' sends the core counts as perhaps run, or still out.
 func (s *sim) sendsRan(inference string) (n int) {
-	for _, o := range s.core.Open() {
-		if o.Inference == inference && o.Writes &&
+	for _, o := range s.core.OpenAttempts() {
+		if o.Request == inference && o.Decode &&
 			(!o.Ended || o.Verdict != "full" && o.Verdict != "not connected" && o.Verdict != "not sent") {
 			n++
 		}
@@ -156,9 +156,9 @@
 			s.say("P10 client %d waits for ever", c.n)
 		}
 	}
-	h := s.core.Holding()
-	if h.Inferences+h.Controls+h.Held > 0 || s.core.BusyLines() > 0 {
-		s.say("P9 at the end the node holds %d inferences, %d control requests, %d states, %d busy lines", h.Inferences, h.Controls,
-			h.Held, s.core.BusyLines())
+	h := s.core.InFlight()
+	if h.Requests+h.ControlRequests+h.Reservations > 0 || s.core.BusyConnections() > 0 {
+		s.say("P9 at the end the node holds %d inferences, %d control requests, %d states, %d busy lines", h.Requests, h.ControlRequests,
+			h.Reservations, s.core.BusyConnections())
 	}
 }
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -73,7 +73,7 @@
 }
 
 type simLine struct {
-	core   *router.Line
+	core   *router.EngineConnection
 	open   bool
 	closed bool
 	rest   bool // bytes of an answer that is over are unread
@@ -93,7 +93,7 @@
 
 type simClient struct {
 	sim    *sim
-	core   *router.Client
+	core   *router.ClientConnection
 	n      int
 	effect string
 	out    []byte
@@ -114,7 +114,7 @@
 	w       World
 	d       *config.Deployment
 	now     int64
-	core    *router.Core
+	core    *router.Router
 	clients []*simClient
 	lines   []*simLine
 	held    []held
@@ -179,7 +179,7 @@
 		s.list.Entries = append(s.list.Entries, endpoint.Entry{ID: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
 	}
 	s.list.Revision = 1
-	s.do(func() { s.core.TakeList(s.list) })
+	s.do(func() { s.core.UpdateEndpoints(s.list) })
 	for _, effect := range w.Effects {
 		s.join(effect)
 	}
@@ -190,7 +190,7 @@
 func (s *sim) join(effect string) *simClient {
 	c := &simClient{sim: s, n: s.joined, effect: effect}
 	s.joined++
-	c.core = &router.Client{ID: int64(s.joined), Socket: c}
+	c.core = &router.ClientConnection{ID: int64(s.joined), Socket: c}
 	s.clients = append(s.clients, c)
 	s.do(func() { s.core.ClientOpened(c.core) })
 	return c
@@ -222,7 +222,7 @@
 		}
 	}
 	s.begin()
-	s.do(func() { s.core.TakeList(s.list) })
+	s.do(func() { s.core.UpdateEndpoints(s.list) })
 	for _, c := range s.clients {
 		if !c.asked {
 			s.do(func() { s.core.ClientOpened(c.core) })
@@ -239,16 +239,16 @@
 
 // do hands events to the core as the edge's loop does.
 func (s *sim) do(event func()) {
-	s.core.Begin(s.now)
+	s.core.SetTime(s.now)
 	event()
-	s.core.Turn(s.now)
+	s.core.RunDue(s.now)
 }
 
 // ---- the wire
 
-func (s *sim) Tell(int, string) {}
+func (s *sim) SendToPeer(int, string) {}
 
-func (s *sim) Dial(l *router.Line) { s.lines = append(s.lines, &simLine{core: l, sim: s}) }
+func (s *sim) Dial(l *router.EngineConnection) { s.lines = append(s.lines, &simLine{core: l, sim: s}) }
 
 func (l *simLine) Write(data []byte) error {
 	s := l.sim
@@ -296,7 +296,7 @@
 	return nil
 }
 
-func (l *simLine) Written() bool { return !l.part }
+func (l *simLine) RequestWritten() bool { return !l.part }
 
 func (l *simLine) Close() {
 	if !l.closed {
@@ -333,11 +333,11 @@
 	c.read()
 	return nil
 }
-func (c *simClient) Drained() bool  { return true }
-func (c *simClient) StopReading()   {}
-func (c *simClient) Gone() bool     { return c.gone }
-func (c *simClient) TryClose() bool { return true }
-func (c *simClient) Close()         {}
+func (c *simClient) Flushed() bool      { return true }
+func (c *simClient) StopReading()       {}
+func (c *simClient) Disconnected() bool { return c.gone }
+func (c *simClient) CloseIfIdle() bool  { return true }
+func (c *simClient) Close()             {}
 
 // read counts the final answers in what a client has got.
 func (c *simClient) read() {
@@ -377,16 +377,16 @@
 // watch learns the names of inferences, and nothing else.
 type watch struct{ s *sim }
 
-func (w watch) Around(_ routing.Event, step func()) { step() }
-func (w watch) ModuleFailed(p any, in routing.Event, _ []byte) {
+func (w watch) AroundStep(_ routing.Event, step func()) { step() }
+func (w watch) PolicyPanicked(p any, in routing.Event, _ []byte) {
 	w.s.say("P12 the module fails on %T: %v", in, p)
 }
-func (w watch) Final(router.Final)        {}
-func (w watch) Shed(router.Shed)          {}
-func (w watch) Attempt(router.AttemptEnd) {}
+func (w watch) RequestFinished(router.RequestSummary) {}
+func (w watch) RequestShed(router.ShedRequest)        {}
+func (w watch) AttemptEnded(router.AttemptSummary)    {}
 
-// Barred: the module must never ask for what would be a second run, or for two attempts at once.
-func (w watch) Barred(request string, why invariant.Reason) {
+// AttemptBlocked: the module must never ask for what would be a second run, or for two attempts at once.
+func (w watch) AttemptBlocked(request string, why invariant.Reason) {
 	switch why {
 	case invariant.MayHaveRun:
 		w.s.say("P3 the module asks for an attempt of %s, though %s", request, why)
@@ -394,20 +394,20 @@
 		w.s.say("P2 the module asks for an attempt of %s, though %s", request, why)
 	}
 }
-func (w watch) Violated(v invariant.Violation) {
+func (w watch) InvariantViolated(v invariant.Violation) {
 	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.How)
 }
-func (w watch) Closed(int64, router.CloseReason)          {}
-func (w watch) Connection(string, router.ConnectionEvent) {}
+func (w watch) ClientClosed(int64, router.CloseReason)           {}
+func (w watch) ConnectionChanged(string, router.ConnectionEvent) {}
 
-func (w watch) First(string, time.Duration, int) {}
-func (w watch) Refused(why string)               { w.s.say("P12 refused: %s", why) }
-func (w watch) Released(how router.Release) {
+func (w watch) FirstToken(string, time.Duration, int) {}
+func (w watch) Rejected(why string)                   { w.s.say("P12 refused: %s", why) }
+func (w watch) ReservationChanged(how router.ReservationEvent) {
 	if how == router.ReleaseOverdue {
 		w.s.say("P5 the module keeps a state until the node lets go of it")
 	}
 }
-func (w watch) Listed(int64, int, []string) {}
+func (w watch) EndpointsUpdated(int64, int, []string) {}
 
 // ---- truth about states
 
@@ -514,7 +514,7 @@
 		}
 	}
 	if !pending && !s.quiet() {
-		due := s.core.Due()
+		due := s.core.NextDue()
 		add("time passes", "", func() { s.pass(max(due, s.now)) })
 		add(fmt.Sprintf("time passes, and the timer runs %v late", lateBy), "late", func() {
 			s.pass(max(due, s.now) + int64(lateBy))
@@ -530,7 +530,7 @@
 			s.toldAt[e.ID] = s.now
 		}
 	}
-	s.do(func() { s.core.TakeList(s.list) })
+	s.do(func() { s.core.UpdateEndpoints(s.list) })
 }
 
 // own lists what may happen at this node and on its connections. Pending is whether some of it happens by
@@ -548,7 +548,7 @@
 		} else if c.endAt == 0 && !c.gone {
 			add(fmt.Sprintf("client %d leaves", c.n), "leave", func() {
 				c.gone, c.endAt, c.final = true, s.now, "left"
-				s.do(func() { s.core.ClientGone(c.core) })
+				s.do(func() { s.core.ClientDisconnected(c.core) })
 			})
 		} else if c.final == "left" && !c.again {
 			add(fmt.Sprintf("client %d comes back and asks the same again", c.n), "retry", func() {
@@ -564,7 +564,7 @@
 		if l.hangs > 0 {
 			add("connection to "+l.core.Engine+" is there after all", "", func() {
 				l.open, l.hangs = true, 0
-				s.do(func() { s.core.LineDialled(l.core, l, nil) })
+				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
 			})
 			continue
 		}
@@ -576,34 +576,34 @@
 			})
 			add("connection to "+l.core.Engine+" is there, and takes a part of the request", "part", func() {
 				l.open, l.part = true, true
-				s.do(func() { s.core.LineDialled(l.core, l, nil) })
+				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
 			})
 			add("connection to "+l.core.Engine+" is there", "", func() {
 				l.open = true
-				s.do(func() { s.core.LineDialled(l.core, l, nil) })
+				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
 			})
 			add("connection to "+l.core.Engine+" fails", "connect", func() {
 				l.closed = true
 				s.deaf(l.core.Engine)
-				s.do(func() { s.core.LineDialled(l.core, nil, io.ErrUnexpectedEOF) })
+				s.do(func() { s.core.EngineConnected(l.core, nil, io.ErrUnexpectedEOF) })
 			})
 			continue
 		}
 		if l.rest && l.req == nil {
 			pending = true
 			add("the rest of the answer from "+l.core.Engine+" comes, and bytes that were not asked for", "garbled", func() {
-				s.do(func() { s.core.LineEnd(l.core, nil, false) })
+				s.do(func() { s.core.ResponseComplete(l.core, nil, false) })
 			})
 			add("the rest of the answer from "+l.core.Engine+" comes", "", func() {
 				l.rest = false
-				s.do(func() { s.core.LineEnd(l.core, nil, true) })
+				s.do(func() { s.core.ResponseComplete(l.core, nil, true) })
 			})
 			continue
 		}
 		r := l.req
 		if r == nil {
 			add("bytes come from "+l.core.Engine+" on an idle connection", "garbled", func() {
-				s.do(func() { s.core.LineHead(l.core, head(200, "", false), nil) })
+				s.do(func() { s.core.ResponseHead(l.core, head(200, "", false), nil) })
 			})
 			continue
 		}
@@ -640,8 +640,8 @@
 
 // quiet is whether nothing is left to happen.
 func (s *sim) quiet() bool {
-	h := s.core.Holding()
-	if h.Inferences > 0 || h.Controls > 0 || h.Held > 0 || len(s.held) > 0 {
+	h := s.core.InFlight()
+	if h.Requests > 0 || h.ControlRequests > 0 || h.Reservations > 0 || len(s.held) > 0 {
 		return false
 	}
 	for _, c := range s.clients {
@@ -662,8 +662,10 @@
 	r, _ := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	s.asks[s.life]++
 	c.name = fmt.Sprintf("%s-%x-%d", s.d.NodeName, s.life, s.asks[s.life])
-	before := s.core.Holding().Inferences
-	s.do(func() { s.core.Ask(c.core, &router.Asked{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)}) })
+	before := s.core.InFlight().Requests
+	s.do(func() {
+		s.core.ReceiveRequest(c.core, &router.ClientRequest{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)})
+	})
 	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderRequestID) { // refused before it was an inference
 		s.asks[s.life]--
 		c.name = ""
@@ -678,7 +680,7 @@
 	for _, l := range s.lines {
 		if !l.closed && l.hangs > 0 && s.now-l.hangs >= int64(s.d.Connections.DialTimeout) {
 			l.closed = true
-			s.do(func() { s.core.LineDialled(l.core, nil, io.ErrUnexpectedEOF) })
+			s.do(func() { s.core.EngineConnected(l.core, nil, io.ErrUnexpectedEOF) })
 		}
 	}
 	s.do(func() {})
@@ -702,9 +704,9 @@
 	whole := func(status int, refused string) { // a whole answer, read to its end in one go
 		l.req = nil
 		s.freed(r.inference)
-		s.core.LineHead(l.core, head(status, refused, false), nil)
+		s.core.ResponseHead(l.core, head(status, refused, false), nil)
 		if !l.closed {
-			s.core.LineEnd(l.core, nil, true)
+			s.core.ResponseComplete(l.core, nil, true)
 		}
 	}
 	if r.kind == "release" || r.kind == "probe" {
@@ -720,24 +722,24 @@
 		add(at+" ends", "", func() {
 			s.hold(r)
 			s.do(func() {
-				s.core.LineHead(l.core, head(200, "", false), nil)
+				s.core.ResponseHead(l.core, head(200, "", false), nil)
 				l.req = nil
 				s.freed(r.inference)
-				s.core.LineEnd(l.core, s.stateBody(l.core.Engine, r.inference), true)
+				s.core.ResponseComplete(l.core, s.stateBody(l.core.Engine, r.inference), true)
 			})
 		})
 		add(at+" ends, half its answer comes", "half", func() {
 			s.hold(r)
-			s.do(func() { s.core.LineHead(l.core, head(200, "", false), nil) })
+			s.do(func() { s.core.ResponseHead(l.core, head(200, "", false), nil) })
 			s.reset(l)
 		})
 		add(at+" ends, its answer names no state", "garbled", func() {
 			s.hold(r)
 			s.do(func() {
-				s.core.LineHead(l.core, head(200, "", false), nil)
+				s.core.ResponseHead(l.core, head(200, "", false), nil)
 				l.req = nil
 				s.freed(r.inference)
-				s.core.LineEnd(l.core, []byte("{}"), true)
+				s.core.ResponseComplete(l.core, []byte("{}"), true)
 			})
 		})
 	} else if !r.began {
@@ -746,8 +748,8 @@
 			s.fetch(r.inference)
 			r.began = true
 			s.do(func() {
-				s.core.LineHead(l.core, head(200, "", true), nil)
-				s.core.LineEvent(l.core, []byte(`{"choices":[]}`))
+				s.core.ResponseHead(l.core, head(200, "", true), nil)
+				s.core.StreamEvent(l.core, []byte(`{"choices":[]}`))
 			})
 		})
 		add(at+" finds no state", "no-state", func() {
@@ -757,8 +759,8 @@
 		add(at+" runs, and its answer is a second head", "garbled", func() {
 			s.ran(r)
 			s.do(func() {
-				s.core.LineHead(l.core, head(200, "", true), nil)
-				s.core.LineHead(l.core, head(200, "", true), nil)
+				s.core.ResponseHead(l.core, head(200, "", true), nil)
+				s.core.ResponseHead(l.core, head(200, "", true), nil)
 			})
 		})
 	} else {
@@ -768,18 +770,18 @@
 				c.done = true
 			}
 			s.freed(r.inference)
-			s.do(func() { s.core.LineEvent(l.core, []byte(chat.Done)) })
+			s.do(func() { s.core.StreamEvent(l.core, []byte(chat.Done)) })
 		})
 		if !r.more {
 			add(at+" gives another token", "", func() {
 				r.more = true
-				s.do(func() { s.core.LineEvent(l.core, []byte(`{"choices":[]}`)) })
+				s.do(func() { s.core.StreamEvent(l.core, []byte(`{"choices":[]}`)) })
 			})
 		}
 		add(at+" ends without its last event", "half", func() {
 			l.req = nil
 			s.freed(r.inference)
-			s.do(func() { s.core.LineEnd(l.core, nil, true) })
+			s.do(func() { s.core.ResponseComplete(l.core, nil, true) })
 		})
 	}
 	if !r.began {
@@ -829,7 +831,7 @@
 			s.lost(r)
 		}
 	}
-	s.do(func() { s.core.LineBroken(l.core) })
+	s.do(func() { s.core.EngineDisconnected(l.core) })
 }
 
 // restart ends an engine with all it holds, as the list says already.
@@ -857,7 +859,7 @@
 // digest is the same for states from which the same may follow.
 func (s *sim) digest() uint64 {
 	h := xxhash.New()
-	s.core.Digest(h)
+	s.core.Fingerprint(h)
 	for _, c := range s.clients {
 		fmt.Fprintln(h, c.asked, c.gone, c.endAt > 0, c.final, c.finals, c.name, c.ran, c.done, c.again, s.now-c.at)
 	}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -11,194 +11,194 @@
 	"sandcourse/internal/routing"
 )
 
-// send is one send of an inference.
-type send struct {
-	inf       *inference
-	n         int
-	engine    string
-	writes    bool
-	at        int64
-	wroteAt   int64 // when its request was written; 0 while it is not
-	machine   attempt.Send
-	line      *Line
-	heads     int
-	token     []byte
-	lastToken int64
-	relay     Relay // of its stream, if it has one
-	kept      float64
-	transfer  protocol.ReservationHandle
-	report    map[string]float64
-	verdict   routing.Verdict
-	ended     bool
-	stale     bool // its line had been given up by the other side before it was written to
-	why       string
+// engineAttempt is one send of an inference.
+type engineAttempt struct {
+	request       *request
+	index         int
+	engine        string
+	decode        bool
+	startedAt     int64
+	writtenAt     int64 // when its request was written; 0 while it is not
+	machine       attempt.Send
+	connection    *EngineConnection
+	responseHeads int
+	token         []byte
+	lastTokenAt   int64
+	relay         Relay // of its stream, if it has one
+	cachedTokens  float64
+	transfer      protocol.ReservationHandle
+	loadReport    map[string]float64
+	verdict       routing.Verdict
+	ended         bool
+	stale         bool // its line had been given up by the other side before it was written to
+	reason        string
 }
 
-func (o *Core) send(e routing.Send) {
-	inf := o.infs[e.RequestID]
-	if inf == nil {
+func (r *Router) startAttempt(action routing.Send) {
+	req := r.requests[action.RequestID]
+	if req == nil {
 		return
 	}
-	s := &send{inf: inf, n: len(inf.sends), engine: e.Engine, writes: !o.reads(e.Engine, inf), at: o.now}
-	inf.sends = append(inf.sends, s)
-	if inf.client.Socket.Gone() {
-		o.ClientGone(inf.client)
+	att := &engineAttempt{request: req, index: len(req.attempts), engine: action.Engine, decode: !r.isPrefill(action.Engine, req), startedAt: r.now}
+	req.attempts = append(req.attempts, att)
+	if req.client.Socket.Disconnected() {
+		r.ClientDisconnected(req.client)
 	}
-	if why := o.maySend(s, nil); why != invariant.Allowed {
-		o.happen(s, attempt.Barred, string(why))
+	if reason := r.checkAttempt(att, nil); reason != invariant.Allowed {
+		r.handleAttemptEvent(att, attempt.Barred, string(reason))
 		return
 	}
-	atMost := int64(o.d.Connections.IdleTimeout)
-	if s.writes && o.d.Routes[inf.route].Effect != "retriable" {
-		atMost = int64(o.d.Connections.NonIdempotentIdleTimeout)
+	maxIdle := int64(r.config.Connections.IdleTimeout)
+	if att.decode && r.config.Routes[req.route].Effect != "retriable" {
+		maxIdle = int64(r.config.Connections.NonIdempotentIdleTimeout)
 	}
-	if !o.carry(e.Engine, s, nil, atMost) {
+	if !r.dispatch(action.Engine, att, nil, maxIdle) {
 		// The node's own bound says nothing of the engine.
-		o.happen(s, attempt.Barred, "no line to it may be opened")
+		r.handleAttemptEvent(att, attempt.Barred, "no line to it may be opened")
 	}
 }
 
-// maySend asks the gate of attempts, on a connection or before there is one.
-func (o *Core) maySend(s *send, l *Line) invariant.Reason {
-	inf := s.inf
-	a := invariant.Attempt{Answered: inf.final != "", ClientGone: inf.client.gone, GiveUpAt: inf.giveUpAt, Drained: o.told[s.engine],
-		Moved: l != nil && l.Host != o.reach(s.engine).Address, Effect: inf.effect(o.d),
-		Window: int64(o.d.Routes[inf.route].DedupWindow)}
-	for _, before := range inf.sends {
-		if before != s {
-			a.Earlier = append(a.Earlier, invariant.Earlier{Decode: before.writes, WrittenAt: before.wroteAt, Out: !before.ended,
+// checkAttempt asks the gate of attempts, on a connection or before there is one.
+func (r *Router) checkAttempt(att *engineAttempt, conn *EngineConnection) invariant.Reason {
+	req := att.request
+	candidate := invariant.Attempt{Answered: req.outcome != "", ClientGone: req.client.disconnected, GiveUpAt: req.deadline, Drained: r.drains[att.engine],
+		Moved: conn != nil && conn.Host != r.engineAddress(att.engine).Address, Effect: req.effect(r.config),
+		Window: int64(r.config.Routes[req.route].DedupWindow)}
+	for _, before := range req.attempts {
+		if before != att {
+			candidate.Earlier = append(candidate.Earlier, invariant.Earlier{Decode: before.decode, WrittenAt: before.writtenAt, Out: !before.ended,
 				NeverRan: before.ended && attempt.NeverRan(before.verdict)})
 		}
 	}
-	why := invariant.MaySend(a, o.now, int64(o.d.Rules.DrainGrace))
-	if why != invariant.Allowed {
-		o.watch.Barred(inf.name, why)
+	reason := invariant.MaySend(candidate, r.now, int64(r.config.Rules.DrainGrace))
+	if reason != invariant.Allowed {
+		r.observer.AttemptBlocked(req.name, reason)
 	}
-	return why
+	return reason
 }
 
-// request is what a line is to carry. It is made as it is written: what it says of the client's time must not
+// encodeRequest is what a line is to carry. It is made as it is written: what it says of the client's time must not
 // count the time that the line took to come up.
-func (o *Core) request(l *Line) ([]byte, error) {
-	to := o.reach(l.Engine)
-	if e := l.control; e != nil {
-		if e.hold != nil {
-			return o.protocol.ReleaseRequest(to, e.hold.ID.Request, e.hold.ID.Attempt), nil
+func (r *Router) encodeRequest(conn *EngineConnection) ([]byte, error) {
+	to := r.engineAddress(conn.Engine)
+	if control := conn.control; control != nil {
+		if control.reservation != nil {
+			return r.protocol.ReleaseRequest(to, control.reservation.ID.Request, control.reservation.ID.Attempt), nil
 		}
-		return o.protocol.HealthCheckRequest(to), nil
+		return r.protocol.HealthCheckRequest(to), nil
 	}
-	s := l.send
-	inf, left := s.inf, o.toldTime(s.inf)
-	if s.writes {
-		return o.protocol.DecodeRequest(inf.asked.Call, inf.name, to, inf.transfer, left)
+	att := conn.attempt
+	req, left := att.request, r.advertisedTimeout(att.request)
+	if att.decode {
+		return r.protocol.DecodeRequest(req.received.Call, req.name, to, req.transfer, left)
 	}
-	return o.protocol.PrefillRequest(inf.asked.Call, inf.name, to, s.n, left)
+	return r.protocol.PrefillRequest(req.received.Call, req.name, to, att.index, left)
 }
 
-// toldMargin is by how much less time an engine is told than is left, so that a node which is held up between its look at
+// deadlineMargin is by how much less time an engine is told than is left, so that a node which is held up between its look at
 // the clock and the write does not tell too much. A request with very little time gives a quarter of it.
-const toldMargin = 50 * time.Millisecond
+const deadlineMargin = 50 * time.Millisecond
 
-// toldTime is the time that an engine is told.
-func (o *Core) toldTime(inf *inference) time.Duration {
-	left := time.Duration(inf.giveUpAt - o.now)
-	return left - min(toldMargin, max(0, left/4))
+// advertisedTimeout is the time that an engine is told.
+func (r *Router) advertisedTimeout(req *request) time.Duration {
+	left := time.Duration(req.deadline - r.now)
+	return left - min(deadlineMargin, max(0, left/4))
 }
 
-// happen is where all socket events of a send end up: its machine judges them, and the outcome, if there is
+// handleAttemptEvent is where all socket events of a send end up: its machine judges them, and the outcome, if there is
 // one, goes to the module.
-func (o *Core) happen(s *send, in attempt.Input, why string) {
-	if s.ended {
+func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Input, reason string) {
+	if att.ended {
 		return
 	}
-	inf := s.inf
+	req := att.request
 	// The kernel may have taken the rest of a request since the last event; a send that is withdrawn or breaks
 	// then may have run, though its machine still thinks that a part of it is here.
-	if l := s.line; l != nil && l.send == s && l.socket != nil && s.machine.State == attempt.Writing {
-		if in == attempt.WithdrawnBy {
-			l.socket.Close() // before the look: nothing more can leave behind it
+	if conn := att.connection; conn != nil && conn.attempt == att && conn.socket != nil && att.machine.State == attempt.Writing {
+		if event == attempt.WithdrawnBy {
+			conn.socket.Close() // before the look: nothing more can leave behind it
 		}
-		if l.socket.Written() {
-			o.took |= 1 << s.machine.Happen(attempt.Written).Row
+		if conn.socket.RequestWritten() {
+			r.firedTransitions |= 1 << att.machine.Happen(attempt.Written).Row
 		}
 	}
-	r := s.machine.Happen(in)
-	o.took |= 1 << r.Row
-	if in == attempt.Token && s.machine.State == attempt.Flowing {
-		o.token(s, r.First)
+	result := att.machine.Happen(event)
+	r.firedTransitions |= 1 << result.Row
+	if event == attempt.Token && att.machine.State == attempt.Flowing {
+		r.forwardToken(att, result.First)
 		return
 	}
-	if !r.Ends {
+	if !result.Ends {
 		return
 	}
-	s.ended, s.verdict, s.why = true, r.Verdict, why
-	if l := s.line; l != nil && l.send == s {
-		l.send = nil
+	att.ended, att.verdict, att.reason = true, result.Verdict, reason
+	if conn := att.connection; conn != nil && conn.attempt == att {
+		conn.attempt = nil
 		switch {
-		case r.Line == attempt.Close:
-			o.spoil(l)
-		case in == attempt.Barred:
-			o.pool.Happen(l.ID, connpool.Released, o.now)
+		case result.Line == attempt.Close:
+			r.discardConnection(conn)
+		case event == attempt.Barred:
+			r.pool.Happen(conn.ID, connpool.Released, r.now)
 		default:
-			l.restSince = o.now
+			conn.drainingSince = r.now
 		}
 	}
-	o.endOfAttempt(s)
+	r.reportAttempt(att)
 	note := 0.0
-	if r.Verdict == routing.PrefillDone {
-		note, inf.transfer = s.kept, s.transfer
+	if result.Verdict == routing.PrefillDone {
+		note, req.transfer = att.cachedTokens, att.transfer
 	}
-	o.noteOutcome(s, in, r)
-	if r.Gone {
+	r.recordReservation(att, event, result)
+	if result.Gone {
 		// The writer could not fetch it. Its reader may still hold it, unheard, and nobody will ask for it again.
 		note = 1
-		o.letGo(inf)
+		r.releaseReservations(req)
 	}
-	if s.machine.Began {
-		if r.Verdict == routing.Completed {
-			o.finish(inf, completed, "")
+	if att.machine.Began {
+		if result.Verdict == routing.Completed {
+			r.finishRequest(req, outcomeCompleted, "")
 		} else {
-			o.finish(inf, errored, "the stream broke: "+why)
+			r.finishRequest(req, outcomeErrored, "the stream broke: "+reason)
 		}
-	} else if r.Verdict == routing.Completed {
-		o.finish(inf, completed, "") // an answer without a token
+	} else if result.Verdict == routing.Completed {
+		r.finishRequest(req, outcomeCompleted, "") // an answer without a token
 	}
-	o.tell(routing.Outcome{RequestID: inf.id, Attempt: s.n, Engine: s.engine, Verdict: r.Verdict, Latency: o.now - s.at,
-		RequestEnded: inf.final != "", Note: note, Report: s.report, StaleConnection: s.stale})
+	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: r.now - att.startedAt,
+		RequestEnded: req.outcome != "", Note: note, Report: att.loadReport, StaleConnection: att.stale})
 	// What came after the end is let go of here too: a read whose inference nobody waits for.
-	if inf.final != "" {
-		o.letGo(inf)
+	if req.outcome != "" {
+		r.releaseReservations(req)
 	}
-	o.forget(inf)
+	r.forgetRequest(req)
 }
 
-// endOfAttempt tells the monitor and the logs of an attempt's outcome.
-func (o *Core) endOfAttempt(s *send) {
-	o.monitor.Over(s.inf.id, s.n, attempt.NeverRan(s.verdict))
-	end := AttemptEnd{Request: s.inf.name, Engine: s.engine, Number: s.n, Decode: s.writes, Verdict: verdictNames[s.verdict], Why: s.why,
-		Took: time.Duration(o.now - s.at)}
-	if s.wroteAt > 0 {
-		end.Connecting = time.Duration(s.wroteAt - s.at)
-	}
-	o.watch.Attempt(end)
+// reportAttempt tells the monitor and the logs of an attempt's outcome.
+func (r *Router) reportAttempt(att *engineAttempt) {
+	r.monitor.Over(att.request.id, att.index, attempt.NeverRan(att.verdict))
+	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode, Verdict: verdictNames[att.verdict], Reason: att.reason,
+		Duration: time.Duration(r.now - att.startedAt)}
+	if att.writtenAt > 0 {
+		summary.Connecting = time.Duration(att.writtenAt - att.startedAt)
+	}
+	r.observer.AttemptEnded(summary)
 }
 
-// token passes one on, and tells the module of the first.
-func (o *Core) token(s *send, first bool) {
-	inf := s.inf
+// forwardToken passes one on, and tells the module of the first.
+func (r *Router) forwardToken(att *engineAttempt, first bool) {
+	req := att.request
 	if first {
-		inf.began, inf.firstAt = true, o.now
-		o.monitor.Began(inf.id)
-		o.changeHolds(inf, reservation.Taken)
-		if inf.whole == nil && inf.final == "" {
-			o.write(inf.client, o.protocol.StreamHead(inf.name))
+		req.streaming, req.firstTokenAt = true, r.now
+		r.monitor.Began(req.id)
+		r.updateReservations(req, reservation.Taken)
+		if req.collector == nil && req.outcome == "" {
+			r.write(req.client, r.protocol.StreamHead(req.name))
 		}
-		o.watch.First(o.d.Routes[inf.route].Name, time.Duration(o.now-inf.at), inf.asked.Call.PromptTokens)
-		o.tell(routing.FirstToken{RequestID: inf.id, Attempt: s.n, Engine: s.engine, Latency: o.now - s.at})
+		r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
+		r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: r.now - att.startedAt})
 	}
-	inf.tokens++
-	if inf.whole == nil && inf.final == "" {
-		o.write(inf.client, o.protocol.StreamEvent(s.token))
+	req.tokens++
+	if req.collector == nil && req.outcome == "" {
+		r.write(req.client, r.protocol.StreamEvent(att.token))
 	}
-	s.token = nil
+	att.token = nil
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -14,333 +14,333 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// pipelined is how many requests of one connection wait for their turn. Those behind them are refused when theirs comes:
+// maxPipelined is how many requests of one connection wait for their turn. Those behind them are refused when theirs comes:
 // closing the connection would leave all that was read without an answer.
-const pipelined = 4
+const maxPipelined = 4
 
-// readAhead is how many requests of one connection are read before their turn. The connection ends behind their answers.
-const readAhead = 64
+// maxReadAhead is how many requests of one connection are read before their turn. The connection ends behind their answers.
+const maxReadAhead = 64
 
 // ClientOpened takes a new connection of a client.
-func (o *Core) ClientOpened(c *Client) {
-	ok := o.gate.Open(c.ID, o.now, func(id int64) bool { return o.tryClose(o.clients[id], CloseCrowded) })
-	o.clients[c.ID] = c
+func (r *Router) ClientOpened(client *ClientConnection) {
+	ok := r.admission.Open(client.ID, r.now, func(id int64) bool { return r.closeIfIdle(r.clients[id], CloseEvicted) })
+	r.clients[client.ID] = client
 	if !ok {
 		// A request may be on its way on it already, and is owed an answer.
-		o.watch.Refused("connections")
-		o.reply(c, nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node has all the connections that it may",
-			o.d.MaxRetryAfter))
+		r.observer.Rejected("connections")
+		r.reply(client, nil, r.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node has all the connections that it may",
+			r.config.MaxRetryAfter))
 	}
 }
 
-func (o *Core) closeClient(c *Client, why CloseReason) {
-	if c != nil {
-		c.Socket.StopReading()
-		o.flush(c)
-		o.closeSocket(c, why)
+func (r *Router) closeClient(client *ClientConnection, reason CloseReason) {
+	if client != nil {
+		client.Socket.StopReading()
+		r.flush(client)
+		r.closeSocket(client, reason)
 	}
 }
 
 // closeSocket closes a client's connection, whatever is under way on it. What the gate of closes has against it counts.
-func (o *Core) closeSocket(c *Client, why CloseReason) {
-	o.monitor.Closing(o.connection(c), string(why))
-	o.watch.Closed(c.ID, why)
-	c.Socket.Close()
+func (r *Router) closeSocket(client *ClientConnection, reason CloseReason) {
+	r.monitor.Closing(r.connectionState(client), string(reason))
+	r.observer.ClientClosed(client.ID, reason)
+	client.Socket.Close()
 }
 
-// connection is what the gate of closes is asked about.
-func (o *Core) connection(c *Client) invariant.Connection {
+// connectionState is what the gate of closes is asked about.
+func (r *Router) connectionState(client *ClientConnection) invariant.Connection {
 	waiting := 0
-	for _, a := range c.waiting {
-		if !a.ends {
+	for _, a := range client.waiting {
+		if !a.terminal {
 			waiting++
 		}
 	}
-	if c.serving {
+	if client.serving {
 		waiting++
 	}
-	return invariant.Connection{ClientGone: c.gone || c.Socket.Gone(), Broke: c.cut, Waiting: waiting, Unread: c.partial}
+	return invariant.Connection{ClientGone: client.disconnected || client.Socket.Disconnected(), Broke: client.aborted, Waiting: waiting, Unread: client.partial}
 }
 
-// tryClose closes a connection between two requests, once its last answer is with the kernel.
-func (o *Core) tryClose(c *Client, why CloseReason) bool {
-	if c == nil || c.gone {
+// closeIfIdle closes a connection between two requests, once its last answer is with the kernel.
+func (r *Router) closeIfIdle(client *ClientConnection, reason CloseReason) bool {
+	if client == nil || client.disconnected {
 		return true
 	}
-	o.flush(c)
-	if invariant.MayClose(o.connection(c)) != invariant.Allowed || !c.Socket.Drained() || !c.Socket.TryClose() {
+	r.flush(client)
+	if invariant.MayClose(r.connectionState(client)) != invariant.Allowed || !client.Socket.Flushed() || !client.Socket.CloseIfIdle() {
 		return false
 	}
-	o.watch.Closed(c.ID, why)
+	r.observer.ClientClosed(client.ID, reason)
 	return true
 }
 
-// CloseClients closes each connection on which nothing is under way, and returns how many others there are.
-func (o *Core) CloseClients() (busy int) {
-	for _, id := range slices.Sorted(maps.Keys(o.clients)) {
-		c := o.clients[id]
+// CloseIdleClients closes each connection on which nothing is under way, and returns how many others there are.
+func (r *Router) CloseIdleClients() (busy int) {
+	for _, id := range slices.Sorted(maps.Keys(r.clients)) {
+		client := r.clients[id]
 		switch {
-		case c.closing:
-			if !c.Socket.Drained() {
+		case client.closing:
+			if !client.Socket.Flushed() {
 				busy++
 			}
-		case c.serving || !o.tryClose(c, CloseStopping):
+		case client.serving || !r.closeIfIdle(client, CloseShutdown):
 			busy++
 		}
 	}
 	return busy
 }
 
-// ClientGone says that a connection of a client has ended.
-func (o *Core) ClientGone(c *Client) {
-	if c.gone {
+// ClientDisconnected says that a connection of a client has ended.
+func (r *Router) ClientDisconnected(client *ClientConnection) {
+	if client.disconnected {
 		return
 	}
-	c.gone = true
-	o.gate.Happen(c.ID, admission.Closed, o.now)
-	delete(o.clients, c.ID)
-	c.waiting = nil
-	if inf := c.current; inf != nil {
-		o.clientLeft(inf)
+	client.disconnected = true
+	r.admission.Happen(client.ID, admission.Closed, r.now)
+	delete(r.clients, client.ID)
+	client.waiting = nil
+	if req := client.current; req != nil {
+		r.cancelRequest(req)
 	}
 }
 
-// Reading says that a client sends, and how many bytes of an unfinished call are held for it.
-func (o *Core) Reading(c *Client, input admission.Input, held int) {
-	if c.gone || c.closing {
+// ReceivePartial says that a client sends, and how many bytes of an unfinished call are held for it.
+func (r *Router) ReceivePartial(client *ClientConnection, input admission.Input, bytes int) {
+	if client.disconnected || client.closing {
 		return // what comes on a connection that is closing is dropped
 	}
-	c.unfinished, c.partial = input, true
-	if !c.serving {
-		o.gate.Happen(c.ID, input, o.now)
+	client.partialState, client.partial = input, true
+	if !client.serving {
+		r.admission.Happen(client.ID, input, r.now)
 	}
-	o.gate.Hold(c.ID, held-c.held)
-	c.held = held
-	if id := o.gate.Fattest(); id != 0 {
-		o.watch.Refused("bytes")
-		o.reply(o.clients[id], nil, o.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node holds all that it may",
-			o.d.MaxRetryAfter))
+	r.admission.Hold(client.ID, bytes-client.partialBytes)
+	client.partialBytes = bytes
+	if id := r.admission.Fattest(); id != 0 {
+		r.observer.Rejected("bytes")
+		r.reply(r.clients[id], nil, r.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node holds all that it may",
+			r.config.MaxRetryAfter))
 	}
 }
 
-// RefuseMessage answers what is no request, and reads nothing more: where one message ends is not known.
-func (o *Core) RefuseMessage(c *Client, err error) {
+// RejectMessage answers what is no request, and reads nothing more: where one message ends is not known.
+func (r *Router) RejectMessage(client *ClientConnection, err error) {
 	status := http.StatusBadRequest
-	var f *httpframing.MessageError
-	if errors.As(err, &f) {
-		status = f.Status
+	var fault *httpframing.MessageError
+	if errors.As(err, &fault) {
+		status = fault.Status
 	}
-	o.watch.Refused("message")
+	r.observer.Rejected("message")
 	// What was asked for before it gets its answers first.
-	wrong := o.protocol.InvalidRequestResponse(status, "bad_message", "", err.Error())
-	c.waiting = append(c.waiting, &Asked{Wrong: &wrong, ends: true})
-	o.next(c)
+	rejection := r.protocol.InvalidRequestResponse(status, "bad_message", "", err.Error())
+	client.waiting = append(client.waiting, &ClientRequest{Rejection: &rejection, terminal: true})
+	r.serveNext(client)
 }
 
-// Ask takes a whole request of a client.
-func (o *Core) Ask(c *Client, a *Asked) {
-	if c.gone || c.closing {
+// ReceiveRequest takes a whole request of a client.
+func (r *Router) ReceiveRequest(client *ClientConnection, received *ClientRequest) {
+	if client.disconnected || client.closing {
 		return
 	}
-	o.gate.Hold(c.ID, a.Bytes-c.held)
-	c.held, c.partial, c.continues = 0, false, false
-	o.gate.Happen(c.ID, admission.CallWhole, o.now)
-	a.excess = len(c.waiting) >= pipelined
-	c.waiting = append(c.waiting, a)
-	if len(c.waiting) == readAhead {
-		c.Socket.StopReading()
-		c.last = true
+	r.admission.Hold(client.ID, received.Bytes-client.partialBytes)
+	client.partialBytes, client.partial, client.expectsContinue = 0, false, false
+	r.admission.Happen(client.ID, admission.CallWhole, r.now)
+	received.excess = len(client.waiting) >= maxPipelined
+	client.waiting = append(client.waiting, received)
+	if len(client.waiting) == maxReadAhead {
+		client.Socket.StopReading()
+		client.readingStopped = true
 	}
-	o.next(c)
+	r.serveNext(client)
 }
 
-// next serves what a client has asked for, one after the other.
-func (o *Core) next(c *Client) {
-	for !c.serving && !c.gone && !c.closing && len(c.waiting) > 0 {
-		a := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		c.serving = true
-		if a.Party == "" {
-			a.Party = fmt.Sprintf("c%d", c.ID)
+// serveNext serves what a client has asked for, one after the other.
+func (r *Router) serveNext(client *ClientConnection) {
+	for !client.serving && !client.disconnected && !client.closing && len(client.waiting) > 0 {
+		received := client.waiting[0]
+		client.waiting = client.waiting[1:]
+		client.serving = true
+		if received.Caller == "" {
+			received.Caller = fmt.Sprintf("c%d", client.ID)
 		}
-		o.serve(c, a)
+		r.serve(client, received)
 	}
-	if !c.serving && !c.gone && len(c.waiting) == 0 {
-		o.rest(c)
+	if !client.serving && !client.disconnected && len(client.waiting) == 0 {
+		r.becomeIdle(client)
 	}
 }
 
-// rest is what a connection comes to once all that was read on it is answered. A request that has come in part meanwhile
+// becomeIdle is what a connection comes to once all that was read on it is answered. A request that has come in part meanwhile
 // has its time from now on.
-func (o *Core) rest(c *Client) {
-	o.gate.Happen(c.ID, admission.Answered, o.now)
+func (r *Router) becomeIdle(client *ClientConnection) {
+	r.admission.Happen(client.ID, admission.Answered, r.now)
 	switch {
-	case c.closing:
-	case c.last:
-		o.part(c)
-	case c.partial:
-		o.gate.Happen(c.ID, c.unfinished, o.now)
-		o.sendContinue(c)
+	case client.closing:
+	case client.readingStopped:
+		r.closeAfterFlush(client)
+	case client.partial:
+		r.admission.Happen(client.ID, client.partialState, r.now)
+		r.sendContinue(client)
 	}
 }
 
-// Continue says that a client waits for a word before it sends the body of its request. It gets the word once all before
+// ExpectContinue says that a client waits for a word before it sends the body of its request. It gets the word once all before
 // it is answered: in the middle of an answer it would spoil that.
-func (o *Core) Continue(c *Client) {
-	if c.gone || c.closing {
+func (r *Router) ExpectContinue(client *ClientConnection) {
+	if client.disconnected || client.closing {
 		return
 	}
-	c.continues = true
-	if !c.serving && len(c.waiting) == 0 {
-		o.sendContinue(c)
+	client.expectsContinue = true
+	if !client.serving && len(client.waiting) == 0 {
+		r.sendContinue(client)
 	}
 }
 
-func (o *Core) sendContinue(c *Client) {
-	if c.continues {
-		c.continues = false
-		o.write(c, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
+func (r *Router) sendContinue(client *ClientConnection) {
+	if client.expectsContinue {
+		client.expectsContinue = false
+		r.write(client, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-func (o *Core) serve(c *Client, a *Asked) {
+func (r *Router) serve(client *ClientConnection, received *ClientRequest) {
 	switch {
-	case a.ends:
-		o.reply(c, nil, *a.Wrong)
-	case a.Wrong != nil:
-		o.reply(c, a, *a.Wrong)
-	case a.Call != nil:
-		o.arrive(c, a)
+	case received.terminal:
+		r.reply(client, nil, *received.Rejection)
+	case received.Rejection != nil:
+		r.reply(client, received, *received.Rejection)
+	case received.Call != nil:
+		r.admitRequest(client, received)
 	default:
-		o.reply(c, a, o.protocol.AuxiliaryResponse(a.Request, o.unready()))
+		r.reply(client, received, r.protocol.AuxiliaryResponse(received.Request, r.notReadyReason()))
 	}
 }
 
 // reply writes a whole answer and ends the request.
-func (o *Core) reply(c *Client, a *Asked, with protocol.Response) {
+func (r *Router) reply(client *ClientConnection, received *ClientRequest, answer protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
-		with.Status, http.StatusText(with.Status), with.ContentType, len(with.Body))
-	for i := 0; i+1 < len(with.Headers); i += 2 {
-		head = fmt.Appendf(head, "%s: %s\r\n", with.Headers[i], with.Headers[i+1])
+		answer.Status, http.StatusText(answer.Status), answer.ContentType, len(answer.Body))
+	for i := 0; i+1 < len(answer.Headers); i += 2 {
+		head = fmt.Appendf(head, "%s: %s\r\n", answer.Headers[i], answer.Headers[i+1])
 	}
-	keep := a != nil && !a.Request.Close && a.Request.ProtoAtLeast(1, 1)
+	keep := received != nil && !received.Request.Close && received.Request.ProtoAtLeast(1, 1)
 	if !keep {
 		head = append(head, "Connection: close\r\n"...)
 	}
-	o.write(c, append(append(head, "\r\n"...), with.Body...))
-	o.answered(c, a, keep)
+	r.write(client, append(append(head, "\r\n"...), answer.Body...))
+	r.finishReply(client, received, keep)
 }
 
-// answered ends a request of a client and goes on with the next.
-func (o *Core) answered(c *Client, a *Asked, keep bool) {
-	if a != nil {
-		o.gate.Hold(c.ID, -a.Bytes)
+// finishReply ends a request of a client and goes on with the next.
+func (r *Router) finishReply(client *ClientConnection, received *ClientRequest, keep bool) {
+	if received != nil {
+		r.admission.Hold(client.ID, -received.Bytes)
 	}
-	c.serving, c.current = false, nil
-	if !keep || c.closing {
+	client.serving, client.current = false, nil
+	if !keep || client.closing {
 		// Its client has said that this was the last one, or nothing behind it can be read: what follows is owed no answer.
-		c.waiting = nil
-		o.part(c)
+		client.waiting = nil
+		r.closeAfterFlush(client)
 		return
 	}
-	o.next(c)
+	r.serveNext(client)
 }
 
-// part closes a connection once all is written. What still comes in is read and dropped: closing with bytes
+// closeAfterFlush closes a connection once all is written. What still comes in is read and dropped: closing with bytes
 // unread would reset the connection, and the client might lose its answer.
-func (o *Core) part(c *Client) {
-	c.closing = true
-	c.Socket.StopReading()
-	o.gate.Hold(c.ID, -c.held) // a part of a request is dropped
-	c.held, c.partial = 0, false
-	o.gate.Happen(c.ID, admission.Part, o.now)
-	o.closing[c.ID] = o.now
-	o.flush(c)
+func (r *Router) closeAfterFlush(client *ClientConnection) {
+	client.closing = true
+	client.Socket.StopReading()
+	r.admission.Hold(client.ID, -client.partialBytes) // a part of a request is dropped
+	client.partialBytes, client.partial = 0, false
+	r.admission.Happen(client.ID, admission.Part, r.now)
+	r.closing[client.ID] = r.now
+	r.flush(client)
 }
 
-func (o *Core) write(c *Client, data []byte) {
-	if c.gone {
+func (r *Router) write(client *ClientConnection, data []byte) {
+	if client.disconnected {
 		return
 	}
-	c.out = append(c.out, data...)
-	if !c.dirty {
-		c.dirty = true
-		o.dirty = append(o.dirty, c)
+	client.output = append(client.output, data...)
+	if !client.queued {
+		client.queued = true
+		r.unflushed = append(r.unflushed, client)
 	}
 }
 
 // flush hands a client's bytes to its socket. One that does not read is closed by the socket's bound.
-func (o *Core) flush(c *Client) {
-	if len(c.out) == 0 || c.gone {
-		c.out = nil
+func (r *Router) flush(client *ClientConnection) {
+	if len(client.output) == 0 || client.disconnected {
+		client.output = nil
 		return
 	}
-	out := c.out
-	c.out = nil
-	if err := c.Socket.Send(out); err != nil {
-		o.watch.Refused("slow client")
-		o.watch.Closed(c.ID, CloseUnread)
-		c.Socket.Close()
+	output := client.output
+	client.output = nil
+	if err := client.Socket.Send(output); err != nil {
+		r.observer.Rejected("slow client")
+		r.observer.ClientClosed(client.ID, CloseUnread)
+		client.Socket.Close()
 	}
 }
 
-// closeWritten closes what has written all, or has been given up: half a second for the client to hang up
+// closeFlushed closes what has written all, or has been given up: half a second for the client to hang up
 // first.
-func (o *Core) closeWritten() {
-	for id, at := range o.closing {
-		c := o.clients[id]
-		if c == nil {
-			delete(o.closing, id)
+func (r *Router) closeFlushed() {
+	for id, at := range r.closing {
+		client := r.clients[id]
+		if client == nil {
+			delete(r.closing, id)
 			continue
 		}
-		written := c.Socket.Drained()
-		if written && (c.cut || o.now-at > int64(500*time.Millisecond)) || o.now-at > int64(o.d.Limits.DrainTime) {
-			delete(o.closing, id)
-			o.closeSocket(c, closedAs(c, written))
+		written := client.Socket.Flushed()
+		if written && (client.aborted || r.now-at > int64(500*time.Millisecond)) || r.now-at > int64(r.config.Limits.DrainTime) {
+			delete(r.closing, id)
+			r.closeSocket(client, closeReason(client, written))
 		}
 	}
 }
 
-func closedAs(c *Client, written bool) CloseReason {
+func closeReason(client *ClientConnection, written bool) CloseReason {
 	switch {
-	case c.cut:
-		return CloseBroken
+	case client.aborted:
+		return CloseStreamBroken
 	case written:
 		return CloseAnswered
 	}
 	return CloseUnread
 }
 
-// cut ends a connection whose answer broke: the client must not take what it has for the whole.
-func (o *Core) cut(c *Client) {
-	c.serving, c.current = false, nil
-	c.cut = true
-	o.part(c)
+// abortResponse ends a connection whose answer broke: the client must not take what it has for the whole.
+func (r *Router) abortResponse(client *ClientConnection) {
+	client.serving, client.current = false, nil
+	client.aborted = true
+	r.closeAfterFlush(client)
 }
 
-// names are those that clients gave to inferences. Engines know inferences by them, so that a second of the
+// recentNames are those that clients gave to inferences. Engines know inferences by them, so that a second of the
 // same name would be taken for a copy of the first. The last few thousand are kept, in two halves.
-type names struct{ young, old map[string]bool }
+type recentNames struct{ recent, previous map[string]bool }
 
-// namesHalf: a minute's worth at a hundred a second, some hundred kilobytes.
-const namesHalf = 6000
+// namesPerGeneration: a minute's worth at a hundred a second, some hundred kilobytes.
+const namesPerGeneration = 6000
 
-func (n *names) known(name string) bool { return n.young[name] || n.old[name] }
+func (n *recentNames) contains(name string) bool { return n.recent[name] || n.previous[name] }
 
-// free forgets the name of a request of which nothing was sent to an engine: its client may come again with it.
-func (n *names) free(name string) {
-	delete(n.young, name)
-	delete(n.old, name)
+// remove forgets the name of a request of which nothing was sent to an engine: its client may come again with it.
+func (n *recentNames) remove(name string) {
+	delete(n.recent, name)
+	delete(n.previous, name)
 }
 
-// take notes a name; false where it is taken already.
-func (n *names) take(name string) bool {
-	if n.known(name) {
+// add notes a name; false where it is taken already.
+func (n *recentNames) add(name string) bool {
+	if n.contains(name) {
 		return false
 	}
-	if n.young == nil || len(n.young) >= namesHalf {
-		n.young, n.old = map[string]bool{}, n.young
+	if n.recent == nil || len(n.recent) >= namesPerGeneration {
+		n.recent, n.previous = map[string]bool{}, n.recent
 	}
-	n.young[name] = true
+	n.recent[name] = true
 	return true
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -18,64 +18,64 @@
 	"sandcourse/internal/routing"
 )
 
-// Core is the state of one node: the module, its timers and all that is open. It is not safe for concurrent
+// Router is the state of one node: the module, its timers and all that is open. It is not safe for concurrent
 // use.
-type Core struct {
-	d     *config.Deployment
-	seed  uint64
-	epoch int64 // names of inferences differ between lives of a node
-	wire  Wire
-	watch Watch
-	now   int64
+type Router struct {
+	config      *config.Deployment
+	seed        uint64
+	incarnation int64 // names of inferences differ between lives of a node
+	transport   Transport
+	observer    Observer
+	now         int64
 	// protocol is how clients and engines are met; it may keep nothing of its own that changes.
 	protocol protocol.Codec
 
-	brain  *routing.Policy
-	lives  uint64 // of the module: a panic begins a new one
-	inputs []routing.Event
-	busy   bool // inputs are being handed over
-	timers timers
-	armed  int64
-
-	list   *endpoint.List
-	starts starts
-	lists  lists
-	told   attempt.Told
-	listed []string // all engines ever listed
+	policy            *routing.Policy
+	policyIncarnation uint64 // of the module: a panic begins a new one
+	pendingEvents     []routing.Event
+	notifying         bool // inputs are being handed over
+	timers            timers
+	timersSet         int64
+
+	endpoints    *endpoint.List
+	starts       engineStarts
+	listHistory  listHistory
+	drains       attempt.Told
+	knownEngines []string // all engines ever listed
 	// answeredAt is when an engine's last answer began.
-	answeredAt map[string]int64
-	names      names // of inferences, where clients give them
-	gate       *admission.Gate
-	again      *admission.Retries
-	pool       *connpool.Pool
-
-	clients  map[int64]*Client
-	closing  map[int64]int64
-	dirty    []*Client
-	lines    map[int64]*Line
-	controls map[*controlRequest]bool
-	holds    *reservation.Table
-	monitor  *invariant.Monitor
-	infs     map[int64]*inference
-	byName   map[string]*inference // the same, by what engines know them by
-	nextInf  int64
-	took     uint64 // rows of attempt's table taken so far, a bit each, from bit 1
+	lastResponseAt map[string]int64
+	requestNames   recentNames // of inferences, where clients give them
+	admission      *admission.Gate
+	clientRetries  *admission.Retries
+	pool           *connpool.Pool
+
+	clients           map[int64]*ClientConnection
+	closing           map[int64]int64
+	unflushed         []*ClientConnection
+	engineConnections map[int64]*EngineConnection
+	controlRequests   map[*controlRequest]bool
+	reservations      *reservation.Table
+	monitor           *invariant.Monitor
+	requests          map[int64]*request
+	requestsByName    map[string]*request // the same, by what engines know them by
+	lastRequestID     int64
+	firedTransitions  uint64 // rows of attempt's table taken so far, a bit each, from bit 1
 	// answeredNow are those that got their final answer while the present input is carried out.
-	answeredNow []*inference
-	stopping    bool
-	stopAt      int64 // when it was told to stop
-	gone        bool  // it has left its clients since
-	heardAt     int64 // when another node was last heard
-	swept       int64
-	heldChecked int64 // when the monitor last looked at what is held
-	eventsSince int64 // events that are handed over now happened after this; 0 where that is not known
+	justFinished          []*request
+	stopping              bool
+	stoppedAt             int64 // when it was told to stop
+	clientsDrained        bool  // it has left its clients since
+	peerHeardAt           int64 // when another node was last heard
+	reapedAt              int64
+	reservationsCheckedAt int64 // when the monitor last looked at what is held
+	earliestEvent         int64 // events that are handed over now happened after this; 0 where that is not known
 }
 
 // timer is the module's.
 type timer struct {
-	at, turn int64
-	token    int64
-	lives    uint64 // of the module that set it; an older one's timers are of no effect
+	at, sequence int64
+	token        int64
+	incarnation  uint64 // of the module that set it; an older one's timers are of no effect
 }
 
 // timers is a heap; those that fall due together go in the order in which they were set.
@@ -83,7 +83,7 @@
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(t[i].at, t[j].at), cmp.Compare(t[i].turn, t[j].turn)) < 0
+	return cmp.Or(cmp.Compare(t[i].at, t[j].at), cmp.Compare(t[i].sequence, t[j].sequence)) < 0
 }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
@@ -96,79 +96,79 @@
 }
 
 // New makes the core of a node that starts at now. Epoch must differ between lives of a node.
-func New(d *config.Deployment, protocol protocol.Codec, seed uint64, epoch, now int64, wire Wire,
-	watch Watch) *Core {
-	o := &Core{d: d, protocol: protocol, seed: seed, epoch: epoch, wire: wire, watch: watch, now: now, told: attempt.Told{},
-		gate: admission.New(d.Limits), again: admission.NewRetries(d.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: d.Connections.PerEngine,
-			Dials: d.Connections.ConcurrentDials, All: d.Connections.Total, IdleNs: int64(d.Connections.IdleTimeout), SettleNs: int64(d.Connections.ReuseDelay)}),
-		clients: map[int64]*Client{}, closing: map[int64]int64{}, lines: map[int64]*Line{},
-		controls: map[*controlRequest]bool{}, holds: reservation.New(reservation.BoundsFor(d.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
-			holdsAnOpenCall*d.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(d.Rules.DrainGrace, d.Rules.ReservationLimit)), infs: map[int64]*inference{}, byName: map[string]*inference{}, answeredAt: map[string]int64{}}
-	o.brain = routing.New(seed, d.RoutingConfig())
-	return o
+func New(cfg *config.Deployment, protocol protocol.Codec, seed uint64, incarnation, now int64, transport Transport,
+	observer Observer) *Router {
+	r := &Router{config: cfg, protocol: protocol, seed: seed, incarnation: incarnation, transport: transport, observer: observer, now: now, drains: attempt.Told{},
+		admission: admission.New(cfg.Limits), clientRetries: admission.NewRetries(cfg.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: cfg.Connections.PerEngine,
+			Dials: cfg.Connections.ConcurrentDials, All: cfg.Connections.Total, IdleNs: int64(cfg.Connections.IdleTimeout), SettleNs: int64(cfg.Connections.ReuseDelay)}),
+		clients: map[int64]*ClientConnection{}, closing: map[int64]int64{}, engineConnections: map[int64]*EngineConnection{},
+		controlRequests: map[*controlRequest]bool{}, reservations: reservation.New(reservation.BoundsFor(cfg.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
+			reservationsPerRequest*cfg.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(cfg.Rules.DrainGrace, cfg.Rules.ReservationLimit)), requests: map[int64]*request{}, requestsByName: map[string]*request{}, lastResponseAt: map[string]int64{}}
+	r.policy = routing.New(seed, cfg.RoutingConfig())
+	return r
 }
 
-// after sets a timer.
-func (o *Core) after(in int64, t timer) {
-	o.armed++
-	t.at, t.turn = o.now+in, o.armed
-	heap.Push(&o.timers, t)
+// setTimer sets a timer.
+func (r *Router) setTimer(in int64, t timer) {
+	r.timersSet++
+	t.at, t.sequence = r.now+in, r.timersSet
+	heap.Push(&r.timers, t)
 }
 
-func (o *Core) due(t timer) {
-	if t.lives == o.lives {
-		o.tell(routing.TimerFired{Token: t.token})
+func (r *Router) fireTimer(t timer) {
+	if t.incarnation == r.policyIncarnation {
+		r.notifyPolicy(routing.TimerFired{Token: t.token})
 	}
 }
 
 // How often what has no timer of its own is looked through: stalled streams, slow clients, old connections.
-const sweepEvery = int64(25 * time.Millisecond)
-
-func (o *Core) sweep() {
-	o.leave()
-	o.handOver()
-	o.lookAgain()
-	o.sweepLines()
-	o.closeWritten()
-	for _, due := range o.gate.Due(o.now) {
-		o.endOverdue(o.clients[due.ID], due.State)
+const reapInterval = int64(25 * time.Millisecond)
+
+func (r *Router) reap() {
+	r.drainClients()
+	r.abandonLateRequests()
+	r.reapplyEndpoints()
+	r.reapConnections()
+	r.closeFlushed()
+	for _, due := range r.admission.Due(r.now) {
+		r.expireClient(r.clients[due.ID], due.State)
 	}
-	for _, id := range o.ids() {
-		inf := o.infs[id]
-		for _, s := range inf.sends {
-			if s.ended {
+	for _, id := range r.requestIDs() {
+		req := r.requests[id]
+		for _, att := range req.attempts {
+			if att.ended {
 				continue
 			}
-			idle := o.now - max(s.at, s.lastToken)
-			if s.relay != nil {
-				idle = min(idle, o.now-s.relay.Last())
+			idle := r.now - max(att.startedAt, att.lastTokenAt)
+			if att.relay != nil {
+				idle = min(idle, r.now-att.relay.LastTokenAt())
 			}
-			if attempt.Stalled(s.machine.State, idle, int64(o.d.StallTimeout)) {
-				o.happen(s, attempt.Silent, "no token for "+time.Duration(idle).String())
+			if attempt.Stalled(att.machine.State, idle, int64(r.config.StallTimeout)) {
+				r.handleAttemptEvent(att, attempt.Silent, "no token for "+time.Duration(idle).String())
 			}
 		}
 	}
 }
 
-// endOverdue ends a connection whose time in its state is up.
-func (o *Core) endOverdue(c *Client, state admission.State) {
+// expireClient ends a connection whose time in its state is up.
+func (r *Router) expireClient(client *ClientConnection, state admission.State) {
 	switch state {
 	case admission.Idle:
-		if !o.tryClose(c, CloseIdle) {
+		if !r.closeIfIdle(client, CloseIdle) {
 			return // a request has come in this moment
 		}
 	case admission.Heading, admission.Bodying:
-		o.reply(c, nil, o.protocol.InvalidRequestResponse(http.StatusRequestTimeout, "too_slow", "",
+		r.reply(client, nil, r.protocol.InvalidRequestResponse(http.StatusRequestTimeout, "too_slow", "",
 			"the request did not come in time"))
 	default:
-		o.closeClient(c, CloseUnread)
+		r.closeClient(client, CloseUnread)
 	}
-	o.watch.Refused("slow or idle")
+	r.observer.Rejected("slow or idle")
 }
 
-func (o *Core) ids() []int64 {
-	ids := make([]int64, 0, len(o.infs))
-	for id := range o.infs {
+func (r *Router) requestIDs() []int64 {
+	ids := make([]int64, 0, len(r.requests))
+	for id := range r.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -19,90 +19,90 @@
 	"sandcourse/internal/routing"
 )
 
-// bench is a core whose sockets are the test's: it sees each byte that is written and the time of it.
-type bench struct {
-	ignoredEvents
-	t     *testing.T
-	core  *router.Core
-	now   int64
-	dials []*router.Line
-	lines []*socket
-	heard []routing.Event
-
-	fails, mayFail bool           // the module, at its next input; and whether that is wanted
-	expected       invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
-}
-
-func (b *bench) Dial(l *router.Line) { b.dials = append(b.dials, l) }
-func (b *bench) Around(in routing.Event, step func()) {
-	if b.fails {
-		b.fails = false
+// testbed is a core whose sockets are the test's: it sees each byte that is written and the time of it.
+type testbed struct {
+	ignoredObserver
+	t       *testing.T
+	core    *router.Router
+	now     int64
+	dials   []*router.EngineConnection
+	engines []*fakeEngineSocket
+	events  []routing.Event
+
+	panicNext, mayPanic bool           // the module, at its next input; and whether that is wanted
+	expectedViolation   invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
+}
+
+func (b *testbed) Dial(conn *router.EngineConnection) { b.dials = append(b.dials, conn) }
+func (b *testbed) AroundStep(in routing.Event, step func()) {
+	if b.panicNext {
+		b.panicNext = false
 		panic("a fault put in by a test")
 	}
-	b.heard = append(b.heard, in)
+	b.events = append(b.events, in)
 	step()
 }
-func (b *bench) ModuleFailed(p any, _ routing.Event, row []byte) {
-	if !b.mayFail {
-		b.t.Fatalf("%v\n%s", p, row)
+func (b *testbed) PolicyPanicked(p any, _ routing.Event, rows []byte) {
+	if !b.mayPanic {
+		b.t.Fatalf("%v\n%s", p, rows)
 	}
 }
 
-// ignoredEvents are what a core tells that no test here looks at.
-type ignoredEvents struct{}
+// ignoredObserver are what a core tells that no test here looks at.
+type ignoredObserver struct{}
 
-func (ignoredEvents) Tell(int, string)                          {}
-func (ignoredEvents) Final(router.Final)                        {}
-func (ignoredEvents) Shed(router.Shed)                          {}
-func (ignoredEvents) Attempt(router.AttemptEnd)                 {}
-func (ignoredEvents) Barred(string, invariant.Reason)           {}
-func (ignoredEvents) Closed(int64, router.CloseReason)          {}
-func (ignoredEvents) Connection(string, router.ConnectionEvent) {}
-func (ignoredEvents) First(string, time.Duration, int)          {}
-func (ignoredEvents) Refused(string)                            {}
-func (ignoredEvents) Released(router.Release)                   {}
-func (ignoredEvents) Listed(int64, int, []string)               {}
+func (ignoredObserver) SendToPeer(int, string)                           {}
+func (ignoredObserver) RequestFinished(router.RequestSummary)            {}
+func (ignoredObserver) RequestShed(router.ShedRequest)                   {}
+func (ignoredObserver) AttemptEnded(router.AttemptSummary)               {}
+func (ignoredObserver) AttemptBlocked(string, invariant.Reason)          {}
+func (ignoredObserver) ClientClosed(int64, router.CloseReason)           {}
+func (ignoredObserver) ConnectionChanged(string, router.ConnectionEvent) {}
+func (ignoredObserver) FirstToken(string, time.Duration, int)            {}
+func (ignoredObserver) Rejected(string)                                  {}
+func (ignoredObserver) ReservationChanged(router.ReservationEvent)       {}
+func (ignoredObserver) EndpointsUpdated(int64, int, []string)            {}
 
-// Violated is a fault in any test.
-func (b *bench) Violated(v invariant.Violation) {
-	if v.Rule != b.expected {
+// InvariantViolated is a fault in any test.
+func (b *testbed) InvariantViolated(v invariant.Violation) {
+	if v.Rule != b.expectedViolation {
 		b.t.Errorf("rule broken: %+v", v)
 	}
 }
 
-// socket is a connection to an engine.
-type socket struct {
-	line  *router.Line
-	wrote bytes.Buffer
-	shut  bool
+// fakeEngineSocket is a connection to an engine.
+type fakeEngineSocket struct {
+	conn    *router.EngineConnection
+	written bytes.Buffer
+	closed  bool
 }
 
-func (s *socket) Write(request []byte) error { s.wrote.Write(request); return nil }
-func (s *socket) Written() bool              { return true }
-func (s *socket) Close()                     { s.shut = true }
+func (s *fakeEngineSocket) Write(request []byte) error { s.written.Write(request); return nil }
+func (s *fakeEngineSocket) RequestWritten() bool       { return true }
+func (s *fakeEngineSocket) Close()                     { s.closed = true }
 
-// screen is a connection of a client.
-type screen struct {
+// fakeClientSocket is a connection of a client.
+type fakeClientSocket struct {
 	bytes.Buffer
-	reading bool // a request is on its way to the core
-	gone    bool // it has ended, and the core has not been told
-	shut    bool
+	reading      bool // a request is on its way to the core
+	disconnected bool // it has ended, and the core has not been told
+	closed       bool
 }
 
-func (s *screen) Send(data []byte) error {
-	if s.shut {
+func (s *fakeClientSocket) Send(data []byte) error {
+	if s.closed {
 		return io.ErrClosedPipe
 	}
 	s.Write(data)
 	return nil
 }
-func (s *screen) Drained() bool  { return true }
-func (s *screen) StopReading()   {}
-func (s *screen) Close()         { s.shut = true }
-func (s *screen) Gone() bool     { return s.gone }
-func (s *screen) TryClose() bool { s.shut = s.shut || !s.reading; return s.shut }
+func (s *fakeClientSocket) Flushed() bool      { return true }
+func (s *fakeClientSocket) StopReading()       {}
+func (s *fakeClientSocket) Close()             { s.closed = true }
+func (s *fakeClientSocket) Disconnected() bool { return s.disconnected }
+func (s *fakeClientSocket) CloseIfIdle() bool  { s.closed = s.closed || !s.reading; return s.closed }
 
-const told = `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":1024},
+const testSettings = `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":1024},
  "settings":{"areas":["a"],"zone":0,"index":0,"peers_total":1,"tick_us":4000,"flavors":["m1","m2"],"ceilings":{
  "try_limit":5,"cancel":true,"retry_after":true,"max_retry_after_us":1000000,"dial_timeout_us":250000},"report":{
  "how":"inline","fields":["x0","x1"]},"family_info":{"stage_of_kind":["read","write"],"pin_limit_us":1000000,
@@ -110,8 +110,8 @@
  {"name":"label","effect":"dedup","dedup_scope":"all","memory_span_us":300000,"worth":1,"objective_us":1000000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
-func newBench(t *testing.T) *bench {
-	told, err := platform.ParseNodeConfig("test", []byte(told))
+func newTestbed(t *testing.T) *testbed {
+	told, err := platform.ParseNodeConfig("test", []byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,21 +119,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, now: 1e15}
+	b := &testbed{t: t, now: 1e15}
 	b.core = router.New(d, platform.NewCodec(told.LoadReportFields()), 1, 1, b.now, b, b)
-	b.list("r", "w")
+	b.setEndpoints("r", "w")
 	return b
 }
 
-// newUnacknowledgedBench is one where no engine acknowledges a release.
-func newUnacknowledgedBench(t *testing.T) *bench {
-	b := newBench(t)
-	b.expected = invariant.HeldTooLong
+// newUnacknowledgedTestbed is one where no engine acknowledges a release.
+func newUnacknowledgedTestbed(t *testing.T) *testbed {
+	b := newTestbed(t)
+	b.expectedViolation = invariant.HeldTooLong
 	return b
 }
 
-// list names the engines that are ready; r... are readers.
-func (b *bench) list(ids ...string) {
+// setEndpoints names the engines that are ready; r... are readers.
+func (b *testbed) setEndpoints(ids ...string) {
 	list := endpoint.List{Revision: 1}
 	for _, id := range ids {
 		kind := "m2"
@@ -143,77 +143,77 @@
 		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
 			State: endpoint.Ready})
 	}
-	b.core.Begin(b.now)
-	b.core.TakeList(list)
-	b.core.Turn(b.now)
+	b.core.SetTime(b.now)
+	b.core.UpdateEndpoints(list)
+	b.core.RunDue(b.now)
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *testbed) pass(d time.Duration) {
 	for end := b.now + int64(d); b.now < end; {
-		b.now = min(end, max(b.now+1, b.core.Due()))
-		b.core.Turn(b.now)
+		b.now = min(end, max(b.now+1, b.core.NextDue()))
+		b.core.RunDue(b.now)
 	}
 }
 
 var clients int64
 
-// ask is a client's request; its inference waits for a line to a reader then.
-func (b *bench) ask(name, route string, more ...string) (*router.Client, *screen) {
+// request is a client's request; its inference waits for a line to a reader then.
+func (b *testbed) request(name, route string, more ...string) (*router.ClientConnection, *fakeClientSocket) {
 	clients++
-	out := &screen{}
-	c := &router.Client{ID: clients, Socket: out}
-	b.core.Begin(b.now)
+	out := &fakeClientSocket{}
+	c := &router.ClientConnection{ID: clients, Socket: out}
+	b.core.SetTime(b.now)
 	b.core.ClientOpened(c)
-	b.asked(c, name, route, more...)
+	b.requestOn(c, name, route, more...)
 	return c, out
 }
 
-// probe asks an engine for its load.
-func (b *bench) probe(engine string) {
-	b.core.Begin(b.now)
-	b.core.Probe(engine)
-	b.core.Turn(b.now)
+// healthCheck asks an engine for its load.
+func (b *testbed) healthCheck(engine string) {
+	b.core.SetTime(b.now)
+	b.core.HealthCheck(engine)
+	b.core.RunDue(b.now)
 }
 
 // connect lets the oldest line that is dialled come up.
-func (b *bench) connect() *socket {
+func (b *testbed) connect() *fakeEngineSocket {
 	b.t.Helper()
 	if len(b.dials) == 0 {
 		b.t.Fatal("no line is dialled")
 	}
-	s := &socket{line: b.dials[0]}
+	s := &fakeEngineSocket{conn: b.dials[0]}
 	b.dials = b.dials[1:]
-	b.lines = append(b.lines, s)
-	b.core.Begin(b.now)
-	b.core.LineDialled(s.line, s, nil)
-	b.core.Turn(b.now)
+	b.engines = append(b.engines, s)
+	b.core.SetTime(b.now)
+	b.core.EngineConnected(s.conn, s, nil)
+	b.core.RunDue(b.now)
 	return s
 }
 
-// held answers a reader's send.
-func (b *bench) held(s *socket) {
-	b.core.Begin(b.now)
-	b.core.LineHead(s.line, &http.Response{Status: "202", StatusCode: 202, Header: http.Header{}}, nil)
-	b.core.LineEnd(s.line, []byte(`{"cached_tokens":0}`), true)
-	b.core.Turn(b.now)
+// answerPrefill answers a reader's send.
+func (b *testbed) answerPrefill(s *fakeEngineSocket) {
+	b.core.SetTime(b.now)
+	b.core.ResponseHead(s.conn, &http.Response{Status: "202", StatusCode: 202, Header: http.Header{}}, nil)
+	b.core.ResponseComplete(s.conn, []byte(`{"cached_tokens":0}`), true)
+	b.core.RunDue(b.now)
 }
 
-// posts counts the inferences written to engines so far.
-func (b *bench) posts() (n int) {
-	for _, s := range b.lines {
-		n += strings.Count(s.wrote.String(), "POST ")
+// countPosts counts the inferences written to engines so far.
+func (b *testbed) countPosts() (n int) {
+	for _, s := range b.engines {
+		n += strings.Count(s.written.String(), "POST ")
 	}
 	return n
 }
 
-// toldTimes are the times that engines were told with the requests that a connection carried.
-func toldTimes(t *testing.T, s *socket) (row []time.Duration) {
+// advertisedTimeouts are the times that engines were told with the requests that a connection carried.
+func advertisedTimeouts(t *testing.T, s *fakeEngineSocket) (rows []time.Duration) {
 	t.Helper()
-	in := bufio.NewReader(bytes.NewReader(s.wrote.Bytes()))
+	in := bufio.NewReader(bytes.NewReader(s.written.Bytes()))
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			return row
+			return rows
 		}
 		io.Copy(io.Discard, r.Body)
 		if r.Method != http.MethodPost {
@@ -223,40 +223,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		row = append(row, time.Duration(left*float64(time.Second)))
+		rows = append(rows, time.Duration(left*float64(time.Second)))
 	}
 }
 
 // The time that an engine is told is what is left when it is told: where its connection was slow to come up, on the turn
 // from read to write, and on a further attempt. A line that took a quarter second to come up had its engine told as much
 // too much.
-func TestEngineIsToldTheTimeThatIsLeft(t *testing.T) {
-	b := newBench(t)
-	b.list("r", "w", "w2")
-	b.ask("a1", "chat")
-	expect := func(what string, s *socket, left time.Duration) {
+func TestEngineGetsRemainingTimeout(t *testing.T) {
+	b := newTestbed(t)
+	b.setEndpoints("r", "w", "w2")
+	b.request("a1", "chat")
+	expect := func(what string, s *fakeEngineSocket, left time.Duration) {
 		t.Helper()
-		row := toldTimes(t, s)
-		if n := len(row); n == 0 || row[n-1] > left+10*time.Millisecond || row[n-1] < left-100*time.Millisecond {
-			t.Errorf("%s: %v told, %v left", what, row, left)
+		rows := advertisedTimeouts(t, s)
+		if n := len(rows); n == 0 || rows[n-1] > left+10*time.Millisecond || rows[n-1] < left-100*time.Millisecond {
+			t.Errorf("%s: %v told, %v left", what, rows, left)
 		}
 	}
 	b.pass(200 * time.Millisecond)
 	reader := b.connect()
 	expect("a connection that came up late", reader, 2800*time.Millisecond)
 	b.pass(300 * time.Millisecond)
-	b.held(reader)
+	b.answerPrefill(reader)
 	b.pass(100 * time.Millisecond)
 	writer := b.connect()
 	expect("the turn from read to write", writer, 2400*time.Millisecond)
 	b.pass(100 * time.Millisecond)
-	b.full(writer)
+	b.answerFull(writer)
 	b.pass(200 * time.Millisecond)
 	expect("a further attempt", b.connect(), 2100*time.Millisecond)
 }
 
-// asked is one more request on a client's connection.
-func (b *bench) asked(c *router.Client, name, route string, more ...string) {
+// requestOn is one more request on a client's connection.
+func (b *testbed) requestOn(c *router.ClientConnection, name, route string, more ...string) {
 	b.t.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Affinity-Key: k%s\r\nRequest-Timeout: 3.0\r\n%sContent-Length: 2\r\n\r\n{}", name, route, name, strings.Join(more, ""))
@@ -264,132 +264,132 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	a := &router.Asked{Request: r, Bytes: 2}
-	a.Call, a.Party, a.Wrong = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
-	b.core.Begin(b.now)
-	b.core.Ask(c, a)
-	b.core.Turn(b.now)
+	a := &router.ClientRequest{Request: r, Bytes: 2}
+	a.Call, a.Caller, a.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
+	b.core.SetTime(b.now)
+	b.core.ReceiveRequest(c, a)
+	b.core.RunDue(b.now)
 }
 
-// answers reads what a client got: the status of each answer in order.
-func answers(t *testing.T, out *screen) (row []int) {
+// responseStatuses reads what a client got: the status of each answer in order.
+func responseStatuses(t *testing.T, out *fakeClientSocket) (rows []int) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(out.Bytes()))
 	for {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			return row
+			return rows
 		}
 		io.Copy(io.Discard, r.Body)
-		row = append(row, r.StatusCode)
+		rows = append(rows, r.StatusCode)
 	}
 }
 
 // A request that was read is answered, however many a client sends ahead: a fifth one closed the connection, with all
 // that waited on it. What cannot be read behind them is answered last.
-func TestRequestsThatAreReadAheadAreAllAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	for _, count := range []int{4, 6, 20, 200} {
-		b := newBench(t)
-		c, out := b.ask("a0", "chat")
+		b := newTestbed(t)
+		c, out := b.request("a0", "chat")
 		for i := 1; i < count; i++ {
-			b.asked(c, fmt.Sprint("a", i), "chat")
+			b.requestOn(c, fmt.Sprint("a", i), "chat")
 		}
-		b.core.Begin(b.now)
-		b.core.RefuseMessage(c, io.ErrUnexpectedEOF)
-		b.core.Turn(b.now)
+		b.core.SetTime(b.now)
+		b.core.RejectMessage(c, io.ErrUnexpectedEOF)
+		b.core.RunDue(b.now)
 		b.pass(20 * time.Second) // no connection to an engine comes up: each gets its error in time
-		row := answers(t, out)
-		if len(row) != count+1 || row[count] != http.StatusBadRequest || !out.shut {
-			t.Errorf("%d requests and a message that cannot be read: %v, closed %v", count, row, out.shut)
+		rows := responseStatuses(t, out)
+		if len(rows) != count+1 || rows[count] != http.StatusBadRequest || !out.closed {
+			t.Errorf("%d requests and a message that cannot be read: %v, closed %v", count, rows, out.closed)
 		}
 	}
 }
 
 // Where a node has all the connections that it may, and where it holds too many bytes, it says so: a request that is on
 // its way on the connection is owed an answer.
-func TestConnectionsThatAreTooManyAreAnswered(t *testing.T) {
-	b := newBench(t)
-	var last *screen
+func TestExcessConnectionsAreAnswered(t *testing.T) {
+	b := newTestbed(t)
+	var last *fakeClientSocket
 	for i := range 600 { // more than 46 of a hundred of 1,024 descriptors
-		_, last = b.ask(fmt.Sprint("a", i), "chat")
+		_, last = b.request(fmt.Sprint("a", i), "chat")
 	}
-	if row := answers(t, last); len(row) != 1 || row[0] != http.StatusServiceUnavailable {
-		t.Errorf("one connection more than there may be: %v", row)
+	if rows := responseStatuses(t, last); len(rows) != 1 || rows[0] != http.StatusServiceUnavailable {
+		t.Errorf("one connection more than there may be: %v", rows)
 	}
-	b = newBench(t)
-	out := &screen{}
-	c := &router.Client{ID: 1 << 40, Socket: out}
-	b.core.Begin(b.now)
+	b = newTestbed(t)
+	out := &fakeClientSocket{}
+	c := &router.ClientConnection{ID: 1 << 40, Socket: out}
+	b.core.SetTime(b.now)
 	b.core.ClientOpened(c)
-	b.core.Reading(c, admission.HeadWhole, 64<<20)
-	b.core.Turn(b.now)
-	if row := answers(t, out); len(row) != 1 || row[0] != http.StatusServiceUnavailable {
-		t.Errorf("half a request with more bytes than there may be: %v", row)
+	b.core.ReceivePartial(c, admission.HeadWhole, 64<<20)
+	b.core.RunDue(b.now)
+	if rows := responseStatuses(t, out); len(rows) != 1 || rows[0] != http.StatusServiceUnavailable {
+		t.Errorf("half a request with more bytes than there may be: %v", rows)
 	}
 }
 
 // A client that has gone is sent on nowhere: not while its line is dialled, nor between read and write, nor while
 // it waits for a writer. Its state is let go of all the same.
-func TestNothingIsSentOnForAClientThatHasGone(t *testing.T) {
+func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	for _, route := range []string{"chat", "alert"} {
-		b := newUnacknowledgedBench(t)
-		c, _ := b.ask("a1", route)
-		b.core.ClientGone(c)
+		b := newUnacknowledgedTestbed(t)
+		c, _ := b.request("a1", route)
+		b.core.ClientDisconnected(c)
 		b.connect()
 		b.pass(3 * time.Second)
-		if n := b.posts(); n != 0 {
+		if n := b.countPosts(); n != 0 {
 			t.Errorf("%s: %d sends for a client that left while its line was dialled", route, n)
 		}
 
-		b = newUnacknowledgedBench(t)
-		c, _ = b.ask("a2", route)
+		b = newUnacknowledgedTestbed(t)
+		c, _ = b.request("a2", route)
 		s := b.connect()
-		b.core.ClientGone(c)
-		b.held(s)
+		b.core.ClientDisconnected(c)
+		b.answerPrefill(s)
 		b.pass(3 * time.Second)
-		if n := b.posts(); n != 1 {
+		if n := b.countPosts(); n != 1 {
 			t.Errorf("%s: %d sends, the read among them, for a client that left while it was read", route, n)
 		}
 
-		b = newUnacknowledgedBench(t)
-		b.list("r") // no writer is there
-		c, _ = b.ask("a3", route)
+		b = newUnacknowledgedTestbed(t)
+		b.setEndpoints("r") // no writer is there
+		c, _ = b.request("a3", route)
 		s = b.connect()
-		b.held(s)
+		b.answerPrefill(s)
 		b.pass(50 * time.Millisecond)
-		b.core.ClientGone(c)
-		b.list("r", "w")
+		b.core.ClientDisconnected(c)
+		b.setEndpoints("r", "w")
 		b.pass(3 * time.Second)
 		released := false
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		for _, s := range b.lines {
-			released = released || strings.Contains(s.wrote.String(), "DELETE /v1/holds/a3")
+		for _, s := range b.engines {
+			released = released || strings.Contains(s.written.String(), "DELETE /v1/holds/a3")
 		}
-		if n := b.posts(); n != 1 || !released {
+		if n := b.countPosts(); n != 1 || !released {
 			t.Errorf("%s: %d sends, state let go of: %v, for a client that left while it waited", route, n, released)
 		}
 	}
 }
 
-// mayHaveRun is a bench on which a deduplicated request was written to a writer, whose connection then broke.
-func mayHaveRun(t *testing.T) *bench {
-	b := newBench(t)
-	b.ask("a1", "label")
-	b.held(b.connect())
+// testbedAfterLostDecode is a bench on which a deduplicated request was written to a writer, whose connection then broke.
+func testbedAfterLostDecode(t *testing.T) *testbed {
+	b := newTestbed(t)
+	b.request("a1", "label")
+	b.answerPrefill(b.connect())
 	writer := b.connect()
-	b.core.Begin(b.now)
-	b.core.LineBroken(writer.line)
-	b.core.Turn(b.now)
+	b.core.SetTime(b.now)
+	b.core.EngineDisconnected(writer.conn)
+	b.core.RunDue(b.now)
 	return b
 }
 
 // Found by random settings: a class is deduplicated for a time, and the window passed while the connection of the second
 // attempt came up. It is looked at again before the first byte.
-func TestWindowThatPassesWhileAConnectionComesUp(t *testing.T) {
+func TestDedupWindowExpiresWhileDialing(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
-		b := mayHaveRun(t)
+		b := testbedAfterLostDecode(t)
 		b.pass(after)
 		for len(b.dials) > 0 {
 			b.connect()
@@ -398,7 +398,7 @@
 		if after > 300*time.Millisecond {
 			want = 2
 		}
-		if n := b.posts(); n != want {
+		if n := b.countPosts(); n != want {
 			t.Errorf("after %v: %d attempts, not %d", after, n, want)
 		}
 	}
@@ -406,53 +406,53 @@
 
 // Engines that are always new must not be remembered for good.
 func TestDepartedEnginesAreForgotten(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	for i := range 500 {
-		b.list("r", fmt.Sprint("w", i))
+		b.setEndpoints("r", fmt.Sprint("w", i))
 		b.pass(time.Second)
 	}
-	if n := b.core.Remembers(); n > 80 {
+	if n := b.core.KnownEngines(); n > 80 {
 		t.Errorf("after 500 engines came and went, %d are remembered", n)
 	}
 }
 
 // Rule 2 broke once on a soak: a non-retriable was refused after it may have run. The rest of a stream that broke is
 // asked for under a new name, and whatever bound refuses it, a refusal would say that a further try is harmless.
-func TestRestOfAStreamIsNotRefusedAsIfItNeverRan(t *testing.T) {
+func TestResumedStreamIsNotShedAsIfItNeverRan(t *testing.T) {
 	for _, at := range []struct{ route, retry, status string }{
 		{"chat", "", "503"}, {"alert", "", "503"}, {"alert", "Client-Retry: 1\r\n", "503"},
 		{"chat", "Client-Retry: again\r\n", "503"}, {"alert", "Client-Retry: again\r\n", "502"},
 	} {
-		b := newBench(t)
-		b.core.Begin(b.now)
-		b.core.Stopping()
+		b := newTestbed(t)
+		b.core.SetTime(b.now)
+		b.core.Shutdown()
 		b.pass(5 * time.Second)
-		_, out := b.ask("a1", at.route, at.retry)
+		_, out := b.request("a1", at.route, at.retry)
 		if got := out.String(); !strings.HasPrefix(got, "HTTP/1.1 "+at.status) {
 			t.Errorf("%s %q: %q", at.route, at.retry, got)
 		}
 	}
 }
 
-// full answers a writer's send: it never ran.
-func (b *bench) full(s *socket) {
-	b.core.Begin(b.now)
-	b.core.LineHead(s.line, &http.Response{Status: "503", StatusCode: 503, Header: http.Header{"Not-Started": {"1"}}}, nil)
-	b.core.LineEnd(s.line, nil, true)
-	b.core.Turn(b.now)
+// answerFull answers a writer's send: it never ran.
+func (b *testbed) answerFull(s *fakeEngineSocket) {
+	b.core.SetTime(b.now)
+	b.core.ResponseHead(s.conn, &http.Response{Status: "503", StatusCode: 503, Header: http.Header{"Not-Started": {"1"}}}, nil)
+	b.core.ResponseComplete(s.conn, nil, true)
+	b.core.RunDue(b.now)
 }
 
 // Found on settings of our own, rolling restarts under engines that hang: a state was held past the pin limit, as its
 // reader hung and was told six times to let go of it. Any engine takes that word, so one that answers is told too.
-func TestStateOfAReaderThatHangsIsReleasedElsewhere(t *testing.T) {
-	b := newBench(t)
-	b.list("r", "w", "w2") // one of the writers has answered before, the other never
-	c, _ := b.ask("a1", "alert")
-	b.held(b.connect())
-	b.full(b.connect())
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
+func TestReservationOfAHungPrefillEngineIsReleasedElsewhere(t *testing.T) {
+	b := newTestbed(t)
+	b.setEndpoints("r", "w", "w2") // one of the writers has answered before, the other never
+	c, _ := b.request("a1", "alert")
+	b.answerPrefill(b.connect())
+	b.answerFull(b.connect())
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
 	for range 700 { // well under the pin limit of a second
 		b.pass(time.Millisecond)
 		for len(b.dials) > 0 {
@@ -460,8 +460,8 @@
 		}
 	}
 	told := map[string]int{}
-	for _, s := range b.lines {
-		told[s.line.Engine] += strings.Count(s.wrote.String(), "DELETE /v1/holds/a1 ")
+	for _, s := range b.engines {
+		told[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if told["r"] == 0 || told["w"] == 0 || told["w2"] == 0 {
 		t.Errorf("told to let go: %v", told)
@@ -469,52 +469,52 @@
 }
 
 // A node must not end between two tries to let go of a state: whoever asks what it holds hears of the second.
-func TestReleaseThatIsTriedAgainIsHeldUntilThen(t *testing.T) {
-	b := newBench(t)
-	c, _ := b.ask("a1", "alert")
+func TestPendingReleaseRetryCountsAsInFlight(t *testing.T) {
+	b := newTestbed(t)
+	c, _ := b.request("a1", "alert")
 	s := b.connect()
-	b.held(s)
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.LineBroken(s.line) // the release went out on the connection of the read
-	b.core.Turn(b.now)
-	if n := b.core.Holding().Controls; n == 0 {
+	b.answerPrefill(s)
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.EngineDisconnected(s.conn) // the release went out on the connection of the read
+	b.core.RunDue(b.now)
+	if n := b.core.InFlight().ControlRequests; n == 0 {
 		t.Error("nothing is held while a release waits for its second try")
 	}
 }
 
 // releases counts the releases written for a name, whichever engine they went to. Connections that are dialled come up.
-func (b *bench) releases(name string) (n int) {
+func (b *testbed) releases(name string) (n int) {
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	for _, s := range b.lines {
-		n += strings.Count(s.wrote.String(), "DELETE /v1/holds/"+name+" ")
+	for _, s := range b.engines {
+		n += strings.Count(s.written.String(), "DELETE /v1/holds/"+name+" ")
 	}
 	return n
 }
 
-// writeOut is a core with an inference whose write has been sent and not answered.
-func writeOut(t *testing.T, route string) (*bench, *router.Client, *socket) {
-	b := newBench(t)
-	c, _ := b.ask("a1", route)
-	b.held(b.connect())
+// testbedWithDecodeInFlight is a core with an inference whose write has been sent and not answered.
+func testbedWithDecodeInFlight(t *testing.T, route string) (*testbed, *router.ClientConnection, *fakeEngineSocket) {
+	b := newTestbed(t)
+	c, _ := b.request("a1", route)
+	b.answerPrefill(b.connect())
 	return b, c, b.connect()
 }
 
 // An engine lets go of what no attempt waits for. A release that is written right behind the close of an attempt's
 // connection may arrive before the close is seen, and lets go of nothing then: it is sent again.
-func TestReleaseIsRepeatedBehindAnAttemptThatIsCut(t *testing.T) {
-	b, c, _ := writeOut(t, "chat")
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
+func TestReleaseIsRepeatedAfterACancelledAttempt(t *testing.T) {
+	b, c, _ := testbedWithDecodeInFlight(t, "chat")
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
 	for range 20 { // each answered
 		b.releases("a1")
-		for _, s := range b.lines {
-			if strings.Contains(s.wrote.String(), "DELETE") && !s.shut {
-				b.core.LineHead(s.line, &http.Response{Status: "204", StatusCode: 204, Header: http.Header{}}, nil)
-				b.core.LineEnd(s.line, nil, true)
+		for _, s := range b.engines {
+			if strings.Contains(s.written.String(), "DELETE") && !s.closed {
+				b.core.ResponseHead(s.conn, &http.Response{Status: "204", StatusCode: 204, Header: http.Header{}}, nil)
+				b.core.ResponseComplete(s.conn, nil, true)
 			}
 		}
 		b.pass(5 * time.Millisecond)
@@ -524,21 +524,21 @@
 	if again := b.releases("a1"); early == 0 || again <= early {
 		t.Errorf("%d releases at once, %d after 0.7 s", early, again)
 	}
-	if h := b.core.Holding(); h.Held != 1 || h.OldestHold < 600*time.Millisecond {
+	if h := b.core.InFlight(); h.Reservations != 1 || h.OldestReservation < 600*time.Millisecond {
 		t.Errorf("the node says that it holds %+v", h)
 	}
 }
 
 // What is written to a machine that was cut off, or whose process does not run, is an attempt for the node alone. Its
 // state must be released in time all the same, and once more if the attempt comes back without having taken it.
-func TestStateBehindAnAttemptThatNeverArrives(t *testing.T) {
-	b, _, writer := writeOut(t, "alert")
+func TestReservationBehindAnUndeliveredAttemptIsReleased(t *testing.T) {
+	b, _, writer := testbedWithDecodeInFlight(t, "alert")
 	b.pass(time.Second)
 	early := b.releases("a1")
 	if early == 0 {
 		t.Error("no release within the limit")
 	}
-	b.full(writer)
+	b.answerFull(writer)
 	b.pass(10 * time.Millisecond)
 	if again := b.releases("a1"); again <= early {
 		t.Errorf("%d releases before the writer refuses, %d after", early, again)
@@ -546,14 +546,14 @@
 }
 
 // The time of a state runs from when its read ended, not from when a process that was not run came to hear of it.
-func TestStateThatIsHeardOfLateIsReleasedInTime(t *testing.T) {
-	b := newBench(t)
-	b.list("r") // no writer is there
-	b.ask("a1", "alert")
+func TestReservationReportedLateIsReleasedInTime(t *testing.T) {
+	b := newTestbed(t)
+	b.setEndpoints("r") // no writer is there
+	b.request("a1", "alert")
 	s := b.connect()
 	b.pass(700 * time.Millisecond)
-	b.core.EventsSince(b.now - int64(600*time.Millisecond))
-	b.held(s)
+	b.core.SetEarliestEventTime(b.now - int64(600*time.Millisecond))
+	b.answerPrefill(s)
 	b.pass(200 * time.Millisecond)
 	if b.releases("a1") == 0 {
 		t.Error("a state that was held for 0.8 s is not released")
@@ -561,81 +561,90 @@
 }
 
 // What the module holds when it fails is released, whatever it waited for: a read that is out, a state, a write.
-func TestStatesAreReleasedWhenTheModuleFails(t *testing.T) {
+func TestReservationsAreReleasedWhenThePolicyPanics(t *testing.T) {
 	for _, at := range []string{"read", "held", "write"} {
-		b := newBench(t)
-		b.mayFail = true
+		b := newTestbed(t)
+		b.mayPanic = true
 		if at == "held" {
-			b.list("r") // no writer is there
+			b.setEndpoints("r") // no writer is there
 		}
-		b.ask("a1", "alert")
+		b.request("a1", "alert")
 		s := b.connect()
 		if at != "read" {
-			b.held(s)
+			b.answerPrefill(s)
 		}
 		if at == "write" {
 			b.connect()
 		}
-		b.fails = true
-		b.list("r", "w")
+		b.panicNext = true
+		b.setEndpoints("r", "w")
 		b.pass(600 * time.Millisecond)
-		if n := b.releases("a1"); n == 0 || b.core.Holding().Inferences != 0 {
-			t.Errorf("%s: %d releases, %+v", at, n, b.core.Holding())
+		if n := b.releases("a1"); n == 0 || b.core.InFlight().Requests != 0 {
+			t.Errorf("%s: %d releases, %+v", at, n, b.core.InFlight())
 		}
 	}
 }
 
 // A release that is answered with anything but an acknowledgement is sent to others, and given up in the end.
-func TestReleasesThatAreNotAcknowledged(t *testing.T) {
+func TestUnacknowledgedReleasesAreAbandoned(t *testing.T) {
 	head := func(status int) *http.Response {
 		return &http.Response{Status: fmt.Sprint(status), StatusCode: status, Header: http.Header{}}
 	}
-	for what, answer := range map[string]func(b *bench, s *socket){
-		"404":     func(b *bench, s *socket) { b.core.LineHead(s.line, head(404), nil); b.core.LineEnd(s.line, nil, true) },
-		"500":     func(b *bench, s *socket) { b.core.LineHead(s.line, head(500), nil); b.core.LineEnd(s.line, nil, true) },
-		"noise":   func(b *bench, s *socket) { b.core.LineGarbled(s.line, io.ErrUnexpectedEOF) },
-		"half":    func(b *bench, s *socket) { b.core.LineHead(s.line, head(204), nil); b.core.LineBroken(s.line) },
-		"nothing": func(*bench, *socket) {},
-		"a reset": func(b *bench, s *socket) { b.core.LineBroken(s.line) },
+	for what, answer := range map[string]func(b *testbed, s *fakeEngineSocket){
+		"404": func(b *testbed, s *fakeEngineSocket) {
+			b.core.ResponseHead(s.conn, head(404), nil)
+			b.core.ResponseComplete(s.conn, nil, true)
+		},
+		"500": func(b *testbed, s *fakeEngineSocket) {
+			b.core.ResponseHead(s.conn, head(500), nil)
+			b.core.ResponseComplete(s.conn, nil, true)
+		},
+		"noise": func(b *testbed, s *fakeEngineSocket) { b.core.ResponseInvalid(s.conn, io.ErrUnexpectedEOF) },
+		"half": func(b *testbed, s *fakeEngineSocket) {
+			b.core.ResponseHead(s.conn, head(204), nil)
+			b.core.EngineDisconnected(s.conn)
+		},
+		"nothing": func(*testbed, *fakeEngineSocket) {},
+		"a reset": func(b *testbed, s *fakeEngineSocket) { b.core.EngineDisconnected(s.conn) },
 	} {
-		b, c, _ := writeOut(t, "chat")
-		b.expected = invariant.HeldTooLong
-		b.list("r", "w", "w2")
-		b.core.Begin(b.now)
-		b.core.ClientGone(c)
-		b.core.Turn(b.now)
-		answered, engines := map[*socket]int{}, map[string]bool{}
+		b, c, _ := testbedWithDecodeInFlight(t, "chat")
+		b.expectedViolation = invariant.HeldTooLong
+		b.setEndpoints("r", "w", "w2")
+		b.core.SetTime(b.now)
+		b.core.ClientDisconnected(c)
+		b.core.RunDue(b.now)
+		answered, engines := map[*fakeEngineSocket]int{}, map[string]bool{}
 		for range 3000 { // 15 seconds
 			b.releases("a1")
-			for _, s := range b.lines {
-				if n := strings.Count(s.wrote.String(), "DELETE"); n > answered[s] && !s.shut {
+			for _, s := range b.engines {
+				if n := strings.Count(s.written.String(), "DELETE"); n > answered[s] && !s.closed {
 					answered[s] = n
-					engines[s.line.Engine] = true
-					b.core.Begin(b.now)
+					engines[s.conn.Engine] = true
+					b.core.SetTime(b.now)
 					answer(b, s)
-					b.core.Turn(b.now)
+					b.core.RunDue(b.now)
 				}
 			}
 			b.pass(5 * time.Millisecond)
 		}
-		if n := b.releases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.Holding().Held != 0 {
-			t.Errorf("%s: %d releases to %d engines, %+v", what, n, len(engines), b.core.Holding())
+		if n := b.releases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.InFlight().Reservations != 0 {
+			t.Errorf("%s: %d releases to %d engines, %+v", what, n, len(engines), b.core.InFlight())
 		}
 	}
 }
 
 // One engine that hangs must not cost the time of the next try: a release goes to two engines at once where connections
 // are there.
-func TestReleaseGoesToTwoEnginesAtOnce(t *testing.T) {
-	b, c, writer := writeOut(t, "chat")
-	b.full(writer)
+func TestReleaseGoesToTwoEnginesInParallel(t *testing.T) {
+	b, c, writer := testbedWithDecodeInFlight(t, "chat")
+	b.answerFull(writer)
 	b.pass(25 * time.Millisecond) // its connection rests now, as the reader's does
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
 	told := map[string]int{}
-	for _, s := range b.lines {
-		told[s.line.Engine] += strings.Count(s.wrote.String(), "DELETE /v1/holds/a1 ")
+	for _, s := range b.engines {
+		told[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if told["r"] != 1 || told["w"] != 1 {
 		t.Errorf("told at once: %v", told)
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -10,97 +10,97 @@
 	"sandcourse/internal/attempt"
 )
 
-// Digest writes all that later events may hang on: the module's state, what is open, lines by what they carry
+// Fingerprint writes all that later events may hang on: the module's state, what is open, lines by what they carry
 // and not by their numbers, timers by what they stand for. It is for explorers and decides nothing.
-func (o *Core) Digest(w io.Writer) {
-	o.brain.Fingerprint(w)
-	for _, id := range o.ids() {
-		inf := o.infs[id]
-		fmt.Fprintln(w, "inf", id, inf.client.ID, inf.began, inf.final, inf.transfer, o.now-inf.at,
-			max(0, inf.cutUntil-o.now))
-		for _, s := range inf.sends {
-			fmt.Fprintln(w, s.engine, s.writes, o.now-s.at, s.machine, s.ended, s.verdict, s.heads, o.now-s.lastToken)
+func (r *Router) Fingerprint(w io.Writer) {
+	r.policy.Fingerprint(w)
+	for _, id := range r.requestIDs() {
+		req := r.requests[id]
+		fmt.Fprintln(w, "inf", id, req.client.ID, req.streaming, req.outcome, req.transfer, r.now-req.arrivedAt,
+			max(0, req.abandonedUntil-r.now))
+		for _, att := range req.attempts {
+			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict, att.responseHeads, r.now-att.lastTokenAt)
 		}
 	}
-	var rows []string
-	for _, id := range o.pool.All() {
-		state, since := o.pool.Look(id)
-		l := o.lines[id]
-		if l == nil {
-			rows = append(rows, fmt.Sprintln("line without a socket", state))
+	var lines []string
+	for _, id := range r.pool.All() {
+		state, since := r.pool.Look(id)
+		conn := r.engineConnections[id]
+		if conn == nil {
+			lines = append(lines, fmt.Sprintln("line without a socket", state))
 			continue
 		}
 		carries := "nothing"
-		if l.send != nil {
-			carries = fmt.Sprint("inf ", l.send.inf.id, " send ", l.send.n)
-		} else if l.control != nil {
-			carries = "control " + l.control.what()
+		if conn.attempt != nil {
+			carries = fmt.Sprint("inf ", conn.attempt.request.id, " send ", conn.attempt.index)
+		} else if conn.control != nil {
+			carries = "control " + conn.control.describe()
 		}
-		rows = append(rows, fmt.Sprintln("line", l.Engine, state, o.now-since, carries, l.restSince > 0, l.socket != nil,
-			l.again, min(o.now-l.wroteAt, atOnce)))
+		lines = append(lines, fmt.Sprintln("line", conn.Engine, state, r.now-since, carries, conn.drainingSince > 0, conn.socket != nil,
+			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
-	fmt.Fprintln(w, o.pool.HastyFor(o.now))
-	for e := range o.controls {
-		rows = append(rows, fmt.Sprintln("control", e.engine, e.what(), o.now-e.at))
+	fmt.Fprintln(w, r.pool.HastyFor(r.now))
+	for control := range r.controlRequests {
+		lines = append(lines, fmt.Sprintln("control", control.engine, control.describe(), r.now-control.startedAt))
 	}
-	for _, t := range o.timers {
-		if what := o.brain.DescribeTimer(t.token); what != "" {
-			rows = append(rows, fmt.Sprintln("timer", t.at-o.now, what))
+	for _, t := range r.timers {
+		if what := r.policy.DescribeTimer(t.token); what != "" {
+			lines = append(lines, fmt.Sprintln("timer", t.at-r.now, what))
 		}
 	}
-	for _, h := range o.holds.All() {
-		rows = append(rows, fmt.Sprintln("hold", h.Describe(o.now)))
+	for _, reserved := range r.reservations.All() {
+		lines = append(lines, fmt.Sprintln("hold", reserved.Describe(r.now)))
 	}
-	slices.Sort(rows)
-	io.WriteString(w, strings.Join(rows, ""))
-	for _, id := range slices.Sorted(maps.Keys(o.clients)) {
-		c := o.clients[id]
-		fmt.Fprintln(w, "client", id, c.serving, c.gone, c.closing, len(c.waiting))
+	slices.Sort(lines)
+	io.WriteString(w, strings.Join(lines, ""))
+	for _, id := range slices.Sorted(maps.Keys(r.clients)) {
+		client := r.clients[id]
+		fmt.Fprintln(w, "client", id, client.serving, client.disconnected, client.closing, len(client.waiting))
 	}
-	for _, engine := range slices.Sorted(maps.Keys(o.told)) {
-		fmt.Fprintln(w, "told", engine, o.now-o.told[engine])
+	for _, engine := range slices.Sorted(maps.Keys(r.drains)) {
+		fmt.Fprintln(w, "told", engine, r.now-r.drains[engine])
 	}
-	for _, engine := range slices.Sorted(maps.Keys(o.starts.known)) {
-		fmt.Fprintln(w, "start", engine, o.now-o.starts.known[engine].at)
+	for _, engine := range slices.Sorted(maps.Keys(r.starts.byEngine)) {
+		fmt.Fprintln(w, "start", engine, r.now-r.starts.byEngine[engine].at)
 	}
-	fmt.Fprintln(w, o.swept-o.now, o.lives, o.lists.newest-o.lists.latest.Revision, max(0, o.lists.againAt-o.now))
+	fmt.Fprintln(w, r.reapedAt-r.now, r.policyIncarnation, r.listHistory.newestRevision-r.listHistory.latest.Revision, max(0, r.listHistory.recheckAt-r.now))
 }
 
-// what tells control requests apart.
-func (e *controlRequest) what() string {
-	if e.hold == nil {
+// describe tells control requests apart.
+func (e *controlRequest) describe() string {
+	if e.reservation == nil {
 		return "probe"
 	}
-	return fmt.Sprint("release ", e.hold.ID, " ", e.hold.Round-e.round)
+	return fmt.Sprint("release ", e.reservation.ID, " ", e.reservation.Round-e.round)
 }
 
-// Sent is one send as an explorer sees it.
-type Sent struct {
-	Inference, Engine string
-	Writes, Ended     bool
-	State             attempt.State
-	Verdict           string
+// OpenAttempt is one send as an explorer sees it.
+type OpenAttempt struct {
+	Request, Engine string
+	Decode, Ended   bool
+	State           attempt.State
+	Verdict         string
 }
 
-// Open lists, by inference, the sends of all that is open.
-func (o *Core) Open() (row []Sent) {
-	for _, id := range o.ids() {
-		for _, s := range o.infs[id].sends {
-			row = append(row, Sent{o.infs[id].name, s.engine, s.writes, s.ended, s.machine.State, verdictNames[s.verdict]})
+// OpenAttempts lists, by inference, the sends of all that is open.
+func (r *Router) OpenAttempts() (rows []OpenAttempt) {
+	for _, id := range r.requestIDs() {
+		for _, att := range r.requests[id].attempts {
+			rows = append(rows, OpenAttempt{r.requests[id].name, att.engine, att.decode, att.ended, att.machine.State, verdictNames[att.verdict]})
 		}
 	}
-	return row
+	return rows
 }
 
-// Took is which rows of the tables of brain, attempt and conns were taken so far, a bit each from bit 0.
-func (o *Core) Took() (brain, attempts, lines uint64) {
-	return o.brain.FiredTransitions(), o.took >> 1, o.pool.Took()
+// FiredTransitions is which rows of the tables of brain, attempt and conns were taken so far, a bit each from bit 0.
+func (r *Router) FiredTransitions() (brain, attempts, lines uint64) {
+	return r.policy.FiredTransitions(), r.firedTransitions >> 1, r.pool.Took()
 }
 
-// BusyLines is how many lines carry something or wait for the rest of an answer.
-func (o *Core) BusyLines() (n int) {
-	for _, l := range o.lines {
-		if l.send != nil || l.control != nil || l.restSince > 0 || l.socket == nil {
+// BusyConnections is how many lines carry something or wait for the rest of an answer.
+func (r *Router) BusyConnections() (n int) {
+	for _, conn := range r.engineConnections {
+		if conn.attempt != nil || conn.control != nil || conn.drainingSince > 0 || conn.socket == nil {
 			n++
 		}
 	}
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -12,26 +12,26 @@
 	"sandcourse/internal/routing"
 )
 
-// departed is for how long an engine is remembered that has left the list. A minute: several times what a
+// departedRetention is for how long an engine is remembered that has left the list. A minute: several times what a
 // connection may need to come up, after which nothing is written to it.
-const departed = int64(time.Minute)
+const departedRetention = int64(time.Minute)
 
-// reads is whether a send to an engine asks for a read: by its kind, or, where an engine of both roles does not
+// isPrefill is whether a send to an engine asks for a read: by its kind, or, where an engine of both roles does not
 // answer what it is asked to read, by whether a state is at hand.
-func (o *Core) reads(engineID string, inf *inference) bool {
-	switch o.d.Role(o.entry(engineID).Kind) {
+func (r *Router) isPrefill(engineID string, req *request) bool {
+	switch r.config.Role(r.endpointOf(engineID).Kind) {
 	case "read":
 		return true
 	case "write":
 		return false
 	}
-	return inf.transfer == nil && !o.protocol.MixedEnginePrefillsOnDecode()
+	return req.transfer == nil && !r.protocol.MixedEnginePrefillsOnDecode()
 }
 
-// entry is what the list says of an engine; nothing of one that is not in it.
-func (o *Core) entry(engineID string) endpoint.Entry {
-	if o.list != nil {
-		for _, e := range o.list.Entries {
+// endpointOf is what the list says of an engine; nothing of one that is not in it.
+func (r *Router) endpointOf(engineID string) endpoint.Entry {
+	if r.endpoints != nil {
+		for _, e := range r.endpoints.Entries {
 			if e.ID == engineID {
 				return e
 			}
@@ -40,75 +40,75 @@
 	return endpoint.Entry{}
 }
 
-// reach is how an engine is reached from this node: by its id, unless the list says another place.
-func (o *Core) reach(engineID string) protocol.Target {
-	e := o.entry(engineID)
+// engineAddress is how an engine is reached from this node: by its id, unless the list says another place.
+func (r *Router) engineAddress(engineID string) protocol.Target {
+	e := r.endpointOf(engineID)
 	return protocol.Target{Address: cmp.Or(e.Address, engineID), RoleEpoch: e.RoleEpoch}
 }
 
-// takeList takes a list of engines, which replaces the one before.
-func (o *Core) takeList(list endpoint.List) {
-	list.Entries = o.starts.settle(list.Entries, o.now)
-	news, unknown := o.d.EndpointUpdate(list)
+// replaceEndpoints takes a list of engines, which replaces the one before.
+func (r *Router) replaceEndpoints(list endpoint.List) {
+	list.Entries = r.starts.normalize(list.Entries, r.now)
+	update, unknown := r.config.EndpointUpdate(list)
 	ready := map[string]bool{}
-	for _, e := range news.Engines {
+	for _, e := range update.Engines {
 		ready[e.Engine] = e.Ready
-		if !slices.Contains(o.listed, e.Engine) {
-			o.listed = append(o.listed, e.Engine)
+		if !slices.Contains(r.knownEngines, e.Engine) {
+			r.knownEngines = append(r.knownEngines, e.Engine)
 		}
 	}
-	o.told.HearAll(ready, o.listed, o.now)
-	o.listed = slices.DeleteFunc(o.listed, func(engine string) bool {
+	r.drains.HearAll(ready, r.knownEngines, r.now)
+	r.knownEngines = slices.DeleteFunc(r.knownEngines, func(engine string) bool {
 		_, listed := ready[engine]
-		gone := !listed && o.now-o.told[engine] > departed
+		gone := !listed && r.now-r.drains[engine] > departedRetention
 		if gone {
-			delete(o.told, engine)
+			delete(r.drains, engine)
 		}
 		return gone
 	})
-	maps.DeleteFunc(o.answeredAt, func(engine string, at int64) bool {
+	maps.DeleteFunc(r.lastResponseAt, func(engine string, at int64) bool {
 		_, listed := ready[engine]
-		return !listed && o.now-at > departed
+		return !listed && r.now-at > departedRetention
 	})
-	o.list = &list
-	o.closeMoved()
-	o.watch.Listed(list.Revision, len(news.Engines), unknown)
-	o.tell(news)
+	r.endpoints = &list
+	r.closeMovedConnections()
+	r.observer.EndpointsUpdated(list.Revision, len(update.Engines), unknown)
+	r.notifyPolicy(update)
 }
 
-// closeMoved closes the idle connections to addresses that are not their engines' any more: another engine may listen
+// closeMovedConnections closes the idle connections to addresses that are not their engines' any more: another engine may listen
 // there by now. Those that carry something are left to it, and closed behind it.
-func (o *Core) closeMoved() {
+func (r *Router) closeMovedConnections() {
 	hosts := map[string]string{}
-	for _, e := range o.list.Entries {
+	for _, e := range r.endpoints.Entries {
 		hosts[e.ID] = cmp.Or(e.Address, e.ID)
 	}
-	for _, id := range o.pool.All() {
-		l := o.lines[id]
-		if l == nil {
+	for _, id := range r.pool.All() {
+		conn := r.engineConnections[id]
+		if conn == nil {
 			continue
 		}
-		if host, listed := hosts[l.Engine]; listed && host != l.Host && o.pool.State(id) == connpool.Idle {
-			o.pool.Happen(id, connpool.Aged, o.now)
-			o.closeLine(id)
+		if host, listed := hosts[conn.Engine]; listed && host != conn.Host && r.pool.State(id) == connpool.Idle {
+			r.pool.Happen(id, connpool.Aged, r.now)
+			r.closeConnection(id)
 		}
 	}
 }
 
-func (o *Core) unready() string {
+func (r *Router) notReadyReason() string {
 	switch {
-	case o.stopping:
+	case r.stopping:
 		return "this node is stopping"
-	case o.list == nil:
+	case r.endpoints == nil:
 		return "no list of engines has come yet"
-	case len(o.list.Entries) == 0:
+	case len(r.endpoints.Entries) == 0:
 		return "the list of engines is empty"
 	}
 	return ""
 }
 
-// Heard takes a text of another node.
-func (o *Core) Heard(from int, text string) {
-	o.heardAt = o.now
-	o.tell(routing.GossipReceived{From: from, Text: text})
+// ReceivePeerMessage takes a text of another node.
+func (r *Router) ReceivePeerMessage(from int, text string) {
+	r.peerHeardAt = r.now
+	r.notifyPolicy(routing.GossipReceived{From: from, Text: text})
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Probe asks an engine for its load.
-func (o *Core) Probe(engine string) { o.startControl(&controlRequest{engine: engine}) }
+// HealthCheck asks an engine for its load.
+func (r *Router) HealthCheck(engine string) { r.startControl(&controlRequest{engine: engine}) }
 
-// TakeNames notes so many names of requests.
-func (o *Core) TakeNames(n int) {
+// AddNames notes so many names of requests.
+func (r *Router) AddNames(n int) {
 	for i := range n {
-		o.names.take(fmt.Sprint("flood", i))
+		r.requestNames.add(fmt.Sprint("flood", i))
 	}
 }
 
-// Remembers is how many engines the core knows.
-func (o *Core) Remembers() int { return max(len(o.listed), len(o.told)) }
+// KnownEngines is how many engines the core knows.
+func (r *Router) KnownEngines() int { return max(len(r.knownEngines), len(r.drains)) }
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -15,239 +15,243 @@
 	"sandcourse/internal/routing"
 )
 
-// inference is one call of a client from its arrival until its final answer is out and none of its sends is.
-type inference struct {
-	id       int64
-	name     string
-	client   *Client
-	asked    *Asked
-	route    int
-	at       int64
-	giveUpAt int64
-	sends    []*send
-	transfer protocol.ReservationHandle
-	whole    protocol.Collector // where the client wants one answer
-	began    bool
-	firstAt  int64
-	cutUntil int64  // until when an attempt that was given up may still act at its engine; 0 where none was
-	tokens   int    // passed on by the core; relays count theirs
-	final    string // completed, shed, errored or left; empty while none is given
+// request is one call of a client from its arrival until its final answer is out and none of its sends is.
+type request struct {
+	id             int64
+	name           string
+	client         *ClientConnection
+	received       *ClientRequest
+	route          int
+	arrivedAt      int64
+	deadline       int64
+	attempts       []*engineAttempt
+	transfer       protocol.ReservationHandle
+	collector      protocol.Collector // where the client wants one answer
+	streaming      bool
+	firstTokenAt   int64
+	abandonedUntil int64  // until when an attempt that was given up may still act at its engine; 0 where none was
+	tokens         int    // passed on by the core; relays count theirs
+	outcome        string // completed, shed, errored or left; empty while none is given
 }
 
 // The final answers, and leaving without one.
 const (
-	completed = "completed"
-	shed      = "shed"
-	errored   = "errored"
-	left      = "left"
+	outcomeCompleted = "completed"
+	outcomeShed      = "shed"
+	outcomeErrored   = "errored"
+	outcomeAbandoned = "left"
 )
 
-// arrive takes a call, or refuses it before the module hears of it.
-func (o *Core) arrive(c *Client, a *Asked) {
-	d := o.d
-	route := d.Route(a.Call.Route)
+// admitRequest takes a call, or refuses it before the module hears of it.
+func (r *Router) admitRequest(client *ClientConnection, received *ClientRequest) {
+	cfg := r.config
+	route := cfg.Route(received.Call.Route)
 	if route < 0 {
-		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
-			fmt.Sprintf("there is no model route %q", a.Call.Route)))
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
+			fmt.Sprintf("there is no model route %q", received.Call.Route)))
 		return
 	}
-	if !a.Request.ProtoAtLeast(1, 1) {
-		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusHTTPVersionNotSupported, "bad_protocol", "",
+	if !received.Request.ProtoAtLeast(1, 1) {
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusHTTPVersionNotSupported, "bad_protocol", "",
 			"calls are taken over HTTP/1.1"))
 		return
 	}
-	switch why := invariant.MayStart(invariant.Arrival{NameKnown: o.known(a.Call.ID), Taking: o.taking()}); why {
+	switch reason := invariant.MayStart(invariant.Arrival{NameKnown: r.nameKnown(received.Call.ID), Taking: r.acceptsRequests()}); reason {
 	case invariant.Allowed:
-		if a.Call.ID != "" {
-			o.names.take(a.Call.ID)
+		if received.Call.ID != "" {
+			r.requestNames.add(received.Call.ID)
 		}
 	case invariant.NameKnown:
-		o.watch.Refused("name known")
-		o.reply(c, a, o.protocol.InvalidRequestResponse(http.StatusConflict, "known", "", string(why)))
+		r.observer.Rejected("name known")
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusConflict, "known", "", string(reason)))
 		return
 	default:
-		o.shedCall(c, a, http.StatusServiceUnavailable, string(why), 0)
+		r.shedOnArrival(client, received, http.StatusServiceUnavailable, string(reason), 0)
 		return
 	}
-	if a.excess {
-		o.watch.Refused("pipelined")
-		o.shedCall(c, a, http.StatusServiceUnavailable, "too many requests wait on this connection", d.MaxRetryAfter)
+	if received.excess {
+		r.observer.Rejected("pipelined")
+		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "too many requests wait on this connection", cfg.MaxRetryAfter)
 		return
 	}
-	if !o.again.Take(o.now, a.Call.Retried) {
-		o.shedCall(c, a, http.StatusServiceUnavailable, "more calls are repeated than this node takes", d.MaxRetryAfter)
+	if !r.clientRetries.Take(r.now, received.Call.Retried) {
+		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "more calls are repeated than this node takes", cfg.MaxRetryAfter)
 		return
 	}
-	switch o.gate.Admit(c.ID, a.Party) {
+	switch r.admission.Admit(client.ID, received.Caller) {
 	case admission.OwnShare:
-		o.shedCall(c, a, http.StatusTooManyRequests, "you have your share of this node open already", d.MaxRetryAfter)
+		r.shedOnArrival(client, received, http.StatusTooManyRequests, "you have your share of this node open already", cfg.MaxRetryAfter)
 		return
 	case admission.NodeFull, admission.BytesFull:
-		o.shedCall(c, a, http.StatusServiceUnavailable, "this node holds all that it may", d.MaxRetryAfter)
+		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "this node holds all that it may", cfg.MaxRetryAfter)
 		return
 	}
-	o.nextInf++
-	inf := &inference{id: o.nextInf, name: cmp.Or(a.Call.ID, fmt.Sprintf("%s-%x-%d", d.NodeName, o.epoch, o.nextInf)),
-		client: c, asked: a, route: route, at: o.now}
-	patience := d.Routes[route].Timeout
-	if a.Call.FirstTokenTimeout > 0 {
-		patience = min(patience, a.Call.FirstTokenTimeout)
+	r.lastRequestID++
+	req := &request{id: r.lastRequestID, name: cmp.Or(received.Call.ID, fmt.Sprintf("%s-%x-%d", cfg.NodeName, r.incarnation, r.lastRequestID)),
+		client: client, received: received, route: route, arrivedAt: r.now}
+	timeout := cfg.Routes[route].Timeout
+	if received.Call.FirstTokenTimeout > 0 {
+		timeout = min(timeout, received.Call.FirstTokenTimeout)
 	}
-	inf.giveUpAt = o.arrivedAt() + int64(patience)
-	inf.whole = o.protocol.NewCollector(a.Call)
-	c.current = inf
-	o.infs[inf.id], o.byName[inf.name] = inf, inf
-	o.monitor.Taken(inf.id, inf.name, inf.effect(d), int64(d.Routes[route].DedupWindow), inf.giveUpAt)
-	session := a.Call.Session
+	req.deadline = r.arrivalTime() + int64(timeout)
+	req.collector = r.protocol.NewCollector(received.Call)
+	client.current = req
+	r.requests[req.id], r.requestsByName[req.name] = req, req
+	r.monitor.Taken(req.id, req.name, req.effect(cfg), int64(cfg.Routes[route].DedupWindow), req.deadline)
+	session := received.Call.Session
 	if session == "" {
-		session = inf.name // one of its own: the module must not take strangers for one session
+		session = req.name // one of its own: the module must not take strangers for one session
 	}
-	o.tell(routing.RequestArrived{RequestID: inf.id, Route: route, Session: session, Prefix: a.Call.Prefix,
-		Deadline: inf.giveUpAt, PromptTokens: float64(a.Call.PromptTokens), PrefixTokens: float64(a.Call.PrefixTokens),
-		MaxOutputTokens: float64(a.Call.MaxOutputTokens), ClientRetry: a.Call.Idempotent, Resumed: a.Call.Resumes})
-	o.forget(inf)
+	r.notifyPolicy(routing.RequestArrived{RequestID: req.id, Route: route, Session: session, Prefix: received.Call.Prefix,
+		Deadline: req.deadline, PromptTokens: float64(received.Call.PromptTokens), PrefixTokens: float64(received.Call.PrefixTokens),
+		MaxOutputTokens: float64(received.Call.MaxOutputTokens), ClientRetry: received.Call.Idempotent, Resumed: received.Call.Resumes})
+	r.forgetRequest(req)
 }
 
-// known is whether a request has this name already: an open one, or one of the last few thousand.
-func (o *Core) known(name string) bool { return o.byName[name] != nil || o.names.known(name) }
+// nameKnown is whether a request has this name already: an open one, or one of the last few thousand.
+func (r *Router) nameKnown(name string) bool {
+	return r.requestsByName[name] != nil || r.requestNames.contains(name)
+}
 
 // effect is what a second run of an inference would do.
-func (inf *inference) effect(d *config.Deployment) invariant.Effect {
-	return invariant.EffectOf(d.Routes[inf.route].Effect)
+func (req *request) effect(d *config.Deployment) invariant.Effect {
+	return invariant.EffectOf(d.Routes[req.route].Effect)
 }
 
-// lateStart is for how long the owner may not have looked before a request counts from then. Below it the time between
+// delayThreshold is for how long the owner may not have looked before a request counts from then. Below it the time between
 // two looks is that of a node with little to do.
-const lateStart = 4 * sweepEvery
+const delayThreshold = 4 * reapInterval
 
-// arrivedAt is when the time of a request begins that is handed over now: where the process was not run for a while, the
+// arrivalTime is when the time of a request begins that is handed over now: where the process was not run for a while, the
 // request may have waited all that time.
-func (o *Core) arrivedAt() int64 {
-	if since := o.sinceWhen(); o.now-since > lateStart {
+func (r *Router) arrivalTime() int64 {
+	if since := r.earliestEventTime(); r.now-since > delayThreshold {
 		return since
 	}
-	return o.now
+	return r.now
 }
 
-// shedCall refuses a call that was never an inference. One that asks for the rest of a stream has run before, under
+// shedOnArrival refuses a call that was never an inference. One that asks for the rest of a stream has run before, under
 // another name, so where it may not run twice a refusal, which says that a further try is harmless, would be untrue.
-func (o *Core) shedCall(c *Client, a *Asked, status int, why string, again time.Duration) {
-	o.watch.Shed(Shed{Request: a.Call.ID, Route: a.Call.Route, Why: why, Prompt: a.Call.PromptTokens})
-	if a.Call.Resumes && o.d.Routes[o.d.Route(a.Call.Route)].Effect != "retriable" {
-		o.reply(c, a, o.protocol.ErrorResponse("", why, false))
+func (r *Router) shedOnArrival(client *ClientConnection, received *ClientRequest, status int, reason string, retryAfter time.Duration) {
+	r.observer.RequestShed(ShedRequest{Request: received.Call.ID, Route: received.Call.Route, Reason: reason, PromptTokens: received.Call.PromptTokens})
+	if received.Call.Resumes && r.config.Routes[r.config.Route(received.Call.Route)].Effect != "retriable" {
+		r.reply(client, received, r.protocol.ErrorResponse("", reason, false))
 		return
 	}
-	o.reply(c, a, o.protocol.ShedResponse(status, "", why, again))
+	r.reply(client, received, r.protocol.ShedResponse(status, "", reason, retryAfter))
 }
 
-// end is the one gate of how an inference ends: the first call counts, and no token passes after it.
-func (o *Core) end(inf *inference, final, why string) bool {
-	if inf.final != "" {
+// endRequest is the one gate of how an inference ends: the first call counts, and no token passes after it.
+func (r *Router) endRequest(req *request, outcome, reason string) bool {
+	if req.outcome != "" {
 		return false
 	}
-	inf.final = final
-	for _, s := range inf.sends {
-		if s.relay != nil {
-			s.relay.Close()
+	req.outcome = outcome
+	for _, att := range req.attempts {
+		if att.relay != nil {
+			att.relay.Close()
 		}
 	}
-	if final != left {
-		o.monitor.Answered(inf.id, o.now)
+	if outcome != outcomeAbandoned {
+		r.monitor.Answered(req.id, r.now)
 	}
-	o.answeredNow = append(o.answeredNow, inf)
-	o.gate.Done(inf.client.ID, inf.asked.Party)
-	o.log(inf, why)
+	r.justFinished = append(r.justFinished, req)
+	r.admission.Done(req.client.ID, req.received.Caller)
+	r.reportRequest(req, reason)
 	return true
 }
 
-// timeUp is whether an inference's client is about to give up, or has.
-func (o *Core) timeUp(inf *inference) bool { return o.now >= inf.giveUpAt-4*int64(o.d.TickInterval) }
+// deadlinePassed is whether an inference's client is about to give up, or has.
+func (r *Router) deadlinePassed(req *request) bool {
+	return r.now >= req.deadline-4*int64(r.config.TickInterval)
+}
 
-// finish gives the final answer, other than shed, of an inference that the module has taken.
-func (o *Core) finish(inf *inference, final, why string) {
-	c := inf.client
-	if !o.end(inf, final, why) || c.gone {
+// finishRequest gives the final answer, other than shed, of an inference that the module has taken.
+func (r *Router) finishRequest(req *request, outcome, reason string) {
+	client := req.client
+	if !r.endRequest(req, outcome, reason) || client.disconnected {
 		return
 	}
 	switch {
-	case final == completed && inf.whole != nil:
-		o.reply(c, inf.asked, o.protocol.CompleteResponse(inf.asked.Call, inf.name, inf.whole))
-	case inf.began && inf.whole == nil, final == completed:
-		if !inf.began { // an answer without a token
-			o.write(c, o.protocol.StreamHead(inf.name))
+	case outcome == outcomeCompleted && req.collector != nil:
+		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Call, req.name, req.collector))
+	case req.streaming && req.collector == nil, outcome == outcomeCompleted:
+		if !req.streaming { // an answer without a token
+			r.write(client, r.protocol.StreamHead(req.name))
 		}
-		last, keep := o.protocol.StreamEnd(final == completed, why)
-		o.write(c, last)
+		last, keep := r.protocol.StreamEnd(outcome == outcomeCompleted, reason)
+		r.write(client, last)
 		if !keep {
-			o.cut(c)
+			r.abortResponse(client)
 			return
 		}
-		o.answered(c, inf.asked, !inf.asked.Request.Close)
+		r.finishReply(client, req.received, !req.received.Request.Close)
 	default:
-		o.reply(c, inf.asked, o.protocol.ErrorResponse(inf.name, why, o.timeUp(inf)))
+		r.reply(client, req.received, r.protocol.ErrorResponse(req.name, reason, r.deadlinePassed(req)))
 	}
 }
 
-func (o *Core) finishShed(inf *inference, again int64) {
-	if inf.began { // the module never sheds a stream; if it did, a refusal could not be said any more
-		o.finish(inf, errored, "the stream was given up")
+func (r *Router) shedRequest(req *request, retryAfter int64) {
+	if req.streaming { // the module never sheds a stream; if it did, a refusal could not be said any more
+		r.finishRequest(req, outcomeErrored, "the stream was given up")
 		return
 	}
-	if c := inf.client; o.end(inf, shed, "") && !c.gone {
-		o.reply(c, inf.asked, o.protocol.ShedResponse(http.StatusServiceUnavailable, inf.name, "it would not be answered in time",
-			time.Duration(again)))
+	if client := req.client; r.endRequest(req, outcomeShed, "") && !client.disconnected {
+		r.reply(client, req.received, r.protocol.ShedResponse(http.StatusServiceUnavailable, req.name, "it would not be answered in time",
+			time.Duration(retryAfter)))
 	}
 }
 
-// clientLeft ends an inference that nobody waits for.
-func (o *Core) clientLeft(inf *inference) {
-	o.end(inf, left, "")
-	o.tell(routing.ClientDisconnected{RequestID: inf.id})
-	for _, s := range inf.sends {
-		if !s.ended { // the module does not withdraw streams; one that nobody reads ends by its connection
-			o.happen(s, attempt.WithdrawnBy, "its client left")
+// cancelRequest ends an inference that nobody waits for.
+func (r *Router) cancelRequest(req *request) {
+	r.endRequest(req, outcomeAbandoned, "")
+	r.notifyPolicy(routing.ClientDisconnected{RequestID: req.id})
+	for _, att := range req.attempts {
+		if !att.ended { // the module does not withdraw streams; one that nobody reads ends by its connection
+			r.handleAttemptEvent(att, attempt.WithdrawnBy, "its client left")
 		}
 	}
-	o.letGo(inf)
-	if !slices.ContainsFunc(inf.sends, func(s *send) bool { return s.wroteAt > 0 }) {
-		o.names.free(inf.name)
+	r.releaseReservations(req)
+	if !slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool { return att.writtenAt > 0 }) {
+		r.requestNames.remove(req.name)
 	}
-	o.forget(inf)
+	r.forgetRequest(req)
 }
 
-// forget drops an inference that has its final answer and nothing out.
-func (o *Core) forget(inf *inference) {
-	if inf.final == "" {
+// forgetRequest drops an inference that has its final answer and nothing out.
+func (r *Router) forgetRequest(req *request) {
+	if req.outcome == "" {
 		return
 	}
-	for _, s := range inf.sends {
-		if !s.ended {
+	for _, att := range req.attempts {
+		if !att.ended {
 			return
 		}
 	}
-	delete(o.infs, inf.id)
-	delete(o.byName, inf.name)
-	o.monitor.Forget(inf.id)
+	delete(r.requests, req.id)
+	delete(r.requestsByName, req.name)
+	r.monitor.Forget(req.id)
 }
 
-func (o *Core) log(inf *inference, why string) {
-	f := Final{Inference: inf.name, Route: o.d.Routes[inf.route].Name, Session: inf.asked.Call.Session, Final: inf.final,
-		Took: time.Duration(o.now - inf.at), Prompt: inf.asked.Call.PromptTokens, Why: why}
-	if inf.began {
-		f.First = time.Duration(inf.firstAt - inf.at)
+func (r *Router) reportRequest(req *request, reason string) {
+	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: req.received.Call.Session, Outcome: req.outcome,
+		Duration: time.Duration(r.now - req.arrivedAt), PromptTokens: req.received.Call.PromptTokens, Reason: reason}
+	if req.streaming {
+		summary.TimeToFirstToken = time.Duration(req.firstTokenAt - req.arrivedAt)
 	}
-	f.Tokens = inf.tokens
-	for _, s := range inf.sends {
+	summary.OutputTokens = req.tokens
+	for _, att := range req.attempts {
 		verdict := "out"
-		if s.ended {
-			verdict = verdictNames[s.verdict]
+		if att.ended {
+			verdict = verdictNames[att.verdict]
 		}
-		f.Sends = append(f.Sends, s.engine+" "+verdict)
-		if s.relay != nil {
-			f.Tokens += s.relay.Passed()
+		summary.Attempts = append(summary.Attempts, att.engine+" "+verdict)
+		if att.relay != nil {
+			summary.OutputTokens += att.relay.Tokens()
 		}
 	}
-	o.watch.Final(f)
+	r.observer.RequestFinished(summary)
 }
 
 var verdictNames = map[routing.Verdict]string{routing.Completed: "completed", routing.EngineError: "engine error",
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -11,295 +11,295 @@
 	"sandcourse/internal/reservation"
 )
 
-// spareLines are for control requests alone, at each engine: while all other lines read, states must still be let go
+// spareConnections are for control requests alone, at each engine: while all other lines read, states must still be let go
 // of.
-const spareLines = 2
+const spareConnections = 2
 
-// carry finds a line for an attempt or a control request and writes to it, now or once it is connected.
-func (o *Core) carry(engineID string, s *send, e *controlRequest, atMost int64) bool {
+// dispatch finds a line for an attempt or a control request and writes to it, now or once it is connected.
+func (r *Router) dispatch(engineID string, att *engineAttempt, control *controlRequest, maxIdle int64) bool {
 	spare := 0
-	if e != nil {
-		spare = spareLines
+	if control != nil {
+		spare = spareConnections
 	}
 	// Control requests trust kept lines whatever became of others: a release may be sent twice, and what is written to a line
 	// that is there reaches an engine that is paused, while a new one does not come up.
-	if s != nil {
-		atMost = o.pool.Trust(engineID, o.now, atMost, !s.writes || o.d.Routes[s.inf.route].Effect == "retriable")
-	} else if e.fresh {
-		atMost = 0
+	if att != nil {
+		maxIdle = r.pool.Trust(engineID, r.now, maxIdle, !att.decode || r.config.Routes[att.request.route].Effect == "retriable")
+	} else if control.newConnection {
+		maxIdle = 0
 	}
-	lease := o.pool.Take(engineID, o.now, atMost, spare)
+	lease := r.pool.Take(engineID, r.now, maxIdle, spare)
 	if lease.Evict != 0 {
-		o.closeLine(lease.Evict)
+		r.closeConnection(lease.Evict)
 	}
 	if !lease.OK {
 		return false
 	}
-	l := o.lines[lease.ID]
+	conn := r.engineConnections[lease.ID]
 	if !lease.Reused {
-		l = &Line{ID: lease.ID, Engine: engineID, Host: o.reach(engineID).Address, dialAt: o.now}
-		o.lines[l.ID] = l
+		conn = &EngineConnection{ID: lease.ID, Engine: engineID, Host: r.engineAddress(engineID).Address, dialedAt: r.now}
+		r.engineConnections[conn.ID] = conn
 	}
-	l.send, l.control, l.again = s, e, lease.Reused
-	if s != nil {
-		s.line = l
+	conn.attempt, conn.control, conn.reused = att, control, lease.Reused
+	if att != nil {
+		att.connection = conn
 	}
 	if lease.Reused {
-		o.watch.Connection(engineID, ConnectionReused)
-		o.writeLine(l)
+		r.observer.ConnectionChanged(engineID, ConnectionReused)
+		r.writeRequest(conn)
 		return true
 	}
-	o.wire.Dial(l)
+	r.transport.Dial(conn)
 	return true
 }
 
-// LineDialled takes the connection that was dialled for a line, or why there is none.
-func (o *Core) LineDialled(l *Line, socket LineSocket, err error) {
-	if o.lines[l.ID] != l { // given up while it was dialled
+// EngineConnected takes the connection that was dialled for a line, or why there is none.
+func (r *Router) EngineConnected(conn *EngineConnection, socket EngineSocket, err error) {
+	if r.engineConnections[conn.ID] != conn { // given up while it was dialled
 		if socket != nil {
 			socket.Close()
 		}
 		return
 	}
 	if err != nil {
-		o.dialFailed(l, err)
+		r.dialFailed(conn, err)
 		return
 	}
-	o.watch.Connection(l.Engine, Dialled)
-	l.socket = socket
-	o.pool.Happen(l.ID, connpool.Dialled, o.now)
-	if l.send == nil && l.control == nil {
-		o.pool.Happen(l.ID, connpool.Released, o.now)
+	r.observer.ConnectionChanged(conn.Engine, Dialled)
+	conn.socket = socket
+	r.pool.Happen(conn.ID, connpool.Dialled, r.now)
+	if conn.attempt == nil && conn.control == nil {
+		r.pool.Happen(conn.ID, connpool.Released, r.now)
 		return
 	}
-	o.writeLine(l)
+	r.writeRequest(conn)
 }
 
 // dialFailed ends a line that did not come up. Where the cause is this machine's, it says nothing of the engine.
-func (o *Core) dialFailed(l *Line, err error) {
-	o.pool.Happen(l.ID, connpool.DialFailed, o.now)
-	delete(o.lines, l.ID)
-	why := "no connection: " + err.Error()
+func (r *Router) dialFailed(conn *EngineConnection, err error) {
+	r.pool.Happen(conn.ID, connpool.DialFailed, r.now)
+	delete(r.engineConnections, conn.ID)
+	reason := "no connection: " + err.Error()
 	if !errors.Is(err, ErrLocal) {
-		o.watch.Connection(l.Engine, DialFailed)
-		o.dropLoad(l, attempt.NoLine, why)
+		r.observer.ConnectionChanged(conn.Engine, DialFailed)
+		r.failCarried(conn, attempt.NoLine, reason)
 		return
 	}
-	o.watch.Connection(l.Engine, DialFailedHere)
-	if e := l.control; e != nil {
-		l.control = nil
-		o.controlUnsent(e)
+	r.observer.ConnectionChanged(conn.Engine, DialFailedLocally)
+	if control := conn.control; control != nil {
+		conn.control = nil
+		r.controlNotSent(control)
 	}
-	o.dropLoad(l, attempt.Barred, why)
+	r.failCarried(conn, attempt.Barred, reason)
 }
 
-// writeLine is where the first byte of a send goes out, so the drain gate stands here: news may have come
+// writeRequest is where the first byte of a send goes out, so the drain gate stands here: news may have come
 // while the line was dialled.
-func (o *Core) writeLine(l *Line) {
-	if s := l.send; s != nil {
-		if s.inf.client.Socket.Gone() {
-			o.ClientGone(s.inf.client)
+func (r *Router) writeRequest(conn *EngineConnection) {
+	if att := conn.attempt; att != nil {
+		if att.request.client.Socket.Disconnected() {
+			r.ClientDisconnected(att.request.client)
 			return
 		}
-		if why := o.maySend(s, l); why != invariant.Allowed {
-			if why == invariant.Moved { // before anything else is sent: it must not find this line again
-				s.line, l.send = nil, nil
-				o.spoil(l)
+		if reason := r.checkAttempt(att, conn); reason != invariant.Allowed {
+			if reason == invariant.Moved { // before anything else is sent: it must not find this line again
+				att.connection, conn.attempt = nil, nil
+				r.discardConnection(conn)
 			}
-			o.happen(s, attempt.Barred, string(why))
+			r.handleAttemptEvent(att, attempt.Barred, string(reason))
 			return
 		}
 	}
-	request, err := o.request(l)
-	if err != nil && l.send != nil {
-		o.happen(l.send, attempt.Barred, err.Error())
+	request, err := r.encodeRequest(conn)
+	if err != nil && conn.attempt != nil {
+		r.handleAttemptEvent(conn.attempt, attempt.Barred, err.Error())
 		return
 	}
-	if s := l.send; s != nil {
-		o.took |= 1 << s.machine.Happen(attempt.Connected).Row
-		s.wroteAt = o.now
-		o.monitor.Written(s.inf.id, s.n, s.writes, o.now, o.told[l.Engine], o.toldTime(s.inf))
-		if s.writes {
-			o.changeHolds(s.inf, reservation.AttemptSent)
+	if att := conn.attempt; att != nil {
+		r.firedTransitions |= 1 << att.machine.Happen(attempt.Connected).Row
+		att.writtenAt = r.now
+		r.monitor.Written(att.request.id, att.index, att.decode, r.now, r.drains[conn.Engine], r.advertisedTimeout(att.request))
+		if att.decode {
+			r.updateReservations(att.request, reservation.AttemptSent)
 		}
 	}
-	l.wroteAt = o.now
-	if err := l.socket.Write(request); err != nil {
+	conn.writtenAt = r.now
+	if err := conn.socket.Write(request); err != nil {
 		return // its end follows, and is judged by how much was written
 	}
-	if l.send != nil && l.socket.Written() {
-		o.took |= 1 << l.send.machine.Happen(attempt.Written).Row
+	if conn.attempt != nil && conn.socket.RequestWritten() {
+		r.firedTransitions |= 1 << conn.attempt.machine.Happen(attempt.Written).Row
 	}
 }
 
-// LineHead takes the head of an answer, with the relay of its stream if it is one.
-func (o *Core) LineHead(l *Line, head *http.Response, tokens Relay) {
-	l.streamed = l.send != nil && l.send.writes
-	o.answeredAt[l.Engine] = o.now
+// ResponseHead takes the head of an answer, with the relay of its stream if it is one.
+func (r *Router) ResponseHead(conn *EngineConnection, head *http.Response, relay Relay) {
+	conn.streamed = conn.attempt != nil && conn.attempt.decode
+	r.lastResponseAt[conn.Engine] = r.now
 	switch {
-	case l.send != nil:
-		s := l.send
-		s.heads++
-		if s.heads > 1 {
-			o.happen(s, attempt.Garbled, "a second head")
+	case conn.attempt != nil:
+		att := conn.attempt
+		att.responseHeads++
+		if att.responseHeads > 1 {
+			r.handleAttemptEvent(att, attempt.Garbled, "a second head")
 			return
 		}
-		s.report, s.relay = o.protocol.ParseLoadReport(head, nil), tokens
-		o.happen(s, o.protocol.ClassifyResponse(head, s.writes), head.Status)
-	case l.control != nil:
-		l.control.head = head
-	case l.restSince == 0:
-		o.spoil(l)
+		att.loadReport, att.relay = r.protocol.ParseLoadReport(head, nil), relay
+		r.handleAttemptEvent(att, r.protocol.ClassifyResponse(head, att.decode), head.Status)
+	case conn.control != nil:
+		conn.control.head = head
+	case conn.drainingSince == 0:
+		r.discardConnection(conn)
 	}
 }
 
-// LineEvent takes one event of a stream.
-func (o *Core) LineEvent(l *Line, event []byte) {
-	s := l.send
-	if s == nil {
+// StreamEvent takes one event of a stream.
+func (r *Router) StreamEvent(conn *EngineConnection, event []byte) {
+	att := conn.attempt
+	if att == nil {
 		return
 	}
-	if o.protocol.IsFinalEvent(event) {
-		o.happen(s, attempt.Finished, "")
+	if r.protocol.IsFinalEvent(event) {
+		r.handleAttemptEvent(att, attempt.Finished, "")
 		return
 	}
-	if s.inf.whole != nil {
-		if err := s.inf.whole.Add(event); err != nil {
-			o.happen(s, attempt.Garbled, err.Error())
+	if att.request.collector != nil {
+		if err := att.request.collector.Add(event); err != nil {
+			r.handleAttemptEvent(att, attempt.Garbled, err.Error())
 			return
 		}
 	}
-	s.lastToken = o.now
-	s.token = event
-	o.happen(s, attempt.Token, "")
-	if s.relay != nil && s.inf.whole == nil && s.machine.State == attempt.Flowing && s.inf.final == "" {
-		c := s.inf.client
-		s.relay.Took(c.Socket, func() { o.flush(c) })
+	att.lastTokenAt = r.now
+	att.token = event
+	r.handleAttemptEvent(att, attempt.Token, "")
+	if att.relay != nil && att.request.collector == nil && att.machine.State == attempt.Flowing && att.request.outcome == "" {
+		client := att.request.client
+		att.relay.Forwarded(client.Socket, func() { r.flush(client) })
 	}
 }
 
-// LineComment takes a comment of a stream, which may be the engine's load report.
-func (o *Core) LineComment(l *Line, text []byte) {
-	if report := o.protocol.ParseLoadComment(text); report != nil && l.send != nil {
-		l.send.report = report
+// StreamComment takes a comment of a stream, which may be the engine's load report.
+func (r *Router) StreamComment(conn *EngineConnection, text []byte) {
+	if report := r.protocol.ParseLoadComment(text); report != nil && conn.attempt != nil {
+		conn.attempt.loadReport = report
 	}
 }
 
-// LineEnd says that an answer has been read to its end; clean is false where more bytes followed.
-func (o *Core) LineEnd(l *Line, body []byte, clean bool) {
-	if s := l.send; s != nil {
+// ResponseComplete says that an answer has been read to its end; clean is false where more bytes followed.
+func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
+	if att := conn.attempt; att != nil {
 		switch {
-		case s.writes:
-			in, why := o.protocol.ClassifyStreamEnd(s.machine.Began)
-			o.happen(s, in, why)
+		case att.decode:
+			event, reason := r.protocol.ClassifyStreamEnd(att.machine.Began)
+			r.handleAttemptEvent(att, event, reason)
 		default:
-			t, kept, err := o.protocol.ParseReservation(body)
+			transfer, cachedTokens, err := r.protocol.ParseReservation(body)
 			if err != nil {
-				o.happen(s, attempt.Garbled, err.Error())
+				r.handleAttemptEvent(att, attempt.Garbled, err.Error())
 			} else {
-				s.kept, s.transfer = float64(kept), t
-				o.happen(s, attempt.Read, "")
+				att.cachedTokens, att.transfer = float64(cachedTokens), transfer
+				r.handleAttemptEvent(att, attempt.Read, "")
 			}
 		}
 	}
-	if e := l.control; e != nil {
-		l.control = nil
-		l.restSince = o.now
-		o.controlDone(e, e.head, body)
+	if control := conn.control; control != nil {
+		conn.control = nil
+		conn.drainingSince = r.now
+		r.finishControl(control, control.head, body)
 	}
-	if o.lines[l.ID] != l || l.socket == nil {
+	if r.engineConnections[conn.ID] != conn || conn.socket == nil {
 		return
 	}
-	l.restSince = 0
+	conn.drainingSince = 0
 	if !clean {
-		o.spoil(l)
+		r.discardConnection(conn)
 		return
 	}
-	in := connpool.Released
-	if l.streamed {
-		in = connpool.Streamed
+	event := connpool.Released
+	if conn.streamed {
+		event = connpool.Streamed
 	}
-	if o.pool.Happen(l.ID, in, o.now) == connpool.CloseIt {
-		o.closeLine(l.ID)
+	if r.pool.Happen(conn.ID, event, r.now) == connpool.CloseIt {
+		r.closeConnection(conn.ID)
 	}
 }
 
-// LineGarbled says that what came is no answer.
-func (o *Core) LineGarbled(l *Line, err error) {
-	if l.send != nil {
-		o.happen(l.send, attempt.Garbled, err.Error())
+// ResponseInvalid says that what came is no answer.
+func (r *Router) ResponseInvalid(conn *EngineConnection, err error) {
+	if conn.attempt != nil {
+		r.handleAttemptEvent(conn.attempt, attempt.Garbled, err.Error())
 	}
-	o.spoil(l)
+	r.discardConnection(conn)
 }
 
-// spoil closes a line that may carry an unread rest.
-func (o *Core) spoil(l *Line) {
-	if o.lines[l.ID] != l {
+// discardConnection closes a line that may carry an unread rest.
+func (r *Router) discardConnection(conn *EngineConnection) {
+	if r.engineConnections[conn.ID] != conn {
 		return
 	}
-	o.pool.Happen(l.ID, connpool.Spoiled, o.now)
-	o.closeLine(l.ID)
-	o.dropLoad(l, attempt.Reset, connectionGone)
+	r.pool.Happen(conn.ID, connpool.Spoiled, r.now)
+	r.closeConnection(conn.ID)
+	r.failCarried(conn, attempt.Reset, reasonConnectionLost)
 }
 
-func (o *Core) closeLine(id int64) {
-	if l := o.lines[id]; l != nil {
-		delete(o.lines, id)
-		o.watch.Connection(l.Engine, ConnectionClosed)
-		if l.socket != nil {
-			l.socket.Close()
+func (r *Router) closeConnection(id int64) {
+	if conn := r.engineConnections[id]; conn != nil {
+		delete(r.engineConnections, id)
+		r.observer.ConnectionChanged(conn.Engine, ConnectionClosed)
+		if conn.socket != nil {
+			conn.socket.Close()
 		}
 	}
 }
 
-// LineBroken says that a connection has ended.
-func (o *Core) LineBroken(l *Line) {
-	if o.lines[l.ID] == l {
-		o.pool.Happen(l.ID, connpool.Broken, o.now)
-		delete(o.lines, l.ID)
-		o.watch.Connection(l.Engine, ConnectionBroken)
-	}
-	o.dropLoad(l, attempt.Reset, connectionGone)
+// EngineDisconnected says that a connection has ended.
+func (r *Router) EngineDisconnected(conn *EngineConnection) {
+	if r.engineConnections[conn.ID] == conn {
+		r.pool.Happen(conn.ID, connpool.Broken, r.now)
+		delete(r.engineConnections, conn.ID)
+		r.observer.ConnectionChanged(conn.Engine, ConnectionBroken)
+	}
+	r.failCarried(conn, attempt.Reset, reasonConnectionLost)
 }
 
-// atOnce is how soon a line ends that the other side had given up before it was written to: a way there and
+// staleConnectionWindow is how soon a line ends that the other side had given up before it was written to: a way there and
 // back.
-const atOnce = int64(20 * time.Millisecond)
+const staleConnectionWindow = int64(20 * time.Millisecond)
 
-// connectionGone is why what a line carried has ended where its connection was closed or broke.
-const connectionGone = "the connection is gone"
+// reasonConnectionLost is why what a line carried has ended where its connection was closed or broke.
+const reasonConnectionLost = "the connection is gone"
 
-// dropLoad tells what a line carried that it is gone.
-func (o *Core) dropLoad(l *Line, in attempt.Input, why string) {
-	if s := l.send; s != nil {
-		if in == attempt.Reset && l.again && s.heads == 0 && o.now-l.wroteAt < atOnce {
-			s.stale = true
-			o.pool.Hasty(l.Engine, o.now)
+// failCarried tells what a line carried that it is gone.
+func (r *Router) failCarried(conn *EngineConnection, event attempt.Input, reason string) {
+	if att := conn.attempt; att != nil {
+		if event == attempt.Reset && conn.reused && att.responseHeads == 0 && r.now-conn.writtenAt < staleConnectionWindow {
+			att.stale = true
+			r.pool.Hasty(conn.Engine, r.now)
 		}
-		o.happen(s, in, why)
+		r.handleAttemptEvent(att, event, reason)
 	}
-	if e := l.control; e != nil {
-		l.control = nil
-		o.controlDone(e, nil, nil)
+	if control := conn.control; control != nil {
+		conn.control = nil
+		r.finishControl(control, nil, nil)
 	}
 }
 
-// sweepLines ends what waits too long: control requests, answers whose rest does not come, idle lines.
-func (o *Core) sweepLines() {
-	for _, id := range o.pool.Aged(o.now) {
-		o.pool.Happen(id, connpool.Aged, o.now)
-		o.closeLine(id)
-	}
-	for _, id := range o.pool.All() {
-		l := o.lines[id]
-		if l == nil {
+// reapConnections ends what waits too long: control requests, answers whose rest does not come, idle lines.
+func (r *Router) reapConnections() {
+	for _, id := range r.pool.Aged(r.now) {
+		r.pool.Happen(id, connpool.Aged, r.now)
+		r.closeConnection(id)
+	}
+	for _, id := range r.pool.All() {
+		conn := r.engineConnections[id]
+		if conn == nil {
 			continue
 		}
 		// A second: the rest of an answer that is over is an end of chunks or a short body.
-		if l.restSince > 0 && o.now-l.restSince > int64(time.Second) ||
-			l.control != nil && o.now-l.control.at > o.controlTime() ||
-			l.socket == nil && o.now-l.dialAt > 2*int64(o.d.Connections.DialTimeout) {
-			o.spoil(l)
+		if conn.drainingSince > 0 && r.now-conn.drainingSince > int64(time.Second) ||
+			conn.control != nil && r.now-conn.control.startedAt > r.controlTimeout() ||
+			conn.socket == nil && r.now-conn.dialedAt > 2*int64(r.config.Connections.DialTimeout) {
+			r.discardConnection(conn)
 		}
 	}
 }
--- a/internal/router/module.go
+++ b/internal/router/module.go
@@ -7,105 +7,105 @@
 	"sandcourse/internal/routing"
 )
 
-// tell hands an input to the module and carries out what it decides. Effects may make further inputs, which
+// notifyPolicy hands an input to the module and carries out what it decides. Effects may make further inputs, which
 // wait their turn.
-func (o *Core) tell(in routing.Event) {
-	o.inputs = append(o.inputs, in)
-	if o.busy {
+func (r *Router) notifyPolicy(event routing.Event) {
+	r.pendingEvents = append(r.pendingEvents, event)
+	if r.notifying {
 		return
 	}
-	o.busy = true
-	for len(o.inputs) > 0 {
-		in := o.inputs[0]
-		o.inputs = o.inputs[1:]
-		effects, ok := o.step(in)
+	r.notifying = true
+	for len(r.pendingEvents) > 0 {
+		event := r.pendingEvents[0]
+		r.pendingEvents = r.pendingEvents[1:]
+		actions, ok := r.runPolicy(event)
 		if !ok {
-			o.inputs = nil
-			o.renew()
+			r.pendingEvents = nil
+			r.restartPolicy()
 			continue
 		}
-		for _, e := range effects {
-			o.carryOut(e)
+		for _, action := range actions {
+			r.performAction(action)
 		}
 		// Not before all effects are carried out: letting go comes after the answer.
-		for _, inf := range o.answeredNow {
-			o.forget(inf)
+		for _, req := range r.justFinished {
+			r.forgetRequest(req)
 		}
-		o.answeredNow = o.answeredNow[:0]
+		r.justFinished = r.justFinished[:0]
 	}
-	o.inputs, o.busy = nil, false
+	r.pendingEvents, r.notifying = nil, false
 }
 
-// step is the only place that calls the module. A panic there must not take the node's inferences with it.
-func (o *Core) step(in routing.Event) (effects []routing.Action, ok bool) {
+// runPolicy is the only place that calls the module. A panic there must not take the node's inferences with it.
+func (r *Router) runPolicy(event routing.Event) (actions []routing.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			o.watch.ModuleFailed(p, in, debug.Stack())
-			effects, ok = nil, false
+			r.observer.PolicyPanicked(p, event, debug.Stack())
+			actions, ok = nil, false
 		}
 	}()
-	o.watch.Around(in, func() { effects = o.brain.Step(o.now, in) })
-	return effects, true
+	r.observer.AroundStep(event, func() { actions = r.policy.Step(r.now, event) })
+	return actions, true
 }
 
-// renew answers all that is open, since the old module's view of it is lost, and starts a fresh one from the
+// restartPolicy answers all that is open, since the old module's view of it is lost, and starts a fresh one from the
 // list at hand. What was out may have run, so the answers promise nothing.
-func (o *Core) renew() {
-	o.lives++
-	o.brain = routing.New(o.seed+o.lives, o.d.RoutingConfig())
-	if o.list != nil { // before the calls that wait behind those answered now
-		news, _ := o.d.EndpointUpdate(*o.list)
-		o.inputs = append(o.inputs, news)
+func (r *Router) restartPolicy() {
+	r.policyIncarnation++
+	r.policy = routing.New(r.seed+r.policyIncarnation, r.config.RoutingConfig())
+	if r.endpoints != nil { // before the calls that wait behind those answered now
+		update, _ := r.config.EndpointUpdate(*r.endpoints)
+		r.pendingEvents = append(r.pendingEvents, update)
 	}
-	for _, id := range o.ids() {
-		inf := o.infs[id]
-		o.finish(inf, errored, "the router failed inside")
-		for _, s := range inf.sends {
-			if !s.ended {
-				s.ended = true
-				o.noteOutcome(s, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Canceled, Leaves: true})
-				if s.line != nil && s.line.send == s {
-					s.line.send = nil
-					o.spoil(s.line)
+	for _, id := range r.requestIDs() {
+		req := r.requests[id]
+		r.finishRequest(req, outcomeErrored, "the router failed inside")
+		for _, att := range req.attempts {
+			if !att.ended {
+				att.ended = true
+				r.recordReservation(att, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Canceled, Leaves: true})
+				if att.connection != nil && att.connection.attempt == att {
+					att.connection.attempt = nil
+					r.discardConnection(att.connection)
 				}
 			}
 		}
-		o.letGo(inf)
-		delete(o.infs, id)
-		delete(o.byName, inf.name)
-		o.monitor.Forget(id)
+		r.releaseReservations(req)
+		delete(r.requests, id)
+		delete(r.requestsByName, req.name)
+		r.monitor.Forget(id)
 	}
 }
 
-func (o *Core) carryOut(e routing.Action) {
-	switch e := e.(type) {
+func (r *Router) performAction(action routing.Action) {
+	switch action := action.(type) {
 	case routing.Send:
-		o.send(e)
+		r.startAttempt(action)
 	case routing.Shed:
-		if inf := o.infs[e.RequestID]; inf != nil {
-			o.finishShed(inf, e.RetryAfter)
+		if req := r.requests[action.RequestID]; req != nil {
+			r.shedRequest(req, action.RetryAfter)
 		}
 	case routing.Fail:
-		if inf := o.infs[e.RequestID]; inf != nil {
-			why := "the answer could not be given"
-			if o.timeUp(inf) {
-				why = "time is up"
+		if req := r.requests[action.RequestID]; req != nil {
+			reason := "the answer could not be given"
+			if r.deadlinePassed(req) {
+				reason = "time is up"
 			}
-			o.finish(inf, errored, why)
+			r.finishRequest(req, outcomeErrored, reason)
 		}
 	case routing.CancelAttempt:
-		if inf := o.infs[e.RequestID]; inf != nil && e.Attempt < len(inf.sends) {
-			o.happen(inf.sends[e.Attempt], attempt.WithdrawnBy, "withdrawn")
+		if req := r.requests[action.RequestID]; req != nil && action.Attempt < len(req.attempts) {
+			r.handleAttemptEvent(req.attempts[action.Attempt], attempt.WithdrawnBy, "withdrawn")
 		}
 	case routing.Release:
-		if inf := o.infs[e.RequestID]; inf != nil {
-			o.letGo(inf)
+		if req := r.requests[action.RequestID]; req != nil {
+			r.releaseReservations(req)
 		}
 	case routing.StartTimer:
-		o.after(e.After, timer{token: e.Token, lives: o.lives})
+		r.setTimer(action.After, timer{token: action.Token, incarnation: r.policyIncarnation})
 	case routing.HealthCheck:
-		o.startControl(&controlRequest{engine: e.Engine})
+		r.startControl(&controlRequest{engine: action.Engine})
 	case routing.SendGossip:
-		o.wire.Tell(e.To, e.Text)
+		r.transport.SendToPeer(action.To, action.Text)
 	}
 }
--- a/internal/router/monitor.go
+++ b/internal/router/monitor.go
@@ -7,35 +7,35 @@
 	"sandcourse/internal/attempt"
 )
 
-// checkHeldEvery is how often the monitor looks at what is held: a violation is not told sooner for being looked for more.
-const checkHeldEvery = int64(200 * time.Millisecond)
+// reservationCheckInterval is how often the monitor looks at what is held: a violation is not told sooner for being looked for more.
+const reservationCheckInterval = int64(200 * time.Millisecond)
 
-// tellViolations hands over what the monitor has found since the last turn.
-func (o *Core) tellViolations() {
-	if o.now-o.heldChecked >= checkHeldEvery {
-		o.heldChecked = o.now
-		o.checkHeld()
+// reportViolations hands over what the monitor has found since the last turn.
+func (r *Router) reportViolations() {
+	if r.now-r.reservationsCheckedAt >= reservationCheckInterval {
+		r.reservationsCheckedAt = r.now
+		r.checkReservations()
 	}
-	for _, v := range o.monitor.Take() {
-		o.watch.Violated(v)
+	for _, v := range r.monitor.Take() {
+		r.observer.InvariantViolated(v)
 	}
 }
 
-// checkHeld looks for states that have been held for too long while no attempt was out that may take them.
-func (o *Core) checkHeld() {
-	for _, h := range o.holds.All() {
-		free := time.Duration(o.now - h.FreeSince())
-		if h.Acknowledged() || free <= o.d.Rules.ReservationLimit || o.mayBeTaken(h.ID.Request) {
+// checkReservations looks for states that have been held for too long while no attempt was out that may take them.
+func (r *Router) checkReservations() {
+	for _, reserved := range r.reservations.All() {
+		free := time.Duration(r.now - reserved.FreeSince())
+		if reserved.Acknowledged() || free <= r.config.Rules.ReservationLimit || r.mayBeClaimed(reserved.ID.Request) {
 			continue
 		}
-		o.monitor.Held(h.ID.Request, free)
+		r.monitor.Held(reserved.ID.Request, free)
 	}
 }
 
-// mayBeTaken is whether an attempt of a request is out that may take its state.
-func (o *Core) mayBeTaken(request string) bool {
-	inf := o.byName[request]
-	return inf != nil && slices.ContainsFunc(inf.sends, func(s *send) bool {
-		return s.writes && !s.ended && s.machine.State != attempt.Dialling
+// mayBeClaimed is whether an attempt of a request is out that may take its state.
+func (r *Router) mayBeClaimed(request string) bool {
+	req := r.requestsByName[request]
+	return req != nil && slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool {
+		return att.decode && !att.ended && att.machine.State != attempt.Dialling
 	})
 }
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -16,10 +16,10 @@
 )
 
 // finished answers all that is open with its writer's refusal or by its time being up.
-func (b *bench) untilAnswered(out *screen) {
+func (b *testbed) untilAnswered(out *fakeClientSocket) {
 	b.t.Helper()
 	for range 100 {
-		if len(answers(b.t, out)) > 0 {
+		if len(responseStatuses(b.t, out)) > 0 {
 			return
 		}
 		b.pass(100 * time.Millisecond)
@@ -29,95 +29,95 @@
 
 // A client sends a request and half of a second one, and stops there. The half came while the first was served, and when
 // that had its answer the connection counted as idle: for a minute, and then for good, as it could not be closed either.
-func TestHalfRequestBehindOneThatIsServed(t *testing.T) {
+func TestPartialRequestBehindAServedOne(t *testing.T) {
 	for _, input := range []admission.Input{admission.HeadBegan, admission.HeadWhole} {
-		b := newBench(t)
-		c, out := b.ask("a1", "chat")
-		b.core.Begin(b.now)
-		b.core.Reading(c, input, 10)
+		b := newTestbed(t)
+		c, out := b.request("a1", "chat")
+		b.core.SetTime(b.now)
+		b.core.ReceivePartial(c, input, 10)
 		out.reading = true
-		b.core.Turn(b.now)
+		b.core.RunDue(b.now)
 		b.untilAnswered(out)
 		b.pass(3 * time.Second)
-		row := answers(t, out)
-		if len(row) != 2 || row[1] != http.StatusRequestTimeout || !out.shut {
-			t.Errorf("input %d: answers %v, closed %v; the half is owed an error within 3 s", input, row, out.shut)
+		rows := responseStatuses(t, out)
+		if len(rows) != 2 || rows[1] != http.StatusRequestTimeout || !out.closed {
+			t.Errorf("input %d: answers %v, closed %v; the half is owed an error within 3 s", input, rows, out.closed)
 		}
 	}
 }
 
 // A refused half request gives back its bytes with the answer, not when its connection has drained: half requests of other
 // clients were refused meanwhile.
-func TestBytesOfARefusedHalfRequestAreGivenBack(t *testing.T) {
-	b := newBench(t)
-	var row []*screen
+func TestBytesOfARejectedPartialRequestAreReturned(t *testing.T) {
+	b := newTestbed(t)
+	var rows []*fakeClientSocket
 	for i, held := range []int{64 << 20, 1000, 1000} {
-		out := &screen{}
-		c := &router.Client{ID: int64(1<<40 + i), Socket: out}
-		b.core.Begin(b.now)
+		out := &fakeClientSocket{}
+		c := &router.ClientConnection{ID: int64(1<<40 + i), Socket: out}
+		b.core.SetTime(b.now)
 		b.core.ClientOpened(c)
-		b.core.Reading(c, admission.HeadWhole, held)
-		b.core.Turn(b.now)
-		row = append(row, out)
+		b.core.ReceivePartial(c, admission.HeadWhole, held)
+		b.core.RunDue(b.now)
+		rows = append(rows, out)
 	}
 	var got [][]int
-	for _, out := range row {
-		got = append(got, answers(t, out))
+	for _, out := range rows {
+		got = append(got, responseStatuses(t, out))
 	}
 	if len(got[0]) != 1 || len(got[1])+len(got[2]) > 0 {
 		t.Errorf("answers %v: the largest alone is refused", got)
 	}
-	if bytes := b.core.Holding().Bytes; bytes != 2000 {
+	if bytes := b.core.InFlight().Bytes; bytes != 2000 {
 		t.Errorf("%d bytes are counted, 2000 are held", bytes)
 	}
 }
 
 // A client whose connection broke before anything was sent on asks again, by the same name.
-func TestNameOfARequestThatWasNeverSentOn(t *testing.T) {
-	b := newBench(t)
-	c, _ := b.ask("a1", "alert")
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
-	_, out := b.ask("a1", "alert")
-	if row := answers(t, out); slices.Contains(row, http.StatusConflict) {
+func TestNameOfANeverForwardedRequestIsReusable(t *testing.T) {
+	b := newTestbed(t)
+	c, _ := b.request("a1", "alert")
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
+	_, out := b.request("a1", "alert")
+	if rows := responseStatuses(t, out); slices.Contains(rows, http.StatusConflict) {
 		t.Error("a request of which no byte went to an engine is known by its name")
 	}
 	// Once it has been sent, engines know it by its name.
-	b = newBench(t)
-	c, _ = b.ask("a1", "alert")
+	b = newTestbed(t)
+	c, _ = b.request("a1", "alert")
 	b.connect()
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
-	_, out = b.ask("a1", "alert")
-	if row := answers(t, out); !slices.Contains(row, http.StatusConflict) {
-		t.Errorf("answers %v: a request that was sent on is taken again by its name", row)
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
+	_, out = b.request("a1", "alert")
+	if rows := responseStatuses(t, out); !slices.Contains(rows, http.StatusConflict) {
+		t.Errorf("answers %v: a request that was sent on is taken again by its name", rows)
 	}
 }
 
 // An engine is listed at another address: what is kept or dialled to the old one leads elsewhere by now.
 func TestEngineAtAnotherAddress(t *testing.T) {
-	move := func(b *bench) {
-		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: 2, Entries: []endpoint.Entry{
+	move := func(b *testbed) {
+		b.core.SetTime(b.now)
+		b.core.UpdateEndpoints(endpoint.List{Revision: 2, Entries: []endpoint.Entry{
 			{ID: "r", Address: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: endpoint.Ready},
 			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.Turn(b.now)
+		b.core.RunDue(b.now)
 	}
-	b := newBench(t)
-	b.ask("a1", "chat")
+	b := newTestbed(t)
+	b.request("a1", "chat")
 	kept := b.connect()
-	b.held(kept)
+	b.answerPrefill(kept)
 	move(b)
-	b.ask("a2", "chat")
-	if n := len(toldTimes(t, kept)); n != 1 {
+	b.request("a2", "chat")
+	if n := len(advertisedTimeouts(t, kept)); n != 1 {
 		t.Errorf("%d requests went to the old address on a kept connection", n-1)
 	}
-	b = newBench(t)
-	b.ask("a1", "chat")
+	b = newTestbed(t)
+	b.request("a1", "chat")
 	move(b)
-	if dialled := b.connect(); len(toldTimes(t, dialled)) != 0 {
+	if dialled := b.connect(); len(advertisedTimeouts(t, dialled)) != 0 {
 		t.Error("a request went to the old address on a connection that was dialled before")
 	}
 	b.pass(200 * time.Millisecond) // the module waits a little before another attempt
@@ -127,109 +127,109 @@
 }
 
 // A process that is not run for a while finds requests that have waited for it: their time began when they came.
-func TestTimeOfARequestThatWaitedForTheProcess(t *testing.T) {
-	b := newBench(t)
+func TestDeadlineCountsTimeWaitedForTheProcess(t *testing.T) {
+	b := newTestbed(t)
 	looked := b.now
 	b.now += int64(600 * time.Millisecond)
-	b.core.Begin(b.now)
-	b.core.EventsSince(looked)
-	b.ask("a1", "chat")
-	if row := toldTimes(t, b.connect()); len(row) != 1 || row[0] > 2400*time.Millisecond {
-		t.Errorf("an engine is told %v of 3 s, 0.6 of which may have passed", row)
+	b.core.SetTime(b.now)
+	b.core.SetEarliestEventTime(looked)
+	b.request("a1", "chat")
+	if rows := advertisedTimeouts(t, b.connect()); len(rows) != 1 || rows[0] > 2400*time.Millisecond {
+		t.Errorf("an engine is told %v of 3 s, 0.6 of which may have passed", rows)
 	}
 }
 
 // A node may be held up for 0.15 s between its look at the clock and the arrival of what it writes. Engines forget a first
 // attempt at the end of the window, so a repeat must not be written in the last of it.
-func TestWindowLeavesRoomForANodeThatIsHeldUp(t *testing.T) {
+func TestDedupWindowAllowsForADelayedRouter(t *testing.T) {
 	for _, held := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
-		b := mayHaveRun(t)
+		b := testbedAfterLostDecode(t)
 		b.pass(held)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		if n := b.posts(); n != 2 {
+		if n := b.countPosts(); n != 2 {
 			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, held)
 		}
 	}
 }
 
 // A probe for which this machine had no descriptor says nothing of the engine: it counts neither as silent nor as failed.
-func TestProbeThatFailsHere(t *testing.T) {
-	b := newBench(t)
-	b.probe("r")
+func TestHealthCheckThatFailsLocally(t *testing.T) {
+	b := newTestbed(t)
+	b.healthCheck("r")
 	line := b.dials[0]
 	b.dials = b.dials[1:]
-	b.core.Begin(b.now)
-	b.core.LineDialled(line, nil, fmt.Errorf("%w: no descriptor", router.ErrLocal))
-	b.core.Turn(b.now)
-	for _, in := range b.heard {
+	b.core.SetTime(b.now)
+	b.core.EngineConnected(line, nil, fmt.Errorf("%w: no descriptor", router.ErrLocal))
+	b.core.RunDue(b.now)
+	for _, in := range b.events {
 		if p, ok := in.(routing.HealthCheckResult); ok && p.Verdict != routing.NotSent {
 			t.Errorf("the module is told verdict %d of an engine that was never asked", p.Verdict)
 		}
 	}
-	if _, out := b.ask("a1", "alert"); len(answers(t, out)) > 0 || len(b.dials) != 1 {
-		t.Errorf("%d connections are dialled for the next request, answers %v", len(b.dials), answers(t, out))
+	if _, out := b.request("a1", "alert"); len(responseStatuses(t, out)) > 0 || len(b.dials) != 1 {
+		t.Errorf("%d connections are dialled for the next request, answers %v", len(b.dials), responseStatuses(t, out))
 	}
 }
 
 // A process that was not run for longer than a client waits answers at once, and sends nothing on.
-func TestRequestThatWaitedLongerThanItsClient(t *testing.T) {
-	b := newBench(t)
-	b.expected = invariant.AnswerLate // by the process that was not run
+func TestRequestThatOutwaitedItsClient(t *testing.T) {
+	b := newTestbed(t)
+	b.expectedViolation = invariant.AnswerLate // by the process that was not run
 	looked := b.now
 	b.now += int64(4 * time.Second)
-	b.core.Begin(b.now)
-	b.core.EventsSince(looked)
-	_, out := b.ask("a1", "alert")
+	b.core.SetTime(b.now)
+	b.core.SetEarliestEventTime(looked)
+	_, out := b.request("a1", "alert")
 	b.pass(100 * time.Millisecond)
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	if row := answers(t, out); len(row) != 1 || b.posts() != 0 {
-		t.Errorf("answers %v, %d attempts, for a request whose time was over when it was read", row, b.posts())
+	if rows := responseStatuses(t, out); len(rows) != 1 || b.countPosts() != 0 {
+		t.Errorf("answers %v, %d attempts, for a request whose time was over when it was read", rows, b.countPosts())
 	}
 }
 
 // Engines know a request by its name for as long as an attempt of it is out, however many names come meanwhile.
-func TestNameOfAnOpenRequestInAFloodOfNames(t *testing.T) {
-	b := newBench(t)
-	b.ask("a1", "alert")
+func TestNameOfAnOpenRequestSurvivesAFloodOfNames(t *testing.T) {
+	b := newTestbed(t)
+	b.request("a1", "alert")
 	b.connect()
-	b.core.TakeNames(13_000)
-	_, out := b.ask("a1", "alert")
-	if row := answers(t, out); !slices.Contains(row, http.StatusConflict) {
-		t.Errorf("answers %v: the name of an open request is taken a second time", row)
+	b.core.AddNames(13_000)
+	_, out := b.request("a1", "alert")
+	if rows := responseStatuses(t, out); !slices.Contains(rows, http.StatusConflict) {
+		t.Errorf("answers %v: the name of an open request is taken a second time", rows)
 	}
 }
 
 // Who says that a request is the last on its connection is owed no answer to what comes behind it.
-func TestRequestsBehindTheLastOne(t *testing.T) {
-	b := newBench(t)
-	c, out := b.ask("a1", "chat", "Connection: close\r\n")
-	b.asked(c, "a2", "chat")
+func TestRequestsBehindAClosingOneAreDropped(t *testing.T) {
+	b := newTestbed(t)
+	c, out := b.request("a1", "chat", "Connection: close\r\n")
+	b.requestOn(c, "a2", "chat")
 	b.untilAnswered(out)
 	b.pass(2 * time.Second)
-	if row := answers(t, out); len(row) != 1 || !out.shut {
-		t.Errorf("answers %v, closed %v", row, out.shut)
+	if rows := responseStatuses(t, out); len(rows) != 1 || !out.closed {
+		t.Errorf("answers %v, closed %v", rows, out.closed)
 	}
 }
 
 // All engines are out of reach for some seconds, as when the node's own network is cut: what they hold is released when the
 // ways are back, as long as a cut of the operators' days lasts.
-func TestReleaseBehindALongCut(t *testing.T) {
-	b, c, _ := writeOut(t, "chat")
-	b.expected = invariant.HeldTooLong
-	b.core.Begin(b.now)
-	b.core.ClientGone(c)
-	b.core.Turn(b.now)
+func TestReleaseAfterALongOutage(t *testing.T) {
+	b, c, _ := testbedWithDecodeInFlight(t, "chat")
+	b.expectedViolation = invariant.HeldTooLong
+	b.core.SetTime(b.now)
+	b.core.ClientDisconnected(c)
+	b.core.RunDue(b.now)
 	for cut := b.now + int64(8*time.Second); b.now < cut; b.pass(5 * time.Millisecond) {
 		for len(b.dials) > 0 {
 			line := b.dials[0]
 			b.dials = b.dials[1:]
-			b.core.Begin(b.now)
-			b.core.LineDialled(line, nil, errors.New("no way"))
-			b.core.Turn(b.now)
+			b.core.SetTime(b.now)
+			b.core.EngineConnected(line, nil, errors.New("no way"))
+			b.core.RunDue(b.now)
 		}
 	}
 	before := b.releases("a1")
@@ -245,16 +245,16 @@
 // Discovery moves to an agent that lags behind the one before: a drain that was told is not undone by an older list. Where
 // the older list stays, as that of a store that was restored, it counts after some seconds.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	tell := func(revision int64, state string, started int64) {
-		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
+		b.core.SetTime(b.now)
+		b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
 			{ID: "r", Address: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state, StartedAtMs: started},
 			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.Turn(b.now)
+		b.core.RunDue(b.now)
 	}
 	sent := func() bool {
-		b.ask(fmt.Sprint("a", b.now), "chat")
+		b.request(fmt.Sprint("a", b.now), "chat")
 		b.pass(50 * time.Millisecond)
 		any := len(b.dials) > 0
 		for len(b.dials) > 0 {
@@ -281,10 +281,10 @@
 		t.Error("no attempt to an engine that a newer list has ready again")
 	}
 	gone := func(revision int64) {
-		b.core.Begin(b.now)
-		b.core.TakeList(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
+		b.core.SetTime(b.now)
+		b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
 			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.Turn(b.now)
+		b.core.RunDue(b.now)
 	}
 	begun := b.now/int64(time.Millisecond) - 1000
 	tell(8, endpoint.Ready, begun)
