--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -9,137 +9,137 @@
 	"sandcourse/internal/routing"
 )
 
-// holdsAnOpenCall bounds the states that are looked after by the calls that may be open: a call may have read twice, and
+// reservationsPerRequest bounds the states that are looked after by the calls that may be open: a call may have read twice, and
 // as many calls that have ended may still have states to release.
-const holdsAnOpenCall = 4
+const reservationsPerRequest = 4
 
-// releasesAtOnce is how many engines a release goes to at a time, where any of them may take it: one that hangs must not
+// parallelReleases is how many engines a release goes to at a time, where any of them may take it: one that hangs must not
 // cost the time of the next try.
-const releasesAtOnce = 2
+const parallelReleases = 2
 
-// noteOutcome tells the table of holds what the outcome of an attempt says of the state that it made or asked for.
-func (o *Core) noteOutcome(s *send, in attempt.Input, r attempt.Result) {
-	inf := s.inf
-	cut := r.Leaves && in != attempt.Failed // without an engine's word for it
-	if cut && o.d.ReleaseRepeatTime > 0 {
+// recordReservation tells the table of holds what the outcome of an attempt says of the state that it made or asked for.
+func (r *Router) recordReservation(att *engineAttempt, event attempt.Input, result attempt.Result) {
+	req := att.request
+	cancelled := result.Leaves && event != attempt.Failed // without an engine's word for it
+	if cancelled && r.config.ReleaseRepeatTime > 0 {
 		// Engines are told the time of a request, and need some to notice its end.
-		inf.cutUntil = max(o.now+int64(o.d.ReleaseRepeatTime), inf.giveUpAt+int64(o.d.Rules.ReservationLimit))
+		req.abandonedUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
 	}
 	switch {
-	case s.writes:
-		o.changeHolds(inf, claimEnded(r.Verdict, cut))
-	case r.Verdict == routing.PrefillDone:
-		o.addHold(s, reservation.ReadDone)
-	case r.Leaves:
-		o.addHold(s, reservation.ReadLost)
+	case att.decode:
+		r.updateReservations(req, claimResult(result.Verdict, cancelled))
+	case result.Verdict == routing.PrefillDone:
+		r.addReservation(att, reservation.ReadDone)
+	case result.Leaves:
+		r.addReservation(att, reservation.ReadLost)
 	}
 }
 
-func (o *Core) addHold(s *send, in reservation.Input) {
-	id := reservation.ID{Request: s.inf.name, Attempt: s.n}
-	h := o.holds.Add(id, s.engine, in, o.now, max(s.wroteAt, o.sinceWhen()), s.inf.cutUntil)
-	if h == nil {
-		o.watch.Released(ReleaseNoRoom)
+func (r *Router) addReservation(att *engineAttempt, event reservation.Input) {
+	id := reservation.ID{Request: att.request.name, Attempt: att.index}
+	reserved := r.reservations.Add(id, att.engine, event, r.now, max(att.writtenAt, r.earliestEventTime()), att.request.abandonedUntil)
+	if reserved == nil {
+		r.observer.ReservationChanged(ReleaseTableFull)
 		return
 	}
-	o.release(h)
+	r.runReservation(reserved)
 }
 
-// claimEnded is what the outcome of an attempt that may have taken a state says of it.
-func claimEnded(verdict routing.Verdict, cut bool) reservation.Input {
+// claimResult is what the outcome of an attempt that may have taken a state says of it.
+func claimResult(verdict routing.Verdict, cancelled bool) reservation.Input {
 	switch {
 	case verdict == routing.Completed:
 		return reservation.Taken
 	case verdict == routing.NotConnected || verdict == routing.NotSent:
 		return reservation.AttemptUnsent
-	case cut:
+	case cancelled:
 		return reservation.AttemptCut
 	}
 	return reservation.AttemptRefused
 }
 
-// sinceWhen is the earliest time at which what is handed over now may have happened.
-func (o *Core) sinceWhen() int64 {
-	if o.eventsSince == 0 {
-		return o.now
+// earliestEventTime is the earliest time at which what is handed over now may have happened.
+func (r *Router) earliestEventTime() int64 {
+	if r.earliestEvent == 0 {
+		return r.now
 	}
-	return min(o.now, o.eventsSince)
+	return min(r.now, r.earliestEvent)
 }
 
-// letGo has all states released that engines hold for an inference.
-func (o *Core) letGo(inf *inference) { o.changeHolds(inf, reservation.Unwanted) }
+// releaseReservations has all states released that engines hold for an inference.
+func (r *Router) releaseReservations(req *request) { r.updateReservations(req, reservation.Unwanted) }
 
-func (o *Core) changeHolds(inf *inference, in reservation.Input) {
-	for _, h := range o.holds.Attempt(inf.name, in, o.now, o.sinceWhen(), inf.cutUntil) {
-		o.release(h)
+func (r *Router) updateReservations(req *request, event reservation.Input) {
+	for _, reserved := range r.reservations.Attempt(req.name, event, r.now, r.earliestEventTime(), req.abandonedUntil) {
+		r.runReservation(reserved)
 	}
 }
 
-// release does what a hold asks for, if its time has come.
-func (o *Core) release(h *reservation.Hold) {
-	do, kept := o.holds.Run(h, o.now)
+// runReservation does what a hold asks for, if its time has come.
+func (r *Router) runReservation(reserved *reservation.Hold) {
+	do, kept := r.reservations.Run(reserved, r.now)
 	switch kept {
 	case reservation.Held:
-		o.watch.Released(ReleaseOverdue)
+		r.observer.ReservationChanged(ReleaseOverdue)
 	case reservation.Claimed:
-		o.watch.Released(ReleaseUnconfirmed)
+		r.observer.ReservationChanged(ReleaseUnconfirmed)
 	}
 	switch do {
 	case reservation.Release:
-		o.sendReleases(h)
+		r.sendReleases(reserved)
 	case reservation.Abandon:
-		o.watch.Released(ReleaseGivenUp)
+		r.observer.ReservationChanged(ReleaseAbandoned)
 	}
 }
 
-func (o *Core) sendReleases(h *reservation.Hold) {
-	first := len(h.Asked) == 0
+func (r *Router) sendReleases(reserved *reservation.Hold) {
+	first := len(reserved.Asked) == 0
 	if first {
-		o.watch.Released(ReleaseSent)
+		r.observer.ReservationChanged(ReleaseSent)
 	}
-	for _, engine := range o.releaseTargets(h, first) {
+	for _, engine := range r.releaseTargets(reserved, first) {
 		// Where only one engine can take it, every second try is on a connection of its own.
-		fresh := !o.protocol.ReleaseReachesAllEngines() && len(h.Asked)%2 == 1
-		h.Asked = append(h.Asked, engine)
-		o.startControl(&controlRequest{engine: engine, hold: h, round: h.Round, fresh: fresh})
+		fresh := !r.protocol.ReleaseReachesAllEngines() && len(reserved.Asked)%2 == 1
+		reserved.Asked = append(reserved.Asked, engine)
+		r.startControl(&controlRequest{engine: engine, reservation: reserved, round: reserved.Round, newConnection: fresh})
 	}
 }
 
 // releaseTargets are the engines that a release goes to now. Where any engine takes releases, that is the one that
 // holds the state, and with it one that the node has a connection to; then those that answered last, as they run.
-func (o *Core) releaseTargets(h *reservation.Hold, first bool) []string {
-	if !o.protocol.ReleaseReachesAllEngines() || o.list == nil {
-		return []string{h.Engine}
+func (r *Router) releaseTargets(reserved *reservation.Hold, first bool) []string {
+	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints == nil {
+		return []string{reserved.Engine}
 	}
-	var row []string
-	for _, listed := range o.list.Entries {
-		row = append(row, listed.ID)
+	var engines []string
+	for _, listed := range r.endpoints.Entries {
+		engines = append(engines, listed.ID)
 	}
-	if len(h.Asked) >= len(row) {
-		h.Asked = h.Asked[:0] // all were asked: from the beginning
+	if len(reserved.Asked) >= len(engines) {
+		reserved.Asked = reserved.Asked[:0] // all were asked: from the beginning
 	}
-	row = slices.DeleteFunc(row, func(engine string) bool { return slices.Contains(h.Asked, engine) })
-	slices.SortStableFunc(row, func(a, b string) int { return cmp.Compare(o.answeredAt[b], o.answeredAt[a]) })
-	if i := slices.Index(row, h.Engine); i >= 0 {
-		row = slices.Insert(slices.Delete(row, i, i+1), 0, h.Engine)
+	engines = slices.DeleteFunc(engines, func(engine string) bool { return slices.Contains(reserved.Asked, engine) })
+	slices.SortStableFunc(engines, func(a, b string) int { return cmp.Compare(r.lastResponseAt[b], r.lastResponseAt[a]) })
+	if i := slices.Index(engines, reserved.Engine); i >= 0 {
+		engines = slices.Insert(slices.Delete(engines, i, i+1), 0, reserved.Engine)
 	}
 	if first { // a connection more for each release would be dear
-		i := slices.IndexFunc(row, func(engine string) bool {
-			return engine != h.Engine && o.pool.Rests(engine, o.now, int64(o.d.Connections.IdleTimeout))
+		i := slices.IndexFunc(engines, func(engine string) bool {
+			return engine != reserved.Engine && r.pool.Rests(engine, r.now, int64(r.config.Connections.IdleTimeout))
 		})
 		if i < 0 {
-			return row[:min(1, len(row))]
+			return engines[:min(1, len(engines))]
 		}
-		if row[0] != h.Engine {
-			return row[i : i+1]
+		if engines[0] != reserved.Engine {
+			return engines[i : i+1]
 		}
-		return []string{h.Engine, row[i]}
+		return []string{reserved.Engine, engines[i]}
 	}
-	return row[:min(releasesAtOnce, len(row))]
+	return engines[:min(parallelReleases, len(engines))]
 }
 
-// released takes an engine's acknowledgement.
-func (o *Core) released(e *controlRequest) {
-	o.watch.Released(ReleaseAcknowledged)
-	o.holds.Acknowledge(e.hold, e.round, o.now)
+// releaseAcknowledged takes an engine's acknowledgement.
+func (r *Router) releaseAcknowledged(control *controlRequest) {
+	r.observer.ReservationChanged(ReleaseAcknowledged)
+	r.reservations.Acknowledge(control.reservation, control.round, r.now)
 }
--- a/internal/router/starts_test.go
+++ b/internal/router/starts_test.go
@@ -10,47 +10,47 @@
 // Engines stamp their starts by wall clocks that may be stepped. A start that is heard of while the node runs is a cold
 // start, whatever it is stamped with, and each change of it is another one.
 func TestStartsOnSteppedClocks(t *testing.T) {
-	const now = int64(1_000_000_000) * perMilli
-	hour := int64(time.Hour) / perMilli
+	const now = int64(1_000_000_000) * nanosPerMilli
+	hour := int64(time.Hour) / nanosPerMilli
 	cases := map[string]struct {
 		told  int64
 		first bool // in the node's first list
 		age   time.Duration
 	}{
-		"as it is":                      {told: now/perMilli - 3000, age: 3 * time.Second},
-		"this clock is an hour ahead":   {told: now/perMilli - hour, age: 0},
-		"this clock is an hour behind":  {told: now/perMilli + hour, age: 0},
-		"warm when the node came up":    {told: now/perMilli - hour, first: true, age: time.Hour},
-		"behind, when the node came up": {told: now/perMilli + hour, first: true, age: 0},
+		"as it is":                      {told: now/nanosPerMilli - 3000, age: 3 * time.Second},
+		"this clock is an hour ahead":   {told: now/nanosPerMilli - hour, age: 0},
+		"this clock is an hour behind":  {told: now/nanosPerMilli + hour, age: 0},
+		"warm when the node came up":    {told: now/nanosPerMilli - hour, first: true, age: time.Hour},
+		"behind, when the node came up": {told: now/nanosPerMilli + hour, first: true, age: 0},
 	}
 	for name, c := range cases {
-		s := starts{}
+		s := engineStarts{}
 		if !c.first {
-			s.settle(nil, now-perMilli)
+			s.normalize(nil, now-nanosPerMilli)
 		}
-		row := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now)
-		if age := time.Duration(now - row[0].StartedAtMs*perMilli); age != c.age {
+		rows := s.normalize([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now)
+		if age := time.Duration(now - rows[0].StartedAtMs*nanosPerMilli); age != c.age {
 			t.Errorf("%s: the engine is taken to be %v old, want %v", name, age, c.age)
 		}
 		// Time passes, and the same start is told again: it stays.
-		again := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now+int64(time.Minute))
-		if again[0].StartedAtMs != row[0].StartedAtMs {
-			t.Errorf("%s: the same start moves by %d ms", name, again[0].StartedAtMs-row[0].StartedAtMs)
+		again := s.normalize([]endpoint.Entry{{ID: "e", StartedAtMs: c.told}}, now+int64(time.Minute))
+		if again[0].StartedAtMs != rows[0].StartedAtMs {
+			t.Errorf("%s: the same start moves by %d ms", name, again[0].StartedAtMs-rows[0].StartedAtMs)
 		}
 		// It starts anew, stamped by a clock that was set back meanwhile.
-		anew := s.settle([]endpoint.Entry{{ID: "e", StartedAtMs: c.told - hour}}, now+2*int64(time.Minute))
-		if anew[0].StartedAtMs <= row[0].StartedAtMs {
+		anew := s.normalize([]endpoint.Entry{{ID: "e", StartedAtMs: c.told - hour}}, now+2*int64(time.Minute))
+		if anew[0].StartedAtMs <= rows[0].StartedAtMs {
 			t.Errorf("%s: a start stamped by a clock that was set back is not seen", name)
 		}
 	}
-	s := starts{}
-	if row := s.settle([]endpoint.Entry{{ID: "e"}}, now); row[0].StartedAtMs != 0 {
+	s := engineStarts{}
+	if rows := s.normalize([]endpoint.Entry{{ID: "e"}}, now); rows[0].StartedAtMs != 0 {
 		t.Error("an engine that came up long ago is given a start")
 	}
 	for i := range 100 {
-		s.settle([]endpoint.Entry{{ID: string(rune('a' + i)), StartedAtMs: 1}}, now+int64(i)*departed/10)
+		s.normalize([]endpoint.Entry{{ID: string(rune('a' + i)), StartedAtMs: 1}}, now+int64(i)*departedRetention/10)
 	}
-	if len(s.known) > 12 {
-		t.Errorf("%d engines are remembered, one is listed and ten left in the last minute", len(s.known))
+	if len(s.byEngine) > 12 {
+		t.Errorf("%d engines are remembered, one is listed and ten left in the last minute", len(s.byEngine))
 	}
 }
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -167,7 +167,7 @@
 		for _, e := range fleet.Engines {
 			res.Held += e.Held()
 		}
-		if h := edges.Holding(ctx); res.Held == 0 && h.Inferences == 0 {
+		if h := edges.Holding(ctx); res.Held == 0 && h.Requests == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -219,7 +219,7 @@
 }
 
 // Holding adds up what all edges hold.
-func (es *Edges) Holding(ctx context.Context) (sum router.Holding) {
+func (es *Edges) Holding(ctx context.Context) (sum router.InFlight) {
 	es.mu.Lock()
 	nodes := slices.Clone(es.nodes)
 	es.mu.Unlock()
@@ -227,10 +227,10 @@
 		if n != nil {
 			h, _ := n.Look(ctx)
 			sum.Clients += h.Clients
-			sum.Inferences += h.Inferences
+			sum.Requests += h.Requests
 			sum.Bytes += h.Bytes
-			sum.Lines += h.Lines
-			sum.Controls += h.Controls
+			sum.EngineConnections += h.EngineConnections
+			sum.ControlRequests += h.ControlRequests
 		}
 	}
 	return sum
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -247,7 +247,7 @@
 		for _, e := range fleet.Engines {
 			res.Held += e.Held()
 		}
-		if h := edges.Holding(context.Background()); res.Held == 0 && h.Inferences == 0 {
+		if h := edges.Holding(context.Background()); res.Held == 0 && h.Requests == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
