--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	log := process.NewLog()
+	log := process.NewLogger()
 	defer log.Sync()
 	n := edge.New(d, log, nil, uint64(time.Now().UnixNano()))
 	if err := n.Start(); err != nil {
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -29,7 +29,7 @@
 // readAtStart reads the platform's configuration, and waits for a descriptor if there is none.
 func readAtStart(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
-	for tries := 1; neterr.Local(err) && tries < openTries; tries++ {
+	for tries := 1; neterr.IsLocal(err) && tries < openTries; tries++ {
 		time.Sleep(openPause)
 		data, err = readBounded(file)
 	}
@@ -78,7 +78,7 @@
 	debug.SetMemoryLimit(int64(told.MemoryBytes()) * 3 / 5)
 	// More than the one core: a poller that waits for sockets must not keep the owner from running.
 	runtime.GOMAXPROCS(4)
-	log := process.NewLog()
+	log := process.NewLogger()
 	defer log.Sync()
 	at := make(chan string, 1)
 	at <- told.DiscoveryAddress
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	settings.TakeOver = takeOver
-	log := process.NewLog()
+	log := process.NewLogger()
 	defer log.Sync()
 	server := planner.New(settings, log)
 	if err := server.Start(); err != nil {
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -11,241 +11,245 @@
 	"time"
 )
 
-// Bounds hold for one node.
-type Bounds struct {
-	Conns     int // client connections
-	Open      int // inferences taken and not yet answered
-	Bytes     int // of request bodies held, whole and in part
-	HeadTime  time.Duration
-	BodyTime  time.Duration
-	IdleTime  time.Duration // between two calls of one connection
-	FirstTime time.Duration // from a connection's beginning to its first whole call; 0 for any
-	Retries   float64       // share of calls that may be retries; 0 for any
-	DrainTime time.Duration // for a client to take the rest of an answer before its connection is closed
+// Limits hold for one node.
+type Limits struct {
+	Connections         int // client connections
+	OpenRequests        int // inferences taken and not yet answered
+	BufferedBytes       int // of request bodies held, whole and in part
+	HeaderTimeout       time.Duration
+	BodyTimeout         time.Duration
+	IdleTimeout         time.Duration // between two calls of one connection
+	FirstRequestTimeout time.Duration // from a connection's beginning to its first whole call; 0 for any
+	RetryShare          float64       // share of calls that may be retries; 0 for any
+	DrainTimeout        time.Duration // for a client to take the rest of an answer before its connection is closed
 }
 
 // State is where a client's connection stands.
 type State uint8
 
 const (
-	Idle    State = iota
-	Heading       // the first bytes of a head have come
-	Bodying       // the head is whole, its body is not
-	Serving       // a call is whole and not yet answered
-	Parting       // its last answer is out, it will be closed
-	Gone
+	Idle          State = iota
+	ReadingHeader       // the first bytes of a head have come
+	ReadingBody         // the head is whole, its body is not
+	Serving             // a call is whole and not yet answered
+	Closing             // its last answer is out, it will be closed
+	Terminated
 )
 
-// Input is what happens to a client's connection.
-type Input uint8
+// Event is what happens to a client's connection.
+type Event uint8
 
 const (
-	HeadBegan Input = iota
-	HeadWhole
-	CallWhole
-	Answered // no call is left that waits
-	Part     // nothing more is taken from it
-	Closed
+	HeaderStarted Event = iota
+	HeaderComplete
+	RequestComplete
+	AllAnswered    // no call is left that waits
+	CloseRequested // nothing more is taken from it
+	ConnectionClosed
 )
 
-type row struct {
-	from []State
-	in   Input
-	next State
+type transition struct {
+	from  []State
+	event Event
+	next  State
 }
 
-var table = []row{
-	{[]State{Idle}, HeadBegan, Heading},
-	{[]State{Idle, Heading}, HeadWhole, Bodying},
-	{[]State{Idle, Heading, Bodying, Serving}, CallWhole, Serving},
-	{[]State{Serving}, Answered, Idle},
-	{[]State{Idle, Heading, Bodying, Serving}, Part, Parting},
-	{[]State{Idle, Heading, Bodying, Serving, Parting}, Closed, Gone},
+var transitions = []transition{
+	{[]State{Idle}, HeaderStarted, ReadingHeader},
+	{[]State{Idle, ReadingHeader}, HeaderComplete, ReadingBody},
+	{[]State{Idle, ReadingHeader, ReadingBody, Serving}, RequestComplete, Serving},
+	{[]State{Serving}, AllAnswered, Idle},
+	{[]State{Idle, ReadingHeader, ReadingBody, Serving}, CloseRequested, Closing},
+	{[]State{Idle, ReadingHeader, ReadingBody, Serving, Closing}, ConnectionClosed, Terminated},
 }
 
-// Refusal says why something is not taken.
-type Refusal uint8
+// Rejection says why something is not taken.
+type Rejection uint8
 
 const (
-	Taken     Refusal = iota
-	OwnShare          // the client holds its fair part already, and there is no more to give
-	NodeFull          // the node holds all that it may
-	BytesFull         // bodies held are at their bound
+	Admitted         Rejection = iota
+	QuotaExceeded              // the client holds its fair part already, and there is no more to give
+	CapacityExceeded           // the node holds all that it may
+	BufferFull                 // bodies held are at their bound
 )
 
-type conn struct {
-	id    int64
-	state State
-	since int64
-	bytes int
-	open  int
-	begun int64 // when it was opened; 0 once a call has been whole
+type connection struct {
+	id                int64
+	state             State
+	stateSince        int64
+	bufferedBytes     int
+	openRequests      int
+	firstRequestSince int64 // when it was opened; 0 once a call has been whole
 }
 
-// Gate is the state of one node's clients.
-type Gate struct {
-	bounds  Bounds
-	conns   map[int64]*conn
-	parties map[string]int // open inferences of each
-	open    int
-	bytes   int
+// Controller is the state of one node's clients.
+type Controller struct {
+	limits        Limits
+	connections   map[int64]*connection
+	openByClient  map[string]int // open inferences of each
+	openRequests  int
+	bufferedBytes int
 }
 
 // New makes a gate that holds nothing.
-func New(b Bounds) *Gate {
-	return &Gate{bounds: b, conns: map[int64]*conn{}, parties: map[string]int{}}
+func New(b Limits) *Controller {
+	return &Controller{limits: b, connections: map[int64]*connection{}, openByClient: map[string]int{}}
 }
 
-// Open takes a new connection. At the bound the one that has been idle longest makes room; where all are at
+// AcceptConnection takes a new connection. At the bound the one that has been idle longest makes room; where all are at
 // work the new one is refused. TryClose closes an idle one, or says that a request is on its way on it.
-func (g *Gate) Open(id, now int64, tryClose func(id int64) bool) bool {
-	if len(g.conns) >= g.bounds.Conns && !g.makeRoom(now, tryClose) {
+func (ct *Controller) AcceptConnection(id, now int64, tryClose func(id int64) bool) bool {
+	if len(ct.connections) >= ct.limits.Connections && !ct.evictIdle(now, tryClose) {
 		return false
 	}
-	g.conns[id] = &conn{id: id, since: now, begun: now}
+	ct.connections[id] = &connection{id: id, stateSince: now, firstRequestSince: now}
 	return true
 }
 
-func (g *Gate) makeRoom(now int64, tryClose func(id int64) bool) bool {
-	var idle []*conn
-	for _, c := range g.conns {
+func (ct *Controller) evictIdle(now int64, tryClose func(id int64) bool) bool {
+	var idle []*connection
+	for _, c := range ct.connections {
 		if c.state == Idle {
 			idle = append(idle, c)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *conn) int {
-		return cmp.Or(cmp.Compare(a.since, b.since), cmp.Compare(a.id, b.id))
+	slices.SortFunc(idle, func(a, b *connection) int {
+		return cmp.Or(cmp.Compare(a.stateSince, b.stateSince), cmp.Compare(a.id, b.id))
 	})
 	for _, c := range idle {
 		if tryClose(c.id) {
-			g.Happen(c.id, Closed, now)
+			ct.Handle(c.id, ConnectionClosed, now)
 			return true
 		}
 	}
 	return false
 }
 
-// Happen takes an input for one connection. What fits no line of the table changes nothing.
-func (g *Gate) Happen(id int64, in Input, now int64) {
-	c := g.conns[id]
+// Handle takes an input for one connection. What fits no line of the table changes nothing.
+func (ct *Controller) Handle(id int64, event Event, now int64) {
+	c := ct.connections[id]
 	if c == nil {
 		return
 	}
-	i := slices.IndexFunc(table, func(r row) bool { return r.in == in && slices.Contains(r.from, c.state) })
+	i := slices.IndexFunc(transitions, func(candidate transition) bool {
+		return candidate.event == event && slices.Contains(candidate.from, c.state)
+	})
 	if i < 0 {
 		return
 	}
 	// Bytes that trickle in must not renew the time of a head.
-	if c.state != table[i].next {
-		c.state, c.since = table[i].next, now
+	if c.state != transitions[i].next {
+		c.state, c.stateSince = transitions[i].next, now
 	}
-	if in == CallWhole {
-		c.begun = 0
+	if event == RequestComplete {
+		c.firstRequestSince = 0
 	}
-	if c.state == Gone {
-		g.Hold(id, -c.bytes)
-		delete(g.conns, id)
+	if c.state == Terminated {
+		ct.AddBytes(id, -c.bufferedBytes)
+		delete(ct.connections, id)
 	}
 }
 
-// Quiet is whether a connection has been served before and nothing is under way on it.
-func (g *Gate) Quiet(id int64) bool {
-	c := g.conns[id]
-	return c != nil && c.state == Idle && c.begun == 0
+// ServedAndIdle is whether a connection has been served before and nothing is under way on it.
+func (ct *Controller) ServedAndIdle(id int64) bool {
+	c := ct.connections[id]
+	return c != nil && c.state == Idle && c.firstRequestSince == 0
 }
 
-// Hold notes that a connection holds more bytes, or fewer.
-func (g *Gate) Hold(id int64, more int) {
-	if c := g.conns[id]; c != nil {
-		c.bytes += more
-		g.bytes += more
+// AddBytes notes that a connection holds more bytes, or fewer.
+func (ct *Controller) AddBytes(id int64, more int) {
+	if c := ct.connections[id]; c != nil {
+		c.bufferedBytes += more
+		ct.bufferedBytes += more
 	}
 }
 
-// Fattest is the connection with most bytes of an unfinished call while bytes are over their bound; it is
+// LargestUnfinished is the connection with most bytes of an unfinished call while bytes are over their bound; it is
 // closed first, as whoever sends slowly and much holds up all others. Zero for none.
-func (g *Gate) Fattest() int64 {
-	if g.bytes <= g.bounds.Bytes {
+func (ct *Controller) LargestUnfinished() int64 {
+	if ct.bufferedBytes <= ct.limits.BufferedBytes {
 		return 0
 	}
-	var most *conn
-	for _, c := range g.conns {
-		unfinished := c.state == Heading || c.state == Bodying
-		if unfinished && (most == nil || cmp.Or(cmp.Compare(c.bytes, most.bytes), cmp.Compare(most.id, c.id)) > 0) {
-			most = c
+	var largest *connection
+	for _, c := range ct.connections {
+		unfinished := c.state == ReadingHeader || c.state == ReadingBody
+		if unfinished && (largest == nil || cmp.Or(cmp.Compare(c.bufferedBytes, largest.bufferedBytes), cmp.Compare(largest.id, c.id)) > 0) {
+			largest = c
 		}
 	}
-	if most == nil {
+	if largest == nil {
 		return 0
 	}
-	return most.id
+	return largest.id
 }
 
 // Admit takes an inference of a party, or says why not. The last quarter of the bound is kept for parties
 // that hold less than their equal part of the first three, so that one that floods, even while it is alone,
 // cannot keep out those that come later.
-func (g *Gate) Admit(id int64, party string) Refusal {
-	c, held := g.conns[id], g.parties[party]
-	parts := len(g.parties)
+func (ct *Controller) Admit(id int64, client string) Rejection {
+	c, held := ct.connections[id], ct.openByClient[client]
+	clients := len(ct.openByClient)
 	if held == 0 {
-		parts++
+		clients++
 	}
 	switch {
-	case c == nil || g.open >= g.bounds.Open:
-		return NodeFull
-	case g.bytes > g.bounds.Bytes:
-		return BytesFull
-	case 4*g.open >= 3*g.bounds.Open && held >= max(1, 3*g.bounds.Open/(4*parts)):
-		return OwnShare
+	case c == nil || ct.openRequests >= ct.limits.OpenRequests:
+		return CapacityExceeded
+	case ct.bufferedBytes > ct.limits.BufferedBytes:
+		return BufferFull
+	case 4*ct.openRequests >= 3*ct.limits.OpenRequests && held >= max(1, 3*ct.limits.OpenRequests/(4*clients)):
+		return QuotaExceeded
 	}
-	c.open++
-	g.open++
-	g.parties[party]++
-	return Taken
+	c.openRequests++
+	ct.openRequests++
+	ct.openByClient[client]++
+	return Admitted
 }
 
-// Done gives back what Admit took.
-func (g *Gate) Done(id int64, party string) {
-	if c := g.conns[id]; c != nil {
-		c.open--
+// Release gives back what Admit took.
+func (ct *Controller) Release(id int64, client string) {
+	if c := ct.connections[id]; c != nil {
+		c.openRequests--
 	}
-	g.open--
-	if g.parties[party]--; g.parties[party] <= 0 {
-		delete(g.parties, party)
+	ct.openRequests--
+	if ct.openByClient[client]--; ct.openByClient[client] <= 0 {
+		delete(ct.openByClient, client)
 	}
 }
 
-// Holding is how much is held: connections, open inferences, bytes.
-func (g *Gate) Holding() (conns, open, bytes int) { return len(g.conns), g.open, g.bytes }
+// Usage is how much is held: connections, open inferences, bytes.
+func (ct *Controller) Usage() (connections, openRequests, bufferedBytes int) {
+	return len(ct.connections), ct.openRequests, ct.bufferedBytes
+}
 
-// Overdue is one connection whose time is up, and the state in which it was too slow.
-type Overdue struct {
+// ExpiredConnection is one connection whose time is up, and the state in which it was too slow.
+type ExpiredConnection struct {
 	ID    int64
 	State State
 }
 
-// Due lists, by id, the connections whose time in their state is up.
-func (g *Gate) Due(now int64) []Overdue {
-	var due []Overdue
-	for id, c := range g.conns {
-		var most time.Duration
+// Expired lists, by id, the connections whose time in their state is up.
+func (ct *Controller) Expired(now int64) []ExpiredConnection {
+	var expired []ExpiredConnection
+	for id, c := range ct.connections {
+		var timeout time.Duration
 		switch c.state {
 		case Idle:
-			most = g.bounds.IdleTime
-		case Heading:
-			most = g.bounds.HeadTime
-		case Bodying:
-			most = g.bounds.BodyTime
-		case Parting:
-			most = g.bounds.DrainTime
+			timeout = ct.limits.IdleTimeout
+		case ReadingHeader:
+			timeout = ct.limits.HeaderTimeout
+		case ReadingBody:
+			timeout = ct.limits.BodyTimeout
+		case Closing:
+			timeout = ct.limits.DrainTimeout
 		default:
 			continue
 		}
-		late := c.begun > 0 && c.state != Parting && g.bounds.FirstTime > 0 && now-c.begun > int64(g.bounds.FirstTime)
-		if late || now-c.since > int64(most) {
-			due = append(due, Overdue{id, c.state})
+		late := c.firstRequestSince > 0 && c.state != Closing && ct.limits.FirstRequestTimeout > 0 && now-c.firstRequestSince > int64(ct.limits.FirstRequestTimeout)
+		if late || now-c.stateSince > int64(timeout) {
+			expired = append(expired, ExpiredConnection{id, c.state})
 		}
 	}
-	slices.SortFunc(due, func(a, b Overdue) int { return cmp.Compare(a.ID, b.ID) })
-	return due
+	slices.SortFunc(expired, func(a, b ExpiredConnection) int { return cmp.Compare(a.ID, b.ID) })
+	return expired
 }
--- a/internal/admission/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -6,16 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-func bounds(conns, open, bytes int) Bounds {
-	return Bounds{Conns: conns, Open: open, Bytes: bytes, HeadTime: 10, BodyTime: 20, IdleTime: 50, DrainTime: 5}
+func limits(conns, open, bytes int) Limits {
+	return Limits{Connections: conns, OpenRequests: open, BufferedBytes: bytes, HeaderTimeout: 10, BodyTimeout: 20, IdleTimeout: 50, DrainTimeout: 5}
 }
 
 // Random days of one gate: no bound is passed, what is given back is gone, and a party that holds nothing is
 // only refused where the node is full.
-func TestGate(t *testing.T) {
+func TestController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := bounds(rapid.IntRange(1, 6).Draw(t, "conns"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
-		g := New(b)
+		b := limits(rapid.IntRange(1, 6).Draw(t, "conns"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
+		ct := New(b)
 		type taken struct {
 			conn  int64
 			party string
@@ -28,7 +28,7 @@
 			now += rapid.Int64Range(0, 8).Draw(t, "time")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if g.Open(id, now, func(evict int64) bool {
+				if ct.AcceptConnection(id, now, func(evict int64) bool {
 					if reading[evict] {
 						return false
 					}
@@ -40,7 +40,7 @@
 				}
 			case 1:
 				for c := range live {
-					g.Happen(c, Input(rapid.IntRange(int(HeadBegan), int(Answered)).Draw(t, "input")), now)
+					ct.Handle(c, Event(rapid.IntRange(int(HeaderStarted), int(AllAnswered)).Draw(t, "input")), now)
 					break
 				}
 			case 2:
@@ -52,10 +52,10 @@
 							held++
 						}
 					}
-					switch g.Admit(c, party) {
-					case Taken:
+					switch ct.Admit(c, party) {
+					case Admitted:
 						open = append(open, taken{c, party})
-					case OwnShare:
+					case QuotaExceeded:
 						if held == 0 {
 							t.Fatal("a party that holds nothing was told that it has its share")
 						}
@@ -64,19 +64,19 @@
 				}
 			case 3:
 				if len(open) > 0 {
-					g.Done(open[0].conn, open[0].party)
+					ct.Release(open[0].conn, open[0].party)
 					open = open[1:]
 				}
 			case 4:
 				for c := range live {
 					more := rapid.IntRange(0, 60).Draw(t, "bytes")
-					g.Hold(c, more)
+					ct.AddBytes(c, more)
 					live[c] += more
 					break
 				}
 			case 5:
 				for c := range live {
-					g.Happen(c, Closed, now)
+					ct.Handle(c, ConnectionClosed, now)
 					delete(live, c)
 					break
 				}
@@ -85,75 +85,75 @@
 			for _, n := range live {
 				sum += n
 			}
-			conns, opened, bytes := g.Holding()
-			if conns != len(live) || conns > b.Conns || opened != len(open) || opened > b.Open || bytes != sum {
+			conns, opened, bytes := ct.Usage()
+			if conns != len(live) || conns > b.Connections || opened != len(open) || opened > b.OpenRequests || bytes != sum {
 				t.Fatalf("holds %d %d %d, want %d %d %d", conns, opened, bytes, len(live), len(open), sum)
 			}
 		}
 	})
 }
 
-func TestOneThatFloodsLeavesRoomForOthers(t *testing.T) {
-	g := New(bounds(10, 100, 1))
-	g.Open(1, 0, yield)
-	g.Open(2, 0, yield)
+func TestFloodingClientLeavesCapacityForOthers(t *testing.T) {
+	ct := New(limits(10, 100, 1))
+	ct.AcceptConnection(1, 0, yield)
+	ct.AcceptConnection(2, 0, yield)
 	flood := 0
-	for g.Admit(1, "flood") == Taken {
+	for ct.Admit(1, "flood") == Admitted {
 		flood++
 	}
-	for g.Admit(2, "other") == Taken {
+	for ct.Admit(2, "other") == Admitted {
 	}
-	if _, open, _ := g.Holding(); flood < 75 || flood > 100 || open != 100 {
+	if _, open, _ := ct.Usage(); flood < 75 || flood > 100 || open != 100 {
 		t.Errorf("the flood took %d of %d", flood, open)
 	}
-	g.Done(1, "flood")
-	if got := g.Admit(1, "flood"); got != OwnShare {
+	ct.Release(1, "flood")
+	if got := ct.Admit(1, "flood"); got != QuotaExceeded {
 		t.Errorf("a full node gives the flood its place back: %v", got)
 	}
-	if got := g.Admit(2, "other"); got != Taken {
+	if got := ct.Admit(2, "other"); got != Admitted {
 		t.Errorf("and not the other: %v", got)
 	}
 }
 
-func TestTimesAndBytes(t *testing.T) {
-	g := New(bounds(2, 1, 100))
-	g.Open(1, 0, yield)
-	g.Open(2, 0, yield)
-	g.Happen(1, HeadBegan, 1)
+func TestTimeoutsAndBufferedBytes(t *testing.T) {
+	ct := New(limits(2, 1, 100))
+	ct.AcceptConnection(1, 0, yield)
+	ct.AcceptConnection(2, 0, yield)
+	ct.Handle(1, HeaderStarted, 1)
 	for now := int64(2); now < 11; now++ {
-		g.Happen(1, HeadBegan, now) // trickling bytes do not renew the time
+		ct.Handle(1, HeaderStarted, now) // trickling bytes do not renew the time
 	}
-	if due := g.Due(12); len(due) != 1 || due[0] != (Overdue{1, Heading}) {
+	if due := ct.Expired(12); len(due) != 1 || due[0] != (ExpiredConnection{1, ReadingHeader}) {
 		t.Errorf("%v", due)
 	}
-	g.Happen(2, HeadWhole, 12)
-	g.Hold(1, 40)
-	g.Hold(2, 70)
-	if got := g.Fattest(); got != 2 {
+	ct.Handle(2, HeaderComplete, 12)
+	ct.AddBytes(1, 40)
+	ct.AddBytes(2, 70)
+	if got := ct.LargestUnfinished(); got != 2 {
 		t.Errorf("the fattest is %d", got)
 	}
-	g.Happen(2, Closed, 13)
-	if got := g.Fattest(); got != 0 {
+	ct.Handle(2, ConnectionClosed, 13)
+	if got := ct.LargestUnfinished(); got != 0 {
 		t.Errorf("bytes of the closed still count: %d", got)
 	}
 }
 
 // Who dribbles a first call in, or says nothing, has one time for all of it; who was served has each call's
 // own.
-func TestFirstCallHasOneTime(t *testing.T) {
-	b := bounds(9, 9, 100)
-	b.FirstTime = 12
-	g := New(b)
+func TestFirstRequestHasOneTimeout(t *testing.T) {
+	b := limits(9, 9, 100)
+	b.FirstRequestTimeout = 12
+	ct := New(b)
 	for id := int64(1); id <= 3; id++ {
-		g.Open(id, 1, yield)
+		ct.AcceptConnection(id, 1, yield)
 	}
-	g.Happen(2, HeadBegan, 9) // late, and then slow
-	g.Happen(3, CallWhole, 2)
-	g.Happen(3, Answered, 3)
-	if !g.Quiet(3) || g.Quiet(1) {
+	ct.Handle(2, HeaderStarted, 9) // late, and then slow
+	ct.Handle(3, RequestComplete, 2)
+	ct.Handle(3, AllAnswered, 3)
+	if !ct.ServedAndIdle(3) || ct.ServedAndIdle(1) {
 		t.Error("who was served, and only that, is quiet")
 	}
-	if due := g.Due(14); len(due) != 2 || due[0].ID != 1 || due[1].ID != 2 {
+	if due := ct.Expired(14); len(due) != 2 || due[0].ID != 1 || due[1].ID != 2 {
 		t.Errorf("%+v", due)
 	}
 }
--- a/internal/asynclog/logsink.go
+++ b/internal/asynclog/logsink.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// capacity is how many lines wait at most: some seconds of a busy node, some hundred kilobytes.
-	capacity = 1024
-	// syncTime is how long Sync waits for a reader that may have stalled.
-	syncTime = 200 * time.Millisecond
+	// maxPendingLines is how many lines wait at most: some seconds of a busy node, some hundred kilobytes.
+	maxPendingLines = 1024
+	// syncTimeout is how long Sync waits for a reader that may have stalled.
+	syncTimeout = 200 * time.Millisecond
 )
 
 // Sink is a zapcore.WriteSyncer that never blocks in Write.
@@ -25,7 +25,7 @@
 
 // New starts a sink that writes to w until the process ends.
 func New(w io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, capacity), flushes: make(chan chan struct{}, 1)}
+	s := &Sink{lines: make(chan []byte, maxPendingLines), flushes: make(chan chan struct{}, 1)}
 	go s.run(w)
 	return s
 }
@@ -47,7 +47,7 @@
 // Sync waits until the lines so far are written, or for a moment.
 func (s *Sink) Sync() error {
 	done := make(chan struct{})
-	late := time.After(syncTime)
+	late := time.After(syncTimeout)
 	select {
 	case s.flushes <- done:
 	case <-late:
--- a/internal/asynclog/logsink_test.go
+++ b/internal/asynclog/logsink_test.go
@@ -21,22 +21,22 @@
 	return w.got.Write(data)
 }
 
-func TestWriteNeverWaits(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	w := &stalled{goOn: make(chan struct{})}
 	s := New(w)
-	for range 3 * capacity {
+	for range 3 * maxPendingLines {
 		if _, err := s.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s.Dropped() < capacity {
-		t.Errorf("%d lines were dropped, though nobody read and %d of %d fit", s.Dropped(), capacity, 3*capacity)
+	if s.Dropped() < maxPendingLines {
+		t.Errorf("%d lines were dropped, though nobody read and %d of %d fit", s.Dropped(), maxPendingLines, 3*maxPendingLines)
 	}
 	close(w.goOn)
 	s.Sync()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if text := w.got.String(); !strings.Contains(text, "log lines dropped") || strings.Count(text, "line\n") < capacity {
+	if text := w.got.String(); !strings.Contains(text, "log lines dropped") || strings.Count(text, "line\n") < maxPendingLines {
 		t.Errorf("what was kept is written, and what was dropped is told of; got %d bytes", len(text))
 	}
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -9,69 +9,69 @@
 	"sandcourse/internal/routing"
 )
 
-// neverRan lists what the module takes as proof.
-var neverRan = []routing.Verdict{routing.Full, routing.NotConnected, routing.NotSent}
+// neverRanVerdicts lists what the module takes as proof.
+var neverRanVerdicts = []routing.Verdict{routing.Full, routing.NotConnected, routing.NotSent}
 
 // Whatever comes in whatever order: one outcome, and none that says "never ran" once the last byte was out and
 // the engine has not said so itself.
-func TestAnyOrderOfEvents(t *testing.T) {
+func TestEventsInAnyOrderGiveOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Send
-		ends, written, accepted, word := 0, false, false, false
+		var a Attempt
+		outcomes, written, accepted, rejectedByEngine := 0, false, false, false
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			in := Input(rapid.IntRange(int(Connected), int(WithdrawnBy)).Draw(t, "event"))
-			before := s.State
-			r := s.Happen(in)
-			written = written || s.State == Waiting
-			accepted = accepted || s.State == Answering
-			word = in == Refused || in == NoState
-			if r.First && before == Flowing {
+			event := Event(rapid.IntRange(int(Connected), int(Canceled)).Draw(t, "event"))
+			before := a.State
+			r := a.Handle(event)
+			written = written || a.State == AwaitingResponse
+			accepted = accepted || a.State == Responding
+			rejectedByEngine = event == Rejected || event == ReservationNotFound
+			if r.FirstToken && before == Streaming {
 				t.Fatal("a first token twice")
 			}
-			if !r.Ends {
+			if !r.Final {
 				continue
 			}
-			ends++
-			if ends > 1 {
-				t.Fatalf("second outcome %v after %v", r.Verdict, in)
+			outcomes++
+			if outcomes > 1 {
+				t.Fatalf("second outcome %v after %v", r.Verdict, event)
 			}
-			if slices.Contains(neverRan, r.Verdict) && (written || accepted) && !word {
-				t.Fatalf("%v in state %v proves nothing, yet is taken as %v", in, before, r.Verdict)
+			if slices.Contains(neverRanVerdicts, r.Verdict) && (written || accepted) && !rejectedByEngine {
+				t.Fatalf("%v in state %v proves nothing, yet is taken as %v", event, before, r.Verdict)
 			}
-			if accepted && slices.Contains(neverRan, r.Verdict) {
-				t.Fatalf("after a good status line %v is taken as %v", in, r.Verdict)
+			if accepted && slices.Contains(neverRanVerdicts, r.Verdict) {
+				t.Fatalf("after a good status line %v is taken as %v", event, r.Verdict)
 			}
-			if r.Line == Keep && slices.Contains([]Input{Reset, Silent, Garbled, WithdrawnBy}, in) {
-				t.Fatalf("a line with an unread rest is kept after %v", in)
+			if r.Connection == Reusable && slices.Contains([]Event{ConnectionReset, StreamStalled, MalformedResponse, Canceled}, event) {
+				t.Fatalf("a line with an unread rest is kept after %v", event)
 			}
-			if r.Verdict == routing.PrefillDone && in != Read || r.Verdict == routing.Completed && in != Finished {
-				t.Fatalf("%v is taken as %v", in, r.Verdict)
+			if r.Verdict == routing.PrefillDone && event != PrefillCompleted || r.Verdict == routing.Completed && event != DecodeCompleted {
+				t.Fatalf("%v is taken as %v", event, r.Verdict)
 			}
 		}
 	})
 }
 
 // Each state but Over has a line for each input that can end a wait, or the send would be stuck.
-func TestNoStateIsStuck(t *testing.T) {
-	for state := Dialling; state < Over; state++ {
-		for _, in := range []Input{Reset, WithdrawnBy} {
-			s := Send{State: state}
-			if r := s.Happen(in); !r.Ends {
-				t.Errorf("state %d is not ended by %d", state, in)
+func TestEveryStateCanEnd(t *testing.T) {
+	for state := Dialing; state < Ended; state++ {
+		for _, event := range []Event{ConnectionReset, Canceled} {
+			a := Attempt{State: state}
+			if r := a.Handle(event); !r.Final {
+				t.Errorf("state %d is not ended by %d", state, event)
 			}
 		}
 	}
 }
 
-func TestNewsOfDrains(t *testing.T) {
-	d := Told{}
-	d.HearAll(map[string]bool{"a": true}, []string{"a", "b"}, 5)
-	d.Hear("b", false, 9)
-	if d["a"] != 0 || d["b"] != 5 {
-		t.Errorf("%v: the first word of a drain counts", d)
+func TestUnavailableSince(t *testing.T) {
+	unavailable := UnavailableSince{}
+	unavailable.NoteAll(map[string]bool{"a": true}, []string{"a", "b"}, 5)
+	unavailable.Note("b", false, 9)
+	if unavailable["a"] != 0 || unavailable["b"] != 5 {
+		t.Errorf("%v: the first word of a drain counts", unavailable)
 	}
-	d.Hear("b", true, 10)
-	if d["b"] != 0 {
-		t.Errorf("%v: a newer word of ready lifts the bar", d)
+	unavailable.Note("b", true, 10)
+	if unavailable["b"] != 0 {
+		t.Errorf("%v: a newer word of ready lifts the bar", unavailable)
 	}
 }
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -52,7 +52,7 @@
 // gate holds back.
 func (d *Deployment) setDedupWindows(config map[string]any) {
 	for i, route := range d.Routes {
-		config[fmt.Sprintf("routes.%d.dedup_window", i)] = float64(max(0, route.DedupWindow-invariant.HoldUp))
+		config[fmt.Sprintf("routes.%d.dedup_window", i)] = float64(max(0, route.DedupWindow-invariant.MaxDelay))
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -61,7 +61,7 @@
 	Routes                      []Route
 	Rules                       Rules
 	Connections                 ConnectionLimits
-	Limits                      admission.Bounds
+	Limits                      admission.Limits
 	MaxBodyBytes, MaxHeadBytes  int // bytes of one call
 	ClientBufferBytes           int // bytes of an answer that wait for a slow client
 	MaxAttempts                 int
@@ -117,8 +117,8 @@
 			OverloadWindow: time.Second, SlowStartShare: 0.25, OverloadMultiple: 3},
 		Connections: ConnectionLimits{PerEngine: 512, ConcurrentDials: 16, DialTimeout: 250 * time.Millisecond, IdleTimeout: 15 * time.Second,
 			NonIdempotentIdleTimeout: 2 * time.Second},
-		Limits: admission.Bounds{Conns: 12_000, Open: 8_000, Bytes: 256 << 20, HeadTime: 5 * time.Second,
-			BodyTime: 15 * time.Second, IdleTime: 75 * time.Second, DrainTime: 2 * time.Second},
+		Limits: admission.Limits{Connections: 12_000, OpenRequests: 8_000, BufferedBytes: 256 << 20, HeaderTimeout: 5 * time.Second,
+			BodyTimeout: 15 * time.Second, IdleTimeout: 75 * time.Second, DrainTimeout: 2 * time.Second},
 		MaxBodyBytes: 1 << 20, MaxHeadBytes: 16 << 10, ClientBufferBytes: 48 << 10, MaxAttempts: 4,
 		// The module answers three ticks before a client gives up.
 		TickInterval: 5 * time.Millisecond, StallTimeout: 5 * time.Second, MaxRetryAfter: time.Second, QueueBytes: 16 << 20, ShutdownTimeout: 20 * time.Second,
@@ -212,12 +212,12 @@
 		},
 		"limits": func() ([]script.Argument, func(faultFunc)) {
 			l := &d.Limits
-			return []script.Argument{{Name: "connections", Target: &l.Conns, Min: 1, Max: 1e6}, {Name: "open", Target: &l.Open, Min: 1, Max: 1e6},
-				{Name: "bytes", Target: &l.Bytes, Min: 1 << 16, Max: 1 << 36}, {Name: "head_time", Target: &l.HeadTime, Min: 0.01, Max: 600},
-				{Name: "body_time", Target: &l.BodyTime, Min: 0.01, Max: 600}, {Name: "idle_time", Target: &l.IdleTime, Min: 0.01, Max: 86400},
-				{Name: "drain_time", Target: &l.DrainTime, Min: 0.01, Max: 600}, {Name: "body", Target: &d.MaxBodyBytes, Min: 256, Max: 64 << 20},
+			return []script.Argument{{Name: "connections", Target: &l.Connections, Min: 1, Max: 1e6}, {Name: "open", Target: &l.OpenRequests, Min: 1, Max: 1e6},
+				{Name: "bytes", Target: &l.BufferedBytes, Min: 1 << 16, Max: 1 << 36}, {Name: "head_time", Target: &l.HeaderTimeout, Min: 0.01, Max: 600},
+				{Name: "body_time", Target: &l.BodyTimeout, Min: 0.01, Max: 600}, {Name: "idle_time", Target: &l.IdleTimeout, Min: 0.01, Max: 86400},
+				{Name: "drain_time", Target: &l.DrainTimeout, Min: 0.01, Max: 600}, {Name: "body", Target: &d.MaxBodyBytes, Min: 256, Max: 64 << 20},
 				{Name: "head", Target: &d.MaxHeadBytes, Min: 256, Max: 1 << 20}, {Name: "client_buffer", Target: &d.ClientBufferBytes, Min: 1024, Max: 64 << 20},
-				{Name: "sends", Target: &d.MaxAttempts, Min: 1, Max: 20}, {Name: "retry_share", Target: &l.Retries, Max: 1}, {Name: "probes", Target: &d.HealthChecks},
+				{Name: "sends", Target: &d.MaxAttempts, Min: 1, Max: 20}, {Name: "retry_share", Target: &l.RetryShare, Max: 1}, {Name: "probes", Target: &d.HealthChecks},
 				{Name: "stall", Target: &d.StallTimeout, Min: 0.05, Max: 600}, {Name: "tick", Target: &d.TickInterval, Min: 0.001, Max: 0.1},
 				{Name: "max_retry_after", Target: &d.MaxRetryAfter, Max: 600}, {Name: "finish_time", Target: &d.ShutdownTimeout, Max: 3600}}, nil
 		},
--- a/internal/edge/accept.go
+++ b/internal/edge/accept.go
@@ -101,7 +101,7 @@
 		if err == nil {
 			return handed, nil
 		}
-		if !neterr.Local(err) || l.room.isClosed() {
+		if !neterr.IsLocal(err) || l.room.isClosed() {
 			conn.Close()
 			return nil, err
 		}
--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -89,7 +89,7 @@
 	defer cancel()
 	for pause := redialFirst; ; pause = min(2*pause, redialMost) {
 		conn, err := n.connectOnce(ctx, address)
-		if err == nil || !neterr.Local(err) && n.alive.Err() == nil {
+		if err == nil || !neterr.IsLocal(err) && n.alive.Err() == nil {
 			return conn, err
 		}
 		select {
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -106,7 +106,7 @@
 		b.Fatal(err)
 	}
 	d.EndpointFile, d.ChatAddress, d.Connections.PerEngine, d.Connections.ConcurrentDials = "", "127.0.0.1:0", 8000, 8000
-	d.Limits.Open, d.Limits.Conns = 20000, 20000
+	d.Limits.OpenRequests, d.Limits.Connections = 20000, 20000
 	// The module keeps each writer's memory by the prompts sent there; thousands of streams need engines for them.
 	for i := range d.Kinds {
 		d.Kinds[i].MemoryTokens = 0
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -386,7 +386,7 @@
 
 func TestMessagesThatAreRefused(t *testing.T) {
 	r, _, _ := only(t, func(d *config.Deployment) {
-		d.MaxHeadBytes, d.MaxBodyBytes, d.Limits.HeadTime, d.Limits.BodyTime = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
+		d.MaxHeadBytes, d.MaxBodyBytes, d.Limits.HeaderTimeout, d.Limits.BodyTimeout = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
 	})
 	call := func(body string) string {
 		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -449,7 +449,7 @@
 }
 
 func TestManyIdleConnections(t *testing.T) {
-	r := newRig(t, func(d *config.Deployment) { d.Limits.Conns = 1500 })
+	r := newRig(t, func(d *config.Deployment) { d.Limits.Connections = 1500 })
 	var row []net.Conn
 	defer func() {
 		for _, c := range row {
--- a/internal/edge/faults_test.go
+++ b/internal/edge/faults_test.go
@@ -140,7 +140,7 @@
 	reader := newBox(t, "127.0.0.2", always(heldWire))
 	writer := newBox(t, "127.0.0.3", always(wholeStream))
 	n := onPlatform(t, 1024, func(d *config.Deployment) {
-		d.Limits.FirstTime, d.Limits.HeadTime, d.Limits.BodyTime = 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
+		d.Limits.FirstRequestTimeout, d.Limits.HeaderTimeout, d.Limits.BodyTimeout = 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
 	}, reader, writer)
 	defer n.Stop()
 	client := dial(t, n)
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -252,9 +252,9 @@
 	if c.cutter.AtBoundary() {
 		return events
 	}
-	input, held := admission.HeadBegan, len(c.body)+c.cutter.Buffered()
+	input, held := admission.HeaderStarted, len(c.body)+c.cutter.Buffered()
 	if heads > 0 || c.request != nil {
-		input = admission.HeadWhole
+		input = admission.HeaderComplete
 	}
 	if !c.begun || heads > 0 || c.request != nil {
 		c.begun = true
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -79,7 +79,7 @@
 func NewOn(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
 	protocol protocol.Codec) *Node {
 	n := &Node{d: d, log: log.With(zap.String("node", d.NodeName)), source: source, seed: seed, in: newInbox(d.QueueBytes),
-		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Conns + 16),
+		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Connections + 16),
 		pollers: defaultPollers, dial: dialTCP}
 	n.epoch = n.started.UnixMilli()
 	n.alive, n.cancel = context.WithCancel(context.Background())
--- a/internal/edge/patience.go
+++ b/internal/edge/patience.go
@@ -20,7 +20,7 @@
 	end := time.Now().Add(startTime)
 	for told := false; ; told = true {
 		err := step()
-		if err == nil || !neterr.Local(err) || time.Now().After(end) {
+		if err == nil || !neterr.IsLocal(err) || time.Now().After(end) {
 			return err
 		}
 		if !told {
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -330,7 +330,7 @@
 
 // A crowd that connects and says nothing is closed in time and does not keep others out.
 func TestPlatformSilentCrowd(t *testing.T) {
-	n := onPlatform(t, 96, func(d *config.Deployment) { d.Limits.FirstTime = 150 * time.Millisecond },
+	n := onPlatform(t, 96, func(d *config.Deployment) { d.Limits.FirstRequestTimeout = 150 * time.Millisecond },
 		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	defer n.Stop()
 	var closed sync.WaitGroup
--- a/internal/edge/reuse_test.go
+++ b/internal/edge/reuse_test.go
@@ -27,7 +27,7 @@
 // A poller takes a row of events at once. While it is at the first of them the owner closes a connection whose end a
 // later one tells, and a new connection gets the same descriptor. The stale event must not end the new one.
 func TestDescriptorUsedAgainUnderAStaleEvent(t *testing.T) {
-	n := newOnPlatform(t, 1024, func(d *config.Deployment) { d.Limits.IdleTime = time.Second },
+	n := newOnPlatform(t, 1024, func(d *config.Deployment) { d.Limits.IdleTimeout = time.Second },
 		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
 	n.OnePoller()
 	comes, goes := make(chan struct{}), make(chan struct{})
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -86,7 +86,7 @@
 
 func (w watch) InvariantViolated(v invariant.Violation) {
 	w.n.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
-	w.n.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.How))
+	w.n.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.Detail))
 }
 
 func (w watch) ClientClosed(client int64, why router.CloseReason) {
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -73,7 +73,7 @@
 
 func (w *world) build() {
 	d := config.Defaults()
-	d.NodeCount, d.Limits.Retries = w.d.Nodes, w.d.Budget
+	d.NodeCount, d.Limits.RetryShare = w.d.Nodes, w.d.Budget
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", MemoryTokens: w.d.Engine.Memory},
 		{Name: "decode", Role: "write", MemoryTokens: w.d.Engine.Memory}}
 	d.Rules.SlowStart, d.Rules.SlowStartShare = w.d.Engine.Cold, w.d.Engine.ColdShare
--- a/internal/invariant/export_test.go
+++ b/internal/invariant/export_test.go
@@ -5,5 +5,5 @@
 	"slices"
 )
 
-// Open are the requests that are known, by id.
-func (m *Monitor) Open() []int64 { return slices.Sorted(maps.Keys(m.requests)) }
+// OpenRequests are the requests that are known, by id.
+func (m *Monitor) OpenRequests() []int64 { return slices.Sorted(maps.Keys(m.requests)) }
--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// HoldUp is how long a node may be held up between its look at the clock and the arrival of what it writes then. Gates on
+// MaxDelay is how long a node may be held up between its look at the clock and the arrival of what it writes then. Gates on
 // the end of a span of time leave so much of it.
-const HoldUp = 150 * time.Millisecond
+const MaxDelay = 150 * time.Millisecond
 
 // Reason says why an act is not allowed. The zero value allows it.
 type Reason string
 
 // The reasons.
 const (
-	Allowed      Reason = ""
-	Answered     Reason = "it has its final answer"
-	ClientGone   Reason = "its client has gone"
-	TimeUp       Reason = "its time is up"
-	Draining     Reason = "its engine drains or is gone"
-	Moved        Reason = "its engine has another address by now"
-	StillOut     Reason = "an earlier attempt is still out"
-	MayHaveRun   Reason = "an earlier attempt may have run"
-	WindowPassed Reason = "an earlier attempt may have run, and engines may have forgotten it"
-	NameKnown    Reason = "a request has this name already"
-	Stopping     Reason = "this node is stopping"
-	Unanswered   Reason = "a request that was read has no answer"
-	Unread       Reason = "a request is on its way"
+	Allowed              Reason = ""
+	AlreadyAnswered      Reason = "it has its final answer"
+	ClientGone           Reason = "its client has gone"
+	DeadlineExceeded     Reason = "its time is up"
+	EngineDraining       Reason = "its engine drains or is gone"
+	EngineAddressChanged Reason = "its engine has another address by now"
+	AttemptInFlight      Reason = "an earlier attempt is still out"
+	MayHaveRun           Reason = "an earlier attempt may have run"
+	DedupWindowExpired   Reason = "an earlier attempt may have run, and engines may have forgotten it"
+	DuplicateRequestID   Reason = "a request has this name already"
+	ShuttingDown         Reason = "this node is stopping"
+	RequestUnanswered    Reason = "a request that was read has no answer"
+	RequestIncoming      Reason = "a request is on its way"
 )
 
 // Effect is what a second run of a request would do.
@@ -44,8 +44,8 @@
 	NonRetriable               // harm: it must never run twice
 )
 
-// EffectOf is the effect that the settings name. What is no known name must not run twice.
-func EffectOf(name string) Effect {
+// ParseEffect is the effect that the settings name. What is no known name must not run twice.
+func ParseEffect(name string) Effect {
 	switch name {
 	case "retriable":
 		return Retriable
@@ -55,24 +55,24 @@
 	return NonRetriable
 }
 
-// Earlier is an attempt of the same request that came before.
-type Earlier struct {
+// PriorAttempt is an attempt of the same request that came before.
+type PriorAttempt struct {
 	Decode    bool  // it asked for an answer, which is the effect; reads have none
 	WrittenAt int64 // when its first byte was written; 0 while none was
-	Out       bool  // it has no outcome yet
+	InFlight  bool  // it has no outcome yet
 	NeverRan  bool  // its outcome proves that it did not run
 }
 
 // Attempt is what is known of an attempt as its first byte is about to be written.
 type Attempt struct {
-	Answered   bool // its request has its final answer
-	ClientGone bool
-	GiveUpAt   int64 // when its client gives up
-	Drained    int64 // when its engine was last told to drain or to be gone; 0 where it is ready
-	Moved      bool  // its connection leads to an address that is not its engine's any more
-	Effect     Effect
-	Window     int64 // for how long engines remember a run of a deduplicated request
-	Earlier    []Earlier
+	Answered        bool // its request has its final answer
+	ClientGone      bool
+	Deadline        int64 // when its client gives up
+	DrainNotifiedAt int64 // when its engine was last told to drain or to be gone; 0 where it is ready
+	AddressChanged  bool  // its connection leads to an address that is not its engine's any more
+	Effect          Effect
+	DedupWindow     int64 // for how long engines remember a run of a deduplicated request
+	PriorAttempts   []PriorAttempt
 }
 
 // MaySend is the gate of an attempt's first byte, further attempts included. Grace is how long after the news of a drain
@@ -80,40 +80,40 @@
 func MaySend(a Attempt, now, grace int64) Reason {
 	switch {
 	case a.Answered:
-		return Answered
+		return AlreadyAnswered
 	case a.ClientGone:
 		return ClientGone
-	case now >= a.GiveUpAt:
-		return TimeUp
-	case !inGrace(a.Drained, now, grace):
-		return Draining
-	case a.Moved:
-		return Moved
+	case now >= a.Deadline:
+		return DeadlineExceeded
+	case !withinDrainGrace(a.DrainNotifiedAt, now, grace):
+		return EngineDraining
+	case a.AddressChanged:
+		return EngineAddressChanged
 	}
-	return MayRepeat(a.Effect, a.Window, a.Earlier, now)
+	return MayRetry(a.Effect, a.DedupWindow, a.PriorAttempts, now)
 }
 
-// inGrace is whether what is written now to an engine that was told to drain arrives within the grace, with as much to
+// withinDrainGrace is whether what is written now to an engine that was told to drain arrives within the grace, with as much to
 // spare again for the way to the engine.
-func inGrace(drained, now, grace int64) bool {
-	spare := grace - int64(HoldUp)
-	return drained == 0 || spare >= 0 && now-drained <= spare/2
+func withinDrainGrace(notifiedAt, now, grace int64) bool {
+	spare := grace - int64(MaxDelay)
+	return notifiedAt == 0 || spare >= 0 && now-notifiedAt <= spare/2
 }
 
-// MayRepeat is the gate of a further attempt: never while another is out, and after one that may have run only as its
+// MayRetry is the gate of a further attempt: never while another is out, and after one that may have run only as its
 // effect allows.
-func MayRepeat(effect Effect, window int64, earlier []Earlier, now int64) Reason {
-	if slices.ContainsFunc(earlier, func(e Earlier) bool { return e.Out }) {
-		return StillOut
+func MayRetry(effect Effect, dedupWindow int64, priorAttempts []PriorAttempt, now int64) Reason {
+	if slices.ContainsFunc(priorAttempts, func(e PriorAttempt) bool { return e.InFlight }) {
+		return AttemptInFlight
 	}
-	for _, e := range earlier {
+	for _, e := range priorAttempts {
 		mayHaveRun := e.Decode && e.WrittenAt > 0 && !e.NeverRan
 		switch {
 		case !mayHaveRun || effect == Retriable:
 		case effect == NonRetriable:
 			return MayHaveRun
-		case now-e.WrittenAt >= window-int64(HoldUp):
-			return WindowPassed
+		case now-e.WrittenAt >= dedupWindow-int64(MaxDelay):
+			return DedupWindowExpired
 		}
 	}
 	return Allowed
@@ -121,38 +121,38 @@
 
 // Connection is what is known of a client's connection that is about to be closed.
 type Connection struct {
-	ClientGone bool
-	Broke      bool // its answer broke, and its client must not take what it has for the whole
-	Waiting    int  // requests that were read on it and have no answer
-	Unread     bool // a request has come, in whole or in part, that the core has not been told of
+	ClientGone     bool
+	ResponseBroken bool // its answer broke, and its client must not take what it has for the whole
+	Unanswered     int  // requests that were read on it and have no answer
+	UnreadRequest  bool // a request has come, in whole or in part, that the core has not been told of
 }
 
 // MayClose is the gate of each close of a client's connection by the node.
 func MayClose(c Connection) Reason {
 	switch {
-	case c.ClientGone || c.Broke:
+	case c.ClientGone || c.ResponseBroken:
 		return Allowed
-	case c.Waiting > 0:
-		return Unanswered
-	case c.Unread:
-		return Unread
+	case c.Unanswered > 0:
+		return RequestUnanswered
+	case c.UnreadRequest:
+		return RequestIncoming
 	}
 	return Allowed
 }
 
 // Arrival is what is known of a request that has been read.
 type Arrival struct {
-	NameKnown bool
-	Taking    bool // the node takes requests
+	DuplicateID bool
+	Accepting   bool // the node takes requests
 }
 
-// MayStart is the gate of each request that is taken.
-func MayStart(a Arrival) Reason {
+// MayAccept is the gate of each request that is taken.
+func MayAccept(a Arrival) Reason {
 	switch {
-	case a.NameKnown:
-		return NameKnown
-	case !a.Taking:
-		return Stopping
+	case a.DuplicateID:
+		return DuplicateRequestID
+	case !a.Accepting:
+		return ShuttingDown
 	}
 	return Allowed
 }
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -125,7 +125,7 @@
 	for _, t := range []struct {
 		took uint64
 		rows []string
-	}{{c.Brain, routing.TransitionNames()}, {c.Attempt, attempt.Rows()}, {c.Conns, connpool.Rows()}, {c.Roles, assignment.TransitionNames()}} {
+	}{{c.Brain, routing.TransitionNames()}, {c.Attempt, attempt.TransitionNames()}, {c.Conns, connpool.TransitionNames()}, {c.Roles, assignment.TransitionNames()}} {
 		for i, name := range t.rows {
 			if t.took&(1<<i) == 0 {
 				row = append(row, name)
@@ -138,7 +138,7 @@
 // Taken is how many rows were taken, of how many.
 func (c Cover) Taken() (taken, of int) {
 	return bits.OnesCount64(c.Brain) + bits.OnesCount64(c.Attempt) + bits.OnesCount64(c.Conns) + bits.OnesCount64(c.Roles),
-		len(routing.TransitionNames()) + len(attempt.Rows()) + len(connpool.Rows()) + len(assignment.TransitionNames())
+		len(routing.TransitionNames()) + len(attempt.TransitionNames()) + len(connpool.TransitionNames()) + len(assignment.TransitionNames())
 }
 
 // Snapshot is an exploration between two levels, to go on from.
@@ -422,8 +422,8 @@
 	return lines, s.found()
 }
 
-var stateNames = map[attempt.State]string{attempt.Dialling: "dialling", attempt.Writing: "writing",
-	attempt.Waiting: "waiting", attempt.Answering: "answering", attempt.Flowing: "flowing", attempt.Over: "over"}
+var stateNames = map[attempt.State]string{attempt.Dialing: "dialling", attempt.Writing: "writing",
+	attempt.AwaitingResponse: "waiting", attempt.Responding: "answering", attempt.Streaming: "flowing", attempt.Ended: "over"}
 
 func (s *sim) tellState() (row []string) {
 	for _, c := range s.clients {
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -149,7 +149,7 @@
 		d.Connections.PerEngine = 4
 	}
 	if w.Open > 0 {
-		d.Limits.Open = w.Open
+		d.Limits.OpenRequests = w.Open
 	}
 	d.NodeCount = max(1, w.Nodes)
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
@@ -390,12 +390,12 @@
 	switch why {
 	case invariant.MayHaveRun:
 		w.s.say("P3 the module asks for an attempt of %s, though %s", request, why)
-	case invariant.StillOut:
+	case invariant.AttemptInFlight:
 		w.s.say("P2 the module asks for an attempt of %s, though %s", request, why)
 	}
 }
 func (w watch) InvariantViolated(v invariant.Violation) {
-	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.How)
+	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.Detail)
 }
 func (w watch) ClientClosed(int64, router.CloseReason)           {}
 func (w watch) ConnectionChanged(string, router.ConnectionEvent) {}
--- a/internal/neterr/netfault.go
+++ b/internal/neterr/netfault.go
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// local are the errors of system calls that come from a want of this machine: descriptors, memory, ports or a route.
+// localErrnos are the errors of system calls that come from a want of this machine: descriptors, memory, ports or a route.
 // What the other side does or is cannot cause them.
-var local = []syscall.Errno{
+var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
 	syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.ECONNABORTED, syscall.EINTR,
 }
 
-// Local is whether an error says something of this machine alone, so that it must not count against the other side, and
+// IsLocal is whether an error says something of this machine alone, so that it must not count against the other side, and
 // the same call may succeed a moment later.
-func Local(err error) bool {
+func IsLocal(err error) bool {
 	if errors.Is(err, context.Canceled) {
 		return true // this side has given up
 	}
-	return slices.ContainsFunc(local, func(no syscall.Errno) bool { return errors.Is(err, no) })
+	return slices.ContainsFunc(localErrnos, func(no syscall.Errno) bool { return errors.Is(err, no) })
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -43,13 +43,13 @@
 
 // Of lines with the same message, the first of each second are written, and then one in so many.
 const (
-	sampledFirst = 100
-	sampledEach  = 100
+	logSampleInitial    = 100
+	logSampleThereafter = 100
 )
 
-// NewLog makes the process's log: JSON lines on standard error, written so that nobody waits for their reader.
-func NewLog() *zap.Logger {
+// NewLogger makes the process's log: JSON lines on standard error, written so that nobody waits for their reader.
+func NewLogger() *zap.Logger {
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), asynclog.New(os.Stderr), zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sampledFirst, sampledEach), zap.AddCaller(),
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, logSampleInitial, logSampleThereafter), zap.AddCaller(),
 		zap.AddStacktrace(zap.ErrorLevel))
 }
--- a/internal/protocol/chatapi/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -153,10 +153,10 @@
 	return engineapi.Release(target.Address, requestID, attemptIndex)
 }
 
-func (*Codec) ClassifyResponse(head *http.Response, isDecode bool) attempt.Input {
+func (*Codec) ClassifyResponse(head *http.Response, isDecode bool) attempt.Event {
 	outcome := engineapi.ClassifyHead(head)
-	if outcome == attempt.Accepted && isDecode != chat.IsEventStream(head.Header) {
-		return attempt.Garbled
+	if outcome == attempt.SuccessStatus && isDecode != chat.IsEventStream(head.Header) {
+		return attempt.MalformedResponse
 	}
 	return outcome
 }
@@ -180,6 +180,6 @@
 
 func (*Codec) IsFinalEvent(event []byte) bool { return string(event) == chat.Done }
 
-func (*Codec) ClassifyStreamEnd(bool) (attempt.Input, string) {
-	return attempt.Reset, "the stream ended without its last event"
+func (*Codec) ClassifyStreamEnd(bool) (attempt.Event, string) {
+	return attempt.ConnectionReset, "the stream ended without its last event"
 }
--- a/internal/protocol/dialect.go
+++ b/internal/protocol/dialect.go
@@ -84,7 +84,7 @@
 	// ReleasesAnywhere is whether any engine that is asked to release lets go of what others hold, too.
 	ReleaseReachesAllEngines() bool
 	// Sort says what an answer's head means for a send.
-	ClassifyResponse(head *http.Response, writes bool) attempt.Input
+	ClassifyResponse(head *http.Response, writes bool) attempt.Event
 	// Held reads a reader's whole answer: what it holds, and how many tokens it had kept.
 	ParseReservation(body []byte) (ReservationHandle, int, error)
 	// Load reads the load report that came with an answer; body is only given for a probe's. Nil for none.
@@ -94,5 +94,5 @@
 	// Last is whether an event ends its stream and is not passed on.
 	IsFinalEvent(event []byte) bool
 	// Cut says what the end of a stream's framing means where no event has ended it, and why.
-	ClassifyStreamEnd(began bool) (attempt.Input, string)
+	ClassifyStreamEnd(began bool) (attempt.Event, string)
 }
--- a/internal/protocol/engineapi/engine.go
+++ b/internal/protocol/engineapi/engine.go
@@ -104,20 +104,20 @@
 }
 
 // ClassifyHead says what a status line and its head mean for a send.
-func ClassifyHead(response *http.Response) attempt.Input {
+func ClassifyHead(response *http.Response) attempt.Event {
 	rejection := response.Header.Get(HeaderRejected)
 	switch {
 	case response.StatusCode == http.StatusOK && rejection == "":
-		return attempt.Accepted
+		return attempt.SuccessStatus
 	case response.StatusCode < 400:
-		return attempt.Garbled
+		return attempt.MalformedResponse
 	case rejection == RejectedNoReservation:
-		return attempt.NoState
+		return attempt.ReservationNotFound
 	case rejection == RejectedFull, rejection == RejectedDraining, rejection == RejectedRoleEpoch, rejection == RejectedRole:
-		return attempt.Refused
+		return attempt.Rejected
 	}
 	// A status alone, 503 too, does not say that nothing ran.
-	return attempt.Failed
+	return attempt.ErrorStatus
 }
 
 // ParsePrefillResponse reads a reader's answer: the state's name and how many prompt tokens it had kept.
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -153,7 +153,7 @@
 	d.Connections.DialTimeout = duration("limits.dial_timeout", d.Connections.DialTimeout)
 	// Engines close at the latest then, so nothing is written to one that has been idle for nearly as long.
 	idle := duration("limits.conn_idle", d.Connections.IdleTimeout)
-	d.Connections.IdleTimeout = max(0, min(idle*2/3, idle-invariant.HoldUp))
+	d.Connections.IdleTimeout = max(0, min(idle*2/3, idle-invariant.MaxDelay))
 	// A second answer may come some milliseconds behind a stream. Twenty is a way there and back on a loaded machine.
 	d.Connections.ReuseDelay = 20 * time.Millisecond
 	d.Connections.NonIdempotentIdleTimeout = min(d.Connections.NonIdempotentIdleTimeout, d.Connections.IdleTimeout)
@@ -186,14 +186,14 @@
 func applyResourceLimits(d *config.Deployment, c *NodeConfig, settings map[string]any) {
 	sockets, memory := cmp.Or(c.Limits.Sockets, 1024)-reservedSockets, c.MemoryBytes()
 	// An inference has a client's connection and at most one line, and lines that lie idle are had back at need.
-	d.Limits.Conns, d.Connections.Total = sockets*46/100, sockets/2
-	d.Limits.Open = d.Limits.Conns
-	d.Limits.Bytes, d.QueueBytes = memory/6, memory/16
+	d.Limits.Connections, d.Connections.Total = sockets*46/100, sockets/2
+	d.Limits.OpenRequests = d.Limits.Connections
+	d.Limits.BufferedBytes, d.QueueBytes = memory/6, memory/16
 	d.MaxBodyBytes, d.MaxHeadBytes = 256<<10, 16<<10
 	// Half a second under the three that the platform waits for a word to one that says nothing of use.
-	d.Limits.FirstTime = 2500 * time.Millisecond
-	d.Limits.HeadTime, d.Limits.BodyTime = d.Limits.FirstTime, d.Limits.FirstTime
-	d.Limits.IdleTime, d.Limits.DrainTime = time.Minute, time.Second
+	d.Limits.FirstRequestTimeout = 2500 * time.Millisecond
+	d.Limits.HeaderTimeout, d.Limits.BodyTimeout = d.Limits.FirstRequestTimeout, d.Limits.FirstRequestTimeout
+	d.Limits.IdleTimeout, d.Limits.DrainTimeout = time.Minute, time.Second
 	// A second under the five after which a client that is left waiting has lost its stream.
 	d.StallTimeout = 4 * time.Second
 	d.MaxRetryAfter = 0
--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/golden_test.go
@@ -56,9 +56,9 @@
 	line("tick", d.TickInterval)
 	line("probes", d.HealthChecks)
 	line("retry after", d.MaxRetryAfter)
-	line("connections of clients", d.Limits.Conns)
+	line("connections of clients", d.Limits.Connections)
 	line("connections to engines", d.Connections.Total)
-	line("bytes", d.Limits.Bytes)
+	line("bytes", d.Limits.BufferedBytes)
 	line("stay, hand over", fmt.Sprint(d.ShutdownStayTime, " ", d.ShutdownHandoverTime))
 	golden.Check(t, "told.golden", out.String())
 }
--- a/internal/protocol/platform/idle_test.go
+++ b/internal/protocol/platform/idle_test.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.Connections.IdleTimeout > max(0, idle-invariant.HoldUp) {
+		if d.Connections.IdleTimeout > max(0, idle-invariant.MaxDelay) {
 			t.Errorf("engines close after %v, the node uses a connection up to %v", idle, d.Connections.IdleTimeout)
 		}
 	}
--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -257,22 +257,22 @@
 // ReleaseReachesAllEngines is true: every engine accepts a release, of whatever is held for the request at any engine.
 func (*Codec) ReleaseReachesAllEngines() bool { return true }
 
-func (*Codec) ClassifyResponse(head *http.Response, isDecode bool) attempt.Input {
+func (*Codec) ClassifyResponse(head *http.Response, isDecode bool) attempt.Event {
 	notStarted := head.Header.Get(HeaderNotStarted) == "1"
 	switch {
 	case isDecode && head.StatusCode == http.StatusOK && chat.IsEventStream(head.Header):
-		return attempt.Accepted
+		return attempt.SuccessStatus
 	case !isDecode && head.StatusCode == http.StatusAccepted:
-		return attempt.Accepted
+		return attempt.SuccessStatus
 	case head.StatusCode < 400:
-		return attempt.Garbled
+		return attempt.MalformedResponse
 	case head.StatusCode == http.StatusGone && notStarted:
-		return attempt.NoState
+		return attempt.ReservationNotFound
 	case notStarted && (head.StatusCode == http.StatusServiceUnavailable || head.StatusCode == http.StatusGatewayTimeout):
-		return attempt.Refused
+		return attempt.Rejected
 	}
 	// A status without the engine's word does not say that nothing ran.
-	return attempt.Failed
+	return attempt.ErrorStatus
 }
 
 // reservationByRequestID stands for a state at a reader, which goes by the inference's own name.
@@ -333,9 +333,9 @@
 func (*Codec) IsFinalEvent([]byte) bool { return false }
 
 // ClassifyStreamEnd is a stream's proper end, as only a whole stream has its last chunk.
-func (*Codec) ClassifyStreamEnd(hasEvents bool) (attempt.Input, string) {
+func (*Codec) ClassifyStreamEnd(hasEvents bool) (attempt.Event, string) {
 	if !hasEvents {
-		return attempt.Garbled, "the stream has no event"
+		return attempt.MalformedResponse, "the stream has no event"
 	}
-	return attempt.Finished, ""
+	return attempt.DecodeCompleted, ""
 }
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -94,14 +94,14 @@
 	for _, c := range []struct {
 		status       int
 		word, stream bool
-		read, write  attempt.Input
+		read, write  attempt.Event
 	}{
-		{200, false, true, attempt.Garbled, attempt.Accepted}, {200, false, false, attempt.Garbled, attempt.Garbled},
-		{202, false, false, attempt.Accepted, attempt.Garbled}, {204, false, false, attempt.Garbled, attempt.Garbled},
-		{500, false, false, attempt.Failed, attempt.Failed}, {500, true, false, attempt.Failed, attempt.Failed},
-		{503, false, false, attempt.Failed, attempt.Failed}, {503, true, false, attempt.Refused, attempt.Refused},
-		{504, true, false, attempt.Refused, attempt.Refused}, {410, true, false, attempt.NoState, attempt.NoState},
-		{410, false, false, attempt.Failed, attempt.Failed}, {400, true, false, attempt.Failed, attempt.Failed},
+		{200, false, true, attempt.MalformedResponse, attempt.SuccessStatus}, {200, false, false, attempt.MalformedResponse, attempt.MalformedResponse},
+		{202, false, false, attempt.SuccessStatus, attempt.MalformedResponse}, {204, false, false, attempt.MalformedResponse, attempt.MalformedResponse},
+		{500, false, false, attempt.ErrorStatus, attempt.ErrorStatus}, {500, true, false, attempt.ErrorStatus, attempt.ErrorStatus},
+		{503, false, false, attempt.ErrorStatus, attempt.ErrorStatus}, {503, true, false, attempt.Rejected, attempt.Rejected},
+		{504, true, false, attempt.Rejected, attempt.Rejected}, {410, true, false, attempt.ReservationNotFound, attempt.ReservationNotFound},
+		{410, false, false, attempt.ErrorStatus, attempt.ErrorStatus}, {400, true, false, attempt.ErrorStatus, attempt.ErrorStatus},
 	} {
 		head := &http.Response{StatusCode: c.status, Header: http.Header{}}
 		if c.word {
@@ -222,7 +222,7 @@
 	if f["engine_facts.pin"] != 625e6 {
 		t.Errorf("the module may keep states for %v, which leaves no time to let go of them", f["engine_facts.pin"])
 	}
-	if d.Limits.Conns+d.Connections.Total+reservedSockets > 256 || d.Limits.Conns < 256/3 || d.Limits.Bytes+d.QueueBytes > 16<<20 {
+	if d.Limits.Connections+d.Connections.Total+reservedSockets > 256 || d.Limits.Connections < 256/3 || d.Limits.BufferedBytes+d.QueueBytes > 16<<20 {
 		t.Errorf("%+v %+v do not fit", d.Limits, d.Connections)
 	}
 }
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -117,8 +117,8 @@
 		fmt.Fprintf(&b, "lines: per engine %d, all %d, dials %d, dial time %v, idle %v, idle unsafe %v, settle %v\n",
 			d.Connections.PerEngine, d.Connections.Total, d.Connections.ConcurrentDials, d.Connections.DialTimeout, d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout, d.Connections.ReuseDelay)
 		fmt.Fprintf(&b, "limits: connections %d, open %d, bytes %d, head time %v, body time %v, first time %v, idle time %v, "+
-			"drain time %v, inbox %d, body %d, head %d, client buffer %d\n", d.Limits.Conns, d.Limits.Open, d.Limits.Bytes,
-			d.Limits.HeadTime, d.Limits.BodyTime, d.Limits.FirstTime, d.Limits.IdleTime, d.Limits.DrainTime, d.QueueBytes, d.MaxBodyBytes,
+			"drain time %v, inbox %d, body %d, head %d, client buffer %d\n", d.Limits.Connections, d.Limits.OpenRequests, d.Limits.BufferedBytes,
+			d.Limits.HeaderTimeout, d.Limits.BodyTimeout, d.Limits.FirstRequestTimeout, d.Limits.IdleTimeout, d.Limits.DrainTimeout, d.QueueBytes, d.MaxBodyBytes,
 			d.MaxHeadBytes, d.ClientBufferBytes)
 		fmt.Fprintf(&b, "times: stall %v, retry after %v, finish %v, linger %v, stay %v, hand over %v, release for %v\n\n",
 			d.StallTimeout, d.MaxRetryAfter, d.ShutdownTimeout, d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime, d.ReleaseRepeatTime)
--- a/internal/reservation/hold.go
+++ b/internal/reservation/hold.go
@@ -28,207 +28,209 @@
 // The states of a hold.
 const (
 	None      State = iota // nothing is held, or is known any more
-	Held                   // an engine holds it, and no attempt is out that may take it
+	Reserved               // an engine holds it, and no attempt is out that may take it
 	Claimed                // an attempt that may take it is out
 	Contested              // a release is due, though an attempt that may take it is out
 	Releasing              // it is of no use: releases are due until none can be needed
 )
 
-// Input is what happens to a hold.
-type Input uint8
+// Event is what happens to a hold.
+type Event uint8
 
 // The inputs of a hold.
 const (
-	ReadDone        Input = iota // an engine has said that it holds the state
-	ReadLost                     // a read ended without such a word, and may have left a state or still leave one
-	AttemptSent                  // the first byte of an attempt that may take it is about to go out
-	AttemptUnsent                // that attempt ended, and its request never arrived whole
-	AttemptRefused               // an engine has answered it without taking the state
-	AttemptCut                   // that attempt ended in any other way: its engine may not know yet
-	Taken                        // an attempt has taken the state
-	TakenMeanwhile               // the same, and a read that was given up may still leave another one
-	Unwanted                     // nobody will ask for it any more
-	Overdue                      // it has been kept for as long as it may be
-	Acknowledged                 // an engine has acknowledged a release
-	ReleaseRepeated              // an engine has acknowledged one, and another one is needed later
-	GivenUp                      // no engine acknowledges
+	PrefillDone              Event = iota // an engine has said that it holds the state
+	PrefillLost                           // a read ended without such a word, and may have left a state or still leave one
+	AttemptSent                           // the first byte of an attempt that may take it is about to go out
+	AttemptUnsent                         // that attempt ended, and its request never arrived whole
+	AttemptRejected                       // an engine has answered it without taking the state
+	AttemptAbandoned                      // that attempt ended in any other way: its engine may not know yet
+	Consumed                              // an attempt has taken the state
+	ConsumedBeforeHorizon                 // the same, and a read that was given up may still leave another one
+	Unneeded                              // nobody will ask for it any more
+	Expired                               // it has been kept for as long as it may be
+	ReleaseAcknowledged                   // an engine has acknowledged a release
+	ReleaseAcknowledgedEarly              // an engine has acknowledged one, and another one is needed later
+	ReleaseAbandoned                      // no engine acknowledges
 )
 
-// timing is what a transition does to the times of a hold.
-type timing uint8
+// dueChange is what a transition does to the times of a hold.
+type dueChange uint8
 
 const (
-	unchanged timing = iota
-	kept             // it may be kept from the time of the event
-	atOnce           // a release is due
-	afterRest        // a further release is due after a rest
+	dueUnchanged           dueChange = iota
+	dueAfterKeepTime                 // it may be kept from the time of the event
+	dueNow                           // a release is due
+	dueAfterRepeatInterval           // a further release is due after a rest
 )
 
 type transition struct {
-	from   []State
-	in     Input
-	next   State
-	timing timing
+	from  []State
+	event Event
+	next  State
+	due   dueChange
 }
 
 // transitions lists, for the states in the first column, what an input leads to. What fits no line changes nothing.
 var transitions = []transition{
-	{[]State{None}, ReadDone, Held, kept},
-	{[]State{None}, ReadLost, Releasing, atOnce},
-
-	{[]State{Held}, AttemptSent, Claimed, unchanged},
-	{[]State{Releasing}, AttemptSent, Contested, unchanged},
-
-	{[]State{Claimed}, AttemptUnsent, Held, unchanged},
-	{[]State{Claimed}, AttemptRefused, Held, kept},
-	{[]State{Claimed}, AttemptCut, Held, unchanged},
-	{[]State{Contested}, AttemptUnsent, Releasing, atOnce},
-	{[]State{Contested}, AttemptRefused, Releasing, atOnce},
-	{[]State{Contested}, AttemptCut, Releasing, atOnce},
-
-	{[]State{Held, Claimed, Contested}, Taken, None, unchanged},
-	{[]State{Held, Claimed}, TakenMeanwhile, None, unchanged},
-	{[]State{Contested}, TakenMeanwhile, Releasing, afterRest},
-
-	{[]State{Held}, Unwanted, Releasing, atOnce},
-	{[]State{Held}, Overdue, Releasing, atOnce},
-	{[]State{Claimed}, Unwanted, Contested, atOnce},
-	{[]State{Claimed}, Overdue, Contested, atOnce},
-
-	{[]State{Contested}, Acknowledged, Contested, afterRest},
-	{[]State{Contested}, ReleaseRepeated, Contested, afterRest},
-	{[]State{Releasing}, Acknowledged, None, unchanged},
-	{[]State{Releasing}, ReleaseRepeated, Releasing, afterRest},
-	{[]State{Releasing, Contested}, GivenUp, None, unchanged},
+	{[]State{None}, PrefillDone, Reserved, dueAfterKeepTime},
+	{[]State{None}, PrefillLost, Releasing, dueNow},
+
+	{[]State{Reserved}, AttemptSent, Claimed, dueUnchanged},
+	{[]State{Releasing}, AttemptSent, Contested, dueUnchanged},
+
+	{[]State{Claimed}, AttemptUnsent, Reserved, dueUnchanged},
+	{[]State{Claimed}, AttemptRejected, Reserved, dueAfterKeepTime},
+	{[]State{Claimed}, AttemptAbandoned, Reserved, dueUnchanged},
+	{[]State{Contested}, AttemptUnsent, Releasing, dueNow},
+	{[]State{Contested}, AttemptRejected, Releasing, dueNow},
+	{[]State{Contested}, AttemptAbandoned, Releasing, dueNow},
+
+	{[]State{Reserved, Claimed, Contested}, Consumed, None, dueUnchanged},
+	{[]State{Reserved, Claimed}, ConsumedBeforeHorizon, None, dueUnchanged},
+	{[]State{Contested}, ConsumedBeforeHorizon, Releasing, dueAfterRepeatInterval},
+
+	{[]State{Reserved}, Unneeded, Releasing, dueNow},
+	{[]State{Reserved}, Expired, Releasing, dueNow},
+	{[]State{Claimed}, Unneeded, Contested, dueNow},
+	{[]State{Claimed}, Expired, Contested, dueNow},
+
+	{[]State{Contested}, ReleaseAcknowledged, Contested, dueAfterRepeatInterval},
+	{[]State{Contested}, ReleaseAcknowledgedEarly, Contested, dueAfterRepeatInterval},
+	{[]State{Releasing}, ReleaseAcknowledged, None, dueUnchanged},
+	{[]State{Releasing}, ReleaseAcknowledgedEarly, Releasing, dueAfterRepeatInterval},
+	{[]State{Releasing, Contested}, ReleaseAbandoned, None, dueUnchanged},
 }
 
-// Bounds are the times and numbers of a table, in nanoseconds.
-type Bounds struct {
-	Keep   int64 // how long a state may wait to be taken, from the last time at which an attempt was out
-	Rest   int64 // between two releases that were acknowledged
-	Retry  int64 // before the first releases that follow one which was not; later ones come at doubled distances
-	GiveUp int64 // how long releases are tried that nobody acknowledges
-	Most   int   // holds at once
+// Limits are the times and numbers of a table, in nanoseconds.
+type Limits struct {
+	KeepTime        int64 // how long a state may wait to be taken, from the last time at which an attempt was out
+	RepeatInterval  int64 // between two releases that were acknowledged
+	RetryInterval   int64 // before the first releases that follow one which was not; later ones come at doubled distances
+	AbandonAfter    int64 // how long releases are tried that nobody acknowledges
+	MaxReservations int   // holds at once
 	// Shared is whether a release lets go of all states of its request, whichever read made them.
-	Shared bool
+	ReleasesWholeRequest bool
 }
 
-// Hold is one state that an engine holds, or may hold.
-type Hold struct {
-	ID     ID
-	Engine string
-	State  State
-	Since  int64 // when it came to be known
-	Due    int64 // when a release is due next
+// Reservation is one state that an engine holds, or may hold.
+type Reservation struct {
+	ID         ID
+	Engine     string
+	State      State
+	KnownSince int64 // when it came to be known
+	DueAt      int64 // when a release is due next
 
 	// Asked are the engines that the releases since the last acknowledgement went to.
-	Asked []string
+	ReleaseTargets []string
 	// Round counts the times at which releases became due anew. An acknowledgement of an earlier round's says nothing.
 	Round int
 
-	free     int64 // since when no attempt has been out that may take it, as far as is known
-	cut      bool  // the attempt that was to take it was cut: whether it arrived is not known
-	horizon  int64 // until when releases are repeated
-	pressing int64 // since when releases have not been acknowledged; 0 where none is out
-	unheard  int   // releases since the last acknowledgement
-	acks     int   // acknowledgements so far
+	unclaimedSince      int64 // since when no attempt has been out that may take it, as far as is known
+	attemptAbandoned    bool  // the attempt that was to take it was cut: whether it arrived is not known
+	horizon             int64 // until when releases are repeated
+	unacknowledgedSince int64 // since when releases have not been acknowledged; 0 where none is out
+	unacknowledged      int   // releases since the last acknowledgement
+	acknowledgements    int   // acknowledgements so far
 }
 
 // Acknowledged is whether an engine has acknowledged a release.
-func (h *Hold) Acknowledged() bool { return h.acks > 0 }
+func (r *Reservation) Acknowledged() bool { return r.acknowledgements > 0 }
 
-// FreeSince is since when no attempt has been out that may take the state, as far as is known.
-func (h *Hold) FreeSince() int64 { return h.free }
+// UnclaimedSince is since when no attempt has been out that may take the state, as far as is known.
+func (r *Reservation) UnclaimedSince() int64 { return r.unclaimedSince }
 
-// Describe writes all that later events may hang on, with times as they are from now.
-func (h *Hold) Describe(now int64) string {
-	pressing := int64(-1)
-	if h.pressing > 0 {
-		pressing = now - h.pressing
+// Fingerprint writes all that later events may hang on, with times as they are from now.
+func (r *Reservation) Fingerprint(now int64) string {
+	unacknowledgedFor := int64(-1)
+	if r.unacknowledgedSince > 0 {
+		unacknowledgedFor = now - r.unacknowledgedSince
 	}
-	return fmt.Sprint(h.ID, h.Engine, h.State, h.Due-now, max(0, h.horizon-now), pressing, h.unheard, h.acks, h.Asked, h.cut)
+	return fmt.Sprint(r.ID, r.Engine, r.State, r.DueAt-now, max(0, r.horizon-now), unacknowledgedFor, r.unacknowledged, r.acknowledgements, r.ReleaseTargets, r.attemptAbandoned)
 }
 
 // Table is all holds of a node.
 type Table struct {
-	bounds   Bounds
-	requests map[string][]*Hold // in order of their reads
-	count    int
+	limits    Limits
+	byRequest map[string][]*Reservation // in order of their reads
+	count     int
 	// next is the earliest due time; it may have passed out of the table where stale is set.
-	next  int64
-	stale bool
+	nextDue      int64
+	nextDueStale bool
 }
 
 // New makes an empty table.
-func New(b Bounds) *Table { return &Table{bounds: b, requests: map[string][]*Hold{}, next: Never} }
+func New(b Limits) *Table {
+	return &Table{limits: b, byRequest: map[string][]*Reservation{}, nextDue: Never}
+}
 
 // Find is the hold of an id; nil where nothing is known of one.
-func (t *Table) Find(id ID) *Hold {
-	for _, h := range t.requests[id.Request] {
-		if h.ID == id {
-			return h
+func (t *Table) Find(id ID) *Reservation {
+	for _, r := range t.byRequest[id.Request] {
+		if r.ID == id {
+			return r
 		}
 	}
 	return nil
 }
 
 // All lists all holds, in order of requests and reads.
-func (t *Table) All() []*Hold {
-	row := make([]*Hold, 0, t.count)
-	for _, holds := range t.requests {
-		row = append(row, holds...)
+func (t *Table) All() []*Reservation {
+	all := make([]*Reservation, 0, t.count)
+	for _, reservations := range t.byRequest {
+		all = append(all, reservations...)
 	}
-	slices.SortFunc(row, func(a, b *Hold) int {
+	slices.SortFunc(all, func(a, b *Reservation) int {
 		return cmp.Or(cmp.Compare(a.ID.Request, b.ID.Request), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
 	})
-	return row
+	return all
 }
 
 // Never is the due time of an empty table.
 const Never = int64(math.MaxInt64)
 
-// Next is when the next hold is due.
-func (t *Table) Next() int64 {
-	if !t.stale {
-		return t.next
+// NextDue is when the next hold is due.
+func (t *Table) NextDue() int64 {
+	if !t.nextDueStale {
+		return t.nextDue
 	}
-	t.next, t.stale = Never, false
-	for _, holds := range t.requests {
-		for _, h := range holds {
-			t.next = min(t.next, h.Due)
+	t.nextDue, t.nextDueStale = Never, false
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			t.nextDue = min(t.nextDue, r.DueAt)
 		}
 	}
-	return t.next
+	return t.nextDue
 }
 
 // DueBy lists the holds that are due, in order of requests and reads.
-func (t *Table) DueBy(now int64) (row []*Hold) {
-	if now < t.Next() {
+func (t *Table) DueBy(now int64) (due []*Reservation) {
+	if now < t.NextDue() {
 		return nil
 	}
-	for _, h := range t.All() {
-		if h.Due <= now {
-			row = append(row, h)
+	for _, r := range t.All() {
+		if r.DueAt <= now {
+			due = append(due, r)
 		}
 	}
-	return row
+	return due
 }
 
-func (t *Table) setDue(h *Hold, at int64) {
-	t.stale = t.stale || h.Due == t.next
-	h.Due = at
-	t.next = min(t.next, at)
+func (t *Table) setDue(r *Reservation, at int64) {
+	t.nextDueStale = t.nextDueStale || r.DueAt == t.nextDue
+	r.DueAt = at
+	t.nextDue = min(t.nextDue, at)
 }
 
 // Count is how many holds there are.
 func (t *Table) Count() int { return t.count }
 
-// Oldest is since when the oldest hold has been known; 0 where there is none.
-func (t *Table) Oldest() (since int64) {
-	for _, holds := range t.requests {
-		for _, h := range holds {
-			if since == 0 || h.Since < since {
-				since = h.Since
+// OldestSince is since when the oldest hold has been known; 0 where there is none.
+func (t *Table) OldestSince() (since int64) {
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			if since == 0 || r.KnownSince < since {
+				since = r.KnownSince
 			}
 		}
 	}
@@ -239,74 +241,74 @@
 // the engine may have had it. Horizon is until when an attempt of the request that was given up may still act at its
 // engine, 0 where there is none. It returns nil where the table is full of holds that no engine has acknowledged a
 // release of.
-func (t *Table) Add(id ID, engine string, in Input, now, since, horizon int64) *Hold {
-	if h := t.Find(id); h != nil {
-		return h
+func (t *Table) Add(id ID, engine string, event Event, now, since, horizon int64) *Reservation {
+	if r := t.Find(id); r != nil {
+		return r
 	}
-	if t.count >= t.bounds.Most && !t.makeRoom() {
+	if t.count >= t.limits.MaxReservations && !t.evictAcknowledged() {
 		return nil
 	}
-	h := &Hold{ID: id, Engine: engine, Since: now, free: now}
-	t.requests[id.Request] = append(t.requests[id.Request], h)
+	r := &Reservation{ID: id, Engine: engine, KnownSince: now, unclaimedSince: now}
+	t.byRequest[id.Request] = append(t.byRequest[id.Request], r)
 	t.count++
-	t.happen(h, in, now, since, horizon)
-	return h
+	t.handle(r, event, now, since, horizon)
+	return r
 }
 
-// makeRoom forgets a hold of which an engine has acknowledged a release, if there is one.
-func (t *Table) makeRoom() bool {
-	for _, h := range t.All() {
-		if h.State == Releasing && h.acks > 0 {
-			h.State = None
-			t.drop(h)
+// evictAcknowledged forgets a hold of which an engine has acknowledged a release, if there is one.
+func (t *Table) evictAcknowledged() bool {
+	for _, r := range t.All() {
+		if r.State == Releasing && r.acknowledgements > 0 {
+			r.State = None
+			t.remove(r)
 			return true
 		}
 	}
 	return false
 }
 
-// Attempt tells all holds of a request what became of an attempt that may take one of them, or that all are unwanted.
+// HandleAttempt tells all holds of a request what became of an attempt that may take one of them, or that all are unwanted.
 // It returns those whose due time has changed.
-func (t *Table) Attempt(request string, in Input, now, since, horizon int64) (changed []*Hold) {
-	for _, h := range slices.Clone(t.requests[request]) {
-		if h.State == Releasing && !t.bounds.Shared {
+func (t *Table) HandleAttempt(request string, event Event, now, since, horizon int64) (changed []*Reservation) {
+	for _, r := range slices.Clone(t.byRequest[request]) {
+		if r.State == Releasing && !t.limits.ReleasesWholeRequest {
 			continue // attempts name the state that they take, and it is not this one
 		}
-		before := h.Due
-		t.happen(h, in, now, since, horizon)
-		if h.State != None && h.Due != before {
-			changed = append(changed, h)
+		before := r.DueAt
+		t.handle(r, event, now, since, horizon)
+		if r.State != None && r.DueAt != before {
+			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
 // Acknowledge notes that an engine has acknowledged a release of a round.
-func (t *Table) Acknowledge(h *Hold, round int, now int64) {
-	if h.State == None || round != h.Round {
+func (t *Table) Acknowledge(r *Reservation, round int, now int64) {
+	if r.State == None || round != r.Round {
 		return
 	}
-	h.acks++
-	t.newRound(h)
-	in := Acknowledged
-	if now < h.horizon {
-		in = ReleaseRepeated
+	r.acknowledgements++
+	t.startRound(r)
+	event := ReleaseAcknowledged
+	if now < r.horizon {
+		event = ReleaseAcknowledgedEarly
 	}
-	t.happen(h, in, now, now, 0)
+	t.handle(r, event, now, now, 0)
 }
 
-func (t *Table) newRound(h *Hold) {
-	h.Round++
-	h.pressing, h.unheard, h.Asked = 0, 0, nil
+func (t *Table) startRound(r *Reservation) {
+	r.Round++
+	r.unacknowledgedSince, r.unacknowledged, r.ReleaseTargets = 0, 0, nil
 }
 
-// Owed counts the holds that a node must not leave behind when it ends. Where releases are repeated, it is enough that
+// Unreleased counts the holds that a node must not leave behind when it ends. Where releases are repeated, it is enough that
 // two were acknowledged: what the attempts before did is over then, unless their engines hang.
-func (t *Table) Owed() (n int) {
+func (t *Table) Unreleased() (n int) {
 	const enough = 2
-	for _, holds := range t.requests {
-		for _, h := range holds {
-			if h.State != Releasing || h.acks < enough {
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			if r.State != Releasing || r.acknowledgements < enough {
 				n++
 			}
 		}
@@ -319,39 +321,39 @@
 
 // The actions.
 const (
-	Nothing Action = iota // its time has not come, or it waits for another state of its request
-	Release               // a release is to be sent
-	Abandon               // no engine acknowledges: it is forgotten
+	NoAction Action = iota // its time has not come, or it waits for another state of its request
+	Release                // a release is to be sent
+	Abandon                // no engine acknowledges: it is forgotten
 )
 
-// Run decides about a hold whose time may have come. Kept is the state in which it was kept for as long as it may be;
+// HandleDue decides about a hold whose time may have come. Kept is the state in which it was kept for as long as it may be;
 // None where its release was due already.
-func (t *Table) Run(h *Hold, now int64) (do Action, kept State) {
-	if h.State == None || now < h.Due {
-		return Nothing, None
+func (t *Table) HandleDue(r *Reservation, now int64) (action Action, expiredIn State) {
+	if r.State == None || now < r.DueAt {
+		return NoAction, None
 	}
 	switch {
-	case h.State == Held && h.cut:
-		kept = Claimed // it is not known whether the attempt that was to take it has arrived
-	case h.State == Held || h.State == Claimed:
-		kept = h.State
+	case r.State == Reserved && r.attemptAbandoned:
+		expiredIn = Claimed // it is not known whether the attempt that was to take it has arrived
+	case r.State == Reserved || r.State == Claimed:
+		expiredIn = r.State
 	}
-	t.happen(h, Overdue, now, now, 0)
-	if wanted := t.wanted(h); t.bounds.Shared && wanted > now {
+	t.handle(r, Expired, now, now, 0)
+	if usedUntil := t.usedUntil(r); t.limits.ReleasesWholeRequest && usedUntil > now {
 		// A release would take the state that the request waits to use. The time of this one runs from the same moment.
-		t.setDue(h, wanted)
-		return Nothing, kept
+		t.setDue(r, usedUntil)
+		return NoAction, expiredIn
 	}
-	if h.pressing == 0 {
-		h.pressing = now
+	if r.unacknowledgedSince == 0 {
+		r.unacknowledgedSince = now
 	}
-	if now-h.pressing > t.bounds.GiveUp && now > h.horizon {
-		t.happen(h, GivenUp, now, now, 0)
-		return Abandon, kept
+	if now-r.unacknowledgedSince > t.limits.AbandonAfter && now > r.horizon {
+		t.handle(r, ReleaseAbandoned, now, now, 0)
+		return Abandon, expiredIn
 	}
-	h.unheard++
-	t.setDue(h, now+t.backoff(h.unheard))
-	return Release, kept
+	r.unacknowledged++
+	t.setDue(r, now+t.backoff(r.unacknowledged))
+	return Release, expiredIn
 }
 
 // steadyRetries is how many releases follow one another at the shortest distance: enough to ask a few engines, one of
@@ -359,76 +361,78 @@
 const steadyRetries = 4
 
 // backoff is how long the next release waits for an acknowledgement of this one.
-func (t *Table) backoff(unheard int) int64 {
-	return min(t.bounds.Retry<<min(max(0, unheard-steadyRetries), 16), max(t.bounds.Rest/2, t.bounds.Retry))
+func (t *Table) backoff(unacknowledged int) int64 {
+	return min(t.limits.RetryInterval<<min(max(0, unacknowledged-steadyRetries), 16), max(t.limits.RepeatInterval/2, t.limits.RetryInterval))
 }
 
-// wanted is when the state of the same request that is still to be used will be released; 0 where there is none.
-func (t *Table) wanted(h *Hold) (due int64) {
-	for _, other := range t.requests[h.ID.Request] {
-		if other != h && (other.State == Held || other.State == Claimed) {
-			due = max(due, other.Due)
+// usedUntil is when the state of the same request that is still to be used will be released; 0 where there is none.
+func (t *Table) usedUntil(r *Reservation) (due int64) {
+	for _, other := range t.byRequest[r.ID.Request] {
+		if other != r && (other.State == Reserved || other.State == Claimed) {
+			due = max(due, other.DueAt)
 		}
 	}
 	return due
 }
 
-func (t *Table) happen(h *Hold, in Input, now, since, horizon int64) {
-	h.horizon = max(h.horizon, horizon)
-	if in == Taken && now < h.horizon {
-		in = TakenMeanwhile
+func (t *Table) handle(r *Reservation, event Event, now, since, horizon int64) {
+	r.horizon = max(r.horizon, horizon)
+	if event == Consumed && now < r.horizon {
+		event = ConsumedBeforeHorizon
 	}
-	i := slices.IndexFunc(transitions, func(r transition) bool { return r.in == in && slices.Contains(r.from, h.State) })
+	i := slices.IndexFunc(transitions, func(candidate transition) bool {
+		return candidate.event == event && slices.Contains(candidate.from, r.State)
+	})
 	if i < 0 {
 		return
 	}
-	h.State = transitions[i].next
-	switch in {
-	case AttemptCut:
-		h.cut, h.free = true, now
-	case AttemptRefused:
-		h.cut, h.free = false, now
+	r.State = transitions[i].next
+	switch event {
+	case AttemptAbandoned:
+		r.attemptAbandoned, r.unclaimedSince = true, now
+	case AttemptRejected:
+		r.attemptAbandoned, r.unclaimedSince = false, now
 	}
-	switch transitions[i].timing {
-	case kept:
-		t.setDue(h, since+t.bounds.Keep)
-	case atOnce:
-		t.setDue(h, now)
-		t.newRound(h)
-	case afterRest:
-		t.setDue(h, now+t.bounds.Rest)
+	switch transitions[i].due {
+	case dueAfterKeepTime:
+		t.setDue(r, since+t.limits.KeepTime)
+	case dueNow:
+		t.setDue(r, now)
+		t.startRound(r)
+	case dueAfterRepeatInterval:
+		t.setDue(r, now+t.limits.RepeatInterval)
 	}
-	if h.State == None {
-		t.drop(h)
+	if r.State == None {
+		t.remove(r)
 	}
 }
 
-func (t *Table) drop(h *Hold) {
-	request := h.ID.Request
-	t.stale = t.stale || h.Due == t.next
-	t.requests[request] = slices.DeleteFunc(t.requests[request], func(other *Hold) bool { return other == h })
+func (t *Table) remove(r *Reservation) {
+	request := r.ID.Request
+	t.nextDueStale = t.nextDueStale || r.DueAt == t.nextDue
+	t.byRequest[request] = slices.DeleteFunc(t.byRequest[request], func(other *Reservation) bool { return other == r })
 	t.count--
-	if len(t.requests[request]) == 0 {
-		delete(t.requests, request)
+	if len(t.byRequest[request]) == 0 {
+		delete(t.byRequest, request)
 	}
 }
 
-// giveUpLimits is for how many limits releases are tried that no engine acknowledges. A node may be cut off from all engines
+// abandonAfterLimits is for how many limits releases are tried that no engine acknowledges. A node may be cut off from all engines
 // for some seconds, and owes the release once it is not; engines that never acknowledge must not be asked for good.
-const giveUpLimits = 10
+const abandonAfterLimits = 10
 
-// BoundsFor are the bounds of a node that must have each state taken or released within limit.
-func BoundsFor(limit time.Duration, shared bool, most int) Bounds {
-	pin := int64(limit)
-	return Bounds{
+// LimitsFor are the bounds of a node that must have each state taken or released within limit.
+func LimitsFor(limit time.Duration, releasesWholeRequest bool, maxReservations int) Limits {
+	limitNanos := int64(limit)
+	return Limits{
 		// A quarter is left for the releases and for a process that is not run in time. The decision module lets go
 		// sooner by itself, so that this is the last resort.
-		Keep: pin * 3 / 4,
+		KeepTime: limitNanos * 3 / 4,
 		// A state that comes to be held just after a release has half the limit left at the next.
-		Rest:   pin / 2,
-		Retry:  max(int64(time.Millisecond), min(int64(50*time.Millisecond), pin/16)),
-		GiveUp: giveUpLimits * pin,
-		Most:   most,
-		Shared: shared,
+		RepeatInterval:       limitNanos / 2,
+		RetryInterval:        max(int64(time.Millisecond), min(int64(50*time.Millisecond), limitNanos/16)),
+		AbandonAfter:         abandonAfterLimits * limitNanos,
+		MaxReservations:      maxReservations,
+		ReleasesWholeRequest: releasesWholeRequest,
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -19,7 +19,7 @@
 	decode        bool
 	startedAt     int64
 	writtenAt     int64 // when its request was written; 0 while it is not
-	machine       attempt.Send
+	machine       attempt.Attempt
 	connection    *EngineConnection
 	responseHeads int
 	token         []byte
@@ -45,7 +45,7 @@
 		r.ClientDisconnected(req.client)
 	}
 	if reason := r.checkAttempt(att, nil); reason != invariant.Allowed {
-		r.handleAttemptEvent(att, attempt.Barred, string(reason))
+		r.handleAttemptEvent(att, attempt.EngineUnavailable, string(reason))
 		return
 	}
 	maxIdle := int64(r.config.Connections.IdleTimeout)
@@ -54,19 +54,19 @@
 	}
 	if !r.dispatch(action.Engine, att, nil, maxIdle) {
 		// The node's own bound says nothing of the engine.
-		r.handleAttemptEvent(att, attempt.Barred, "no line to it may be opened")
+		r.handleAttemptEvent(att, attempt.EngineUnavailable, "no line to it may be opened")
 	}
 }
 
 // checkAttempt asks the gate of attempts, on a connection or before there is one.
 func (r *Router) checkAttempt(att *engineAttempt, conn *EngineConnection) invariant.Reason {
 	req := att.request
-	candidate := invariant.Attempt{Answered: req.outcome != "", ClientGone: req.client.disconnected, GiveUpAt: req.deadline, Drained: r.drains[att.engine],
-		Moved: conn != nil && conn.Host != r.engineAddress(att.engine).Address, Effect: req.effect(r.config),
-		Window: int64(r.config.Routes[req.route].DedupWindow)}
+	candidate := invariant.Attempt{Answered: req.outcome != "", ClientGone: req.client.disconnected, Deadline: req.deadline, DrainNotifiedAt: r.drains[att.engine],
+		AddressChanged: conn != nil && conn.Host != r.engineAddress(att.engine).Address, Effect: req.effect(r.config),
+		DedupWindow: int64(r.config.Routes[req.route].DedupWindow)}
 	for _, before := range req.attempts {
 		if before != att {
-			candidate.Earlier = append(candidate.Earlier, invariant.Earlier{Decode: before.decode, WrittenAt: before.writtenAt, Out: !before.ended,
+			candidate.PriorAttempts = append(candidate.PriorAttempts, invariant.PriorAttempt{Decode: before.decode, WrittenAt: before.writtenAt, InFlight: !before.ended,
 				NeverRan: before.ended && attempt.NeverRan(before.verdict)})
 		}
 	}
@@ -107,7 +107,7 @@
 
 // handleAttemptEvent is where all socket events of a send end up: its machine judges them, and the outcome, if there is
 // one, goes to the module.
-func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Input, reason string) {
+func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Event, reason string) {
 	if att.ended {
 		return
 	}
@@ -115,30 +115,30 @@
 	// The kernel may have taken the rest of a request since the last event; a send that is withdrawn or breaks
 	// then may have run, though its machine still thinks that a part of it is here.
 	if conn := att.connection; conn != nil && conn.attempt == att && conn.socket != nil && att.machine.State == attempt.Writing {
-		if event == attempt.WithdrawnBy {
+		if event == attempt.Canceled {
 			conn.socket.Close() // before the look: nothing more can leave behind it
 		}
 		if conn.socket.RequestWritten() {
-			r.firedTransitions |= 1 << att.machine.Happen(attempt.Written).Row
+			r.firedTransitions |= 1 << att.machine.Handle(attempt.RequestWritten).Transition
 		}
 	}
-	result := att.machine.Happen(event)
-	r.firedTransitions |= 1 << result.Row
-	if event == attempt.Token && att.machine.State == attempt.Flowing {
-		r.forwardToken(att, result.First)
+	result := att.machine.Handle(event)
+	r.firedTransitions |= 1 << result.Transition
+	if event == attempt.TokenReceived && att.machine.State == attempt.Streaming {
+		r.forwardToken(att, result.FirstToken)
 		return
 	}
-	if !result.Ends {
+	if !result.Final {
 		return
 	}
 	att.ended, att.verdict, att.reason = true, result.Verdict, reason
 	if conn := att.connection; conn != nil && conn.attempt == att {
 		conn.attempt = nil
 		switch {
-		case result.Line == attempt.Close:
+		case result.Connection == attempt.MustClose:
 			r.discardConnection(conn)
-		case event == attempt.Barred:
-			r.pool.Happen(conn.ID, connpool.Released, r.now)
+		case event == attempt.EngineUnavailable:
+			r.pool.Handle(conn.ID, connpool.Released, r.now)
 		default:
 			conn.drainingSince = r.now
 		}
@@ -149,12 +149,12 @@
 		note, req.transfer = att.cachedTokens, att.transfer
 	}
 	r.recordReservation(att, event, result)
-	if result.Gone {
+	if result.ReservationMissing {
 		// The writer could not fetch it. Its reader may still hold it, unheard, and nobody will ask for it again.
 		note = 1
 		r.releaseReservations(req)
 	}
-	if att.machine.Began {
+	if att.machine.FirstTokenReceived {
 		if result.Verdict == routing.Completed {
 			r.finishRequest(req, outcomeCompleted, "")
 		} else {
@@ -174,7 +174,7 @@
 
 // reportAttempt tells the monitor and the logs of an attempt's outcome.
 func (r *Router) reportAttempt(att *engineAttempt) {
-	r.monitor.Over(att.request.id, att.index, attempt.NeverRan(att.verdict))
+	r.monitor.AttemptEnded(att.request.id, att.index, attempt.NeverRan(att.verdict))
 	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode, Verdict: verdictNames[att.verdict], Reason: att.reason,
 		Duration: time.Duration(r.now - att.startedAt)}
 	if att.writtenAt > 0 {
@@ -188,8 +188,8 @@
 	req := att.request
 	if first {
 		req.streaming, req.firstTokenAt = true, r.now
-		r.monitor.Began(req.id)
-		r.updateReservations(req, reservation.Taken)
+		r.monitor.AnswerStarted(req.id)
+		r.updateReservations(req, reservation.Consumed)
 		if req.collector == nil && req.outcome == "" {
 			r.write(req.client, r.protocol.StreamHead(req.name))
 		}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -23,7 +23,7 @@
 
 // ClientOpened takes a new connection of a client.
 func (r *Router) ClientOpened(client *ClientConnection) {
-	ok := r.admission.Open(client.ID, r.now, func(id int64) bool { return r.closeIfIdle(r.clients[id], CloseEvicted) })
+	ok := r.admission.AcceptConnection(client.ID, r.now, func(id int64) bool { return r.closeIfIdle(r.clients[id], CloseEvicted) })
 	r.clients[client.ID] = client
 	if !ok {
 		// A request may be on its way on it already, and is owed an answer.
@@ -43,7 +43,7 @@
 
 // closeSocket closes a client's connection, whatever is under way on it. What the gate of closes has against it counts.
 func (r *Router) closeSocket(client *ClientConnection, reason CloseReason) {
-	r.monitor.Closing(r.connectionState(client), string(reason))
+	r.monitor.ConnectionClosing(r.connectionState(client), string(reason))
 	r.observer.ClientClosed(client.ID, reason)
 	client.Socket.Close()
 }
@@ -59,7 +59,7 @@
 	if client.serving {
 		waiting++
 	}
-	return invariant.Connection{ClientGone: client.disconnected || client.Socket.Disconnected(), Broke: client.aborted, Waiting: waiting, Unread: client.partial}
+	return invariant.Connection{ClientGone: client.disconnected || client.Socket.Disconnected(), ResponseBroken: client.aborted, Unanswered: waiting, UnreadRequest: client.partial}
 }
 
 // closeIfIdle closes a connection between two requests, once its last answer is with the kernel.
@@ -97,7 +97,7 @@
 		return
 	}
 	client.disconnected = true
-	r.admission.Happen(client.ID, admission.Closed, r.now)
+	r.admission.Handle(client.ID, admission.ConnectionClosed, r.now)
 	delete(r.clients, client.ID)
 	client.waiting = nil
 	if req := client.current; req != nil {
@@ -106,17 +106,17 @@
 }
 
 // ReceivePartial says that a client sends, and how many bytes of an unfinished call are held for it.
-func (r *Router) ReceivePartial(client *ClientConnection, input admission.Input, bytes int) {
+func (r *Router) ReceivePartial(client *ClientConnection, input admission.Event, bytes int) {
 	if client.disconnected || client.closing {
 		return // what comes on a connection that is closing is dropped
 	}
 	client.partialState, client.partial = input, true
 	if !client.serving {
-		r.admission.Happen(client.ID, input, r.now)
+		r.admission.Handle(client.ID, input, r.now)
 	}
-	r.admission.Hold(client.ID, bytes-client.partialBytes)
+	r.admission.AddBytes(client.ID, bytes-client.partialBytes)
 	client.partialBytes = bytes
-	if id := r.admission.Fattest(); id != 0 {
+	if id := r.admission.LargestUnfinished(); id != 0 {
 		r.observer.Rejected("bytes")
 		r.reply(r.clients[id], nil, r.protocol.ShedResponse(http.StatusServiceUnavailable, "", "this node holds all that it may",
 			r.config.MaxRetryAfter))
@@ -142,9 +142,9 @@
 	if client.disconnected || client.closing {
 		return
 	}
-	r.admission.Hold(client.ID, received.Bytes-client.partialBytes)
+	r.admission.AddBytes(client.ID, received.Bytes-client.partialBytes)
 	client.partialBytes, client.partial, client.expectsContinue = 0, false, false
-	r.admission.Happen(client.ID, admission.CallWhole, r.now)
+	r.admission.Handle(client.ID, admission.RequestComplete, r.now)
 	received.excess = len(client.waiting) >= maxPipelined
 	client.waiting = append(client.waiting, received)
 	if len(client.waiting) == maxReadAhead {
@@ -173,13 +173,13 @@
 // becomeIdle is what a connection comes to once all that was read on it is answered. A request that has come in part meanwhile
 // has its time from now on.
 func (r *Router) becomeIdle(client *ClientConnection) {
-	r.admission.Happen(client.ID, admission.Answered, r.now)
+	r.admission.Handle(client.ID, admission.AllAnswered, r.now)
 	switch {
 	case client.closing:
 	case client.readingStopped:
 		r.closeAfterFlush(client)
 	case client.partial:
-		r.admission.Happen(client.ID, client.partialState, r.now)
+		r.admission.Handle(client.ID, client.partialState, r.now)
 		r.sendContinue(client)
 	}
 }
@@ -234,7 +234,7 @@
 // finishReply ends a request of a client and goes on with the next.
 func (r *Router) finishReply(client *ClientConnection, received *ClientRequest, keep bool) {
 	if received != nil {
-		r.admission.Hold(client.ID, -received.Bytes)
+		r.admission.AddBytes(client.ID, -received.Bytes)
 	}
 	client.serving, client.current = false, nil
 	if !keep || client.closing {
@@ -251,9 +251,9 @@
 func (r *Router) closeAfterFlush(client *ClientConnection) {
 	client.closing = true
 	client.Socket.StopReading()
-	r.admission.Hold(client.ID, -client.partialBytes) // a part of a request is dropped
+	r.admission.AddBytes(client.ID, -client.partialBytes) // a part of a request is dropped
 	client.partialBytes, client.partial = 0, false
-	r.admission.Happen(client.ID, admission.Part, r.now)
+	r.admission.Handle(client.ID, admission.CloseRequested, r.now)
 	r.closing[client.ID] = r.now
 	r.flush(client)
 }
@@ -294,7 +294,7 @@
 			continue
 		}
 		written := client.Socket.Flushed()
-		if written && (client.aborted || r.now-at > int64(500*time.Millisecond)) || r.now-at > int64(r.config.Limits.DrainTime) {
+		if written && (client.aborted || r.now-at > int64(500*time.Millisecond)) || r.now-at > int64(r.config.Limits.DrainTimeout) {
 			delete(r.closing, id)
 			r.closeSocket(client, closeReason(client, written))
 		}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -11,9 +11,9 @@
 // controlRequest is what an engine is asked beside attempts: a probe, or the release of a state.
 type controlRequest struct {
 	engine        string
-	reservation   *reservation.Hold // to be released; nil for a probe
-	round         int               // of the hold's releases
-	newConnection bool              // it is to go on a connection of its own
+	reservation   *reservation.Reservation // to be released; nil for a probe
+	round         int                      // of the hold's releases
+	newConnection bool                     // it is to go on a connection of its own
 	startedAt     int64
 	head          *http.Response
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -40,13 +40,13 @@
 	endpoints    *endpoint.List
 	starts       engineStarts
 	listHistory  listHistory
-	drains       attempt.Told
+	drains       attempt.UnavailableSince
 	knownEngines []string // all engines ever listed
 	// answeredAt is when an engine's last answer began.
 	lastResponseAt map[string]int64
 	requestNames   recentNames // of inferences, where clients give them
-	admission      *admission.Gate
-	clientRetries  *admission.Retries
+	admission      *admission.Controller
+	clientRetries  *admission.RetryBudget
 	pool           *connpool.Pool
 
 	clients           map[int64]*ClientConnection
@@ -98,12 +98,12 @@
 // New makes the core of a node that starts at now. Epoch must differ between lives of a node.
 func New(cfg *config.Deployment, protocol protocol.Codec, seed uint64, incarnation, now int64, transport Transport,
 	observer Observer) *Router {
-	r := &Router{config: cfg, protocol: protocol, seed: seed, incarnation: incarnation, transport: transport, observer: observer, now: now, drains: attempt.Told{},
-		admission: admission.New(cfg.Limits), clientRetries: admission.NewRetries(cfg.Limits.Retries), pool: connpool.New(connpool.Bounds{PerEngine: cfg.Connections.PerEngine,
-			Dials: cfg.Connections.ConcurrentDials, All: cfg.Connections.Total, IdleNs: int64(cfg.Connections.IdleTimeout), SettleNs: int64(cfg.Connections.ReuseDelay)}),
+	r := &Router{config: cfg, protocol: protocol, seed: seed, incarnation: incarnation, transport: transport, observer: observer, now: now, drains: attempt.UnavailableSince{},
+		admission: admission.New(cfg.Limits), clientRetries: admission.NewRetryBudget(cfg.Limits.RetryShare), pool: connpool.New(connpool.Limits{PerEngine: cfg.Connections.PerEngine,
+			ConcurrentDials: cfg.Connections.ConcurrentDials, Total: cfg.Connections.Total, IdleTimeout: int64(cfg.Connections.IdleTimeout), SettleTime: int64(cfg.Connections.ReuseDelay)}),
 		clients: map[int64]*ClientConnection{}, closing: map[int64]int64{}, engineConnections: map[int64]*EngineConnection{},
-		controlRequests: map[*controlRequest]bool{}, reservations: reservation.New(reservation.BoundsFor(cfg.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
-			reservationsPerRequest*cfg.Limits.Open)), monitor: invariant.NewMonitor(invariant.LimitsFor(cfg.Rules.DrainGrace, cfg.Rules.ReservationLimit)), requests: map[int64]*request{}, requestsByName: map[string]*request{}, lastResponseAt: map[string]int64{}}
+		controlRequests: map[*controlRequest]bool{}, reservations: reservation.New(reservation.LimitsFor(cfg.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
+			reservationsPerRequest*cfg.Limits.OpenRequests)), monitor: invariant.NewMonitor(invariant.LimitsFor(cfg.Rules.DrainGrace, cfg.Rules.ReservationLimit)), requests: map[int64]*request{}, requestsByName: map[string]*request{}, lastResponseAt: map[string]int64{}}
 	r.policy = routing.New(seed, cfg.RoutingConfig())
 	return r
 }
@@ -130,7 +130,7 @@
 	r.reapplyEndpoints()
 	r.reapConnections()
 	r.closeFlushed()
-	for _, due := range r.admission.Due(r.now) {
+	for _, due := range r.admission.Expired(r.now) {
 		r.expireClient(r.clients[due.ID], due.State)
 	}
 	for _, id := range r.requestIDs() {
@@ -144,7 +144,7 @@
 				idle = min(idle, r.now-att.relay.LastTokenAt())
 			}
 			if attempt.Stalled(att.machine.State, idle, int64(r.config.StallTimeout)) {
-				r.handleAttemptEvent(att, attempt.Silent, "no token for "+time.Duration(idle).String())
+				r.handleAttemptEvent(att, attempt.StreamStalled, "no token for "+time.Duration(idle).String())
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 		if !r.closeIfIdle(client, CloseIdle) {
 			return // a request has come in this moment
 		}
-	case admission.Heading, admission.Bodying:
+	case admission.ReadingHeader, admission.ReadingBody:
 		r.reply(client, nil, r.protocol.InvalidRequestResponse(http.StatusRequestTimeout, "too_slow", "",
 			"the request did not come in time"))
 	default:
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -128,7 +128,7 @@
 // newUnacknowledgedTestbed is one where no engine acknowledges a release.
 func newUnacknowledgedTestbed(t *testing.T) *testbed {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.HeldTooLong
+	b.expectedViolation = invariant.ReservedTooLong
 	return b
 }
 
@@ -321,7 +321,7 @@
 	c := &router.ClientConnection{ID: 1 << 40, Socket: out}
 	b.core.SetTime(b.now)
 	b.core.ClientOpened(c)
-	b.core.ReceivePartial(c, admission.HeadWhole, 64<<20)
+	b.core.ReceivePartial(c, admission.HeaderComplete, 64<<20)
 	b.core.RunDue(b.now)
 	if rows := responseStatuses(t, out); len(rows) != 1 || rows[0] != http.StatusServiceUnavailable {
 		t.Errorf("half a request with more bytes than there may be: %v", rows)
@@ -608,7 +608,7 @@
 		"a reset": func(b *testbed, s *fakeEngineSocket) { b.core.EngineDisconnected(s.conn) },
 	} {
 		b, c, _ := testbedWithDecodeInFlight(t, "chat")
-		b.expectedViolation = invariant.HeldTooLong
+		b.expectedViolation = invariant.ReservedTooLong
 		b.setEndpoints("r", "w", "w2")
 		b.core.SetTime(b.now)
 		b.core.ClientDisconnected(c)
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -23,8 +23,8 @@
 		}
 	}
 	var lines []string
-	for _, id := range r.pool.All() {
-		state, since := r.pool.Look(id)
+	for _, id := range r.pool.IDs() {
+		state, since := r.pool.StateSince(id)
 		conn := r.engineConnections[id]
 		if conn == nil {
 			lines = append(lines, fmt.Sprintln("line without a socket", state))
@@ -39,7 +39,7 @@
 		lines = append(lines, fmt.Sprintln("line", conn.Engine, state, r.now-since, carries, conn.drainingSince > 0, conn.socket != nil,
 			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
-	fmt.Fprintln(w, r.pool.HastyFor(r.now))
+	fmt.Fprintln(w, r.pool.EarlyCloseAges(r.now))
 	for control := range r.controlRequests {
 		lines = append(lines, fmt.Sprintln("control", control.engine, control.describe(), r.now-control.startedAt))
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, reserved := range r.reservations.All() {
-		lines = append(lines, fmt.Sprintln("hold", reserved.Describe(r.now)))
+		lines = append(lines, fmt.Sprintln("hold", reserved.Fingerprint(r.now)))
 	}
 	slices.Sort(lines)
 	io.WriteString(w, strings.Join(lines, ""))
@@ -94,7 +94,7 @@
 
 // FiredTransitions is which rows of the tables of brain, attempt and conns were taken so far, a bit each from bit 0.
 func (r *Router) FiredTransitions() (brain, attempts, lines uint64) {
-	return r.policy.FiredTransitions(), r.firedTransitions >> 1, r.pool.Took()
+	return r.policy.FiredTransitions(), r.firedTransitions >> 1, r.pool.FiredTransitions()
 }
 
 // BusyConnections is how many lines carry something or wait for the rest of an answer.
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -57,7 +57,7 @@
 			r.knownEngines = append(r.knownEngines, e.Engine)
 		}
 	}
-	r.drains.HearAll(ready, r.knownEngines, r.now)
+	r.drains.NoteAll(ready, r.knownEngines, r.now)
 	r.knownEngines = slices.DeleteFunc(r.knownEngines, func(engine string) bool {
 		_, listed := ready[engine]
 		gone := !listed && r.now-r.drains[engine] > departedRetention
@@ -83,13 +83,13 @@
 	for _, e := range r.endpoints.Entries {
 		hosts[e.ID] = cmp.Or(e.Address, e.ID)
 	}
-	for _, id := range r.pool.All() {
+	for _, id := range r.pool.IDs() {
 		conn := r.engineConnections[id]
 		if conn == nil {
 			continue
 		}
 		if host, listed := hosts[conn.Engine]; listed && host != conn.Host && r.pool.State(id) == connpool.Idle {
-			r.pool.Happen(id, connpool.Aged, r.now)
+			r.pool.Handle(id, connpool.IdleExpired, r.now)
 			r.closeConnection(id)
 		}
 	}
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -718,10 +718,10 @@
 		name := goldenName(chat, "limits")
 		t.Run(name, func(t *testing.T) {
 			r := newRecorder(t, chat, 1, func(d *config.Deployment) {
-				d.Limits.Conns, d.Limits.Open, d.Limits.Bytes, d.Limits.Retries = 12, 8, 10_000, 0.2
+				d.Limits.Connections, d.Limits.OpenRequests, d.Limits.BufferedBytes, d.Limits.RetryShare = 12, 8, 10_000, 0.2
 			})
 			r.record("a request that stops within its head, and one within its body")
-			for _, input := range []admission.Input{admission.HeadBegan, admission.HeadWhole} {
+			for _, input := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 				c := r.newClient()
 				r.do(func() { r.core.ReceivePartial(c.core, input, 10) })
 				r.pass(100 * time.Millisecond) // connections that are closed at one moment are closed in any order
@@ -729,7 +729,7 @@
 			r.pass(20 * time.Second)
 			r.record("more bytes than may be held")
 			c := r.newClient()
-			r.do(func() { r.core.ReceivePartial(c.core, admission.HeadWhole, 20_000) })
+			r.do(func() { r.core.ReceivePartial(c.core, admission.HeaderComplete, 20_000) })
 			r.pass(3 * time.Second)
 			r.record("requests that are sent ahead")
 			r.setEndpoints("r1", "w1")
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -56,12 +56,12 @@
 			"calls are taken over HTTP/1.1"))
 		return
 	}
-	switch reason := invariant.MayStart(invariant.Arrival{NameKnown: r.nameKnown(received.Call.ID), Taking: r.acceptsRequests()}); reason {
+	switch reason := invariant.MayAccept(invariant.Arrival{DuplicateID: r.nameKnown(received.Call.ID), Accepting: r.acceptsRequests()}); reason {
 	case invariant.Allowed:
 		if received.Call.ID != "" {
 			r.requestNames.add(received.Call.ID)
 		}
-	case invariant.NameKnown:
+	case invariant.DuplicateRequestID:
 		r.observer.Rejected("name known")
 		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusConflict, "known", "", string(reason)))
 		return
@@ -74,15 +74,15 @@
 		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "too many requests wait on this connection", cfg.MaxRetryAfter)
 		return
 	}
-	if !r.clientRetries.Take(r.now, received.Call.Retried) {
+	if !r.clientRetries.Allow(r.now, received.Call.Retried) {
 		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "more calls are repeated than this node takes", cfg.MaxRetryAfter)
 		return
 	}
 	switch r.admission.Admit(client.ID, received.Caller) {
-	case admission.OwnShare:
+	case admission.QuotaExceeded:
 		r.shedOnArrival(client, received, http.StatusTooManyRequests, "you have your share of this node open already", cfg.MaxRetryAfter)
 		return
-	case admission.NodeFull, admission.BytesFull:
+	case admission.CapacityExceeded, admission.BufferFull:
 		r.shedOnArrival(client, received, http.StatusServiceUnavailable, "this node holds all that it may", cfg.MaxRetryAfter)
 		return
 	}
@@ -97,7 +97,7 @@
 	req.collector = r.protocol.NewCollector(received.Call)
 	client.current = req
 	r.requests[req.id], r.requestsByName[req.name] = req, req
-	r.monitor.Taken(req.id, req.name, req.effect(cfg), int64(cfg.Routes[route].DedupWindow), req.deadline)
+	r.monitor.RequestAccepted(req.id, req.name, req.effect(cfg), int64(cfg.Routes[route].DedupWindow), req.deadline)
 	session := received.Call.Session
 	if session == "" {
 		session = req.name // one of its own: the module must not take strangers for one session
@@ -115,7 +115,7 @@
 
 // effect is what a second run of an inference would do.
 func (req *request) effect(d *config.Deployment) invariant.Effect {
-	return invariant.EffectOf(d.Routes[req.route].Effect)
+	return invariant.ParseEffect(d.Routes[req.route].Effect)
 }
 
 // delayThreshold is for how long the owner may not have looked before a request counts from then. Below it the time between
@@ -154,10 +154,10 @@
 		}
 	}
 	if outcome != outcomeAbandoned {
-		r.monitor.Answered(req.id, r.now)
+		r.monitor.RequestAnswered(req.id, r.now)
 	}
 	r.justFinished = append(r.justFinished, req)
-	r.admission.Done(req.client.ID, req.received.Caller)
+	r.admission.Release(req.client.ID, req.received.Caller)
 	r.reportRequest(req, reason)
 	return true
 }
@@ -209,7 +209,7 @@
 	r.notifyPolicy(routing.ClientDisconnected{RequestID: req.id})
 	for _, att := range req.attempts {
 		if !att.ended { // the module does not withdraw streams; one that nobody reads ends by its connection
-			r.handleAttemptEvent(att, attempt.WithdrawnBy, "its client left")
+			r.handleAttemptEvent(att, attempt.Canceled, "its client left")
 		}
 	}
 	r.releaseReservations(req)
--- a/internal/router/leave.go
+++ b/internal/router/leave.go
@@ -28,7 +28,7 @@
 // closeDrainingClient closes the connection of a client that is to go elsewhere, if nothing is under way on it. One on
 // which a request is on its way gets its answer first, and is tried again behind it.
 func (r *Router) closeDrainingClient(client *ClientConnection) {
-	if r.clientsDrained && r.config.ShutdownAcceptTime > 0 && r.admission.Quiet(client.ID) {
+	if r.clientsDrained && r.config.ShutdownAcceptTime > 0 && r.admission.ServedAndIdle(client.ID) {
 		r.closeIfIdle(client, CloseShutdown)
 	}
 }
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -24,11 +24,11 @@
 	// Control requests trust kept lines whatever became of others: a release may be sent twice, and what is written to a line
 	// that is there reaches an engine that is paused, while a new one does not come up.
 	if att != nil {
-		maxIdle = r.pool.Trust(engineID, r.now, maxIdle, !att.decode || r.config.Routes[att.request.route].Effect == "retriable")
+		maxIdle = r.pool.MaxReuseIdle(engineID, r.now, maxIdle, !att.decode || r.config.Routes[att.request.route].Effect == "retriable")
 	} else if control.newConnection {
 		maxIdle = 0
 	}
-	lease := r.pool.Take(engineID, r.now, maxIdle, spare)
+	lease := r.pool.Acquire(engineID, r.now, maxIdle, spare)
 	if lease.Evict != 0 {
 		r.closeConnection(lease.Evict)
 	}
@@ -67,9 +67,9 @@
 	}
 	r.observer.ConnectionChanged(conn.Engine, Dialled)
 	conn.socket = socket
-	r.pool.Happen(conn.ID, connpool.Dialled, r.now)
+	r.pool.Handle(conn.ID, connpool.Dialed, r.now)
 	if conn.attempt == nil && conn.control == nil {
-		r.pool.Happen(conn.ID, connpool.Released, r.now)
+		r.pool.Handle(conn.ID, connpool.Released, r.now)
 		return
 	}
 	r.writeRequest(conn)
@@ -77,12 +77,12 @@
 
 // dialFailed ends a line that did not come up. Where the cause is this machine's, it says nothing of the engine.
 func (r *Router) dialFailed(conn *EngineConnection, err error) {
-	r.pool.Happen(conn.ID, connpool.DialFailed, r.now)
+	r.pool.Handle(conn.ID, connpool.DialFailed, r.now)
 	delete(r.engineConnections, conn.ID)
 	reason := "no connection: " + err.Error()
 	if !errors.Is(err, ErrLocal) {
 		r.observer.ConnectionChanged(conn.Engine, DialFailed)
-		r.failCarried(conn, attempt.NoLine, reason)
+		r.failCarried(conn, attempt.ConnectFailed, reason)
 		return
 	}
 	r.observer.ConnectionChanged(conn.Engine, DialFailedLocally)
@@ -90,7 +90,7 @@
 		conn.control = nil
 		r.controlNotSent(control)
 	}
-	r.failCarried(conn, attempt.Barred, reason)
+	r.failCarried(conn, attempt.EngineUnavailable, reason)
 }
 
 // writeRequest is where the first byte of a send goes out, so the drain gate stands here: news may have come
@@ -102,23 +102,23 @@
 			return
 		}
 		if reason := r.checkAttempt(att, conn); reason != invariant.Allowed {
-			if reason == invariant.Moved { // before anything else is sent: it must not find this line again
+			if reason == invariant.EngineAddressChanged { // before anything else is sent: it must not find this line again
 				att.connection, conn.attempt = nil, nil
 				r.discardConnection(conn)
 			}
-			r.handleAttemptEvent(att, attempt.Barred, string(reason))
+			r.handleAttemptEvent(att, attempt.EngineUnavailable, string(reason))
 			return
 		}
 	}
 	request, err := r.encodeRequest(conn)
 	if err != nil && conn.attempt != nil {
-		r.handleAttemptEvent(conn.attempt, attempt.Barred, err.Error())
+		r.handleAttemptEvent(conn.attempt, attempt.EngineUnavailable, err.Error())
 		return
 	}
 	if att := conn.attempt; att != nil {
-		r.firedTransitions |= 1 << att.machine.Happen(attempt.Connected).Row
+		r.firedTransitions |= 1 << att.machine.Handle(attempt.Connected).Transition
 		att.writtenAt = r.now
-		r.monitor.Written(att.request.id, att.index, att.decode, r.now, r.drains[conn.Engine], r.advertisedTimeout(att.request))
+		r.monitor.AttemptWritten(att.request.id, att.index, att.decode, r.now, r.drains[conn.Engine], r.advertisedTimeout(att.request))
 		if att.decode {
 			r.updateReservations(att.request, reservation.AttemptSent)
 		}
@@ -128,7 +128,7 @@
 		return // its end follows, and is judged by how much was written
 	}
 	if conn.attempt != nil && conn.socket.RequestWritten() {
-		r.firedTransitions |= 1 << conn.attempt.machine.Happen(attempt.Written).Row
+		r.firedTransitions |= 1 << conn.attempt.machine.Handle(attempt.RequestWritten).Transition
 	}
 }
 
@@ -141,7 +141,7 @@
 		att := conn.attempt
 		att.responseHeads++
 		if att.responseHeads > 1 {
-			r.handleAttemptEvent(att, attempt.Garbled, "a second head")
+			r.handleAttemptEvent(att, attempt.MalformedResponse, "a second head")
 			return
 		}
 		att.loadReport, att.relay = r.protocol.ParseLoadReport(head, nil), relay
@@ -160,19 +160,19 @@
 		return
 	}
 	if r.protocol.IsFinalEvent(event) {
-		r.handleAttemptEvent(att, attempt.Finished, "")
+		r.handleAttemptEvent(att, attempt.DecodeCompleted, "")
 		return
 	}
 	if att.request.collector != nil {
 		if err := att.request.collector.Add(event); err != nil {
-			r.handleAttemptEvent(att, attempt.Garbled, err.Error())
+			r.handleAttemptEvent(att, attempt.MalformedResponse, err.Error())
 			return
 		}
 	}
 	att.lastTokenAt = r.now
 	att.token = event
-	r.handleAttemptEvent(att, attempt.Token, "")
-	if att.relay != nil && att.request.collector == nil && att.machine.State == attempt.Flowing && att.request.outcome == "" {
+	r.handleAttemptEvent(att, attempt.TokenReceived, "")
+	if att.relay != nil && att.request.collector == nil && att.machine.State == attempt.Streaming && att.request.outcome == "" {
 		client := att.request.client
 		att.relay.Forwarded(client.Socket, func() { r.flush(client) })
 	}
@@ -190,15 +190,15 @@
 	if att := conn.attempt; att != nil {
 		switch {
 		case att.decode:
-			event, reason := r.protocol.ClassifyStreamEnd(att.machine.Began)
+			event, reason := r.protocol.ClassifyStreamEnd(att.machine.FirstTokenReceived)
 			r.handleAttemptEvent(att, event, reason)
 		default:
 			transfer, cachedTokens, err := r.protocol.ParseReservation(body)
 			if err != nil {
-				r.handleAttemptEvent(att, attempt.Garbled, err.Error())
+				r.handleAttemptEvent(att, attempt.MalformedResponse, err.Error())
 			} else {
 				att.cachedTokens, att.transfer = float64(cachedTokens), transfer
-				r.handleAttemptEvent(att, attempt.Read, "")
+				r.handleAttemptEvent(att, attempt.PrefillCompleted, "")
 			}
 		}
 	}
@@ -217,9 +217,9 @@
 	}
 	event := connpool.Released
 	if conn.streamed {
-		event = connpool.Streamed
+		event = connpool.ReleasedAfterStream
 	}
-	if r.pool.Happen(conn.ID, event, r.now) == connpool.CloseIt {
+	if r.pool.Handle(conn.ID, event, r.now) == connpool.Close {
 		r.closeConnection(conn.ID)
 	}
 }
@@ -227,7 +227,7 @@
 // ResponseInvalid says that what came is no answer.
 func (r *Router) ResponseInvalid(conn *EngineConnection, err error) {
 	if conn.attempt != nil {
-		r.handleAttemptEvent(conn.attempt, attempt.Garbled, err.Error())
+		r.handleAttemptEvent(conn.attempt, attempt.MalformedResponse, err.Error())
 	}
 	r.discardConnection(conn)
 }
@@ -237,9 +237,9 @@
 	if r.engineConnections[conn.ID] != conn {
 		return
 	}
-	r.pool.Happen(conn.ID, connpool.Spoiled, r.now)
+	r.pool.Handle(conn.ID, connpool.ReleasedDirty, r.now)
 	r.closeConnection(conn.ID)
-	r.failCarried(conn, attempt.Reset, reasonConnectionLost)
+	r.failCarried(conn, attempt.ConnectionReset, reasonConnectionLost)
 }
 
 func (r *Router) closeConnection(id int64) {
@@ -255,11 +255,11 @@
 // EngineDisconnected says that a connection has ended.
 func (r *Router) EngineDisconnected(conn *EngineConnection) {
 	if r.engineConnections[conn.ID] == conn {
-		r.pool.Happen(conn.ID, connpool.Broken, r.now)
+		r.pool.Handle(conn.ID, connpool.Broken, r.now)
 		delete(r.engineConnections, conn.ID)
 		r.observer.ConnectionChanged(conn.Engine, ConnectionBroken)
 	}
-	r.failCarried(conn, attempt.Reset, reasonConnectionLost)
+	r.failCarried(conn, attempt.ConnectionReset, reasonConnectionLost)
 }
 
 // staleConnectionWindow is how soon a line ends that the other side had given up before it was written to: a way there and
@@ -270,11 +270,11 @@
 const reasonConnectionLost = "the connection is gone"
 
 // failCarried tells what a line carried that it is gone.
-func (r *Router) failCarried(conn *EngineConnection, event attempt.Input, reason string) {
+func (r *Router) failCarried(conn *EngineConnection, event attempt.Event, reason string) {
 	if att := conn.attempt; att != nil {
-		if event == attempt.Reset && conn.reused && att.responseHeads == 0 && r.now-conn.writtenAt < staleConnectionWindow {
+		if event == attempt.ConnectionReset && conn.reused && att.responseHeads == 0 && r.now-conn.writtenAt < staleConnectionWindow {
 			att.stale = true
-			r.pool.Hasty(conn.Engine, r.now)
+			r.pool.NoteEarlyClose(conn.Engine, r.now)
 		}
 		r.handleAttemptEvent(att, event, reason)
 	}
@@ -286,11 +286,11 @@
 
 // reapConnections ends what waits too long: control requests, answers whose rest does not come, idle lines.
 func (r *Router) reapConnections() {
-	for _, id := range r.pool.Aged(r.now) {
-		r.pool.Happen(id, connpool.Aged, r.now)
+	for _, id := range r.pool.IdleExpired(r.now) {
+		r.pool.Handle(id, connpool.IdleExpired, r.now)
 		r.closeConnection(id)
 	}
-	for _, id := range r.pool.All() {
+	for _, id := range r.pool.IDs() {
 		conn := r.engineConnections[id]
 		if conn == nil {
 			continue
--- a/internal/router/module.go
+++ b/internal/router/module.go
@@ -63,7 +63,7 @@
 		for _, att := range req.attempts {
 			if !att.ended {
 				att.ended = true
-				r.recordReservation(att, attempt.WithdrawnBy, attempt.Result{Verdict: routing.Canceled, Leaves: true})
+				r.recordReservation(att, attempt.Canceled, attempt.Result{Verdict: routing.Canceled, MayLeaveReservation: true})
 				if att.connection != nil && att.connection.attempt == att {
 					att.connection.attempt = nil
 					r.discardConnection(att.connection)
@@ -95,7 +95,7 @@
 		}
 	case routing.CancelAttempt:
 		if req := r.requests[action.RequestID]; req != nil && action.Attempt < len(req.attempts) {
-			r.handleAttemptEvent(req.attempts[action.Attempt], attempt.WithdrawnBy, "withdrawn")
+			r.handleAttemptEvent(req.attempts[action.Attempt], attempt.Canceled, "withdrawn")
 		}
 	case routing.Release:
 		if req := r.requests[action.RequestID]; req != nil {
--- a/internal/router/monitor.go
+++ b/internal/router/monitor.go
@@ -16,7 +16,7 @@
 		r.reservationsCheckedAt = r.now
 		r.checkReservations()
 	}
-	for _, v := range r.monitor.Take() {
+	for _, v := range r.monitor.TakeViolations() {
 		r.observer.InvariantViolated(v)
 	}
 }
@@ -24,11 +24,11 @@
 // checkReservations looks for states that have been held for too long while no attempt was out that may take them.
 func (r *Router) checkReservations() {
 	for _, reserved := range r.reservations.All() {
-		free := time.Duration(r.now - reserved.FreeSince())
+		free := time.Duration(r.now - reserved.UnclaimedSince())
 		if reserved.Acknowledged() || free <= r.config.Rules.ReservationLimit || r.mayBeClaimed(reserved.ID.Request) {
 			continue
 		}
-		r.monitor.Held(reserved.ID.Request, free)
+		r.monitor.ReservationUnclaimed(reserved.ID.Request, free)
 	}
 }
 
@@ -36,6 +36,6 @@
 func (r *Router) mayBeClaimed(request string) bool {
 	req := r.requestsByName[request]
 	return req != nil && slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool {
-		return att.decode && !att.ended && att.machine.State != attempt.Dialling
+		return att.decode && !att.ended && att.machine.State != attempt.Dialing
 	})
 }
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -151,7 +151,7 @@
 	closing        bool // to be closed once all is written
 	// unfinished is how far a request has come that is not whole: HeadBegan or HeadWhole; nothing of one where partial is
 	// not set.
-	partialState admission.Input
+	partialState admission.Event
 	partial      bool
 	// continues is set while the head of a request waits for the word to send its body.
 	expectsContinue bool
@@ -219,7 +219,7 @@
 
 // NextDue is when Turn is next needed if nothing happens before.
 func (r *Router) NextDue() int64 {
-	due := min(r.reapedAt+reapInterval, r.reservations.Next())
+	due := min(r.reapedAt+reapInterval, r.reservations.NextDue())
 	if len(r.timers) > 0 {
 		due = min(due, r.timers[0].at)
 	}
@@ -258,10 +258,10 @@
 
 // InFlight counts.
 func (r *Router) InFlight() InFlight {
-	clients, _, bytes := r.admission.Holding()
-	h := InFlight{Clients: clients, Requests: len(r.requests), Bytes: bytes, EngineConnections: len(r.engineConnections), ControlRequests: len(r.controlRequests) + r.reservations.Owed(),
+	clients, _, bytes := r.admission.Usage()
+	h := InFlight{Clients: clients, Requests: len(r.requests), Bytes: bytes, EngineConnections: len(r.engineConnections), ControlRequests: len(r.controlRequests) + r.reservations.Unreleased(),
 		Reservations: r.reservations.Count(), Lingering: r.stopping && r.acceptsRequests()}
-	if since := r.reservations.Oldest(); since > 0 {
+	if since := r.reservations.OldestSince(); since > 0 {
 		h.OldestReservation = time.Duration(r.now - since)
 	}
 	return h
--- a/internal/router/partial_test.go
+++ b/internal/router/partial_test.go
@@ -30,7 +30,7 @@
 // A client sends a request and half of a second one, and stops there. The half came while the first was served, and when
 // that had its answer the connection counted as idle: for a minute, and then for good, as it could not be closed either.
 func TestPartialRequestBehindAServedOne(t *testing.T) {
-	for _, input := range []admission.Input{admission.HeadBegan, admission.HeadWhole} {
+	for _, input := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 		b := newTestbed(t)
 		c, out := b.request("a1", "chat")
 		b.core.SetTime(b.now)
@@ -56,7 +56,7 @@
 		c := &router.ClientConnection{ID: int64(1<<40 + i), Socket: out}
 		b.core.SetTime(b.now)
 		b.core.ClientOpened(c)
-		b.core.ReceivePartial(c, admission.HeadWhole, held)
+		b.core.ReceivePartial(c, admission.HeaderComplete, held)
 		b.core.RunDue(b.now)
 		rows = append(rows, out)
 	}
@@ -176,7 +176,7 @@
 // A process that was not run for longer than a client waits answers at once, and sends nothing on.
 func TestRequestThatOutwaitedItsClient(t *testing.T) {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.AnswerLate // by the process that was not run
+	b.expectedViolation = invariant.LateAnswer // by the process that was not run
 	looked := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
@@ -219,7 +219,7 @@
 // ways are back, as long as a cut of the operators' days lasts.
 func TestReleaseAfterALongOutage(t *testing.T) {
 	b, c, _ := testbedWithDecodeInFlight(t, "chat")
-	b.expectedViolation = invariant.HeldTooLong
+	b.expectedViolation = invariant.ReservedTooLong
 	b.core.SetTime(b.now)
 	b.core.ClientDisconnected(c)
 	b.core.RunDue(b.now)
