--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -30,8 +30,8 @@
 	pinSlack = 300*time.Millisecond + 700*time.Millisecond
 )
 
-// processes is some nodes as they are deployed, each a process of its own, with a fleet of stand-in engines.
-type processes struct {
+// edgeProcesses is some nodes as they are deployed, each a process of its own, with a fleet of stand-in engines.
+type edgeProcesses struct {
 	t     *testing.T
 	log   *audit.Log
 	fleet *platformengine.Fleet
@@ -43,16 +43,16 @@
 	agent    string
 }
 
-func startProcesses(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config) *processes {
+func startEdges(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config) *edgeProcesses {
 	t.Helper()
-	return startPrepared(t, nodes, fleet, log, engines, nil)
+	return startPreparedEdges(t, nodes, fleet, log, engines, nil)
 }
 
-// startPrepared is startProcesses with something done to each command before it starts.
-func startPrepared(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config,
-	prepare func(*exec.Cmd)) *processes {
+// startPreparedEdges is startProcesses with something done to each command before it starts.
+func startPreparedEdges(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config,
+	prepare func(*exec.Cmd)) *edgeProcesses {
 	t.Helper()
-	p := &processes{t: t, log: log, fleet: fleet}
+	p := &edgeProcesses{t: t, log: log, fleet: fleet}
 	var entries []string
 	for _, c := range engines {
 		e, err := fleet.Start(c)
@@ -63,10 +63,10 @@
 		entries = append(entries, e.Entry())
 	}
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`, strings.Join(entries, ","))
-	p.agent = newAgent(t, list, nil)
+	p.agent = newDiscoveryAgent(t, list, nil)
 	binary := edgeBinary(t)
 	for i := range nodes {
-		p.startNode(binary, i, nodes, p.agent, list, prepare)
+		p.startEdge(binary, i, nodes, p.agent, list, prepare)
 	}
 	for _, addr := range p.nodes {
 		p.awaitReady(addr)
@@ -74,8 +74,8 @@
 	return p
 }
 
-// newAgent starts discovery with a list that never changes, and returns its address. Asked counts its calls.
-func newAgent(t *testing.T, list string, asked *atomic.Int64) string {
+// newDiscoveryAgent starts discovery with a list that never changes, and returns its address. Asked counts its calls.
+func newDiscoveryAgent(t *testing.T, list string, asked *atomic.Int64) string {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if asked != nil {
 			asked.Add(1)
@@ -134,7 +134,7 @@
  "kind_memory_tokens":[1000000,1000000]},"classes":[{"name":"chat","effect":"retryable","worth":1,"objective_us":9000000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":9000000}],"obligations":{"drain_grace_us":250000}}}`
 
-func (p *processes) startNode(binary string, i, nodes int, discovery, list string, prepare func(*exec.Cmd)) {
+func (p *edgeProcesses) startEdge(binary string, i, nodes int, discovery, list string, prepare func(*exec.Cmd)) {
 	addr := freeAddress(p.t)
 	config := filepath.Join(p.t.TempDir(), "config.json")
 	text := fmt.Sprintf(nodeConfig, i, addr, discovery, i+1, list, i, nodes)
@@ -150,7 +150,7 @@
 	p.configs, p.commands = append(p.configs, config), append(p.commands, node)
 }
 
-func (p *processes) awaitReady(addr string) {
+func (p *edgeProcesses) awaitReady(addr string) {
 	client := &http.Client{Timeout: time.Second} // a node that hangs is not ready
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		answer, err := client.Get("http://" + addr + platform.HealthPath)
@@ -165,8 +165,8 @@
 	p.t.Fatalf("%s is never ready", addr)
 }
 
-// ask is one request of a client who waits for a time and then goes. It says how it ended.
-func (p *processes) ask(client *http.Client, node, name, class string, wait time.Duration) (status int) {
+// call is one request of a client who waits for a time and then goes. It says how it ended.
+func (p *edgeProcesses) call(client *http.Client, node, name, class string, wait time.Duration) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+platform.CompletionsPath, strings.NewReader(`{"model":"chat"}`))
@@ -187,15 +187,15 @@
 	return answer.StatusCode
 }
 
-// settle waits until the fleet holds nothing, at most for several limits.
-func (p *processes) settle() {
+// waitForRelease waits until the fleet holds nothing, at most for several limits.
+func (p *edgeProcesses) waitForRelease() {
 	for end := time.Now().Add(8 * pinLimit); p.fleet.Held() > 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// judge reports the states that were held for too long.
-func (p *processes) judge() {
+// checkRules reports the states that were held for too long.
+func (p *edgeProcesses) checkRules() {
 	p.t.Helper()
 	for _, b := range p.log.Judge(audit.Rules{Pin: pinLimit, Slack: pinSlack}, time.Now()) {
 		if b.Rule == 5 {
@@ -207,7 +207,7 @@
 // The operators' fleet broke rule 5 with real processes side by side: nothing orders what two engines get on two
 // connections. Here the engine of an attempt that a node gives up learns of it only after the release for the request
 // has arrived, which then lets go of nothing.
-func TestReleaseOvertakesTheEndOfAnAttempt(t *testing.T) {
+func TestReleaseBeforeAttemptEnds(t *testing.T) {
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
 	var overtaken atomic.Int64
@@ -218,7 +218,7 @@
 		case <-time.After(5 * time.Second):
 		}
 	}
-	p := startProcesses(t, 2, fleet, log, []platformengine.Config{
+	p := startEdges(t, 2, fleet, log, []platformengine.Config{
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 8, WorkTime: 5 * time.Millisecond},
 		{ID: "s-2", Role: platformengine.Decode, Slots: 1, WorkTime: 150 * time.Millisecond, Events: 20},
 	})
@@ -227,13 +227,13 @@
 		for j := range 4 {
 			all.Go(func() {
 				class := []string{"chat", "alert"}[j%2]
-				p.ask(http.DefaultClient, node, fmt.Sprintf("n%dq%d", i, j), class, 400*time.Millisecond)
+				p.call(http.DefaultClient, node, fmt.Sprintf("n%dq%d", i, j), class, 400*time.Millisecond)
 			})
 		}
 	}
 	all.Wait()
-	p.settle()
-	p.judge()
+	p.waitForRelease()
+	p.checkRules()
 	if overtaken.Load() < 4 {
 		t.Errorf("only %d attempts were given up and overtaken by a release", overtaken.Load())
 	}
@@ -242,13 +242,13 @@
 // Nodes that are not run for a while, neighbours that want the cores, engines that take note of what is closed when they
 // come to it, and clients who wait too briefly: no state is held for too long. What happens is drawn by a seed, and its
 // order is the machine's.
-func TestHeldStatesOfProcessesSideBySide(t *testing.T) {
+func TestReservationsOfConcurrentEdges(t *testing.T) {
 	const seed, nodes, lasts = 20261202, 3, 3 * time.Second
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
 	random := &lockedRand{rand: rand.New(rand.NewPCG(seed, 1))}
-	fleet.BeforeNotice = func(string, <-chan struct{}) { time.Sleep(random.upTo(60 * time.Millisecond)) }
-	p := startProcesses(t, nodes, fleet, log, []platformengine.Config{
+	fleet.BeforeNotice = func(string, <-chan struct{}) { time.Sleep(random.durationUpTo(60 * time.Millisecond)) }
+	p := startEdges(t, nodes, fleet, log, []platformengine.Config{
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
 		{ID: "s-2", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
 		{ID: "s-3", Role: platformengine.Decode, Slots: 2, WorkTime: 30 * time.Millisecond, Events: 5},
@@ -266,35 +266,35 @@
 	for i, pid := range p.pids {
 		all.Go(func() { p.pause(ctx, pid, random) })
 		for j := range 12 {
-			all.Go(func() { p.askAgain(ctx, i, j, random) })
+			all.Go(func() { p.callRepeatedly(ctx, i, j, random) })
 		}
 	}
 	all.Wait()
-	p.settle()
-	p.judge()
+	p.waitForRelease()
+	p.checkRules()
 	if fleet.Releases() == 0 {
 		t.Error("nothing was released: the load is too small to show anything")
 	}
 }
 
 // pause keeps a process from running, again and again, for up to a quarter of the limit.
-func (p *processes) pause(ctx context.Context, pid int, random *lockedRand) {
+func (p *edgeProcesses) pause(ctx context.Context, pid int, random *lockedRand) {
 	for ctx.Err() == nil {
-		time.Sleep(random.upTo(500 * time.Millisecond))
+		time.Sleep(random.durationUpTo(500 * time.Millisecond))
 		syscall.Kill(pid, syscall.SIGSTOP)
-		time.Sleep(random.upTo(pinLimit / 4))
+		time.Sleep(random.durationUpTo(pinLimit / 4))
 		syscall.Kill(pid, syscall.SIGCONT)
 	}
 }
 
-// askAgain is a client who asks again and again.
-func (p *processes) askAgain(ctx context.Context, node, number int, random *lockedRand) {
+// callRepeatedly is a client who asks again and again.
+func (p *edgeProcesses) callRepeatedly(ctx context.Context, node, number int, random *lockedRand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		name := fmt.Sprintf("n%dc%dq%d", node, number, n)
 		class := []string{"chat", "alert"}[number%2]
-		p.ask(client, p.nodes[node], name, class, 50*time.Millisecond+random.upTo(500*time.Millisecond))
+		p.call(client, p.nodes[node], name, class, 50*time.Millisecond+random.durationUpTo(500*time.Millisecond))
 	}
 }
 
@@ -304,7 +304,7 @@
 	rand *rand.Rand
 }
 
-func (r *lockedRand) upTo(most time.Duration) time.Duration {
+func (r *lockedRand) durationUpTo(most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(r.rand.Int64N(int64(most)))
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -21,21 +21,21 @@
 )
 
 func main() {
-	asked := process.CatchSignals()
-	var file, config string
-	c := &cobra.Command{Use: "sandcourse-edge --settings FILE | --config FILE", Short: "One node of sandcourse", Args: cobra.NoArgs,
+	signals := process.CatchSignals()
+	var settingsFile, configFile string
+	command := &cobra.Command{Use: "sandcourse-edge --settings FILE | --config FILE", Short: "One node of sandcourse", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			if config != "" {
-				return onPlatform(config, asked)
+			if configFile != "" {
+				return runOnPlatform(configFile, signals)
 			}
-			return run(file, asked)
+			return runOnSettings(settingsFile, signals)
 		}}
-	c.Flags().StringVar(&file, "settings", "", "the settings script")
-	c.Flags().StringVar(&config, "config", "", "the operators' platform's configuration, in place of a script")
-	c.MarkFlagsOneRequired("settings", "config")
-	c.MarkFlagsMutuallyExclusive("settings", "config")
-	if err := c.Execute(); err != nil {
+	command.Flags().StringVar(&settingsFile, "settings", "", "the settings script")
+	command.Flags().StringVar(&configFile, "config", "", "the operators' platform's configuration, in place of a script")
+	command.MarkFlagsOneRequired("settings", "config")
+	command.MarkFlagsMutuallyExclusive("settings", "config")
+	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "sandcourse-edge:", err)
 		var faults script.Faults
 		if errors.As(err, &faults) {
@@ -45,20 +45,20 @@
 	}
 }
 
-func run(file string, asked process.Signals) error {
-	d, err := config.Load(file)
+func runOnSettings(file string, signals process.Signals) error {
+	deployment, err := config.Load(file)
 	if err != nil {
 		return err
 	}
 	log := process.NewLogger()
 	defer log.Sync()
-	n := edge.New(d, log, nil, uint64(time.Now().UnixNano()))
-	if err := n.Start(); err != nil {
+	node := edge.New(deployment, log, nil, uint64(time.Now().UnixNano()))
+	if err := node.Start(); err != nil {
 		return err
 	}
-	asked.AwaitStop(log)
+	signals.AwaitStop(log)
 	signal.Reset(syscall.SIGTERM, os.Interrupt) // a second one ends it at once
-	if err := n.Drain(context.Background()); err != nil {
+	if err := node.Drain(context.Background()); err != nil {
 		log.Warn("stopped with inferences open", zap.Error(err))
 	}
 	return nil
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -22,28 +22,28 @@
 
 // A configuration that cannot be opened at the start, for want of descriptors or memory, is tried again for a while.
 const (
-	openTries = 100
-	openPause = 50 * time.Millisecond
+	maxOpenAttempts   = 100
+	openRetryInterval = 50 * time.Millisecond
 )
 
-// readAtStart reads the platform's configuration, and waits for a descriptor if there is none.
-func readAtStart(file string) (*platform.NodeConfig, error) {
+// readConfigAtStartup reads the platform's configuration, and waits for a descriptor if there is none.
+func readConfigAtStartup(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
-	for tries := 1; neterr.IsLocal(err) && tries < openTries; tries++ {
-		time.Sleep(openPause)
+	for attempt := 1; neterr.IsLocal(err) && attempt < maxOpenAttempts; attempt++ {
+		time.Sleep(openRetryInterval)
 		data, err = readBounded(file)
 	}
-	return parseTold(file, data, err)
+	return parseConfig(file, data, err)
 }
 
-// readTold reads the platform's configuration once.
-func readTold(file string) (*platform.NodeConfig, error) {
+// readConfig reads the platform's configuration once.
+func readConfig(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
-	return parseTold(file, data, err)
+	return parseConfig(file, data, err)
 }
 
-// parseTold makes a configuration of what was read of its file; the error, if any, is of type script.Faults.
-func parseTold(file string, data []byte, err error) (*platform.NodeConfig, error) {
+// parseConfig makes a configuration of what was read of its file; the error, if any, is of type script.Faults.
+func parseConfig(file string, data []byte, err error) (*platform.NodeConfig, error) {
 	if err != nil {
 		return nil, script.Faults{fmt.Sprintf("%s: %v", file, err)}
 	}
@@ -63,39 +63,39 @@
 	return data, err
 }
 
-// onPlatform runs the node that the platform's configuration describes, until SIGTERM. A further SIGTERM changes nothing:
+// runOnPlatform runs the node that the platform's configuration describes, until SIGTERM. A further SIGTERM changes nothing:
 // the node is ending, and the platform has SIGKILL for what it does not want to wait for.
-func onPlatform(file string, asked process.Signals) error {
-	told, err := readAtStart(file)
+func runOnPlatform(file string, signals process.Signals) error {
+	configuration, err := readConfigAtStartup(file)
 	if err != nil {
 		return err
 	}
-	d, err := told.Deployment(file)
+	deployment, err := configuration.Deployment(file)
 	if err != nil {
 		return err
 	}
 	// Three fifths: the rest is for stacks, the kernel's buffers and what the collector has not had yet.
-	debug.SetMemoryLimit(int64(told.MemoryBytes()) * 3 / 5)
+	debug.SetMemoryLimit(int64(configuration.MemoryBytes()) * 3 / 5)
 	// More than the one core: a poller that waits for sockets must not keep the owner from running.
 	runtime.GOMAXPROCS(4)
 	log := process.NewLogger()
 	defer log.Sync()
-	at := make(chan string, 1)
-	at <- told.DiscoveryAddress
-	agent := discovery.Client{Addresses: at, Cached: told.CachedEndpoints}
-	n := edge.NewOn(d, log, agent, told.SeedValue(), platform.NewCodec(told.LoadReportFields()))
-	if err := n.HearPeers(told.PeerListenAddress, told.Peers, told.PeerBroadcastAddress); err != nil {
+	discoveryAddress := make(chan string, 1)
+	discoveryAddress <- configuration.DiscoveryAddress
+	agent := discovery.Client{Addresses: discoveryAddress, Cached: configuration.CachedEndpoints}
+	node := edge.NewWithProtocol(deployment, log, agent, configuration.SeedValue(), platform.NewCodec(configuration.LoadReportFields()))
+	if err := node.ListenForPeers(configuration.PeerListenAddress, configuration.Peers, configuration.PeerBroadcastAddress); err != nil {
 		return err
 	}
-	if err := n.Start(); err != nil {
+	if err := node.Start(); err != nil {
 		return err
 	}
-	reloads := &reloader{file: file, reload: asked.Reload, at: at, log: log}
+	reloads := &reloader{file: file, hangups: signals.Reload, discoveryAddress: discoveryAddress, log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go reloads.run(ctx)
-	<-asked.Stop
-	if err := n.Drain(context.Background()); err != nil {
+	<-signals.Stop
+	if err := node.Drain(context.Background()); err != nil {
 		log.Warn("stopped with inferences open", zap.Error(err))
 	}
 	return nil
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -11,19 +11,19 @@
 const (
 	// A configuration that cannot be read may be half written, or descriptors may have run out for a moment: it is read
 	// again soon. What discovery tells counts four seconds after SIGHUP.
-	rereadSoon = 100 * time.Millisecond
+	rereadIntervalShort = 100 * time.Millisecond
 	// After some seconds it is bad for good, or until somebody mends it.
-	rereadLater = time.Second
-	soonTries   = 50
+	rereadIntervalLong    = time.Second
+	shortIntervalAttempts = 50
 )
 
 // reloader reads the configuration anew at each SIGHUP. Only the address of discovery may change in a running node; all
 // else takes a restart.
 type reloader struct {
-	file   string
-	reload <-chan os.Signal
-	at     chan string // holds the newest address that discovery has not taken yet
-	log    *zap.Logger
+	file             string
+	hangups          <-chan os.Signal
+	discoveryAddress chan string // holds the newest address that discovery has not taken yet
+	log              *zap.Logger
 }
 
 // run reads until ctx ends. It goes on while the node shuts down: what discovery tells counts until the end.
@@ -32,45 +32,45 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.reload:
-			r.read(ctx)
+		case <-r.hangups:
+			r.reread(ctx)
 		}
 	}
 }
 
-// read reads the configuration until it can be read, or another SIGHUP starts over.
-func (r *reloader) read(ctx context.Context) {
-	said := ""
-	for tries := 0; ; tries++ {
-		told, err := readTold(r.file)
+// reread reads the configuration until it can be read, or another SIGHUP starts over.
+func (r *reloader) reread(ctx context.Context) {
+	lastError := ""
+	for attempt := 0; ; attempt++ {
+		configuration, err := readConfig(r.file)
 		if err == nil {
-			r.log.Info("configuration read anew", zap.String("discovery", told.DiscoveryAddress), zap.Int("tries", tries+1))
-			r.hand(told.DiscoveryAddress)
+			r.log.Info("configuration read anew", zap.String("discovery", configuration.DiscoveryAddress), zap.Int("tries", attempt+1))
+			r.publish(configuration.DiscoveryAddress)
 			return
 		}
-		if err.Error() != said {
-			said = err.Error()
+		if err.Error() != lastError {
+			lastError = err.Error()
 			r.log.Warn("the configuration cannot be read anew; it is tried again", zap.Error(err))
 		}
-		pause := rereadSoon
-		if tries >= soonTries {
-			pause = rereadLater
+		pause := rereadIntervalShort
+		if attempt >= shortIntervalAttempts {
+			pause = rereadIntervalLong
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.reload:
-			tries, said = -1, ""
+		case <-r.hangups:
+			attempt, lastError = -1, ""
 		case <-time.After(pause):
 		}
 	}
 }
 
-// hand puts an address in place of one that has not been taken. It never waits; nobody else sends.
-func (r *reloader) hand(address string) {
+// publish puts an address in place of one that has not been taken. It never waits; nobody else sends.
+func (r *reloader) publish(address string) {
 	select {
-	case <-r.at:
+	case <-r.discoveryAddress:
 	default:
 	}
-	r.at <- address
+	r.discoveryAddress <- address
 }
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -19,8 +19,8 @@
 	"sandcourse/internal/fake/platformengine"
 )
 
-// someList is a list of discovery with one engine, where nobody listens.
-const someList = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a",
+// oneEngineList is a list of discovery with one engine, where nobody listens.
+const oneEngineList = `{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"a",
  "machineType":"read","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}]}`
 
 // freeAddress is an address on loopback on which nobody listens.
@@ -52,7 +52,7 @@
 	}
 	node := exec.Command(edgeBinary(t), "--config", config)
 	startCommand(t, node)
-	text := fmt.Sprintf(nodeConfig, 0, listen, freeAddress(t), 1, someList, 0, 1)
+	text := fmt.Sprintf(nodeConfig, 0, listen, freeAddress(t), 1, oneEngineList, 0, 1)
 	writer, err := os.OpenFile(config, os.O_WRONLY, 0) // returns once the node has opened the other end
 	if err != nil {
 		t.Fatal(err)
@@ -62,14 +62,14 @@
 	}
 	io.WriteString(writer, text)
 	writer.Close()
-	p := &processes{t: t}
+	p := &edgeProcesses{t: t}
 	p.awaitReady(listen)
 	// The reload is made up for once the node runs, and a reader that waits for a configuration holds up no shutdown.
-	endNode(t, node)
+	killEdge(t, node)
 }
 
-// awaitExit waits for the end of a process and looks at its exit code.
-func awaitExit(t *testing.T, node *exec.Cmd, code int) {
+// waitForExit waits for the end of a process and looks at its exit code.
+func waitForExit(t *testing.T, node *exec.Cmd, code int) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- node.Wait() }()
@@ -83,36 +83,36 @@
 	}
 }
 
-// endNode ends a node by SIGTERM.
-func endNode(t *testing.T, node *exec.Cmd) {
+// killEdge ends a node by SIGTERM.
+func killEdge(t *testing.T, node *exec.Cmd) {
 	t.Helper()
 	if err := node.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	awaitExit(t, node, 0)
+	waitForExit(t, node, 0)
 }
 
-// serves looks whether the first node answers some requests, each of which it logs.
-func (p *processes) serves() {
+// expectServing looks whether the first node answers some requests, each of which it logs.
+func (p *edgeProcesses) expectServing() {
 	p.t.Helper()
 	for i := range 3 {
-		if status := p.ask(http.DefaultClient, p.nodes[0], fmt.Sprintf("q%d", i), "chat", 2*time.Second); status != http.StatusOK {
+		if status := p.call(http.DefaultClient, p.nodes[0], fmt.Sprintf("q%d", i), "chat", 2*time.Second); status != http.StatusOK {
 			p.t.Fatalf("request %d is answered %d", i, status)
 		}
 	}
 }
 
 // The reader of a node's log may end before the node, as when a log collector is restarted.
-func TestLogReaderEnds(t *testing.T) {
+func TestLogReaderExits(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, node := startOne(t, func(c *exec.Cmd) { c.Stdout, c.Stderr = writer, writer })
+	p, node := startSingleEdge(t, func(c *exec.Cmd) { c.Stdout, c.Stderr = writer, writer })
 	writer.Close()
 	reader.Close()
-	p.serves()
-	endNode(t, node)
+	p.expectServing()
+	killEdge(t, node)
 }
 
 // A node whose log is not read any more must not wait for its reader. The pipe is full from the beginning.
@@ -123,10 +123,10 @@
 	}
 	defer reader.Close()
 	fillPipe(t, writer)
-	p, node := startOne(t, func(c *exec.Cmd) { c.Stdout, c.Stderr = writer, writer })
+	p, node := startSingleEdge(t, func(c *exec.Cmd) { c.Stdout, c.Stderr = writer, writer })
 	writer.Close()
-	p.serves()
-	endNode(t, node)
+	p.expectServing()
+	killEdge(t, node)
 }
 
 // fillPipe writes until the pipe takes nothing more.
@@ -141,11 +141,11 @@
 }
 
 // A second SIGTERM comes while the node still answers what it has taken.
-func TestSecondSIGTERM(t *testing.T) {
-	p, node := startOne(t, nil)
+func TestSecondSIGTERMIsIgnored(t *testing.T) {
+	p, node := startSingleEdge(t, nil)
 	answered := make(chan int, 1)
 	began := p.fleetBegan()
-	go func() { answered <- p.ask(http.DefaultClient, p.nodes[0], "q", "chat", 5*time.Second) }()
+	go func() { answered <- p.call(http.DefaultClient, p.nodes[0], "q", "chat", 5*time.Second) }()
 	<-began
 	for range 2 {
 		if err := node.Process.Signal(syscall.SIGTERM); err != nil {
@@ -156,38 +156,38 @@
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("what was taken before the first SIGTERM is answered %d", status)
 	}
-	awaitExit(t, node, 0)
+	waitForExit(t, node, 0)
 }
 
-// withOtherAgent is the configuration of the first node with another address of discovery, whose calls are counted.
-func (p *processes) withOtherAgent(asked *atomic.Int64) string {
+// configWithOtherAgent is the configuration of the first node with another address of discovery, whose calls are counted.
+func (p *edgeProcesses) configWithOtherAgent(asked *atomic.Int64) string {
 	p.t.Helper()
 	text, err := os.ReadFile(p.configs[0])
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return strings.Replace(string(text), p.agent, newAgent(p.t, someList, asked), 1)
+	return strings.Replace(string(text), p.agent, newDiscoveryAgent(p.t, oneEngineList, asked), 1)
 }
 
 // A new configuration comes while the node ends: what discovery tells counts until its end.
 func TestReloadDuringShutdown(t *testing.T) {
-	p, node := startOne(t, nil)
+	p, node := startSingleEdge(t, nil)
 	began := p.fleetBegan()
-	go p.ask(http.DefaultClient, p.nodes[0], "q", "chat", 5*time.Second)
+	go p.call(http.DefaultClient, p.nodes[0], "q", "chat", 5*time.Second)
 	<-began
 	if err := node.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // the node must have taken it; nothing outside shows that
 	var asked atomic.Int64
-	changed := p.withOtherAgent(&asked)
+	changed := p.configWithOtherAgent(&asked)
 	if err := os.WriteFile(p.configs[0], []byte(changed), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := node.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	awaitExit(t, node, 0)
+	waitForExit(t, node, 0)
 	if asked.Load() == 0 {
 		t.Error("the new address of discovery was never asked")
 	}
@@ -195,9 +195,9 @@
 
 // A new configuration that is half written when SIGHUP comes is read again.
 func TestHalfWrittenConfiguration(t *testing.T) {
-	p, node := startOne(t, nil)
+	p, node := startSingleEdge(t, nil)
 	var asked atomic.Int64
-	changed := p.withOtherAgent(&asked)
+	changed := p.configWithOtherAgent(&asked)
 	if err := os.WriteFile(p.configs[0], []byte(changed[:len(changed)/2]), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -215,19 +215,19 @@
 	}
 }
 
-// startOne starts one node with a reader and a writer that take half a second for an answer.
-func startOne(t *testing.T, prepare func(*exec.Cmd)) (*processes, *exec.Cmd) {
+// startSingleEdge starts one node with a reader and a writer that take half a second for an answer.
+func startSingleEdge(t *testing.T, prepare func(*exec.Cmd)) (*edgeProcesses, *exec.Cmd) {
 	t.Helper()
 	log := &audit.Log{}
-	p := startPrepared(t, 1, platformengine.NewFleet(log), log, []platformengine.Config{
+	p := startPreparedEdges(t, 1, platformengine.NewFleet(log), log, []platformengine.Config{
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 8, WorkTime: time.Millisecond},
-		{ID: "s-2", Role: platformengine.Decode, Slots: 8, WorkTime: answerTime(prepare), Events: 2},
+		{ID: "s-2", Role: platformengine.Decode, Slots: 8, WorkTime: decodeWorkTime(prepare), Events: 2},
 	}, prepare)
 	return p, p.commands[0]
 }
 
-// answerTime is short where many answers are waited for, one after the other.
-func answerTime(prepare func(*exec.Cmd)) time.Duration {
+// decodeWorkTime is short where many answers are waited for, one after the other.
+func decodeWorkTime(prepare func(*exec.Cmd)) time.Duration {
 	if prepare != nil {
 		return time.Millisecond
 	}
@@ -235,7 +235,7 @@
 }
 
 // fleetBegan is closed once a writer has begun an attempt.
-func (p *processes) fleetBegan() <-chan struct{} {
+func (p *edgeProcesses) fleetBegan() <-chan struct{} {
 	began := make(chan struct{})
 	go func() {
 		for range 1000 {
@@ -252,18 +252,18 @@
 }
 
 // The process before it may hold a node's address a little longer: the node waits for it.
-func TestAddressStillHeld(t *testing.T) {
+func TestStartWhileAddressInUse(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(nodeConfig, 0, held.Addr().String(), freeAddress(t), 1, someList, 0, 1)
+	text := fmt.Sprintf(nodeConfig, 0, held.Addr().String(), freeAddress(t), 1, oneEngineList, 0, 1)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	startCommand(t, exec.Command(edgeBinary(t), "--config", config))
 	time.Sleep(500 * time.Millisecond) // for so long the address is held
 	held.Close()
-	(&processes{t: t}).awaitReady(held.Addr().String())
+	(&edgeProcesses{t: t}).awaitReady(held.Addr().String())
 }
--- a/cmd/sandcourse/badday.go
+++ b/cmd/sandcourse/badday.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/scenario"
 )
 
-func baddayCommand() *cobra.Command {
+func scenarioCommand() *cobra.Command {
 	var quiet, logs bool
 	c := &cobra.Command{Use: "badday FILE", Short: "Play a scripted day of troubles and judge the five rules",
 		Args: cobra.ExactArgs(1),
@@ -45,7 +45,7 @@
 			}
 			res.Print(c.OutOrStdout())
 			if len(res.Breaks) > 0 {
-				return exit(1)
+				return exitStatus(1)
 			}
 			return nil
 		}}
--- a/cmd/sandcourse/lab.go
+++ b/cmd/sandcourse/lab.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/emulator"
 )
 
-func labCommand() *cobra.Command {
+func emulateCommand() *cobra.Command {
 	c := &cobra.Command{Use: "lab", Short: "Experiments in simulated time on the real decision code"}
 	var out string
 	compare := &cobra.Command{Use: "compare FILE",
@@ -30,8 +30,8 @@
 			if err != nil {
 				return err
 			}
-			rows := x.Compare(playArms(x))
-			table := armTable(x, rows)
+			rows := x.Compare(runArms(x))
+			table := formatArms(x, rows)
 			fmt.Fprint(c.OutOrStdout(), table)
 			if out == "" {
 				return nil
@@ -43,15 +43,15 @@
 			if err := os.WriteFile(filepath.Join(out, name+".md"), []byte(table), 0o644); err != nil {
 				return err
 			}
-			return armChart(filepath.Join(out, name+".svg"), rows)
+			return plotArms(filepath.Join(out, name+".svg"), rows)
 		}}
 	compare.Flags().StringVar(&out, "out", "", "folder for a table and a chart")
 	c.AddCommand(compare)
 	return c
 }
 
-// playArms plays all days, spread over cores; each is one owner's and the same wherever it runs.
-func playArms(x *emulator.Experiment) [][]emulator.Result {
+// runArms plays all days, spread over cores; each is one owner's and the same wherever it runs.
+func runArms(x *emulator.Experiment) [][]emulator.Result {
 	results := make([][]emulator.Result, len(x.Arms))
 	for i := range results {
 		results[i] = make([]emulator.Result, x.Seeds)
@@ -65,7 +65,7 @@
 	return results
 }
 
-func armTable(x *emulator.Experiment, rows []emulator.Compared) string {
+func formatArms(x *emulator.Experiment, rows []emulator.Compared) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference to the first arm with 95 of 100 by bootstrap.\n\n", x.Seeds)
 	b.WriteString("| arm | value in time | difference | worst 5 s | well again after | tries | refused | ran twice | pushed over |\n" +
@@ -89,7 +89,7 @@
 	return b.String()
 }
 
-func armChart(path string, rows []emulator.Compared) error {
+func plotArms(path string, rows []emulator.Compared) error {
 	p := plot.New()
 	p.Title.Text = "value in time by when clients first asked (simulated)"
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "share", 0, 1.02
--- a/cmd/sandcourse/main.go
+++ b/cmd/sandcourse/main.go
@@ -14,19 +14,19 @@
 // version of this program; the changelog says what each brought.
 const version = "0.2.0-dev"
 
-// exit is an error that chooses the program's exit status and has been told already.
-type exit int
+// exitStatus is an error that chooses the program's exit status and has been told already.
+type exitStatus int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitStatus) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
 	root := &cobra.Command{Use: "sandcourse", Short: "Routes inferences over engines that read and engines that write",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(demoCommand(), soakCommand(), checkCommand(), standinCommand(), loadCommand(), baddayCommand(), proveCommand(), rolesCommand(), labCommand(),
+	root.AddCommand(demoCommand(), soakCommand(), checkCommand(), fakeEngineCommand(), loadCommand(), scenarioCommand(), modelcheckCommand(), rolesCommand(), emulateCommand(),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "sandcourse", version) }})
 	err := root.Execute()
-	var status exit
+	var status exitStatus
 	var faults script.Faults
 	switch {
 	case err == nil:
--- a/cmd/sandcourse/prove.go
+++ b/cmd/sandcourse/prove.go
@@ -20,15 +20,15 @@
 	"sandcourse/internal/replay"
 )
 
-// found is a counterexample as a file keeps it: enough to play it again.
-type found struct {
+// counterexample is a counterexample as a file keeps it: enough to play it again.
+type counterexample struct {
 	World  modelcheck.World `json:"world"`
 	Path   modelcheck.Path  `json:"path"`
 	Broken []string         `json:"broken"`
 	Story  []string         `json:"story"`
 }
 
-func proveCommand() *cobra.Command {
+func modelcheckCommand() *cobra.Command {
 	var workers, states, walks int
 	var length time.Duration
 	var seed uint64
@@ -55,7 +55,7 @@
 			bad := 0
 			for _, w := range worlds {
 				begun := time.Now()
-				r, err := proveWorld(w, modelcheck.Bounds{Workers: workers, States: states, Until: until}, seed, walks, snapshots,
+				r, err := exploreWorld(w, modelcheck.Bounds{Workers: workers, States: states, Until: until}, seed, walks, snapshots,
 					c.ErrOrStderr())
 				if err != nil {
 					return err
@@ -66,7 +66,7 @@
 				rows = append(rows, r)
 				if len(r.Broken) > 0 {
 					bad++
-					if err := keep(out, r, c.OutOrStdout()); err != nil {
+					if err := saveCounterexample(out, r, c.OutOrStdout()); err != nil {
 						return err
 					}
 				}
@@ -98,7 +98,7 @@
 				}
 			}
 			if bad > 0 {
-				return exit(1)
+				return exitStatus(1)
 			}
 			return nil
 		}}
@@ -118,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			var f found
+			var f counterexample
 			if err := json.Unmarshal(text, &f); err != nil {
 				return fmt.Errorf("%s is no counterexample: %w", args[0], err)
 			}
@@ -135,7 +135,7 @@
 				}
 			}
 			if len(broken) > 0 {
-				return exit(1)
+				return exitStatus(1)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "nothing breaks on this text")
 			return nil
@@ -153,7 +153,7 @@
 	return c
 }
 
-func proveWorld(w modelcheck.World, b modelcheck.Bounds, seed uint64, walks int, snapshots string, say io.Writer) (modelcheck.Result, error) {
+func exploreWorld(w modelcheck.World, b modelcheck.Bounds, seed uint64, walks int, snapshots string, say io.Writer) (modelcheck.Result, error) {
 	if w.Crowd {
 		return modelcheck.Crowd(w, seed, b.Until), nil
 	}
@@ -201,7 +201,7 @@
 	return r, err
 }
 
-func keep(dir string, r modelcheck.Result, say io.Writer) error {
+func saveCounterexample(dir string, r modelcheck.Result, say io.Writer) error {
 	lines, broken := modelcheck.Story(r.World, r.Path)
 	if r.World.Crowd { // a walk of its own: the seed plays it again
 		lines, broken = nil, r.Broken
@@ -210,7 +210,7 @@
 	if dir == "" {
 		return nil
 	}
-	text, err := json.MarshalIndent(found{r.World, r.Path, broken, lines}, "", " ")
+	text, err := json.MarshalIndent(counterexample{r.World, r.Path, broken, lines}, "", " ")
 	if err != nil {
 		return err
 	}
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -22,12 +22,12 @@
 
 func demoCommand() *cobra.Command {
 	var addr string
-	var readers, writers int
+	var prefill, decode int
 	var tilt tiltOptions
 	c := &cobra.Command{Use: "demo", Short: "Run an edge and stand-in engines in one process", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if tilt.on {
-				return runTilt(c, tilt, readers+1, writers+1)
+				return runTilt(c, tilt, prefill+1, decode+1)
 			}
 			dir, err := os.MkdirTemp("", "sandcourse-demo-")
 			if err != nil {
@@ -35,7 +35,7 @@
 			}
 			defer os.RemoveAll(dir)
 			log := &audit.Log{}
-			fleet, err := scenario.StartFleet(dir, makes(readers, writers), log)
+			fleet, err := scenario.StartFleet(dir, fakeEngines(prefill, decode), log)
 			if err != nil {
 				return err
 			}
@@ -60,15 +60,15 @@
     -d '{"model":"fan-alert","stream":true,"messages":[{"role":"user","content":"Who scored?"}]}'
 
 Ctrl-C stops it. The roster is %s
-`, readers, writers, n.Addr(), fleet.Path)
+`, prefill, decode, n.Addr(), fleet.Path)
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			<-ctx.Done()
 			stop()
 			return n.Drain(context.Background())
 		}}
 	c.Flags().StringVar(&addr, "chat", "127.0.0.1:8080", "address to take chat calls on")
-	c.Flags().IntVar(&readers, "readers", 3, "stand-in readers")
-	c.Flags().IntVar(&writers, "writers", 3, "stand-in writers")
+	c.Flags().IntVar(&prefill, "readers", 3, "stand-in readers")
+	c.Flags().IntVar(&decode, "writers", 3, "stand-in writers")
 	c.Flags().BoolVar(&tilt.on, "tilt", false, "load that tilts between reading and writing, and a planner that follows (a minute)")
 	c.Flags().BoolVar(&tilt.fixed, "fixed", false, "with --tilt: roles stay as they are")
 	c.Flags().BoolVar(&tilt.kill, "kill", false, "with --tilt: the planner is killed every ten seconds or so")
@@ -78,11 +78,11 @@
 	return c
 }
 
-func makes(readers, writers int) (row []engine.Make) {
-	for i := range readers {
+func fakeEngines(prefill, decode int) (row []engine.Make) {
+	for i := range prefill {
 		row = append(row, engine.Make{Name: fmt.Sprint("reader", i), Role: "read", Seed: uint64(i)})
 	}
-	for i := range writers {
+	for i := range decode {
 		row = append(row, engine.Make{Name: fmt.Sprint("writer", i), Role: "write", Seed: 7})
 	}
 	return row
@@ -101,7 +101,7 @@
 		}}
 }
 
-func standinCommand() *cobra.Command {
+func fakeEngineCommand() *cobra.Command {
 	var m engine.Make
 	c := &cobra.Command{Use: "standin", Short: "Run one stand-in engine", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -19,13 +19,13 @@
 	"sandcourse/internal/fluidmodel"
 )
 
-// point is one setting of a sweep, with what each arm came to on its seeds.
-type point struct {
+// sweepPoint is one setting of a sweep, with what each arm came to on its seeds.
+type sweepPoint struct {
 	factor, level string
-	at            float64
+	value         float64
 	arms          map[string][]fluidmodel.Result
 	best          []int // readers of the best fixed split
-	took          time.Duration
+	duration      time.Duration
 }
 
 var armNames = []string{"roles", "best fixed", "fixed at start", "threshold"}
@@ -40,10 +40,10 @@
 			base := fluidmodel.Scenario{Engines: 40, PrefillEngines: 20, Cells: 4, Edges: 6, Duration: 20 * time.Minute,
 				Period: 10 * time.Minute, SkewDepth: 0.8, SquareWave: true,
 				Utilization: 0.85, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second}
-			var points []*point
-			var days []todo
+			var points []*sweepPoint
+			var days []sweepRun
 			add := func(factor, level string, at float64, change func(*fluidmodel.Scenario)) {
-				points = append(points, &point{factor: factor, level: level, at: at,
+				points = append(points, &sweepPoint{factor: factor, level: level, value: at,
 					arms: map[string][]fluidmodel.Result{}})
 				p := points[len(points)-1]
 				for seed := range seeds {
@@ -51,7 +51,7 @@
 					change(&d)
 					d.Seed = uint64(seed + 1)
 					p.best = append(p.best, 0)
-					days = append(days, todo{p, seed, d})
+					days = append(days, sweepRun{p, seed, d})
 				}
 				for _, arm := range armNames {
 					p.arms[arm] = make([]fluidmodel.Result, seeds)
@@ -84,11 +84,11 @@
 			for _, part := range []float64{0, 0.33, 0.6} {
 				add("reports missing, share", fmt.Sprint(part), part, func(d *fluidmodel.Scenario) { d.MissingReports = part })
 			}
-			runDays(days)
+			runSweep(days)
 			if err := os.MkdirAll(out, 0o755); err != nil {
 				return err
 			}
-			if err := os.WriteFile(filepath.Join(out, "roles-sweep.md"), []byte(sweepTable(points, seeds)),
+			if err := os.WriteFile(filepath.Join(out, "roles-sweep.md"), []byte(formatSweep(points, seeds)),
 				0o644); err != nil {
 				return err
 			}
@@ -97,12 +97,12 @@
 				for j < len(points) && points[j].factor == points[i].factor {
 					j++
 				}
-				if err := chart(out, points[i:j]); err != nil {
+				if err := plotFactor(out, points[i:j]); err != nil {
 					return err
 				}
 				i = j
 			}
-			fmt.Fprint(c.OutOrStdout(), sweepTable(points, seeds))
+			fmt.Fprint(c.OutOrStdout(), formatSweep(points, seeds))
 			return nil
 		}}
 	c.Flags().StringVar(&out, "out", "sweep", "folder for the table and the charts")
@@ -110,24 +110,24 @@
 	return c
 }
 
-type todo struct {
-	p    *point
-	seed int
-	d    fluidmodel.Scenario
+type sweepRun struct {
+	point *sweepPoint
+	seed  int
+	day   fluidmodel.Scenario
 }
 
-// runDays plays all on all cores; each day is deterministic by itself.
-func runDays(days []todo) {
+// runSweep plays all on all cores; each day is deterministic by itself.
+func runSweep(days []sweepRun) {
 	onAllCores(len(days), func(i int) {
 		t := days[i]
 		begun := time.Now()
-		t.p.arms["roles"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{Adaptive: true})
+		t.point.arms["roles"][t.seed] = fluidmodel.Run(t.day, fluidmodel.Strategy{Adaptive: true})
 		if t.seed == 0 {
-			t.p.took = time.Since(begun)
+			t.point.duration = time.Since(begun)
 		}
-		t.p.arms["best fixed"][t.seed], t.p.best[t.seed] = fluidmodel.BestFixedSplit(t.d)
-		t.p.arms["fixed at start"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{})
-		t.p.arms["threshold"][t.seed] = fluidmodel.Run(t.d, fluidmodel.Strategy{Threshold: true})
+		t.point.arms["best fixed"][t.seed], t.point.best[t.seed] = fluidmodel.BestFixedSplit(t.day)
+		t.point.arms["fixed at start"][t.seed] = fluidmodel.Run(t.day, fluidmodel.Strategy{})
+		t.point.arms["threshold"][t.seed] = fluidmodel.Run(t.day, fluidmodel.Strategy{Threshold: true})
 	})
 }
 
@@ -152,7 +152,7 @@
 	return out
 }
 
-func sweepTable(points []*point, seeds int) string {
+func formatSweep(points []*sweepPoint, seeds int) string {
 	var b strings.Builder
 	factor := ""
 	for _, p := range points {
@@ -181,7 +181,7 @@
 	return b.String()
 }
 
-func chart(out string, points []*point) error {
+func plotFactor(out string, points []*sweepPoint) error {
 	p := plot.New()
 	p.Title.Text = "value in time (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = points[0].factor, "share of value"
@@ -190,12 +190,12 @@
 	for _, arm := range armNames {
 		var xy plotter.XYs
 		for _, x := range points {
-			xy = append(xy, plotter.XY{X: x.at, Y: stat.Mean(values(x.arms[arm],
+			xy = append(xy, plotter.XY{X: x.value, Y: stat.Mean(values(x.arms[arm],
 				func(r fluidmodel.Result) float64 { return r.Value }), nil)})
 		}
 		rows = append(rows, arm, xy)
 	}
-	if points[len(points)-1].at > 20*max(points[0].at, 0.01) && points[0].at > 0 {
+	if points[len(points)-1].value > 20*max(points[0].value, 0.01) && points[0].value > 0 {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
 	if err := plotutil.AddLinePoints(p, rows...); err != nil {
--- a/cmd/sandcourse/tilt.go
+++ b/cmd/sandcourse/tilt.go
@@ -24,7 +24,7 @@
 }
 
 // runTilt plays a day that tilts: long prompts, then long answers, then long prompts.
-func runTilt(c *cobra.Command, o tiltOptions, readers, writers int) error {
+func runTilt(c *cobra.Command, o tiltOptions, prefill, decode int) error {
 	dir, err := os.MkdirTemp("", "sandcourse-tilt-")
 	if err != nil {
 		return err
@@ -33,7 +33,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	was, begun := "", time.Now()
-	t := scenario.Tilt{Readers: readers, Writers: writers, Edges: 2, Fixed: o.fixed, Kill: o.kill,
+	t := scenario.Tilt{Readers: prefill, Writers: decode, Edges: 2, Fixed: o.fixed, Kill: o.kill,
 		Seed: o.seed, Phases: []scenario.Phase{
 			{Name: "long prompts", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24},
 			{Name: "long answers", Length: o.phase, Rate: o.rate, Own: 40, Answer: 200},
@@ -45,7 +45,7 @@
 			}
 			now := fmt.Sprintf("%d read, %d write, %d drain, %d change", count["prefill ready"],
 				count["decode ready"],
-				count["prefill draining"]+count["decode draining"], readers+writers-len(p.Engines))
+				count["prefill draining"]+count["decode draining"], prefill+decode-len(p.Engines))
 			if now != was {
 				was = now
 				fmt.Fprintf(c.OutOrStdout(), "  %5.1f s plan %d of term %d: %s\n",
@@ -62,7 +62,7 @@
 		for _, b := range res.Breaks {
 			fmt.Fprintln(c.OutOrStdout(), "BROKEN", b)
 		}
-		return exit(1)
+		return exitStatus(1)
 	}
 	fmt.Fprintln(c.OutOrStdout(),
 		strings.TrimSpace("all five rules kept (simulated: stand-in engines on loopback)"))
--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -17,79 +17,79 @@
 
 // Bounds of what an engine may answer.
 const (
-	answerHead  = 16 << 10
-	answerBody  = 64 << 20 // of a stream in all
-	answerWhole = 1 << 20  // of an answer that is no stream
-	eventBound  = 256 << 10
+	maxResponseHead = 16 << 10
+	maxStreamBody   = 64 << 20 // of a stream in all
+	maxCompleteBody = 1 << 20  // of an answer that is no stream
+	maxStreamEvent  = 256 << 10
 )
 
-// link is one connection to an engine: the poller's part, and the socket that the core sees.
-type link struct {
-	n       *Node
-	core    *router.EngineConnection
-	conn    *nbio.Conn
-	cutter  *httpframing.Parser
-	events  *chat.Decoder // of the stream under way; nil where the answer is whole
-	body    []byte
-	relay   *relay // of the stream under way
-	closes  bool   // the engine has said that it closes after this answer
-	toWrite int64
-	written atomic.Int64
+// engineConnection is one connection to an engine: the poller's part, and the socket that the core sees.
+type engineConnection struct {
+	edge           *Edge
+	state          *router.EngineConnection
+	conn           *nbio.Conn
+	parser         *httpframing.Parser
+	streamDecoder  *chat.Decoder // of the stream under way; nil where the answer is whole
+	body           []byte
+	relay          *relay // of the stream under way
+	closeAnnounced bool   // the engine has said that it closes after this answer
+	bytesToWrite   int64
+	bytesWritten   atomic.Int64
 }
 
 // Write hands a request to the socket.
-func (l *link) Write(request []byte) error {
-	l.n.pass(AttemptChosen)
-	l.written.Store(0)
-	l.toWrite = int64(len(request))
-	_, err := l.conn.Write(request)
+func (c *engineConnection) Write(request []byte) error {
+	c.edge.reach(ConnectionAssigned)
+	c.bytesWritten.Store(0)
+	c.bytesToWrite = int64(len(request))
+	_, err := c.conn.Write(request)
 	if err != nil { // it may have closed before its session was set
-		l.n.in.put(0, func() { l.n.core.EngineDisconnected(l.core) })
+		c.edge.inbox.put(0, func() { c.edge.core.EngineDisconnected(c.state) })
 	}
 	return err
 }
 
-func (l *link) RequestWritten() bool { return l.written.Load() >= l.toWrite }
+func (l *engineConnection) RequestWritten() bool { return l.bytesWritten.Load() >= l.bytesToWrite }
 
-func (l *link) Close() { l.conn.Close() }
+func (c *engineConnection) Close() { c.conn.Close() }
 
 // Dial connects a line, within the settings' time. The socket library's own dial takes an IPv4 address for
 // 0.0.0.0, which reaches nothing but 127.0.0.1, and tells a refused connection as one that is there; so the
 // standard library dials, and the connection is handed over.
-func (n *Node) Dial(core *router.EngineConnection) {
-	failed := func(err error) { n.in.put(0, func() { n.core.EngineConnected(core, nil, err) }) }
-	n.over.Go(func() {
-		conn, err := n.connect(core.Host)
+func (e *Edge) Dial(state *router.EngineConnection) {
+	failed := func(err error) { e.inbox.put(0, func() { e.core.EngineConnected(state, nil, err) }) }
+	e.goroutines.Go(func() {
+		conn, err := e.dialWithRetry(state.Host)
 		if err != nil {
 			failed(err)
 			return
 		}
-		l := &link{n: n, core: core, conn: conn,
-			cutter: httpframing.NewParser(httpframing.Responses, httpframing.Limits{HeadBytes: answerHead, BodyBytes: answerBody})}
-		conn.SetSession(l)
-		n.connOpened()
-		if _, err = n.back.AddConn(conn); err != nil {
+		c := &engineConnection{edge: e, state: state, conn: conn,
+			parser: httpframing.NewParser(httpframing.Responses, httpframing.Limits{HeadBytes: maxResponseHead, BodyBytes: maxStreamBody})}
+		conn.SetSession(c)
+		e.publishSession()
+		if _, err = e.enginePollers.AddConn(conn); err != nil {
 			failed(errors.Join(router.ErrLocal, err))
 			return
 		}
-		n.in.put(0, func() { n.core.EngineConnected(core, l, nil) })
+		e.inbox.put(0, func() { e.core.EngineConnected(state, c, nil) })
 	})
 }
 
 // A connection that this machine could not make is tried again after a short pause, which doubles.
 const (
-	redialFirst = 5 * time.Millisecond
-	redialMost  = 40 * time.Millisecond
+	dialBackoffMin = 5 * time.Millisecond
+	dialBackoffMax = 40 * time.Millisecond
 )
 
-// connect makes a connection within the settings' time. Where this machine lacks something for a moment, such as
+// dialWithRetry makes a connection within the settings' time. Where this machine lacks something for a moment, such as
 // descriptors or ports, it is tried again until that time is over; the error then is a node.ErrLocal.
-func (n *Node) connect(address string) (*nbio.Conn, error) {
-	ctx, cancel := context.WithTimeout(n.alive, n.d.Connections.DialTimeout)
+func (e *Edge) dialWithRetry(address string) (*nbio.Conn, error) {
+	ctx, cancel := context.WithTimeout(e.lifetime, e.deployment.Connections.DialTimeout)
 	defer cancel()
-	for pause := redialFirst; ; pause = min(2*pause, redialMost) {
-		conn, err := n.connectOnce(ctx, address)
-		if err == nil || !neterr.IsLocal(err) && n.alive.Err() == nil {
+	for pause := dialBackoffMin; ; pause = min(2*pause, dialBackoffMax) {
+		conn, err := e.dialOnce(ctx, address)
+		if err == nil || !neterr.IsLocal(err) && e.lifetime.Err() == nil {
 			return conn, err
 		}
 		select {
@@ -100,8 +100,8 @@
 	}
 }
 
-func (n *Node) connectOnce(ctx context.Context, address string) (*nbio.Conn, error) {
-	dialled, err := n.dial(ctx, address)
+func (e *Edge) dialOnce(ctx context.Context, address string) (*nbio.Conn, error) {
+	dialled, err := e.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -119,43 +119,43 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-func (n *Node) backClosed(conn *nbio.Conn, _ error) {
-	n.connUsed()
-	if l, ok := conn.Session().(*link); ok {
-		n.in.put(0, func() { n.core.EngineDisconnected(l.core) })
+func (e *Edge) engineClosed(conn *nbio.Conn, _ error) {
+	e.acquireSession()
+	if c, ok := conn.Session().(*engineConnection); ok {
+		e.inbox.put(0, func() { e.core.EngineDisconnected(c.state) })
 	}
 }
 
-func (n *Node) backWrote(conn *nbio.Conn, _ []byte, size int) {
-	n.connUsed()
-	if l, ok := conn.Session().(*link); ok {
-		l.written.Add(int64(size))
+func (e *Edge) engineWritten(conn *nbio.Conn, _ []byte, size int) {
+	e.acquireSession()
+	if c, ok := conn.Session().(*engineConnection); ok {
+		c.bytesWritten.Add(int64(size))
 	}
 }
 
-func (n *Node) backOpened(conn *nbio.Conn) {
-	if _, ok := conn.Session().(*sentinel); !ok {
-		n.backBarrier.wait(conn)
+func (e *Edge) engineOpened(conn *nbio.Conn) {
+	if _, ok := conn.Session().(*batchMarker); !ok {
+		e.engineReuseGuard.waitForFreshBatch(conn)
 	}
 }
 
-// backReadable runs on the connection's poller when there is something to read.
-func (n *Node) backReadable(conn *nbio.Conn) {
-	n.connUsed()
-	if s, ok := conn.Session().(*sentinel); ok {
-		s.event()
+// engineReadable runs on the connection's poller when there is something to read.
+func (e *Edge) engineReadable(conn *nbio.Conn) {
+	e.acquireSession()
+	if marker, ok := conn.Session().(*batchMarker); ok {
+		marker.onReadable()
 		return
 	}
-	l, ok := conn.Session().(*link)
+	c, ok := conn.Session().(*engineConnection)
 	if !ok {
 		return
 	}
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
-	for range readsAtOnce {
+	for range maxReadsPerWakeup {
 		size, err := readOnce(conn, *buffer)
 		if size > 0 {
-			n.backData(l, (*buffer)[:size])
+			e.handleEngineData(c, (*buffer)[:size])
 		}
 		if err != nil {
 			conn.Close()
@@ -167,47 +167,47 @@
 	}
 }
 
-// backData cuts answers and streams.
-func (n *Node) backData(l *link, data []byte) {
-	pieces, err := l.cutter.Feed(data)
-	n.pass(AnswerRead)
-	for i, p := range pieces {
-		switch p.Kind {
+// handleEngineData cuts answers and streams.
+func (e *Edge) handleEngineData(c *engineConnection, data []byte) {
+	pieces, err := c.parser.Feed(data)
+	e.reach(ResponseRead)
+	for i, piece := range pieces {
+		switch piece.Kind {
 		case httpframing.Head:
-			l.events, l.body, l.relay, l.closes = nil, nil, nil, p.Response.Close
-			if chat.IsEventStream(p.Response.Header) {
-				l.events, l.relay = chat.NewDecoder(eventBound), &relay{frame: n.protocol.StreamEvent}
-				l.events.OnComment = func(text []byte) {
-					n.in.put(1+len(text), func() { n.core.StreamComment(l.core, text) })
+			c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, piece.Response.Close
+			if chat.IsEventStream(piece.Response.Header) {
+				c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &relay{frame: e.protocol.StreamEvent}
+				c.streamDecoder.OnComment = func(text []byte) {
+					e.inbox.put(1+len(text), func() { e.core.StreamComment(c.state, text) })
 				}
 			}
-			head := p.Response
+			head := piece.Response
 			var tokens router.Relay
-			if l.relay != nil {
-				tokens = l.relay
+			if c.relay != nil {
+				tokens = c.relay
 			}
-			n.in.put(1, func() { n.core.ResponseHead(l.core, head, tokens) })
+			e.inbox.put(1, func() { e.core.ResponseHead(c.state, head, tokens) })
 		case httpframing.Body:
-			if l.events != nil {
-				if e := l.events.Feed(p.Data, func(event []byte) {
-					if !n.protocol.IsFinalEvent(event) && l.relay.pass(event, n.clock()) {
+			if c.streamDecoder != nil {
+				if decodeErr := c.streamDecoder.Feed(piece.Data, func(event []byte) {
+					if !e.protocol.IsFinalEvent(event) && c.relay.forward(event, e.clock()) {
 						return
 					}
-					n.in.put(1+len(event), func() { n.core.StreamEvent(l.core, event) })
-				}); e != nil && err == nil {
-					err = e
+					e.inbox.put(1+len(event), func() { e.core.StreamEvent(c.state, event) })
+				}); decodeErr != nil && err == nil {
+					err = decodeErr
 				}
-			} else if l.body = append(l.body, p.Data...); len(l.body) > answerWhole && err == nil {
+			} else if c.body = append(c.body, piece.Data...); len(c.body) > maxCompleteBody && err == nil {
 				err = errors.New("answer is over its bound")
 			}
 		case httpframing.End:
 			// A whole answer that came behind this one belongs to nothing that was asked either.
-			body, clean := l.body, l.cutter.AtBoundary() && i == len(pieces)-1 && !l.closes
-			l.body = nil
-			n.in.put(1, func() { n.core.ResponseComplete(l.core, body, clean) })
+			body, clean := c.body, c.parser.AtBoundary() && i == len(pieces)-1 && !c.closeAnnounced
+			c.body = nil
+			e.inbox.put(1, func() { e.core.ResponseComplete(c.state, body, clean) })
 		}
 	}
 	if err != nil {
-		n.in.put(1, func() { n.core.ResponseInvalid(l.core, err) })
+		e.inbox.put(1, func() { e.core.ResponseInvalid(c.state, err) })
 	}
 }
--- a/internal/edge/barrier.go
+++ b/internal/edge/barrier.go
@@ -12,136 +12,136 @@
 	"golang.org/x/sys/unix"
 )
 
-// barrier holds back a new connection until its poller has forgotten the descriptor's last one.
+// reuseGuard holds back a new connection until its poller has forgotten the descriptor's last one.
 //
 // A poller takes a row of events from the kernel and handles them one by one, by descriptor. Where a connection is
 // closed meanwhile by another goroutine, and the next one gets its descriptor, an event of the old one would be taken
 // for the new one's; if it tells of an end, the new connection is closed. So a connection is not made known to its
 // poller before that has begun a row of events that was taken after the connection came up.
-type barrier struct {
+type reuseGuard struct {
 	mu       sync.Mutex
-	pollers  []*sentinel // nil before Start
+	markers  []*batchMarker // nil before Start
 	stopping <-chan struct{}
 }
 
-// sentinel is an event descriptor (eventfd) that its poller waits on like on any connection. It is readable while
+// batchMarker is an event descriptor (eventfd) that its poller waits on like on any connection. It is readable while
 // somebody waits.
-type sentinel struct {
-	mu     sync.Mutex
-	conn   *nbio.Conn
-	coming []chan struct{} // they came since the last event
-	seen   []chan struct{} // they were there at the last event, so the next one is of a later row
+type batchMarker struct {
+	mu        sync.Mutex
+	conn      *nbio.Conn
+	arrived   []chan struct{} // they came since the last event
+	nextBatch []chan struct{} // they were there at the last event, so the next one is of a later row
 }
 
-// eventConn is an event descriptor in the form that the socket library takes over.
-type eventConn struct{ *os.File }
+// eventfdConn is an event descriptor in the form that the socket library takes over.
+type eventfdConn struct{ *os.File }
 
-// eventAddr is an event descriptor's address, as it needs one.
-type eventAddr struct{}
+// eventfdAddr is an event descriptor's address, as it needs one.
+type eventfdAddr struct{}
 
-func (eventAddr) Network() string      { return "eventfd" }
-func (eventAddr) String() string       { return "sentinel" }
-func (eventConn) LocalAddr() net.Addr  { return eventAddr{} }
-func (eventConn) RemoteAddr() net.Addr { return eventAddr{} }
+func (eventfdAddr) Network() string      { return "eventfd" }
+func (eventfdAddr) String() string       { return "sentinel" }
+func (eventfdConn) LocalAddr() net.Addr  { return eventfdAddr{} }
+func (eventfdConn) RemoteAddr() net.Addr { return eventfdAddr{} }
 
 // start gives each poller of a running engine its sentinel.
-func (b *barrier) start(n *Node, engine *nbio.Engine) error {
-	row := make([]*sentinel, n.pollers)
-	var spare []*sentinel // whose poller has one; their descriptors must not be given out again at once
+func (g *reuseGuard) start(e *Edge, engine *nbio.Engine) error {
+	markers := make([]*batchMarker, e.pollersPerSide)
+	var spare []*batchMarker // whose poller has one; their descriptors must not be given out again at once
 	defer func() {
 		for _, s := range spare {
 			s.close()
 		}
 	}()
-	for found := 0; found < n.pollers; {
-		s, err := newSentinel()
+	for found := 0; found < e.pollersPerSide; {
+		s, err := newBatchMarker()
 		if err != nil {
 			return err
 		}
-		place := s.conn.Hash() % n.pollers
-		if row[place] != nil {
+		place := s.conn.Hash() % e.pollersPerSide
+		if markers[place] != nil {
 			spare = append(spare, s)
 			continue
 		}
-		row[place] = s
+		markers[place] = s
 		found++
 		s.conn.SetSession(s)
-		n.connOpened()
+		e.publishSession()
 		if _, err := engine.AddConn(s.conn); err != nil { // it is closed by then
 			return fmt.Errorf("watch an event descriptor: %w", err)
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pollers, b.stopping = row, n.done
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.markers, g.stopping = markers, e.stopped
 	return nil
 }
 
-func newSentinel() (*sentinel, error) {
+func newBatchMarker() (*batchMarker, error) {
 	counter, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("make an event descriptor: %w", err)
 	}
-	conn, err := nbio.NBConn(eventConn{os.NewFile(uintptr(counter), "event descriptor")})
+	conn, err := nbio.NBConn(eventfdConn{os.NewFile(uintptr(counter), "event descriptor")})
 	if err != nil {
 		return nil, fmt.Errorf("hand over an event descriptor: %w", err)
 	}
-	return &sentinel{conn: conn}, nil
+	return &batchMarker{conn: conn}, nil
 }
 
 // close ends all sentinels, once their pollers have stopped.
-func (b *barrier) close() {
-	for _, s := range b.pollers {
+func (g *reuseGuard) close() {
+	for _, s := range g.markers {
 		s.close()
 	}
 }
 
-func (s *sentinel) close() { syscall.Close(s.conn.Hash()) }
+func (s *batchMarker) close() { syscall.Close(s.conn.Hash()) }
 
-// wait returns once the poller of a connection that has just come up holds no event from before.
-func (b *barrier) wait(conn *nbio.Conn) {
-	b.mu.Lock()
-	pollers, stopping := b.pollers, b.stopping
-	b.mu.Unlock()
-	if len(pollers) == 0 {
+// waitForFreshBatch returns once the poller of a connection that has just come up holds no event from before.
+func (g *reuseGuard) waitForFreshBatch(conn *nbio.Conn) {
+	g.mu.Lock()
+	markers, stopping := g.markers, g.stopping
+	g.mu.Unlock()
+	if len(markers) == 0 {
 		return // the first connections: nothing has been closed yet
 	}
 	select {
-	case <-pollers[conn.Hash()%len(pollers)].passed():
+	case <-markers[conn.Hash()%len(markers)].freshBatch():
 	case <-stopping:
 	}
 }
 
-// passed is closed once a row of events has begun that was taken after the call.
-func (s *sentinel) passed() <-chan struct{} {
+// freshBatch is closed once a row of events has begun that was taken after the call.
+func (s *batchMarker) freshBatch() <-chan struct{} {
 	done := make(chan struct{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.coming)+len(s.seen) == 0 {
-		if err := s.raise(); err != nil {
+	if len(s.arrived)+len(s.nextBatch) == 0 {
+		if err := s.signal(); err != nil {
 			close(done) // the node has stopped
 			return done
 		}
 	}
-	s.coming = append(s.coming, done)
+	s.arrived = append(s.arrived, done)
 	return done
 }
 
-// event runs on the poller. The descriptor stays readable, so that another event follows, while somebody waits.
-func (s *sentinel) event() {
+// onReadable runs on the poller. The descriptor stays readable, so that another event follows, while somebody waits.
+func (s *batchMarker) onReadable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, done := range s.seen {
+	for _, done := range s.nextBatch {
 		close(done)
 	}
-	s.seen, s.coming = s.coming, nil
-	if len(s.seen) == 0 {
-		s.lower()
+	s.nextBatch, s.arrived = s.arrived, nil
+	if len(s.nextBatch) == 0 {
+		s.reset()
 	}
 }
 
-// raise makes the descriptor readable.
-func (s *sentinel) raise() error {
+// signal makes the descriptor readable.
+func (s *batchMarker) signal() error {
 	one := [8]byte{1}
 	for {
 		_, err := syscall.Write(s.conn.Hash(), one[:])
@@ -151,8 +151,8 @@
 	}
 }
 
-// lower makes it unreadable. The read cannot fail: the poller has told that it is readable, and nobody else reads.
-func (s *sentinel) lower() {
+// reset makes it unreadable. The read cannot fail: the poller has told that it is readable, and nobody else reads.
+func (s *batchMarker) reset() {
 	var count [8]byte
 	for {
 		if _, err := syscall.Read(s.conn.Hash(), count[:]); !errors.Is(err, syscall.EINTR) {
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -30,7 +30,7 @@
 // once, and a writer that sends a token at a set pace whose data is the time at which it was sent. Clients parse
 // no more than they must.
 
-func bareEngine(b *testing.B, writes bool, tokens int, every time.Duration) string {
+func startBenchEngine(b *testing.B, writes bool, tokens int, every time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -42,13 +42,13 @@
 			if err != nil {
 				return
 			}
-			go bareServe(c, l.Addr().String(), writes, tokens, every)
+			go serveBenchConnection(c, l.Addr().String(), writes, tokens, every)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func bareServe(c net.Conn, addr string, writes bool, tokens int, every time.Duration) {
+func serveBenchConnection(c net.Conn, addr string, writes bool, tokens int, every time.Duration) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 4096)
 	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemoryShare, engineapi.HeaderWaitingTokens, engineapi.HeaderOpenRequests)
@@ -100,7 +100,7 @@
 	}
 }
 
-func bareEdge(b *testing.B, readers, writers []string) *edge.Node {
+func startBenchEdge(b *testing.B, prefillEngines, decodeEngines []string) *edge.Edge {
 	d, err := config.Read("demo", []byte(settings.Demo))
 	if err != nil {
 		b.Fatal(err)
@@ -114,10 +114,10 @@
 	for i := range d.Routes {
 		d.Routes[i].Timeout, d.Routes[i].FirstTokenObjective = 60*time.Second, 30*time.Second
 	}
-	for _, r := range readers {
+	for _, r := range prefillEngines {
 		d.Engines = append(d.Engines, endpoint.Entry{ID: r, Kind: "prefill", Weight: 1, State: endpoint.Ready})
 	}
-	for _, w := range writers {
+	for _, w := range decodeEngines {
 		d.Engines = append(d.Engines, endpoint.Entry{ID: w, Kind: "decode", Weight: 1, State: endpoint.Ready})
 	}
 	n := edge.New(d, zap.NewNop(), nil, 1)
@@ -127,8 +127,8 @@
 	return n
 }
 
-// stream makes one call on a connection and notes how old each token is, and when the first came.
-func stream(c net.Conn, in *bufio.Reader, direct bool, first, each *hdrhistogram.Histogram, mu *sync.Mutex) error {
+// measureStream makes one call on a connection and notes how old each token is, and when the first came.
+func measureStream(c net.Conn, in *bufio.Reader, direct bool, first, each *hdrhistogram.Histogram, mu *sync.Mutex) error {
 	body := `{"model":"clip-summary","stream":true,"messages":[{"role":"user","content":"measure"}]}`
 	if direct {
 		body = `{"kv_transfer_params":{"do_remote_prefill":true}}`
@@ -165,8 +165,8 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// measure keeps so many streams open for a time, each beginning anew as it ends.
-func measure(addr string, direct bool, streams int, length time.Duration) (first, each *hdrhistogram.Histogram, done int, err error) {
+// measureStreams keeps so many streams open for a time, each beginning anew as it ends.
+func measureStreams(addr string, direct bool, streams int, length time.Duration) (first, each *hdrhistogram.Histogram, done int, err error) {
 	first, each = newHistogram(), newHistogram()
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -179,7 +179,7 @@
 				defer c.Close()
 				in := bufio.NewReaderSize(c, 512)
 				for time.Now().Before(end) && e == nil {
-					if e = stream(c, in, direct, first, each, &mu); e == nil {
+					if e = measureStream(c, in, direct, first, each, &mu); e == nil {
 						mu.Lock()
 						done++
 						mu.Unlock()
@@ -197,32 +197,32 @@
 	return first, each, done, err
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkAddedTime compares streams through the edge with streams straight from the writer, in one run.
-func BenchmarkAddedTime(b *testing.B) {
+// BenchmarkAddedLatency compares streams through the edge with streams straight from the writer, in one run.
+func BenchmarkAddedLatency(b *testing.B) {
 	for _, streams := range []int{100, 1000, 4500} { // four descriptors each, 20,000 to be had
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
 			// Some 2,000 tokens a second in all cases, so that the size of the run and not its rate is compared.
 			every := time.Duration(streams) * time.Second / 2000
 			const tokens = 8
-			readers, writers := []string{}, []string{}
+			prefillEngines, decodeEngines := []string{}, []string{}
 			for range 4 {
-				readers = append(readers, bareEngine(b, false, 0, 0))
-				writers = append(writers, bareEngine(b, true, tokens, every))
+				prefillEngines = append(prefillEngines, startBenchEngine(b, false, 0, 0))
+				decodeEngines = append(decodeEngines, startBenchEngine(b, true, tokens, every))
 			}
 			length := max(4*time.Second, time.Duration(tokens)*every*2)
 			for b.Loop() {
-				direct1, direct, _, err := measure(writers[0], true, streams, length)
+				direct1, direct, _, err := measureStreams(decodeEngines[0], true, streams, length)
 				if err != nil {
 					b.Fatal(err)
 				}
-				n := bareEdge(b, readers, writers)
-				through1, through, done, err := measure(n.Addr(), false, streams, length)
+				n := startBenchEdge(b, prefillEngines, decodeEngines)
+				through1, through, done, err := measureStreams(n.Addr(), false, streams, length)
 				n.Stop()
 				if err != nil {
 					b.Fatal(err)
@@ -238,29 +238,29 @@
 	}
 }
 
-// BenchmarkInferences runs whole inferences of a few tokens as fast as they go.
-func BenchmarkInferences(b *testing.B) {
-	readers, writers := []string{bareEngine(b, false, 0, 0)}, []string{bareEngine(b, true, 4, 0)}
-	n := bareEdge(b, readers, writers)
+// BenchmarkRequests runs whole inferences of a few tokens as fast as they go.
+func BenchmarkRequests(b *testing.B) {
+	prefillEngines, decodeEngines := []string{startBenchEngine(b, false, 0, 0)}, []string{startBenchEngine(b, true, 4, 0)}
+	n := startBenchEdge(b, prefillEngines, decodeEngines)
 	defer n.Stop()
 	for b.Loop() {
-		before, at := cpu(), time.Now()
-		_, _, done, err := measure(n.Addr(), false, 64, 4*time.Second)
+		before, at := cpuTime(), time.Now()
+		_, _, done, err := measureStreams(n.Addr(), false, 64, 4*time.Second)
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(done)/time.Since(at).Seconds(), "inferences/s")
-		b.ReportMetric(float64((cpu()-before).Microseconds())/float64(done), "cpu-us/inference")
-		b.ReportMetric(n.ModuleSeconds()*1e6/float64(done), "module-us/inference")
+		b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(done), "cpu-us/inference")
+		b.ReportMetric(n.DecisionSeconds()*1e6/float64(done), "module-us/inference")
 	}
 }
 
-// BenchmarkBytesOfOpenStreams opens streams that wait and reads how the heap, the process and the goroutines grow.
-func BenchmarkBytesOfOpenStreams(b *testing.B) {
+// BenchmarkMemoryOfOpenStreams opens streams that wait and reads how the heap, the process and the goroutines grow.
+func BenchmarkMemoryOfOpenStreams(b *testing.B) {
 	const streams = 2000
-	readers, writers := []string{bareEngine(b, false, 0, 0)}, []string{bareEngine(b, true, 2, 30*time.Second)}
+	prefillEngines, decodeEngines := []string{startBenchEngine(b, false, 0, 0)}, []string{startBenchEngine(b, true, 2, 30*time.Second)}
 	for b.Loop() {
-		n := bareEdge(b, readers, writers)
+		n := startBenchEdge(b, prefillEngines, decodeEngines)
 		heap := func() uint64 {
 			runtime.GC()
 			var m runtime.MemStats
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -22,47 +22,47 @@
 	"sandcourse/settings"
 )
 
-// rig is one edge and a small fleet.
-type rig struct {
-	t     *testing.T
-	log   *audit.Log
-	fleet *scenario.Fleet
-	edges *scenario.Edges
-	begun time.Time
-	rules audit.Rules
-	asked int
+// fixture is one edge and a small fleet.
+type fixture struct {
+	t            *testing.T
+	log          *audit.Log
+	fleet        *scenario.Fleet
+	edges        *scenario.Edges
+	startedAt    time.Time
+	rules        audit.Rules
+	requestCount int
 }
 
-func newRig(t *testing.T, alter func(*config.Deployment), makes ...engine.Make) *rig {
+func newFixture(t *testing.T, alter func(*config.Deployment), configs ...engine.Make) *fixture {
 	t.Helper()
-	if makes == nil {
-		makes = []engine.Make{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
+	if configs == nil {
+		configs = []engine.Make{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
 			{Name: "w0", Role: "write"}, {Name: "w1", Role: "write"}}
 	}
-	r := &rig{t: t, log: &audit.Log{}, begun: time.Now()}
+	f := &fixture{t: t, log: &audit.Log{}, startedAt: time.Now()}
 	var err error
-	if r.fleet, err = scenario.StartFleet(t.TempDir(), makes, r.log); err != nil {
+	if f.fleet, err = scenario.StartFleet(t.TempDir(), configs, f.log); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.fleet.Stop)
-	d, err := config.Read("default", []byte(settings.Demo))
+	t.Cleanup(f.fleet.Stop)
+	deployment, err := config.Read("default", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.EndpointFile, d.Engines, d.ChatAddress = r.fleet.Path, nil, ""
+	deployment.EndpointFile, deployment.Engines, deployment.ChatAddress = f.fleet.Path, nil, ""
 	if alter != nil {
-		alter(d)
+		alter(deployment)
 	}
-	r.rules = scenario.Rules(d)
-	if r.edges, err = scenario.StartEdges(1, *d, zap.NewNop(), r.log, 1); err != nil {
+	f.rules = scenario.Rules(deployment)
+	if f.edges, err = scenario.StartEdges(1, *deployment, zap.NewNop(), f.log, 1); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.edges.Stop)
-	r.until("the edge is ready", func() bool { return r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
-	return r
+	t.Cleanup(f.edges.Stop)
+	f.waitFor("the edge is ready", func() bool { return f.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
+	return f
 }
 
-func (r *rig) ask(a loadgen.Ask) audit.Call {
+func (f *fixture) call(a loadgen.Ask) audit.Call {
 	if a.GiveUp == 0 {
 		a.GiveUp = 3 * time.Second
 	}
@@ -70,122 +70,122 @@
 		a.Messages = []loadgen.Line{{Role: "system", Content: "You caption clips."}, {Role: "user", Content: "The goal."}}
 	}
 	if a.Request == "" {
-		r.asked++
-		a.Request = fmt.Sprint("unnamed", r.asked)
+		f.requestCount++
+		a.Request = fmt.Sprint("unnamed", f.requestCount)
 	}
 	c := loadgen.NewClient()
 	defer c.Close()
 	if a.Most == 0 {
 		a.Most = 20
 	}
-	seen, _ := c.Do(context.Background(), r.edges.Addrs()[0], a)
-	r.log.Hear(seen)
+	seen, _ := c.Do(context.Background(), f.edges.Addrs()[0], a)
+	f.log.Hear(seen)
 	return seen
 }
 
-func (r *rig) until(what string, ok func() bool) {
-	r.t.Helper()
+func (f *fixture) waitFor(what string, ok func() bool) {
+	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("not within 10 s: %s", what)
+			f.t.Fatalf("not within 10 s: %s", what)
 		}
 	}
 }
 
-// judge waits until nothing is held any more and then asks the auditor.
-func (r *rig) judge() {
-	r.t.Helper()
-	var h router.InFlight
+// checkRules waits until nothing is held any more and then asks the auditor.
+func (f *fixture) checkRules() {
+	f.t.Helper()
+	var usage router.InFlight
 	held := 0
 	defer func() {
-		if r.t.Failed() {
-			r.t.Logf("the edge holds %+v, engines %d states", h, held)
+		if f.t.Failed() {
+			f.t.Logf("the edge holds %+v, engines %d states", usage, held)
 		}
 	}()
-	r.until("edge and engines hold nothing", func() bool {
-		h, held = r.edges.Holding(context.Background()), 0
-		for _, e := range r.fleet.Engines {
+	f.waitFor("edge and engines hold nothing", func() bool {
+		usage, held = f.edges.Holding(context.Background()), 0
+		for _, e := range f.fleet.Engines {
 			held += e.Held()
 		}
-		return h.Requests == 0 && h.ControlRequests == 0 && held == 0
+		return usage.Requests == 0 && usage.ControlRequests == 0 && held == 0
 	})
-	for _, b := range r.log.Judge(r.rules, time.Now()) {
-		r.t.Error(b)
+	for _, b := range f.log.Judge(f.rules, time.Now()) {
+		f.t.Error(b)
 	}
 }
 
-func TestOneCallThere(t *testing.T) {
-	r := newRig(t, nil)
+func TestOneRequestCompletes(t *testing.T) {
+	r := newFixture(t, nil)
 	for _, whole := range []bool{false, true} {
-		got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "one", Whole: whole})
+		got := r.call(loadgen.Ask{Route: "fan-alert", Request: "one", Whole: whole})
 		if got.Final != "completed" || got.Tokens == 0 || got.Inference == "" {
 			t.Errorf("whole %v: %+v", whole, got)
 		}
 	}
 }
 
-// only is one reader and one writer, whose faults strike every inference.
-func only(t *testing.T, alter func(*config.Deployment)) (r *rig, reader, writer *engine.Engine) {
-	r = newRig(t, alter, engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write"})
-	return r, r.fleet.Engines[0], r.fleet.Engines[1]
+// singlePairFixture is one reader and one writer, whose faults strike every inference.
+func singlePairFixture(t *testing.T, alter func(*config.Deployment)) (f *fixture, prefill, decode *engine.Engine) {
+	f = newFixture(t, alter, engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write"})
+	return f, f.fleet.Engines[0], f.fleet.Engines[1]
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	for _, c := range []struct {
 		when  string
-		fault func(reader, writer *engine.Engine)
+		fault func(prefill, decode *engine.Engine)
 		after time.Duration
 	}{
-		{"before the read", func(reader, _ *engine.Engine) { reader.Set(engine.Faults{Silent: true}) }, 60 * time.Millisecond},
-		{"during the read", func(reader, _ *engine.Engine) { reader.Set(engine.Faults{Slow: 500}) }, 60 * time.Millisecond},
-		{"between read and write", func(_, writer *engine.Engine) { writer.Drain(true) }, 60 * time.Millisecond},
-		{"before the first token", func(_, writer *engine.Engine) { writer.Set(engine.Faults{StallFirst: true}) },
+		{"before the read", func(prefill, _ *engine.Engine) { prefill.Set(engine.Faults{Silent: true}) }, 60 * time.Millisecond},
+		{"during the read", func(prefill, _ *engine.Engine) { prefill.Set(engine.Faults{Slow: 500}) }, 60 * time.Millisecond},
+		{"between read and write", func(_, decode *engine.Engine) { decode.Drain(true) }, 60 * time.Millisecond},
+		{"before the first token", func(_, decode *engine.Engine) { decode.Set(engine.Faults{StallFirst: true}) },
 			120 * time.Millisecond},
-		{"in mid-stream", func(_, writer *engine.Engine) { writer.Set(engine.Faults{StallAfter: 2}) }, 120 * time.Millisecond},
+		{"in mid-stream", func(_, decode *engine.Engine) { decode.Set(engine.Faults{StallAfter: 2}) }, 120 * time.Millisecond},
 	} {
 		t.Run(c.when, func(t *testing.T) {
-			r, reader, writer := only(t, nil)
-			c.fault(reader, writer)
-			if got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
+			r, prefill, decode := singlePairFixture(t, nil)
+			c.fault(prefill, decode)
+			if got := r.call(loadgen.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
 				t.Errorf("%+v", got)
 			}
-			r.until("nothing is open", func() bool { return r.edges.Holding(context.Background()).Requests == 0 })
-			reader.Set(engine.Faults{})
-			writer.Set(engine.Faults{})
-			writer.Drain(false)
-			r.judge()
+			r.waitFor("nothing is open", func() bool { return r.edges.Holding(context.Background()).Requests == 0 })
+			prefill.Set(engine.Faults{})
+			decode.Set(engine.Faults{})
+			decode.Drain(false)
+			r.checkRules()
 		})
 	}
 }
 
-func TestStreamThatStopsEndsInOneError(t *testing.T) {
+func TestBrokenStreamEndsInOneError(t *testing.T) {
 	for name, f := range map[string]engine.Faults{"stalls": {StallAfter: 1}, "breaks": {BreakAfter: 3}} {
 		t.Run(name, func(t *testing.T) {
-			r, _, writer := only(t, func(d *config.Deployment) { d.StallTimeout = 200 * time.Millisecond })
-			writer.Set(f)
-			got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "cut"})
+			r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.StallTimeout = 200 * time.Millisecond })
+			decode.Set(f)
+			got := r.call(loadgen.Ask{Route: "fan-alert", Request: "cut"})
 			if got.Final != "errored" || got.Finals != 1 || got.Tokens == 0 {
 				t.Errorf("%+v", got)
 			}
-			got = r.ask(loadgen.Ask{Route: "fan-alert", Request: "cut-whole", Whole: true})
+			got = r.call(loadgen.Ask{Route: "fan-alert", Request: "cut-whole", Whole: true})
 			if got.Final != "errored" || got.Finals != 1 {
 				t.Errorf("whole: %+v", got)
 			}
-			writer.Set(engine.Faults{})
-			r.judge()
+			decode.Set(engine.Faults{})
+			r.checkRules()
 		})
 	}
 }
 
-func TestWriterThatVanishesNeverRunsAnAlertTwice(t *testing.T) {
+func TestLostDecodeEngineNeverRunsAlertTwice(t *testing.T) {
 	for name, f := range map[string]engine.Faults{"stalls before its first token": {StallFirst: true},
 		"fails without a word": {FailStatus: 503}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
+			r := newFixture(t, nil)
 			for _, e := range r.fleet.Engines[2:] {
 				e.Set(f)
 			}
-			got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "once", GiveUp: 900 * time.Millisecond})
+			got := r.call(loadgen.Ask{Route: "fan-alert", Request: "once", GiveUp: 900 * time.Millisecond})
 			if got.Final != "errored" || got.Finals != 1 {
 				t.Errorf("%+v", got)
 			}
@@ -201,23 +201,23 @@
 			for _, e := range r.fleet.Engines {
 				e.Set(engine.Faults{})
 			}
-			r.judge()
+			r.checkRules()
 		})
 	}
 }
 
-func TestLateReadIsLetGo(t *testing.T) {
-	r, reader, _ := only(t, nil)
-	reader.Set(engine.Faults{Slow: 400})
-	if got := r.ask(loadgen.Ask{Route: "fan-alert", Request: "late", GiveUp: 150 * time.Millisecond}); got.Finals != 1 {
+func TestLatePrefillIsReleased(t *testing.T) {
+	r, prefill, _ := singlePairFixture(t, nil)
+	prefill.Set(engine.Faults{Slow: 400})
+	if got := r.call(loadgen.Ask{Route: "fan-alert", Request: "late", GiveUp: 150 * time.Millisecond}); got.Finals != 1 {
 		t.Errorf("%+v", got)
 	}
-	reader.Set(engine.Faults{})
-	r.judge()
+	prefill.Set(engine.Faults{})
+	r.checkRules()
 }
 
-func TestDrainReachesOpenAndDialledConnections(t *testing.T) {
-	r := newRig(t, nil)
+func TestEngineDrainClosesOpenAndDialledConnections(t *testing.T) {
+	r := newFixture(t, nil)
 	stop := make(chan struct{})
 	var done = make(chan struct{})
 	go func() {
@@ -238,16 +238,16 @@
 	}()
 	<-stop
 	<-done
-	r.judge()
+	r.checkRules()
 }
 
-func TestSilentFleetAndEmptyRoster(t *testing.T) {
-	r := newRig(t, nil)
+func TestUnresponsiveFleetAndEmptyEndpointList(t *testing.T) {
+	r := newFixture(t, nil)
 	for _, e := range r.fleet.Engines {
 		e.Set(engine.Faults{Silent: true})
 	}
 	for _, route := range []string{"clip-summary", "fan-alert"} {
-		got := r.ask(loadgen.Ask{Route: route, Request: "hushed " + route, GiveUp: 400 * time.Millisecond})
+		got := r.call(loadgen.Ask{Route: route, Request: "hushed " + route, GiveUp: 400 * time.Millisecond})
 		if got.Finals != 1 || got.Final == "completed" {
 			t.Errorf("all silent: %+v", got)
 		}
@@ -258,15 +258,15 @@
 	for _, e := range r.fleet.Engines {
 		r.fleet.Gone(e)
 	}
-	r.until("nothing is taken by an empty roster", func() bool {
-		got := r.ask(loadgen.Ask{Route: "fan-alert", GiveUp: 200 * time.Millisecond})
+	r.waitFor("nothing is taken by an empty roster", func() bool {
+		got := r.call(loadgen.Ask{Route: "fan-alert", GiveUp: 200 * time.Millisecond})
 		return got.Final == "shed" && got.Finals == 1
 	})
-	r.judge()
+	r.checkRules()
 }
 
-func TestRosterCutShortLeavesTheOldOne(t *testing.T) {
-	r := newRig(t, nil)
+func TestTruncatedEndpointFileKeepsLastList(t *testing.T) {
+	r := newFixture(t, nil)
 	text, err := os.ReadFile(r.fleet.Path)
 	if err != nil {
 		t.Fatal(err)
@@ -276,61 +276,61 @@
 	}
 	// Two looks at the file later the edge must still serve.
 	for range 4 {
-		if got := r.ask(loadgen.Ask{Route: "clip-summary"}); got.Final != "completed" {
+		if got := r.call(loadgen.Ask{Route: "clip-summary"}); got.Final != "completed" {
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
-	r.judge()
+	r.checkRules()
 }
 
-func TestKilledEdgeComesBackWithTheLastList(t *testing.T) {
-	r := newRig(t, nil)
+func TestRestartedEdgeUsesLastList(t *testing.T) {
+	r := newFixture(t, nil)
 	if err := r.edges.Kill(0, 10*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	r.until("it serves again", func() bool { return r.ask(loadgen.Ask{Route: "fan-alert"}).Final == "completed" })
-	r.judge()
+	r.waitFor("it serves again", func() bool { return r.call(loadgen.Ask{Route: "fan-alert"}).Final == "completed" })
+	r.checkRules()
 }
 
-func TestPanicInTheModuleAnswersAllAndGoesOn(t *testing.T) {
-	r, _, writer := only(t, nil)
-	writer.Set(engine.Faults{StallFirst: true})
+func TestDecisionPanicAnswersAllAndContinues(t *testing.T) {
+	r, _, decode := singlePairFixture(t, nil)
+	decode.Set(engine.Faults{StallFirst: true})
 	results := make(chan audit.Call)
 	for i := range 6 {
 		go func() {
-			results <- r.ask(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0})
+			results <- r.call(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0})
 		}()
 	}
-	r.until("all are open", func() bool { return r.edges.Holding(context.Background()).Requests == 6 })
+	r.waitFor("all are open", func() bool { return r.edges.Holding(context.Background()).Requests == 6 })
 	once := true
-	r.edges.Node(0).FailOn(func(in routing.Event) bool {
+	r.edges.Node(0).PanicOn(func(in routing.Event) bool {
 		_, news := in.(routing.EndpointUpdate)
 		fail := once && !news
 		once = once && !fail
 		return fail
 	})
-	r.ask(loadgen.Ask{Route: "fan-alert", Request: "seventh", GiveUp: 100 * time.Millisecond})
+	r.call(loadgen.Ask{Route: "fan-alert", Request: "seventh", GiveUp: 100 * time.Millisecond})
 	for range 6 {
 		if got := <-results; got.Final != "errored" || got.Finals != 1 {
 			t.Errorf("%+v", got)
 		}
 	}
-	writer.Set(engine.Faults{})
-	r.until("a fresh module serves", func() bool { return r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
-	r.judge()
+	decode.Set(engine.Faults{})
+	r.waitFor("a fresh module serves", func() bool { return r.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
+	r.checkRules()
 }
 
-func TestStopTakesNothingNewAndFinishesWhatIsOpen(t *testing.T) {
-	r, _, writer := only(t, func(d *config.Deployment) { d.ShutdownTimeout = 400 * time.Millisecond })
-	writer.Set(engine.Faults{Slow: 3})
+func TestDrainRejectsNewAndFinishesOpenRequests(t *testing.T) {
+	r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.ShutdownTimeout = 400 * time.Millisecond })
+	decode.Set(engine.Faults{Slow: 3})
 	slow := make(chan audit.Call)
-	go func() { slow <- r.ask(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
-	r.until("it is open", func() bool { return r.edges.Holding(context.Background()).Requests == 1 })
+	go func() { slow <- r.call(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
+	r.waitFor("it is open", func() bool { return r.edges.Holding(context.Background()).Requests == 1 })
 	stopped := make(chan struct{})
 	go func() { r.edges.Drain(0); close(stopped) }()
-	r.until("new ones are shed", func() bool {
-		final := r.ask(loadgen.Ask{Route: "clip-summary", GiveUp: 200 * time.Millisecond}).Final
+	r.waitFor("new ones are shed", func() bool {
+		final := r.call(loadgen.Ask{Route: "clip-summary", GiveUp: 200 * time.Millisecond}).Final
 		return final == "shed" || final == "lost"
 	})
 	if got := <-slow; got.Finals != 1 {
@@ -339,17 +339,17 @@
 	<-stopped
 }
 
-func TestLateTimersKeepTheRules(t *testing.T) {
-	r, _, writer := only(t, func(d *config.Deployment) { d.TickInterval = 30 * time.Millisecond })
-	writer.Set(engine.Faults{StallFirst: true})
+func TestLateTimersKeepInvariants(t *testing.T) {
+	r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.TickInterval = 30 * time.Millisecond })
+	decode.Set(engine.Faults{StallFirst: true})
 	done := make(chan audit.Call)
 	for i := range 4 {
 		go func() {
-			done <- r.ask(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("t", i), GiveUp: 400 * time.Millisecond})
+			done <- r.call(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("t", i), GiveUp: 400 * time.Millisecond})
 		}()
 	}
 	for range 5 {
-		r.edges.Node(0).Freeze(60 * time.Millisecond)
+		r.edges.Node(0).PauseOwner(60 * time.Millisecond)
 		time.Sleep(20 * time.Millisecond)
 	}
 	for range 4 {
@@ -357,12 +357,12 @@
 			t.Errorf("%+v", got)
 		}
 	}
-	writer.Set(engine.Faults{})
-	r.judge()
+	decode.Set(engine.Faults{})
+	r.checkRules()
 }
 
-// raw sends bytes and returns all that comes back until the edge closes or goes quiet.
-func raw(t *testing.T, addr string, send string, quiet time.Duration) string {
+// rawExchange sends bytes and returns all that comes back until the edge closes or goes quiet.
+func rawExchange(t *testing.T, addr string, send string, quiet time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -384,8 +384,8 @@
 	}
 }
 
-func TestMessagesThatAreRefused(t *testing.T) {
-	r, _, _ := only(t, func(d *config.Deployment) {
+func TestRejectedMessages(t *testing.T) {
+	r, _, _ := singlePairFixture(t, func(d *config.Deployment) {
 		d.MaxHeadBytes, d.MaxBodyBytes, d.Limits.HeaderTimeout, d.Limits.BodyTimeout = 2048, 4096, 150*time.Millisecond, 150*time.Millisecond
 	})
 	call := func(body string) string {
@@ -409,24 +409,24 @@
 		"HTTP/1.0":     {strings.Replace(call(good), "HTTP/1.1", "HTTP/1.0", 1), "505 "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := raw(t, r.edges.Addrs()[0], c.send, 500*time.Millisecond)
+			got := rawExchange(t, r.edges.Addrs()[0], c.send, 500*time.Millisecond)
 			if !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || strings.Count(got, "HTTP/1.1 ") != 1 ||
 				!strings.Contains(got, `"error"`) {
 				t.Errorf("got %q", got)
 			}
 		})
 	}
-	if got := raw(t, r.edges.Addrs()[0], call(good)+call(good), 700*time.Millisecond); strings.Count(got, "HTTP/1.1 200") != 2 {
+	if got := rawExchange(t, r.edges.Addrs()[0], call(good)+call(good), 700*time.Millisecond); strings.Count(got, "HTTP/1.1 200") != 2 {
 		t.Errorf("two calls in a row: %q", got)
 	}
-	if got := raw(t, r.edges.Addrs()[0], strings.Repeat(call(good), 20), 700*time.Millisecond); strings.Count(got, "200 OK") > 5 {
+	if got := rawExchange(t, r.edges.Addrs()[0], strings.Repeat(call(good), 20), 700*time.Millisecond); strings.Count(got, "200 OK") > 5 {
 		t.Errorf("pipelined without bound: %q", got)
 	}
-	r.judge()
+	r.checkRules()
 }
 
-func TestClientThatDoesNotReadHoldsUpNobody(t *testing.T) {
-	r := newRig(t, func(d *config.Deployment) { d.ClientBufferBytes = 4096 },
+func TestSlowClientDelaysNobody(t *testing.T) {
+	r := newFixture(t, func(d *config.Deployment) { d.ClientBufferBytes = 4096 },
 		engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write", TokenTime: 20 * time.Microsecond})
 	c, err := net.Dial("tcp", r.edges.Addrs()[0])
 	if err != nil {
@@ -440,16 +440,16 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	for range 5 {
-		if got := r.ask(loadgen.Ask{Route: "fan-alert"}); got.Final != "completed" || got.First > 500*time.Millisecond {
+		if got := r.call(loadgen.Ask{Route: "fan-alert"}); got.Final != "completed" || got.First > 500*time.Millisecond {
 			t.Errorf("%+v", got)
 		}
 	}
 	c.Close()
-	r.judge()
+	r.checkRules()
 }
 
 func TestManyIdleConnections(t *testing.T) {
-	r := newRig(t, func(d *config.Deployment) { d.Limits.Connections = 1500 })
+	r := newFixture(t, func(d *config.Deployment) { d.Limits.Connections = 1500 })
 	var row []net.Conn
 	defer func() {
 		for _, c := range row {
@@ -463,15 +463,15 @@
 		}
 		row = append(row, c)
 	}
-	r.until("the bound holds and newcomers are served", func() bool {
+	r.waitFor("the bound holds and newcomers are served", func() bool {
 		return r.edges.Holding(context.Background()).Clients <= 1500 &&
-			r.ask(loadgen.Ask{Route: "clip-summary"}).Final == "completed"
+			r.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed"
 	})
-	r.judge()
+	r.checkRules()
 }
 
-func TestHalfTheFleetSilent(t *testing.T) {
-	r := newRig(t, nil)
+func TestHalfTheFleetUnresponsive(t *testing.T) {
+	r := newFixture(t, nil)
 	r.fleet.Engines[0].Set(engine.Faults{Silent: true})
 	r.fleet.Engines[2].Set(engine.Faults{Silent: true})
 	// Many at once: the module holds an engine against others by how long its sends wait.
@@ -489,12 +489,12 @@
 	for _, e := range r.fleet.Engines {
 		e.Set(engine.Faults{})
 	}
-	r.judge()
+	r.checkRules()
 }
 
 // A client that closes with the last byte read is done with: its connection's end, seen later, ends nothing twice.
-func TestClientClosesAfterTheLastByte(t *testing.T) {
-	r, _, _ := only(t, nil)
+func TestClientClosesAfterLastByte(t *testing.T) {
+	r, _, _ := singlePairFixture(t, nil)
 	body := `{"model":"fan-alert","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"a"}]}`
 	for range 20 {
 		c, err := net.Dial("tcp", r.edges.Addrs()[0])
@@ -510,9 +510,9 @@
 				t.Fatalf("%q: %v", got, err)
 			}
 		}
-		r.edges.Node(0).Freeze(5 * time.Millisecond) // the close is seen late
+		r.edges.Node(0).PauseOwner(5 * time.Millisecond) // the close is seen late
 		c.Close()
 	}
-	r.until("all are gone", func() bool { return r.edges.Holding(context.Background()).Clients == 0 })
-	r.judge()
+	r.waitFor("all are gone", func() bool { return r.edges.Holding(context.Background()).Clients == 0 })
+	r.checkRules()
 }
--- a/internal/edge/export_test.go
+++ b/internal/edge/export_test.go
@@ -10,13 +10,13 @@
 	"sandcourse/internal/routing"
 )
 
-// Freeze keeps the owner from doing anything for a time, as a loaded machine does.
-func (n *Node) Freeze(d time.Duration) { n.in.put(0, func() { time.Sleep(d) }) }
+// PauseOwner keeps the owner from doing anything for a time, as a loaded machine does.
+func (e *Edge) PauseOwner(d time.Duration) { e.inbox.put(0, func() { time.Sleep(d) }) }
 
-// FailOn makes the module panic on inputs that fit.
-func (n *Node) FailOn(fits func(routing.Event) bool) {
-	n.in.put(0, func() {
-		n.fail = func(in routing.Event) {
+// PanicOn makes the module panic on inputs that fit.
+func (e *Edge) PanicOn(fits func(routing.Event) bool) {
+	e.inbox.put(0, func() {
+		e.decisionHook = func(in routing.Event) {
 			if fits(in) {
 				panic("a fault put in by a test")
 			}
@@ -24,47 +24,47 @@
 	})
 }
 
-// HoldAt calls f whenever a goroutine passes a point. It is called before Start.
-func (n *Node) HoldAt(f func(Point)) { n.hold = f }
+// OnSyncPoint calls f whenever a goroutine passes a point. It is called before Start.
+func (e *Edge) OnSyncPoint(f func(SyncPoint)) { e.syncPointHook = f }
 
-// Queued is how many events wait for the owner.
-func (n *Node) Queued() int {
-	n.in.mu.Lock()
-	defer n.in.mu.Unlock()
-	return len(n.in.items)
+// QueuedTasks is how many events wait for the owner.
+func (e *Edge) QueuedTasks() int {
+	e.inbox.mu.Lock()
+	defer e.inbox.mu.Unlock()
+	return len(e.inbox.tasks)
 }
 
-// Urgent is whether a list waits for the owner.
-func (n *Node) Urgent() bool { return n.in.hurry.Load() }
+// UrgentPending is whether a list waits for the owner.
+func (e *Edge) UrgentPending() bool { return e.inbox.hasUrgent.Load() }
 
-// Block keeps the owner at one event until the returned function is called.
-func (n *Node) Block() (release func()) {
+// BlockOwner keeps the owner at one event until the returned function is called.
+func (e *Edge) BlockOwner() (release func()) {
 	reached, free := make(chan struct{}), make(chan struct{})
-	n.in.put(0, func() { close(reached); <-free })
+	e.inbox.put(0, func() { close(reached); <-free })
 	<-reached
 	return func() { close(free) }
 }
 
-// OnePoller makes one goroutine wait on all sockets of a side. It is called before Start.
-func (n *Node) OnePoller() { n.pollers = 1 }
+// UseOnePoller makes one goroutine wait on all sockets of a side. It is called before Start.
+func (e *Edge) UseOnePoller() { e.pollersPerSide = 1 }
 
-// HeldBack is how many connections of clients wait until their poller may hear of them.
-func (n *Node) HeldBack() (count int) {
-	for _, s := range n.frontBarrier.pollers {
+// WaitingConnections is how many connections of clients wait until their poller may hear of them.
+func (e *Edge) WaitingConnections() (count int) {
+	for _, s := range e.clientReuseGuard.markers {
 		s.mu.Lock()
-		count += len(s.coming) + len(s.seen)
+		count += len(s.arrived) + len(s.nextBatch)
 		s.mu.Unlock()
 	}
 	return count
 }
 
-// DialBy makes the node dial engines in another way. It is called before Start.
-func (n *Node) DialBy(dial func(ctx context.Context, address string) (net.Conn, error)) {
-	n.dial = dial
+// UseDial makes the node dial engines in another way. It is called before Start.
+func (e *Edge) UseDial(dial func(ctx context.Context, address string) (net.Conn, error)) {
+	e.dial = dial
 }
 
-// PagesAddr is where metrics are served.
-func (n *Node) PagesAddr() string { return n.pages.Addr().String() }
+// MetricsAddr is where metrics are served.
+func (e *Edge) MetricsAddr() string { return e.metricsListener.Addr().String() }
 
-// Meters are all metrics that are registered, shown or not.
-func (n *Node) Meters() prometheus.Collector { return n.metrics.registry }
+// MetricsCollector are all metrics that are registered, shown or not.
+func (e *Edge) MetricsCollector() prometheus.Collector { return e.metrics.registry }
--- a/internal/edge/faults_test.go
+++ b/internal/edge/faults_test.go
@@ -21,25 +21,25 @@
 
 // A client asks for one stream and sends, behind it, the head of a request that expects to be told to go on. That word
 // must not come in the middle of the stream.
-func TestContinueBehindAStream(t *testing.T) {
-	reader := newBox(t, "127.0.0.2", always(heldWire))
-	writer := newBox(t, "127.0.0.3", always(streamHead+event(`{"choices":[1]}`)))
-	n := onPlatform(t, 1024, nil, reader, writer)
+func TestContinueAfterStream(t *testing.T) {
+	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
+	decode := newScriptedEngine(t, "127.0.0.3", respondWith(streamHead+task(`{"choices":[1]}`)))
+	n := startPlatformEdge(t, 1024, nil, prefill, decode)
 	defer n.Stop()
-	client := dial(t, n)
-	client.send(wire("a", "chat"))
+	client := dialRaw(t, n)
+	client.send(requestText("a", "chat"))
 	begun := ""
 	for !strings.Contains(begun, "[1]") {
-		line, err := client.in.ReadString('\n')
+		line, err := client.reader.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
 		begun += line
 	}
-	head, _, _ := strings.Cut(wire("b", "chat"), "\r\n\r\n")
+	head, _, _ := strings.Cut(requestText("b", "chat"), "\r\n\r\n")
 	client.send(head + "\r\nExpect: 100-continue\r\n\r\n")
 	client.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-	rest, _ := io.ReadAll(client.in) // to the end of that time
+	rest, _ := io.ReadAll(client.reader) // to the end of that time
 	if got := strings.TrimSpace(string(rest)); got != "" {
 		t.Fatalf("in the middle of a stream comes %q", got)
 	}
@@ -47,41 +47,41 @@
 
 // Where nothing is served before it, such a request is told to go on, and is answered.
 func TestContinue(t *testing.T) {
-	reader := newBox(t, "127.0.0.2", always(heldWire))
-	writer := newBox(t, "127.0.0.3", always(wholeStream))
-	n := onPlatform(t, 1024, nil, reader, writer)
+	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
+	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
+	n := startPlatformEdge(t, 1024, nil, prefill, decode)
 	defer n.Stop()
-	client := dial(t, n)
-	head, body, _ := strings.Cut(wire("b", "chat"), "\r\n\r\n")
+	client := dialRaw(t, n)
+	head, body, _ := strings.Cut(requestText("b", "chat"), "\r\n\r\n")
 	client.send(head + "\r\nExpect: 100-continue\r\n\r\n")
-	if line, err := client.in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
+	if line, err := client.reader.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
 		t.Fatalf("%q %v", line, err)
 	}
-	client.in.ReadString('\n')
+	client.reader.ReadString('\n')
 	client.send(body)
-	if status, got := client.answer(); status != 200 || got != allEvents {
+	if status, got := client.readResponse(); status != 200 || got != streamEvents {
 		t.Fatalf("%d %q", status, got)
 	}
 	// And once what was served before it has its answer.
-	client.send(wire("c", "chat") + head + "\r\nExpect: 100-continue\r\n\r\n")
-	if status, _ := client.answer(); status != 200 {
+	client.send(requestText("c", "chat") + head + "\r\nExpect: 100-continue\r\n\r\n")
+	if status, _ := client.readResponse(); status != 200 {
 		t.Fatal(status)
 	}
-	if line, err := client.in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
+	if line, err := client.reader.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
 		t.Fatalf("behind an answer: %q %v", line, err)
 	}
 }
 
 // A connection that this machine cannot make for a moment says nothing of the engine: it is made a moment later, and no
 // engine counts as failed.
-func TestConnectionThatFailsHere(t *testing.T) {
+func TestDialFailsLocallyOnce(t *testing.T) {
 	for _, no := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EMFILE} {
-		reader := newBox(t, "127.0.0.2", always(heldWire))
-		writer := newBox(t, "127.0.0.3", always(wholeStream))
+		prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
+		decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 		core, seen := observer.New(zap.InfoLevel)
-		n := newLogged(t, 1024, nil, listed{engineAt("s-1", "m1", reader), engineAt("s-2", "m2", writer)}, zap.New(core))
+		n := newLoggedPlatformEdge(t, 1024, nil, fixedSource{engineAt("s-1", "m1", prefill), engineAt("s-2", "m2", decode)}, zap.New(core))
 		var failed atomic.Int64
-		n.DialBy(func(ctx context.Context, address string) (net.Conn, error) {
+		n.UseDial(func(ctx context.Context, address string) (net.Conn, error) {
 			if failed.Add(1) <= 3 {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", no)}
 			}
@@ -90,7 +90,7 @@
 		})
 		startReady(t, n)
 		for i := range 3 {
-			if status, body, err := call(t, n, fmt.Sprint("a", i), "alert"); status != 200 || err != nil || body != allEvents {
+			if status, body, err := postChat(t, n, fmt.Sprint("a", i), "alert"); status != 200 || err != nil || body != streamEvents {
 				t.Errorf("%v: request %d: %d %q %v", no, i, status, body, err)
 			}
 		}
@@ -105,13 +105,13 @@
 }
 
 // A moment of it that lasts longer than a connection may take ends the attempt, and still says nothing of the engine.
-func TestConnectionThatFailsHereForLonger(t *testing.T) {
-	reader := newBox(t, "127.0.0.2", always(heldWire))
-	writer := newBox(t, "127.0.0.3", always(wholeStream))
+func TestDialFailsLocallyUntilTimeout(t *testing.T) {
+	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
+	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 	core, seen := observer.New(zap.InfoLevel)
-	n := newLogged(t, 1024, nil, listed{engineAt("s-1", "m1", reader), engineAt("s-2", "m2", writer)}, zap.New(core))
+	n := newLoggedPlatformEdge(t, 1024, nil, fixedSource{engineAt("s-1", "m1", prefill), engineAt("s-2", "m2", decode)}, zap.New(core))
 	begun := time.Now()
-	n.DialBy(func(ctx context.Context, address string) (net.Conn, error) {
+	n.UseDial(func(ctx context.Context, address string) (net.Conn, error) {
 		if time.Since(begun) < 400*time.Millisecond {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 		}
@@ -120,7 +120,7 @@
 	})
 	startReady(t, n)
 	defer n.Stop()
-	if status, body, err := call(t, n, "a", "alert"); status != 200 || err != nil || body != allEvents {
+	if status, body, err := postChat(t, n, "a", "alert"); status != 200 || err != nil || body != streamEvents {
 		t.Errorf("%d %q %v", status, body, err)
 	}
 	ended := seen.FilterMessage("attempt ended").All()
@@ -136,26 +136,26 @@
 
 // The end of one request and the beginning of the next come in one piece, and the client stops there: the half request is
 // owed an error as any other.
-func TestHalfRequestInOnePieceWithTheEndOfAnother(t *testing.T) {
-	reader := newBox(t, "127.0.0.2", always(heldWire))
-	writer := newBox(t, "127.0.0.3", always(wholeStream))
-	n := onPlatform(t, 1024, func(d *config.Deployment) {
+func TestPartialRequestBehindCompleteOne(t *testing.T) {
+	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
+	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
+	n := startPlatformEdge(t, 1024, func(d *config.Deployment) {
 		d.Limits.FirstRequestTimeout, d.Limits.HeaderTimeout, d.Limits.BodyTimeout = 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
-	}, reader, writer)
+	}, prefill, decode)
 	defer n.Stop()
-	client := dial(t, n)
-	first := wire("a", "chat")
+	client := dialRaw(t, n)
+	first := requestText("a", "chat")
 	client.send(first[:20])
-	until(t, "the owner hears of the first half", func() bool {
-		h, err := n.Look(context.Background())
+	waitFor(t, "the owner hears of the first half", func() bool {
+		h, err := n.Usage(context.Background())
 		return err == nil && h.Clients == 1 && h.Bytes > 0
 	})
-	client.send(first[20:] + wire("b", "chat")[:20])
-	if status, _ := client.answer(); status != 200 {
+	client.send(first[20:] + requestText("b", "chat")[:20])
+	if status, _ := client.readResponse(); status != 200 {
 		t.Fatal(status)
 	}
 	client.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-	if status, _ := client.answer(); status != http.StatusRequestTimeout {
+	if status, _ := client.readResponse(); status != http.StatusRequestTimeout {
 		t.Errorf("the half request is answered %d", status)
 	}
 }
--- a/internal/edge/flat_test.go
+++ b/internal/edge/flat_test.go
@@ -15,8 +15,8 @@
 	"sandcourse/internal/edge"
 )
 
-// askOnce is a client that comes once, with a session, a beginning and a name of its own.
-func askOnce(t *testing.T, n *edge.Node, i int) {
+// callOnce is a client that comes once, with a session, a beginning and a name of its own.
+func callOnce(t *testing.T, n *edge.Edge, i int) {
 	t.Helper()
 	r, _ := http.NewRequest(http.MethodPost, "http://"+n.Addr()+"/v1/chat/completions", strings.NewReader("{}"))
 	for name, value := range map[string]string{"Request-Id": fmt.Sprint("once", i), "Request-Class": "chat",
@@ -34,8 +34,8 @@
 	}
 }
 
-// descriptors counts those of this process.
-func descriptors(t *testing.T) int {
+// openDescriptors counts those of this process.
+func openDescriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -44,7 +44,7 @@
 	return len(entries)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -54,31 +54,31 @@
 
 // Clients, sessions, beginnings and names that are always new leave nothing behind for good: descriptors come back, and
 // what a node remembers has bounds. Names and pairs have the largest, some thousand entries of a hundred bytes or two.
-func TestAlwaysNewClientsLeaveNothingBehind(t *testing.T) {
+func TestShortLivedClientsLeakNothing(t *testing.T) {
 	// Connections to engines are kept for a while, more or fewer of them as the machine's load has it: they have to age
 	// within the test, or their number is taken for a leak.
 	keepsShortly := func(d *config.Deployment) {
 		d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 	}
-	n := onPlatform(t, 1024, keepsShortly, newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
+	n := startPlatformEdge(t, 1024, keepsShortly, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	defer n.Stop()
 	rests := func() bool {
-		h, err := n.Look(context.Background())
+		h, err := n.Usage(context.Background())
 		return err == nil && h.EngineConnections == 0 && h.Clients == 0
 	}
 	const requests = 500
 	for i := range requests {
-		askOnce(t, n, i)
+		callOnce(t, n, i)
 	}
-	until(t, "the node rests", rests)
-	memory, open := heap(), descriptors(t)
+	waitFor(t, "the node rests", rests)
+	memory, open := heapInUse(), openDescriptors(t)
 	for i := range requests {
-		askOnce(t, n, requests+i)
+		callOnce(t, n, requests+i)
 	}
-	until(t, "the node rests again", rests)
+	waitFor(t, "the node rests again", rests)
 	const perRequest = 1024
-	if grown := int(heap()) - int(memory); grown > requests*perRequest {
+	if grown := int(heapInUse()) - int(memory); grown > requests*perRequest {
 		t.Errorf("%d bytes more after as many requests again", grown)
 	}
-	until(t, "descriptors come back", func() bool { return descriptors(t) <= open+4 })
+	waitFor(t, "descriptors come back", func() bool { return openDescriptors(t) <= open+4 })
 }
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -19,20 +19,20 @@
 	"sandcourse/internal/golden"
 )
 
-// goldenNode is a node on the platform that shows its metrics.
-func goldenNode(t *testing.T) *edge.Node {
+// startGoldenEdge is a node on the platform that shows its metrics.
+func startGoldenEdge(t *testing.T) *edge.Edge {
 	t.Helper()
-	reader := newBox(t, "127.0.0.21", func(int, *http.Request) (string, bool) { return heldWire, false })
-	writer := newBox(t, "127.0.0.22", func(int, *http.Request) (string, bool) { return wholeStream, false })
-	n := onPlatform(t, 1024, func(d *config.Deployment) { d.MetricsAddress = "127.0.0.1:0" }, reader, writer)
+	prefill := newScriptedEngine(t, "127.0.0.21", func(int, *http.Request) (string, bool) { return prefillDone, false })
+	decode := newScriptedEngine(t, "127.0.0.22", func(int, *http.Request) (string, bool) { return completeStream, false })
+	n := startPlatformEdge(t, 1024, func(d *config.Deployment) { d.MetricsAddress = "127.0.0.1:0" }, prefill, decode)
 	t.Cleanup(n.Stop)
 	return n
 }
 
-// page reads one page of the metrics' address.
-func page(t *testing.T, n *edge.Node, path string) (status int, body string) {
+// fetchPage reads one page of the metrics' address.
+func fetchPage(t *testing.T, n *edge.Edge, path string) (status int, body string) {
 	t.Helper()
-	r, err := http.Get("http://" + n.PagesAddr() + path)
+	r, err := http.Get("http://" + n.MetricsAddr() + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,17 +44,17 @@
 	return r.StatusCode, string(data)
 }
 
-var described = regexp.MustCompile(`fqName: ("[^"]*"), help: ("[^"]*"), unit: "", constLabels: \{(.*?)\}, variableLabels: \{(.*?)\}`)
+var metricDescription = regexp.MustCompile(`fqName: ("[^"]*"), help: ("[^"]*"), unit: "", constLabels: \{(.*?)\}, variableLabels: \{(.*?)\}`)
 
 // Names, label names and help texts of all metrics, also of those that have no value yet.
 func TestGoldenMetricNames(t *testing.T) {
-	n := goldenNode(t)
+	n := startGoldenEdge(t)
 	descs := make(chan *prometheus.Desc, 256)
-	n.Meters().Describe(descs)
+	n.MetricsCollector().Describe(descs)
 	close(descs)
 	var row []string
 	for d := range descs {
-		m := described.FindStringSubmatch(d.String())
+		m := metricDescription.FindStringSubmatch(d.String())
 		if m == nil {
 			t.Fatalf("a metric that is described in another way: %s", d)
 		}
@@ -64,11 +64,11 @@
 	golden.Check(t, "metric-names.golden", strings.Join(row, ""))
 }
 
-// shown are the series that the page of metrics shows, without their values, and its lines on names and types. Clients'
+// shownSeries are the series that the page of metrics shows, without their values, and its lines on names and types. Clients'
 // connections that the node closed are left out: whether one shows depends on how long the test took.
-func shown(t *testing.T, n *edge.Node) string {
+func shownSeries(t *testing.T, n *edge.Edge) string {
 	t.Helper()
-	_, body := page(t, n, "/metrics")
+	_, body := fetchPage(t, n, "/metrics")
 	var row []string
 	for line := range strings.Lines(body) {
 		if strings.Contains(line, "sandcourse_client_closes_total") {
@@ -84,15 +84,15 @@
 
 // The series that are shown after one request that was served and one that was refused for its name.
 func TestGoldenMetricSeries(t *testing.T) {
-	n := goldenNode(t)
+	n := startGoldenEdge(t)
 	for _, name := range []string{"a1", "a1"} {
-		if _, _, err := call(t, n, name, "chat"); err != nil {
+		if _, _, err := postChat(t, n, name, "chat"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got string
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		got = shown(t, n)
+		got = shownSeries(t, n)
 		if strings.Contains(got, `sandcourse_holding{what="lines"}`) && strings.Contains(got, "sandcourse_refused_total{") &&
 			strings.Contains(got, `sandcourse_finals_total{final="completed"`) {
 			break
@@ -104,16 +104,16 @@
 	golden.Check(t, "metric-series.golden", got)
 }
 
-// date is the one field of a head that is not the same each time.
-var date = regexp.MustCompile(`Date: [^\r]*`)
+// dateHeader is the one field of a head that is not the same each time.
+var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
 // The pages beside the metrics, and those of the address of clients, to the byte.
 func TestGoldenPages(t *testing.T) {
-	n := goldenNode(t)
+	n := startGoldenEdge(t)
 	var out strings.Builder
 	for _, at := range []struct{ what, address, method, path string }{
-		{"metrics", n.PagesAddr(), "GET", "/"}, {"metrics", n.PagesAddr(), "GET", "/healthz"},
-		{"metrics", n.PagesAddr(), "HEAD", "/metrics/x"},
+		{"metrics", n.MetricsAddr(), "GET", "/"}, {"metrics", n.MetricsAddr(), "GET", "/healthz"},
+		{"metrics", n.MetricsAddr(), "HEAD", "/metrics/x"},
 		{"clients", n.Addr(), "GET", "/_health"}, {"clients", n.Addr(), "GET", "/"}, {"clients", n.Addr(), "GET", "/metrics"},
 		{"clients", n.Addr(), "PUT", "/_health"}, {"clients", n.Addr(), "GET", "/v1/chat/completions"},
 	} {
@@ -129,7 +129,7 @@
 		}
 		c.Close()
 		fmt.Fprintf(&out, "%s %s at the address of %s\n", at.method, at.path, at.what)
-		for line := range strings.SplitAfterSeq(date.ReplaceAllString(string(data), "Date: DATE"), "\n") {
+		for line := range strings.SplitAfterSeq(dateHeader.ReplaceAllString(string(data), "Date: DATE"), "\n") {
 			if line != "" {
 				fmt.Fprintf(&out, "    %q\n", line)
 			}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -31,94 +31,94 @@
 	"sandcourse/internal/routing"
 )
 
-// Node is one running edge.
-type Node struct {
-	d       *config.Deployment
-	log     *zap.Logger
-	source  endpoint.Source
-	seed    uint64
-	epoch   int64 // Unix milliseconds of the start: names of inferences differ between lives
-	started time.Time
-	ids     atomic.Int64
-	opened  atomic.Int64 // see connOpened
+// Edge is one running edge.
+type Edge struct {
+	deployment        *config.Deployment
+	log               *zap.Logger
+	endpoints         endpoint.Source
+	seed              uint64
+	incarnation       int64 // Unix milliseconds of the start: names of inferences differ between lives
+	startedAt         time.Time
+	lastClientID      atomic.Int64
+	sessionsPublished atomic.Int64 // see connOpened
 
-	in       *inbox
-	core     *router.Router
-	protocol protocol.Codec
-	peers    *peers // nil where nodes tell one another nothing
-	room     *room  // for clients' connections
-	pollers  int    // of each side
+	inbox          *inbox
+	core           *router.Router
+	protocol       protocol.Codec
+	peers          *peers           // nil where nodes tell one another nothing
+	clientLimit    *connectionLimit // for clients' connections
+	pollersPerSide int              // of each side
 	// See barrier: descriptors of each side are used again.
-	frontBarrier, backBarrier barrier
-	front                     *nbio.Engine
-	back                      *nbio.Engine
-	chat                      net.Listener
-	pages                     net.Listener
-	metrics                   *meters
+	clientReuseGuard, engineReuseGuard reuseGuard
+	clientPollers                      *nbio.Engine
+	enginePollers                      *nbio.Engine
+	clientListener                     net.Listener
+	metricsListener                    net.Listener
+	metrics                            *metrics
 
-	alive  context.Context // until Stop
-	cancel context.CancelFunc
-	done   chan struct{}
-	over   sync.WaitGroup
-	fail   func(routing.Event) // a test's panic inside the module
-	hold   func(Point)         // a test's stop at a point; set before Start
-	dial   func(ctx context.Context, address string) (net.Conn, error)
-	counts map[string]*planapi.RouteCount
+	lifetime      context.Context // until Stop
+	endLifetime   context.CancelFunc
+	stopped       chan struct{}
+	goroutines    sync.WaitGroup
+	decisionHook  func(routing.Event) // a test's panic inside the module
+	syncPointHook func(SyncPoint)     // a test's stop at a point; set before Start
+	dial          func(ctx context.Context, address string) (net.Conn, error)
+	routeCounts   map[string]*planapi.RouteCount
 }
 
 // New makes a node that speaks the chat API. Source may be nil where the settings list the engines.
-func New(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Node {
+func New(deployment *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Edge {
 	var routes []string
-	for _, t := range d.Routes {
-		routes = append(routes, t.Name)
+	for _, route := range deployment.Routes {
+		routes = append(routes, route.Name)
 	}
-	return NewOn(d, log, source, seed, chatapi.NewCodec(routes))
+	return NewWithProtocol(deployment, log, source, seed, chatapi.NewCodec(routes))
 }
 
-// NewOn makes a node that speaks a dialect.
-func NewOn(d *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
-	protocol protocol.Codec) *Node {
-	n := &Node{d: d, log: log.With(zap.String("node", d.NodeName)), source: source, seed: seed, in: newInbox(d.QueueBytes),
-		started: time.Now(), done: make(chan struct{}), protocol: protocol, room: newRoom(d.Limits.Connections + 16),
-		pollers: defaultPollers, dial: dialTCP}
-	n.epoch = n.started.UnixMilli()
-	n.alive, n.cancel = context.WithCancel(context.Background())
-	n.metrics = newMeters()
-	if n.source == nil && d.EndpointFile != "" {
-		n.source = endpoint.FileSource{Path: d.EndpointFile}
+// NewWithProtocol makes a node that speaks a dialect.
+func NewWithProtocol(deployment *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
+	protocol protocol.Codec) *Edge {
+	e := &Edge{deployment: deployment, log: log.With(zap.String("node", deployment.NodeName)), endpoints: source, seed: seed, inbox: newInbox(deployment.QueueBytes),
+		startedAt: time.Now(), stopped: make(chan struct{}), protocol: protocol, clientLimit: newConnectionLimit(deployment.Limits.Connections + 16),
+		pollersPerSide: defaultPollers, dial: dialTCP}
+	e.incarnation = e.startedAt.UnixMilli()
+	e.lifetime, e.endLifetime = context.WithCancel(context.Background())
+	e.metrics = newMetrics()
+	if e.endpoints == nil && deployment.EndpointFile != "" {
+		e.endpoints = endpoint.FileSource{Path: deployment.EndpointFile}
 	}
-	if n.source == nil && d.PlannerAddress != "" {
-		n.source = planclient.Client{Addr: d.PlannerAddress, Report: n.report, Now: func() int64 { return n.clock() / int64(time.Millisecond) }}
+	if e.endpoints == nil && deployment.PlannerAddress != "" {
+		e.endpoints = planclient.Client{Addr: deployment.PlannerAddress, Report: e.loadReport, Now: func() int64 { return e.clock() / int64(time.Millisecond) }}
 	}
-	n.counts = map[string]*planapi.RouteCount{}
-	n.core = router.New(d, protocol, seed, n.epoch, n.clock(), n, watch{n})
-	return n
+	e.routeCounts = map[string]*planapi.RouteCount{}
+	e.core = router.New(deployment, protocol, seed, e.incarnation, e.clock(), e, observer{e})
+	return e
 }
 
-// count is the owner's: what the node has counted on one model route.
-func (n *Node) count(route string) *planapi.RouteCount {
-	c := n.counts[route]
-	if c == nil {
-		c = &planapi.RouteCount{Route: route}
-		n.counts[route] = c
+// routeCount is the owner's: what the node has counted on one model route.
+func (e *Edge) routeCount(route string) *planapi.RouteCount {
+	count := e.routeCounts[route]
+	if count == nil {
+		count = &planapi.RouteCount{Route: route}
+		e.routeCounts[route] = count
 	}
-	return c
+	return count
 }
 
-// report asks the owner for its counts.
-func (n *Node) report(ctx context.Context) (planapi.EdgeReport, error) {
-	got := make(chan planapi.EdgeReport, 1)
-	n.in.put(0, func() {
-		r := planapi.EdgeReport{Edge: n.d.NodeName, Incarnation: n.epoch}
-		for _, route := range slices.Sorted(maps.Keys(n.counts)) {
-			r.Routes = append(r.Routes, *n.counts[route])
+// loadReport asks the owner for its counts.
+func (e *Edge) loadReport(ctx context.Context) (planapi.EdgeReport, error) {
+	result := make(chan planapi.EdgeReport, 1)
+	e.inbox.put(0, func() {
+		report := planapi.EdgeReport{Edge: e.deployment.NodeName, Incarnation: e.incarnation}
+		for _, route := range slices.Sorted(maps.Keys(e.routeCounts)) {
+			report.Routes = append(report.Routes, *e.routeCounts[route])
 		}
-		got <- r
+		result <- report
 	})
 	select {
-	case r := <-got:
-		return r, nil
-	case <-n.done:
+	case report := <-result:
+		return report, nil
+	case <-e.stopped:
 		return planapi.EdgeReport{}, errors.New("the node has stopped")
 	case <-ctx.Done():
 		return planapi.EdgeReport{}, ctx.Err()
@@ -126,156 +126,158 @@
 }
 
 // clock is Unix nanoseconds that never go back: the start's wall time and what has passed since.
-func (n *Node) clock() int64 { return n.started.UnixNano() + int64(time.Since(n.started)) }
+func (e *Edge) clock() int64 { return e.startedAt.UnixNano() + int64(time.Since(e.startedAt)) }
 
 // defaultPollers is how many goroutines wait on sockets, on each side. Their number does not grow with connections.
 const defaultPollers = 2
 
 // Start listens and runs until Stop.
-func (n *Node) Start() error {
+func (e *Edge) Start() error {
 	logging.SetLevel(logging.LevelNone)
 	var err error
 	listen := func() error {
-		n.chat, err = net.Listen("tcp", n.d.ChatAddress)
+		e.clientListener, err = net.Listen("tcp", e.deployment.ChatAddress)
 		return err
 	}
-	if err := n.untilItStands(listen); err != nil {
-		return fmt.Errorf("listen for chat calls on %s: %w", n.d.ChatAddress, err)
+	if err := e.retryStartup(listen); err != nil {
+		return fmt.Errorf("listen for chat calls on %s: %w", e.deployment.ChatAddress, err)
 	}
-	addr := n.chat.Addr().String()
-	n.front = nbio.NewEngine(nbio.Config{Name: "front", Network: "tcp", Addrs: []string{addr}, NPoller: n.pollers,
-		MaxWriteBufferSize: n.d.ClientBufferBytes,
-		Listen:             func(string, string) (net.Listener, error) { return boundedListener{n.chat, n.room}, nil }})
-	n.front.OnOpen(n.frontOpened)
-	n.front.OnClose(n.frontClosed)
-	n.front.OnRead(n.frontReadable)
-	n.front.OnWrittenSize(n.frontWrote)
-	n.back = nbio.NewEngine(nbio.Config{Name: "back", NPoller: n.pollers,
-		MaxWriteBufferSize: 2 * n.d.MaxBodyBytes})
-	n.back.OnOpen(n.backOpened)
-	n.back.OnClose(n.backClosed)
-	n.back.OnRead(n.backReadable)
-	n.back.OnWrittenSize(n.backWrote)
-	if err := n.untilItStands(n.back.Start); err != nil {
-		n.chat.Close()
+	addr := e.clientListener.Addr().String()
+	e.clientPollers = nbio.NewEngine(nbio.Config{Name: "front", Network: "tcp", Addrs: []string{addr}, NPoller: e.pollersPerSide,
+		MaxWriteBufferSize: e.deployment.ClientBufferBytes,
+		Listen: func(string, string) (net.Listener, error) {
+			return limitedListener{e.clientListener, e.clientLimit}, nil
+		}})
+	e.clientPollers.OnOpen(e.clientOpened)
+	e.clientPollers.OnClose(e.clientClosed)
+	e.clientPollers.OnRead(e.clientReadable)
+	e.clientPollers.OnWrittenSize(e.clientWritten)
+	e.enginePollers = nbio.NewEngine(nbio.Config{Name: "back", NPoller: e.pollersPerSide,
+		MaxWriteBufferSize: 2 * e.deployment.MaxBodyBytes})
+	e.enginePollers.OnOpen(e.engineOpened)
+	e.enginePollers.OnClose(e.engineClosed)
+	e.enginePollers.OnRead(e.engineReadable)
+	e.enginePollers.OnWrittenSize(e.engineWritten)
+	if err := e.retryStartup(e.enginePollers.Start); err != nil {
+		e.clientListener.Close()
 		return fmt.Errorf("start the side of engines: %w", err)
 	}
-	if err := n.backBarrier.start(n, n.back); err != nil {
-		n.chat.Close()
-		n.back.Stop()
+	if err := e.engineReuseGuard.start(e, e.enginePollers); err != nil {
+		e.clientListener.Close()
+		e.enginePollers.Stop()
 		return err
 	}
-	ctx := n.alive
-	if n.d.MetricsAddress != "" {
-		if n.pages, err = net.Listen("tcp", n.d.MetricsAddress); err != nil {
-			n.chat.Close()
-			n.back.Stop()
-			return fmt.Errorf("listen for metrics on %s: %w", n.d.MetricsAddress, err)
+	ctx := e.lifetime
+	if e.deployment.MetricsAddress != "" {
+		if e.metricsListener, err = net.Listen("tcp", e.deployment.MetricsAddress); err != nil {
+			e.clientListener.Close()
+			e.enginePollers.Stop()
+			return fmt.Errorf("listen for metrics on %s: %w", e.deployment.MetricsAddress, err)
 		}
 		mux := http.NewServeMux()
-		mux.Handle("/metrics", promhttp.HandlerFor(n.metrics.registry, promhttp.HandlerOpts{}))
+		mux.Handle("/metrics", promhttp.HandlerFor(e.metrics.registry, promhttp.HandlerOpts{}))
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-		n.over.Go(func() { server.Serve(n.pages) })
+		e.goroutines.Go(func() { server.Serve(e.metricsListener) })
 		context.AfterFunc(ctx, func() { server.Close() })
 	}
-	n.over.Go(func() { n.loop() })
-	take := func(list endpoint.List) {
-		n.pass(ListRead)
-		n.in.putUrgent(func() { n.core.UpdateEndpoints(list) })
+	e.goroutines.Go(func() { e.runOwner() })
+	apply := func(list endpoint.List) {
+		e.reach(EndpointListRead)
+		e.inbox.putUrgent(func() { e.core.UpdateEndpoints(list) })
 	}
-	if n.source != nil {
-		n.over.Go(func() {
-			n.source.Run(ctx, take, func(err error) { n.log.Warn("roster", zap.Error(err)) })
+	if e.endpoints != nil {
+		e.goroutines.Go(func() {
+			e.endpoints.Run(ctx, apply, func(err error) { e.log.Warn("roster", zap.Error(err)) })
 		})
 	} else {
-		take(endpoint.List{Revision: 1, Entries: n.d.Engines})
+		apply(endpoint.List{Revision: 1, Entries: e.deployment.Engines})
 	}
-	if err := n.front.Start(); err != nil {
-		n.Stop()
+	if err := e.clientPollers.Start(); err != nil {
+		e.Stop()
 		return fmt.Errorf("start the side of clients: %w", err)
 	}
-	if err := n.frontBarrier.start(n, n.front); err != nil {
-		n.Stop()
+	if err := e.clientReuseGuard.start(e, e.clientPollers); err != nil {
+		e.Stop()
 		return err
 	}
-	n.log.Info("serving", zap.String("chat", addr), zap.String("metrics", n.d.MetricsAddress))
+	e.log.Info("serving", zap.String("chat", addr), zap.String("metrics", e.deployment.MetricsAddress))
 	return nil
 }
 
 // Addr is where chat calls are taken.
-func (n *Node) Addr() string { return n.chat.Addr().String() }
+func (e *Edge) Addr() string { return e.clientListener.Addr().String() }
 
-// Look asks the owner what it holds.
-func (n *Node) Look(ctx context.Context) (h router.InFlight, err error) {
-	got := make(chan router.InFlight, 1)
-	n.in.put(0, func() { got <- n.core.InFlight() })
+// Usage asks the owner what it holds.
+func (e *Edge) Usage(ctx context.Context) (usage router.InFlight, err error) {
+	result := make(chan router.InFlight, 1)
+	e.inbox.put(0, func() { result <- e.core.InFlight() })
 	select {
-	case h = <-got:
-		return h, nil
-	case <-n.done:
-		return h, errors.New("the node has stopped")
+	case usage = <-result:
+		return usage, nil
+	case <-e.stopped:
+		return usage, errors.New("the node has stopped")
 	case <-ctx.Done():
-		return h, ctx.Err()
+		return usage, ctx.Err()
 	}
 }
 
-// turnEvery is how long answers and timers may wait while a full inbox is worked through. Events of a stream have
+// maxTurnDelay is how long answers and timers may wait while a full inbox is worked through. Events of a stream have
 // 0.3 s to reach the client in all.
-const turnEvery = int64(5 * time.Millisecond)
+const maxTurnDelay = int64(5 * time.Millisecond)
 
-// loop is the one goroutine that owns the core.
-func (n *Node) loop() {
+// runOwner is the one goroutine that owns the core.
+func (e *Edge) runOwner() {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
-	var row []func()
-	var seen int64
+	var tasks []func()
+	var metricsAt int64
 	// When the owner last took what waited, and when it did the time before: a poller that waits for room in a full inbox
 	// hands over what it read before the last time.
-	looked, before := n.clock(), n.clock()
+	lastTaken, previouslyTaken := e.clock(), e.clock()
 	for {
-		wake.Reset(max(0, time.Duration(n.core.NextDue()-n.clock())))
+		wake.Reset(max(0, time.Duration(e.core.NextDue()-e.clock())))
 		select {
-		case <-n.done:
+		case <-e.stopped:
 			return
-		case <-n.in.wake:
+		case <-e.inbox.wake:
 		case <-wake.C:
 		}
-		turned := n.clock()
-		n.core.SetTime(turned)
-		n.core.SetEarliestEventTime(before)
-		looked, before = turned, looked
-		row = n.in.take(row)
-		for _, event := range row {
-			now := n.clock()
-			if now-turned >= turnEvery {
-				n.core.RunDue(now)
-				turned = now
+		turnedAt := e.clock()
+		e.core.SetTime(turnedAt)
+		e.core.SetEarliestEventTime(previouslyTaken)
+		lastTaken, previouslyTaken = turnedAt, lastTaken
+		tasks = e.inbox.take(tasks)
+		for _, task := range tasks {
+			now := e.clock()
+			if now-turnedAt >= maxTurnDelay {
+				e.core.RunDue(now)
+				turnedAt = now
 			}
-			n.core.SetTime(now)
-			n.runUrgent()
-			event()
+			e.core.SetTime(now)
+			e.runUrgent()
+			task()
 		}
-		n.runUrgent()
-		n.core.RunDue(n.clock())
+		e.runUrgent()
+		e.core.RunDue(e.clock())
 		// Gauges are read every few seconds: they need not be set at every event.
-		if now := n.clock(); now-seen >= int64(100*time.Millisecond) {
-			seen = now
-			n.metrics.see(n.core.InFlight())
+		if now := e.clock(); now-metricsAt >= int64(100*time.Millisecond) {
+			metricsAt = now
+			e.metrics.setUsage(e.core.InFlight())
 		}
 	}
 }
 
 // runUrgent runs what passes the queue.
-func (n *Node) runUrgent() {
-	for _, urgent := range n.in.takeUrgent() {
+func (e *Edge) runUrgent() {
+	for _, urgent := range e.inbox.takeUrgent() {
 		urgent()
 	}
 }
 
-// ModuleSeconds is how long the decision module has worked.
-func (n *Node) ModuleSeconds() float64 {
+// DecisionSeconds is how long the decision module has worked.
+func (e *Edge) DecisionSeconds() float64 {
 	var m dto.Metric
-	if err := n.metrics.module.Write(&m); err != nil {
+	if err := e.metrics.decisionSeconds.Write(&m); err != nil {
 		return 0
 	}
 	return m.GetCounter().GetValue()
@@ -283,15 +285,15 @@
 
 // Drain takes no new inference and waits until those open are answered; past the settings' finish time, or
 // when ctx ends, the rest gets its error. Then the node stops.
-func (n *Node) Drain(ctx context.Context) error {
-	n.log.Info("stopping: no new inference is taken", zap.Duration("linger", n.d.ShutdownAcceptTime))
-	n.in.put(0, func() { n.core.Shutdown() })
-	ctx, cancel := context.WithTimeout(ctx, n.d.ShutdownTimeout)
+func (e *Edge) Drain(ctx context.Context) error {
+	e.log.Info("stopping: no new inference is taken", zap.Duration("linger", e.deployment.ShutdownAcceptTime))
+	e.inbox.put(0, func() { e.core.Shutdown() })
+	ctx, cancel := context.WithTimeout(ctx, e.deployment.ShutdownTimeout)
 	defer cancel()
 	var err error
 	for err == nil {
-		var h router.InFlight
-		if h, err = n.Look(ctx); err == nil && h.Requests == 0 && h.ControlRequests == 0 && !h.Lingering {
+		var usage router.InFlight
+		if usage, err = e.Usage(ctx); err == nil && usage.Requests == 0 && usage.ControlRequests == 0 && !usage.Lingering {
 			break
 		}
 		select {
@@ -301,13 +303,13 @@
 		}
 	}
 	if err == nil {
-		n.closeClients(ctx)
+		e.closeClients(ctx)
 	} else {
 		finished := make(chan struct{})
-		n.in.put(0, func() {
+		e.inbox.put(0, func() {
 			defer close(finished)
-			n.core.AbandonAll("this node is stopping")
-			n.core.RunDue(n.clock())
+			e.core.AbandonAll("this node is stopping")
+			e.core.RunDue(e.clock())
 		})
 		select {
 		case <-finished:
@@ -316,23 +318,23 @@
 		// What was written last must leave the sockets before they close.
 		time.Sleep(100 * time.Millisecond)
 	}
-	n.Stop()
+	e.Stop()
 	return err
 }
 
-// closeTime is how long a node that has answered everything waits for clients that have sent a part of a request,
+// clientCloseTimeout is how long a node that has answered everything waits for clients that have sent a part of a request,
 // or do not read their answers, before it ends. The kill comes 0.7 s after the longest wait of a client.
-const closeTime = time.Second
+const clientCloseTimeout = time.Second
 
 // closeClients accepts nobody new and closes all connections, each between two requests: one that has been read
 // already is answered first.
-func (n *Node) closeClients(ctx context.Context) {
-	n.chat.Close()
-	ctx, cancel := context.WithTimeout(ctx, closeTime)
+func (e *Edge) closeClients(ctx context.Context) {
+	e.clientListener.Close()
+	ctx, cancel := context.WithTimeout(ctx, clientCloseTimeout)
 	defer cancel()
 	for {
 		busy := make(chan int, 1)
-		n.in.put(0, func() { busy <- n.core.CloseIdleClients() })
+		e.inbox.put(0, func() { busy <- e.core.CloseIdleClients() })
 		select {
 		case count := <-busy:
 			if count == 0 {
@@ -350,25 +352,25 @@
 }
 
 // Stop ends the node at once: what it holds is lost to it, as when it is killed.
-func (n *Node) Stop() {
-	n.cancel()
-	n.chat.Close()
+func (e *Edge) Stop() {
+	e.endLifetime()
+	e.clientListener.Close()
 	// The owner first: it dials, and the socket library must not be stopped under a dial.
-	close(n.done)
-	n.in.close()
-	n.room.close()
-	if n.peers != nil {
-		n.peers.conn.Close()
+	close(e.stopped)
+	e.inbox.close()
+	e.clientLimit.close()
+	if e.peers != nil {
+		e.peers.conn.Close()
 	}
-	n.over.Wait()
-	n.front.Stop()
-	n.back.Stop()
-	n.frontBarrier.close()
-	n.backBarrier.close()
+	e.goroutines.Wait()
+	e.clientPollers.Stop()
+	e.enginePollers.Stop()
+	e.clientReuseGuard.close()
+	e.engineReuseGuard.close()
 }
 
-// connOpened and connUsed order what is written of a connection when it opens before what its poller reads of
+// publishSession and connUsed order what is written of a connection when it opens before what its poller reads of
 // it later. The socket library leaves that to the kernel, which the race detector does not see.
-func (n *Node) connOpened() { n.opened.Add(1) }
+func (e *Edge) publishSession() { e.sessionsPublished.Add(1) }
 
-func (n *Node) connUsed() { n.opened.Load() }
+func (e *Edge) acquireSession() { e.sessionsPublished.Load() }
--- a/internal/edge/patience.go
+++ b/internal/edge/patience.go
@@ -11,25 +11,25 @@
 // A node that starts may find its address still held by the process before it, or no descriptor free for a moment. It is
 // given some seconds; the platform waits for thirty.
 const (
-	startTime  = 15 * time.Second
-	startPause = 50 * time.Millisecond
+	startupRetryTimeout  = 15 * time.Second
+	startupRetryInterval = 50 * time.Millisecond
 )
 
-// untilItStands repeats a step of the start while it fails for a want of this machine, for some seconds at most.
-func (n *Node) untilItStands(step func() error) error {
-	end := time.Now().Add(startTime)
-	for told := false; ; told = true {
+// retryStartup repeats a step of the start while it fails for a want of this machine, for some seconds at most.
+func (e *Edge) retryStartup(step func() error) error {
+	end := time.Now().Add(startupRetryTimeout)
+	for logged := false; ; logged = true {
 		err := step()
 		if err == nil || !neterr.IsLocal(err) || time.Now().After(end) {
 			return err
 		}
-		if !told {
-			n.log.Warn("the start waits", zap.Error(err), zap.Duration("at_most", startTime))
+		if !logged {
+			e.log.Warn("the start waits", zap.Error(err), zap.Duration("at_most", startupRetryTimeout))
 		}
 		select {
-		case <-n.alive.Done():
+		case <-e.lifetime.Done():
 			return err
-		case <-time.After(startPause):
+		case <-time.After(startupRetryInterval):
 		}
 	}
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -11,86 +11,86 @@
 )
 
 // The most bytes of one text between nodes.
-const peerText = 256
+const maxGossipText = 256
 
-// hearAgain is how long after a failed read the next one follows: the socket may fail for good.
-const hearAgain = 10 * time.Millisecond
+// receiveRetryInterval is how long after a failed read the next one follows: the socket may fail for good.
+const receiveRetryInterval = 10 * time.Millisecond
 
 // peers is how nodes tell one another short texts: datagrams, which may be late or lost.
 type peers struct {
-	conn *net.UDPConn
-	row  []netip.AddrPort // of all nodes, this one too, by their numbers
-	all  netip.AddrPort   // reaches them all; not valid where there is none
+	conn      *net.UDPConn
+	addresses []netip.AddrPort // of all nodes, this one too, by their numbers
+	broadcast netip.AddrPort   // reaches them all; not valid where there is none
 }
 
-// HearPeers makes the node listen to others, before Start.
-func (n *Node) HearPeers(listen string, row []string, all string) error {
+// ListenForPeers makes the node listen to others, before Start.
+func (e *Edge) ListenForPeers(listen string, addresses []string, broadcast string) error {
 	if listen == "" {
 		return nil
 	}
 	p := &peers{}
-	for _, text := range row {
-		at, err := netip.ParseAddrPort(text)
+	for _, text := range addresses {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return fmt.Errorf("peer %q: %w", text, err)
 		}
-		p.row = append(p.row, at)
+		p.addresses = append(p.addresses, address)
 	}
-	p.all, _ = netip.ParseAddrPort(all)
-	at, err := net.ResolveUDPAddr("udp", listen)
+	p.broadcast, _ = netip.ParseAddrPort(broadcast)
+	address, err := net.ResolveUDPAddr("udp", listen)
 	if err == nil {
-		err = n.untilItStands(func() (err error) {
-			p.conn, err = net.ListenUDP("udp", at)
+		err = e.retryStartup(func() (err error) {
+			p.conn, err = net.ListenUDP("udp", address)
 			return err
 		})
 	}
 	if err != nil {
 		return fmt.Errorf("listen for peers on %s: %w", listen, err)
 	}
-	n.peers = p
-	n.over.Go(n.hearPeers)
+	e.peers = p
+	e.goroutines.Go(e.receiveGossip)
 	return nil
 }
 
-// hearPeers hands on what comes from an address that is a peer's.
-func (n *Node) hearPeers() {
-	buffer := make([]byte, peerText+1)
+// receiveGossip hands on what comes from an address that is a peer's.
+func (e *Edge) receiveGossip() {
+	buffer := make([]byte, maxGossipText+1)
 	for {
-		size, from, err := n.peers.conn.ReadFromUDPAddrPort(buffer)
+		size, from, err := e.peers.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			select {
-			case <-n.alive.Done():
+			case <-e.lifetime.Done():
 				return
-			case <-time.After(hearAgain):
+			case <-time.After(receiveRetryInterval):
 			}
 			continue
 		}
-		who := slices.Index(n.peers.row, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if size > peerText || who < 0 || who == n.d.NodeNumber {
+		sender := slices.Index(e.peers.addresses, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		if size > maxGossipText || sender < 0 || sender == e.deployment.NodeNumber {
 			continue
 		}
 		text := string(buffer[:size])
-		n.in.put(size, func() { n.core.ReceivePeerMessage(who, text) })
+		e.inbox.put(size, func() { e.core.ReceivePeerMessage(sender, text) })
 	}
 }
 
 // SendToPeer is node.Wire's.
-func (n *Node) SendToPeer(to int, text string) {
-	if n.peers == nil || len(text) > peerText {
+func (n *Edge) SendToPeer(to int, text string) {
+	if n.peers == nil || len(text) > maxGossipText {
 		return
 	}
 	p := n.peers
-	at := []netip.AddrPort{p.all}
+	at := []netip.AddrPort{p.broadcast}
 	switch {
-	case to >= 0 && to < len(p.row):
-		at = p.row[to : to+1]
+	case to >= 0 && to < len(p.addresses):
+		at = p.addresses[to : to+1]
 	case to >= 0:
 		return
-	case !p.all.IsValid():
-		at = p.row
+	case !p.broadcast.IsValid():
+		at = p.addresses
 	}
 	for _, a := range at {
-		if !p.all.IsValid() && a == p.row[n.d.NodeNumber] {
+		if !p.broadcast.IsValid() && a == p.addresses[n.deployment.NodeNumber] {
 			continue
 		}
 		if _, err := p.conn.WriteToUDPAddrPort([]byte(text), a); err != nil {
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -12,29 +12,29 @@
 // inferences. The owner keeps both ends: it opens the relay after the first token and shuts it before the
 // final answer.
 type relay struct {
-	frame  func(event []byte) []byte
-	mu     sync.Mutex
-	queued int // tokens on their way through the owner
-	to     router.ClientSocket
-	shut   bool
-	passed atomic.Int64
-	last   atomic.Int64 // when a token last passed, by the node's clock
+	frame         func(event []byte) []byte
+	mu            sync.Mutex
+	pendingInCore int // tokens on their way through the owner
+	client        router.ClientSocket
+	closed        bool
+	forwarded     atomic.Int64
+	lastForwarded atomic.Int64 // when a token last passed, by the node's clock
 }
 
-// pass takes a token on the engine's poller. False means that it must go through the owner.
-func (r *relay) pass(event []byte, now int64) bool {
+// forward takes a token on the engine's poller. False means that it must go through the owner.
+func (r *relay) forward(event []byte, now int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.shut:
+	case r.closed:
 		return true // the final answer is out: nothing may follow it
-	case r.to == nil:
-		r.queued++
+	case r.client == nil:
+		r.pendingInCore++
 		return false
 	}
-	r.last.Store(now)
-	r.passed.Add(1)
-	r.to.Send(r.frame(event))
+	r.lastForwarded.Store(now)
+	r.forwarded.Add(1)
+	r.client.Send(r.frame(event))
 	return true
 }
 
@@ -42,21 +42,21 @@
 func (r *relay) Forwarded(c router.ClientSocket, flush func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.queued--; r.queued == 0 && !r.shut && c != nil {
+	if r.pendingInCore--; r.pendingInCore == 0 && !r.closed && c != nil {
 		flush()
-		r.to = c
+		r.client = c
 	}
 }
 
 // Close ends it; no token passes after this returns.
 func (r *relay) Close() {
 	r.mu.Lock()
-	r.shut = true
+	r.closed = true
 	r.mu.Unlock()
 }
 
 // Tokens is how many tokens went past the owner.
-func (r *relay) Tokens() int { return int(r.passed.Load()) }
+func (r *relay) Tokens() int { return int(r.forwarded.Load()) }
 
 // LastTokenAt is when a token last passed.
-func (r *relay) LastTokenAt() int64 { return r.last.Load() }
+func (r *relay) LastTokenAt() int64 { return r.lastForwarded.Load() }
--- a/internal/edge/reuse_test.go
+++ b/internal/edge/reuse_test.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/edge"
 )
 
-func await(t *testing.T, comes <-chan struct{}) {
+func waitForSignal(t *testing.T, comes <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-comes:
@@ -26,26 +26,26 @@
 
 // A poller takes a row of events at once. While it is at the first of them the owner closes a connection whose end a
 // later one tells, and a new connection gets the same descriptor. The stale event must not end the new one.
-func TestDescriptorUsedAgainUnderAStaleEvent(t *testing.T) {
-	n := newOnPlatform(t, 1024, func(d *config.Deployment) { d.Limits.IdleTimeout = time.Second },
-		newBox(t, "127.0.0.2", always(heldWire)), newBox(t, "127.0.0.3", always(wholeStream)))
-	n.OnePoller()
+func TestReusedDescriptorIgnoresStaleEvent(t *testing.T) {
+	n := newPlatformEdge(t, 1024, func(d *config.Deployment) { d.Limits.IdleTimeout = time.Second },
+		newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
+	n.UseOnePoller()
 	comes, goes := make(chan struct{}), make(chan struct{})
 	holds := make(chan bool, 1)
 	holds <- false
-	n.HoldAt(func(at edge.Point) {
+	n.OnSyncPoint(func(at edge.SyncPoint) {
 		on := <-holds
 		holds <- on
-		if on && at == edge.Readable {
+		if on && at == edge.ClientReadable {
 			comes <- struct{}{}
 			<-goes
 		}
 	})
 	startReady(t, n)
-	before, first, leaver := dial(t, n), dial(t, n), dial(t, n)
-	for i, client := range []*kept{before, first, leaver} {
-		client.send(wire(fmt.Sprint("a", i), "chat"))
-		if status, _ := client.answer(); status != 200 {
+	before, first, leaver := dialRaw(t, n), dialRaw(t, n), dialRaw(t, n)
+	for i, client := range []*rawClient{before, first, leaver} {
+		client.send(requestText(fmt.Sprint("a", i), "chat"))
+		if status, _ := client.readResponse(); status != 200 {
 			t.Fatal(status)
 		}
 	}
@@ -65,23 +65,23 @@
 	<-holds
 	holds <- true
 	before.send("P")
-	await(t, comes) // the poller stands at a row of one event; the next row has the other two, in this order
+	waitForSignal(t, comes) // the poller stands at a row of one event; the next row has the other two, in this order
 	first.send("P")
 	leaver.conn.Close()
 	goes <- struct{}{}
-	await(t, comes)
+	waitForSignal(t, comes)
 	// The owner ends the leaver's connection as idle: its end has not been handled.
-	until(t, "the idle connection is closed", func() bool {
-		h, err := n.Look(context.Background())
+	waitFor(t, "the idle connection is closed", func() bool {
+		h, err := n.Usage(context.Background())
 		return err == nil && h.Clients == 2
 	})
 	at := netip.MustParseAddrPort(n.Addr())
 	if err := syscall.Connect(socket, &syscall.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the new connection is there, or held back", func() bool {
-		h, err := n.Look(context.Background())
-		return err == nil && h.Clients == 3 || n.HeldBack() == 1
+	waitFor(t, "the new connection is there, or held back", func() bool {
+		h, err := n.Usage(context.Background())
+		return err == nil && h.Clients == 3 || n.WaitingConnections() == 1
 	})
 	file := os.NewFile(uintptr(socket), "new connection")
 	conn, err := net.FileConn(file)
@@ -91,12 +91,12 @@
 	defer conn.Close()
 	file.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	fresh := &kept{t, conn, bufio.NewReader(conn)}
-	fresh.send(wire("b", "chat"))
+	fresh := &rawClient{t, conn, bufio.NewReader(conn)}
+	fresh.send(requestText("b", "chat"))
 	<-holds
 	holds <- false
 	goes <- struct{}{}
-	if status, _ := fresh.answer(); status != 200 {
+	if status, _ := fresh.readResponse(); status != 200 {
 		t.Errorf("status %d on the new connection", status)
 	}
 	n.Stop()
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -13,7 +13,7 @@
 
 // soak runs steady load with faults that come and go, and looks at memory and descriptors once it is over.
 func soak(t *testing.T, length time.Duration) {
-	r := newRig(t, nil)
+	r := newFixture(t, nil)
 	descriptors := func() int {
 		row, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -46,7 +46,7 @@
 				runtime.NumGoroutine(), len(r.log.Calls()))
 		}
 	}
-	r.judge()
+	r.checkRules()
 	// Kept connections age away in 15 s; what then is left must not be more than before the load.
 	time.Sleep(20 * time.Second)
 	h := r.edges.Holding(context.Background())
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -137,7 +137,7 @@
 // Edges are nodes in this process. Each keeps its address over restarts.
 type Edges struct {
 	mu    sync.Mutex
-	nodes []*edge.Node
+	nodes []*edge.Edge
 	base  config.Deployment
 	log   *zap.Logger
 	addrs []string
@@ -147,7 +147,7 @@
 
 // StartEdges starts n edges on a fleet.
 func StartEdges(n int, base config.Deployment, log *zap.Logger, seen *audit.Log, seed uint64) (*Edges, error) {
-	es := &Edges{base: base, log: log, seen: seen, seed: seed, nodes: make([]*edge.Node, n), addrs: make([]string, n)}
+	es := &Edges{base: base, log: log, seen: seen, seed: seed, nodes: make([]*edge.Edge, n), addrs: make([]string, n)}
 	for i := range n {
 		es.addrs[i] = "127.0.0.1:0"
 		if base.ChatAddress != "" && n == 1 {
@@ -204,7 +204,7 @@
 }
 
 // Node is one edge; nil while it is down.
-func (es *Edges) Node(i int) *edge.Node { es.mu.Lock(); defer es.mu.Unlock(); return es.nodes[i] }
+func (es *Edges) Node(i int) *edge.Edge { es.mu.Lock(); defer es.mu.Unlock(); return es.nodes[i] }
 
 // Drain stops an edge as a signal does: it finishes what is open, within its bound.
 func (es *Edges) Drain(i int) error {
@@ -225,7 +225,7 @@
 	es.mu.Unlock()
 	for _, n := range nodes {
 		if n != nil {
-			h, _ := n.Look(ctx)
+			h, _ := n.Usage(ctx)
 			sum.Clients += h.Clients
 			sum.Requests += h.Requests
 			sum.Bytes += h.Bytes
