--- a/internal/edge/back.go
+++ b/internal/edge/back.go
@@ -49,7 +49,7 @@
 	return err
 }
 
-func (l *engineConnection) RequestWritten() bool { return l.bytesWritten.Load() >= l.bytesToWrite }
+func (c *engineConnection) RequestWritten() bool { return c.bytesWritten.Load() >= c.bytesToWrite }
 
 func (c *engineConnection) Close() { c.conn.Close() }
 
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -67,12 +67,12 @@
 	if c.closeSeen() {
 		return true
 	}
-	ask := []unix.PollFd{{Fd: int32(c.conn.Hash()), Events: unix.POLLRDHUP}}
-	ready, err := unix.Poll(ask, 0)
+	polled := []unix.PollFd{{Fd: int32(c.conn.Hash()), Events: unix.POLLRDHUP}}
+	ready, err := unix.Poll(polled, 0)
 	for errors.Is(err, unix.EINTR) {
-		ready, err = unix.Poll(ask, 0)
+		ready, err = unix.Poll(polled, 0)
 	}
-	return err == nil && ready > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return err == nil && ready > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // closeSeen is whether this side has seen the connection's end.
@@ -88,9 +88,9 @@
 // not answered yet. It is called by the owner between requests. Reading and this decision exclude each other, so
 // a request is either read and answered, or never read: then its client sees the close and asks elsewhere.
 func (c *clientConnection) CloseIfIdle() bool {
-	events, ok := c.decideClose()
-	for _, e := range events {
-		c.edge.inbox.put(0, e.run) // weight 0: the owner must not wait for itself
+	tasks, ok := c.decideClose()
+	for _, t := range tasks {
+		c.edge.inbox.put(0, t.run) // weight 0: the owner must not wait for itself
 	}
 	if !ok {
 		return false
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -75,26 +75,26 @@
 }
 
 // SendToPeer is node.Wire's.
-func (n *Edge) SendToPeer(to int, text string) {
-	if n.peers == nil || len(text) > maxGossipText {
+func (e *Edge) SendToPeer(to int, text string) {
+	if e.peers == nil || len(text) > maxGossipText {
 		return
 	}
-	p := n.peers
-	at := []netip.AddrPort{p.broadcast}
+	p := e.peers
+	destinations := []netip.AddrPort{p.broadcast}
 	switch {
 	case to >= 0 && to < len(p.addresses):
-		at = p.addresses[to : to+1]
+		destinations = p.addresses[to : to+1]
 	case to >= 0:
 		return
 	case !p.broadcast.IsValid():
-		at = p.addresses
+		destinations = p.addresses
 	}
-	for _, a := range at {
-		if !p.broadcast.IsValid() && a == p.addresses[n.deployment.NodeNumber] {
+	for _, address := range destinations {
+		if !p.broadcast.IsValid() && address == p.addresses[e.deployment.NodeNumber] {
 			continue
 		}
-		if _, err := p.conn.WriteToUDPAddrPort([]byte(text), a); err != nil {
-			n.log.Debug("peer", zap.Error(err))
+		if _, err := p.conn.WriteToUDPAddrPort([]byte(text), address); err != nil {
+			e.log.Debug("peer", zap.Error(err))
 		}
 	}
 }
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -15,24 +15,24 @@
 // observer writes what the core tells to the log and to the metrics.
 type observer struct{ edge *Edge }
 
-func (w observer) AroundStep(in routing.Event, step func()) {
+func (o observer) AroundStep(in routing.Event, step func()) {
 	begun := time.Now()
-	defer func() { w.edge.metrics.decisionSeconds.Add(time.Since(begun).Seconds()) }()
-	if w.edge.decisionHook != nil {
-		w.edge.decisionHook(in)
+	defer func() { o.edge.metrics.decisionSeconds.Add(time.Since(begun).Seconds()) }()
+	if o.edge.decisionHook != nil {
+		o.edge.decisionHook(in)
 	}
 	step()
 }
 
-func (w observer) PolicyPanicked(p any, in routing.Event, stack []byte) {
-	w.edge.metrics.decisionPanics.Inc()
-	w.edge.log.Error("module failed", zap.Any("panic", p), zap.String("input", fmt.Sprintf("%T", in)),
+func (o observer) PolicyPanicked(p any, in routing.Event, stack []byte) {
+	o.edge.metrics.decisionPanics.Inc()
+	o.edge.log.Error("module failed", zap.Any("panic", p), zap.String("input", fmt.Sprintf("%T", in)),
 		zap.ByteString("stack", stack))
 }
 
-func (w observer) RequestFinished(f router.RequestSummary) {
-	w.edge.metrics.finalResponses.WithLabelValues(f.Route, f.Outcome).Inc()
-	c := w.edge.routeCount(f.Route)
+func (o observer) RequestFinished(f router.RequestSummary) {
+	o.edge.metrics.finalResponses.WithLabelValues(f.Route, f.Outcome).Inc()
+	c := o.edge.routeCount(f.Route)
 	c.Arrived++
 	c.PromptTokens += float64(f.PromptTokens)
 	if f.TimeToFirstToken > 0 {
@@ -51,14 +51,14 @@
 	if f.Reason != "" {
 		fields = append(fields, zap.String("why", f.Reason))
 	}
-	w.edge.log.Info(f.Outcome, fields...)
+	o.edge.log.Info(f.Outcome, fields...)
 }
 
-func (w observer) RequestShed(s router.ShedRequest) {
-	w.edge.metrics.finalResponses.WithLabelValues(s.Route, "shed").Inc()
-	c := w.edge.routeCount(s.Route)
+func (o observer) RequestShed(s router.ShedRequest) {
+	o.edge.metrics.finalResponses.WithLabelValues(s.Route, "shed").Inc()
+	c := o.edge.routeCount(s.Route)
 	c.Arrived, c.PromptTokens, c.Shed = c.Arrived+1, c.PromptTokens+float64(s.PromptTokens), c.Shed+1
-	w.edge.log.Info("refused", zap.String("inference", s.Request), zap.String("route", s.Route), zap.String("why", s.Reason))
+	o.edge.log.Info("refused", zap.String("inference", s.Request), zap.String("route", s.Route), zap.String("why", s.Reason))
 }
 
 // stageName names what an attempt asks for, in the field's words.
@@ -69,57 +69,57 @@
 	return "prefill"
 }
 
-func (w observer) AttemptEnded(a router.AttemptSummary) {
-	w.edge.metrics.attempts.WithLabelValues(stageName(a.Decode), a.Verdict).Inc()
+func (o observer) AttemptEnded(a router.AttemptSummary) {
+	o.edge.metrics.attempts.WithLabelValues(stageName(a.Decode), a.Verdict).Inc()
 	if a.Reason == "" {
 		return // it ended well
 	}
-	w.edge.log.Info("attempt ended", zap.String("inference", a.Request), zap.Int("attempt", a.Index), zap.String("engine", a.Engine),
+	o.edge.log.Info("attempt ended", zap.String("inference", a.Request), zap.Int("attempt", a.Index), zap.String("engine", a.Engine),
 		zap.String("stage", stageName(a.Decode)), zap.String("verdict", a.Verdict), zap.String("why", a.Reason),
 		zap.Duration("connecting", a.Connecting), zap.Duration("took", a.Duration))
 }
 
-func (w observer) AttemptBlocked(request string, why invariant.Reason) {
-	w.edge.metrics.blockedAttempts.WithLabelValues(string(why)).Inc()
-	w.edge.log.Info("attempt held back", zap.String("inference", request), zap.String("why", string(why)))
+func (o observer) AttemptBlocked(request string, why invariant.Reason) {
+	o.edge.metrics.blockedAttempts.WithLabelValues(string(why)).Inc()
+	o.edge.log.Info("attempt held back", zap.String("inference", request), zap.String("why", string(why)))
 }
 
-func (w observer) InvariantViolated(v invariant.Violation) {
-	w.edge.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
-	w.edge.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.Detail))
+func (o observer) InvariantViolated(v invariant.Violation) {
+	o.edge.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
+	o.edge.log.Error("rule broken", zap.String("rule", string(v.Rule)), zap.String("inference", v.Request), zap.String("how", v.Detail))
 }
 
-func (w observer) ClientClosed(client int64, why router.CloseReason) {
-	w.edge.metrics.clientCloses.WithLabelValues(string(why)).Inc()
-	w.edge.log.Debug("client's connection closed", zap.Int64("client", client), zap.String("why", string(why)))
+func (o observer) ClientClosed(client int64, why router.CloseReason) {
+	o.edge.metrics.clientCloses.WithLabelValues(string(why)).Inc()
+	o.edge.log.Debug("client's connection closed", zap.Int64("client", client), zap.String("why", string(why)))
 }
 
-func (w observer) ConnectionChanged(engine string, what router.ConnectionEvent) {
-	w.edge.metrics.engineConnections.WithLabelValues(string(what)).Inc()
-	w.edge.log.Debug("connection to an engine", zap.String("engine", engine), zap.String("what", string(what)))
+func (o observer) ConnectionChanged(engine string, what router.ConnectionEvent) {
+	o.edge.metrics.engineConnections.WithLabelValues(string(what)).Inc()
+	o.edge.log.Debug("connection to an engine", zap.String("engine", engine), zap.String("what", string(what)))
 }
 
-func (w observer) FirstToken(route string, after time.Duration, prompt int) {
-	w.edge.metrics.firstToken.WithLabelValues(route).Observe(after.Seconds())
-	c := w.edge.routeCount(route)
+func (o observer) FirstToken(route string, after time.Duration, prompt int) {
+	o.edge.metrics.firstToken.WithLabelValues(route).Observe(after.Seconds())
+	c := o.edge.routeCount(route)
 	c.Started++
 	c.StartedPromptTokens += float64(prompt)
-	if t := w.edge.deployment.Routes[w.edge.deployment.Route(route)]; after <= t.FirstTokenObjective+time.Duration(float64(t.ObjectivePer1000Tokens)*float64(prompt)/1000) {
+	if t := o.edge.deployment.Routes[o.edge.deployment.Route(route)]; after <= t.FirstTokenObjective+time.Duration(float64(t.ObjectivePer1000Tokens)*float64(prompt)/1000) {
 		c.WithinObjective++
 	}
 }
 
-func (w observer) Rejected(why string) { w.edge.metrics.rejected.WithLabelValues(why).Inc() }
+func (o observer) Rejected(why string) { o.edge.metrics.rejected.WithLabelValues(why).Inc() }
 
-func (w observer) ReservationChanged(how router.ReservationEvent) {
-	w.edge.metrics.releases.WithLabelValues(string(how)).Inc()
+func (o observer) ReservationChanged(how router.ReservationEvent) {
+	o.edge.metrics.releases.WithLabelValues(string(how)).Inc()
 }
 
-func (w observer) EndpointsUpdated(revision int64, engines int, unknown []string) {
-	w.edge.metrics.engines.Set(float64(engines))
-	w.edge.log.Info("roster", zap.Int64("revision", revision), zap.Int("engines", engines))
+func (o observer) EndpointsUpdated(revision int64, engines int, unknown []string) {
+	o.edge.metrics.engines.Set(float64(engines))
+	o.edge.log.Info("roster", zap.Int64("revision", revision), zap.Int("engines", engines))
 	if len(unknown) > 0 {
-		w.edge.log.Warn("engines of unknown kinds are left out", zap.Strings("engines", unknown))
+		o.edge.log.Warn("engines of unknown kinds are left out", zap.Strings("engines", unknown))
 	}
 }
 
