--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -189,7 +189,7 @@
 
 // waitForRelease waits until the fleet holds nothing, at most for several limits.
 func (p *edgeProcesses) waitForRelease() {
-	for end := time.Now().Add(8 * pinLimit); p.fleet.Held() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(8 * pinLimit); p.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -197,9 +197,9 @@
 // checkRules reports the states that were held for too long.
 func (p *edgeProcesses) checkRules() {
 	p.t.Helper()
-	for _, b := range p.log.Judge(audit.Rules{Pin: pinLimit, Slack: pinSlack}, time.Now()) {
+	for _, b := range p.log.Judge(audit.Rules{ReservationLimit: pinLimit, Tolerance: pinSlack}, time.Now()) {
 		if b.Rule == 5 {
-			p.t.Errorf("%s\n\t%s", b, strings.Join(p.log.Story(b.Inference), "\n\t"))
+			p.t.Errorf("%s\n\t%s", b, strings.Join(p.log.Trace(b.Inference), "\n\t"))
 		}
 	}
 }
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -239,8 +239,8 @@
 	began := make(chan struct{})
 	go func() {
 		for range 1000 {
-			for _, seen := range p.log.Seen() {
-				if seen.What == audit.Began && seen.Writes {
+			for _, seen := range p.log.EngineRecords() {
+				if seen.Event == audit.AttemptStarted && seen.Decode {
 					close(began)
 					return
 				}
--- a/cmd/sandcourse/badday.go
+++ b/cmd/sandcourse/badday.go
@@ -19,7 +19,7 @@
 	c := &cobra.Command{Use: "badday FILE", Short: "Play a scripted day of troubles and judge the five rules",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenario.Load(args[0])
+			day, err := scenario.LoadFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 				return err
 			}
 			res.Print(c.OutOrStdout())
-			if len(res.Breaks) > 0 {
+			if len(res.Violations) > 0 {
 				return exitStatus(1)
 			}
 			return nil
--- a/cmd/sandcourse/lab.go
+++ b/cmd/sandcourse/lab.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			x, err := emulator.ReadExperiment(args[0], text)
+			x, err := emulator.ParseExperiment(args[0], text)
 			if err != nil {
 				return err
 			}
@@ -58,45 +58,45 @@
 	}
 	onAllCores(len(x.Arms)*x.Seeds, func(n int) {
 		i, s := n/x.Seeds, n%x.Seeds
-		d := x.Arms[i].Change
+		d := x.Arms[i].Scenario
 		d.Seed = uint64(s + 1)
 		results[i][s] = emulator.Run(d)
 	})
 	return results
 }
 
-func formatArms(x *emulator.Experiment, rows []emulator.Compared) string {
+func formatArms(x *emulator.Experiment, rows []emulator.Comparison) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference to the first arm with 95 of 100 by bootstrap.\n\n", x.Seeds)
 	b.WriteString("| arm | value in time | difference | worst 5 s | well again after | tries | refused | ran twice | pushed over |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i, r := range rows {
-		diff, back := fmt.Sprintf("%+.3f (%+.3f to %+.3f)", r.Diff, r.Low, r.High), r.Back.String()
+		diff, back := fmt.Sprintf("%+.3f (%+.3f to %+.3f)", r.Difference, r.Low, r.High), r.RecoveryTime.String()
 		if i == 0 {
 			diff = "-"
 		}
-		if r.Back < 0 {
+		if r.RecoveryTime < 0 {
 			back = "not by the day's end"
 		}
 		tries, refused, twice, pushed := 0, 0, 0, 0
 		for _, o := range r.Results {
-			tries, refused, twice, pushed = tries+o.Tries, refused+o.Refused, twice+o.Twice, pushed+o.Pushed
+			tries, refused, twice, pushed = tries+o.Attempts, refused+o.Rejected, twice+o.RanTwice, pushed+o.Overloaded
 		}
 		n := len(r.Results)
 		fmt.Fprintf(&b, "| %s | %.3f | %s | %.2f | %s | %d | %d | %d | %d |\n", r.Name, r.Share, diff,
-			r.Worst, back, tries/n, refused/n, twice, pushed)
+			r.WorstWindow, back, tries/n, refused/n, twice, pushed)
 	}
 	return b.String()
 }
 
-func plotArms(path string, rows []emulator.Compared) error {
+func plotArms(path string, rows []emulator.Comparison) error {
 	p := plot.New()
 	p.Title.Text = "value in time by when clients first asked (simulated)"
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "share", 0, 1.02
 	var lines []any
 	for _, r := range rows {
 		var xy plotter.XYs
-		for k, v := range r.Course {
+		for k, v := range r.ByWindow {
 			xy = append(xy, plotter.XY{X: float64(k * 5), Y: v})
 		}
 		lines = append(lines, r.Name, xy)
--- a/cmd/sandcourse/prove.go
+++ b/cmd/sandcourse/prove.go
@@ -39,32 +39,32 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			var worlds []modelcheck.World
 			for _, name := range args {
-				w, ok := modelcheck.Find(name)
+				w, ok := modelcheck.FindWorld(name)
 				if !ok {
 					return fmt.Errorf("there is no world %q; see sandcourse prove list", name)
 				}
 				worlds = append(worlds, w)
 			}
 			if len(args) == 0 {
-				worlds = slices.Concat(modelcheck.Worlds, modelcheck.Large, modelcheck.Crowds)
+				worlds = slices.Concat(modelcheck.Worlds, modelcheck.LargeWorlds, modelcheck.CrowdWorlds)
 			}
 			end := time.Now().Add(length)
 			until := func() bool { return time.Now().After(end) }
 			var rows []modelcheck.Result
-			var took modelcheck.Cover
+			var took modelcheck.Coverage
 			bad := 0
 			for _, w := range worlds {
 				begun := time.Now()
-				r, err := exploreWorld(w, modelcheck.Bounds{Workers: workers, States: states, Until: until}, seed, walks, snapshots,
+				r, err := exploreWorld(w, modelcheck.Limits{Workers: workers, MaxStates: states, Stop: until}, seed, walks, snapshots,
 					c.ErrOrStderr())
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(c.ErrOrStderr(), "%s: %.1f s, %.0f states a second\n", w.Name, time.Since(begun).Seconds(),
 					float64(r.States)/time.Since(begun).Seconds())
-				took.Add(r.Took)
+				took.Add(r.Coverage)
 				rows = append(rows, r)
-				if len(r.Broken) > 0 {
+				if len(r.Violations) > 0 {
 					bad++
 					if err := saveCounterexample(out, r, c.OutOrStdout()); err != nil {
 						return err
@@ -72,7 +72,7 @@
 				}
 			}
 			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"results": rows, "rows never taken": took.Missing()})
+				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"results": rows, "rows never taken": took.Unfired()})
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "world\tstates\ttransitions\tmerged\tends\tdepth\tverdict")
@@ -82,18 +82,18 @@
 					verdict = "in part: no break found"
 				}
 				if w := r.World; w.Crowd && r.Complete {
-					verdict = fmt.Sprintf("walked: holds, a cold engine had %d sends in a window at most", r.Cold)
+					verdict = fmt.Sprintf("walked: holds, a cold engine had %d sends in a window at most", r.MaxColdAttempts)
 				}
-				if len(r.Broken) > 0 {
-					verdict = "BROKEN " + strings.Join(r.Broken, "; ")
+				if len(r.Violations) > 0 {
+					verdict = "BROKEN " + strings.Join(r.Violations, "; ")
 				}
 				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.World.Name, r.States, r.Transitions, r.Merged, r.Ends, r.Depth, verdict)
 			}
 			t.Flush()
-			taken, of := took.Taken()
+			taken, of := took.Fired()
 			fmt.Fprintf(c.OutOrStdout(), "rows of the tables taken: %d of %d\n", taken, of)
-			for _, name := range took.Missing() {
-				if len(worlds) > 1 || strings.HasPrefix(name, "roles") == worlds[0].Roles { // those that the world could take
+			for _, name := range took.Unfired() {
+				if len(worlds) > 1 || strings.HasPrefix(name, "roles") == worlds[0].RoleChanges { // those that the world could take
 					fmt.Fprintln(c.OutOrStdout(), "  never taken:", name)
 				}
 			}
@@ -122,7 +122,7 @@
 			if err := json.Unmarshal(text, &f); err != nil {
 				return fmt.Errorf("%s is no counterexample: %w", args[0], err)
 			}
-			lines, broken := modelcheck.Story(f.World, f.Path)
+			lines, broken := modelcheck.Describe(f.World, f.Path)
 			fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n"))
 			if sockets {
 				got, want, err := replay.Play(f.World, f.Path)
@@ -130,8 +130,8 @@
 					return fmt.Errorf("on sockets: %w", err)
 				}
 				for i, call := range got {
-					fmt.Fprintf(c.OutOrStdout(), "on sockets client %d has %s, %d final answers; the explorer's had %q\n", i, call.Final,
-						call.Finals, want[i])
+					fmt.Fprintf(c.OutOrStdout(), "on sockets client %d has %s, %d final answers; the explorer's had %q\n", i, call.Outcome,
+						call.OutcomeCount, want[i])
 				}
 			}
 			if len(broken) > 0 {
@@ -143,7 +143,7 @@
 	replay.Flags().BoolVar(&sockets, "sockets", false, "also through a real edge and scripted engines on loopback")
 	c.AddCommand(replay, &cobra.Command{Use: "list", Short: "Name worlds and properties", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
-			for _, w := range slices.Concat(modelcheck.Worlds, modelcheck.Large, modelcheck.Crowds) {
+			for _, w := range slices.Concat(modelcheck.Worlds, modelcheck.LargeWorlds, modelcheck.CrowdWorlds) {
 				fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", w.Name, w.About)
 			}
 			for _, p := range modelcheck.Properties {
@@ -153,16 +153,16 @@
 	return c
 }
 
-func exploreWorld(w modelcheck.World, b modelcheck.Bounds, seed uint64, walks int, snapshots string, say io.Writer) (modelcheck.Result, error) {
+func exploreWorld(w modelcheck.World, b modelcheck.Limits, seed uint64, walks int, snapshots string, say io.Writer) (modelcheck.Result, error) {
 	if w.Crowd {
-		return modelcheck.Crowd(w, seed, b.Until), nil
+		return modelcheck.SimulateCrowd(w, seed, b.Stop), nil
 	}
-	for _, l := range modelcheck.Large {
+	for _, l := range modelcheck.LargeWorlds {
 		if l.Name == w.Name {
-			return modelcheck.Swarm(w, seed, walks, b.Workers, b.Until), nil
+			return modelcheck.RandomWalks(w, seed, walks, b.Workers, b.Stop), nil
 		}
 	}
-	snap := modelcheck.Start(w)
+	snap := modelcheck.NewSnapshot(w)
 	path := filepath.Join(snapshots, w.Name+".prove")
 	if snapshots != "" {
 		f, err := os.Open(path)
@@ -175,7 +175,7 @@
 		}
 	}
 	begun, before := time.Now(), snap.Result.States
-	r := snap.Go(b, func(r modelcheck.Result, front int) {
+	r := snap.Explore(b, func(r modelcheck.Result, front int) {
 		rate := float64(r.States-before) / time.Since(begun).Seconds()
 		fmt.Fprintf(say, "%s: depth %d, %d states, %d to open next, about %.0f s for them\n", w.Name, r.Depth, r.States,
 			front, float64(front)/max(rate, 1))
@@ -202,9 +202,9 @@
 }
 
 func saveCounterexample(dir string, r modelcheck.Result, say io.Writer) error {
-	lines, broken := modelcheck.Story(r.World, r.Path)
+	lines, broken := modelcheck.Describe(r.World, r.Path)
 	if r.World.Crowd { // a walk of its own: the seed plays it again
-		lines, broken = nil, r.Broken
+		lines, broken = nil, r.Violations
 	}
 	fmt.Fprintln(say, strings.Join(lines, "\n"))
 	if dir == "" {
--- a/cmd/sandcourse/serve.go
+++ b/cmd/sandcourse/serve.go
@@ -78,12 +78,12 @@
 	return c
 }
 
-func fakeEngines(prefill, decode int) (row []engine.Make) {
+func fakeEngines(prefill, decode int) (row []engine.Config) {
 	for i := range prefill {
-		row = append(row, engine.Make{Name: fmt.Sprint("reader", i), Role: "read", Seed: uint64(i)})
+		row = append(row, engine.Config{Name: fmt.Sprint("reader", i), Role: "read", Seed: uint64(i)})
 	}
 	for i := range decode {
-		row = append(row, engine.Make{Name: fmt.Sprint("writer", i), Role: "write", Seed: 7})
+		row = append(row, engine.Config{Name: fmt.Sprint("writer", i), Role: "write", Seed: 7})
 	}
 	return row
 }
@@ -102,13 +102,13 @@
 }
 
 func fakeEngineCommand() *cobra.Command {
-	var m engine.Make
+	var m engine.Config
 	c := &cobra.Command{Use: "standin", Short: "Run one stand-in engine", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if m.Role != "read" && m.Role != "write" {
 				return fmt.Errorf("--role must be read or write, not %q", m.Role)
 			}
-			e, err := engine.Start(m, nil, &engine.Marks{})
+			e, err := engine.Start(m, nil, &engine.IdempotencyKeys{})
 			if err != nil {
 				return err
 			}
@@ -137,10 +137,10 @@
 			defer stop()
 			t.Log = &audit.Log{}
 			t.Edges = func() []string { return edges }
-			t.Routes = []loadgen.Route{{Name: model, Share: 1, Value: 1, Retriable: retriable, Target: target,
-				GiveUp: giveUp, Most: 64}}
+			t.Routes = []loadgen.Route{{Name: model, Share: 1, PriorityWeight: 1, Retriable: retriable, FirstTokenTarget: target,
+				Timeout: giveUp, MaxTokens: 64}}
 			t.Run(ctx)
-			loadgen.Add(t.Log.Calls(), t.Routes).Print(c.OutOrStdout())
+			loadgen.Summarize(t.Log.ClientRecords(), t.Routes).Print(c.OutOrStdout())
 			return nil
 		}}
 	f := c.Flags()
@@ -149,8 +149,8 @@
 	f.Float64Var(&t.Rate, "rate", 20, "first tries a second")
 	f.DurationVar(&t.Length, "for", 10*time.Second, "how long")
 	f.Uint64Var(&t.Seed, "seed", 1, "seed of arrivals and texts")
-	f.IntVar(&t.Beginnings, "beginnings", 6, "shared beginnings")
-	f.IntVar(&t.Words, "words", 200, "words of a shared beginning")
+	f.IntVar(&t.Prefixes, "beginnings", 6, "shared beginnings")
+	f.IntVar(&t.PrefixWords, "words", 200, "words of a shared beginning")
 	f.IntVar(&t.Turns, "turns", 3, "turns of a session")
 	f.IntVar(&t.Retries, "retries", 1, "retries of a client")
 	f.BoolVar(&retriable, "retriable", true, "whether clients repeat what was errored")
--- a/cmd/sandcourse/soak.go
+++ b/cmd/sandcourse/soak.go
@@ -30,7 +30,7 @@
 					return err
 				}
 				fmt.Fprint(cmd.OutOrStdout(), report)
-				faults += len(report.Faults)
+				faults += len(report.Violations)
 			}
 			if faults > 0 {
 				return errors.New("faults were found")
@@ -42,14 +42,14 @@
 		beside = filepath.Join(filepath.Dir(self), "sandcourse-edge")
 	}
 	f := c.Flags()
-	f.StringVar(&config.Edge, "edge", beside, "the node's binary")
+	f.StringVar(&config.Binary, "edge", beside, "the node's binary")
 	f.Uint64Var(&config.Seed, "seed", 1, "the first seed; it draws the troubles")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds are played, one after the other")
-	f.IntVar(&config.Nodes, "nodes", 24, "how many nodes, each a process")
+	f.IntVar(&config.Routers, "nodes", 24, "how many nodes, each a process")
 	f.IntVar(&config.Engines, "engines", 6, "how many stand-in engines of each role")
 	f.IntVar(&config.Clients, "clients", 60, "how many clients ask at the same time")
-	f.IntVar(&config.Overlap, "overlap", 3, "how many troubles run at the same time")
-	f.DurationVar(&config.Length, "for", 20*time.Second, "how long the troubles last")
+	f.IntVar(&config.ConcurrentFaults, "overlap", 3, "how many troubles run at the same time")
+	f.DurationVar(&config.Duration, "for", 20*time.Second, "how long the troubles last")
 	f.StringVar(&config.Folder, "folder", filepath.Join(os.TempDir(), "sandcourse-soak"), "for configurations and logs")
 	return c
 }
--- a/cmd/sandcourse/tilt.go
+++ b/cmd/sandcourse/tilt.go
@@ -33,11 +33,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	was, begun := "", time.Now()
-	t := scenario.Tilt{Readers: prefill, Writers: decode, Edges: 2, Fixed: o.fixed, Kill: o.kill,
+	t := scenario.LoadShift{PrefillEngines: prefill, DecodeEngines: decode, Edges: 2, FixedRoles: o.fixed, KillPlanner: o.kill,
 		Seed: o.seed, Phases: []scenario.Phase{
-			{Name: "long prompts", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24},
-			{Name: "long answers", Length: o.phase, Rate: o.rate, Own: 40, Answer: 200},
-			{Name: "long prompts again", Length: o.phase, Rate: o.rate, Own: 1500, Answer: 24}},
+			{Name: "long prompts", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24},
+			{Name: "long answers", Duration: o.phase, RequestRate: o.rate, UserWords: 40, MaxTokens: 200},
+			{Name: "long prompts again", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24}},
 		OnPlan: func(p planapi.Plan) {
 			count := map[string]int{}
 			for _, e := range p.Engines {
@@ -57,9 +57,9 @@
 		return err
 	}
 	fmt.Fprintf(c.OutOrStdout(), "role changes: %d; planner killed %d times; states left held: %d\n",
-		res.Changes, res.Kills, res.Held)
-	if len(res.Breaks) > 0 {
-		for _, b := range res.Breaks {
+		res.RoleChanges, res.PlannerKills, res.HeldAtEnd)
+	if len(res.Violations) > 0 {
+		for _, b := range res.Violations {
 			fmt.Fprintln(c.OutOrStdout(), "BROKEN", b)
 		}
 		return exitStatus(1)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -33,10 +33,10 @@
 	requestCount int
 }
 
-func newFixture(t *testing.T, alter func(*config.Deployment), configs ...engine.Make) *fixture {
+func newFixture(t *testing.T, alter func(*config.Deployment), configs ...engine.Config) *fixture {
 	t.Helper()
 	if configs == nil {
-		configs = []engine.Make{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
+		configs = []engine.Config{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
 			{Name: "w0", Role: "write"}, {Name: "w1", Role: "write"}}
 	}
 	f := &fixture{t: t, log: &audit.Log{}, startedAt: time.Now()}
@@ -53,33 +53,33 @@
 	if alter != nil {
 		alter(deployment)
 	}
-	f.rules = scenario.Rules(deployment)
+	f.rules = scenario.AuditRules(deployment)
 	if f.edges, err = scenario.StartEdges(1, *deployment, zap.NewNop(), f.log, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.edges.Stop)
-	f.waitFor("the edge is ready", func() bool { return f.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
+	f.waitFor("the edge is ready", func() bool { return f.call(loadgen.Request{Route: "clip-summary"}).Outcome == "completed" })
 	return f
 }
 
-func (f *fixture) call(a loadgen.Ask) audit.Call {
-	if a.GiveUp == 0 {
-		a.GiveUp = 3 * time.Second
+func (f *fixture) call(a loadgen.Request) audit.ClientRecord {
+	if a.Timeout == 0 {
+		a.Timeout = 3 * time.Second
 	}
 	if a.Messages == nil {
-		a.Messages = []loadgen.Line{{Role: "system", Content: "You caption clips."}, {Role: "user", Content: "The goal."}}
+		a.Messages = []loadgen.Message{{Role: "system", Content: "You caption clips."}, {Role: "user", Content: "The goal."}}
 	}
-	if a.Request == "" {
+	if a.RequestID == "" {
 		f.requestCount++
-		a.Request = fmt.Sprint("unnamed", f.requestCount)
+		a.RequestID = fmt.Sprint("unnamed", f.requestCount)
 	}
 	c := loadgen.NewClient()
 	defer c.Close()
-	if a.Most == 0 {
-		a.Most = 20
+	if a.MaxTokens == 0 {
+		a.MaxTokens = 20
 	}
 	seen, _ := c.Do(context.Background(), f.edges.Addrs()[0], a)
-	f.log.Hear(seen)
+	f.log.RecordClient(seen)
 	return seen
 }
 
@@ -117,8 +117,8 @@
 func TestOneRequestCompletes(t *testing.T) {
 	r := newFixture(t, nil)
 	for _, whole := range []bool{false, true} {
-		got := r.call(loadgen.Ask{Route: "fan-alert", Request: "one", Whole: whole})
-		if got.Final != "completed" || got.Tokens == 0 || got.Inference == "" {
+		got := r.call(loadgen.Request{Route: "fan-alert", RequestID: "one", Unary: whole})
+		if got.Outcome != "completed" || got.Tokens == 0 || got.Inference == "" {
 			t.Errorf("whole %v: %+v", whole, got)
 		}
 	}
@@ -126,7 +126,7 @@
 
 // singlePairFixture is one reader and one writer, whose faults strike every inference.
 func singlePairFixture(t *testing.T, alter func(*config.Deployment)) (f *fixture, prefill, decode *engine.Engine) {
-	f = newFixture(t, alter, engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write"})
+	f = newFixture(t, alter, engine.Config{Name: "r", Role: "read"}, engine.Config{Name: "w", Role: "write"})
 	return f, f.fleet.Engines[0], f.fleet.Engines[1]
 }
 
@@ -136,22 +136,22 @@
 		fault func(prefill, decode *engine.Engine)
 		after time.Duration
 	}{
-		{"before the read", func(prefill, _ *engine.Engine) { prefill.Set(engine.Faults{Silent: true}) }, 60 * time.Millisecond},
-		{"during the read", func(prefill, _ *engine.Engine) { prefill.Set(engine.Faults{Slow: 500}) }, 60 * time.Millisecond},
+		{"before the read", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Silent: true}) }, 60 * time.Millisecond},
+		{"during the read", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Slow: 500}) }, 60 * time.Millisecond},
 		{"between read and write", func(_, decode *engine.Engine) { decode.Drain(true) }, 60 * time.Millisecond},
-		{"before the first token", func(_, decode *engine.Engine) { decode.Set(engine.Faults{StallFirst: true}) },
+		{"before the first token", func(_, decode *engine.Engine) { decode.SetFaults(engine.Faults{StallFirst: true}) },
 			120 * time.Millisecond},
-		{"in mid-stream", func(_, decode *engine.Engine) { decode.Set(engine.Faults{StallAfter: 2}) }, 120 * time.Millisecond},
+		{"in mid-stream", func(_, decode *engine.Engine) { decode.SetFaults(engine.Faults{StallAfter: 2}) }, 120 * time.Millisecond},
 	} {
 		t.Run(c.when, func(t *testing.T) {
 			r, prefill, decode := singlePairFixture(t, nil)
 			c.fault(prefill, decode)
-			if got := r.call(loadgen.Ask{Route: "fan-alert", Request: "leaver", LeaveAfter: c.after}); got.Final != "left" {
+			if got := r.call(loadgen.Request{Route: "fan-alert", RequestID: "leaver", LeaveAfter: c.after}); got.Outcome != "left" {
 				t.Errorf("%+v", got)
 			}
 			r.waitFor("nothing is open", func() bool { return r.edges.Holding(context.Background()).Requests == 0 })
-			prefill.Set(engine.Faults{})
-			decode.Set(engine.Faults{})
+			prefill.SetFaults(engine.Faults{})
+			decode.SetFaults(engine.Faults{})
 			decode.Drain(false)
 			r.checkRules()
 		})
@@ -162,16 +162,16 @@
 	for name, f := range map[string]engine.Faults{"stalls": {StallAfter: 1}, "breaks": {BreakAfter: 3}} {
 		t.Run(name, func(t *testing.T) {
 			r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.StallTimeout = 200 * time.Millisecond })
-			decode.Set(f)
-			got := r.call(loadgen.Ask{Route: "fan-alert", Request: "cut"})
-			if got.Final != "errored" || got.Finals != 1 || got.Tokens == 0 {
+			decode.SetFaults(f)
+			got := r.call(loadgen.Request{Route: "fan-alert", RequestID: "cut"})
+			if got.Outcome != "errored" || got.OutcomeCount != 1 || got.Tokens == 0 {
 				t.Errorf("%+v", got)
 			}
-			got = r.call(loadgen.Ask{Route: "fan-alert", Request: "cut-whole", Whole: true})
-			if got.Final != "errored" || got.Finals != 1 {
+			got = r.call(loadgen.Request{Route: "fan-alert", RequestID: "cut-whole", Unary: true})
+			if got.Outcome != "errored" || got.OutcomeCount != 1 {
 				t.Errorf("whole: %+v", got)
 			}
-			decode.Set(engine.Faults{})
+			decode.SetFaults(engine.Faults{})
 			r.checkRules()
 		})
 	}
@@ -183,15 +183,15 @@
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, nil)
 			for _, e := range r.fleet.Engines[2:] {
-				e.Set(f)
+				e.SetFaults(f)
 			}
-			got := r.call(loadgen.Ask{Route: "fan-alert", Request: "once", GiveUp: 900 * time.Millisecond})
-			if got.Final != "errored" || got.Finals != 1 {
+			got := r.call(loadgen.Request{Route: "fan-alert", RequestID: "once", Timeout: 900 * time.Millisecond})
+			if got.Outcome != "errored" || got.OutcomeCount != 1 {
 				t.Errorf("%+v", got)
 			}
 			sends := 0
-			for _, s := range r.log.Seen() {
-				if s.Request == "once" && s.What == audit.Began && s.Writes {
+			for _, s := range r.log.EngineRecords() {
+				if s.Request == "once" && s.Event == audit.AttemptStarted && s.Decode {
 					sends++
 				}
 			}
@@ -199,7 +199,7 @@
 				t.Errorf("%d sends to writers", sends)
 			}
 			for _, e := range r.fleet.Engines {
-				e.Set(engine.Faults{})
+				e.SetFaults(engine.Faults{})
 			}
 			r.checkRules()
 		})
@@ -208,11 +208,11 @@
 
 func TestLatePrefillIsReleased(t *testing.T) {
 	r, prefill, _ := singlePairFixture(t, nil)
-	prefill.Set(engine.Faults{Slow: 400})
-	if got := r.call(loadgen.Ask{Route: "fan-alert", Request: "late", GiveUp: 150 * time.Millisecond}); got.Finals != 1 {
+	prefill.SetFaults(engine.Faults{Slow: 400})
+	if got := r.call(loadgen.Request{Route: "fan-alert", RequestID: "late", Timeout: 150 * time.Millisecond}); got.OutcomeCount != 1 {
 		t.Errorf("%+v", got)
 	}
-	prefill.Set(engine.Faults{})
+	prefill.SetFaults(engine.Faults{})
 	r.checkRules()
 }
 
@@ -222,9 +222,9 @@
 	var done = make(chan struct{})
 	go func() {
 		defer close(done)
-		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 150, Length: 1500 * time.Millisecond, Seed: 5, Beginnings: 3, Words: 30,
-			Turns: 2, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, Value: 1, Retriable: true,
-				Target: time.Second, GiveUp: 3 * time.Second, Most: 10}}}.Run(context.Background())
+		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 150, Length: 1500 * time.Millisecond, Seed: 5, Prefixes: 3, PrefixWords: 30,
+			Turns: 2, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, PriorityWeight: 1, Retriable: true,
+				FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 10}}}.Run(context.Background())
 	}()
 	go func() {
 		defer close(stop)
@@ -244,23 +244,23 @@
 func TestUnresponsiveFleetAndEmptyEndpointList(t *testing.T) {
 	r := newFixture(t, nil)
 	for _, e := range r.fleet.Engines {
-		e.Set(engine.Faults{Silent: true})
+		e.SetFaults(engine.Faults{Silent: true})
 	}
 	for _, route := range []string{"clip-summary", "fan-alert"} {
-		got := r.call(loadgen.Ask{Route: route, Request: "hushed " + route, GiveUp: 400 * time.Millisecond})
-		if got.Finals != 1 || got.Final == "completed" {
+		got := r.call(loadgen.Request{Route: route, RequestID: "hushed " + route, Timeout: 400 * time.Millisecond})
+		if got.OutcomeCount != 1 || got.Outcome == "completed" {
 			t.Errorf("all silent: %+v", got)
 		}
 	}
 	for _, e := range r.fleet.Engines {
-		e.Set(engine.Faults{})
+		e.SetFaults(engine.Faults{})
 	}
 	for _, e := range r.fleet.Engines {
-		r.fleet.Gone(e)
+		r.fleet.Remove(e)
 	}
 	r.waitFor("nothing is taken by an empty roster", func() bool {
-		got := r.call(loadgen.Ask{Route: "fan-alert", GiveUp: 200 * time.Millisecond})
-		return got.Final == "shed" && got.Finals == 1
+		got := r.call(loadgen.Request{Route: "fan-alert", Timeout: 200 * time.Millisecond})
+		return got.Outcome == "shed" && got.OutcomeCount == 1
 	})
 	r.checkRules()
 }
@@ -276,7 +276,7 @@
 	}
 	// Two looks at the file later the edge must still serve.
 	for range 4 {
-		if got := r.call(loadgen.Ask{Route: "clip-summary"}); got.Final != "completed" {
+		if got := r.call(loadgen.Request{Route: "clip-summary"}); got.Outcome != "completed" {
 			t.Errorf("%+v", got)
 		}
 		time.Sleep(40 * time.Millisecond)
@@ -289,17 +289,17 @@
 	if err := r.edges.Kill(0, 10*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	r.waitFor("it serves again", func() bool { return r.call(loadgen.Ask{Route: "fan-alert"}).Final == "completed" })
+	r.waitFor("it serves again", func() bool { return r.call(loadgen.Request{Route: "fan-alert"}).Outcome == "completed" })
 	r.checkRules()
 }
 
 func TestDecisionPanicAnswersAllAndContinues(t *testing.T) {
 	r, _, decode := singlePairFixture(t, nil)
-	decode.Set(engine.Faults{StallFirst: true})
-	results := make(chan audit.Call)
+	decode.SetFaults(engine.Faults{StallFirst: true})
+	results := make(chan audit.ClientRecord)
 	for i := range 6 {
 		go func() {
-			results <- r.call(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("p", i), Whole: i%2 == 0})
+			results <- r.call(loadgen.Request{Route: "fan-alert", RequestID: fmt.Sprint("p", i), Unary: i%2 == 0})
 		}()
 	}
 	r.waitFor("all are open", func() bool { return r.edges.Holding(context.Background()).Requests == 6 })
@@ -310,30 +310,30 @@
 		once = once && !fail
 		return fail
 	})
-	r.call(loadgen.Ask{Route: "fan-alert", Request: "seventh", GiveUp: 100 * time.Millisecond})
+	r.call(loadgen.Request{Route: "fan-alert", RequestID: "seventh", Timeout: 100 * time.Millisecond})
 	for range 6 {
-		if got := <-results; got.Final != "errored" || got.Finals != 1 {
+		if got := <-results; got.Outcome != "errored" || got.OutcomeCount != 1 {
 			t.Errorf("%+v", got)
 		}
 	}
-	decode.Set(engine.Faults{})
-	r.waitFor("a fresh module serves", func() bool { return r.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed" })
+	decode.SetFaults(engine.Faults{})
+	r.waitFor("a fresh module serves", func() bool { return r.call(loadgen.Request{Route: "clip-summary"}).Outcome == "completed" })
 	r.checkRules()
 }
 
 func TestDrainRejectsNewAndFinishesOpenRequests(t *testing.T) {
 	r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.ShutdownTimeout = 400 * time.Millisecond })
-	decode.Set(engine.Faults{Slow: 3})
-	slow := make(chan audit.Call)
-	go func() { slow <- r.call(loadgen.Ask{Route: "clip-summary", Request: "slow"}) }()
+	decode.SetFaults(engine.Faults{Slow: 3})
+	slow := make(chan audit.ClientRecord)
+	go func() { slow <- r.call(loadgen.Request{Route: "clip-summary", RequestID: "slow"}) }()
 	r.waitFor("it is open", func() bool { return r.edges.Holding(context.Background()).Requests == 1 })
 	stopped := make(chan struct{})
 	go func() { r.edges.Drain(0); close(stopped) }()
 	r.waitFor("new ones are shed", func() bool {
-		final := r.call(loadgen.Ask{Route: "clip-summary", GiveUp: 200 * time.Millisecond}).Final
+		final := r.call(loadgen.Request{Route: "clip-summary", Timeout: 200 * time.Millisecond}).Outcome
 		return final == "shed" || final == "lost"
 	})
-	if got := <-slow; got.Finals != 1 {
+	if got := <-slow; got.OutcomeCount != 1 {
 		t.Errorf("%+v", got)
 	}
 	<-stopped
@@ -341,11 +341,11 @@
 
 func TestLateTimersKeepInvariants(t *testing.T) {
 	r, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.TickInterval = 30 * time.Millisecond })
-	decode.Set(engine.Faults{StallFirst: true})
-	done := make(chan audit.Call)
+	decode.SetFaults(engine.Faults{StallFirst: true})
+	done := make(chan audit.ClientRecord)
 	for i := range 4 {
 		go func() {
-			done <- r.call(loadgen.Ask{Route: "fan-alert", Request: fmt.Sprint("t", i), GiveUp: 400 * time.Millisecond})
+			done <- r.call(loadgen.Request{Route: "fan-alert", RequestID: fmt.Sprint("t", i), Timeout: 400 * time.Millisecond})
 		}()
 	}
 	for range 5 {
@@ -353,11 +353,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for range 4 {
-		if got := <-done; got.Finals != 1 {
+		if got := <-done; got.OutcomeCount != 1 {
 			t.Errorf("%+v", got)
 		}
 	}
-	decode.Set(engine.Faults{})
+	decode.SetFaults(engine.Faults{})
 	r.checkRules()
 }
 
@@ -427,7 +427,7 @@
 
 func TestSlowClientDelaysNobody(t *testing.T) {
 	r := newFixture(t, func(d *config.Deployment) { d.ClientBufferBytes = 4096 },
-		engine.Make{Name: "r", Role: "read"}, engine.Make{Name: "w", Role: "write", TokenTime: 20 * time.Microsecond})
+		engine.Config{Name: "r", Role: "read"}, engine.Config{Name: "w", Role: "write", TokenTime: 20 * time.Microsecond})
 	c, err := net.Dial("tcp", r.edges.Addrs()[0])
 	if err != nil {
 		t.Fatal(err)
@@ -440,7 +440,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	for range 5 {
-		if got := r.call(loadgen.Ask{Route: "fan-alert"}); got.Final != "completed" || got.First > 500*time.Millisecond {
+		if got := r.call(loadgen.Request{Route: "fan-alert"}); got.Outcome != "completed" || got.FirstToken > 500*time.Millisecond {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -465,29 +465,29 @@
 	}
 	r.waitFor("the bound holds and newcomers are served", func() bool {
 		return r.edges.Holding(context.Background()).Clients <= 1500 &&
-			r.call(loadgen.Ask{Route: "clip-summary"}).Final == "completed"
+			r.call(loadgen.Request{Route: "clip-summary"}).Outcome == "completed"
 	})
 	r.checkRules()
 }
 
 func TestHalfTheFleetUnresponsive(t *testing.T) {
 	r := newFixture(t, nil)
-	r.fleet.Engines[0].Set(engine.Faults{Silent: true})
-	r.fleet.Engines[2].Set(engine.Faults{Silent: true})
+	r.fleet.Engines[0].SetFaults(engine.Faults{Silent: true})
+	r.fleet.Engines[2].SetFaults(engine.Faults{Silent: true})
 	// Many at once: the module holds an engine against others by how long its sends wait.
-	loadgen.Traffic{Edges: r.edges.Addrs, Rate: 60, Length: 2 * time.Second, Seed: 3, Beginnings: 4, Words: 40, Turns: 2, Log: r.log,
-		Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, Value: 1, Target: time.Second, GiveUp: 1500 * time.Millisecond, Most: 5},
-			{Name: "fan-alert", Share: 1, Value: 5, Target: time.Second, GiveUp: 1500 * time.Millisecond, Most: 5}}}.Run(context.Background())
+	loadgen.Traffic{Edges: r.edges.Addrs, Rate: 60, Length: 2 * time.Second, Seed: 3, Prefixes: 4, PrefixWords: 40, Turns: 2, Log: r.log,
+		Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, PriorityWeight: 1, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5},
+			{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5}}}.Run(context.Background())
 	finals := map[string]int{}
-	for _, c := range r.log.Calls() {
-		finals[c.Final]++
+	for _, c := range r.log.ClientRecords() {
+		finals[c.Outcome]++
 	}
 	// Some dozens on a free machine; where all tests run at once 19 were seen. With none but the silent half there is none.
 	if finals["completed"] < 8 || finals["lost"] > 0 {
 		t.Errorf("the other half served too little: %v", finals)
 	}
 	for _, e := range r.fleet.Engines {
-		e.Set(engine.Faults{})
+		e.SetFaults(engine.Faults{})
 	}
 	r.checkRules()
 }
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -28,22 +28,22 @@
 		return float64(m.HeapInuse) / (1 << 20)
 	}
 	burst := func(length time.Duration, seed uint64) {
-		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 80, Length: length, Seed: seed, Beginnings: 5, Words: 100, Turns: 3, Leave: 0.05,
-			Retries: 1, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, Value: 1, Retriable: true,
-				Target: time.Second, GiveUp: 3 * time.Second, Most: 20},
-				{Name: "fan-alert", Share: 1, Value: 5, Target: time.Second, GiveUp: 3 * time.Second, Most: 20}}}.Run(context.Background())
+		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 80, Length: length, Seed: seed, Prefixes: 5, PrefixWords: 100, Turns: 3, DisconnectShare: 0.05,
+			Retries: 1, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, PriorityWeight: 1, Retriable: true,
+				FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20},
+				{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20}}}.Run(context.Background())
 	}
 	burst(5*time.Second, 1)
 	t.Logf("after 5 s: heap %.1f MiB, %d descriptors, %d goroutines, %d calls", heap(), descriptors(),
-		runtime.NumGoroutine(), len(r.log.Calls()))
+		runtime.NumGoroutine(), len(r.log.ClientRecords()))
 	end := time.Now().Add(length)
 	for i := uint64(2); time.Now().Before(end); i++ {
-		r.fleet.Engines[i%4].Set([]engine.Faults{{Slow: 5}, {Silent: true}, {BreakAfter: 3}, {Lie: true}}[i%4])
+		r.fleet.Engines[i%4].SetFaults([]engine.Faults{{Slow: 5}, {Silent: true}, {BreakAfter: 3}, {Lie: true}}[i%4])
 		burst(min(5*time.Second, time.Until(end)), i)
-		r.fleet.Engines[i%4].Set(engine.Faults{})
+		r.fleet.Engines[i%4].SetFaults(engine.Faults{})
 		if i%12 == 0 {
 			t.Logf("heap %.1f MiB, %d descriptors, %d goroutines, %d calls", heap(), descriptors(),
-				runtime.NumGoroutine(), len(r.log.Calls()))
+				runtime.NumGoroutine(), len(r.log.ClientRecords()))
 		}
 	}
 	r.checkRules()
@@ -51,7 +51,7 @@
 	time.Sleep(20 * time.Second)
 	h := r.edges.Holding(context.Background())
 	t.Logf("at rest: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
-		runtime.NumGoroutine(), h, len(r.log.Seen()))
+		runtime.NumGoroutine(), h, len(r.log.EngineRecords()))
 	if h.Clients+h.Requests+h.EngineConnections+h.Bytes+h.ControlRequests > 0 {
 		t.Error("the edge still holds something")
 	}
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -24,190 +24,190 @@
 	"sandcourse/internal/routing"
 )
 
-// way is how long a message takes between any two: within one data centre.
-const way = 200 * time.Microsecond
+// networkDelay is how long a message takes between any two: within one data centre.
+const networkDelay = 200 * time.Microsecond
 
-// edge is one node: the real core on simulated sockets.
-type edge struct {
-	w     *world
-	n     int
-	core  *router.Router
-	wake  int64 // when its next turn is set for, 0 for none
-	later []func(o *router.Router)
-	in    bool
+// simulatedRouter is one node: the real core on simulated sockets.
+type simulatedRouter struct {
+	emulation *emulation
+	index     int
+	core      *router.Router
+	wakeAt    int64 // when its next turn is set for, 0 for none
+	pending   []func(o *router.Router)
+	handling  bool
 
-	clients int64
+	clientCount int64
 }
 
-// line is one connection to an engine.
-type line struct {
-	id     int64
-	core   *router.EngineConnection
-	node   *edge
-	box    *box
-	closed bool
-	job    *job
+// connection is one connection to an engine.
+type connection struct {
+	id      int64
+	core    *router.EngineConnection
+	router  *simulatedRouter
+	engine  *engine
+	closed  bool
+	request *engineRequest
 }
 
-// ask is one try of a client.
-type ask struct {
-	w       *world
-	id      string
-	route   int
-	prompt  float64
-	answer  float64
-	begins  string
-	session string
-	first   int64 // when its client first asked
-	at      int64 // when this try was sent
-	firstAt int64 // its first token
-	try     int
-	node    *edge
-	core    *router.ClientConnection
-	out     []byte
-	began   bool
-	ended   bool
-	ran     int
-	read    float64
+// clientRequest is one try of a client.
+type clientRequest struct {
+	emulation       *emulation
+	id              string
+	route           int
+	promptTokens    float64
+	answerTokens    float64
+	prefix          string
+	session         string
+	firstSentAt     int64 // when its client first asked
+	sentAt          int64 // when this try was sent
+	firstTokenAt    int64 // its first token
+	attempt         int
+	router          *simulatedRouter
+	client          *router.ClientConnection
+	responseHead    []byte
+	streaming       bool
+	ended           bool
+	runs            int
+	prefilledTokens float64
 }
 
-func (w *world) build() {
+func (em *emulation) build() {
 	d := config.Defaults()
-	d.NodeCount, d.Limits.RetryShare = w.d.Nodes, w.d.Budget
-	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", MemoryTokens: w.d.Engine.Memory},
-		{Name: "decode", Role: "write", MemoryTokens: w.d.Engine.Memory}}
-	d.Rules.SlowStart, d.Rules.SlowStartShare = w.d.Engine.Cold, w.d.Engine.ColdShare
-	for _, r := range w.d.Routes {
-		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, PriorityWeight: r.Value,
-			FirstTokenObjective: r.Target, Timeout: r.Timeout,
+	d.NodeCount, d.Limits.RetryShare = em.scenario.Routers, em.scenario.RetryBudget
+	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read", MemoryTokens: em.scenario.Engine.MemoryTokens},
+		{Name: "decode", Role: "write", MemoryTokens: em.scenario.Engine.MemoryTokens}}
+	d.Rules.SlowStart, d.Rules.SlowStartShare = em.scenario.Engine.WarmUp, em.scenario.Engine.WarmUpShare
+	for _, r := range em.scenario.Routes {
+		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, PriorityWeight: r.PriorityWeight,
+			FirstTokenObjective: r.FirstTokenTarget, Timeout: r.Timeout,
 			DedupWindow: 5 * time.Second, DedupGroup: "all"})
 	}
-	for i := range w.d.Readers + w.d.Writers {
-		b := &box{w: w, name: fmt.Sprintf("10.1.%d.%d:%d", i/200, i%200+1, 7000), role: "read", slow: 1,
-			lines: map[*line]bool{}}
-		if i >= w.d.Readers {
-			b.role = "write"
+	for i := range em.scenario.PrefillEngines + em.scenario.DecodeEngines {
+		engine := &engine{emulation: em, name: fmt.Sprintf("10.1.%d.%d:%d", i/200, i%200+1, 7000), role: "read", slowdown: 1,
+			connections: map[*connection]bool{}}
+		if i >= em.scenario.PrefillEngines {
+			engine.role = "write"
 		}
-		b.start()
-		w.engines = append(w.engines, b)
-		w.byName[b.name] = b
+		engine.start()
+		em.engines = append(em.engines, engine)
+		em.engineByName[engine.name] = engine
 	}
-	for i := range w.d.Nodes {
+	for i := range em.scenario.Routers {
 		mine := *d
 		mine.NodeNumber, mine.NodeName = i, fmt.Sprint("n", i)
-		e := &edge{w: w, n: i}
-		e.core = router.New(&mine, chatapi.NewCodec(nil), w.d.Seed*1000+uint64(i), 1, w.now, e, quiet{})
-		w.nodes = append(w.nodes, e)
+		e := &simulatedRouter{emulation: em, index: i}
+		e.core = router.New(&mine, chatapi.NewCodec(nil), em.scenario.Seed*1000+uint64(i), 1, em.now, e, ignoreObservations{})
+		em.routers = append(em.routers, e)
 	}
-	w.publish()
+	em.publish()
 }
 
 // publish hands the list to all nodes, half a second late and not all at once.
-func (w *world) publish() {
-	w.list++
-	list := endpoint.List{Revision: w.list, Entries: []endpoint.Entry{}}
-	for _, b := range w.engines {
-		if b.gone {
+func (em *emulation) publish() {
+	em.listRevision++
+	list := endpoint.List{Revision: em.listRevision, Entries: []endpoint.Entry{}}
+	for _, engine := range em.engines {
+		if engine.unlisted {
 			continue
 		}
-		e := endpoint.Entry{ID: b.name, Kind: "prefill", Weight: 1, State: endpoint.Ready,
-			StartedAtMs: b.began / 1e6}
-		if b.role == "write" {
+		e := endpoint.Entry{ID: engine.name, Kind: "prefill", Weight: 1, State: endpoint.Ready,
+			StartedAtMs: engine.coldSince / 1e6}
+		if engine.role == "write" {
 			e.Kind = "decode"
 		}
-		if b.drains {
+		if engine.draining {
 			e.State = endpoint.Draining
 		}
 		list.Entries = append(list.Entries, e)
 	}
-	for _, e := range w.nodes {
+	for _, e := range em.routers {
 		late := time.Duration(0)
-		if w.list > 1 {
-			late = 400*time.Millisecond + time.Duration(w.rng.IntN(200))*time.Millisecond
+		if em.listRevision > 1 {
+			late = 400*time.Millisecond + time.Duration(em.random.IntN(200))*time.Millisecond
 		}
-		w.after(late, func() { e.do(func(o *router.Router) { o.UpdateEndpoints(list) }) })
+		em.schedule(late, func() { e.handle(func(o *router.Router) { o.UpdateEndpoints(list) }) })
 	}
 }
 
-// do hands an event to the core and sets its next turn. What the event itself leads to waits its turn.
-func (e *edge) do(event func(o *router.Router)) {
-	e.later = append(e.later, event)
-	if e.in {
+// handle hands an event to the core and sets its next turn. What the event itself leads to waits its turn.
+func (r *simulatedRouter) handle(event func(o *router.Router)) {
+	r.pending = append(r.pending, event)
+	if r.handling {
 		return
 	}
-	e.in = true
-	for len(e.later) > 0 {
-		next := e.later[0]
-		e.later = e.later[1:]
-		e.core.SetTime(e.w.now)
-		next(e.core)
-		e.core.RunDue(e.w.now)
+	r.handling = true
+	for len(r.pending) > 0 {
+		next := r.pending[0]
+		r.pending = r.pending[1:]
+		r.core.SetTime(r.emulation.now)
+		next(r.core)
+		r.core.RunDue(r.emulation.now)
 	}
-	e.in = false
-	if due := max(e.core.NextDue(), e.w.now+1); e.wake == 0 || due < e.wake {
-		e.wake = due
-		e.w.at(due, func() {
-			if e.wake == due {
-				e.wake = 0
-				e.do(func(*router.Router) {})
+	r.handling = false
+	if due := max(r.core.NextDue(), r.emulation.now+1); r.wakeAt == 0 || due < r.wakeAt {
+		r.wakeAt = due
+		r.emulation.scheduleAt(due, func() {
+			if r.wakeAt == due {
+				r.wakeAt = 0
+				r.handle(func(*router.Router) {})
 			}
 		})
 	}
 }
 
 // SendToPeer is node.Wire's: these nodes tell one another nothing.
-func (e *edge) SendToPeer(int, string) {}
+func (e *simulatedRouter) SendToPeer(int, string) {}
 
 // Dial is node.Wire's.
-func (e *edge) Dial(core *router.EngineConnection) {
-	b := e.w.byName[core.Engine]
-	if b == nil || !b.up {
-		e.w.after(way, func() {
-			e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("refused")) })
+func (r *simulatedRouter) Dial(core *router.EngineConnection) {
+	engine := r.emulation.engineByName[core.Engine]
+	if engine == nil || !engine.up {
+		r.emulation.schedule(networkDelay, func() {
+			r.handle(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("refused")) })
 		})
 		return
 	}
-	if b.silent {
-		e.w.after(250*time.Millisecond, func() {
-			e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("no answer")) })
+	if engine.unresponsive {
+		r.emulation.schedule(250*time.Millisecond, func() {
+			r.handle(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("no answer")) })
 		})
 		return
 	}
-	e.w.seq++
-	l := &line{id: e.w.seq, core: core, node: e, box: b}
-	b.lines[l] = true
-	e.w.after(way, func() {
-		if !l.closed {
-			e.do(func(o *router.Router) { o.EngineConnected(core, l, nil) })
+	r.emulation.sequence++
+	c := &connection{id: r.emulation.sequence, core: core, router: r, engine: engine}
+	engine.connections[c] = true
+	r.emulation.schedule(networkDelay, func() {
+		if !c.closed {
+			r.handle(func(o *router.Router) { o.EngineConnected(core, c, nil) })
 			return
 		}
-		e.do(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("reset")) })
+		r.handle(func(o *router.Router) { o.EngineConnected(core, nil, errors.New("reset")) })
 	})
 }
 
-func sorted(lines map[*line]bool) (row []*line) {
-	for l := range lines {
-		row = append(row, l)
+func sortedByID(lines map[*connection]bool) (list []*connection) {
+	for connection := range lines {
+		list = append(list, connection)
 	}
-	slices.SortFunc(row, func(a, b *line) int { return cmp.Compare(a.id, b.id) })
-	return row
+	slices.SortFunc(list, func(a, engine *connection) int { return cmp.Compare(a.id, engine.id) })
+	return list
 }
 
-// reset breaks a connection from the engine's side.
-func (l *line) reset() {
-	if l.closed {
+// resetByEngine breaks a connection from the engine's side.
+func (c *connection) resetByEngine() {
+	if c.closed {
 		return
 	}
-	l.Close()
-	l.node.w.after(way, func() { l.node.do(func(o *router.Router) { o.EngineDisconnected(l.core) }) })
+	c.Close()
+	c.router.emulation.schedule(networkDelay, func() { c.router.handle(func(o *router.Router) { o.EngineDisconnected(c.core) }) })
 }
 
 // Write is node.LineSocket's.
-func (l *line) Write(request []byte) error {
-	if l.closed {
+func (c *connection) Write(data []byte) error {
+	if c.closed {
 		return io.ErrClosedPipe
 	}
-	pieces, err := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}).Feed(request)
+	pieces, err := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}).Feed(data)
 	if err != nil || len(pieces) == 0 {
 		return fmt.Errorf("lab: what the node writes is no request: %w", err)
 	}
@@ -217,251 +217,251 @@
 			body = append(body, p.Data...)
 		}
 	}
-	w := l.node.w
-	j := &job{l: l, name: head.Header.Get(chat.HeaderRequestID), send: head.Header.Get(engineapi.HeaderAttempt)}
-	l.job = j
+	em := c.router.emulation
+	request := &engineRequest{connection: c, requestID: head.Header.Get(chat.HeaderRequestID), attempt: head.Header.Get(engineapi.HeaderAttempt)}
+	c.request = request
 	switch head.URL.Path {
 	case engineapi.LoadPath:
-		w.after(way, func() {
-			b, life := l.box, l.box.life
-			b.speak(life, func() { j.whole(node200(b), []byte("{}")) })
+		em.schedule(networkDelay, func() {
+			engine, life := c.engine, c.engine.incarnation
+			engine.respond(life, func() { request.complete(okHead(engine), []byte("{}")) })
 		})
 	case engineapi.ReleasePath:
-		var r struct {
+		var release struct {
 			Inference string
 			Send      int
 		}
-		if json.Unmarshal(body, &r) == nil {
-			w.after(way, func() {
-				b, life := l.box, l.box.life
-				b.speak(life, func() {
-					delete(b.states, fmt.Sprint(r.Inference, "/", r.Send))
-					j.whole(node200(b), []byte("{}"))
+		if json.Unmarshal(body, &release) == nil {
+			em.schedule(networkDelay, func() {
+				engine, life := c.engine, c.engine.incarnation
+				engine.respond(life, func() {
+					delete(engine.reservations, fmt.Sprint(release.Inference, "/", release.Send))
+					request.complete(okHead(engine), []byte("{}"))
 				})
 			})
 		}
 	default:
-		j.ask = w.asks[head.Header.Get(chat.HeaderClientRequestID)]
-		if j.ask == nil {
+		request.clientRequest = em.requests[head.Header.Get(chat.HeaderClientRequestID)]
+		if request.clientRequest == nil {
 			return errors.New("lab: a send that nobody asked for")
 		}
 		if bytes.Contains(body, []byte(`"do_remote_prefill":true`)) {
-			j.writes = true
-			var a struct {
+			request.decode = true
+			var prefilled struct {
 				Transfer engineapi.KVTransfer `json:"kv_transfer_params"`
 			}
-			if err := json.Unmarshal(body, &a); err != nil {
+			if err := json.Unmarshal(body, &prefilled); err != nil {
 				return err
 			}
-			j.state, j.reader = a.Transfer.Engine, w.byName[fmt.Sprint(a.Transfer.Host, ":", a.Transfer.Port)]
+			request.reservation, request.prefillEngine = prefilled.Transfer.Engine, em.engineByName[fmt.Sprint(prefilled.Transfer.Host, ":", prefilled.Transfer.Port)]
 		}
-		w.after(way, func() {
-			if !l.closed && l.box.up {
-				l.box.take(j)
+		em.schedule(networkDelay, func() {
+			if !c.closed && c.engine.up {
+				c.engine.accept(request)
 			}
 		})
 	}
 	return nil
 }
 
-func node200(b *box) *http.Response { return head(http.StatusOK, b.report()) }
+func okHead(engine *engine) *http.Response { return responseHead(http.StatusOK, engine.loadReport()) }
 
 // RequestWritten is node.LineSocket's.
-func (l *line) RequestWritten() bool { return true }
+func (connection *connection) RequestWritten() bool { return true }
 
 // Close is node.LineSocket's, and aborts what the engine does for it.
-func (l *line) Close() {
-	l.closed = true
-	delete(l.box.lines, l)
-	if l.job != nil {
-		l.job.over = true
+func (c *connection) Close() {
+	c.closed = true
+	delete(c.engine.connections, c)
+	if c.request != nil {
+		c.request.finished = true
 	}
 }
 
 // ---- clients
 
 // nextArrival sets the next first try, by a Poisson process of the day's rate.
-func (w *world) nextArrival(n int) {
-	gap := w.rng.ExpFloat64() / max(w.d.Rate*w.burst, 1e-6)
-	w.after(time.Duration(gap*1e9), func() {
-		if w.now >= beginning+int64(w.d.Length) {
+func (em *emulation) nextArrival(n int) {
+	gap := em.random.ExpFloat64() / max(em.scenario.RequestRate*em.rateFactor, 1e-6)
+	em.schedule(time.Duration(gap*1e9), func() {
+		if em.now >= startTime+int64(em.scenario.Length) {
 			return
 		}
-		w.arrive(n)
-		w.nextArrival(n + 1)
+		em.startSession(n)
+		em.nextArrival(n + 1)
 	})
 }
 
-// arrive is a client that asks for the first time, in a session of its own that may go on.
-func (w *world) arrive(n int) {
+// startSession is a client that asks for the first time, in a session of its own that may go on.
+func (em *emulation) startSession(n int) {
 	shares := 0.0
-	for _, r := range w.d.Routes {
+	for _, r := range em.scenario.Routes {
 		shares += r.Share
 	}
-	pick, route := w.rng.Float64()*shares, len(w.d.Routes)-1
-	for i, r := range w.d.Routes {
+	pick, route := em.random.Float64()*shares, len(em.scenario.Routes)-1
+	for i, r := range em.scenario.Routes {
 		if pick -= r.Share; pick < 0 {
 			route = i
 			break
 		}
 	}
 	// Zipf of exponent one: the k-th beginning is used in proportion to 1/k.
-	rank := int(math.Exp(w.rng.Float64()*math.Log(float64(max(1, w.d.Beginnings))+1))) - 1
-	w.turn(route, fmt.Sprint("s", n), fmt.Sprint("b", route, "-", rank), w.d.Shared, max(1, w.d.Turns))
+	rank := int(math.Exp(em.random.Float64()*math.Log(float64(max(1, em.scenario.Prefixes))+1))) - 1
+	em.startTurn(route, fmt.Sprint("s", n), fmt.Sprint("b", route, "-", rank), em.scenario.PrefixTokens, max(1, em.scenario.Turns))
 }
 
-// turn is one turn of a session; the next comes some seconds after.
-func (w *world) turn(route int, session, begins string, before float64, left int) {
-	r := w.d.Routes[route]
-	own := max(8, r.Prompt*w.rng.ExpFloat64())
-	a := &ask{w: w, id: fmt.Sprint(session, ".", left), route: route, prompt: math.Round(before + own),
-		begins: begins, session: session, first: w.now,
-		answer: max(2, math.Round(r.Answer*w.rng.ExpFloat64()))}
-	w.res.Offered += r.Value
-	w.offered[r.Name] += r.Value
-	w.valueOf[w.windowOf(a)] += r.Value
-	w.send(a)
+// startTurn is one turn of a session; the next comes some seconds after.
+func (em *emulation) startTurn(routeIndex int, session, prefix string, before float64, left int) {
+	route := em.scenario.Routes[routeIndex]
+	own := max(8, route.PromptTokens*em.random.ExpFloat64())
+	r := &clientRequest{emulation: em, id: fmt.Sprint(session, ".", left), route: routeIndex, promptTokens: math.Round(before + own),
+		prefix: prefix, session: session, firstSentAt: em.now,
+		answerTokens: max(2, math.Round(route.AnswerTokens*em.random.ExpFloat64()))}
+	em.result.Offered += route.PriorityWeight
+	em.offeredByRoute[route.Name] += route.PriorityWeight
+	em.offeredByWindow[em.windowOf(r)] += route.PriorityWeight
+	em.sendAttempt(r)
 	if left > 1 {
-		w.after(time.Duration(2+4*w.rng.Float64())*time.Second, func() {
-			if w.now < beginning+int64(w.d.Length) {
-				w.turn(route, session, begins, a.prompt+a.answer, left-1)
+		em.schedule(time.Duration(2+4*em.random.Float64())*time.Second, func() {
+			if em.now < startTime+int64(em.scenario.Length) {
+				em.startTurn(routeIndex, session, prefix, r.promptTokens+r.answerTokens, left-1)
 			}
 		})
 	}
 }
 
-func (w *world) windowOf(a *ask) int {
-	return min(int((a.first-beginning)/int64(window)), len(w.valueOf)-1)
+func (em *emulation) windowOf(r *clientRequest) int {
+	return min(int((r.firstSentAt-startTime)/int64(windowLength)), len(em.offeredByWindow)-1)
 }
 
-// send is one try, at a node that the front layer picks.
-func (w *world) send(a *ask) {
-	r := w.d.Routes[a.route]
-	e := w.nodes[w.rng.IntN(len(w.nodes))]
-	w.res.Tries++
-	a.id = fmt.Sprint(a.id, "'") // each try by a name of its own, as engines know it
-	w.asks[a.id] = a
-	a.node, a.at, a.out, a.began, a.ended = e, w.now, nil, false, false
-	e.clients++
-	c := &router.ClientConnection{ID: e.clients}
-	c.Socket = &client{a: a, c: c}
-	a.core = c
+// sendAttempt is one try, at a node that the front layer picks.
+func (em *emulation) sendAttempt(r *clientRequest) {
+	route := em.scenario.Routes[r.route]
+	target := em.routers[em.random.IntN(len(em.routers))]
+	em.result.Attempts++
+	r.id = fmt.Sprint(r.id, "'") // each try by a name of its own, as engines know it
+	em.requests[r.id] = r
+	r.router, r.sentAt, r.responseHead, r.streaming, r.ended = target, em.now, nil, false, false
+	target.clientCount++
+	client := &router.ClientConnection{ID: target.clientCount}
+	client.Socket = &clientSocket{request: r, client: client}
+	r.client = client
 	request, err := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	if err != nil {
 		panic(err) // of constants
 	}
-	call := &chat.Request{Model: r.Name, Session: a.session, PrefixHash: a.begins, PromptTokens: int(a.prompt),
-		PrefixTokens:    int(w.d.Shared),
-		MaxOutputTokens: int(a.answer) + 1, Stream: true, ClientRequestID: a.id, FirstTokenTimeout: r.Timeout, RetryCount: a.try}
-	w.after(way, func() {
-		e.do(func(o *router.Router) {
-			o.ClientOpened(c)
-			o.ReceiveRequest(c, &router.ClientRequest{Request: request, Call: chatapi.ToRequest(call), Bytes: 4 * int(a.prompt), Caller: a.session})
+	call := &chat.Request{Model: route.Name, Session: r.session, PrefixHash: r.prefix, PromptTokens: int(r.promptTokens),
+		PrefixTokens:    int(em.scenario.PrefixTokens),
+		MaxOutputTokens: int(r.answerTokens) + 1, Stream: true, ClientRequestID: r.id, FirstTokenTimeout: route.Timeout, RetryCount: r.attempt}
+	em.schedule(networkDelay, func() {
+		target.handle(func(o *router.Router) {
+			o.ClientOpened(client)
+			o.ReceiveRequest(client, &router.ClientRequest{Request: request, Call: chatapi.ToRequest(call), Bytes: 4 * int(r.promptTokens), Caller: r.session})
 		})
 	})
-	try := a.try
-	w.after(r.Timeout, func() {
-		if !a.ended && !a.began && a.try == try {
-			a.end("left")
-			e.do(func(o *router.Router) { o.ClientDisconnected(c) })
+	try := r.attempt
+	em.schedule(route.Timeout, func() {
+		if !r.ended && !r.streaming && r.attempt == try {
+			r.finish("left")
+			target.handle(func(o *router.Router) { o.ClientDisconnected(client) })
 		}
 	})
 }
 
-// client is a client's end of its connection.
-type client struct {
-	a *ask
-	c *router.ClientConnection
+// clientSocket is a client's end of its connection.
+type clientSocket struct {
+	request *clientRequest
+	client  *router.ClientConnection
 }
 
 // Send is node.ClientSocket's: what reaches the client.
-func (k *client) Send(data []byte) error {
-	a := k.a
-	if a.ended || a.core != k.c {
+func (c *clientSocket) Send(data []byte) error {
+	r := c.request
+	if r.ended || r.client != c.client {
 		return nil
 	}
-	if a.out == nil {
-		a.out = append(a.out, data...) // the head says all but the end
+	if r.responseHead == nil {
+		r.responseHead = append(r.responseHead, data...) // the head says all but the end
 	}
 	text := string(data)
-	if strings.HasPrefix(string(a.out), "HTTP/1.1 200") {
-		if !a.began {
-			a.began = true
-			a.w.first(a)
+	if strings.HasPrefix(string(r.responseHead), "HTTP/1.1 200") {
+		if !r.streaming {
+			r.streaming = true
+			r.emulation.recordFirstToken(r)
 		}
 		switch {
 		case strings.Contains(text, "data: [DONE]"):
-			a.end("completed")
+			r.finish("completed")
 		case strings.Contains(text, `data: {"error"`):
-			a.end("errored")
+			r.finish("errored")
 		}
 		return nil
 	}
 	if strings.Contains(text, chat.HeaderOutcome+": shed") {
 		if !strings.Contains(text, chat.HeaderRequestID) {
-			a.w.res.Refused++
+			r.emulation.result.Rejected++
 		}
-		a.end("shed")
+		r.finish("shed")
 	} else {
-		a.end("errored")
+		r.finish("errored")
 	}
 	return nil
 }
 
 // Flushed, StopReading, Gone, TryClose and Close are node.ClientSocket's.
-func (k *client) Flushed() bool      { return true }
-func (k *client) StopReading()       {}
-func (k *client) Disconnected() bool { return false }
-func (k *client) CloseIfIdle() bool  { return true }
-func (k *client) Close()             {}
+func (k *clientSocket) Flushed() bool      { return true }
+func (c *clientSocket) StopReading()       {}
+func (k *clientSocket) Disconnected() bool { return false }
+func (k *clientSocket) CloseIfIdle() bool  { return true }
+func (c *clientSocket) Close()             {}
 
-func (w *world) first(a *ask) {
-	w.firsts = append(w.firsts, w.now-a.at)
-	a.firstAt, a.read = w.now, 0
+func (em *emulation) recordFirstToken(r *clientRequest) {
+	em.firstTokenTimes = append(em.firstTokenTimes, em.now-r.sentAt)
+	r.firstTokenAt, r.prefilledTokens = em.now, 0
 }
 
-// end is the end of one try. Its client tries again where that is harmless, as often as the day says.
-func (a *ask) end(final string) {
-	w, r := a.w, a.w.d.Routes[a.route]
-	a.ended = true
-	w.res.Finals[final]++
-	w.res.Wasted += a.read
-	a.read = 0
-	c, e := a.core, a.node
-	w.after(way, func() { e.do(func(o *router.Router) { o.ClientDisconnected(c) }) })
+// finish is the end of one try. Its client tries again where that is harmless, as often as the day says.
+func (r *clientRequest) finish(final string) {
+	em, route := r.emulation, r.emulation.scenario.Routes[r.route]
+	r.ended = true
+	em.result.Outcomes[final]++
+	em.result.WastedTokens += r.prefilledTokens
+	r.prefilledTokens = 0
+	c, target := r.client, r.router
+	em.schedule(networkDelay, func() { target.handle(func(o *router.Router) { o.ClientDisconnected(c) }) })
 	if final == "completed" {
 		// In time is by the client's first try: a retry's patience began there.
-		if time.Duration(a.firstAt-a.first) <= r.Target {
-			w.res.InTime += r.Value
-			w.got[r.Name] += r.Value
-			w.gotIn[w.windowOf(a)] += r.Value
+		if time.Duration(r.firstTokenAt-r.firstSentAt) <= route.FirstTokenTarget {
+			em.result.CompletedInTime += route.PriorityWeight
+			em.inTimeByRoute[route.Name] += route.PriorityWeight
+			em.inTimeByWindow[em.windowOf(r)] += route.PriorityWeight
 		}
 		return
 	}
-	again := final == "shed" || r.Effect == "retriable" && final != "completed"
-	if !again || a.try >= w.d.Retries {
+	retry := final == "shed" || route.Effect == "retriable" && final != "completed"
+	if !retry || r.attempt >= em.scenario.Retries {
 		return
 	}
-	pause := 500*time.Millisecond + time.Duration(w.rng.IntN(500))*time.Millisecond
-	w.after(pause, func() {
-		a.try++
-		w.send(a)
+	pause := 500*time.Millisecond + time.Duration(em.random.IntN(500))*time.Millisecond
+	em.schedule(pause, func() {
+		r.attempt++
+		em.sendAttempt(r)
 	})
 }
 
-// quiet is a node.Watch that hears nothing.
-type quiet struct{}
+// ignoreObservations is a node.Watch that hears nothing.
+type ignoreObservations struct{}
 
-func (quiet) AroundStep(_ routing.Event, step func())          { step() }
-func (quiet) PolicyPanicked(p any, _ routing.Event, _ []byte)  { panic(p) }
-func (quiet) RequestFinished(router.RequestSummary)            {}
-func (quiet) RequestShed(router.ShedRequest)                   {}
-func (quiet) AttemptEnded(router.AttemptSummary)               {}
-func (quiet) AttemptBlocked(string, invariant.Reason)          {}
-func (quiet) InvariantViolated(invariant.Violation)            {}
-func (quiet) ClientClosed(int64, router.CloseReason)           {}
-func (quiet) ConnectionChanged(string, router.ConnectionEvent) {}
-func (quiet) FirstToken(string, time.Duration, int)            {}
-func (quiet) Rejected(string)                                  {}
-func (quiet) ReservationChanged(router.ReservationEvent)       {}
-func (quiet) EndpointsUpdated(int64, int, []string)            {}
+func (ignoreObservations) AroundStep(_ routing.Event, step func())          { step() }
+func (ignoreObservations) PolicyPanicked(p any, _ routing.Event, _ []byte)  { panic(p) }
+func (ignoreObservations) RequestFinished(router.RequestSummary)            {}
+func (ignoreObservations) RequestShed(router.ShedRequest)                   {}
+func (ignoreObservations) AttemptEnded(router.AttemptSummary)               {}
+func (ignoreObservations) AttemptBlocked(string, invariant.Reason)          {}
+func (ignoreObservations) InvariantViolated(invariant.Violation)            {}
+func (ignoreObservations) ClientClosed(int64, router.CloseReason)           {}
+func (ignoreObservations) ConnectionChanged(string, router.ConnectionEvent) {}
+func (ignoreObservations) FirstToken(string, time.Duration, int)            {}
+func (ignoreObservations) Rejected(string)                                  {}
+func (ignoreObservations) ReservationChanged(router.ReservationEvent)       {}
+func (ignoreObservations) EndpointsUpdated(int64, int, []string)            {}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -11,325 +11,325 @@
 	"sandcourse/internal/router"
 )
 
-// box is one engine.
-type box struct {
-	w      *world
-	name   string
-	role   string
-	up     bool
-	gone   bool // not listed
-	drains bool
-	silent bool
-	slow   float64
-	life   int
-	began  int64 // of this life if it counts as cold, else 0
+// engine is one engine.
+type engine struct {
+	emulation    *emulation
+	name         string
+	role         string
+	up           bool
+	unlisted     bool // not listed
+	draining     bool
+	unresponsive bool
+	slowdown     float64
+	incarnation  int
+	coldSince    int64 // of this life if it counts as cold, else 0
 
-	busy    int
-	waiting []*job
-	stuck   []func() // what waits while it is silent
-	memory  float64
-	toRead  float64
-	states  map[string]float64 // tokens, by inference and send
-	kept    map[string]float64
-	recent  []int64
-	lines   map[*line]bool
+	busySlots           int
+	queue               []*engineRequest
+	delayed             []func() // what waits while it is silent
+	usedTokens          float64
+	queuedPrefillTokens float64
+	reservations        map[string]float64 // tokens, by inference and send
+	cached              map[string]float64
+	recentAttempts      []int64
+	connections         map[*connection]bool
 }
 
-// job is one request that the engine has taken.
-type job struct {
-	l      *line
-	ask    *ask
-	name   string // of the inference
-	send   string
-	state  string // to fetch
-	reader *box
-	writes bool
-	over   bool
-	life   int
+// engineRequest is one request that the engine has taken.
+type engineRequest struct {
+	connection    *connection
+	clientRequest *clientRequest
+	requestID     string // of the inference
+	attempt       string
+	reservation   string // to fetch
+	prefillEngine *engine
+	decode        bool
+	finished      bool
+	incarnation   int
 }
 
-func (b *box) slots() int {
-	if b.role == "read" {
-		return b.w.d.Engine.ReadSlots
+func (e *engine) slots() int {
+	if e.role == "read" {
+		return e.emulation.scenario.Engine.PrefillSlots
 	}
-	return b.w.d.Engine.WriteSlots
+	return e.emulation.scenario.Engine.DecodeSlots
 }
 
-// part is the share of its work that it can do now.
-func (b *box) part() float64 {
-	e, share := b.w.d.Engine, 1.0
-	if since := time.Duration(b.w.now - b.began); b.began > 0 && since < e.Cold {
-		share = e.ColdShare + (1-e.ColdShare)*float64(since)/float64(e.Cold)
+// speed is the share of its work that it can do now.
+func (e *engine) speed() float64 {
+	model, share := e.emulation.scenario.Engine, 1.0
+	if since := time.Duration(e.emulation.now - e.coldSince); e.coldSince > 0 && since < model.WarmUp {
+		share = model.WarmUpShare + (1-model.WarmUpShare)*float64(since)/float64(model.WarmUp)
 	}
-	return share / max(1, b.slow)
+	return share / max(1, e.slowdown)
 }
 
-func (b *box) start() {
-	b.up, b.silent, b.life = true, false, b.life+1
-	b.busy, b.waiting, b.stuck, b.memory, b.toRead = 0, nil, nil, 0, 0
-	b.states, b.kept, b.recent = map[string]float64{}, map[string]float64{}, nil
-	if b.life > 1 {
-		b.began = b.w.now
+func (e *engine) start() {
+	e.up, e.unresponsive, e.incarnation = true, false, e.incarnation+1
+	e.busySlots, e.queue, e.delayed, e.usedTokens, e.queuedPrefillTokens = 0, nil, nil, 0, 0
+	e.reservations, e.cached, e.recentAttempts = map[string]float64{}, map[string]float64{}, nil
+	if e.incarnation > 1 {
+		e.coldSince = e.emulation.now
 	}
 }
 
-func (b *box) crash() {
-	if !b.up {
+func (e *engine) crash() {
+	if !e.up {
 		return
 	}
-	b.up = false
-	clear(b.states)
-	for _, l := range sorted(b.lines) {
-		l.reset()
+	e.up = false
+	clear(e.reservations)
+	for _, c := range sortedByID(e.connections) {
+		c.resetByEngine()
 	}
 }
 
-func (b *box) wake() {
-	b.silent = false
-	row := b.stuck
-	b.stuck = nil
-	for _, do := range row {
+func (e *engine) resume() {
+	e.unresponsive = false
+	list := e.delayed
+	e.delayed = nil
+	for _, do := range list {
 		do()
 	}
 }
 
-// speak does something that the engine says now, or once it is not silent any more.
-func (b *box) speak(life int, do func()) {
-	if b.life != life || !b.up {
+// respond does something that the engine says now, or once it is not silent any more.
+func (e *engine) respond(life int, do func()) {
+	if e.incarnation != life || !e.up {
 		return
 	}
-	if b.silent {
-		b.stuck = append(b.stuck, func() { b.speak(life, do) })
+	if e.unresponsive {
+		e.delayed = append(e.delayed, func() { e.respond(life, do) })
 		return
 	}
 	do()
 }
 
-func (b *box) report() http.Header {
+func (e *engine) loadReport() http.Header {
 	h := http.Header{}
-	h.Set(engineapi.HeaderMemoryShare, strconv.FormatFloat(b.memory/b.w.d.Engine.Memory, 'f', 3, 64))
-	h.Set(engineapi.HeaderWaitingTokens, strconv.FormatFloat(b.toRead/1000, 'f', 3, 64))
-	h.Set(engineapi.HeaderOpenRequests, strconv.Itoa(b.busy+len(b.waiting)+len(b.states)))
+	h.Set(engineapi.HeaderMemoryShare, strconv.FormatFloat(e.usedTokens/e.emulation.scenario.Engine.MemoryTokens, 'f', 3, 64))
+	h.Set(engineapi.HeaderWaitingTokens, strconv.FormatFloat(e.queuedPrefillTokens/1000, 'f', 3, 64))
+	h.Set(engineapi.HeaderOpenRequests, strconv.Itoa(e.busySlots+len(e.queue)+len(e.reservations)))
 	return h
 }
 
-func head(status int, h http.Header) *http.Response {
+func responseHead(status int, h http.Header) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: h}
 }
 
-// press counts a send; a cold engine that gets too many falls over. As the stand-ins do, with what it does
+// countAttempt counts a send; a cold engine that gets too many falls over. As the stand-ins do, with what it does
 // when warm reckoned from its slots and the day's mean work.
-func (b *box) press() {
-	w := b.w
-	b.recent = append(b.recent, w.now)
-	for len(b.recent) > 0 && w.now-b.recent[0] > int64(time.Second) {
-		b.recent = b.recent[1:]
+func (e *engine) countAttempt() {
+	em := e.emulation
+	e.recentAttempts = append(e.recentAttempts, em.now)
+	for len(e.recentAttempts) > 0 && em.now-e.recentAttempts[0] > int64(time.Second) {
+		e.recentAttempts = e.recentAttempts[1:]
 	}
-	if b.began == 0 || time.Duration(w.now-b.began) >= w.d.Engine.Cold {
+	if e.coldSince == 0 || time.Duration(em.now-e.coldSince) >= em.scenario.Engine.WarmUp {
 		return
 	}
-	if float64(len(b.recent)) > 3*w.warmRate(b.role)*b.part()+2 {
-		w.res.Pushed++
-		b.crash()
+	if float64(len(e.recentAttempts)) > 3*em.warmRate(e.role)*e.speed()+2 {
+		em.result.Overloaded++
+		e.crash()
 	}
 }
 
 // warmRate is how many sends a second a warm engine of a role can do of the day's mix.
-func (w *world) warmRate(role string) float64 {
+func (em *emulation) warmRate(role string) float64 {
 	work, shares := 0.0, 0.0
-	for _, r := range w.d.Routes {
+	for _, r := range em.scenario.Routes {
 		shares += r.Share
 		if role == "read" {
-			work += r.Share * (r.Prompt + w.d.Shared/4) / w.d.Engine.ReadPace
+			work += r.Share * (r.PromptTokens + em.scenario.PrefixTokens/4) / em.scenario.Engine.PrefillRate
 		} else {
-			work += r.Share * r.Answer * w.d.Engine.TokenTime.Seconds() * (1 + w.d.Engine.Batch)
+			work += r.Share * r.AnswerTokens * em.scenario.Engine.TokenTime.Seconds() * (1 + em.scenario.Engine.BatchSlowdown)
 		}
 	}
-	slots := w.d.Engine.ReadSlots
+	slots := em.scenario.Engine.PrefillSlots
 	if role != "read" {
-		slots = w.d.Engine.WriteSlots
+		slots = em.scenario.Engine.DecodeSlots
 	}
 	return float64(slots) * shares / work
 }
 
-func (b *box) take(j *job) {
-	w := b.w
-	b.press()
-	if !b.up {
+func (e *engine) accept(request *engineRequest) {
+	em := e.emulation
+	e.countAttempt()
+	if !e.up {
 		return
 	}
-	j.life = b.life
+	request.incarnation = e.incarnation
 	refuse := func(status int, why string) {
-		h := b.report()
+		h := e.loadReport()
 		h.Set(engineapi.HeaderRejected, why)
-		b.speak(j.life, func() { j.whole(head(status, h), nil) })
+		e.respond(request.incarnation, func() { request.complete(responseHead(status, h), nil) })
 	}
 	switch {
-	case b.drains:
+	case e.draining:
 		refuse(http.StatusServiceUnavailable, engineapi.RejectedDraining)
-	case j.writes != (b.role == "write"):
+	case request.decode != (e.role == "write"):
 		refuse(http.StatusConflict, engineapi.RejectedRole)
-	case len(b.waiting) >= w.d.Engine.Queue:
+	case len(e.queue) >= em.scenario.Engine.QueueLimit:
 		refuse(http.StatusTooManyRequests, engineapi.RejectedFull)
 	default:
-		if !j.writes {
-			b.toRead += j.ask.prompt
+		if !request.decode {
+			e.queuedPrefillTokens += request.clientRequest.promptTokens
 		}
-		b.waiting = append(b.waiting, j)
-		b.next()
+		e.queue = append(e.queue, request)
+		e.startQueued()
 	}
 }
 
-// next begins what waits, in turn, as far as slots and memory reach.
-func (b *box) next() {
-	for b.up && !b.silent && b.busy < b.slots() && len(b.waiting) > 0 {
-		j := b.waiting[0]
-		if j.writes && b.memory > 0 && b.memory+j.ask.prompt+j.ask.answer > b.w.d.Engine.Memory {
+// startQueued begins what waits, in turn, as far as slots and memory reach.
+func (e *engine) startQueued() {
+	for e.up && !e.unresponsive && e.busySlots < e.slots() && len(e.queue) > 0 {
+		request := e.queue[0]
+		if request.decode && e.usedTokens > 0 && e.usedTokens+request.clientRequest.promptTokens+request.clientRequest.answerTokens > e.emulation.scenario.Engine.MemoryTokens {
 			return
 		}
-		b.waiting = b.waiting[1:]
-		if j.over {
-			if !j.writes {
-				b.toRead -= j.ask.prompt
+		e.queue = e.queue[1:]
+		if request.finished {
+			if !request.decode {
+				e.queuedPrefillTokens -= request.clientRequest.promptTokens
 			}
 			continue
 		}
-		b.busy++
-		if j.writes {
-			b.write(j)
+		e.busySlots++
+		if request.decode {
+			e.decode(request)
 		} else {
-			b.read(j)
+			e.prefill(request)
 		}
 	}
-	if b.silent && len(b.waiting) > 0 {
-		life := b.life
-		b.stuck = append(b.stuck, func() {
-			if b.life == life {
-				b.next()
+	if e.unresponsive && len(e.queue) > 0 {
+		life := e.incarnation
+		e.delayed = append(e.delayed, func() {
+			if e.incarnation == life {
+				e.startQueued()
 			}
 		})
 	}
 }
 
-func (b *box) read(j *job) {
-	w := b.w
+func (e *engine) prefill(request *engineRequest) {
+	em := e.emulation
 	kept := 0.0
-	if b.kept[j.ask.begins] > 0 {
-		kept = w.d.Shared
+	if e.cached[request.clientRequest.prefix] > 0 {
+		kept = em.scenario.PrefixTokens
 	}
-	if b.kept[j.ask.session] > 0 {
-		kept = max(kept, min(b.kept[j.ask.session], j.ask.prompt))
+	if e.cached[request.clientRequest.session] > 0 {
+		kept = max(kept, min(e.cached[request.clientRequest.session], request.clientRequest.promptTokens))
 	}
-	took := time.Duration((j.ask.prompt - kept) / (w.d.Engine.ReadPace * b.part()) * 1e9)
-	w.after(took+2*time.Millisecond, func() {
-		b.speak(j.life, func() {
-			b.busy--
-			b.toRead -= j.ask.prompt
-			defer b.next()
-			if j.over && j.l.closed { // its node has closed the connection: a read that runs ends, and holds
-				b.hold(j)
+	took := time.Duration((request.clientRequest.promptTokens - kept) / (em.scenario.Engine.PrefillRate * e.speed()) * 1e9)
+	em.schedule(took+2*time.Millisecond, func() {
+		e.respond(request.incarnation, func() {
+			e.busySlots--
+			e.queuedPrefillTokens -= request.clientRequest.promptTokens
+			defer e.startQueued()
+			if request.finished && request.connection.closed { // its node has closed the connection: a read that runs ends, and holds
+				e.reserve(request)
 				return
 			}
-			w.res.Reads += j.ask.prompt - kept
-			w.res.Kept += kept
-			j.ask.read += j.ask.prompt - kept
-			b.kept[j.ask.begins], b.kept[j.ask.session] = w.d.Shared, j.ask.prompt
-			if len(b.kept) > 4000 { // as much as its memory keeps; the oldest would go first, here all go
-				clear(b.kept)
+			em.result.PrefillTokens += request.clientRequest.promptTokens - kept
+			em.result.CachedTokens += kept
+			request.clientRequest.prefilledTokens += request.clientRequest.promptTokens - kept
+			e.cached[request.clientRequest.prefix], e.cached[request.clientRequest.session] = em.scenario.PrefixTokens, request.clientRequest.promptTokens
+			if len(e.cached) > 4000 { // as much as its memory keeps; the oldest would go first, here all go
+				clear(e.cached)
 			}
-			b.hold(j)
-			host, port, _ := strings.Cut(b.name, ":")
+			e.reserve(request)
+			host, port, _ := strings.Cut(e.name, ":")
 			body := fmt.Appendf(nil,
 				`{"usage":{"prompt_tokens_details":{"cached_tokens":%d}},"kv_transfer_params":{"do_remote_prefill":true,`+
-					`"remote_engine_id":%q,"remote_host":%q,"remote_port":%s}}`, int(kept), j.name+"/"+j.send,
+					`"remote_engine_id":%q,"remote_host":%q,"remote_port":%s}}`, int(kept), request.requestID+"/"+request.attempt,
 				host, port)
-			j.whole(head(http.StatusOK, b.report()), body)
+			request.complete(responseHead(http.StatusOK, e.loadReport()), body)
 		})
 	})
 }
 
-func (b *box) hold(j *job) {
-	key := j.name + "/" + j.send
-	b.states[key] = j.ask.prompt
-	life := b.life
-	b.w.after(8*time.Second, func() { // an engine's own time-out
-		if b.life == life {
-			delete(b.states, key)
+func (e *engine) reserve(request *engineRequest) {
+	key := request.requestID + "/" + request.attempt
+	e.reservations[key] = request.clientRequest.promptTokens
+	life := e.incarnation
+	e.emulation.schedule(8*time.Second, func() { // an engine's own time-out
+		if e.incarnation == life {
+			delete(e.reservations, key)
 		}
 	})
 }
 
-func (b *box) write(j *job) {
-	w := b.w
-	need := j.ask.prompt + j.ask.answer
-	b.memory += need
-	life := b.life
+func (e *engine) decode(request *engineRequest) {
+	em := e.emulation
+	need := request.clientRequest.promptTokens + request.clientRequest.answerTokens
+	e.usedTokens += need
+	life := e.incarnation
 	done := func() {
-		if b.life == life {
-			b.busy--
-			b.memory -= need
-			b.next()
+		if e.incarnation == life {
+			e.busySlots--
+			e.usedTokens -= need
+			e.startQueued()
 		}
 	}
 	tokens, ok := 0.0, false
-	if j.reader != nil && j.reader.up {
-		tokens, ok = j.reader.states[j.state]
+	if request.prefillEngine != nil && request.prefillEngine.up {
+		tokens, ok = request.prefillEngine.reservations[request.reservation]
 	}
 	if !ok {
-		h := b.report()
+		h := e.loadReport()
 		h.Set(engineapi.HeaderRejected, engineapi.RejectedNoReservation)
-		b.speak(life, func() { j.whole(head(http.StatusConflict, h), nil); done() })
+		e.respond(life, func() { request.complete(responseHead(http.StatusConflict, h), nil); done() })
 		return
 	}
-	w.after(time.Duration(tokens/w.d.Engine.Move*1e9), func() {
-		if b.life != life {
+	em.schedule(time.Duration(tokens/em.scenario.Engine.TransferRate*1e9), func() {
+		if e.incarnation != life {
 			return
 		}
-		delete(j.reader.states, j.state)
-		if j.over {
+		delete(request.prefillEngine.reservations, request.reservation)
+		if request.finished {
 			done()
 			return
 		}
-		b.stream(j, 0, done)
+		e.streamTokens(request, 0, done)
 	})
 }
 
-// stream gives an answer in parts: its first token, then some at a time, at least one each second.
-func (b *box) stream(j *job, given int, done func()) {
-	w := b.w
-	pace := time.Duration(float64(w.d.Engine.TokenTime) * (1 +
-		w.d.Engine.Batch*float64(b.busy)/float64(b.slots())) / b.part())
-	left := int(j.ask.answer) - given
+// streamTokens gives an answer in parts: its first token, then some at a time, at least one each second.
+func (e *engine) streamTokens(request *engineRequest, given int, done func()) {
+	em := e.emulation
+	pace := time.Duration(float64(em.scenario.Engine.TokenTime) * (1 +
+		em.scenario.Engine.BatchSlowdown*float64(e.busySlots)/float64(e.slots())) / e.speed())
+	left := int(request.clientRequest.answerTokens) - given
 	if given == 0 {
 		left = 1
 	}
 	part := max(1, min(left, int(time.Second/max(pace, 1))))
-	w.after(time.Duration(part)*pace, func() {
-		b.speak(j.life, func() {
-			if j.over {
+	em.schedule(time.Duration(part)*pace, func() {
+		e.respond(request.incarnation, func() {
+			if request.finished {
 				done()
 				return
 			}
 			if given == 0 {
-				j.ask.ran++
-				if j.ask.ran == 2 && w.d.Routes[j.ask.route].Effect == "non-retriable" {
-					w.res.Twice++
+				request.clientRequest.runs++
+				if request.clientRequest.runs == 2 && em.scenario.Routes[request.clientRequest.route].Effect == "non-retriable" {
+					em.result.RanTwice++
 				}
-				h := b.report()
+				h := e.loadReport()
 				h.Set("Content-Type", "text/event-stream")
-				j.l.node.do(func(o *router.Router) { o.ResponseHead(j.l.core, head(http.StatusOK, h), nil) })
+				request.connection.router.handle(func(o *router.Router) { o.ResponseHead(request.connection.core, responseHead(http.StatusOK, h), nil) })
 			}
-			j.l.node.do(func(o *router.Router) { o.StreamEvent(j.l.core, []byte(`{"choices":[]}`)) })
-			if given += part; given < int(j.ask.answer) {
-				b.stream(j, given, done)
+			request.connection.router.handle(func(o *router.Router) { o.StreamEvent(request.connection.core, []byte(`{"choices":[]}`)) })
+			if given += part; given < int(request.clientRequest.answerTokens) {
+				e.streamTokens(request, given, done)
 				return
 			}
-			if !j.over {
-				j.over, j.l.job = true, nil
-				j.l.node.do(func(o *router.Router) {
-					o.StreamEvent(j.l.core, []byte("[DONE]"))
-					if !j.l.closed {
-						o.ResponseComplete(j.l.core, nil, true)
+			if !request.finished {
+				request.finished, request.connection.request = true, nil
+				request.connection.router.handle(func(o *router.Router) {
+					o.StreamEvent(request.connection.core, []byte("[DONE]"))
+					if !request.connection.closed {
+						o.ResponseComplete(request.connection.core, nil, true)
 					}
 				})
 			}
@@ -338,16 +338,16 @@
 	})
 }
 
-// whole is an answer that is read to its end in one go.
-func (j *job) whole(h *http.Response, body []byte) {
-	if j.over {
+// complete is an answer that is read to its end in one go.
+func (r *engineRequest) complete(h *http.Response, body []byte) {
+	if r.finished {
 		return
 	}
-	j.over, j.l.job = true, nil
-	j.l.node.do(func(o *router.Router) {
-		o.ResponseHead(j.l.core, h, nil)
-		if !j.l.closed {
-			o.ResponseComplete(j.l.core, body, true)
+	r.finished, r.connection.request = true, nil
+	r.connection.router.handle(func(o *router.Router) {
+		o.ResponseHead(r.connection.core, h, nil)
+		if !r.connection.closed {
+			o.ResponseComplete(r.connection.core, body, true)
 		}
 	})
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -12,8 +12,8 @@
 
 // Arm is one way to run a day that is compared with others on the same seeds.
 type Arm struct {
-	Name   string
-	Change Day // the whole day of this arm, but for its seed
+	Name     string
+	Scenario Scenario // the whole day of this arm, but for its seed
 }
 
 // Experiment is days of several arms on paired seeds.
@@ -22,22 +22,22 @@
 	Arms  []Arm
 }
 
-// ReadExperiment runs a script: day, route, trouble, engine, and arms, each of which may set what a day may.
+// ParseExperiment runs a script: day, route, trouble, engine, and arms, each of which may set what a day may.
 // The error is of type script.Faults.
-func ReadExperiment(name string, text []byte) (*Experiment, error) {
+func ParseExperiment(name string, text []byte) (*Experiment, error) {
 	x := &Experiment{Seeds: 5}
 	d := Defaults()
 	var routes []Route
 	type fault = func(key, format string, args ...any)
-	keys := func(d *Day) []script.Argument {
-		return []script.Argument{{Name: "nodes", Target: &d.Nodes, Min: 1, Max: 300},
-			{Name: "readers", Target: &d.Readers, Min: 1, Max: 1000},
-			{Name: "writers", Target: &d.Writers, Min: 1, Max: 1000},
-			{Name: "rate", Target: &d.Rate, Min: 0.01, Max: 1e5},
-			{Name: "beginnings", Target: &d.Beginnings, Min: 1, Max: 1e6},
-			{Name: "shared_tokens", Target: &d.Shared, Max: 1e6},
+	keys := func(d *Scenario) []script.Argument {
+		return []script.Argument{{Name: "nodes", Target: &d.Routers, Min: 1, Max: 300},
+			{Name: "readers", Target: &d.PrefillEngines, Min: 1, Max: 1000},
+			{Name: "writers", Target: &d.DecodeEngines, Min: 1, Max: 1000},
+			{Name: "rate", Target: &d.RequestRate, Min: 0.01, Max: 1e5},
+			{Name: "beginnings", Target: &d.Prefixes, Min: 1, Max: 1e6},
+			{Name: "shared_tokens", Target: &d.PrefixTokens, Max: 1e6},
 			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "retries", Target: &d.Retries, Max: 100},
-			{Name: "retry_share", Target: &d.Budget, Max: 1}}
+			{Name: "retry_share", Target: &d.RetryBudget, Max: 1}}
 	}
 	var arms []func()
 	calls := map[string]script.Function{
@@ -47,54 +47,54 @@
 		},
 		"engine": func() ([]script.Argument, func(fault)) {
 			e := &d.Engine
-			return []script.Argument{{Name: "read_slots", Target: &e.ReadSlots, Min: 1, Max: 1000},
-				{Name: "write_slots", Target: &e.WriteSlots, Min: 1, Max: 1000},
-				{Name: "read_pace", Target: &e.ReadPace, Min: 1, Max: 1e7},
+			return []script.Argument{{Name: "read_slots", Target: &e.PrefillSlots, Min: 1, Max: 1000},
+				{Name: "write_slots", Target: &e.DecodeSlots, Min: 1, Max: 1000},
+				{Name: "read_pace", Target: &e.PrefillRate, Min: 1, Max: 1e7},
 				{Name: "token_time", Target: &e.TokenTime, Min: 0.0001, Max: 1},
-				{Name: "batch", Target: &e.Batch, Max: 100}, {Name: "queue", Target: &e.Queue, Min: 1, Max: 100_000},
-				{Name: "memory", Target: &e.Memory, Min: 100, Max: 1e9},
-				{Name: "move", Target: &e.Move, Min: 1, Max: 1e9},
-				{Name: "cold", Target: &e.Cold, Max: 600},
-				{Name: "cold_share", Target: &e.ColdShare, Min: 0.01, Max: 1}}, nil
+				{Name: "batch", Target: &e.BatchSlowdown, Max: 100}, {Name: "queue", Target: &e.QueueLimit, Min: 1, Max: 100_000},
+				{Name: "memory", Target: &e.MemoryTokens, Min: 100, Max: 1e9},
+				{Name: "move", Target: &e.TransferRate, Min: 1, Max: 1e9},
+				{Name: "cold", Target: &e.WarmUp, Max: 600},
+				{Name: "cold_share", Target: &e.WarmUpShare, Min: 0.01, Max: 1}}, nil
 		},
 		"route": func() ([]script.Argument, func(fault)) {
-			r := Route{Effect: "retriable", Share: 1, Value: 1, Target: time.Second,
-				Timeout: 5 * time.Second, Prompt: 300, Answer: 60}
+			r := Route{Effect: "retriable", Share: 1, PriorityWeight: 1, FirstTokenTarget: time.Second,
+				Timeout: 5 * time.Second, PromptTokens: 300, AnswerTokens: 60}
 			return []script.Argument{{Name: "name", Target: &r.Name, Required: true},
 					{Name: "effect", Target: &r.Effect, Allowed: []string{"retriable", "deduped", "non-retriable"}},
 					{Name: "share", Target: &r.Share, Min: 0.0001, Max: 1e6},
-					{Name: "value", Target: &r.Value, Min: 0.001, Max: 1e6},
-					{Name: "first_token_target", Target: &r.Target, Min: 0.01, Max: 600},
+					{Name: "value", Target: &r.PriorityWeight, Min: 0.001, Max: 1e6},
+					{Name: "first_token_target", Target: &r.FirstTokenTarget, Min: 0.01, Max: 600},
 					{Name: "route_timeout", Target: &r.Timeout, Min: 0.05, Max: 3600},
-					{Name: "prompt_tokens", Target: &r.Prompt, Min: 1, Max: 1e6},
-					{Name: "answer_tokens", Target: &r.Answer, Min: 2, Max: 1e6}},
+					{Name: "prompt_tokens", Target: &r.PromptTokens, Min: 1, Max: 1e6},
+					{Name: "answer_tokens", Target: &r.AnswerTokens, Min: 2, Max: 1e6}},
 				func(fault) { routes = append(routes, r) }
 		},
 		"trouble": func() ([]script.Argument, func(fault)) {
-			t := Trouble{For: 10 * time.Second, Part: 0.25}
-			return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: Kinds, Required: true},
+			t := Fault{Duration: 10 * time.Second, Fraction: 0.25}
+			return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: FaultKinds, Required: true},
 					{Name: "at", Target: &t.At, Max: 36000},
-					{Name: "length", Target: &t.For, Max: 36000}, {Name: "part", Target: &t.Part, Max: 1000},
+					{Name: "length", Target: &t.Duration, Max: 36000}, {Name: "part", Target: &t.Fraction, Max: 1000},
 					{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}},
-				func(fault) { d.Troubles = append(d.Troubles, t) }
+				func(fault) { d.Faults = append(d.Faults, t) }
 		},
 		// An arm's keys are set once more on a day that is whole: what stands below an arm in the script
 		// holds for it too.
 		"arm": func() ([]script.Argument, func(fault)) {
 			a := &Arm{}
 			was, set := d, d
-			a.Change = set
-			row := append([]script.Argument{{Name: "name", Target: &a.Name, Required: true}}, keys(&a.Change)...)
-			return row, func(say fault) {
+			a.Scenario = set
+			list := append([]script.Argument{{Name: "name", Target: &a.Name, Required: true}}, keys(&a.Scenario)...)
+			return list, func(say fault) {
 				if slices.ContainsFunc(x.Arms, func(o Arm) bool { return o.Name == a.Name }) {
 					say("name", "arm %q stands twice", a.Name)
 				}
 				x.Arms = append(x.Arms, *a)
 				i := len(x.Arms) - 1
 				arms = append(arms, func() {
-					whole, mine := d, x.Arms[i].Change
-					merge(&whole, was, mine)
-					x.Arms[i].Change = whole
+					whole, mine := d, x.Arms[i].Scenario
+					applyArmChanges(&whole, was, mine)
+					x.Arms[i].Scenario = whole
 				})
 			}
 		},
@@ -104,13 +104,13 @@
 			d.Routes = routes
 		}
 		if len(x.Arms) == 0 {
-			x.Arms = []Arm{{Name: "as it is", Change: d}}
+			x.Arms = []Arm{{Name: "as it is", Scenario: d}}
 			return
 		}
 		for _, a := range arms {
 			a()
 		}
-		for _, t := range d.Troubles {
+		for _, t := range d.Faults {
 			if t.At > d.Length {
 				say("trouble: %s begins %v into a day of %v", t.Kind, t.At, d.Length)
 			}
@@ -122,57 +122,57 @@
 	return x, nil
 }
 
-// merge sets on a whole day what an arm changed of the day that it was read on.
-func merge(whole *Day, was, mine Day) {
-	for _, p := range []struct{ to, was, mine *int }{{&whole.Nodes, &was.Nodes, &mine.Nodes},
-		{&whole.Readers, &was.Readers, &mine.Readers},
-		{&whole.Writers, &was.Writers, &mine.Writers}, {&whole.Beginnings, &was.Beginnings, &mine.Beginnings},
+// applyArmChanges sets on a whole day what an arm changed of the day that it was read on.
+func applyArmChanges(whole *Scenario, was, mine Scenario) {
+	for _, p := range []struct{ to, was, mine *int }{{&whole.Routers, &was.Routers, &mine.Routers},
+		{&whole.PrefillEngines, &was.PrefillEngines, &mine.PrefillEngines},
+		{&whole.DecodeEngines, &was.DecodeEngines, &mine.DecodeEngines}, {&whole.Prefixes, &was.Prefixes, &mine.Prefixes},
 		{&whole.Turns, &was.Turns, &mine.Turns}, {&whole.Retries, &was.Retries, &mine.Retries}} {
 		if *p.was != *p.mine {
 			*p.to = *p.mine
 		}
 	}
-	for _, p := range []struct{ to, was, mine *float64 }{{&whole.Rate, &was.Rate, &mine.Rate},
-		{&whole.Shared, &was.Shared, &mine.Shared},
-		{&whole.Budget, &was.Budget, &mine.Budget}} {
+	for _, p := range []struct{ to, was, mine *float64 }{{&whole.RequestRate, &was.RequestRate, &mine.RequestRate},
+		{&whole.PrefixTokens, &was.PrefixTokens, &mine.PrefixTokens},
+		{&whole.RetryBudget, &was.RetryBudget, &mine.RetryBudget}} {
 		if *p.was != *p.mine {
 			*p.to = *p.mine
 		}
 	}
 }
 
-// Compared is what one arm came to, against the first.
-type Compared struct {
-	Name    string
-	Results []Result
-	Share   float64 // of value in time, mean over seeds
-	Diff    float64 // to the first arm, paired by seed
-	Low     float64 // of the difference, 95 of 100 by bootstrap
-	High    float64
-	Worst   float64       // window of five seconds, mean over seeds
-	Back    time.Duration // from the end of the last trouble until nine tenths of value are in time for three windows; -1 for never, median
-	Course  []float64     // value in time by window, mean over seeds
+// Comparison is what one arm came to, against the first.
+type Comparison struct {
+	Name         string
+	Results      []Result
+	Share        float64 // of value in time, mean over seeds
+	Difference   float64 // to the first arm, paired by seed
+	Low          float64 // of the difference, 95 of 100 by bootstrap
+	High         float64
+	WorstWindow  float64       // window of five seconds, mean over seeds
+	RecoveryTime time.Duration // from the end of the last trouble until nine tenths of value are in time for three windows; -1 for never, median
+	ByWindow     []float64     // value in time by window, mean over seeds
 }
 
 // Compare sets arms against the first. Results are by arm and seed.
-func (x *Experiment) Compare(results [][]Result) (row []Compared) {
+func (x *Experiment) Compare(results [][]Result) (list []Comparison) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	for i, a := range x.Arms {
-		c := Compared{Name: a.Name, Results: results[i]}
+		c := Comparison{Name: a.Name, Results: results[i]}
 		var share, diff, worst, back []float64
 		for s, r := range results[i] {
 			share = append(share, r.Share)
 			diff = append(diff, r.Share-results[0][s].Share)
 			worst = append(worst, slices.Min(r.Windows))
-			back = append(back, float64(backAfter(a.Change, r)))
+			back = append(back, float64(recoveryTime(a.Scenario, r)))
 			for k, v := range r.Windows {
-				if k >= len(c.Course) {
-					c.Course = append(c.Course, 0)
+				if k >= len(c.ByWindow) {
+					c.ByWindow = append(c.ByWindow, 0)
 				}
-				c.Course[k] += v / float64(len(results[i]))
+				c.ByWindow[k] += v / float64(len(results[i]))
 			}
 		}
-		c.Share, c.Diff, c.Worst = stat.Mean(share, nil), stat.Mean(diff, nil), stat.Mean(worst, nil)
+		c.Share, c.Difference, c.WorstWindow = stat.Mean(share, nil), stat.Mean(diff, nil), stat.Mean(worst, nil)
 		var means []float64
 		for range 2000 {
 			sum := 0.0
@@ -184,21 +184,21 @@
 		slices.Sort(means)
 		c.Low, c.High = means[len(means)*25/1000], means[len(means)*975/1000]
 		slices.Sort(back)
-		c.Back = time.Duration(back[len(back)/2])
-		row = append(row, c)
+		c.RecoveryTime = time.Duration(back[len(back)/2])
+		list = append(list, c)
 	}
-	return row
+	return list
 }
 
-// backAfter is how long after its last trouble a day was well again.
-func backAfter(d Day, r Result) time.Duration {
+// recoveryTime is how long after its last trouble a day was well again.
+func recoveryTime(d Scenario, r Result) time.Duration {
 	end := time.Duration(0)
-	for _, t := range d.Troubles {
-		end = max(end, t.At+t.For)
+	for _, t := range d.Faults {
+		end = max(end, t.At+t.Duration)
 	}
-	for k := int(end / window); k+2 < len(r.Windows); k++ {
+	for k := int(end / windowLength); k+2 < len(r.Windows); k++ {
 		if min(r.Windows[k], r.Windows[k+1], r.Windows[k+2]) >= 0.9 {
-			return max(0, time.Duration(k)*window-end)
+			return max(0, time.Duration(k)*windowLength-end)
 		}
 	}
 	return -1
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -23,22 +23,22 @@
 	proto "sandcourse/internal/protocol/engineapi"
 )
 
-// Make says what an engine can do. Zero values are filled in by Start.
-type Make struct {
-	Name, Role   string // role: read or write
-	Addr         string // to listen on; its port may be 0
-	Seed         uint64
-	Slots, Queue int
-	OtherSlots   int     // in the other role
-	Memory       int     // tokens
-	Pace         float64 // prompt tokens read a second, over all slots
-	TokenTime    time.Duration
-	Rate         float64 // sends a second that it can do when warm: a cold one is pushed over by a multiple
-	Cold         time.Duration
-	ColdShare    float64
-	FallMultiple float64
-	FallWindow   time.Duration
-	Reload       time.Duration // between leaving one role and serving in the other
+// Config says what an engine can do. Zero values are filled in by Start.
+type Config struct {
+	Name, Role        string // role: read or write
+	Addr              string // to listen on; its port may be 0
+	Seed              uint64
+	Slots, QueueLimit int
+	OtherRoleSlots    int     // in the other role
+	MemoryTokens      int     // tokens
+	PrefillRate       float64 // prompt tokens read a second, over all slots
+	TokenTime         time.Duration
+	AttemptRate       float64 // sends a second that it can do when warm: a cold one is pushed over by a multiple
+	WarmUp            time.Duration
+	WarmUpShare       float64
+	OverloadFactor    float64
+	OverloadWindow    time.Duration
+	Reload            time.Duration // between leaving one role and serving in the other
 }
 
 // Faults are what is wrong with an engine now.
@@ -58,14 +58,14 @@
 	LieWork    float64       // times the work that it reports; 0 for the truth
 }
 
-// Marks are the repeat marks known to a group of engines.
-type Marks struct {
+// IdempotencyKeys are the repeat marks known to a group of engines.
+type IdempotencyKeys struct {
 	mu   sync.Mutex
 	seen map[string]time.Time
 }
 
-// known says whether a mark has run within the window, and notes it.
-func (m *Marks) known(mark string) bool {
+// seenBefore says whether a mark has run within the window, and notes it.
+func (m *IdempotencyKeys) seenBefore(mark string) bool {
 	if m == nil || mark == "" {
 		return false
 	}
@@ -81,50 +81,50 @@
 
 // Engine is one stand-in.
 type Engine struct {
-	m     Make
-	log   *audit.Log
-	marks *Marks
-
-	mu         sync.Mutex
-	server     *http.Server
-	addr       string
-	up         bool
-	fallen     bool
-	draining   bool
-	began      time.Time // of this life, if it counts as cold
-	faults     Faults
-	slots      chan struct{}
-	waiting    int
-	toRead     int
-	open       int
-	used       int
-	kept       map[uint64]int
-	states     map[string]state
-	dropped    map[string]time.Time // inferences let go of before their read ended
-	recent     []time.Time
-	role       string
-	epoch      int64
-	term       int64
-	claims     string // the role that it reports
-	loading    bool
-	leaving    bool // told to drain by a planner
-	lives      int64
-	readTokens float64 // of this life
-	written    float64
-	busy       float64
-	uses       map[uint64]int // of beginnings
-	life       context.Context
-	end        context.CancelFunc
-	changed    chan struct{} // closed when faults change
-}
-
-type state struct {
+	config          Config
+	log             *audit.Log
+	idempotencyKeys *IdempotencyKeys
+
+	mu                  sync.Mutex
+	server              *http.Server
+	addr                string
+	running             bool
+	overloaded          bool
+	draining            bool
+	coldSince           time.Time // of this life, if it counts as cold
+	faults              Faults
+	slots               chan struct{}
+	waiting             int
+	queuedPrefillTokens int
+	openRequests        int
+	usedTokens          int
+	cached              map[uint64]int
+	reservations        map[string]reservation
+	releasedEarly       map[string]time.Time // inferences let go of before their read ended
+	recentAttempts      []time.Time
+	role                string
+	epoch               int64
+	term                int64
+	reportedRole        string // the role that it reports
+	loading             bool
+	drainingByPlanner   bool // told to drain by a planner
+	incarnation         int64
+	prefilledTokens     float64 // of this life
+	decodedTokens       float64
+	busySeconds         float64
+	prefixUses          map[uint64]int // of beginnings
+	incarnationContext  context.Context
+	cancelIncarnation   context.CancelFunc
+	changed             chan struct{} // closed when faults change
+}
+
+type reservation struct {
 	tokens int
 	at     time.Time
 }
 
 // Start listens and serves as a warm engine.
-func Start(m Make, log *audit.Log, marks *Marks) (*Engine, error) {
+func Start(m Config, log *audit.Log, marks *IdempotencyKeys) (*Engine, error) {
 	read := m.Role == "read"
 	pick := func(a, b int) int {
 		if read {
@@ -133,15 +133,15 @@
 		return b
 	}
 	m.Addr = cmp.Or(m.Addr, "127.0.0.1:0")
-	m.Slots, m.Queue = cmp.Or(m.Slots, pick(8, 64)), cmp.Or(m.Queue, pick(48, 32))
-	m.OtherSlots = cmp.Or(m.OtherSlots, pick(64, 8))
-	m.Memory = cmp.Or(m.Memory, pick(200_000, 150_000))
-	m.Pace, m.Rate = cmp.Or(m.Pace, 200_000), cmp.Or(m.Rate, 60)
+	m.Slots, m.QueueLimit = cmp.Or(m.Slots, pick(8, 64)), cmp.Or(m.QueueLimit, pick(48, 32))
+	m.OtherRoleSlots = cmp.Or(m.OtherRoleSlots, pick(64, 8))
+	m.MemoryTokens = cmp.Or(m.MemoryTokens, pick(200_000, 150_000))
+	m.PrefillRate, m.AttemptRate = cmp.Or(m.PrefillRate, 200_000), cmp.Or(m.AttemptRate, 60)
 	m.TokenTime = cmp.Or(m.TokenTime, 5*time.Millisecond)
-	m.Cold, m.ColdShare = cmp.Or(m.Cold, 10*time.Second), cmp.Or(m.ColdShare, 0.3)
-	m.FallMultiple, m.FallWindow = cmp.Or(m.FallMultiple, 3), cmp.Or(m.FallWindow, time.Second)
+	m.WarmUp, m.WarmUpShare = cmp.Or(m.WarmUp, 10*time.Second), cmp.Or(m.WarmUpShare, 0.3)
+	m.OverloadFactor, m.OverloadWindow = cmp.Or(m.OverloadFactor, 3), cmp.Or(m.OverloadWindow, time.Second)
 	m.Reload = cmp.Or(m.Reload, time.Second)
-	e := &Engine{m: m, role: m.Role, claims: m.Role, epoch: 1, log: log, marks: marks, addr: m.Addr, changed: make(chan struct{})}
+	e := &Engine{config: m, role: m.Role, reportedRole: m.Role, epoch: 1, log: log, idempotencyKeys: marks, addr: m.Addr, changed: make(chan struct{})}
 	return e, e.listen(false)
 }
 
@@ -163,23 +163,23 @@
 		l, err = net.Listen("tcp", e.addr)
 	}
 	if err != nil {
-		return fmt.Errorf("stand-in %s: %w", e.m.Name, err)
+		return fmt.Errorf("stand-in %s: %w", e.config.Name, err)
 	}
-	e.addr, e.up, e.fallen, e.began = l.Addr().String(), true, false, time.Time{}
+	e.addr, e.running, e.overloaded, e.coldSince = l.Addr().String(), true, false, time.Time{}
 	if cold {
-		e.began = time.Now()
-	}
-	e.waiting, e.toRead, e.open, e.used = 0, 0, 0, 0
-	e.kept, e.states, e.dropped, e.recent = map[uint64]int{}, map[string]state{}, map[string]time.Time{}, nil
-	e.readTokens, e.written, e.busy, e.uses = 0, 0, 0, map[uint64]int{}
-	e.loading, e.leaving = false, false
-	if e.role != e.claims && !e.faults.FalseRole { // it ended while it loaded for its next role, and starts in that
-		e.role = e.claims
-		e.m.Slots, e.m.OtherSlots = e.m.OtherSlots, e.m.Slots
-	}
-	e.slots = make(chan struct{}, e.m.Slots)
-	e.lives++
-	e.life, e.end = context.WithCancel(context.Background())
+		e.coldSince = time.Now()
+	}
+	e.waiting, e.queuedPrefillTokens, e.openRequests, e.usedTokens = 0, 0, 0, 0
+	e.cached, e.reservations, e.releasedEarly, e.recentAttempts = map[uint64]int{}, map[string]reservation{}, map[string]time.Time{}, nil
+	e.prefilledTokens, e.decodedTokens, e.busySeconds, e.prefixUses = 0, 0, 0, map[uint64]int{}
+	e.loading, e.drainingByPlanner = false, false
+	if e.role != e.reportedRole && !e.faults.FalseRole { // it ended while it loaded for its next role, and starts in that
+		e.role = e.reportedRole
+		e.config.Slots, e.config.OtherRoleSlots = e.config.OtherRoleSlots, e.config.Slots
+	}
+	e.slots = make(chan struct{}, e.config.Slots)
+	e.incarnation++
+	e.incarnationContext, e.cancelIncarnation = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+proto.ChatPath, e.serveChat)
 	mux.HandleFunc("GET "+proto.LoadPath, e.serveLoad)
@@ -189,13 +189,13 @@
 	mux.HandleFunc("POST /admin/faults", e.serveFaults)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	go e.server.Serve(l)
-	go e.sweep(e.life)
-	e.see(audit.Seen{What: audit.Up})
+	go e.expireReservations(e.incarnationContext)
+	e.record(audit.EngineRecord{Event: audit.Started})
 	return nil
 }
 
-// sweep drops states that nobody has taken: nodes may die.
-func (e *Engine) sweep(life context.Context) {
+// expireReservations drops states that nobody has taken: nodes may die.
+func (e *Engine) expireReservations(life context.Context) {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -205,14 +205,14 @@
 		case <-tick.C:
 		}
 		e.mu.Lock()
-		for name, s := range e.states {
+		for name, s := range e.reservations {
 			if time.Since(s.at) > 8*time.Second {
-				e.letGo(name, "dropped by the engine")
+				e.release(name, "dropped by the engine")
 			}
 		}
-		for name, at := range e.dropped {
+		for name, at := range e.releasedEarly {
 			if time.Since(at) > 30*time.Second {
-				delete(e.dropped, name)
+				delete(e.releasedEarly, name)
 			}
 		}
 		e.mu.Unlock()
@@ -222,13 +222,13 @@
 // Crash ends it with all that it holds; every connection is reset.
 func (e *Engine) Crash() {
 	e.mu.Lock()
-	if !e.up {
+	if !e.running {
 		e.mu.Unlock()
 		return
 	}
-	e.up = false
-	server, end := e.server, e.end
-	e.see(audit.Seen{What: audit.Broke})
+	e.running = false
+	server, end := e.server, e.cancelIncarnation
+	e.record(audit.EngineRecord{Event: audit.Crashed})
 	e.mu.Unlock()
 	end()
 	server.Close()
@@ -240,8 +240,8 @@
 // Stop ends it for good.
 func (e *Engine) Stop() { e.Crash() }
 
-// Set puts faults in the place of those there were.
-func (e *Engine) Set(f Faults) {
+// SetFaults puts faults in the place of those there were.
+func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
@@ -252,34 +252,34 @@
 // Drain makes it refuse what is new, or take it again.
 func (e *Engine) Drain(on bool) { e.mu.Lock(); e.draining = on; e.mu.Unlock() }
 
-// Flush forgets all kept texts.
-func (e *Engine) Flush() { e.mu.Lock(); e.kept = map[uint64]int{}; e.mu.Unlock() }
+// ClearCache forgets all kept texts.
+func (e *Engine) ClearCache() { e.mu.Lock(); e.cached = map[uint64]int{}; e.mu.Unlock() }
 
 // Held is how many states wait here.
-func (e *Engine) Held() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.states) }
+func (e *Engine) Held() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.reservations) }
 
 // Fallen is whether it was pushed over while cold.
-func (e *Engine) Fallen() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.fallen }
+func (e *Engine) Fallen() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.overloaded }
 
-func (e *Engine) seeOf(a ask, s audit.Seen) {
+func (e *Engine) recordRequest(a completionRequest, s audit.EngineRecord) {
 	if !a.trial {
-		e.see(s)
+		e.record(s)
 	}
 }
 
-func (e *Engine) see(s audit.Seen) {
+func (e *Engine) record(s audit.EngineRecord) {
 	if e.log != nil {
 		s.At, s.Engine = time.Now(), e.addr
-		e.log.See(s)
+		e.log.RecordEngine(s)
 	}
 }
 
-// part is the share of its work that it can do now. Called with the lock held.
-func (e *Engine) part() float64 {
+// speed is the share of its work that it can do now. Called with the lock held.
+func (e *Engine) speed() float64 {
 	share := 1.0
-	if !e.began.IsZero() {
-		if since := time.Since(e.began); since < e.m.Cold {
-			share = e.m.ColdShare + (1-e.m.ColdShare)*since.Seconds()/e.m.Cold.Seconds()
+	if !e.coldSince.IsZero() {
+		if since := time.Since(e.coldSince); since < e.config.WarmUp {
+			share = e.config.WarmUpShare + (1-e.config.WarmUpShare)*since.Seconds()/e.config.WarmUp.Seconds()
 		}
 	}
 	if e.faults.Slow > 1 {
@@ -288,30 +288,30 @@
 	return share
 }
 
-// press counts a send that came; a cold engine that gets too many falls over and stays down.
-func (e *Engine) press() {
+// countAttempt counts a send that came; a cold engine that gets too many falls over and stays down.
+func (e *Engine) countAttempt() {
 	now := time.Now()
-	e.recent = append(e.recent, now)
-	for len(e.recent) > 0 && now.Sub(e.recent[0]) > e.m.FallWindow {
-		e.recent = e.recent[1:]
+	e.recentAttempts = append(e.recentAttempts, now)
+	for len(e.recentAttempts) > 0 && now.Sub(e.recentAttempts[0]) > e.config.OverloadWindow {
+		e.recentAttempts = e.recentAttempts[1:]
 	}
-	if e.began.IsZero() || now.Sub(e.began) >= e.m.Cold || e.fallen {
+	if e.coldSince.IsZero() || now.Sub(e.coldSince) >= e.config.WarmUp || e.overloaded {
 		return
 	}
 	// Two of slack: single sends are lumps.
-	budget := e.m.FallMultiple*e.m.Rate*e.part()*e.m.FallWindow.Seconds() + 2
-	if float64(len(e.recent)) > budget {
-		e.fallen = true
-		e.see(audit.Seen{What: audit.FellOver,
-			How: fmt.Sprintf("%d sends in %v, budget %.1f", len(e.recent), e.m.FallWindow, budget)})
+	budget := e.config.OverloadFactor*e.config.AttemptRate*e.speed()*e.config.OverloadWindow.Seconds() + 2
+	if float64(len(e.recentAttempts)) > budget {
+		e.overloaded = true
+		e.record(audit.EngineRecord{Event: audit.Overloaded,
+			Detail: fmt.Sprintf("%d sends in %v, budget %.1f", len(e.recentAttempts), e.config.OverloadWindow, budget)})
 		go e.Crash()
 	}
 }
 
-func (e *Engine) report(w http.ResponseWriter) {
+func (e *Engine) setLoadHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	memory, waiting, open := float64(e.used)/float64(e.m.Memory), float64(e.toRead)/1000, e.open+len(e.states)
+	memory, waiting, open := float64(e.usedTokens)/float64(e.config.MemoryTokens), float64(e.queuedPrefillTokens)/1000, e.openRequests+len(e.reservations)
 	if e.faults.Lie {
 		memory, waiting, open = 0, 0, 0
 	}
@@ -321,16 +321,16 @@
 	h.Set(proto.HeaderOpenRequests, strconv.Itoa(open))
 }
 
-func (e *Engine) fault() (Faults, chan struct{}, context.Context) {
+func (e *Engine) currentFaults() (Faults, chan struct{}, context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults, e.changed, e.life
+	return e.faults, e.changed, e.incarnationContext
 }
 
-// hush waits while the engine is silent; false means that the caller has gone or the engine has.
-func (e *Engine) hush(ctx context.Context, quiet func(Faults) bool) bool {
+// awaitAudible waits while the engine is silent; false means that the caller has gone or the engine has.
+func (e *Engine) awaitAudible(ctx context.Context, quiet func(Faults) bool) bool {
 	for {
-		f, changed, life := e.fault()
+		f, changed, life := e.currentFaults()
 		if !quiet(f) {
 			return ctx.Err() == nil && life.Err() == nil
 		}
@@ -344,8 +344,8 @@
 	}
 }
 
-func (e *Engine) wait(ctx context.Context, d time.Duration) bool {
-	_, _, life := e.fault()
+func (e *Engine) sleep(ctx context.Context, d time.Duration) bool {
+	_, _, life := e.currentFaults()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -357,7 +357,7 @@
 	return false
 }
 
-func refuse(w http.ResponseWriter, status int, why string) {
+func reject(w http.ResponseWriter, status int, why string) {
 	w.Header().Set(proto.HeaderRejected, why)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -366,17 +366,17 @@
 
 func silent(f Faults) bool { return f.Silent }
 
-type ask struct {
-	Model    string            `json:"model"`
-	Messages []chat.Message    `json:"messages"`
-	Most     int               `json:"max_tokens"`
-	Transfer *proto.KVTransfer `json:"kv_transfer_params"`
-	name     string
-	send     string
-	request  string
-	mark     string
-	prompt   int
-	trial    bool
+type completionRequest struct {
+	Model     string            `json:"model"`
+	Messages  []chat.Message    `json:"messages"`
+	MaxTokens int               `json:"max_tokens"`
+	Transfer  *proto.KVTransfer `json:"kv_transfer_params"`
+	name      string
+	send      string
+	request   string
+	mark      string
+	prompt    int
+	trial     bool
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
@@ -384,7 +384,7 @@
 	if err != nil {
 		return
 	}
-	var a ask
+	var a completionRequest
 	if err := json.Unmarshal(body, &a); err != nil || a.Transfer == nil {
 		http.Error(w, "no call with kv_transfer_params", http.StatusBadRequest)
 		return
@@ -398,57 +398,57 @@
 	writes := a.Transfer.RemotePrefill
 	// A trial is the planner's question for the role, and no send of an edge.
 	a.trial = strings.HasPrefix(a.name, planapi.TrialPrefix)
-	e.seeOf(a, audit.Seen{What: audit.Began, Inference: a.name, Request: a.request, Writes: writes})
-	defer e.seeOf(a, audit.Seen{What: audit.Ended, Inference: a.name, Request: a.request, Writes: writes})
-	if !e.hush(r.Context(), silent) {
+	e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptStarted, Inference: a.name, Request: a.request, Decode: writes})
+	defer e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptEnded, Inference: a.name, Request: a.request, Decode: writes})
+	if !e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	e.press()
-	draining, role := e.draining || e.leaving, e.role
+	e.countAttempt()
+	draining, role := e.draining || e.drainingByPlanner, e.role
 	epoch, _ := strconv.ParseInt(r.Header.Get(proto.HeaderRoleEpoch), 10, 64)
 	older := epoch > 0 && epoch != e.epoch || e.loading
-	full := e.waiting >= e.m.Queue && len(e.slots) == cap(e.slots)
+	full := e.waiting >= e.config.QueueLimit && len(e.slots) == cap(e.slots)
 	e.mu.Unlock()
-	f, _, _ := e.fault()
-	if f.SlowAccept > 0 && !e.wait(r.Context(), f.SlowAccept) {
+	f, _, _ := e.currentFaults()
+	if f.SlowAccept > 0 && !e.sleep(r.Context(), f.SlowAccept) {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
 	case older:
-		e.report(w)
-		refuse(w, http.StatusConflict, proto.RejectedRoleEpoch)
+		e.setLoadHeaders(w)
+		reject(w, http.StatusConflict, proto.RejectedRoleEpoch)
 	case f.FailStatus > 0:
 		http.Error(w, "failed", f.FailStatus)
 	case draining:
-		e.report(w)
-		refuse(w, http.StatusServiceUnavailable, proto.RejectedDraining)
+		e.setLoadHeaders(w)
+		reject(w, http.StatusServiceUnavailable, proto.RejectedDraining)
 	case full:
-		e.report(w)
-		refuse(w, http.StatusTooManyRequests, proto.RejectedFull)
+		e.setLoadHeaders(w)
+		reject(w, http.StatusTooManyRequests, proto.RejectedFull)
 	case writes != (role == "write"):
-		e.report(w)
-		refuse(w, http.StatusConflict, proto.RejectedRole)
+		e.setLoadHeaders(w)
+		reject(w, http.StatusConflict, proto.RejectedRole)
 	case writes:
-		e.write(w, r, a)
+		e.decode(w, r, a)
 	default:
-		e.read(w, r, a)
+		e.prefill(w, r, a)
 	}
 }
 
-// slot waits for one; the caller gives it back by calling free.
-func (e *Engine) slot(ctx context.Context, tokens int) (free func(), ok bool) {
+// acquireSlot waits for one; the caller gives it back by calling free.
+func (e *Engine) acquireSlot(ctx context.Context, tokens int) (free func(), ok bool) {
 	e.mu.Lock()
-	slots, life := e.slots, e.life
+	slots, life := e.slots, e.incarnationContext
 	e.waiting++
-	e.open++
-	e.toRead += tokens
+	e.openRequests++
+	e.queuedPrefillTokens += tokens
 	e.mu.Unlock()
 	done := func() {
 		e.mu.Lock()
-		if e.life == life {
-			e.open--
-			e.toRead -= tokens
+		if e.incarnationContext == life {
+			e.openRequests--
+			e.queuedPrefillTokens -= tokens
 		}
 		e.mu.Unlock()
 	}
@@ -459,7 +459,7 @@
 	case <-life.Done():
 	}
 	e.mu.Lock()
-	if e.life == life {
+	if e.incarnationContext == life {
 		e.waiting--
 	}
 	e.mu.Unlock()
@@ -470,8 +470,8 @@
 	return func() { <-slots; done() }, true
 }
 
-// sums are the hashes of the prompt up to each message's end, and the tokens up to there.
-func (a *ask) sums() (hashes []uint64, tokens []int) {
+// prefixHashes are the hashes of the prompt up to each message's end, and the tokens up to there.
+func (a *completionRequest) prefixHashes() (hashes []uint64, tokens []int) {
 	h, n := fnv.New64a(), 0
 	for _, m := range a.Messages {
 		fmt.Fprintf(h, "%s %d:", m.Role, len(m.Content))
@@ -482,52 +482,52 @@
 	return hashes, tokens
 }
 
-func (e *Engine) read(w http.ResponseWriter, r *http.Request, a ask) {
-	hashes, tokens := a.sums()
+func (e *Engine) prefill(w http.ResponseWriter, r *http.Request, a completionRequest) {
+	hashes, tokens := a.prefixHashes()
 	kept := 0
 	e.mu.Lock()
 	for i, h := range hashes {
-		if _, ok := e.kept[h]; ok {
+		if _, ok := e.cached[h]; ok {
 			kept = tokens[i]
 		}
 	}
 	e.mu.Unlock()
-	free, ok := e.slot(r.Context(), a.prompt-kept)
+	free, ok := e.acquireSlot(r.Context(), a.prompt-kept)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 	defer free()
 	begun := time.Now()
 	e.mu.Lock()
-	pace := e.m.Pace / float64(e.m.Slots) * e.part()
-	life := e.life
+	pace := e.config.PrefillRate / float64(e.config.Slots) * e.speed()
+	life := e.incarnationContext
 	e.mu.Unlock()
-	if !e.wait(r.Context(), time.Duration(float64(a.prompt-kept)/pace*1e9)+time.Millisecond) ||
-		!e.hush(r.Context(), silent) {
+	if !e.sleep(r.Context(), time.Duration(float64(a.prompt-kept)/pace*1e9)+time.Millisecond) ||
+		!e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	if e.life != life {
+	if e.incarnationContext != life {
 		e.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	for i, h := range hashes {
-		e.kept[h] = tokens[i]
+		e.cached[h] = tokens[i]
 	}
-	e.readTokens += float64(a.prompt - kept)
-	e.busy += time.Since(begun).Seconds() / float64(e.m.Slots)
+	e.prefilledTokens += float64(a.prompt - kept)
+	e.busySeconds += time.Since(begun).Seconds() / float64(e.config.Slots)
 	if len(hashes) > 0 {
-		e.uses[hashes[0]]++
+		e.prefixUses[hashes[0]]++
 	}
-	if len(e.kept) > 20_000 {
-		clear(e.kept)
+	if len(e.cached) > 20_000 {
+		clear(e.cached)
 	}
 	key := a.name + "/" + a.send
-	_, gone := e.dropped[key]
+	_, gone := e.releasedEarly[key]
 	if !gone && !a.trial {
-		e.states[key] = state{a.prompt, time.Now()}
-		e.used += a.prompt
-		e.see(audit.Seen{What: audit.Holds, Inference: a.name, Request: a.request})
+		e.reservations[key] = reservation{a.prompt, time.Now()}
+		e.usedTokens += a.prompt
+		e.record(audit.EngineRecord{Event: audit.Reserved, Inference: a.name, Request: a.request})
 	}
 	half, addr := e.faults.HalfAnswer, e.addr
 	e.mu.Unlock()
@@ -540,7 +540,7 @@
 			"prompt_tokens_details": map[string]any{"cached_tokens": kept}},
 		"kv_transfer_params": proto.KVTransfer{RemotePrefill: true, Engine: key, Host: host, Port: number,
 			Blocks: []int{0}}})
-	e.report(w)
+	e.setLoadHeaders(w)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if half {
@@ -551,84 +551,84 @@
 	w.Write(body)
 }
 
-// letGo frees a state. Called with the lock held.
-func (e *Engine) letGo(key, how string) bool {
-	s, ok := e.states[key]
+// release frees a state. Called with the lock held.
+func (e *Engine) release(key, how string) bool {
+	s, ok := e.reservations[key]
 	if ok {
-		delete(e.states, key)
-		e.used -= s.tokens
+		delete(e.reservations, key)
+		e.usedTokens -= s.tokens
 		name, _, _ := strings.Cut(key, "/")
-		e.see(audit.Seen{What: audit.LetGo, Inference: name, How: how})
+		e.record(audit.EngineRecord{Event: audit.Released, Inference: name, Detail: how})
 	}
 	return ok
 }
 
-func (e *Engine) write(w http.ResponseWriter, r *http.Request, a ask) {
-	free, ok := e.slot(r.Context(), a.prompt)
+func (e *Engine) decode(w http.ResponseWriter, r *http.Request, a completionRequest) {
+	free, ok := e.acquireSlot(r.Context(), a.prompt)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 	defer free()
-	if !e.fetch(r.Context(), a.Transfer) {
+	if !e.fetchReservation(r.Context(), a.Transfer) {
 		if r.Context().Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
-		e.report(w)
-		refuse(w, http.StatusConflict, proto.RejectedNoReservation)
+		e.setLoadHeaders(w)
+		reject(w, http.StatusConflict, proto.RejectedNoReservation)
 		return
 	}
 	e.mu.Lock()
-	life := e.life
-	e.used += a.prompt
+	life := e.incarnationContext
+	e.usedTokens += a.prompt
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		if e.life == life {
-			e.used -= a.prompt
+		if e.incarnationContext == life {
+			e.usedTokens -= a.prompt
 		}
 		e.mu.Unlock()
 	}()
-	if !e.hush(r.Context(), func(f Faults) bool { return f.Silent || f.StallFirst }) {
+	if !e.awaitAudible(r.Context(), func(f Faults) bool { return f.Silent || f.StallFirst }) {
 		panic(http.ErrAbortHandler)
 	}
-	if e.marks.known(a.mark) {
-		e.see(audit.Seen{What: audit.Repeat, Inference: a.name, Request: a.request})
+	if e.idempotencyKeys.seenBefore(a.mark) {
+		e.record(audit.EngineRecord{Event: audit.Deduplicated, Inference: a.name, Request: a.request})
 	} else {
-		e.see(audit.Seen{What: audit.Ran, Inference: a.name, Request: a.request})
+		e.record(audit.EngineRecord{Event: audit.Executed, Inference: a.name, Request: a.request})
 	}
-	e.report(w)
+	e.setLoadHeaders(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
-	for i, word := range e.answer(a) {
-		f, _, life := e.fault()
+	for i, word := range e.answerWords(a) {
+		f, _, life := e.currentFaults()
 		if f.BreakAfter > 0 && i >= f.BreakAfter || life.Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
 		if f.StallAfter > 0 && i >= f.StallAfter {
 			stalled := func(f Faults) bool { return f.StallAfter > 0 && i >= f.StallAfter }
-			if !e.hush(r.Context(), stalled) {
+			if !e.awaitAudible(r.Context(), stalled) {
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if !e.hush(r.Context(), silent) {
+		if !e.awaitAudible(r.Context(), silent) {
 			panic(http.ErrAbortHandler)
 		}
-		w.Write(chat.AppendEvent(nil, event(a, word, "")))
+		w.Write(chat.AppendEvent(nil, streamEvent(a, word, "")))
 		flush.Flush()
 		e.mu.Lock()
-		part := e.part()
-		e.written++
-		e.busy += e.m.TokenTime.Seconds() / part / float64(e.m.Slots)
+		part := e.speed()
+		e.decodedTokens++
+		e.busySeconds += e.config.TokenTime.Seconds() / part / float64(e.config.Slots)
 		e.mu.Unlock()
-		if !e.wait(r.Context(), time.Duration(float64(e.m.TokenTime)/part)) {
+		if !e.sleep(r.Context(), time.Duration(float64(e.config.TokenTime)/part)) {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	w.Write(chat.AppendEvent(nil, event(a, "", "stop")))
+	w.Write(chat.AppendEvent(nil, streamEvent(a, "", "stop")))
 	w.Write(chat.AppendEvent(nil, []byte(chat.Done)))
 }
 
-func event(a ask, word, finish string) []byte {
+func streamEvent(a completionRequest, word, finish string) []byte {
 	choice := map[string]any{"index": 0, "delta": map[string]any{"content": word}, "finish_reason": nil}
 	if finish != "" {
 		choice["delta"], choice["finish_reason"] = map[string]any{}, finish
@@ -638,30 +638,30 @@
 	return data
 }
 
-var words = strings.Fields("the home side answered late and the crowd rose again before the keeper held the ball " +
+var vocabulary = strings.Fields("the home side answered late and the crowd rose again before the keeper held the ball " +
 	"while both captains waited for the whistle that never quite came over the noise of the valley")
 
-// answer is the same for the same seed and prompt.
-func (e *Engine) answer(a ask) []string {
-	hashes, _ := a.sums()
-	x := e.m.Seed
+// answerWords is the same for the same seed and prompt.
+func (e *Engine) answerWords(a completionRequest) []string {
+	hashes, _ := a.prefixHashes()
+	x := e.config.Seed
 	if len(hashes) > 0 {
 		x ^= hashes[len(hashes)-1]
 	}
 	var row []string
 	long := int(8 + x%25)
-	if a.Most > 64 && a.Most != 512 { // who asks for much gets much; 512 is what edges ask for who are asked for nothing
-		long = a.Most/2 + int(x%uint64(a.Most/2))
+	if a.MaxTokens > 64 && a.MaxTokens != 512 { // who asks for much gets much; 512 is what edges ask for who are asked for nothing
+		long = a.MaxTokens/2 + int(x%uint64(a.MaxTokens/2))
 	}
-	for range max(1, min(a.Most, long)) {
+	for range max(1, min(a.MaxTokens, long)) {
 		x = x*6364136223846793005 + 1442695040888963407
-		row = append(row, words[x>>33%uint64(len(words))]+" ")
+		row = append(row, vocabulary[x>>33%uint64(len(vocabulary))]+" ")
 	}
 	return row
 }
 
-// fetch takes a state from its reader, which lets go of it.
-func (e *Engine) fetch(ctx context.Context, t *proto.KVTransfer) bool {
+// fetchReservation takes a state from its reader, which lets go of it.
+func (e *Engine) fetchReservation(ctx context.Context, t *proto.KVTransfer) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost,
@@ -680,11 +680,11 @@
 
 func (e *Engine) serveFetch(w http.ResponseWriter, r *http.Request) {
 	name, _ := io.ReadAll(io.LimitReader(r.Body, 1<<10))
-	if !e.hush(r.Context(), silent) {
+	if !e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	ok := e.letGo(string(name), "fetched")
+	ok := e.release(string(name), "fetched")
 	e.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such state", http.StatusNotFound)
@@ -701,17 +701,17 @@
 		return
 	}
 	// A silent engine has the order on its socket and follows it once it goes on, whoever has hung up by then.
-	e.see(audit.Seen{What: audit.LetGo, Inference: a.Inference, How: "asked for"})
-	if !e.hush(context.Background(), silent) {
+	e.record(audit.EngineRecord{Event: audit.Released, Inference: a.Inference, Detail: "asked for"})
+	if !e.awaitAudible(context.Background(), silent) {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
 	key := fmt.Sprint(a.Inference, "/", a.Send)
-	if !e.letGo(key, "released") {
-		e.dropped[key] = time.Now()
+	if !e.release(key, "released") {
+		e.releasedEarly[key] = time.Now()
 	}
 	e.mu.Unlock()
-	e.report(w)
+	e.setLoadHeaders(w)
 	w.Write([]byte("{}"))
 }
 
@@ -722,5 +722,5 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.Set(f)
+	e.SetFaults(f)
 }
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -14,24 +14,24 @@
 
 // serveLoad answers with what planners and edges want to know.
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
-	if !e.hush(r.Context(), silent) {
+	if !e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
-	e.report(w)
+	e.setLoadHeaders(w)
 	e.mu.Lock()
-	p := planapi.EngineReport{Role: e.claims, Epoch: e.epoch, Term: e.term, Incarnation: e.lives,
-		Changing: e.loading, Draining: e.leaving,
-		PrefillTokens: e.readTokens, DecodeTokens: e.written, BusySeconds: e.busy, OpenRequests: e.open, Reservations: len(e.states),
+	p := planapi.EngineReport{Role: e.reportedRole, Epoch: e.epoch, Term: e.term, Incarnation: e.incarnation,
+		Changing: e.loading, Draining: e.drainingByPlanner,
+		PrefillTokens: e.prefilledTokens, DecodeTokens: e.decodedTokens, BusySeconds: e.busySeconds, OpenRequests: e.openRequests, Reservations: len(e.reservations),
 		HotPrefixes: map[string]float64{}}
-	if !e.began.IsZero() {
-		p.UptimeMillis = max(1, time.Since(e.began).Milliseconds())
+	if !e.coldSince.IsZero() {
+		p.UptimeMillis = max(1, time.Since(e.coldSince).Milliseconds())
 	}
 	if lie := e.faults.LieWork; lie > 0 {
 		p.PrefillTokens, p.DecodeTokens = p.PrefillTokens*lie, p.DecodeTokens*lie
 	}
-	for h, tokens := range e.kept {
+	for h, tokens := range e.cached {
 		p.CachedTokens += float64(tokens)
-		if e.uses[h] >= 3 && len(p.HotPrefixes) < 16 { // a beginning that three have used may be used again
+		if e.prefixUses[h] >= 3 && len(p.HotPrefixes) < 16 { // a beginning that three have used may be used again
 			p.HotPrefixes[strconv.FormatUint(h, 16)] = float64(tokens)
 		}
 	}
@@ -43,7 +43,7 @@
 // a change.
 func (e *Engine) serveRole(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<13))
-	if err != nil || !e.hush(r.Context(), silent) {
+	if err != nil || !e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
 	o, err := planapi.ParseRoleOrder(body)
@@ -67,42 +67,42 @@
 		no("its role has epoch " + strconv.FormatInt(e.epoch, 10))
 	case o.Epoch == e.epoch:
 		e.term = o.Term
-		if !e.loading && o.Role == e.claims {
-			e.leaving = o.Drain
+		if !e.loading && o.Role == e.reportedRole {
+			e.drainingByPlanner = o.Drain
 		}
 		w.Write([]byte("{}"))
-	case e.open > 0 || len(e.states) > 0:
+	case e.openRequests > 0 || len(e.reservations) > 0:
 		no("something is open here still")
 	default:
-		e.term, e.epoch, e.leaving = o.Term, o.Epoch, false
-		if o.Role != e.role || e.loading || e.claims != e.role {
-			e.load(o)
+		e.term, e.epoch, e.drainingByPlanner = o.Term, o.Epoch, false
+		if o.Role != e.role || e.loading || e.reportedRole != e.role {
+			e.switchRole(o)
 		}
 		w.WriteHeader(http.StatusAccepted)
 		w.Write([]byte("{}"))
 	}
 }
 
-// load takes up a role under a new epoch, cold, after the time that it takes. Called with the lock held.
-func (e *Engine) load(o planapi.RoleOrder) {
-	e.claims, e.loading = o.Role, true
-	e.kept, e.uses = map[uint64]int{}, map[uint64]int{}
+// switchRole takes up a role under a new epoch, cold, after the time that it takes. Called with the lock held.
+func (e *Engine) switchRole(o planapi.RoleOrder) {
+	e.reportedRole, e.loading = o.Role, true
+	e.cached, e.prefixUses = map[uint64]int{}, map[uint64]int{}
 	if e.faults.NeverBack {
 		return
 	}
-	life, lie := e.life, e.faults.FalseRole
-	time.AfterFunc(e.m.Reload, func() {
+	life, lie := e.incarnationContext, e.faults.FalseRole
+	time.AfterFunc(e.config.Reload, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.life != life || e.epoch != o.Epoch {
+		if e.incarnationContext != life || e.epoch != o.Epoch {
 			return // it has crashed meanwhile, or was asked for something else
 		}
-		e.loading, e.began, e.recent = false, time.Now(), nil
+		e.loading, e.coldSince, e.recentAttempts = false, time.Now(), nil
 		if !lie && e.role != o.Role {
 			e.role = o.Role
-			e.m.Slots, e.m.OtherSlots = e.m.OtherSlots, e.m.Slots
-			e.slots = make(chan struct{}, e.m.Slots)
+			e.config.Slots, e.config.OtherRoleSlots = e.config.OtherRoleSlots, e.config.Slots
+			e.slots = make(chan struct{}, e.config.Slots)
 		}
-		e.see(audit.Seen{What: audit.Up, How: "as " + e.role})
+		e.record(audit.EngineRecord{Event: audit.Started, Detail: "as " + e.role})
 	})
 }
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -28,21 +28,21 @@
 	Decode  Role = "write"
 )
 
-// attempt is one attempt of a request that has reached an engine whole.
-type attempt struct {
-	waits bool // for a state
+// engineAttempt is one attempt of a request that has reached an engine whole.
+type engineAttempt struct {
+	waitsForReservation bool // for a state
 	// engine and from are both ends of its connection: the engine's id, and the other side's address.
 	engine, from string
-	over         bool // it is not out any more
+	ended        bool // it is not out any more
 }
 
-// state is a read state that an engine holds.
-type state struct{ engine string }
+// reservation is a read state that an engine holds.
+type reservation struct{ engine string }
 
-// request is what the engines of a fleet know of one request.
-type request struct {
-	attempts []*attempt
-	states   []*state
+// fleetRequest is what the engines of a fleet know of one request.
+type fleetRequest struct {
+	attempts []*engineAttempt
+	states   []*reservation
 	released chan struct{} // closed when the first release has arrived
 	releases int
 }
@@ -55,11 +55,11 @@
 
 	log      *audit.Log
 	mu       sync.Mutex
-	requests map[string]*request
+	requests map[string]*fleetRequest
 }
 
 // NewFleet makes a fleet without engines that writes what they see to a log.
-func NewFleet(log *audit.Log) *Fleet { return &Fleet{log: log, requests: map[string]*request{}} }
+func NewFleet(log *audit.Log) *Fleet { return &Fleet{log: log, requests: map[string]*fleetRequest{}} }
 
 // Config is what an engine can do.
 type Config struct {
@@ -93,7 +93,7 @@
 	mux.HandleFunc("GET "+platform.LoadReportPath, e.serveLoad)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: c.IdleTime}
 	go e.server.Serve(listener)
-	f.see(e, audit.Up, "")
+	f.record(e, audit.Started, "")
 	return e, nil
 }
 
@@ -106,8 +106,8 @@
 		e.ID, e.Addr, e.Role)
 }
 
-// Held is how many states the fleet holds.
-func (f *Fleet) Held() (n int) {
+// HeldReservations is how many states the fleet holds.
+func (f *Fleet) HeldReservations() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
@@ -126,15 +126,15 @@
 	return n
 }
 
-func (f *Fleet) see(e *Engine, what, name string) {
-	f.log.See(audit.Seen{At: time.Now(), Engine: e.ID, What: what, Inference: name, Request: name, Writes: e.Role == Decode})
+func (f *Fleet) record(e *Engine, what, name string) {
+	f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: e.ID, Event: what, Inference: name, Request: name, Decode: e.Role == Decode})
 }
 
-// find is the record of a request. The caller holds the lock.
-func (f *Fleet) find(name string) *request {
+// request is the record of a request. The caller holds the lock.
+func (f *Fleet) request(name string) *fleetRequest {
 	r := f.requests[name]
 	if r == nil {
-		r = &request{released: make(chan struct{})}
+		r = &fleetRequest{released: make(chan struct{})}
 		f.requests[name] = r
 	}
 	return r
@@ -145,43 +145,43 @@
 		return // its last byte has not arrived
 	}
 	name := r.Header.Get(platform.HeaderRequestID)
-	a := &attempt{waits: e.Role == Decode, engine: e.ID, from: r.RemoteAddr}
-	e.fleet.begin(e, name, a)
-	defer e.fleet.end(e, name, a)
+	a := &engineAttempt{waitsForReservation: e.Role == Decode, engine: e.ID, from: r.RemoteAddr}
+	e.fleet.startAttempt(e, name, a)
+	defer e.fleet.endAttempt(e, name, a)
 	if e.Role == Prefill {
-		e.read(w, r, name)
+		e.prefill(w, r, name)
 	} else {
-		e.answer(w, r, name, a)
+		e.decode(w, r, name, a)
 	}
 }
 
-func (f *Fleet) begin(e *Engine, name string, a *attempt) {
+func (f *Fleet) startAttempt(e *Engine, name string, a *engineAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	record := f.find(name)
+	record := f.request(name)
 	record.attempts = append(record.attempts, a)
-	f.see(e, audit.Began, name)
+	f.record(e, audit.AttemptStarted, name)
 }
 
-func (f *Fleet) end(e *Engine, name string, a *attempt) {
+func (f *Fleet) endAttempt(e *Engine, name string, a *engineAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	record := f.find(name)
-	record.attempts = slices.DeleteFunc(record.attempts, func(other *attempt) bool { return other == a })
+	record := f.request(name)
+	record.attempts = slices.DeleteFunc(record.attempts, func(other *engineAttempt) bool { return other == a })
 	f.over(e.ID, name, a)
 }
 
 // over notes, once, that an attempt is not out any more. The caller holds the lock.
-func (f *Fleet) over(engine, name string, a *attempt) {
-	if !a.over {
-		a.over = true
-		f.log.See(audit.Seen{At: time.Now(), Engine: engine, What: audit.Ended, Inference: name, Request: name})
+func (f *Fleet) over(engine, name string, a *engineAttempt) {
+	if !a.ended {
+		a.ended = true
+		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: engine, Event: audit.AttemptEnded, Inference: name, Request: name})
 	}
 }
 
-// NodeClosed notes that a node has closed a connection that its engine may not have seen the end of yet: what was asked on
+// RouterClosed notes that a node has closed a connection that its engine may not have seen the end of yet: what was asked on
 // it is not out any more. Address is the connection's other side as the engine knows it.
-func (f *Fleet) NodeClosed(engine, address string) {
+func (f *Fleet) RouterClosed(engine, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, record := range f.requests {
@@ -193,12 +193,12 @@
 	}
 }
 
-// read reads a prompt to its end, whether or not its node still waits, and holds the state then.
-func (e *Engine) read(w http.ResponseWriter, r *http.Request, name string) {
+// prefill reads a prompt to its end, whether or not its node still waits, and holds the state then.
+func (e *Engine) prefill(w http.ResponseWriter, r *http.Request, name string) {
 	e.slots <- struct{}{}
 	time.Sleep(e.WorkTime)
 	<-e.slots
-	e.fleet.hold(e, name)
+	e.fleet.reserve(e, name)
 	if r.Context().Err() != nil {
 		e.notice(name)
 		return
@@ -208,17 +208,17 @@
 	io.WriteString(w, `{"cached_tokens":0}`)
 }
 
-func (f *Fleet) hold(e *Engine, name string) {
+func (f *Fleet) reserve(e *Engine, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	record := f.find(name)
-	record.states = append(record.states, &state{engine: e.ID})
-	f.see(e, audit.Holds, name)
+	record := f.request(name)
+	record.states = append(record.states, &reservation{engine: e.ID})
+	f.record(e, audit.Reserved, name)
 }
 
-// answer waits for a slot, takes the state and streams. An attempt that its node gives up is out until the engine takes
+// decode waits for a slot, takes the state and streams. An attempt that its node gives up is out until the engine takes
 // note of it.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, name string, a *attempt) {
+func (e *Engine) decode(w http.ResponseWriter, r *http.Request, name string, a *engineAttempt) {
 	select {
 	case e.slots <- struct{}{}:
 		defer func() { <-e.slots }()
@@ -226,7 +226,7 @@
 		e.notice(name)
 		return
 	}
-	if !e.fleet.take(e, name, a) {
+	if !e.fleet.fetchReservation(e, name, a) {
 		w.Header().Set(platform.HeaderNotStarted, "1")
 		w.WriteHeader(http.StatusGone)
 		return
@@ -234,24 +234,24 @@
 	e.stream(r.Context(), w)
 }
 
-// take hands a state of a request to an attempt, and drops the others.
-func (f *Fleet) take(e *Engine, name string, a *attempt) bool {
+// fetchReservation hands a state of a request to an attempt, and drops the others.
+func (f *Fleet) fetchReservation(e *Engine, name string, a *engineAttempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	record := f.find(name)
-	a.waits = false
+	record := f.request(name)
+	a.waitsForReservation = false
 	taken := len(record.states) > 0
 	if taken {
-		f.see(e, audit.Ran, name)
+		f.record(e, audit.Executed, name)
 	}
-	f.drop(record, name, "taken")
+	f.release(record, name, "taken")
 	return taken
 }
 
-// drop lets go of all states of a request. The caller holds the lock.
-func (f *Fleet) drop(record *request, name, how string) {
+// release lets go of all states of a request. The caller holds the lock.
+func (f *Fleet) release(record *fleetRequest, name, how string) {
 	for _, s := range record.states {
-		f.log.See(audit.Seen{At: time.Now(), Engine: s.engine, What: audit.LetGo, Inference: name, Request: name, How: how})
+		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: s.engine, Event: audit.Released, Inference: name, Request: name, Detail: how})
 	}
 	record.states = nil
 }
@@ -277,7 +277,7 @@
 		return
 	}
 	e.fleet.mu.Lock()
-	released := e.fleet.find(name).released
+	released := e.fleet.request(name).released
 	e.fleet.mu.Unlock()
 	e.fleet.BeforeNotice(name, released)
 }
@@ -287,12 +287,12 @@
 	f, name := e.fleet, strings.TrimPrefix(r.URL.Path, platform.ReservationsPath)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	record := f.find(name)
+	record := f.request(name)
 	if record.releases++; record.releases == 1 {
 		close(record.released)
 	}
-	if !slices.ContainsFunc(record.attempts, func(a *attempt) bool { return a.waits }) {
-		f.drop(record, name, "released")
+	if !slices.ContainsFunc(record.attempts, func(a *engineAttempt) bool { return a.waitsForReservation }) {
+		f.release(record, name, "released")
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -17,19 +17,19 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// Ask is one try of a client.
-type Ask struct {
-	Route, Session, Request string
-	Messages                []Line
-	Most                    int
-	GiveUp                  time.Duration
-	Whole                   bool // one answer, not a stream
-	LeaveAfter              time.Duration
-	Mark                    string
+// Request is one try of a client.
+type Request struct {
+	Route, Session, RequestID string
+	Messages                  []Message
+	MaxTokens                 int
+	Timeout                   time.Duration
+	Unary                     bool // one answer, not a stream
+	LeaveAfter                time.Duration
+	IdempotencyKey            string
 }
 
-// Line is one message.
-type Line struct {
+// Message is one message.
+type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -46,106 +46,106 @@
 // Close ends its idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Grace is how long past its own patience a client still listens, so that a late answer is seen to be late.
-const Grace = 2 * time.Second
+// LateListening is how long past its own patience a client still listens, so that a late answer is seen to be late.
+const LateListening = 2 * time.Second
 
 // Do makes one try and tells how it ended. advice is what a shed answer said of coming back.
-func (c *Client) Do(ctx context.Context, edge string, ask Ask) (seen audit.Call, advice time.Duration) {
-	seen = audit.Call{Request: ask.Request, Route: ask.Route, Edge: edge, Sent: time.Now(), Final: "lost"}
-	seen.GiveUp = seen.Sent.Add(ask.GiveUp)
-	ctx, cancel := context.WithTimeout(ctx, ask.GiveUp+60*time.Second)
+func (c *Client) Do(ctx context.Context, edge string, request Request) (record audit.ClientRecord, retryAfter time.Duration) {
+	record = audit.ClientRecord{Request: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(), Outcome: "lost"}
+	record.Deadline = record.Sent.Add(request.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout+60*time.Second)
 	defer cancel()
-	if ask.LeaveAfter > 0 {
-		ctx, cancel = context.WithTimeout(ctx, ask.LeaveAfter)
+	if request.LeaveAfter > 0 {
+		ctx, cancel = context.WithTimeout(ctx, request.LeaveAfter)
 		defer cancel()
 	}
-	body, _ := json.Marshal(map[string]any{"model": ask.Route, "messages": ask.Messages, "stream": !ask.Whole,
-		"max_tokens": max(1, ask.Most)})
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/chat/completions", bytes.NewReader(body))
+	body, _ := json.Marshal(map[string]any{"model": request.Route, "messages": request.Messages, "stream": !request.Unary,
+		"max_tokens": max(1, request.MaxTokens)})
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		seen.Why, seen.End = err.Error(), time.Now()
-		return seen, 0
+		record.Reason, record.End = err.Error(), time.Now()
+		return record, 0
 	}
 	// The client's own transport must not try again by itself: that would be a second try unseen.
-	r.GetBody = nil
-	for name, v := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: ask.Session,
-		chat.HeaderClientRequestID: ask.Request, chat.HeaderIdempotencyKey: ask.Mark,
-		chat.HeaderFirstTokenTimeout: strconv.FormatInt(ask.GiveUp.Milliseconds(), 10)} {
+	httpRequest.GetBody = nil
+	for name, v := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: request.Session,
+		chat.HeaderClientRequestID: request.RequestID, chat.HeaderIdempotencyKey: request.IdempotencyKey,
+		chat.HeaderFirstTokenTimeout: strconv.FormatInt(request.Timeout.Milliseconds(), 10)} {
 		if v != "" {
-			r.Header.Set(name, v)
+			httpRequest.Header.Set(name, v)
 		}
 	}
-	answer, err := c.http.Do(r)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		seen.End, seen.Why = time.Now(), err.Error()
-		if ask.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
-			seen.Final = "left"
+		record.End, record.Reason = time.Now(), err.Error()
+		if request.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
+			record.Outcome = "left"
 		}
-		return seen, 0
+		return record, 0
 	}
-	defer answer.Body.Close()
-	seen.Inference = answer.Header.Get(chat.HeaderRequestID)
-	if answer.StatusCode == http.StatusOK && !ask.Whole {
-		c.stream(answer.Body, &seen, ask)
-		return seen, 0
+	defer response.Body.Close()
+	record.Inference = response.Header.Get(chat.HeaderRequestID)
+	if response.StatusCode == http.StatusOK && !request.Unary {
+		c.stream(response.Body, &record, request)
+		return record, 0
 	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, 8<<20))
-	seen.End = time.Now()
+	text, err := io.ReadAll(io.LimitReader(response.Body, 8<<20))
+	record.End = time.Now()
 	if err != nil {
-		seen.Why = err.Error()
-		return seen, 0
+		record.Reason = err.Error()
+		return record, 0
 	}
-	seen.Finals = 1
-	seen.Final = answer.Header.Get(chat.HeaderOutcome)
-	if answer.StatusCode == http.StatusOK {
-		seen.First, seen.Tokens = seen.End.Sub(seen.Sent), bytes.Count(text, []byte(" "))
+	record.OutcomeCount = 1
+	record.Outcome = response.Header.Get(chat.HeaderOutcome)
+	if response.StatusCode == http.StatusOK {
+		record.FirstToken, record.Tokens = record.End.Sub(record.Sent), bytes.Count(text, []byte(" "))
 	} else {
-		seen.Why = string(text)
+		record.Reason = string(text)
 	}
-	if seen.Final == "" {
-		seen.Final = "refused " + strconv.Itoa(answer.StatusCode)
+	if record.Outcome == "" {
+		record.Outcome = "refused " + strconv.Itoa(response.StatusCode)
 	}
-	ms, _ := strconv.Atoi(answer.Header.Get("Retry-After-Ms"))
-	return seen, time.Duration(ms) * time.Millisecond
+	ms, _ := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
+	return record, time.Duration(ms) * time.Millisecond
 }
 
 // stream reads events up to the end of the body, whatever came: a second final answer must be seen.
-func (c *Client) stream(body io.Reader, seen *audit.Call, ask Ask) {
+func (c *Client) stream(body io.Reader, record *audit.ClientRecord, request Request) {
 	events := chat.NewDecoder(1 << 20)
 	buf := make([]byte, 4096)
 	for {
 		n, err := body.Read(buf)
-		bad := events.Feed(buf[:n], func(data []byte) {
+		feedErr := events.Feed(buf[:n], func(data []byte) {
 			var failed struct{ Error *json.RawMessage }
 			switch {
 			case string(data) == chat.Done:
-				seen.Finals++
-				seen.Final, seen.End = "completed", time.Now()
+				record.OutcomeCount++
+				record.Outcome, record.End = "completed", time.Now()
 			case json.Unmarshal(data, &failed) == nil && failed.Error != nil:
-				seen.Finals++
-				seen.Final, seen.End, seen.Why = "errored", time.Now(), string(data)
+				record.OutcomeCount++
+				record.Outcome, record.End, record.Reason = "errored", time.Now(), string(data)
 			default:
-				if seen.First == 0 {
-					seen.First = time.Since(seen.Sent)
+				if record.FirstToken == 0 {
+					record.FirstToken = time.Since(record.Sent)
 				}
-				seen.Tokens++
+				record.Tokens++
 			}
 		})
 		if err == nil {
-			err = bad
+			err = feedErr
 		}
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			seen.Why = err.Error()
-			if seen.Finals == 0 && ask.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
-				seen.Final = "left"
+			record.Reason = err.Error()
+			if record.OutcomeCount == 0 && request.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
+				record.Outcome = "left"
 			}
 			break
 		}
 	}
-	if seen.End.IsZero() {
-		seen.End = time.Now()
+	if record.End.IsZero() {
+		record.End = time.Now()
 	}
 }
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -21,31 +21,31 @@
 
 // Route is one model route as clients use it.
 type Route struct {
-	Name         string
-	Share, Value float64
-	Retriable    bool
-	Target       time.Duration // first token wanted within
-	GiveUp       time.Duration
-	Most         int
+	Name                  string
+	Share, PriorityWeight float64
+	Retriable             bool
+	FirstTokenTarget      time.Duration // first token wanted within
+	Timeout               time.Duration
+	MaxTokens             int
 }
 
 // Traffic is an open loop: tries start at their times, however long others take, so that a slow fleet does not
 // quiet its own measurement.
 type Traffic struct {
-	Edges      func() []string // those that a front layer would pick from now
-	Routes     []Route
-	Rate       float64                        // first tries a second
-	Factor     func(at time.Duration) float64 // of the rate
-	Hot        func(at time.Duration) float64 // share of tries that begin with a text not seen before
-	Length     time.Duration
-	Seed       uint64
-	Beginnings int
-	Words      int // of a shared beginning
-	Own        int // words of what a user adds; 0 for 20 to 80
-	Turns      int // of a session
-	Retries    int
-	Leave      float64 // share of tries whose client leaves early
-	Log        *audit.Log
+	Edges           func() []string // those that a front layer would pick from now
+	Routes          []Route
+	Rate            float64                        // first tries a second
+	RateFactor      func(at time.Duration) float64 // of the rate
+	HotPrefixShare  func(at time.Duration) float64 // share of tries that begin with a text not seen before
+	Length          time.Duration
+	Seed            uint64
+	Prefixes        int
+	PrefixWords     int // of a shared beginning
+	UserWords       int // words of what a user adds; 0 for 20 to 80
+	Turns           int // of a session
+	Retries         int
+	DisconnectShare float64 // share of tries whose client leaves early
+	Log             *audit.Log
 }
 
 // Run sends it all and waits for the last answer.
@@ -53,11 +53,11 @@
 	client := NewClient()
 	defer client.Close()
 	rng := rand.New(rand.NewPCG(t.Seed, 0x5eed))
-	var all sync.WaitGroup
-	begun := time.Now()
+	var workers sync.WaitGroup
+	startedAt := time.Now()
 	type session struct {
 		name     string
-		messages []Line
+		messages []Message
 		turns    int
 	}
 	var sessions []*session
@@ -68,18 +68,18 @@
 	next := 0.0
 	for n := 0; ; n++ {
 		rate := t.Rate
-		if t.Factor != nil {
-			rate *= t.Factor(time.Duration(next * 1e9))
+		if t.RateFactor != nil {
+			rate *= t.RateFactor(time.Duration(next * 1e9))
 		}
 		next += rng.ExpFloat64() / max(rate, 0.01)
 		at := time.Duration(next * 1e9)
 		if at > t.Length {
 			break
 		}
-		pick := rng.Float64() * shares
+		draw := rng.Float64() * shares
 		route := t.Routes[len(t.Routes)-1]
 		for _, r := range t.Routes {
-			if pick -= r.Share; pick < 0 {
+			if draw -= r.Share; draw < 0 {
 				route = r
 				break
 			}
@@ -92,54 +92,54 @@
 				sessions = slices.Delete(sessions, i, i+1)
 			}
 		} else {
-			beginning := int(float64(t.Beginnings) * math.Pow(rng.Float64(), 2)) // some much more used than others
-			if t.Hot != nil && rng.Float64() < t.Hot(at) {
-				beginning = 1_000_000 + int(at/time.Second)/10
+			prefix := int(float64(t.Prefixes) * math.Pow(rng.Float64(), 2)) // some much more used than others
+			if t.HotPrefixShare != nil && rng.Float64() < t.HotPrefixShare(at) {
+				prefix = 1_000_000 + int(at/time.Second)/10
 			}
 			s = &session{name: fmt.Sprintf("s%d-%d", t.Seed, n), turns: max(1, t.Turns-1),
-				messages: []Line{{"system", text(beginning, t.Words)}}}
+				messages: []Message{{"system", generateText(prefix, t.PrefixWords)}}}
 			sessions = append(sessions, s)
 		}
-		own := t.Own
-		if own == 0 {
-			own = 20 + rng.IntN(60)
+		userWords := t.UserWords
+		if userWords == 0 {
+			userWords = 20 + rng.IntN(60)
 		}
-		s.messages = append(slices.Clip(s.messages), Line{"user", text(2_000_000+n, own)})
-		ask := Ask{Route: route.Name, Session: s.name, Request: fmt.Sprintf("r%d-%d", t.Seed, n), Messages: s.messages,
-			Most: route.Most, GiveUp: route.GiveUp, Whole: rng.Float64() < 0.1}
-		if rng.Float64() < t.Leave {
-			ask.LeaveAfter = time.Duration(rng.Float64() * float64(route.Target))
+		s.messages = append(slices.Clip(s.messages), Message{"user", generateText(2_000_000+n, userWords)})
+		request := Request{Route: route.Name, Session: s.name, RequestID: fmt.Sprintf("r%d-%d", t.Seed, n), Messages: s.messages,
+			MaxTokens: route.MaxTokens, Timeout: route.Timeout, Unary: rng.Float64() < 0.1}
+		if rng.Float64() < t.DisconnectShare {
+			request.LeaveAfter = time.Duration(rng.Float64() * float64(route.FirstTokenTarget))
 		}
 		seed := rng.Uint64()
 		select {
 		case <-ctx.Done():
-			all.Wait()
+			workers.Wait()
 			return
-		case <-time.After(time.Until(begun.Add(at))):
+		case <-time.After(time.Until(startedAt.Add(at))):
 		}
-		all.Go(func() { t.try(ctx, client, ask, route, seed) })
+		workers.Go(func() { t.sendWithRetries(ctx, client, request, route, seed) })
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-// try is one client with its retries: any failure of what is retriable, else only what was shed or never taken.
-func (t Traffic) try(ctx context.Context, client *Client, ask Ask, route Route, seed uint64) {
+// sendWithRetries is one client with its retries: any failure of what is retriable, else only what was shed or never taken.
+func (t Traffic) sendWithRetries(ctx context.Context, client *Client, request Request, route Route, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; ; i++ {
 		edges := t.Edges()
 		if len(edges) == 0 {
 			return
 		}
-		seen, advice := client.Do(ctx, edges[rng.IntN(len(edges))], ask)
-		t.Log.Hear(seen)
-		again := seen.Final == "shed" || route.Retriable && (seen.Final == "errored" || seen.Final == "lost")
-		if !again || i >= t.Retries || ctx.Err() != nil {
+		record, retryAfter := client.Do(ctx, edges[rng.IntN(len(edges))], request)
+		t.Log.RecordClient(record)
+		retry := record.Outcome == "shed" || route.Retriable && (record.Outcome == "errored" || record.Outcome == "lost")
+		if !retry || i >= t.Retries || ctx.Err() != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(advice, 100*time.Millisecond) + time.Duration(rng.IntN(100))*time.Millisecond):
+		case <-time.After(max(retryAfter, 100*time.Millisecond) + time.Duration(rng.IntN(100))*time.Millisecond):
 		}
 	}
 }
@@ -147,8 +147,8 @@
 var vocabulary = strings.Fields("highlight clip goal keeper corner desk caption alert member match wing left right " +
 	"cross replay second half summary score minute national team camera angle crowd whistle")
 
-// text is the same for the same number.
-func text(number, words int) string {
+// generateText is the same for the same number.
+func generateText(number, words int) string {
 	rng := rand.New(rand.NewPCG(uint64(number), 7))
 	var b strings.Builder
 	for range words {
@@ -158,19 +158,19 @@
 	return b.String()
 }
 
-// Sum is what a run came to.
-type Sum struct {
+// Summary is what a run came to.
+type Summary struct {
 	Offered, InTime float64 // value: of first tries, and of answers whose first token came in time
-	Finals          map[string]int
-	Routes          map[string]*hdrhistogram.Histogram // first tokens in microseconds
-	Tries           int
+	Outcomes        map[string]int
+	FirstTokens     map[string]*hdrhistogram.Histogram // first tokens in microseconds
+	Attempts        int
 }
 
-// Add up the calls of a log, a client's tries counted with its first.
-func Add(calls []audit.Call, routes []Route) Sum {
-	s := Sum{Finals: map[string]int{}, Routes: map[string]*hdrhistogram.Histogram{}, Tries: len(calls)}
+// Summarize up the calls of a log, a client's tries counted with its first.
+func Summarize(calls []audit.ClientRecord, routes []Route) Summary {
+	s := Summary{Outcomes: map[string]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(calls)}
 	first, served := map[string]time.Time{}, map[string]bool{}
-	slices.SortStableFunc(calls, func(a, b audit.Call) int { return a.Sent.Compare(b.Sent) })
+	slices.SortStableFunc(calls, func(a, b audit.ClientRecord) int { return a.Sent.Compare(b.Sent) })
 	for _, c := range calls {
 		i := slices.IndexFunc(routes, func(r Route) bool { return r.Name == c.Route })
 		if i < 0 {
@@ -179,36 +179,36 @@
 		r := routes[i]
 		if _, ok := first[c.Request]; !ok {
 			first[c.Request] = c.Sent
-			s.Offered += r.Value
+			s.Offered += r.PriorityWeight
 		}
-		s.Finals[c.Final]++
-		if c.First > 0 {
-			if s.Routes[r.Name] == nil {
-				s.Routes[r.Name] = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
+		s.Outcomes[c.Outcome]++
+		if c.FirstToken > 0 {
+			if s.FirstTokens[r.Name] == nil {
+				s.FirstTokens[r.Name] = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
 			}
-			s.Routes[r.Name].RecordValue(c.First.Microseconds())
+			s.FirstTokens[r.Name].RecordValue(c.FirstToken.Microseconds())
 		}
-		inTime := c.Sent.Sub(first[c.Request])+c.First <= r.Target
-		if c.Final == "completed" && c.First > 0 && inTime && !served[c.Request] {
+		inTime := c.Sent.Sub(first[c.Request])+c.FirstToken <= r.FirstTokenTarget
+		if c.Outcome == "completed" && c.FirstToken > 0 && inTime && !served[c.Request] {
 			served[c.Request] = true
-			s.InTime += r.Value
+			s.InTime += r.PriorityWeight
 		}
 	}
 	return s
 }
 
 // Print writes it as a table.
-func (s Sum) Print(w io.Writer) {
+func (s Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "value completed in time: %.1f of %.1f (%.3f), %d tries\n", s.InTime, s.Offered,
-		s.InTime/cmp.Or(s.Offered, 1), s.Tries)
+		s.InTime/cmp.Or(s.Offered, 1), s.Attempts)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, final := range slices.Sorted(maps.Keys(s.Finals)) {
-		fmt.Fprintf(t, "%s\t%d\n", final, s.Finals[final])
+	for _, final := range slices.Sorted(maps.Keys(s.Outcomes)) {
+		fmt.Fprintf(t, "%s\t%d\n", final, s.Outcomes[final])
 	}
 	t.Flush()
 	fmt.Fprintln(t, "model route\tfirst tokens\tp50 ms\tp90 ms\tp99 ms")
-	for _, name := range slices.Sorted(maps.Keys(s.Routes)) {
-		h := s.Routes[name]
+	for _, name := range slices.Sorted(maps.Keys(s.FirstTokens)) {
+		h := s.FirstTokens[name]
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, h.TotalCount(), float64(h.ValueAtQuantile(50))/1000,
 			float64(h.ValueAtQuantile(90))/1000, float64(h.ValueAtQuantile(99))/1000)
 	}
--- a/internal/modelcheck/copy.go
+++ b/internal/modelcheck/copy.go
@@ -14,7 +14,7 @@
 // A state is copied field by field, so that the events of one state need not each play its path from the
 // start again. A copy must share nothing that changes: every pointer is followed, and what is shared is
 // listed here. A kind of field that cannot be copied exactly ends the program instead of a false proof.
-var shared = map[reflect.Type]bool{
+var sharedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[*config.Deployment](): true, // fixed from the start
 	reflect.TypeFor[*http.Request]():      true, // a call and an answer's head are read only
 	reflect.TypeFor[*http.Response]():     true,
@@ -23,125 +23,125 @@
 	reflect.TypeFor[map[string]any]():     true, // the module's facts
 }
 
-type seenPointers map[unsafe.Pointer]reflect.Value
+type copiedPointers map[unsafe.Pointer]reflect.Value
 
-// copier copies what lies at from to what lies at to, which is its flat copy already.
-type copier func(to, from unsafe.Pointer, seen seenPointers)
+// copyFunc copies what lies at from to what lies at to, which is its flat copy already.
+type copyFunc func(to, from unsafe.Pointer, seen copiedPointers)
 
-// copiers are by type; nil where a flat copy is enough. Each worker has its own.
-type copiers map[reflect.Type]copier
+// copyFuncs are by type; nil where a flat copy is enough. Each worker has its own.
+type copyFuncs map[reflect.Type]copyFunc
 
 // copyOf is an exact copy of a state that shares nothing changing with it.
-func (cs copiers) copyOf(s state) state {
-	seen := seenPointers{}
+func (cf copyFuncs) copyOf(s execution) execution {
+	copied := copiedPointers{}
 	v := reflect.ValueOf(s)
 	to, from := reflect.New(v.Type()), reflect.New(v.Type())
 	to.Elem().Set(v)
 	from.Elem().Set(v)
-	cs.of(v.Type())(to.UnsafePointer(), from.UnsafePointer(), seen)
-	return to.Elem().Interface().(state)
+	cf.of(v.Type())(to.UnsafePointer(), from.UnsafePointer(), copied)
+	return to.Elem().Interface().(execution)
 }
 
-func (cs copiers) of(t reflect.Type) copier {
-	if c, ok := cs[t]; ok {
+func (cf copyFuncs) of(t reflect.Type) copyFunc {
+	if c, ok := cf[t]; ok {
 		return c
 	}
-	var made copier
+	var made copyFunc
 	// A type may hold itself; until it is made, calls go the long way round. A flat one never holds itself.
-	cs[t] = func(to, from unsafe.Pointer, seen seenPointers) {
+	cf[t] = func(to, from unsafe.Pointer, copied copiedPointers) {
 		if made != nil {
-			made(to, from, seen)
+			made(to, from, copied)
 		}
 	}
-	made = cs.make(t)
-	cs[t] = made
+	made = cf.build(t)
+	cf[t] = made
 	return made
 }
 
-func at(t reflect.Type, p unsafe.Pointer) reflect.Value { return reflect.NewAt(t, p).Elem() }
+func valueAt(t reflect.Type, p unsafe.Pointer) reflect.Value { return reflect.NewAt(t, p).Elem() }
 
-func (cs copiers) make(t reflect.Type) copier {
-	if shared[t] {
+func (cf copyFuncs) build(t reflect.Type) copyFunc {
+	if sharedTypes[t] {
 		return nil
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		elem := cs.of(t.Elem())
-		return func(to, from unsafe.Pointer, seen seenPointers) {
-			v := at(t, from)
+		elem := cf.of(t.Elem())
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
+			v := valueAt(t, from)
 			if v.IsNil() {
 				return
 			}
-			at(t, to).Set(seen.pointer(v, elem))
+			valueAt(t, to).Set(copied.copyPointer(v, elem))
 		}
 	case reflect.Struct:
 		type field struct {
 			offset uintptr
-			copy   copier
+			copy   copyFunc
 		}
 		var fields []field
 		for i := range t.NumField() {
-			if c := cs.of(t.Field(i).Type); c != nil {
+			if c := cf.of(t.Field(i).Type); c != nil {
 				fields = append(fields, field{t.Field(i).Offset, c})
 			}
 		}
 		if len(fields) == 0 {
 			return nil
 		}
-		return func(to, from unsafe.Pointer, seen seenPointers) {
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
 			for _, f := range fields {
-				f.copy(unsafe.Add(to, f.offset), unsafe.Add(from, f.offset), seen)
+				f.copy(unsafe.Add(to, f.offset), unsafe.Add(from, f.offset), copied)
 			}
 		}
 	case reflect.Array:
-		elem, size, n := cs.of(t.Elem()), t.Elem().Size(), t.Len()
+		elem, size, n := cf.of(t.Elem()), t.Elem().Size(), t.Len()
 		if elem == nil {
 			return nil
 		}
-		return func(to, from unsafe.Pointer, seen seenPointers) {
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
 			for i := range n {
-				elem(unsafe.Add(to, uintptr(i)*size), unsafe.Add(from, uintptr(i)*size), seen)
+				elem(unsafe.Add(to, uintptr(i)*size), unsafe.Add(from, uintptr(i)*size), copied)
 			}
 		}
 	case reflect.Slice:
-		elem := cs.of(t.Elem())
-		return func(to, from unsafe.Pointer, seen seenPointers) {
-			v := at(t, from)
+		elem := cf.of(t.Elem())
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
+			v := valueAt(t, from)
 			if v.IsNil() {
 				return
 			}
 			out := reflect.MakeSlice(t, v.Len(), v.Len())
 			reflect.Copy(out, v)
 			for i := 0; elem != nil && i < v.Len(); i++ {
-				elem(out.Index(i).Addr().UnsafePointer(), v.Index(i).Addr().UnsafePointer(), seen)
+				elem(out.Index(i).Addr().UnsafePointer(), v.Index(i).Addr().UnsafePointer(), copied)
 			}
-			at(t, to).Set(out)
+			valueAt(t, to).Set(out)
 		}
 	case reflect.Map:
-		key, value := cs.of(t.Key()), cs.of(t.Elem())
-		return func(to, from unsafe.Pointer, seen seenPointers) {
-			v := at(t, from)
+		key, value := cf.of(t.Key()), cf.of(t.Elem())
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
+			v := valueAt(t, from)
 			if v.IsNil() {
 				return
 			}
 			out := reflect.MakeMapWithSize(t, v.Len())
-			for row := v.MapRange(); row.Next(); {
-				out.SetMapIndex(single(row.Key(), key, seen), single(row.Value(), value, seen))
+			for list := v.MapRange(); list.Next(); {
+				out.SetMapIndex(copyValue(list.Key(), key, copied), copyValue(list.Value(), value, copied))
 			}
-			at(t, to).Set(out)
+			valueAt(t, to).Set(out)
 		}
 	case reflect.Interface:
-		return func(to, from unsafe.Pointer, seen seenPointers) {
-			v := at(t, from)
+		return func(to, from unsafe.Pointer, copied copiedPointers) {
+			v := valueAt(t, from)
 			if v.IsNil() {
 				return
 			}
 			inner := v.Elem()
-			at(t, to).Set(single(inner, cs.of(inner.Type()), seen))
+			valueAt(t, to).Set(copyValue(inner, cf.of(inner.Type()), copied))
 		}
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		return func(_, from unsafe.Pointer, _ seenPointers) {
-			if !at(t, from).IsZero() {
+		return func(_, from unsafe.Pointer, _ copiedPointers) {
+			if !valueAt(t, from).IsZero() {
 				panic(fmt.Sprintf("prove: a state holds a %v, which cannot be copied", t))
 			}
 		}
@@ -149,27 +149,27 @@
 	return nil
 }
 
-// single copies one value that has no address.
-func single(v reflect.Value, c copier, seen seenPointers) reflect.Value {
+// copyValue copies one value that has no address.
+func copyValue(v reflect.Value, c copyFunc, copied copiedPointers) reflect.Value {
 	if c == nil {
 		return v
 	}
 	to, from := reflect.New(v.Type()), reflect.New(v.Type())
 	to.Elem().Set(v)
 	from.Elem().Set(v)
-	c(to.UnsafePointer(), from.UnsafePointer(), seen)
+	c(to.UnsafePointer(), from.UnsafePointer(), copied)
 	return to.Elem()
 }
 
-func (seen seenPointers) pointer(v reflect.Value, elem copier) reflect.Value {
-	if got, ok := seen[v.UnsafePointer()]; ok {
+func (copied copiedPointers) copyPointer(v reflect.Value, elem copyFunc) reflect.Value {
+	if got, ok := copied[v.UnsafePointer()]; ok {
 		return got
 	}
 	out := reflect.New(v.Type().Elem())
-	seen[v.UnsafePointer()] = out
+	copied[v.UnsafePointer()] = out
 	out.Elem().Set(v.Elem())
 	if elem != nil {
-		elem(out.UnsafePointer(), v.UnsafePointer(), seen)
+		elem(out.UnsafePointer(), v.UnsafePointer(), copied)
 	}
 	return out
 }
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -102,11 +102,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	row := mutations
+	list := mutations
 	if os.Getenv("SANDCOURSE_MUTATIONS") != "all" {
-		row = []mutation{mutations[0], mutations[6], mutations[len(mutations)-6]}
+		list = []mutation{mutations[0], mutations[6], mutations[len(mutations)-6]}
 	}
-	for _, m := range row {
+	for _, m := range list {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -35,130 +35,132 @@
 	{"R7", "every change comes to an end: the engine serves, or is aside for what it did"},
 }
 
-// checkSend looks at a send as its first byte goes out.
-func (s *sim) checkSend(r *request) {
-	c := s.client(r.inference)
-	name := r.line.core.Engine
+// checkAttempt looks at a send as its first byte goes out.
+func (s *simulation) checkAttempt(r *engineRequest) {
+	c := s.clientOf(r.requestID)
+	name := r.connection.core.Engine
 	if c == nil {
-		s.say("P6 a send of an inference that nobody asked for")
+		s.violate("P6 a send of an inference that nobody asked for")
 		return
 	}
-	if n := s.out(r.inference); n > 0 {
-		s.say("P2 %s is sent to %s while %d sends are out", r.inference, name, n)
+	if n := s.attemptsInFlight(r.requestID); n > 0 {
+		s.violate("P2 %s is sent to %s while %d sends are out", r.requestID, name, n)
 	}
-	if c.endAt > 0 {
-		s.say("P6 %s is sent to %s after it was %s", r.inference, name, c.final)
+	if c.endedAt > 0 {
+		s.violate("P6 %s is sent to %s after it was %s", r.requestID, name, c.outcome)
 	}
-	if c.ran > 0 && c.effect == "non-retriable" && r.kind == "write" {
-		s.say("P3 %s is non-retriable, may have run, and is sent to %s", r.inference, name)
+	if c.possibleRuns > 0 && c.effect == "non-retriable" && r.kind == "write" {
+		s.violate("P3 %s is non-retriable, may have run, and is sent to %s", r.requestID, name)
 	}
-	if told, ok := s.toldAt[name]; ok && s.now-told > int64(grace) {
-		s.say("P7 %s is sent to %s %v after the news of its drain", r.inference, name, time.Duration(s.now-told))
+	if told, ok := s.drainNotifiedAt[name]; ok && s.now-told > int64(drainGrace) {
+		s.violate("P7 %s is sent to %s %v after the news of its drain", r.requestID, name, time.Duration(s.now-told))
 	}
-	if s.apart {
-		for _, e := range s.list.Entries {
+	if s.inFleet {
+		for _, e := range s.endpoints.Entries {
 			if e.ID == name && e.StartedAtMs > 0 {
-				s.toCold = append(s.toCold, coldSend{name, s.now, e.StartedAtMs * 1e6})
+				s.coldAttempts = append(s.coldAttempts, coldAttempt{name, s.now, e.StartedAtMs * 1e6})
 			}
 		}
 	}
-	s.freed(r.inference)
+	s.restartIdleTime(r.requestID)
 }
 
-// checkFinal looks at a final answer as it comes.
-func (s *sim) checkFinal(c *simClient) {
-	if c.final == "completed" && !c.done {
-		s.say("P11 %s is completed, and no writer has given its last event", c.name)
+// checkOutcome looks at a final answer as it comes.
+func (s *simulation) checkOutcome(c *simulatedClient) {
+	if c.outcome == "completed" && !c.decodeFinished {
+		s.violate("P11 %s is completed, and no writer has given its last event", c.requestID)
 	}
-	early := s.now < c.at+int64(giveUp)-4*int64(tick)
-	if c.final == "errored" && early && c.ran == 0 && s.out(c.name) == 0 && c.effect == "non-retriable" && !c.streams() {
-		s.say("P11 %s is errored before its time, and cannot have run", c.name)
+	early := s.now < c.sentAt+int64(clientTimeout)-4*int64(tick)
+	if c.outcome == "errored" && early && c.possibleRuns == 0 && s.attemptsInFlight(c.requestID) == 0 && c.effect == "non-retriable" && !c.isStreaming() {
+		s.violate("P11 %s is errored before its time, and cannot have run", c.requestID)
 	}
-	if c.final == "shed" && c.ran > 0 && c.effect == "non-retriable" {
-		s.say("P3 %s is non-retriable, may have run, and is shed", c.name)
+	if c.outcome == "shed" && c.possibleRuns > 0 && c.effect == "non-retriable" {
+		s.violate("P3 %s is non-retriable, may have run, and is shed", c.requestID)
 	}
-	if !c.streams() && s.now > c.at+int64(giveUp) {
-		s.say("P4 client %d is %s %v after it gave up", c.n, c.final, time.Duration(s.now-c.at-int64(giveUp)))
+	if !c.isStreaming() && s.now > c.sentAt+int64(clientTimeout) {
+		s.violate("P4 client %d is %s %v after it gave up", c.number, c.outcome, time.Duration(s.now-c.sentAt-int64(clientTimeout)))
 	}
 }
 
 // horizon is when all must be over: the time-out, a stall, six tries to let go, and as much again.
 const horizon = 3 * time.Second
 
-// check looks at a state.
-func (s *sim) check() {
-	if s.now-int64(1000*time.Second) > int64(horizon) && !s.quiet() {
-		s.say("P10 after %v something is still held, open or waited for", horizon)
+// checkState looks at a state.
+func (s *simulation) checkState() {
+	if s.now-int64(1000*time.Second) > int64(horizon) && !s.isQuiescent() {
+		s.violate("P10 after %v something is still held, open or waited for", horizon)
 	}
 	for _, c := range s.clients {
-		if c.asked && c.endAt == 0 && s.now > c.at+int64(giveUp) && !c.streams() {
-			s.say("P4 client %d has no answer %v after it gave up", c.n, time.Duration(s.now-c.at-int64(giveUp)))
+		if c.requested && c.endedAt == 0 && s.now > c.sentAt+int64(clientTimeout) && !c.isStreaming() {
+			s.violate("P4 client %d has no answer %v after it gave up", c.number, time.Duration(s.now-c.sentAt-int64(clientTimeout)))
 		}
 	}
 	for _, c := range s.clients {
-		if c.final == "left" && s.out(c.name) > 0 {
-			s.say("P6 a send of %s is still out after its client left", c.name)
+		if c.outcome == "left" && s.attemptsInFlight(c.requestID) > 0 {
+			s.violate("P6 a send of %s is still out after its client left", c.requestID)
 		}
 	}
-	for _, o := range s.core.OpenAttempts() {
-		if !o.Ended { // a send that is being dialled is out too
-			s.freed(o.Request)
+	for _, openAttempt := range s.core.OpenAttempts() {
+		if !openAttempt.Ended { // a send that is being dialled is out too
+			s.restartIdleTime(openAttempt.Request)
 		}
 	}
-	for _, h := range s.held {
+	for _, h := range s.reservations {
 		// A release on its way counts as let go: the wire, not the node, holds it.
-		if h.lost < 2 && s.out(h.inference) == 0 && !s.releasing(h) && s.now-h.since > int64(pin) {
-			s.say("P5 %s holds the state of %s for %v with no send out", h.reader, h.inference, time.Duration(s.now-h.since))
+		if h.lostReleases < 2 && s.attemptsInFlight(h.requestID) == 0 && !s.releaseInFlight(h) && s.now-h.idleSince > int64(reservationLimit) {
+			s.violate("P5 %s holds the state of %s for %v with no send out", h.engine, h.requestID, time.Duration(s.now-h.idleSince))
 		}
 	}
-	for _, o := range s.core.OpenAttempts() {
-		c := s.client(o.Request)
-		if c == nil || !o.Ended || !o.Decode {
+	for _, openAttempt := range s.core.OpenAttempts() {
+		c := s.clientOf(openAttempt.Request)
+		if c == nil || !openAttempt.Ended || !openAttempt.Decode {
 			continue
 		}
-		if (o.Verdict == "engine error" || o.Verdict == "connection lost") && c.ran == 0 {
-			s.say("P11 %s: %s at %s, yet it cannot have run", o.Request, o.Verdict, o.Engine)
+		if (openAttempt.Verdict == "engine error" || openAttempt.Verdict == "connection lost") && c.possibleRuns == 0 {
+			s.violate("P11 %s: %s at %s, yet it cannot have run", openAttempt.Request, openAttempt.Verdict, openAttempt.Engine)
 		}
-		proof := o.Verdict == "full" || o.Verdict == "not connected" || o.Verdict == "not sent"
-		if proof && c.ran > 0 && s.sendsRan(o.Request) == 0 {
-			s.say("P11 %s: %s at %s, yet it may have run", o.Request, o.Verdict, o.Engine)
+		proof := openAttempt.Verdict == "full" || openAttempt.Verdict == "not connected" || openAttempt.Verdict == "not sent"
+		if proof && c.possibleRuns > 0 && s.attemptsThatMayHaveRun(openAttempt.Request) == 0 {
+			s.violate("P11 %s: %s at %s, yet it may have run", openAttempt.Request, openAttempt.Verdict, openAttempt.Engine)
 		}
 	}
 }
 
-// sendsRan is how many writers' sends the core counts as perhaps run, or still out.
-func (s *sim) sendsRan(inference string) (n int) {
-	for _, o := range s.core.OpenAttempts() {
-		if o.Request == inference && o.Decode &&
-			(!o.Ended || o.Verdict != "full" && o.Verdict != "not connected" && o.Verdict != "not sent") {
+// attemptsThatMayHaveRun is how many writers' sends the core counts as perhaps run, or still out.
+func (s *simulation) attemptsThatMayHaveRun(requestID string) (n int) {
+	for _, openAttempt := range s.core.OpenAttempts() {
+		if openAttempt.Request == requestID && openAttempt.Decode &&
+			(!openAttempt.Ended || openAttempt.Verdict != "full" && openAttempt.Verdict != "not connected" && openAttempt.Verdict != "not sent") {
 			n++
 		}
 	}
 	return n
 }
 
-// streams is whether the client has had its first token: its deadline does not run any more.
-func (c *simClient) streams() bool { return strings.HasPrefix(string(c.out), "HTTP/1.1 200") }
+// isStreaming is whether the client has had its first token: its deadline does not run any more.
+func (c *simulatedClient) isStreaming() bool {
+	return strings.HasPrefix(string(c.received), "HTTP/1.1 200")
+}
 
-func (s *sim) releasing(h held) bool {
-	for _, l := range s.lines {
-		if !l.closed && l.req != nil && l.req.kind == "release" && l.req.inference == h.inference && l.req.send == h.send && l.core.Engine == h.reader {
+func (s *simulation) releaseInFlight(h heldReservation) bool {
+	for _, connection := range s.connections {
+		if !connection.closed && connection.request != nil && connection.request.kind == "release" && connection.request.requestID == h.requestID && connection.request.attempt == h.attempt && connection.core.Engine == h.engine {
 			return true
 		}
 	}
 	return false
 }
 
-// checkEnd looks at a state in which nothing can happen any more.
-func (s *sim) checkEnd() {
+// checkTerminal looks at a state in which nothing can happen any more.
+func (s *simulation) checkTerminal() {
 	for _, c := range s.clients {
-		if c.final == "" {
-			s.say("P10 client %d waits for ever", c.n)
+		if c.outcome == "" {
+			s.violate("P10 client %d waits for ever", c.number)
 		}
 	}
 	h := s.core.InFlight()
 	if h.Requests+h.ControlRequests+h.Reservations > 0 || s.core.BusyConnections() > 0 {
-		s.say("P9 at the end the node holds %d inferences, %d control requests, %d states, %d busy lines", h.Requests, h.ControlRequests,
+		s.violate("P9 at the end the node holds %d inferences, %d control requests, %d states, %d busy lines", h.Requests, h.ControlRequests,
 			h.Reservations, s.core.BusyConnections())
 	}
 }
--- a/internal/modelcheck/prove_test.go
+++ b/internal/modelcheck/prove_test.go
@@ -8,43 +8,43 @@
 
 func tell(t *testing.T, r Result) {
 	t.Helper()
-	if len(r.Broken) > 0 {
-		lines, _ := Story(r.World, r.Path)
-		t.Errorf("%s: %v\n%s", r.World.Name, r.Broken, strings.Join(lines, "\n"))
+	if len(r.Violations) > 0 {
+		lines, _ := Describe(r.World, r.Path)
+		t.Errorf("%s: %v\n%s", r.World.Name, r.Violations, strings.Join(lines, "\n"))
 	}
 }
 
 // The small worlds whole, with the verdict and the count of states that they always have.
 func TestSmallWorldsHold(t *testing.T) {
-	var took Cover
+	var took Coverage
 	for _, name := range []string{"one", "two", "limit", "nodes-two", "roles", "roles-last", "roles-edges"} {
-		w, _ := Find(name)
-		r := Start(w).Go(Bounds{Workers: 4}, nil)
+		w, _ := FindWorld(name)
+		r := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		tell(t, r)
 		if !r.Complete || r.Ends == 0 {
 			t.Errorf("%s: not whole: %+v", name, r)
 		}
-		took.Add(r.Took)
+		took.Add(r.Coverage)
 	}
-	for _, w := range Large {
-		r := Swarm(w, 7, 300, 4, nil)
+	for _, w := range LargeWorlds {
+		r := RandomWalks(w, 7, 300, 4, nil)
 		tell(t, r)
-		took.Add(r.Took)
+		took.Add(r.Coverage)
 	}
-	if taken, of := took.Taken(); taken < of-4 {
-		t.Errorf("only %d of %d rows taken; never: %v", taken, of, took.Missing())
+	if taken, of := took.Fired(); taken < of-4 {
+		t.Errorf("only %d of %d rows taken; never: %v", taken, of, took.Unfired())
 	}
 }
 
 // The verdict, the counterexample and the counts do not hang on the number of workers, nor on a stop half way.
-func TestSameWithAnyNumberOfWorkersAndAfterAStop(t *testing.T) {
-	w, _ := Find("one")
+func TestResultIndependentOfWorkersAndInterruption(t *testing.T) {
+	w, _ := FindWorld("one")
 	w.Faults = 1
-	one := Start(w).Go(Bounds{Workers: 1}, nil)
-	four := Start(w).Go(Bounds{Workers: 4}, nil)
-	stopped := Start(w)
-	stopped.Go(Bounds{Workers: 2, Depth: 9}, nil)
-	later := stopped.Go(Bounds{Workers: 3}, nil)
+	one := NewSnapshot(w).Explore(Limits{Workers: 1}, nil)
+	four := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
+	stopped := NewSnapshot(w)
+	stopped.Explore(Limits{Workers: 2, MaxDepth: 9}, nil)
+	later := stopped.Explore(Limits{Workers: 3}, nil)
 	if !reflect.DeepEqual(one, four) || !reflect.DeepEqual(one, later) || !one.Complete {
 		t.Errorf("%+v\n%+v\n%+v", one, four, later)
 	}
@@ -52,11 +52,11 @@
 
 // A copy of a state must go on as the state itself would: the search by copies agrees with the one that plays every
 // path from the start, in every count and in every end.
-func TestCopiesLoseNothing(t *testing.T) {
+func TestCopiedStatesMatchReplayedPaths(t *testing.T) {
 	for _, name := range []string{"single", "limit", "nodes-two", "roles-one"} {
-		w, _ := Find(name)
-		copied := Start(w).Go(Bounds{Workers: 4}, nil)
-		played := Start(w).Go(Bounds{Workers: 4, Replay: true}, nil)
+		w, _ := FindWorld(name)
+		copied := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
+		played := NewSnapshot(w).Explore(Limits{Workers: 4, ReplayPaths: true}, nil)
 		if !reflect.DeepEqual(copied, played) || !copied.Complete {
 			t.Errorf("%s: %+v\n%+v", name, copied, played)
 		}
@@ -64,15 +64,15 @@
 }
 
 // Events of different nodes commute: taking them in one order leaves out no end, and no break.
-func TestOrderOfNodesLosesNothing(t *testing.T) {
+func TestRouterOrderReductionIsComplete(t *testing.T) {
 	for _, kinds := range [][]string{{"drain"}, {"restart", "reset"}, {"leave", "full", "late"}} {
-		w := World{Name: "nodes", Readers: 1, Writers: 1, Effects: []string{"non-retriable"}, Faults: 1, Nodes: 2, Kinds: kinds}
-		ordered := Start(w).Go(Bounds{Workers: 4}, nil)
-		w.Plain = true
-		plain := Start(w).Go(Bounds{Workers: 4}, nil)
+		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1, Routers: 2, FaultKinds: kinds}
+		ordered := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
+		w.AllOrders = true
+		plain := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		tell(t, ordered)
 		tell(t, plain)
-		if ordered.EndsSum != plain.EndsSum || ordered.Ends != plain.Ends || !plain.Complete || plain.Ends < 5 ||
+		if ordered.EndsChecksum != plain.EndsChecksum || ordered.Ends != plain.Ends || !plain.Complete || plain.Ends < 5 ||
 			ordered.Transitions >= plain.Transitions {
 			t.Errorf("%v: %+v\n%+v", kinds, ordered, plain)
 		}
@@ -80,33 +80,33 @@
 }
 
 // What 3 to 300 nodes decide on their own stays under the budget of a cold engine, and is not nothing.
-func TestCrowdsKeepTheColdBudget(t *testing.T) {
-	for _, w := range Crowds {
-		r := Crowd(w, 7, nil)
-		if len(r.Broken) > 0 || r.Cold < 5 {
-			t.Errorf("%s: %v, at most %d sends in a window", w.Name, r.Broken, r.Cold)
+func TestCrowdsStayWithinWarmUpBudget(t *testing.T) {
+	for _, w := range CrowdWorlds {
+		r := SimulateCrowd(w, 7, nil)
+		if len(r.Violations) > 0 || r.MaxColdAttempts < 5 {
+			t.Errorf("%s: %v, at most %d sends in a window", w.Name, r.Violations, r.MaxColdAttempts)
 		}
 	}
 }
 
 // Opening states that are alike once must lose nothing: without merging, every way of a small world ends alike.
-func TestMergingLosesNothing(t *testing.T) {
-	w := World{Name: "tiny", Readers: 1, Writers: 1, Effects: []string{"non-retriable"}, Faults: 1,
-		Kinds: []string{"reset", "full", "leave", "connect"}}
-	merged := Start(w).Go(Bounds{Workers: 4}, nil)
+func TestMergingStatesIsComplete(t *testing.T) {
+	w := World{Name: "tiny", PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1,
+		FaultKinds: []string{"reset", "full", "leave", "connect"}}
+	merged := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 	finals := map[string]bool{}
 	ends := 0
 	var walk func(path Path)
 	walk = func(path Path) {
-		s, _ := run(w, path, false)
-		if len(s.found()) > 0 {
-			t.Fatalf("%v at %v", s.found(), path)
+		s, _ := replayPath(w, path, false)
+		if len(s.violations()) > 0 {
+			t.Fatalf("%v at %v", s.violations(), path)
 		}
-		n := len(s.events())
+		n := len(s.enabledEvents())
 		if n == 0 {
-			s.checkEnd()
+			s.checkTerminal()
 			ends++
-			finals[s.finals()[0]] = true
+			finals[s.clientOutcomes()[0]] = true
 			return
 		}
 		for i := range n {
@@ -121,19 +121,19 @@
 
 // A break is found by a shortest path, and its story tells it again.
 func TestCounterexample(t *testing.T) {
-	w, _ := Find("one")
+	w, _ := FindWorld("one")
 	r := Result{World: w, Path: Path{0, 0}}
-	lines, broken := Story(w, r.Path)
+	lines, broken := Describe(w, r.Path)
 	if len(broken) > 0 || len(lines) < 4 || !strings.Contains(lines[1], "client 0 asks") {
 		t.Errorf("%v %v", lines, broken)
 	}
-	if lines, _ := Story(w, Path{200}); !strings.Contains(lines[len(lines)-1], "does not fit") {
+	if lines, _ := Describe(w, Path{200}); !strings.Contains(lines[len(lines)-1], "does not fit") {
 		t.Error(lines)
 	}
 }
 
 // The traces of what was found, on the text as it is now. Each names what it once broke.
-func TestFoundBefore(t *testing.T) {
+func TestPastCounterexamples(t *testing.T) {
 	for name, events := range map[string][]string{
 		"P5, P3: withdrawn as never written after the kernel had taken the rest": {"client 0 asks (non-retriable)", "connection to 127.0.0.1:1001 is there, and takes a part of the request",
 			"the rest of the request to 127.0.0.1:1001 goes out", "client 0 leaves"},
@@ -143,31 +143,31 @@
 			"connection to 127.0.0.1:1001 is there", "the list says that 127.0.0.1:2001 drains", "read of n-1-1 at 127.0.0.1:1001 ends"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := Find("one")
-			s := newSim(w, true)
+			w, _ := FindWorld("one")
+			s := newSimulation(w, true)
 			for _, want := range events {
 				found := false
-				for _, e := range s.events() {
+				for _, e := range s.enabledEvents() {
 					if e.Name == want && !found {
 						found = true
-						s.step(e)
+						s.apply(e)
 					}
 				}
 				if !found {
-					t.Fatalf("%q cannot happen after %v", want, s.story)
+					t.Fatalf("%q cannot happen after %v", want, s.trace)
 				}
 			}
 			// From here the first event is taken each time, which is never a fault: the wire is kind from now on.
 			for range 300 {
-				row := s.events()
-				if len(row) == 0 {
-					s.checkEnd()
+				list := s.enabledEvents()
+				if len(list) == 0 {
+					s.checkTerminal()
 					break
 				}
-				s.step(row[0])
+				s.apply(list[0])
 			}
-			if len(s.broken) > 0 || len(s.events()) > 0 {
-				t.Errorf("%v after\n%s", s.broken, strings.Join(s.story, "\n"))
+			if len(s.violated) > 0 || len(s.enabledEvents()) > 0 {
+				t.Errorf("%v after\n%s", s.violated, strings.Join(s.trace, "\n"))
 			}
 		})
 	}
