--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -31,214 +31,214 @@
 
 // World is what is explored.
 type World struct {
-	Name    string   `json:"name"`
-	About   string   `json:"about"`
-	Readers int      `json:"readers"`
-	Writers int      `json:"writers"`
-	Effects []string `json:"effects"` // one inference for each
-	Faults  int      `json:"faults"`  // that the adversary has
-	Kinds   []string `json:"kinds"`   // of faults it may use; all if empty
-	PerConn int      `json:"lines_per_engine"`
-	Probes  bool     `json:"probes"` // engines are asked for their load
-	Open    int      `json:"open"`   // inferences that a node takes at once; 0 for no bound
-	Nodes   int      `json:"nodes"`  // on the same engines, each with these inferences; 0 and 1 are the same
-	Plain   bool     `json:"plain"`  // every order of events of different nodes is tried
-	Roles   bool     `json:"roles"`  // the planner and engines that change role, and no inference
-	Crowd   bool     `json:"crowd"`  // not explored: one long seeded walk, see Crowd
+	Name                 string   `json:"name"`
+	About                string   `json:"about"`
+	PrefillEngines       int      `json:"readers"`
+	DecodeEngines        int      `json:"writers"`
+	Effects              []string `json:"effects"` // one inference for each
+	Faults               int      `json:"faults"`  // that the adversary has
+	FaultKinds           []string `json:"kinds"`   // of faults it may use; all if empty
+	ConnectionsPerEngine int      `json:"lines_per_engine"`
+	HealthChecks         bool     `json:"probes"` // engines are asked for their load
+	MaxOpenRequests      int      `json:"open"`   // inferences that a node takes at once; 0 for no bound
+	Routers              int      `json:"nodes"`  // on the same engines, each with these inferences; 0 and 1 are the same
+	AllOrders            bool     `json:"plain"`  // every order of events of different nodes is tried
+	RoleChanges          bool     `json:"roles"`  // the planner and engines that change role, and no inference
+	Crowd                bool     `json:"crowd"`  // not explored: one long seeded walk, see Crowd
 }
 
 // The times of all worlds are short, so that few timers lie between an inference and its end. Their order is
 // that of the defaults: tick under wait step under grace under pin under time-out.
 const (
-	giveUp = 300 * time.Millisecond
-	target = 100 * time.Millisecond
-	tick   = 5 * time.Millisecond
-	grace  = 50 * time.Millisecond
-	pin    = 200 * time.Millisecond
-	stall  = 100 * time.Millisecond
-	// lateBy is how late a loaded machine may run a timer: more than a tick, less than the margin before a
+	clientTimeout    = 300 * time.Millisecond
+	firstTokenTarget = 100 * time.Millisecond
+	tick             = 5 * time.Millisecond
+	drainGrace       = 50 * time.Millisecond
+	reservationLimit = 200 * time.Millisecond
+	stallTimeout     = 100 * time.Millisecond
+	// timerDelay is how late a loaded machine may run a timer: more than a tick, less than the margin before a
 	// client gives up, which is three ticks.
-	lateBy = 12 * time.Millisecond
+	timerDelay = 12 * time.Millisecond
 )
 
-// request is one request to an engine that has been written and not answered to its end.
-type request struct {
-	line      *simLine
-	inference string // its name, empty for a probe
-	kind      string // read, write, release or probe
-	send      int    // of a read or a release: which
-	silent    bool   // nothing comes until it wakes
-	more      bool   // its second token is out too
-	began     bool   // its first token is out
-}
-
-type simLine struct {
-	core   *router.EngineConnection
-	open   bool
-	closed bool
-	rest   bool // bytes of an answer that is over are unread
-	req    *request
-	sim    *sim
-	part   bool  // the last request is not wholly with the kernel
-	hangs  int64 // since when its dial has not been answered; 0 if it does not hang
-}
-
-// held is a state that waits at a reader, by truth.
-type held struct {
-	inference, reader string
-	send              int
-	lost              int   // tries to let go of it that the wire has swallowed
-	since             int64 // the last time at which a send of its inference was out
-}
-
-type simClient struct {
-	sim    *sim
-	core   *router.ClientConnection
-	n      int
-	effect string
-	out    []byte
-	asked  bool
-	gone   bool
-	at     int64
-	endAt  int64
-	final  string
-	finals int
-	name   string // of its inference
-	done   bool   // a writer has given its last event
-	again  bool   // it has come back with the same after it left
-	ran    int    // writers that may have run it
-}
-
-// sim is one execution.
-type sim struct {
-	w       World
-	d       *config.Deployment
-	now     int64
-	core    *router.Router
-	clients []*simClient
-	lines   []*simLine
-	held    []held
-	faults  int
-	list    endpoint.List
-	toldAt  map[string]int64 // when an engine was told to drain or gone, by truth
-	broken  []string         // properties, with words
-	story   []string
-	tell    bool
-	life    int         // of the node: it may be killed and start anew
-	took    Cover       // by earlier lives
-	asks    map[int]int // of each life
-	joined  int         // clients so far
-	node    int         // among several
-	toCold  []coldSend  // sends to engines that have started anew
-	apart   bool        // one of several nodes: list, restarts and time are the fleet's
-}
-
-// coldSend is one send to an engine that had started anew at since.
-type coldSend struct {
-	engine    string
-	at, since int64
+// engineRequest is one request to an engine that has been written and not answered to its end.
+type engineRequest struct {
+	connection      *simulatedConnection
+	requestID       string // its name, empty for a probe
+	kind            string // read, write, release or probe
+	attempt         int    // of a read or a release: which
+	unresponsive    bool   // nothing comes until it wakes
+	secondTokenSent bool   // its second token is out too
+	firstTokenSent  bool   // its first token is out
+}
+
+type simulatedConnection struct {
+	core          *router.EngineConnection
+	established   bool
+	closed        bool
+	unreadRest    bool // bytes of an answer that is over are unread
+	request       *engineRequest
+	simulation    *simulation
+	partlyWritten bool  // the last request is not wholly with the kernel
+	hangingSince  int64 // since when its dial has not been answered; 0 if it does not hang
+}
+
+// heldReservation is a state that waits at a reader, by truth.
+type heldReservation struct {
+	requestID, engine string
+	attempt           int
+	lostReleases      int   // tries to let go of it that the wire has swallowed
+	idleSince         int64 // the last time at which a send of its inference was out
+}
+
+type simulatedClient struct {
+	simulation     *simulation
+	core           *router.ClientConnection
+	number         int
+	effect         string
+	received       []byte
+	requested      bool
+	disconnected   bool
+	sentAt         int64
+	endedAt        int64
+	outcome        string
+	outcomeCount   int
+	requestID      string // of its inference
+	decodeFinished bool   // a writer has given its last event
+	retried        bool   // it has come back with the same after it left
+	possibleRuns   int    // writers that may have run it
+}
+
+// simulation is one execution.
+type simulation struct {
+	world           World
+	deployment      *config.Deployment
+	now             int64
+	core            *router.Router
+	clients         []*simulatedClient
+	connections     []*simulatedConnection
+	reservations    []heldReservation
+	faultsUsed      int
+	endpoints       endpoint.List
+	drainNotifiedAt map[string]int64 // when an engine was told to drain or gone, by truth
+	violated        []string         // properties, with words
+	trace           []string
+	tracing         bool
+	incarnation     int           // of the node: it may be killed and start anew
+	earlierCoverage Coverage      // by earlier lives
+	requestsSent    map[int]int   // of each life
+	clientsJoined   int           // clients so far
+	routerIndex     int           // among several
+	coldAttempts    []coldAttempt // sends to engines that have started anew
+	inFleet         bool          // one of several nodes: list, restarts and time are the fleet's
+}
+
+// coldAttempt is one send to an engine that had started anew at since.
+type coldAttempt struct {
+	engine        string
+	at, startedAt int64
 }
 
 func (w World) deployment() *config.Deployment {
 	d := config.Defaults()
-	d.NodeName, d.TickInterval, d.StallTimeout, d.HealthChecks = "n", tick, stall, w.Probes
-	d.Rules.DrainGrace, d.Rules.ReservationLimit = grace, pin
+	d.NodeName, d.TickInterval, d.StallTimeout, d.HealthChecks = "n", tick, stallTimeout, w.HealthChecks
+	d.Rules.DrainGrace, d.Rules.ReservationLimit = drainGrace, reservationLimit
 	d.Connections.IdleTimeout, d.Connections.DialTimeout = 150*time.Millisecond, 100*time.Millisecond
-	d.Connections.PerEngine = max(1, w.PerConn)
-	if w.PerConn == 0 {
+	d.Connections.PerEngine = max(1, w.ConnectionsPerEngine)
+	if w.ConnectionsPerEngine == 0 {
 		d.Connections.PerEngine = 4
 	}
-	if w.Open > 0 {
-		d.Limits.OpenRequests = w.Open
+	if w.MaxOpenRequests > 0 {
+		d.Limits.OpenRequests = w.MaxOpenRequests
 	}
-	d.NodeCount = max(1, w.Nodes)
+	d.NodeCount = max(1, w.Routers)
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	for _, effect := range []string{"retriable", "deduped", "non-retriable"} {
-		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, PriorityWeight: 1, FirstTokenObjective: target,
-			Timeout: giveUp, DedupWindow: time.Second, DedupGroup: "all"})
+		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, PriorityWeight: 1, FirstTokenObjective: firstTokenTarget,
+			Timeout: clientTimeout, DedupWindow: time.Second, DedupGroup: "all"})
 	}
 	return d
 }
 
-func newSim(w World, tell bool) *sim { return newNode(w, 0, tell) }
+func newSimulation(w World, tell bool) *simulation { return newRouterSimulation(w, 0, tell) }
 
-// newNode is one node of a world, by its number.
-func newNode(w World, me int, tell bool) *sim {
-	s := &sim{w: w, d: w.deployment(), now: int64(1000 * time.Second), toldAt: map[string]int64{}, tell: tell,
-		asks: map[int]int{}, node: me, apart: w.Nodes > 1 || w.Crowd}
-	s.d.NodeNumber = me
-	if s.apart {
-		s.d.NodeName = fmt.Sprint("n", me)
+// newRouterSimulation is one node of a world, by its number.
+func newRouterSimulation(w World, me int, tell bool) *simulation {
+	s := &simulation{world: w, deployment: w.deployment(), now: int64(1000 * time.Second), drainNotifiedAt: map[string]int64{}, tracing: tell,
+		requestsSent: map[int]int{}, routerIndex: me, inFleet: w.Routers > 1 || w.Crowd}
+	s.deployment.NodeNumber = me
+	if s.inFleet {
+		s.deployment.NodeName = fmt.Sprint("n", me)
 	}
-	s.begin()
-	for i := range w.Readers + w.Writers {
+	s.startRouter()
+	for i := range w.PrefillEngines + w.DecodeEngines {
 		kind := "prefill"
-		if i >= w.Readers {
+		if i >= w.PrefillEngines {
 			kind = "decode"
 		}
-		s.list.Entries = append(s.list.Entries, endpoint.Entry{ID: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
+		s.endpoints.Entries = append(s.endpoints.Entries, endpoint.Entry{ID: engineName(w, i), Kind: kind, Weight: 1, State: endpoint.Ready})
 	}
-	s.list.Revision = 1
-	s.do(func() { s.core.UpdateEndpoints(s.list) })
+	s.endpoints.Revision = 1
+	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 	for _, effect := range w.Effects {
-		s.join(effect)
+		s.addClient(effect)
 	}
 	return s
 }
 
-// join is a client's connection.
-func (s *sim) join(effect string) *simClient {
-	c := &simClient{sim: s, n: s.joined, effect: effect}
-	s.joined++
-	c.core = &router.ClientConnection{ID: int64(s.joined), Socket: c}
+// addClient is a client's connection.
+func (s *simulation) addClient(effect string) *simulatedClient {
+	c := &simulatedClient{simulation: s, number: s.clientsJoined, effect: effect}
+	s.clientsJoined++
+	c.core = &router.ClientConnection{ID: int64(s.clientsJoined), Socket: c}
 	s.clients = append(s.clients, c)
-	s.do(func() { s.core.ClientOpened(c.core) })
+	s.handle(func() { s.core.ClientOpened(c.core) })
 	return c
 }
 
 // chatProtocol is the chat API's: it keeps nothing that changes.
 var chatProtocol = chatapi.NewCodec(nil)
 
-// begin starts a life of the node.
-func (s *sim) begin() {
-	s.life++
-	s.core = router.New(s.d, chatProtocol, uint64(s.life+16*s.node), int64(s.life), s.now, s, watch{s})
+// startRouter starts a life of the node.
+func (s *simulation) startRouter() {
+	s.incarnation++
+	s.core = router.New(s.deployment, chatProtocol, uint64(s.incarnation+16*s.routerIndex), int64(s.incarnation), s.now, s, violationObserver{s})
 }
 
-// kill ends the node outright and starts it anew with its last list. What it held is its clients' loss and
+// killRouter ends the node outright and starts it anew with its last list. What it held is its clients' loss and
 // its engines' to drop; nothing more may be sent for it.
-func (s *sim) kill() {
-	s.took.Add(s.cover())
-	for _, l := range s.lines {
-		if !l.closed && l.req != nil && l.req.kind == "write" && !l.part {
-			s.ran(l.req)
+func (s *simulation) killRouter() {
+	s.earlierCoverage.Add(s.coverage())
+	for _, connection := range s.connections {
+		if !connection.closed && connection.request != nil && connection.request.kind == "write" && !connection.partlyWritten {
+			s.markRun(connection.request)
 		}
-		l.closed, l.req = true, nil
+		connection.closed, connection.request = true, nil
 	}
-	s.lines, s.held = nil, nil
+	s.connections, s.reservations = nil, nil
 	for _, c := range s.clients {
-		if c.asked && c.endAt == 0 {
-			c.gone, c.endAt, c.final = true, s.now, "lost"
+		if c.requested && c.endedAt == 0 {
+			c.disconnected, c.endedAt, c.outcome = true, s.now, "lost"
 		}
 	}
-	s.begin()
-	s.do(func() { s.core.UpdateEndpoints(s.list) })
+	s.startRouter()
+	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 	for _, c := range s.clients {
-		if !c.asked {
-			s.do(func() { s.core.ClientOpened(c.core) })
+		if !c.requested {
+			s.handle(func() { s.core.ClientOpened(c.core) })
 		}
 	}
 }
 
 func engineName(w World, i int) string {
-	if i < w.Readers {
+	if i < w.PrefillEngines {
 		return fmt.Sprintf("127.0.0.1:%d", 1001+i)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", 2001+i-w.Readers)
+	return fmt.Sprintf("127.0.0.1:%d", 2001+i-w.PrefillEngines)
 }
 
-// do hands events to the core as the edge's loop does.
-func (s *sim) do(event func()) {
+// handle hands events to the core as the edge's loop does.
+func (s *simulation) handle(event func()) {
 	s.core.SetTime(s.now)
 	event()
 	s.core.RunDue(s.now)
@@ -246,27 +246,29 @@
 
 // ---- the wire
 
-func (s *sim) SendToPeer(int, string) {}
+func (s *simulation) SendToPeer(int, string) {}
 
-func (s *sim) Dial(l *router.EngineConnection) { s.lines = append(s.lines, &simLine{core: l, sim: s}) }
+func (s *simulation) Dial(connection *router.EngineConnection) {
+	s.connections = append(s.connections, &simulatedConnection{core: connection, simulation: s})
+}
 
-func (l *simLine) Write(data []byte) error {
-	s := l.sim
-	if l.closed || !l.open {
-		s.say("P8 a closed connection is written to")
+func (c *simulatedConnection) Write(data []byte) error {
+	s := c.simulation
+	if c.closed || !c.established {
+		s.violate("P8 a closed connection is written to")
 		return io.ErrClosedPipe
 	}
 	cutter := httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20})
 	pieces, err := cutter.Feed(data)
 	if err != nil || len(pieces) == 0 || !cutter.AtBoundary() {
-		s.say("P8 what is written is not one whole request: %v", err)
+		s.violate("P8 what is written is not one whole request: %v", err)
 		return nil
 	}
-	if l.req != nil || l.rest {
-		s.say("P8 connection to %s is written to while it carries something else", l.core.Engine)
+	if c.request != nil || c.unreadRest {
+		s.violate("P8 connection to %s is written to while it carries something else", c.core.Engine)
 	}
 	head := pieces[0].Request
-	r := &request{line: l, inference: head.Header.Get(chat.HeaderRequestID)}
+	r := &engineRequest{connection: c, requestID: head.Header.Get(chat.HeaderRequestID)}
 	switch head.URL.Path {
 	case engineapi.LoadPath:
 		r.kind = "probe"
@@ -281,74 +283,74 @@
 				json.Unmarshal(p.Data, &body)
 			}
 		}
-		r.inference, r.send = body.Inference, body.Send
+		r.requestID, r.attempt = body.Inference, body.Send
 	default:
 		r.kind = "read"
-		r.send, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderAttempt))
+		r.attempt, _ = strconv.Atoi(head.Header.Get(engineapi.HeaderAttempt))
 		for _, p := range pieces {
 			if p.Kind == httpframing.Body && bytes.Contains(p.Data, []byte(`"do_remote_prefill":true`)) {
 				r.kind = "write"
 			}
 		}
-		s.checkSend(r)
+		s.checkAttempt(r)
 	}
-	l.req = r
+	c.request = r
 	return nil
 }
 
-func (l *simLine) RequestWritten() bool { return !l.part }
+func (connection *simulatedConnection) RequestWritten() bool { return !connection.partlyWritten }
 
-func (l *simLine) Close() {
-	if !l.closed {
-		l.closed = true
-		if r := l.req; r != nil {
-			l.sim.dropped(r)
+func (c *simulatedConnection) Close() {
+	if !c.closed {
+		c.closed = true
+		if r := c.request; r != nil {
+			c.simulation.requestDropped(r)
 		}
-		l.req = nil
+		c.request = nil
 	}
 }
 
-// dropped is what becomes of a request whose connection the node closes: a read may still end and its state
+// requestDropped is what becomes of a request whose connection the node closes: a read may still end and its state
 // wait there, a writer may have run.
-func (s *sim) dropped(r *request) {
-	if r.line.part { // an engine does not begin on a part
-		s.freed(r.inference)
+func (s *simulation) requestDropped(r *engineRequest) {
+	if r.connection.partlyWritten { // an engine does not begin on a part
+		s.restartIdleTime(r.requestID)
 		return
 	}
 	switch r.kind {
 	case "read":
-		s.hold(r)
+		s.reserve(r)
 	case "write":
-		s.ran(r)
+		s.markRun(r)
 	case "release":
-		s.lost(r)
+		s.releaseLost(r)
 	}
-	s.freed(r.inference)
+	s.restartIdleTime(r.requestID)
 }
 
 // ---- clients
 
-func (c *simClient) Send(data []byte) error {
-	c.out = append(c.out, data...)
-	c.read()
+func (c *simulatedClient) Send(data []byte) error {
+	c.received = append(c.received, data...)
+	c.countOutcomes()
 	return nil
 }
-func (c *simClient) Flushed() bool      { return true }
-func (c *simClient) StopReading()       {}
-func (c *simClient) Disconnected() bool { return c.gone }
-func (c *simClient) CloseIfIdle() bool  { return true }
-func (c *simClient) Close()             {}
+func (c *simulatedClient) Flushed() bool      { return true }
+func (c *simulatedClient) StopReading()       {}
+func (c *simulatedClient) Disconnected() bool { return c.disconnected }
+func (c *simulatedClient) CloseIfIdle() bool  { return true }
+func (c *simulatedClient) Close()             {}
 
-// read counts the final answers in what a client has got.
-func (c *simClient) read() {
+// countOutcomes counts the final answers in what a client has got.
+func (c *simulatedClient) countOutcomes() {
 	finals, final := 0, ""
-	text := string(c.out)
+	text := string(c.received)
 	heads := strings.Count(text, "HTTP/1.1 ")
 	if strings.HasPrefix(text, "HTTP/1.1 200") {
 		done, failed := strings.Count(text, "data: [DONE]"), strings.Count(text, `data: {"error"`)
 		finals = done + failed + heads - 1
 		if done+failed == 0 && strings.Contains(text, "\r\n0\r\n\r\n") {
-			c.sim.say("P1 client %d's stream ends with neither its last event nor an error", c.n)
+			c.simulation.violate("P1 client %d's stream ends with neither its last event nor an error", c.number)
 		}
 		if done > 0 {
 			final = "completed"
@@ -356,7 +358,7 @@
 			final = "errored"
 		}
 		if i := strings.Index(text, "\r\n0\r\n\r\n"); finals > 0 && i >= 0 && i+7 < len(text) {
-			c.sim.say("P1 client %d gets more after the end of its stream", c.n)
+			c.simulation.violate("P1 client %d gets more after the end of its stream", c.number)
 		}
 	} else if heads > 0 {
 		finals, final = heads, "errored"
@@ -364,112 +366,112 @@
 			final = "shed"
 		}
 	}
-	if finals > 0 && c.endAt == 0 {
-		c.endAt, c.final = c.sim.now, final
-		c.sim.checkFinal(c)
+	if finals > 0 && c.endedAt == 0 {
+		c.endedAt, c.outcome = c.simulation.now, final
+		c.simulation.checkOutcome(c)
 	}
-	if finals > 1 && c.finals <= 1 {
-		c.sim.say("P1 client %d has %d final answers", c.n, finals)
+	if finals > 1 && c.outcomeCount <= 1 {
+		c.simulation.violate("P1 client %d has %d final answers", c.number, finals)
 	}
-	c.finals = finals
+	c.outcomeCount = finals
 }
 
-// watch learns the names of inferences, and nothing else.
-type watch struct{ s *sim }
+// violationObserver learns the names of inferences, and nothing else.
+type violationObserver struct{ simulation *simulation }
 
-func (w watch) AroundStep(_ routing.Event, step func()) { step() }
-func (w watch) PolicyPanicked(p any, in routing.Event, _ []byte) {
-	w.s.say("P12 the module fails on %T: %v", in, p)
+func (w violationObserver) AroundStep(_ routing.Event, step func()) { step() }
+func (w violationObserver) PolicyPanicked(p any, in routing.Event, _ []byte) {
+	w.simulation.violate("P12 the module fails on %T: %v", in, p)
 }
-func (w watch) RequestFinished(router.RequestSummary) {}
-func (w watch) RequestShed(router.ShedRequest)        {}
-func (w watch) AttemptEnded(router.AttemptSummary)    {}
+func (w violationObserver) RequestFinished(router.RequestSummary) {}
+func (w violationObserver) RequestShed(router.ShedRequest)        {}
+func (w violationObserver) AttemptEnded(router.AttemptSummary)    {}
 
 // AttemptBlocked: the module must never ask for what would be a second run, or for two attempts at once.
-func (w watch) AttemptBlocked(request string, why invariant.Reason) {
+func (w violationObserver) AttemptBlocked(request string, why invariant.Reason) {
 	switch why {
 	case invariant.MayHaveRun:
-		w.s.say("P3 the module asks for an attempt of %s, though %s", request, why)
+		w.simulation.violate("P3 the module asks for an attempt of %s, though %s", request, why)
 	case invariant.AttemptInFlight:
-		w.s.say("P2 the module asks for an attempt of %s, though %s", request, why)
+		w.simulation.violate("P2 the module asks for an attempt of %s, though %s", request, why)
 	}
 }
-func (w watch) InvariantViolated(v invariant.Violation) {
-	w.s.say("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.Detail)
+func (w violationObserver) InvariantViolated(v invariant.Violation) {
+	w.simulation.violate("P15 the node's own monitor says of %s: %s %s", v.Request, v.Rule, v.Detail)
 }
-func (w watch) ClientClosed(int64, router.CloseReason)           {}
-func (w watch) ConnectionChanged(string, router.ConnectionEvent) {}
+func (w violationObserver) ClientClosed(int64, router.CloseReason)           {}
+func (w violationObserver) ConnectionChanged(string, router.ConnectionEvent) {}
 
-func (w watch) FirstToken(string, time.Duration, int) {}
-func (w watch) Rejected(why string)                   { w.s.say("P12 refused: %s", why) }
-func (w watch) ReservationChanged(how router.ReservationEvent) {
+func (w violationObserver) FirstToken(string, time.Duration, int) {}
+func (w violationObserver) Rejected(why string)                   { w.simulation.violate("P12 refused: %s", why) }
+func (w violationObserver) ReservationChanged(how router.ReservationEvent) {
 	if how == router.ReleaseOverdue {
-		w.s.say("P5 the module keeps a state until the node lets go of it")
+		w.simulation.violate("P5 the module keeps a state until the node lets go of it")
 	}
 }
-func (w watch) EndpointsUpdated(int64, int, []string) {}
+func (w violationObserver) EndpointsUpdated(int64, int, []string) {}
 
 // ---- truth about states
 
-func (s *sim) hold(r *request) {
-	s.held = append(s.held, held{inference: r.inference, reader: r.line.core.Engine, send: r.send, since: s.now})
+func (s *simulation) reserve(r *engineRequest) {
+	s.reservations = append(s.reservations, heldReservation{requestID: r.requestID, engine: r.connection.core.Engine, attempt: r.attempt, idleSince: s.now})
 }
 
-// lost notes that the wire has swallowed a try to let go.
-func (s *sim) lost(r *request) {
-	for i, h := range s.held {
-		if h.inference == r.inference && h.reader == r.line.core.Engine && h.send == r.send {
-			s.held[i].lost++
+// releaseLost notes that the wire has swallowed a try to let go.
+func (s *simulation) releaseLost(r *engineRequest) {
+	for i, h := range s.reservations {
+		if h.requestID == r.requestID && h.engine == r.connection.core.Engine && h.attempt == r.attempt {
+			s.reservations[i].lostReleases++
 		}
 	}
 }
 
-// deaf notes a dial that an engine did not answer, for all that waits there: it may have been for letting go.
-func (s *sim) deaf(engine string) {
-	for i := range s.held {
-		if s.held[i].reader == engine {
-			s.held[i].lost++
+// dialUnanswered notes a dial that an engine did not answer, for all that waits there: it may have been for letting go.
+func (s *simulation) dialUnanswered(engine string) {
+	for i := range s.reservations {
+		if s.reservations[i].engine == engine {
+			s.reservations[i].lostReleases++
 		}
 	}
 }
 
-// freed starts the time of an inference's states again: an outcome has come.
-func (s *sim) freed(inference string) {
-	for i := range s.held {
-		if s.held[i].inference == inference {
-			s.held[i].since = s.now
+// restartIdleTime starts the time of an inference's states again: an outcome has come.
+func (s *simulation) restartIdleTime(requestID string) {
+	for i := range s.reservations {
+		if s.reservations[i].requestID == requestID {
+			s.reservations[i].idleSince = s.now
 		}
 	}
 }
 
-func (s *sim) letGo(inference, reader string, send int) {
-	s.held = slices.DeleteFunc(s.held, func(h held) bool {
-		return h.inference == inference && h.reader == reader && h.send == send
+func (s *simulation) release(requestID, reader string, send int) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(h heldReservation) bool {
+		return h.requestID == requestID && h.engine == reader && h.attempt == send
 	})
 }
 
-func (s *sim) out(inference string) (n int) {
-	for _, l := range s.lines {
-		if !l.closed && l.req != nil && l.req.inference == inference && (l.req.kind == "read" || l.req.kind == "write") {
+func (s *simulation) attemptsInFlight(requestID string) (n int) {
+	for _, connection := range s.connections {
+		if !connection.closed && connection.request != nil && connection.request.requestID == requestID && (connection.request.kind == "read" || connection.request.kind == "write") {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *sim) client(inference string) *simClient {
+func (s *simulation) clientOf(requestID string) *simulatedClient {
 	for _, c := range s.clients {
-		if c.name == inference {
+		if c.requestID == requestID {
 			return c
 		}
 	}
 	return nil
 }
 
-func (s *sim) say(format string, args ...any) {
+func (s *simulation) violate(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	if !slices.Contains(s.broken, text) {
-		s.broken = append(s.broken, text)
+	if !slices.Contains(s.violated, text) {
+		s.violated = append(s.violated, text)
 	}
 }
 
@@ -477,216 +479,216 @@
 
 // Event is one thing that the adversary may do.
 type Event struct {
-	Name  string
-	fault string // kind of fault, empty for none
-	do    func()
+	Name      string
+	faultKind string // kind of fault, empty for none
+	apply     func()
 }
 
-func (s *sim) may(kind string) bool {
-	return s.faults < s.w.Faults && (len(s.w.Kinds) == 0 || slices.Contains(s.w.Kinds, kind))
+func (s *simulation) mayInject(kind string) bool {
+	return s.faultsUsed < s.world.Faults && (len(s.world.FaultKinds) == 0 || slices.Contains(s.world.FaultKinds, kind))
 }
 
-// events lists what may happen now, in an order that hangs on nothing but the state.
-func (s *sim) events() []Event {
-	row, pending := s.own()
-	if s.apart {
-		return row
+// enabledEvents lists what may happen now, in an order that hangs on nothing but the state.
+func (s *simulation) enabledEvents() []Event {
+	list, pending := s.routerEvents()
+	if s.inFleet {
+		return list
 	}
-	add := func(name, fault string, do func()) {
-		if fault == "" || s.may(fault) {
-			row = append(row, Event{name, fault, do})
+	add := func(name, faultKind string, apply func()) {
+		if faultKind == "" || s.mayInject(faultKind) {
+			list = append(list, Event{name, faultKind, apply})
 		}
 	}
-	for i, e := range s.list.Entries {
+	for i, e := range s.endpoints.Entries {
 		if e.State == endpoint.Ready {
 			add("the list says that "+e.ID+" drains", "drain", func() {
-				s.list.Revision++
-				s.list.Entries = slices.Clone(s.list.Entries)
-				s.list.Entries[i].State = endpoint.Draining
-				s.hear()
+				s.endpoints.Revision++
+				s.endpoints.Entries = slices.Clone(s.endpoints.Entries)
+				s.endpoints.Entries[i].State = endpoint.Draining
+				s.updateEndpoints()
 			})
 			add(e.ID+" restarts cold", "restart", func() {
-				s.list.Revision++
-				s.list.Entries = slices.Clone(s.list.Entries)
-				s.list.Entries[i].StartedAtMs = s.now / 1e6
-				s.restart(e.ID)
+				s.endpoints.Revision++
+				s.endpoints.Entries = slices.Clone(s.endpoints.Entries)
+				s.endpoints.Entries[i].StartedAtMs = s.now / 1e6
+				s.restartEngine(e.ID)
 			})
 		}
 	}
-	if !pending && !s.quiet() {
+	if !pending && !s.isQuiescent() {
 		due := s.core.NextDue()
-		add("time passes", "", func() { s.pass(max(due, s.now)) })
-		add(fmt.Sprintf("time passes, and the timer runs %v late", lateBy), "late", func() {
-			s.pass(max(due, s.now) + int64(lateBy))
+		add("time passes", "", func() { s.advanceTo(max(due, s.now)) })
+		add(fmt.Sprintf("time passes, and the timer runs %v late", timerDelay), "late", func() {
+			s.advanceTo(max(due, s.now) + int64(timerDelay))
 		})
 	}
-	return row
+	return list
 }
 
-// hear hands the list to the node, and notes by truth what it was told.
-func (s *sim) hear() {
-	for _, e := range s.list.Entries {
-		if _, ok := s.toldAt[e.ID]; !ok && e.State == endpoint.Draining {
-			s.toldAt[e.ID] = s.now
+// updateEndpoints hands the list to the node, and notes by truth what it was told.
+func (s *simulation) updateEndpoints() {
+	for _, e := range s.endpoints.Entries {
+		if _, ok := s.drainNotifiedAt[e.ID]; !ok && e.State == endpoint.Draining {
+			s.drainNotifiedAt[e.ID] = s.now
 		}
 	}
-	s.do(func() { s.core.UpdateEndpoints(s.list) })
+	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 }
 
-// own lists what may happen at this node and on its connections. Pending is whether some of it happens by
+// routerEvents lists what may happen at this node and on its connections. Pending is whether some of it happens by
 // itself before time passes.
-func (s *sim) own() (row []Event, pending bool) {
-	add := func(name, fault string, do func()) {
-		if fault == "" || s.may(fault) {
-			row = append(row, Event{name, fault, do})
+func (s *simulation) routerEvents() (list []Event, pending bool) {
+	add := func(name, faultKind string, apply func()) {
+		if faultKind == "" || s.mayInject(faultKind) {
+			list = append(list, Event{name, faultKind, apply})
 		}
 	}
 	for _, c := range s.clients {
-		if !c.asked {
+		if !c.requested {
 			pending = true
-			add(fmt.Sprintf("client %d asks (%s)", c.n, c.effect), "", func() { s.ask(c) })
-		} else if c.endAt == 0 && !c.gone {
-			add(fmt.Sprintf("client %d leaves", c.n), "leave", func() {
-				c.gone, c.endAt, c.final = true, s.now, "left"
-				s.do(func() { s.core.ClientDisconnected(c.core) })
+			add(fmt.Sprintf("client %d asks (%s)", c.number, c.effect), "", func() { s.sendRequest(c) })
+		} else if c.endedAt == 0 && !c.disconnected {
+			add(fmt.Sprintf("client %d leaves", c.number), "leave", func() {
+				c.disconnected, c.endedAt, c.outcome = true, s.now, "left"
+				s.handle(func() { s.core.ClientDisconnected(c.core) })
 			})
-		} else if c.final == "left" && !c.again {
-			add(fmt.Sprintf("client %d comes back and asks the same again", c.n), "retry", func() {
-				c.again = true
-				s.ask(s.join(c.effect))
+		} else if c.outcome == "left" && !c.retried {
+			add(fmt.Sprintf("client %d comes back and asks the same again", c.number), "retry", func() {
+				c.retried = true
+				s.sendRequest(s.addClient(c.effect))
 			})
 		}
 	}
-	for _, l := range s.lines {
-		if l.closed {
+	for _, connection := range s.connections {
+		if connection.closed {
 			continue
 		}
-		if l.hangs > 0 {
-			add("connection to "+l.core.Engine+" is there after all", "", func() {
-				l.open, l.hangs = true, 0
-				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
+		if connection.hangingSince > 0 {
+			add("connection to "+connection.core.Engine+" is there after all", "", func() {
+				connection.established, connection.hangingSince = true, 0
+				s.handle(func() { s.core.EngineConnected(connection.core, connection, nil) })
 			})
 			continue
 		}
-		if !l.open {
+		if !connection.established {
 			pending = true
-			add("connection to "+l.core.Engine+" hangs", "connect", func() {
-				l.hangs = s.now
-				s.deaf(l.core.Engine)
+			add("connection to "+connection.core.Engine+" hangs", "connect", func() {
+				connection.hangingSince = s.now
+				s.dialUnanswered(connection.core.Engine)
 			})
-			add("connection to "+l.core.Engine+" is there, and takes a part of the request", "part", func() {
-				l.open, l.part = true, true
-				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
+			add("connection to "+connection.core.Engine+" is there, and takes a part of the request", "part", func() {
+				connection.established, connection.partlyWritten = true, true
+				s.handle(func() { s.core.EngineConnected(connection.core, connection, nil) })
 			})
-			add("connection to "+l.core.Engine+" is there", "", func() {
-				l.open = true
-				s.do(func() { s.core.EngineConnected(l.core, l, nil) })
+			add("connection to "+connection.core.Engine+" is there", "", func() {
+				connection.established = true
+				s.handle(func() { s.core.EngineConnected(connection.core, connection, nil) })
 			})
-			add("connection to "+l.core.Engine+" fails", "connect", func() {
-				l.closed = true
-				s.deaf(l.core.Engine)
-				s.do(func() { s.core.EngineConnected(l.core, nil, io.ErrUnexpectedEOF) })
+			add("connection to "+connection.core.Engine+" fails", "connect", func() {
+				connection.closed = true
+				s.dialUnanswered(connection.core.Engine)
+				s.handle(func() { s.core.EngineConnected(connection.core, nil, io.ErrUnexpectedEOF) })
 			})
 			continue
 		}
-		if l.rest && l.req == nil {
+		if connection.unreadRest && connection.request == nil {
 			pending = true
-			add("the rest of the answer from "+l.core.Engine+" comes, and bytes that were not asked for", "garbled", func() {
-				s.do(func() { s.core.ResponseComplete(l.core, nil, false) })
+			add("the rest of the answer from "+connection.core.Engine+" comes, and bytes that were not asked for", "garbled", func() {
+				s.handle(func() { s.core.ResponseComplete(connection.core, nil, false) })
 			})
-			add("the rest of the answer from "+l.core.Engine+" comes", "", func() {
-				l.rest = false
-				s.do(func() { s.core.ResponseComplete(l.core, nil, true) })
+			add("the rest of the answer from "+connection.core.Engine+" comes", "", func() {
+				connection.unreadRest = false
+				s.handle(func() { s.core.ResponseComplete(connection.core, nil, true) })
 			})
 			continue
 		}
-		r := l.req
+		r := connection.request
 		if r == nil {
-			add("bytes come from "+l.core.Engine+" on an idle connection", "garbled", func() {
-				s.do(func() { s.core.ResponseHead(l.core, head(200, "", false), nil) })
+			add("bytes come from "+connection.core.Engine+" on an idle connection", "garbled", func() {
+				s.handle(func() { s.core.ResponseHead(connection.core, responseHead(200, "", false), nil) })
 			})
 			continue
 		}
-		if l.part {
-			if !r.silent {
+		if connection.partlyWritten {
+			if !r.unresponsive {
 				pending = true
-				add("the rest of the request to "+l.core.Engine+" goes out", "", func() { l.part = false })
-				add("the rest of the request to "+l.core.Engine+" waits", "", func() { r.silent = true })
+				add("the rest of the request to "+connection.core.Engine+" goes out", "", func() { connection.partlyWritten = false })
+				add("the rest of the request to "+connection.core.Engine+" waits", "", func() { r.unresponsive = true })
 			} else {
-				add("the rest of the request to "+l.core.Engine+" goes out late", "", func() { l.part, r.silent = false, false })
+				add("the rest of the request to "+connection.core.Engine+" goes out late", "", func() { connection.partlyWritten, r.unresponsive = false, false })
 			}
-			add("connection to "+l.core.Engine+" breaks with a part of the request out", "reset", func() { s.reset(l) })
+			add("connection to "+connection.core.Engine+" breaks with a part of the request out", "reset", func() { s.resetConnection(connection) })
 			continue
 		}
-		if r.silent {
-			add(fmt.Sprintf("%s at %s wakes", r.what(), l.core.Engine), "", func() { r.silent = false })
+		if r.unresponsive {
+			add(fmt.Sprintf("%s at %s wakes", r.describe(), connection.core.Engine), "", func() { r.unresponsive = false })
 			continue
 		}
 		pending = true
-		s.answers(r, add)
+		s.addResponses(r, add)
 	}
-	if slices.ContainsFunc(s.clients, func(c *simClient) bool { return c.asked && c.endAt == 0 }) {
-		add("the node is killed and starts anew", "kill", s.kill)
+	if slices.ContainsFunc(s.clients, func(c *simulatedClient) bool { return c.requested && c.endedAt == 0 }) {
+		add("the node is killed and starts anew", "kill", s.killRouter)
 	}
-	return row, pending
+	return list, pending
 }
 
-func (r *request) what() string {
-	if r.inference == "" {
+func (r *engineRequest) describe() string {
+	if r.requestID == "" {
 		return r.kind
 	}
-	return r.kind + " of " + r.inference
+	return r.kind + " of " + r.requestID
 }
 
-// quiet is whether nothing is left to happen.
-func (s *sim) quiet() bool {
+// isQuiescent is whether nothing is left to happen.
+func (s *simulation) isQuiescent() bool {
 	h := s.core.InFlight()
-	if h.Requests > 0 || h.ControlRequests > 0 || h.Reservations > 0 || len(s.held) > 0 {
+	if h.Requests > 0 || h.ControlRequests > 0 || h.Reservations > 0 || len(s.reservations) > 0 {
 		return false
 	}
 	for _, c := range s.clients {
-		if !c.asked || c.endAt == 0 {
+		if !c.requested || c.endedAt == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *sim) ask(c *simClient) {
-	c.asked, c.at = true, s.now
+func (s *simulation) sendRequest(c *simulatedClient) {
+	c.requested, c.sentAt = true, s.now
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":[{"role":"user","content":"x"}]}`, c.effect)
 	call, err := chat.ParseRequest(body, nil)
 	if err != nil {
 		panic(err)
 	}
 	r, _ := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
-	s.asks[s.life]++
-	c.name = fmt.Sprintf("%s-%x-%d", s.d.NodeName, s.life, s.asks[s.life])
+	s.requestsSent[s.incarnation]++
+	c.requestID = fmt.Sprintf("%s-%x-%d", s.deployment.NodeName, s.incarnation, s.requestsSent[s.incarnation])
 	before := s.core.InFlight().Requests
-	s.do(func() {
+	s.handle(func() {
 		s.core.ReceiveRequest(c.core, &router.ClientRequest{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)})
 	})
-	if c.endAt > 0 && !strings.Contains(string(c.out), chat.HeaderRequestID) { // refused before it was an inference
-		s.asks[s.life]--
-		c.name = ""
-		if s.w.Open == 0 || before < s.w.Open {
-			s.say("P13 client %d is refused with %d inferences open", c.n, before)
+	if c.endedAt > 0 && !strings.Contains(string(c.received), chat.HeaderRequestID) { // refused before it was an inference
+		s.requestsSent[s.incarnation]--
+		c.requestID = ""
+		if s.world.MaxOpenRequests == 0 || before < s.world.MaxOpenRequests {
+			s.violate("P13 client %d is refused with %d inferences open", c.number, before)
 		}
 	}
 }
 
-func (s *sim) pass(to int64) {
+func (s *simulation) advanceTo(to int64) {
 	s.now = to
-	for _, l := range s.lines {
-		if !l.closed && l.hangs > 0 && s.now-l.hangs >= int64(s.d.Connections.DialTimeout) {
-			l.closed = true
-			s.do(func() { s.core.EngineConnected(l.core, nil, io.ErrUnexpectedEOF) })
+	for _, connection := range s.connections {
+		if !connection.closed && connection.hangingSince > 0 && s.now-connection.hangingSince >= int64(s.deployment.Connections.DialTimeout) {
+			connection.closed = true
+			s.handle(func() { s.core.EngineConnected(connection.core, nil, io.ErrUnexpectedEOF) })
 		}
 	}
-	s.do(func() {})
+	s.handle(func() {})
 }
 
-func head(status int, refused string, stream bool) *http.Response {
+func responseHead(status int, refused string, stream bool) *http.Response {
 	h := http.Header{"Content-Type": {"application/json"}}
 	if stream {
 		h.Set("Content-Type", "text/event-stream")
@@ -697,200 +699,200 @@
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: h}
 }
 
-// answers are the ways in which an engine, or the wire, may end a request.
-func (s *sim) answers(r *request, add func(name, fault string, do func())) {
-	l := r.line
-	at := r.what() + " at " + l.core.Engine
-	whole := func(status int, refused string) { // a whole answer, read to its end in one go
-		l.req = nil
-		s.freed(r.inference)
-		s.core.ResponseHead(l.core, head(status, refused, false), nil)
-		if !l.closed {
-			s.core.ResponseComplete(l.core, nil, true)
+// addResponses are the ways in which an engine, or the wire, may end a request.
+func (s *simulation) addResponses(r *engineRequest, add func(name, faultKind string, apply func())) {
+	connection := r.connection
+	subject := r.describe() + " at " + connection.core.Engine
+	answer := func(status int, refused string) { // a whole answer, read to its end in one go
+		connection.request = nil
+		s.restartIdleTime(r.requestID)
+		s.core.ResponseHead(connection.core, responseHead(status, refused, false), nil)
+		if !connection.closed {
+			s.core.ResponseComplete(connection.core, nil, true)
 		}
 	}
 	if r.kind == "release" || r.kind == "probe" {
-		add(at+" is answered", "", func() {
-			s.letGo(r.inference, l.core.Engine, r.send)
-			s.do(func() { whole(200, "") })
+		add(subject+" is answered", "", func() {
+			s.release(r.requestID, connection.core.Engine, r.attempt)
+			s.handle(func() { answer(200, "") })
 		})
-		add(at+" is lost with its connection", "reset", func() { s.reset(l) })
-		add(at+" is not heard of", "silent", func() { r.silent = true })
+		add(subject+" is lost with its connection", "reset", func() { s.resetConnection(connection) })
+		add(subject+" is not heard of", "silent", func() { r.unresponsive = true })
 		return
 	}
 	if r.kind == "read" {
-		add(at+" ends", "", func() {
-			s.hold(r)
-			s.do(func() {
-				s.core.ResponseHead(l.core, head(200, "", false), nil)
-				l.req = nil
-				s.freed(r.inference)
-				s.core.ResponseComplete(l.core, s.stateBody(l.core.Engine, r.inference), true)
+		add(subject+" ends", "", func() {
+			s.reserve(r)
+			s.handle(func() {
+				s.core.ResponseHead(connection.core, responseHead(200, "", false), nil)
+				connection.request = nil
+				s.restartIdleTime(r.requestID)
+				s.core.ResponseComplete(connection.core, s.prefillResponse(connection.core.Engine, r.requestID), true)
 			})
 		})
-		add(at+" ends, half its answer comes", "half", func() {
-			s.hold(r)
-			s.do(func() { s.core.ResponseHead(l.core, head(200, "", false), nil) })
-			s.reset(l)
+		add(subject+" ends, half its answer comes", "half", func() {
+			s.reserve(r)
+			s.handle(func() { s.core.ResponseHead(connection.core, responseHead(200, "", false), nil) })
+			s.resetConnection(connection)
 		})
-		add(at+" ends, its answer names no state", "garbled", func() {
-			s.hold(r)
-			s.do(func() {
-				s.core.ResponseHead(l.core, head(200, "", false), nil)
-				l.req = nil
-				s.freed(r.inference)
-				s.core.ResponseComplete(l.core, []byte("{}"), true)
+		add(subject+" ends, its answer names no state", "garbled", func() {
+			s.reserve(r)
+			s.handle(func() {
+				s.core.ResponseHead(connection.core, responseHead(200, "", false), nil)
+				connection.request = nil
+				s.restartIdleTime(r.requestID)
+				s.core.ResponseComplete(connection.core, []byte("{}"), true)
 			})
 		})
-	} else if !r.began {
-		add(at+" gives its first token", "", func() {
-			s.ran(r)
-			s.fetch(r.inference)
-			r.began = true
-			s.do(func() {
-				s.core.ResponseHead(l.core, head(200, "", true), nil)
-				s.core.StreamEvent(l.core, []byte(`{"choices":[]}`))
+	} else if !r.firstTokenSent {
+		add(subject+" gives its first token", "", func() {
+			s.markRun(r)
+			s.fetchReservation(r.requestID)
+			r.firstTokenSent = true
+			s.handle(func() {
+				s.core.ResponseHead(connection.core, responseHead(200, "", true), nil)
+				s.core.StreamEvent(connection.core, []byte(`{"choices":[]}`))
 			})
 		})
-		add(at+" finds no state", "no-state", func() {
-			s.fetch(r.inference)
-			s.do(func() { whole(409, engineapi.RejectedNoReservation) })
+		add(subject+" finds no state", "no-state", func() {
+			s.fetchReservation(r.requestID)
+			s.handle(func() { answer(409, engineapi.RejectedNoReservation) })
 		})
-		add(at+" runs, and its answer is a second head", "garbled", func() {
-			s.ran(r)
-			s.do(func() {
-				s.core.ResponseHead(l.core, head(200, "", true), nil)
-				s.core.ResponseHead(l.core, head(200, "", true), nil)
+		add(subject+" runs, and its answer is a second head", "garbled", func() {
+			s.markRun(r)
+			s.handle(func() {
+				s.core.ResponseHead(connection.core, responseHead(200, "", true), nil)
+				s.core.ResponseHead(connection.core, responseHead(200, "", true), nil)
 			})
 		})
 	} else {
-		add(at+" ends well", "", func() {
-			l.req, l.rest = nil, true
-			if c := s.client(r.inference); c != nil {
-				c.done = true
+		add(subject+" ends well", "", func() {
+			connection.request, connection.unreadRest = nil, true
+			if c := s.clientOf(r.requestID); c != nil {
+				c.decodeFinished = true
 			}
-			s.freed(r.inference)
-			s.do(func() { s.core.StreamEvent(l.core, []byte(chat.Done)) })
+			s.restartIdleTime(r.requestID)
+			s.handle(func() { s.core.StreamEvent(connection.core, []byte(chat.Done)) })
 		})
-		if !r.more {
-			add(at+" gives another token", "", func() {
-				r.more = true
-				s.do(func() { s.core.StreamEvent(l.core, []byte(`{"choices":[]}`)) })
+		if !r.secondTokenSent {
+			add(subject+" gives another token", "", func() {
+				r.secondTokenSent = true
+				s.handle(func() { s.core.StreamEvent(connection.core, []byte(`{"choices":[]}`)) })
 			})
 		}
-		add(at+" ends without its last event", "half", func() {
-			l.req = nil
-			s.freed(r.inference)
-			s.do(func() { s.core.ResponseComplete(l.core, nil, true) })
+		add(subject+" ends without its last event", "half", func() {
+			connection.request = nil
+			s.restartIdleTime(r.requestID)
+			s.handle(func() { s.core.ResponseComplete(connection.core, nil, true) })
 		})
 	}
-	if !r.began {
-		add(at+" is refused: full", "full", func() { s.do(func() { whole(429, engineapi.RejectedFull) }) })
-		add(at+" fails without a word why", "error", func() {
+	if !r.firstTokenSent {
+		add(subject+" is refused: full", "full", func() { s.handle(func() { answer(429, engineapi.RejectedFull) }) })
+		add(subject+" fails without a word why", "error", func() {
 			if r.kind == "write" {
-				s.ran(r)
+				s.markRun(r)
 			} else {
-				s.hold(r)
+				s.reserve(r)
 			}
-			s.do(func() { whole(503, "") })
+			s.handle(func() { answer(503, "") })
 		})
 	}
-	add(at+" is lost with its connection", "reset", func() {
+	add(subject+" is lost with its connection", "reset", func() {
 		if r.kind == "write" {
-			s.ran(r)
+			s.markRun(r)
 		} else {
-			s.hold(r)
+			s.reserve(r)
 		}
-		s.reset(l)
+		s.resetConnection(connection)
 	})
-	add(at+" is not heard of", "silent", func() { r.silent = true })
+	add(subject+" is not heard of", "silent", func() { r.unresponsive = true })
 }
 
-// fetch takes the newest state of an inference, which is the one that the node names to a writer.
-func (s *sim) fetch(inference string) {
-	for i := len(s.held) - 1; i >= 0; i-- {
-		if s.held[i].inference == inference {
-			s.held = slices.Delete(s.held, i, i+1)
+// fetchReservation takes the newest state of an inference, which is the one that the node names to a writer.
+func (s *simulation) fetchReservation(requestID string) {
+	for i := len(s.reservations) - 1; i >= 0; i-- {
+		if s.reservations[i].requestID == requestID {
+			s.reservations = slices.Delete(s.reservations, i, i+1)
 			return
 		}
 	}
 }
 
-func (s *sim) stateBody(addr, name string) []byte {
+func (s *simulation) prefillResponse(addr, name string) []byte {
 	host, port, _ := strings.Cut(addr, ":")
 	return fmt.Appendf(nil, `{"kv_transfer_params":{"do_remote_prefill":true,"remote_engine_id":%q,"remote_host":%q,"remote_port":%s}}`,
 		name, host, port)
 }
 
-func (s *sim) reset(l *simLine) {
-	r := l.req
-	l.closed, l.req = true, nil
+func (s *simulation) resetConnection(connection *simulatedConnection) {
+	r := connection.request
+	connection.closed, connection.request = true, nil
 	if r != nil {
-		s.freed(r.inference)
+		s.restartIdleTime(r.requestID)
 		if r.kind == "release" {
-			s.lost(r)
+			s.releaseLost(r)
 		}
 	}
-	s.do(func() { s.core.EngineDisconnected(l.core) })
+	s.handle(func() { s.core.EngineDisconnected(connection.core) })
 }
 
-// restart ends an engine with all it holds, as the list says already.
-func (s *sim) restart(name string) {
-	s.held = slices.DeleteFunc(s.held, func(h held) bool { return h.reader == name })
-	for _, l := range s.lines {
-		if l.core.Engine == name && l.open && !l.closed {
-			if l.req != nil && l.req.kind == "write" && !l.part {
-				s.ran(l.req)
+// restartEngine ends an engine with all it holds, as the list says already.
+func (s *simulation) restartEngine(name string) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(h heldReservation) bool { return h.engine == name })
+	for _, connection := range s.connections {
+		if connection.core.Engine == name && connection.established && !connection.closed {
+			if connection.request != nil && connection.request.kind == "write" && !connection.partlyWritten {
+				s.markRun(connection.request)
 			}
-			s.reset(l)
+			s.resetConnection(connection)
 		}
 	}
-	s.hear()
+	s.updateEndpoints()
 }
 
-func (s *sim) ran(r *request) {
-	if c := s.client(r.inference); c != nil && !r.began {
-		c.ran++
+func (s *simulation) markRun(r *engineRequest) {
+	if c := s.clientOf(r.requestID); c != nil && !r.firstTokenSent {
+		c.possibleRuns++
 	}
 }
 
 // ---- digest
 
-// digest is the same for states from which the same may follow.
-func (s *sim) digest() uint64 {
+// fingerprint is the same for states from which the same may follow.
+func (s *simulation) fingerprint() uint64 {
 	h := xxhash.New()
 	s.core.Fingerprint(h)
 	for _, c := range s.clients {
-		fmt.Fprintln(h, c.asked, c.gone, c.endAt > 0, c.final, c.finals, c.name, c.ran, c.done, c.again, s.now-c.at)
+		fmt.Fprintln(h, c.requested, c.disconnected, c.endedAt > 0, c.outcome, c.outcomeCount, c.requestID, c.possibleRuns, c.decodeFinished, c.retried, s.now-c.sentAt)
 	}
 	var rows []string
-	for _, l := range s.lines {
-		if l.closed {
+	for _, connection := range s.connections {
+		if connection.closed {
 			continue
 		}
 		hangs := int64(0)
-		if l.hangs > 0 {
-			hangs = 1 + s.now - l.hangs
+		if connection.hangingSince > 0 {
+			hangs = 1 + s.now - connection.hangingSince
 		}
-		row := fmt.Sprint(l.core.Engine, l.open, l.rest, l.part, hangs)
-		if r := l.req; r != nil {
-			row += fmt.Sprint(r.inference, r.kind, r.send, r.silent, r.began, r.more)
+		list := fmt.Sprint(connection.core.Engine, connection.established, connection.unreadRest, connection.partlyWritten, hangs)
+		if r := connection.request; r != nil {
+			list += fmt.Sprint(r.requestID, r.kind, r.attempt, r.unresponsive, r.firstTokenSent, r.secondTokenSent)
 		}
-		rows = append(rows, row)
+		rows = append(rows, list)
 	}
 	slices.Sort(rows)
-	fmt.Fprintln(h, rows, s.faults, s.life)
-	for _, x := range s.held {
-		fmt.Fprintln(h, x.inference, x.reader, x.send, x.lost, s.now-x.since)
+	fmt.Fprintln(h, rows, s.faultsUsed, s.incarnation)
+	for _, x := range s.reservations {
+		fmt.Fprintln(h, x.requestID, x.engine, x.attempt, x.lostReleases, s.now-x.idleSince)
 	}
-	for _, e := range s.list.Entries {
+	for _, e := range s.endpoints.Entries {
 		fmt.Fprintln(h, e.State, e.StartedAtMs)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.toldAt)) {
-		fmt.Fprintln(h, name, s.now-s.toldAt[name])
+	for _, name := range slices.Sorted(maps.Keys(s.drainNotifiedAt)) {
+		fmt.Fprintln(h, name, s.now-s.drainNotifiedAt[name])
 	}
-	for _, x := range s.toCold {
-		fmt.Fprintln(h, x.engine, s.now-x.at, s.now-x.since)
+	for _, x := range s.coldAttempts {
+		fmt.Fprintln(h, x.engine, s.now-x.at, s.now-x.startedAt)
 	}
 	return h.Sum64()
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -34,7 +34,7 @@
 	const engines, edges = 300, 300
 	list := endpoint.List{Revision: 1}
 	for i := range engines {
-		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read"}
+		m := engine.Config{Name: fmt.Sprint("e", i), Role: "read"}
 		kind := "prefill"
 		if i >= engines/2 {
 			m.Role, kind = "write", "decode"
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -39,7 +39,7 @@
 	f := &fleet{t: t}
 	list := endpoint.List{Revision: 1}
 	for i := range readers + writers {
-		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Reload: 50 * time.Millisecond}
+		m := engine.Config{Name: fmt.Sprint("e", i), Role: "read", Reload: 50 * time.Millisecond}
 		kind := "prefill"
 		if i >= readers {
 			m.Role, kind = "write", "decode"
@@ -208,7 +208,7 @@
 			defer p.Stop()
 			f.awaitStatus(p, "ready", allServing)
 			e := f.engines[0]
-			e.Set(faults)
+			e.SetFaults(faults)
 			if status, text := postOrder(p, planapi.Order{Operation: "move",
 				Engine: e.Addr()}); status != http.StatusOK {
 				t.Fatal(status, text)
@@ -230,7 +230,7 @@
 			}
 			f.mu.Unlock()
 			// Mended, it comes back by itself after its rest, in the role that it had.
-			e.Set(engine.Faults{})
+			e.SetFaults(engine.Faults{})
 			f.awaitStatus(p, "back", allServing)
 			if e.Role() != "read" {
 				t.Errorf("it came back as %s", e.Role())
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -33,7 +33,7 @@
 func newCareless(t *testing.T) careless {
 	t.Helper()
 	log := &audit.Log{}
-	fleet, err := StartFleet(t.TempDir(), []standin.Make{{Name: "r", Role: "read", Rate: 2},
+	fleet, err := StartFleet(t.TempDir(), []standin.Config{{Name: "r", Role: "read", AttemptRate: 2},
 		{Name: "w", Role: "write"}, {Name: "v", Role: "write"}}, log)
 	if err != nil {
 		t.Fatal(err)
@@ -71,9 +71,9 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	for _, b := range c.log.Judge(Rules(d), time.Now()) {
+	for _, b := range c.log.Judge(AuditRules(d), time.Now()) {
 		rules = append(rules, b.Rule)
-		if b.Inference != "" && len(c.log.Story(b.Inference)) == 0 {
+		if b.Inference != "" && len(c.log.Trace(b.Inference)) == 0 {
 			c.t.Errorf("no story of %s", b.Inference)
 		}
 	}
@@ -89,11 +89,11 @@
 }
 
 // Each rule's check fails once where the guard is missing, and holds for the same router on its best behaviour.
-func TestAuditorSeesEachRuleBroken(t *testing.T) {
+func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
 	call := func(c careless, name, request, final string, finals int, end time.Time) {
-		c.log.Hear(audit.Call{Request: request, Inference: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
-			GiveUp: now.Add(time.Second), Final: final, Finals: finals})
+		c.log.RecordClient(audit.ClientRecord{Request: request, Inference: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
+			Deadline: now.Add(time.Second), Outcome: final, OutcomeCount: finals})
 	}
 	t.Run("none", func(t *testing.T) {
 		c := newCareless(t)
@@ -127,13 +127,13 @@
 	t.Run("2 two sends at once", func(t *testing.T) {
 		c := newCareless(t)
 		for i := range 2 {
-			c.fleet.Engines[i].Set(standin.Faults{Silent: true})
+			c.fleet.Engines[i].SetFaults(standin.Faults{Silent: true})
 			go c.send(c.fleet.Engines[i], "x-1", "one", nil)
 		}
 		time.Sleep(300 * time.Millisecond)
 		c.want(2)
 		for i := range 2 {
-			c.fleet.Engines[i].Set(standin.Faults{})
+			c.fleet.Engines[i].SetFaults(standin.Faults{})
 		}
 	})
 	t.Run("3 a send to a drained engine", func(t *testing.T) {
@@ -162,13 +162,13 @@
 	})
 }
 
-func TestPlanIsTheSameForTheSameSeed(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		row := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Trouble {
-			return Trouble{Kind: rapid.SampledFrom(Kinds()).Draw(t, "kind"), Part: rapid.Float64Range(0, 1).Draw(t, "part"),
-				At: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "at")), Length: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "len"))}
+		list := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
+			return Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"), Fraction: rapid.Float64Range(0, 1).Draw(t, "part"),
+				At: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "at")), Duration: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "len"))}
 		}), 0, 5).Draw(t, "troubles")
-		a, b := Plan(row, 9, 4, 3, 1), Plan(row, 9, 4, 3, 1)
+		a, b := Plan(list, 9, 4, 3, 1), Plan(list, 9, 4, 3, 1)
 		if !reflect.DeepEqual(a, b) {
 			t.Fatal("two plans")
 		}
@@ -178,7 +178,7 @@
 				t.Fatalf("%+v strikes nothing", s)
 			}
 			if s.Engine >= 0 && s.Kind != "ageing" && s.Kind != "flush" {
-				on[s.Kind] += map[bool]int{true: -1, false: 1}[s.Off]
+				on[s.Kind] += map[bool]int{true: -1, false: 1}[s.Ends]
 			}
 		}
 		for kind, n := range on {
@@ -200,14 +200,14 @@
 trouble(kind = "slow", at = "200ms", length = "500ms", part = 0.5, size = 3)
 `
 
-func TestShortDayRuns(t *testing.T) {
-	d, err := ReadDay("short", []byte(shortDay))
+func TestShortScenario(t *testing.T) {
+	d, err := Parse("short", []byte(shortDay))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
 	res, err := d.Run(context.Background(), t.TempDir(), zap.NewNop(), io.Discard)
-	if err != nil || len(res.Breaks) > 0 || res.Sum.Finals["completed"] == 0 {
+	if err != nil || len(res.Violations) > 0 || res.Summary.Outcomes["completed"] == 0 {
 		t.Errorf("%+v, %v", res, err)
 	}
 	res.Print(&out)
@@ -216,8 +216,8 @@
 	}
 }
 
-func TestDayFaultsAreToldTogether(t *testing.T) {
-	_, err := ReadDay("d.star", []byte(shortDay+"trouble(kind = \"quake\", at = 3)\nclient(route = \"x\")\n"))
+func TestScriptFaultsAreReportedTogether(t *testing.T) {
+	_, err := Parse("d.star", []byte(shortDay+"trouble(kind = \"quake\", at = 3)\nclient(route = \"x\")\n"))
 	if err == nil {
 		t.Fatal("taken")
 	}
@@ -246,16 +246,16 @@
 	log := &audit.Log{}
 	ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer cancel()
-	fleet, err := StartFleet(t.TempDir(), []standin.Make{{Role: "write"}}, log)
+	fleet, err := StartFleet(t.TempDir(), []standin.Config{{Role: "write"}}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	fleet.Engines[0].Set(standin.Faults{Silent: true})
+	fleet.Engines[0].SetFaults(standin.Faults{Silent: true})
 	loadgen.Traffic{Edges: func() []string { return []string{fleet.Engines[0].Addr()} }, Rate: 200,
-		Length: 500 * time.Millisecond, Seed: 1, Beginnings: 1, Words: 3, Turns: 1, Log: log,
-		Routes: []loadgen.Route{{Name: "a", Share: 1, GiveUp: 100 * time.Millisecond}}}.Run(ctx)
-	if n := len(log.Calls()); n < 50 || n > 200 {
+		Length: 500 * time.Millisecond, Seed: 1, Prefixes: 1, PrefixWords: 3, Turns: 1, Log: log,
+		Routes: []loadgen.Route{{Name: "a", Share: 1, Timeout: 100 * time.Millisecond}}}.Run(ctx)
+	if n := len(log.ClientRecords()); n < 50 || n > 200 {
 		t.Errorf("%d tries in %v", n, time.Since(begun))
 	}
 }
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -21,32 +21,32 @@
 	"sandcourse/internal/loadgen"
 )
 
-// Day is a scripted day.
-type Day struct {
-	Length                           time.Duration
-	Rate, Leave                      float64
-	Seed, Retries, Turns             int
-	Beginnings, Words                int
-	Edges, Readers, Writers          int
-	Slots, Queue, Memory, WriteSlots int
-	Pace, SendRate                   float64
-	TokenTime                        time.Duration
-	Clients                          []Client
-	Troubles                         []Trouble
-	Deployment                       *config.Deployment
+// Scenario is a scripted day.
+type Scenario struct {
+	Duration                                            time.Duration
+	RequestRate, DisconnectShare                        float64
+	Seed, Retries, Turns                                int
+	Prefixes, PrefixWords                               int
+	Edges, PrefillEngines, DecodeEngines                int
+	PrefillSlots, QueueLimit, MemoryTokens, DecodeSlots int
+	PrefillRate, AttemptRate                            float64
+	TokenTime                                           time.Duration
+	Clients                                             []TrafficShare
+	Faults                                              []Fault
+	Deployment                                          *config.Deployment
 }
 
-// Client is how much of the traffic goes to a model route.
-type Client struct {
-	Route string
-	Share float64
-	Most  int
+// TrafficShare is how much of the traffic goes to a model route.
+type TrafficShare struct {
+	Route     string
+	Share     float64
+	MaxTokens int
 }
 
-// ReadDay checks a day's script whole. The error, if any, is of type script.Faults.
-func ReadDay(name string, text []byte) (*Day, error) {
-	d := &Day{Length: 20 * time.Second, Rate: 30, Seed: 1, Retries: 2, Turns: 3, Beginnings: 6, Words: 200, Edges: 3,
-		Readers: 4, Writers: 4, Pace: 200_000, SendRate: 60, TokenTime: 5 * time.Millisecond,
+// Parse checks a day's script whole. The error, if any, is of type script.Faults.
+func Parse(name string, text []byte) (*Scenario, error) {
+	d := &Scenario{Duration: 20 * time.Second, RequestRate: 30, Seed: 1, Retries: 2, Turns: 3, Prefixes: 6, PrefixWords: 200, Edges: 3,
+		PrefillEngines: 4, DecodeEngines: 4, PrefillRate: 200_000, AttemptRate: 60, TokenTime: 5 * time.Millisecond,
 		Deployment: config.Defaults()}
 	d.Deployment.File, d.Deployment.EndpointFile, d.Deployment.ChatAddress = name, "roster.json", ""
 	calls := d.Deployment.ScriptFunctions()
@@ -55,25 +55,25 @@
 	}
 	type say = func(key, format string, args ...any)
 	calls["day"] = func() ([]script.Argument, func(say)) {
-		return []script.Argument{{Name: "length", Target: &d.Length, Min: 0.5, Max: 3600}, {Name: "rate", Target: &d.Rate, Min: 0.1, Max: 5000},
+		return []script.Argument{{Name: "length", Target: &d.Duration, Min: 0.5, Max: 3600}, {Name: "rate", Target: &d.RequestRate, Min: 0.1, Max: 5000},
 			{Name: "seed", Target: &d.Seed, Max: 1 << 31}, {Name: "retries", Target: &d.Retries, Max: 10},
-			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "beginnings", Target: &d.Beginnings, Min: 1, Max: 10_000},
-			{Name: "words", Target: &d.Words, Min: 1, Max: 20_000}, {Name: "leave", Target: &d.Leave, Max: 1}}, nil
+			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "beginnings", Target: &d.Prefixes, Min: 1, Max: 10_000},
+			{Name: "words", Target: &d.PrefixWords, Min: 1, Max: 20_000}, {Name: "leave", Target: &d.DisconnectShare, Max: 1}}, nil
 	}
 	calls["edges"] = func() ([]script.Argument, func(say)) {
 		return []script.Argument{{Name: "count", Target: &d.Edges, Min: 1, Max: 32}}, nil
 	}
 	calls["fleet"] = func() ([]script.Argument, func(say)) {
-		return []script.Argument{{Name: "readers", Target: &d.Readers, Min: 1, Max: 200}, {Name: "writers", Target: &d.Writers, Min: 1, Max: 200},
-			{Name: "reader_slots", Target: &d.Slots, Min: 1, Max: 1000}, {Name: "queue", Target: &d.Queue, Min: 1, Max: 10_000},
-			{Name: "writer_slots", Target: &d.WriteSlots, Min: 1, Max: 1000}, {Name: "memory", Target: &d.Memory, Min: 1000, Max: 1e9},
-			{Name: "pace", Target: &d.Pace, Min: 100, Max: 1e8}, {Name: "send_rate", Target: &d.SendRate, Min: 0.1, Max: 1e5},
+		return []script.Argument{{Name: "readers", Target: &d.PrefillEngines, Min: 1, Max: 200}, {Name: "writers", Target: &d.DecodeEngines, Min: 1, Max: 200},
+			{Name: "reader_slots", Target: &d.PrefillSlots, Min: 1, Max: 1000}, {Name: "queue", Target: &d.QueueLimit, Min: 1, Max: 10_000},
+			{Name: "writer_slots", Target: &d.DecodeSlots, Min: 1, Max: 1000}, {Name: "memory", Target: &d.MemoryTokens, Min: 1000, Max: 1e9},
+			{Name: "pace", Target: &d.PrefillRate, Min: 100, Max: 1e8}, {Name: "send_rate", Target: &d.AttemptRate, Min: 0.1, Max: 1e5},
 			{Name: "token_time", Target: &d.TokenTime, Min: 0.0001, Max: 1}}, nil
 	}
 	calls["client"] = func() ([]script.Argument, func(say)) {
-		c := Client{Share: 1, Most: 32}
+		c := TrafficShare{Share: 1, MaxTokens: 32}
 		return []script.Argument{{Name: "route", Target: &c.Route, Required: true}, {Name: "share", Target: &c.Share, Min: 0.0001, Max: 1e6},
-				{Name: "max_tokens", Target: &c.Most, Min: 1, Max: 4096}},
+				{Name: "max_tokens", Target: &c.MaxTokens, Min: 1, Max: 4096}},
 			func(fault say) {
 				if c.Route != "" && d.Deployment.Route(c.Route) < 0 {
 					fault("route", "%q is no route named above", c.Route)
@@ -82,16 +82,16 @@
 			}
 	}
 	calls["trouble"] = func() ([]script.Argument, func(say)) {
-		t := Trouble{Length: 3 * time.Second, Part: 0.25}
-		return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: Kinds(), Required: true}, {Name: "at", Target: &t.At, Max: 3600},
-				{Name: "length", Target: &t.Length, Max: 3600}, {Name: "part", Target: &t.Part, Max: 1}, {Name: "size", Target: &t.Size, Max: 1000},
-				{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}, {Name: "on", Target: &t.On, Max: 1e6}},
+		t := Fault{Duration: 3 * time.Second, Fraction: 0.25}
+		return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: FaultKinds(), Required: true}, {Name: "at", Target: &t.At, Max: 3600},
+				{Name: "length", Target: &t.Duration, Max: 3600}, {Name: "part", Target: &t.Fraction, Max: 1}, {Name: "size", Target: &t.Size, Max: 1000},
+				{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}, {Name: "on", Target: &t.Selector, Max: 1e6}},
 			func(fault say) {
-				if len(d.Troubles) >= 1000 {
+				if len(d.Faults) >= 1000 {
 					fault("", "more than 1000 troubles")
 					return
 				}
-				d.Troubles = append(d.Troubles, t)
+				d.Faults = append(d.Faults, t)
 			}
 	}
 	err := script.Run(name, text, calls, func(fault func(string, ...any)) {
@@ -99,9 +99,9 @@
 		if len(d.Clients) == 0 {
 			fault("client: none is given; at least one is needed")
 		}
-		for i, t := range d.Troubles {
-			if t.At > d.Length {
-				fault("trouble: number %d, %s, begins %v into a day of %v", i+1, t.Kind, t.At, d.Length)
+		for i, t := range d.Faults {
+			if t.At > d.Duration {
+				fault("trouble: number %d, %s, begins %v into a day of %v", i+1, t.Kind, t.At, d.Duration)
 			}
 		}
 	})
@@ -113,26 +113,26 @@
 
 // Result is how a day went.
 type Result struct {
-	Sum      loadgen.Sum
-	Breaks   []audit.Break
-	Stories  map[string][]string // of inferences that broke a rule
-	Restarts int
-	Held     int // states still held when the day and its quiet end were over
-	Seen     int // records of engines
+	Summary       loadgen.Summary
+	Violations    []audit.Violation
+	Traces        map[string][]string // of inferences that broke a rule
+	Restarts      int
+	HeldAtEnd     int // states still held when the day and its quiet end were over
+	EngineRecords int // records of engines
 }
 
 // Run plays the day in a folder of its own below dir.
-func (d *Day) Run(ctx context.Context, dir string, log *zap.Logger, say io.Writer) (Result, error) {
+func (d *Scenario) Run(ctx context.Context, dir string, log *zap.Logger, say io.Writer) (Result, error) {
 	var res Result
 	seen := &audit.Log{}
 	r := d.Deployment.Rules
-	var makes []engine.Make
-	for i := range d.Readers + d.Writers {
-		m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: d.Slots, Queue: d.Queue, Memory: d.Memory,
-			Pace: d.Pace, Rate: d.SendRate, TokenTime: d.TokenTime, Cold: r.SlowStart, ColdShare: r.SlowStartShare,
-			FallMultiple: r.OverloadMultiple, FallWindow: r.OverloadWindow}
-		if i >= d.Readers {
-			m.Role, m.Slots = "write", d.WriteSlots
+	var makes []engine.Config
+	for i := range d.PrefillEngines + d.DecodeEngines {
+		m := engine.Config{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: d.PrefillSlots, QueueLimit: d.QueueLimit, MemoryTokens: d.MemoryTokens,
+			PrefillRate: d.PrefillRate, AttemptRate: d.AttemptRate, TokenTime: d.TokenTime, WarmUp: r.SlowStart, WarmUpShare: r.SlowStartShare,
+			OverloadFactor: r.OverloadMultiple, OverloadWindow: r.OverloadWindow}
+		if i >= d.PrefillEngines {
+			m.Role, m.Slots = "write", d.DecodeSlots
 		}
 		makes = append(makes, m)
 	}
@@ -148,50 +148,50 @@
 		return res, err
 	}
 	defer edges.Stop()
-	if err := settle(ctx, edges); err != nil {
+	if err := awaitIdle(ctx, edges); err != nil {
 		return res, err
 	}
-	run := &running{fleet: fleet, edges: edges, say: say, begun: time.Now()}
-	steps := Plan(d.Troubles, len(fleet.Engines), d.Readers, d.Edges, uint64(d.Seed))
+	run := &faultRunner{fleet: fleet, edges: edges, say: say, startedAt: time.Now()}
+	steps := Plan(d.Faults, len(fleet.Engines), d.PrefillEngines, d.Edges, uint64(d.Seed))
 	var all sync.WaitGroup
 	all.Go(func() { run.play(ctx, steps) })
 	routes := d.routes()
-	loadgen.Traffic{Edges: edges.Addrs, Routes: routes, Rate: d.Rate, Factor: factor(d.Troubles), Hot: hot(d.Troubles),
-		Length: d.Length, Seed: uint64(d.Seed), Beginnings: d.Beginnings, Words: d.Words, Turns: d.Turns,
-		Retries: d.Retries, Leave: d.Leave, Log: seen}.Run(ctx)
+	loadgen.Traffic{Edges: edges.Addrs, Routes: routes, Rate: d.RequestRate, RateFactor: rateFactor(d.Faults), HotPrefixShare: hotPrefixShare(d.Faults),
+		Length: d.Duration, Seed: uint64(d.Seed), Prefixes: d.Prefixes, PrefixWords: d.PrefixWords, Turns: d.Turns,
+		Retries: d.Retries, DisconnectShare: d.DisconnectShare, Log: seen}.Run(ctx)
 	all.Wait()
-	run.mends.Wait()
+	run.recoveries.Wait()
 	// States must be let go of by themselves: nobody asks for anything any more.
 	for range 60 {
-		res.Held = 0
+		res.HeldAtEnd = 0
 		for _, e := range fleet.Engines {
-			res.Held += e.Held()
+			res.HeldAtEnd += e.Held()
 		}
-		if h := edges.Holding(ctx); res.Held == 0 && h.Requests == 0 {
+		if h := edges.Holding(ctx); res.HeldAtEnd == 0 && h.Requests == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	res.Restarts = run.restarts
-	res.Breaks = seen.Judge(Rules(d.Deployment), time.Now())
-	res.Stories = map[string][]string{}
-	for _, b := range res.Breaks {
-		res.Stories[b.Inference] = seen.Story(b.Inference)
+	res.Violations = seen.Judge(AuditRules(d.Deployment), time.Now())
+	res.Traces = map[string][]string{}
+	for _, b := range res.Violations {
+		res.Traces[b.Inference] = seen.Trace(b.Inference)
 	}
-	res.Seen = len(seen.Seen())
-	res.Sum = loadgen.Add(seen.Calls(), routes)
+	res.EngineRecords = len(seen.EngineRecords())
+	res.Summary = loadgen.Summarize(seen.ClientRecords(), routes)
 	return res, ctx.Err()
 }
 
-// settle waits until every edge serves.
-func settle(ctx context.Context, edges *Edges) error {
+// awaitIdle waits until every edge serves.
+func awaitIdle(ctx context.Context, edges *Edges) error {
 	for range 200 {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 		ready := true
 		for _, addr := range edges.Addrs() {
-			ready = ready && ping(ctx, addr)
+			ready = ready && isReady(ctx, addr)
 		}
 		if ready {
 			return nil
@@ -201,25 +201,25 @@
 	return errors.New("the edges are not ready after 4 s")
 }
 
-func (d *Day) routes() (row []loadgen.Route) {
+func (d *Scenario) routes() (list []loadgen.Route) {
 	for _, c := range d.Clients {
 		t := d.Deployment.Routes[d.Deployment.Route(c.Route)]
-		row = append(row, loadgen.Route{Name: t.Name, Share: c.Share, Value: t.PriorityWeight, Retriable: t.Effect == "retriable",
-			Target: t.FirstTokenObjective, GiveUp: t.Timeout, Most: c.Most})
+		list = append(list, loadgen.Route{Name: t.Name, Share: c.Share, PriorityWeight: t.PriorityWeight, Retriable: t.Effect == "retriable",
+			FirstTokenTarget: t.FirstTokenObjective, Timeout: t.Timeout, MaxTokens: c.MaxTokens})
 	}
-	return row
+	return list
 }
 
 // Print tells how it went.
 func (r Result) Print(w io.Writer) {
-	r.Sum.Print(w)
-	fmt.Fprintf(w, "engines restarted: %d; states left held: %d; records of engines: %d\n", r.Restarts, r.Held, r.Seen)
-	if len(r.Breaks) == 0 {
+	r.Summary.Print(w)
+	fmt.Fprintf(w, "engines restarted: %d; states left held: %d; records of engines: %d\n", r.Restarts, r.HeldAtEnd, r.EngineRecords)
+	if len(r.Violations) == 0 {
 		fmt.Fprintln(w, "all five rules kept (simulated: stand-in engines on loopback)")
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "BROKEN", b)
-		for _, line := range r.Stories[b.Inference] {
+		for _, line := range r.Traces[b.Inference] {
 			fmt.Fprintln(w, "  ", line)
 		}
 	}
@@ -265,10 +265,10 @@
 		line("client(route = %q, share = %.4f)", c.Name, max(0.0001, c.Share))
 	}
 	for _, t := range in.Troubles {
-		kind, ok := benchKinds[t.Kind]
+		kind, ok := benchFaultKinds[t.Kind]
 		if !ok {
 			return "", fmt.Errorf("trouble %q of the day is not known; known are %s", t.Kind,
-				strings.Join(slices.Sorted(maps.Keys(benchKinds)), ", "))
+				strings.Join(slices.Sorted(maps.Keys(benchFaultKinds)), ", "))
 		}
 		n := len(in.Servers)
 		if strings.HasPrefix(t.Kind, "balancer") {
@@ -284,7 +284,7 @@
 			scaled(t.Len), part, min(1000, size))
 	}
 	text := b.String()
-	if _, err := ReadDay("imported", []byte(text)); err != nil {
+	if _, err := Parse("imported", []byte(text)); err != nil {
 		return "", fmt.Errorf("the day cannot be played: %w", err)
 	}
 	return text, nil
@@ -292,11 +292,11 @@
 
 func us(v float64) string { return time.Duration(v * 1000).String() }
 
-// Load reads a day's script from a file.
-func Load(path string) (*Day, error) {
+// LoadFile reads a day's script from a file.
+func LoadFile(path string) (*Scenario, error) {
 	text, err := script.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return ReadDay(path, text)
+	return Parse(path, text)
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -27,17 +27,17 @@
 	Engines []*engine.Engine
 	Path    string
 
-	mu    sync.Mutex
-	list  endpoint.List
-	stale time.Duration // how late changes are published
-	later sync.WaitGroup
+	mu        sync.Mutex
+	endpoints endpoint.List
+	listDelay time.Duration // how late changes are published
+	delayed   sync.WaitGroup
 }
 
 // StartFleet starts engines and writes the first list into dir. Every five engines make a cell; they keep their
 // role's mix.
-func StartFleet(dir string, makes []engine.Make, log *audit.Log) (*Fleet, error) {
+func StartFleet(dir string, makes []engine.Config, log *audit.Log) (*Fleet, error) {
 	f := &Fleet{Log: log, Path: filepath.Join(dir, "roster.json")}
-	marks := &engine.Marks{}
+	marks := &engine.IdempotencyKeys{}
 	for i, m := range makes {
 		e, err := engine.Start(m, log, marks)
 		if err != nil {
@@ -46,39 +46,39 @@
 		}
 		f.Engines = append(f.Engines, e)
 		kind := map[string]string{"read": "prefill", "write": "decode"}[m.Role]
-		f.list.Entries = append(f.list.Entries, endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1,
+		f.endpoints.Entries = append(f.endpoints.Entries, endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1,
 			Cell: fmt.Sprint("c", i%max(1, len(makes)/5)), State: endpoint.Ready})
 	}
-	f.list.Revision = 1
-	return f, endpoint.WriteFile(f.Path, f.list)
+	f.endpoints.Revision = 1
+	return f, endpoint.WriteFile(f.Path, f.endpoints)
 }
 
 // Stop ends all engines.
 func (f *Fleet) Stop() {
-	f.later.Wait()
+	f.delayed.Wait()
 	for _, e := range f.Engines {
 		e.Stop()
 	}
 }
 
-// change alters entries and publishes the list, late if discovery is.
-func (f *Fleet) change(alter func(list *endpoint.List)) {
+// updateList alters entries and publishes the list, late if discovery is.
+func (f *Fleet) updateList(alter func(list *endpoint.List)) {
 	f.mu.Lock()
-	alter(&f.list)
-	f.list.Revision++
-	late := f.stale
+	alter(&f.endpoints)
+	f.endpoints.Revision++
+	late := f.listDelay
 	f.mu.Unlock()
 	if late == 0 {
 		f.publish()
 		return
 	}
-	f.later.Go(func() { time.Sleep(late); f.publish() })
+	f.delayed.Go(func() { time.Sleep(late); f.publish() })
 }
 
 func (f *Fleet) publish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.list
+	list := f.endpoints
 	list.Entries = slices.Clone(list.Entries)
 	if err := endpoint.WriteFile(f.Path, list); err != nil {
 		fmt.Fprintln(os.Stderr, "badday: roster:", err)
@@ -87,21 +87,21 @@
 	at, listed := time.Now(), map[string]bool{}
 	for _, e := range list.Entries {
 		listed[e.ID] = true
-		f.Log.Tell(audit.Told{At: at, Engine: e.ID, Ready: e.State == endpoint.Ready})
+		f.Log.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.ID, Ready: e.State == endpoint.Ready})
 	}
 	for _, e := range f.Engines {
 		if !listed[e.Addr()] {
-			f.Log.Tell(audit.Told{At: at, Engine: e.Addr(), Ready: false})
+			f.Log.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.Addr(), Ready: false})
 		}
 	}
 }
 
-// Stale makes what is published from now on late.
-func (f *Fleet) Stale(late time.Duration) { f.mu.Lock(); f.stale = late; f.mu.Unlock() }
+// DelayList makes what is published from now on late.
+func (f *Fleet) DelayList(late time.Duration) { f.mu.Lock(); f.listDelay = late; f.mu.Unlock() }
 
 // Drain lists an engine as draining, or as ready again.
 func (f *Fleet) Drain(e *engine.Engine, on bool) {
-	f.change(func(list *endpoint.List) {
+	f.updateList(func(list *endpoint.List) {
 		for i := range list.Entries {
 			if list.Entries[i].ID == e.Addr() {
 				list.Entries[i].State = map[bool]string{true: endpoint.Draining, false: endpoint.Ready}[on]
@@ -110,17 +110,17 @@
 	})
 }
 
-// Gone takes an engine off the list; Back puts it there again as just started.
-func (f *Fleet) Gone(e *engine.Engine) {
-	f.change(func(list *endpoint.List) {
+// Remove takes an engine off the list; Back puts it there again as just started.
+func (f *Fleet) Remove(e *engine.Engine) {
+	f.updateList(func(list *endpoint.List) {
 		list.Entries = slices.DeleteFunc(list.Entries, func(o endpoint.Entry) bool { return o.ID == e.Addr() })
 	})
 }
 
-// Back lists an engine as ready and just started.
-func (f *Fleet) Back(e *engine.Engine) {
+// Restore lists an engine as ready and just started.
+func (f *Fleet) Restore(e *engine.Engine) {
 	kind := map[string]string{"read": "prefill", "write": "decode"}[e.Role()]
-	f.change(func(list *endpoint.List) {
+	f.updateList(func(list *endpoint.List) {
 		entry := endpoint.Entry{ID: e.Addr(), Kind: kind, Weight: 1, Cell: "c0", State: endpoint.Ready,
 			StartedAtMs: time.Now().UnixMilli()}
 		for i, o := range list.Entries {
@@ -136,18 +136,18 @@
 
 // Edges are nodes in this process. Each keeps its address over restarts.
 type Edges struct {
-	mu    sync.Mutex
-	nodes []*edge.Edge
-	base  config.Deployment
-	log   *zap.Logger
-	addrs []string
-	seen  *audit.Log
-	seed  uint64
+	mu      sync.Mutex
+	nodes   []*edge.Edge
+	base    config.Deployment
+	log     *zap.Logger
+	addrs   []string
+	records *audit.Log
+	seed    uint64
 }
 
 // StartEdges starts n edges on a fleet.
 func StartEdges(n int, base config.Deployment, log *zap.Logger, seen *audit.Log, seed uint64) (*Edges, error) {
-	es := &Edges{base: base, log: log, seen: seen, seed: seed, nodes: make([]*edge.Edge, n), addrs: make([]string, n)}
+	es := &Edges{base: base, log: log, records: seen, seed: seed, nodes: make([]*edge.Edge, n), addrs: make([]string, n)}
 	for i := range n {
 		es.addrs[i] = "127.0.0.1:0"
 		if base.ChatAddress != "" && n == 1 {
@@ -198,8 +198,8 @@
 	n.Stop()
 	time.Sleep(down)
 	err := es.start(i)
-	es.seen.Killed(audit.Down{Edge: es.addrs[i], From: from, To: time.Now()})
-	es.seen.Killed(audit.Down{Edge: fmt.Sprint("edge", i), From: from, To: time.Now()})
+	es.records.RecordOutage(audit.Outage{Edge: es.addrs[i], From: from, To: time.Now()})
+	es.records.RecordOutage(audit.Outage{Edge: fmt.Sprint("edge", i), From: from, To: time.Now()})
 	return err
 }
 
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -22,49 +22,49 @@
 
 // Phase is a time with one mix of work.
 type Phase struct {
-	Name        string
-	Length      time.Duration
-	Rate        float64 // inferences a second
-	Own, Answer int     // words of a prompt that nobody shares, and the most tokens of an answer
+	Name                 string
+	Duration             time.Duration
+	RequestRate          float64 // inferences a second
+	UserWords, MaxTokens int     // words of a prompt that nobody shares, and the most tokens of an answer
 }
 
-// Tilt is a day whose load tilts between reading and writing, with a planner that follows it.
-type Tilt struct {
-	Readers, Writers, Edges int
-	Phases                  []Phase
-	Fixed                   bool // roles stay as they are: the planner only explains
-	Kill                    bool // the planner is killed now and then
-	Seed                    uint64
-	Faults                  func(ctx context.Context, f *Fleet) // beside the tilt; may be nil
-	OnPlan                  func(planapi.Plan)
+// LoadShift is a day whose load tilts between reading and writing, with a planner that follows it.
+type LoadShift struct {
+	PrefillEngines, DecodeEngines, Edges int
+	Phases                               []Phase
+	FixedRoles                           bool // roles stay as they are: the planner only explains
+	KillPlanner                          bool // the planner is killed now and then
+	Seed                                 uint64
+	Faults                               func(ctx context.Context, f *Fleet) // beside the tilt; may be nil
+	OnPlan                               func(planapi.Plan)
 }
 
-// Tilted is how it went, by phase.
-type Tilted struct {
-	Phases  []loadgen.Sum
-	Second  []loadgen.Sum   // of each phase's second half: after the planner had time to follow
-	Recover []time.Duration // of each phase: until the dearest route is served again; -1 for not within it
-	Breaks  []audit.Break
-	Held    int
-	Changes int
-	Kills   int
+// LoadShiftResult is how it went, by phase.
+type LoadShiftResult struct {
+	Phases        []loadgen.Summary
+	SecondHalves  []loadgen.Summary // of each phase's second half: after the planner had time to follow
+	RecoveryTimes []time.Duration   // of each phase: until the dearest route is served again; -1 for not within it
+	Violations    []audit.Violation
+	HeldAtEnd     int
+	RoleChanges   int
+	PlannerKills  int
 }
 
-// tiltMake is one stand-in engine: 20,000 prompt tokens a second when it reads, 1,600 tokens when it writes.
-func tiltMake(i, readers int, r config.Rules) engine.Make {
-	m := engine.Make{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: 2, OtherSlots: 16, Queue: 64,
-		Pace: 20_000, Rate: 30,
-		TokenTime: 10 * time.Millisecond, Memory: 400_000, Cold: r.SlowStart, ColdShare: r.SlowStartShare,
-		FallMultiple: r.OverloadMultiple,
-		FallWindow:   r.OverloadWindow, Reload: 300 * time.Millisecond}
+// loadShiftEngine is one stand-in engine: 20,000 prompt tokens a second when it reads, 1,600 tokens when it writes.
+func loadShiftEngine(i, readers int, r config.Rules) engine.Config {
+	m := engine.Config{Name: fmt.Sprint("e", i), Role: "read", Seed: 7, Slots: 2, OtherRoleSlots: 16, QueueLimit: 64,
+		PrefillRate: 20_000, AttemptRate: 30,
+		TokenTime: 10 * time.Millisecond, MemoryTokens: 400_000, WarmUp: r.SlowStart, WarmUpShare: r.SlowStartShare,
+		OverloadFactor: r.OverloadMultiple,
+		OverloadWindow: r.OverloadWindow, Reload: 300 * time.Millisecond}
 	if i >= readers {
-		m.Role, m.Slots, m.OtherSlots = "write", 16, 2
+		m.Role, m.Slots, m.OtherRoleSlots = "write", 16, 2
 	}
 	return m
 }
 
 // Planning is the planner's part of a tilted day.
-func (t Tilt) Planning(fleet *Fleet, dir string) *config.Planner {
+func (t LoadShift) Planning(fleet *Fleet, dir string) *config.Planner {
 	p := config.DefaultPlanner()
 	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
@@ -72,17 +72,17 @@
 	b := &p.Assignment
 	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown = 4*time.Second, time.Second, 5*time.Second,
 		2*time.Second, 2*time.Second, 4*time.Second
-	b.MaxChangingShare, b.MaxSharePerMinute, b.MinServing, b.ExplainOnly = 0.25, 1, 1, t.Fixed
+	b.MaxChangingShare, b.MaxSharePerMinute, b.MinServing, b.ExplainOnly = 0.25, 1, 1, t.FixedRoles
 	b.PrefillThroughput, b.DecodeThroughput = 20_000, 1_600
 	return p
 }
 
-// recovers is how long after the beginning of a phase nine tenths of the dearest route's calls come in time
+// recoveryTime is how long after the beginning of a phase nine tenths of the dearest route's calls come in time
 // again, for two windows of four seconds in a row.
-func recovers(calls []audit.Call, routes []loadgen.Route, begun time.Time, length time.Duration) time.Duration {
+func recoveryTime(calls []audit.ClientRecord, routes []loadgen.Route, begun time.Time, length time.Duration) time.Duration {
 	dear := routes[0]
 	for _, r := range routes {
-		if r.Value > dear.Value {
+		if r.PriorityWeight > dear.PriorityWeight {
 			dear = r
 		}
 	}
@@ -92,7 +92,7 @@
 		for _, c := range calls {
 			if at := c.Sent.Sub(begun); c.Route == dear.Name && at >= from && at < from+window {
 				all++
-				if c.Final == "completed" && c.First > 0 && c.First <= dear.Target {
+				if c.Outcome == "completed" && c.FirstToken > 0 && c.FirstToken <= dear.FirstTokenTarget {
 					in++
 				}
 			}
@@ -108,16 +108,16 @@
 }
 
 // Run plays it in a folder of its own.
-func (t Tilt) Run(ctx context.Context, dir string, log *zap.Logger, say io.Writer) (res Tilted, err error) {
+func (t LoadShift) Run(ctx context.Context, dir string, log *zap.Logger, say io.Writer) (res LoadShiftResult, err error) {
 	seen := &audit.Log{}
 	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		return res, err
 	}
 	d.Rules.SlowStart = 2 * time.Second
-	var makes []engine.Make
-	for i := range t.Readers + t.Writers {
-		makes = append(makes, tiltMake(i, t.Readers, d.Rules))
+	var makes []engine.Config
+	for i := range t.PrefillEngines + t.DecodeEngines {
+		makes = append(makes, loadShiftEngine(i, t.PrefillEngines, d.Rules))
 	}
 	fleet, err := StartFleet(dir, makes, seen)
 	if err != nil {
@@ -132,7 +132,7 @@
 			ready[e.Engine] = e.State == endpoint.Ready
 		}
 		for _, e := range fleet.Engines {
-			seen.Tell(audit.Told{At: at, Engine: e.Addr(), Ready: ready[e.Addr()]})
+			seen.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.Addr(), Ready: ready[e.Addr()]})
 		}
 		if t.OnPlan != nil {
 			t.OnPlan(p)
@@ -159,13 +159,13 @@
 		return res, err
 	}
 	defer edges.Stop()
-	if err := settle(ctx, edges); err != nil {
+	if err := awaitIdle(ctx, edges); err != nil {
 		return res, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
-	if t.Kill {
+	if t.KillPlanner {
 		all.Go(func() {
 			for n := 1; ; n++ {
 				select {
@@ -191,7 +191,7 @@
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
-				res.Kills++
+				res.PlannerKills++
 			}
 		})
 	}
@@ -200,34 +200,34 @@
 	}
 	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.PriorityWeight,
-			Retriable: r.Effect == "retriable", Target: r.FirstTokenObjective,
-			GiveUp: r.Timeout})
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, PriorityWeight: r.PriorityWeight,
+			Retriable: r.Effect == "retriable", FirstTokenTarget: r.FirstTokenObjective,
+			Timeout: r.Timeout})
 	}
 	for i, ph := range t.Phases {
-		fmt.Fprintf(say, "%s: %.0f inferences a second for %v, prompts of %d own words, answers of up to %d tokens\n", ph.Name, ph.Rate,
-			ph.Length, ph.Own, ph.Answer)
+		fmt.Fprintf(say, "%s: %.0f inferences a second for %v, prompts of %d own words, answers of up to %d tokens\n", ph.Name, ph.RequestRate,
+			ph.Duration, ph.UserWords, ph.MaxTokens)
 		mine := []loadgen.Route{}
 		for _, r := range routes {
-			r.Most = ph.Answer
+			r.MaxTokens = ph.MaxTokens
 			mine = append(mine, r)
 		}
 		begun := time.Now()
-		loadgen.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.Rate, Length: ph.Length, Seed: t.Seed*100 +
-			uint64(i), Beginnings: 6, Words: 100,
-			Own: ph.Own, Turns: 2, Retries: 1, Log: seen}.Run(ctx)
-		var calls, second []audit.Call
-		for _, c := range seen.Calls() {
+		loadgen.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.RequestRate, Length: ph.Duration, Seed: t.Seed*100 +
+			uint64(i), Prefixes: 6, PrefixWords: 100,
+			UserWords: ph.UserWords, Turns: 2, Retries: 1, Log: seen}.Run(ctx)
+		var calls, second []audit.ClientRecord
+		for _, c := range seen.ClientRecords() {
 			if c.Sent.After(begun) {
 				calls = append(calls, c)
-				if c.Sent.After(begun.Add(ph.Length / 2)) {
+				if c.Sent.After(begun.Add(ph.Duration / 2)) {
 					second = append(second, c)
 				}
 			}
 		}
-		res.Phases, res.Second = append(res.Phases, loadgen.Add(calls, mine)), append(res.Second,
-			loadgen.Add(second, mine))
-		res.Recover = append(res.Recover, recovers(calls, mine, begun, ph.Length))
+		res.Phases, res.SecondHalves = append(res.Phases, loadgen.Summarize(calls, mine)), append(res.SecondHalves,
+			loadgen.Summarize(second, mine))
+		res.RecoveryTimes = append(res.RecoveryTimes, recoveryTime(calls, mine, begun, ph.Duration))
 		readers, writers := 0, 0
 		for _, e := range fleet.Engines {
 			if e.Role() == "read" {
@@ -236,26 +236,26 @@
 				writers++
 			}
 		}
-		s, h := res.Phases[i], res.Second[i]
+		s, h := res.Phases[i], res.SecondHalves[i]
 		fmt.Fprintf(say, "  value in time %.3f, in the second half %.3f; nine tenths of the dearest route in time after %v; now %d read and %d write\n",
-			s.InTime/max(s.Offered, 1), h.InTime/max(h.Offered, 1), res.Recover[i], readers, writers)
+			s.InTime/max(s.Offered, 1), h.InTime/max(h.Offered, 1), res.RecoveryTimes[i], readers, writers)
 	}
 	cancel()
 	all.Wait()
 	for range 60 {
-		res.Held = 0
+		res.HeldAtEnd = 0
 		for _, e := range fleet.Engines {
-			res.Held += e.Held()
+			res.HeldAtEnd += e.Held()
 		}
-		if h := edges.Holding(context.Background()); res.Held == 0 && h.Requests == 0 {
+		if h := edges.Holding(context.Background()); res.HeldAtEnd == 0 && h.Requests == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, e := range fleet.Engines {
-		res.Changes += int(e.Epoch()) - 1
+		res.RoleChanges += int(e.Epoch()) - 1
 	}
-	rules := Rules(&base)
-	res.Breaks = seen.Judge(rules, time.Now())
+	rules := AuditRules(&base)
+	res.Violations = seen.Judge(rules, time.Now())
 	return res, nil
 }
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -25,12 +25,12 @@
 // Load tilts to reading and to writing, the planner is killed every nine seconds, an engine crashes and
 // another lies of its work: engines follow the load, the five rules hold, nothing is stranded, and all nodes
 // and engines are of one mind at the end.
-func TestTiltedDayKeepsTheRules(t *testing.T) {
+func TestLoadShiftKeepsTheRules(t *testing.T) {
 	var mu sync.Mutex
 	var newest planapi.Plan
-	tilt := Tilt{Readers: 4, Writers: 4, Edges: 2, Kill: true, Seed: 3, Phases: []Phase{
-		{Name: "long prompts", Length: 20 * time.Second, Rate: 30, Own: 1500, Answer: 24},
-		{Name: "long answers", Length: 8 * time.Second, Rate: 20, Own: 40, Answer: 200}},
+	tilt := LoadShift{PrefillEngines: 4, DecodeEngines: 4, Edges: 2, KillPlanner: true, Seed: 3, Phases: []Phase{
+		{Name: "long prompts", Duration: 20 * time.Second, RequestRate: 30, UserWords: 1500, MaxTokens: 24},
+		{Name: "long answers", Duration: 8 * time.Second, RequestRate: 20, UserWords: 40, MaxTokens: 200}},
 		OnPlan: func(p planapi.Plan) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -40,7 +40,7 @@
 			newest = p
 		},
 		Faults: func(ctx context.Context, f *Fleet) {
-			f.Engines[7].Set(engine.Faults{LieWork: 10})
+			f.Engines[7].SetFaults(engine.Faults{LieWork: 10})
 			select {
 			case <-ctx.Done():
 			case <-time.After(9 * time.Second):
@@ -53,11 +53,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Breaks {
+	for _, b := range res.Violations {
 		t.Error(b)
 	}
-	if res.Held > 0 || res.Changes == 0 || res.Kills < 2 {
-		t.Errorf("held %d, changes %d, kills %d", res.Held, res.Changes, res.Kills)
+	if res.HeldAtEnd > 0 || res.RoleChanges == 0 || res.PlannerKills < 2 {
+		t.Errorf("held %d, changes %d, kills %d", res.HeldAtEnd, res.RoleChanges, res.PlannerKills)
 	}
 }
 
@@ -71,16 +71,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var makes []engine.Make
+	var makes []engine.Config
 	for i := range 6 {
-		makes = append(makes, tiltMake(i, 3, d.Rules))
+		makes = append(makes, loadShiftEngine(i, 3, d.Rules))
 	}
 	fleet, err := StartFleet(dir, makes, seen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	p := planner.New(Tilt{}.Planning(fleet, dir), zap.NewNop())
+	p := planner.New(LoadShift{}.Planning(fleet, dir), zap.NewNop())
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	follows, stale := *d, *d
 	follows.EndpointFile, follows.PlannerAddress = "", p.Addr()
 	list := endpoint.List{Revision: 1}
-	for _, e := range fleet.list.Entries {
+	for _, e := range fleet.endpoints.Entries {
 		e.RoleEpoch = 1
 		list.Entries = append(list.Entries, e)
 	}
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		defer edges.Stop()
-		if err := settle(context.Background(), edges); err != nil {
+		if err := awaitIdle(context.Background(), edges); err != nil {
 			t.Fatal(err)
 		}
 		addrs = append(addrs, edges.Addrs()...)
@@ -121,22 +121,22 @@
 	})
 	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
-		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, Value: r.PriorityWeight,
-			Retriable: r.Effect == "retriable", Target: r.FirstTokenObjective,
-			GiveUp: r.Timeout, Most: 24})
+		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, PriorityWeight: r.PriorityWeight,
+			Retriable: r.Effect == "retriable", FirstTokenTarget: r.FirstTokenObjective,
+			Timeout: r.Timeout, MaxTokens: 24})
 	}
 	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Length: 8 * time.Second,
-		Seed: 5, Beginnings: 4, Words: 100,
+		Seed: 5, Prefixes: 4, PrefixWords: 100,
 		Turns: 2, Retries: 1, Log: seen}.Run(context.Background())
 	all.Wait()
 	if moved.Role() != "write" {
 		t.Errorf("it is still %s of epoch %d", moved.Role(), moved.Epoch())
 	}
-	for _, b := range seen.Judge(Rules(d), time.Now()) {
+	for _, b := range seen.Judge(AuditRules(d), time.Now()) {
 		t.Error(b)
 	}
-	sum := loadgen.Add(seen.Calls(), routes)
-	if sum.Finals["errored"] > 0 || sum.InTime < 0.9*sum.Offered {
-		t.Errorf("%v, %.2f of value in time", sum.Finals, sum.InTime/sum.Offered)
+	sum := loadgen.Summarize(seen.ClientRecords(), routes)
+	if sum.Outcomes["errored"] > 0 || sum.InTime < 0.9*sum.Offered {
+		t.Errorf("%v, %.2f of value in time", sum.Outcomes, sum.InTime/sum.Offered)
 	}
 }
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -16,30 +16,30 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// Trouble is one trouble of a day, named and shaped as the bench's.
-type Trouble struct {
-	Kind   string
-	At     time.Duration
-	Length time.Duration
-	Part   float64 // of the engines of its role, or of the edges
-	Size   float64 // times slower, times the rate, share of the traffic, seconds: by kind
-	Role   string  // empty for both
-	On     int     // picks among engines beside the day's seed
+// Fault is one trouble of a day, named and shaped as the bench's.
+type Fault struct {
+	Kind     string
+	At       time.Duration
+	Duration time.Duration
+	Fraction float64 // of the engines of its role, or of the edges
+	Size     float64 // times slower, times the rate, share of the traffic, seconds: by kind
+	Role     string  // empty for both
+	Selector int     // picks among engines beside the day's seed
 }
 
-// target is what a trouble strikes.
-type target uint8
+// faultTarget is what a trouble strikes.
+type faultTarget uint8
 
 const (
-	engines target = iota
+	engines faultTarget = iota
 	edges
 	traffic
 	list
 )
 
-// kinds says what each strikes, and the size that is meant where none is given.
-var kinds = map[string]struct {
-	on   target
+// faultKinds says what each strikes, and the size that is meant where none is given.
+var faultKinds = map[string]struct {
+	on   faultTarget
 	size float64
 }{
 	"crash": {engines, 0}, "vanish": {engines, 0}, "mass_restart": {engines, 0}, "slow": {engines, 5},
@@ -50,50 +50,50 @@
 	"balancer_crash": {edges, 0}, "balancer_roll": {edges, 0.2},
 }
 
-// Kinds lists the kinds of trouble by name.
-func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
+// FaultKinds lists the kinds of trouble by name.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
 
 // Step is one thing done to one engine or edge, or to the list, at a time into the day.
 type Step struct {
-	At     time.Duration
-	Kind   string
-	Engine int // -1 for none
-	Edge   int
-	Size   float64
-	Length time.Duration
-	Off    bool // what a step with the same number began is over
+	At       time.Duration
+	Kind     string
+	Engine   int // -1 for none
+	Edge     int
+	Size     float64
+	Duration time.Duration
+	Ends     bool // what a step with the same number began is over
 }
 
 // Plan lays out troubles as steps. The same troubles and seed give the same steps.
-func Plan(troubles []Trouble, count, readers, edgeCount int, seed uint64) []Step {
+func Plan(troubles []Fault, count, readers, edgeCount int, seed uint64) []Step {
 	var steps []Step
 	for n, t := range troubles {
-		rng := rand.New(rand.NewPCG(seed+uint64(t.On), uint64(n)))
-		size := cmp.Or(t.Size, kinds[t.Kind].size)
-		switch kinds[t.Kind].on {
+		rng := rand.New(rand.NewPCG(seed+uint64(t.Selector), uint64(n)))
+		size := cmp.Or(t.Size, faultKinds[t.Kind].size)
+		switch faultKinds[t.Kind].on {
 		case traffic:
 		case list:
 			steps = append(steps, Step{At: t.At, Kind: t.Kind, Engine: -1, Edge: -1, Size: size},
-				Step{At: t.At + t.Length, Kind: t.Kind, Engine: -1, Edge: -1, Off: true})
+				Step{At: t.At + t.Duration, Kind: t.Kind, Engine: -1, Edge: -1, Ends: true})
 		case edges:
-			for i, e := range some(rng, 0, edgeCount, t.Part) {
-				at, down := t.At, t.Length
+			for i, e := range pickTargets(rng, 0, edgeCount, t.Fraction) {
+				at, down := t.At, t.Duration
 				if t.Kind == "balancer_roll" {
 					// One after the other over the whole length.
-					at, down = t.At+time.Duration(i)*t.Length/time.Duration(edgeCount), time.Duration(size*1e9)
+					at, down = t.At+time.Duration(i)*t.Duration/time.Duration(edgeCount), time.Duration(size*1e9)
 				}
-				steps = append(steps, Step{At: at, Kind: t.Kind, Engine: -1, Edge: e, Length: down})
+				steps = append(steps, Step{At: at, Kind: t.Kind, Engine: -1, Edge: e, Duration: down})
 			}
 		case engines:
 			var struck []int
 			if t.Role != "write" {
-				struck = append(struck, some(rng, 0, readers, t.Part)...)
+				struck = append(struck, pickTargets(rng, 0, readers, t.Fraction)...)
 			}
 			if t.Role != "read" {
-				struck = append(struck, some(rng, readers, count, t.Part)...)
+				struck = append(struck, pickTargets(rng, readers, count, t.Fraction)...)
 			}
 			for _, e := range struck {
-				steps = append(steps, strike(t, e, size)...)
+				steps = append(steps, faultSteps(t, e, size)...)
 			}
 		}
 	}
@@ -101,100 +101,100 @@
 	return steps
 }
 
-func strike(t Trouble, e int, size float64) []Step {
-	on := Step{At: t.At, Kind: t.Kind, Engine: e, Edge: -1, Size: size, Length: t.Length}
+func faultSteps(t Fault, e int, size float64) []Step {
+	on := Step{At: t.At, Kind: t.Kind, Engine: e, Edge: -1, Size: size, Duration: t.Duration}
 	off := on
-	off.At, off.Off = t.At+t.Length, true
+	off.At, off.Ends = t.At+t.Duration, true
 	switch t.Kind {
 	case "flush":
 		return []Step{on}
 	case "pauses": // every second, for size seconds
-		var row []Step
-		for at := time.Duration(0); at < t.Length; at += time.Second {
+		var list []Step
+		for at := time.Duration(0); at < t.Duration; at += time.Second {
 			begin, end := on, off
 			begin.At, end.At = t.At+at, t.At+at+time.Duration(size*1e9)
-			row = append(row, begin, end)
+			list = append(list, begin, end)
 		}
-		return row
+		return list
 	case "ageing": // in four steps up to its size
-		var row []Step
+		var list []Step
 		for i := range 4 {
 			s := on
-			s.At, s.Size = t.At+time.Duration(i)*t.Length/4, 1+(size-1)*float64(i+1)/4
-			row = append(row, s)
+			s.At, s.Size = t.At+time.Duration(i)*t.Duration/4, 1+(size-1)*float64(i+1)/4
+			list = append(list, s)
 		}
-		return append(row, off)
+		return append(list, off)
 	}
 	return []Step{on, off}
 }
 
-// some picks a part of the numbers from lo to hi, at least one if the part is not zero.
-func some(rng *rand.Rand, lo, hi int, part float64) []int {
+// pickTargets picks a part of the numbers from lo to hi, at least one if the part is not zero.
+func pickTargets(rng *rand.Rand, lo, hi int, part float64) []int {
 	n := int(part*float64(hi-lo) + 0.5)
 	if part > 0 && hi > lo {
 		n = max(1, n)
 	}
-	row := rng.Perm(hi - lo)[:min(n, hi-lo)]
-	for i := range row {
-		row[i] += lo
+	list := rng.Perm(hi - lo)[:min(n, hi-lo)]
+	for i := range list {
+		list[i] += lo
 	}
-	slices.Sort(row)
-	return row
+	slices.Sort(list)
+	return list
 }
 
-func factor(troubles []Trouble) func(time.Duration) float64 {
+func rateFactor(troubles []Fault) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		f := 1.0
 		for _, t := range troubles {
-			if t.Kind == "burst" && at >= t.At && at < t.At+t.Length {
-				f *= cmp.Or(t.Size, kinds[t.Kind].size)
+			if t.Kind == "burst" && at >= t.At && at < t.At+t.Duration {
+				f *= cmp.Or(t.Size, faultKinds[t.Kind].size)
 			}
 		}
 		return f
 	}
 }
 
-func hot(troubles []Trouble) func(time.Duration) float64 {
+func hotPrefixShare(troubles []Fault) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		f := 0.0
 		for _, t := range troubles {
-			if t.Kind == "hot_key" && at >= t.At && at < t.At+t.Length {
-				f = max(f, cmp.Or(t.Size, kinds[t.Kind].size))
+			if t.Kind == "hot_key" && at >= t.At && at < t.At+t.Duration {
+				f = max(f, cmp.Or(t.Size, faultKinds[t.Kind].size))
 			}
 		}
 		return f
 	}
 }
 
-// running carries out steps.
-type running struct {
-	fleet    *Fleet
-	edges    *Edges
-	say      io.Writer
-	begun    time.Time
-	mends    sync.WaitGroup
-	restarts int
-	faults   map[int]map[string]float64 // of each engine: what is on now
+// faultRunner carries out steps.
+type faultRunner struct {
+	fleet      *Fleet
+	edges      *Edges
+	say        io.Writer
+	startedAt  time.Time
+	recoveries sync.WaitGroup
+	restarts   int
+	faults     map[int]map[string]float64 // of each engine: what is on now
 }
 
-func (r *running) play(ctx context.Context, steps []Step) {
+func (r *faultRunner) play(ctx context.Context, steps []Step) {
 	r.faults = map[int]map[string]float64{}
 	for _, s := range steps {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(r.begun.Add(s.At))):
+		case <-time.After(time.Until(r.startedAt.Add(s.At))):
 		}
-		fmt.Fprintf(r.say, "%6.2fs %s engine %d edge %d over %v\n", time.Since(r.begun).Seconds(), s.Kind, s.Engine,
-			s.Edge, s.Off)
-		r.do(s)
+		fmt.Fprintf(r.say, "%6.2fs %s engine %d edge %d over %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine,
+			s.Edge, s.Ends)
+		r.apply(s)
 	}
 }
 
-func (r *running) do(s Step) {
+func (r *faultRunner) apply(s Step) {
 	if s.Edge >= 0 {
-		r.mends.Go(func() {
-			if err := r.edges.Kill(s.Edge, s.Length); err != nil {
+		r.recoveries.Go(func() {
+			if err := r.edges.Kill(s.Edge, s.Duration); err != nil {
 				fmt.Fprintln(r.say, "edge", s.Edge, "did not come back:", err)
 			}
 		})
@@ -202,10 +202,10 @@
 	}
 	if s.Kind == "discovery_stale" {
 		late := time.Duration(s.Size * 1e9)
-		if s.Off {
+		if s.Ends {
 			late = 0
 		}
-		r.fleet.Stale(late)
+		r.fleet.DelayList(late)
 		return
 	}
 	e := r.fleet.Engines[s.Engine]
@@ -214,33 +214,33 @@
 	}
 	switch {
 	case s.Kind == "flush":
-		e.Flush()
+		e.ClearCache()
 	case s.Kind == "drain":
-		r.fleet.Drain(e, !s.Off)
-	case s.Kind == "preempt" && !s.Off: // told first, gone after its notice
+		r.fleet.Drain(e, !s.Ends)
+	case s.Kind == "preempt" && !s.Ends: // told first, gone after its notice
 		r.fleet.Drain(e, true)
-		r.mends.Go(func() {
+		r.recoveries.Go(func() {
 			time.Sleep(time.Duration(s.Size * 1e9))
 			e.Crash()
-			r.fleet.Gone(e)
+			r.fleet.Remove(e)
 		})
-	case (s.Kind == "crash" || s.Kind == "mass_restart") && !s.Off:
+	case (s.Kind == "crash" || s.Kind == "mass_restart") && !s.Ends:
 		e.Crash()
-		r.mends.Go(func() {
-			time.Sleep(min(s.Length/2, time.Second)) // the list hears of it late
-			if s.Length > time.Second {
-				r.fleet.Gone(e)
+		r.recoveries.Go(func() {
+			time.Sleep(min(s.Duration/2, time.Second)) // the list hears of it late
+			if s.Duration > time.Second {
+				r.fleet.Remove(e)
 			}
 		})
-	case s.Off && (s.Kind == "crash" || s.Kind == "mass_restart" || s.Kind == "preempt" || s.Kind == "vanish"):
+	case s.Ends && (s.Kind == "crash" || s.Kind == "mass_restart" || s.Kind == "preempt" || s.Kind == "vanish"):
 		delete(r.faults, s.Engine)
-		e.Set(engine.Faults{})
+		e.SetFaults(engine.Faults{})
 		if err := e.Restart(); err != nil {
 			fmt.Fprintln(r.say, err)
 			return
 		}
 		r.restarts++
-		r.fleet.Back(e)
+		r.fleet.Restore(e)
 	default:
 		on := r.faults[s.Engine]
 		if on == nil {
@@ -248,15 +248,15 @@
 			r.faults[s.Engine] = on
 		}
 		on[s.Kind] = s.Size
-		if s.Off {
+		if s.Ends {
 			delete(on, s.Kind)
 		}
-		e.Set(join(on))
+		e.SetFaults(combineFaults(on))
 	}
 }
 
-// join makes one set of faults of those that are on at once.
-func join(on map[string]float64) (f engine.Faults) {
+// combineFaults makes one set of faults of those that are on at once.
+func combineFaults(on map[string]float64) (f engine.Faults) {
 	f.Slow = 1
 	for kind, size := range on {
 		switch kind {
@@ -283,7 +283,7 @@
 	return f
 }
 
-func ping(ctx context.Context, addr string) bool {
+func isReady(ctx context.Context, addr string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 	if err != nil {
 		return false
@@ -297,14 +297,14 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// benchKinds are the names of the bench's troubles and of ours.
-var benchKinds = map[string]string{"vanish": "vanish", "slow": "slow", "burst": "burst", "hot_key": "hot_key",
+// benchFaultKinds are the names of the bench's troubles and of ours.
+var benchFaultKinds = map[string]string{"vanish": "vanish", "slow": "slow", "burst": "burst", "hot_key": "hot_key",
 	"discovery_stale": "discovery_stale", "balancer_crash": "balancer_crash", "balancer_roll": "balancer_roll",
 	"flush": "flush", "mass_restart": "mass_restart", "neighbour": "neighbour", "pauses": "pauses",
 	"handshake_slow": "handshake_slow", "ageing": "ageing", "preempt": "preempt"}
 
-// bench is what is read of a day as the bench draws it; times in microseconds.
-type bench struct {
+// benchScenario is what is read of a day as the bench draws it; times in microseconds.
+type benchScenario struct {
 	Family, Kind string
 	Noise        float64
 	Length       float64
@@ -330,8 +330,8 @@
 	}
 }
 
-func readBench(day []byte) (*bench, error) {
-	var b bench
+func readBench(day []byte) (*benchScenario, error) {
+	var b benchScenario
 	if err := json.Unmarshal(day, &b); err != nil {
 		return nil, fmt.Errorf("not a day of the bench: %w", err)
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,19 +18,19 @@
 // longestDeadline is the longest time that a client waits for its first event.
 const longestDeadline = 3 * time.Second
 
-// rudeTime is within what a client that sends no whole request is owed an error or a close, with what a loaded machine adds.
-const rudeTime = 3*time.Second + time.Second
+// incompleteRequestLimit is within what a client that sends no whole request is owed an error or a close, with what a loaded machine adds.
+const incompleteRequestLimit = 3*time.Second + time.Second
 
 // client asks one node after the other, as a front hands it over, and keeps a connection to each.
 type client struct {
-	run    *run
-	number int
-	random *rand.Rand
-	conns  map[*node]*clientConn
-	asked  int
+	run          *soakRun
+	number       int
+	random       *rand.Rand
+	conns        map[*routerProcess]*clientConnection
+	requestCount int
 }
 
-type clientConn struct {
+type clientConnection struct {
 	conn net.Conn
 	in   *bufio.Reader
 	used bool
@@ -42,14 +42,14 @@
 func (c *client) work(end time.Time) {
 	defer c.closeAll()
 	for time.Now().Before(end) {
-		n := c.run.nodes[c.random.IntN(len(c.run.nodes))]
+		n := c.run.routers[c.random.IntN(len(c.run.routers))]
 		switch c.random.IntN(20) {
 		case 0:
-			c.half(n)
+			c.incompleteRequest(n)
 		case 1:
-			c.pipeline(n)
+			c.pipelinedRequests(n)
 		default:
-			c.ask(n)
+			c.sendRequest(n)
 		}
 		time.Sleep(time.Duration(c.random.Int64N(int64(120 * time.Millisecond))))
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (c *client) connect(n *node) (*clientConn, error) {
+func (c *client) connect(n *routerProcess) (*clientConnection, error) {
 	if conn := c.conns[n]; conn != nil {
 		return conn, nil
 	}
@@ -69,11 +69,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c.conns[n] = &clientConn{conn: conn, in: bufio.NewReader(conn)}
+	c.conns[n] = &clientConnection{conn: conn, in: bufio.NewReader(conn)}
 	return c.conns[n], nil
 }
 
-func (c *client) drop(n *node) {
+func (c *client) closeConnection(n *routerProcess) {
 	if conn := c.conns[n]; conn != nil {
 		conn.conn.Close()
 		delete(c.conns, n)
@@ -86,10 +86,10 @@
 	wait        time.Duration
 }
 
-func (c *client) request(n *node) request {
-	c.asked++
+func (c *client) request(n *routerProcess) request {
+	c.requestCount++
 	class := classes[c.random.IntN(len(classes))]
-	return request{name: fmt.Sprintf("%s-c%dq%d", n.name(), c.number, c.asked), class: class,
+	return request{name: fmt.Sprintf("%s-c%dq%d", n.name(), c.number, c.requestCount), class: class,
 		wait: longestDeadline/3 + time.Duration(c.random.Int64N(int64(longestDeadline*2/3)))}
 }
 
@@ -100,12 +100,12 @@
 		platform.HeaderTimeout, r.wait.Seconds(), len(body), body)
 }
 
-// ask sends one request and judges its answer. One in ten clients leaves early. Where the close of a resting connection
+// sendRequest sends one request and judges its answer. One in ten clients leaves early. Where the close of a resting connection
 // crosses it, it is sent once more on a new one.
-func (c *client) ask(n *node) {
+func (c *client) sendRequest(n *routerProcess) {
 	r := c.request(n)
-	call := audit.Call{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
-	call.GiveUp = call.Sent.Add(r.wait)
+	call := audit.ClientRecord{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
+	call.Deadline = call.Sent.Add(r.wait)
 	leaves := c.random.IntN(10) == 0
 	for again := false; ; again = true {
 		conn, err := c.connect(n)
@@ -114,59 +114,59 @@
 		}
 		reused := conn.used
 		conn.used = true
-		conn.conn.SetDeadline(call.GiveUp.Add(5 * time.Second))
+		conn.conn.SetDeadline(call.Deadline.Add(5 * time.Second))
 		if leaves {
 			conn.conn.SetDeadline(call.Sent.Add(time.Duration(c.random.Int64N(int64(r.wait)))))
 		}
 		_, err = io.WriteString(conn.conn, r.text())
 		if err == nil {
-			err = c.answer(conn, &call)
+			err = c.readResponse(conn, &call)
 		}
 		call.End = time.Now()
 		if err != nil {
-			c.drop(n)
+			c.closeConnection(n)
 		}
-		if call.Final == "" && reused && !again && !errors.Is(err, errTimeout) {
+		if call.Outcome == "" && reused && !again && !errors.Is(err, errTimeout) {
 			continue // the close of a resting connection has crossed it
 		}
-		c.judge(n, &call, leaves, err)
+		c.judgeResponse(n, &call, leaves, err)
 		return
 	}
 }
 
 var errTimeout = errors.New("the client's time is over")
 
-// answer reads one answer; an error says that the connection serves no further use.
-func (c *client) answer(conn *clientConn, call *audit.Call) error {
+// readResponse reads one answer; an error says that the connection serves no further use.
+func (c *client) readResponse(conn *clientConnection, call *audit.ClientRecord) error {
 	answer, err := http.ReadResponse(conn.in, nil)
 	if err != nil {
 		return timeout(err)
 	}
 	defer answer.Body.Close()
-	call.Finals = 1
+	call.OutcomeCount = 1
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(answer.Body, first); err != nil && !errors.Is(err, io.EOF) {
-		call.Final = "errored"
+		call.Outcome = "errored"
 		return timeout(err)
 	}
 	if answer.StatusCode == http.StatusOK {
-		call.First = time.Since(call.Sent)
+		call.FirstToken = time.Since(call.Sent)
 	}
 	rest, err := io.ReadAll(answer.Body)
 	switch {
 	case answer.StatusCode == http.StatusOK && err == nil && strings.Contains(string(rest), "[DONE]"):
-		call.Final = "completed"
+		call.Outcome = "completed"
 	case answer.StatusCode == http.StatusOK && err == nil:
-		call.Final, call.Why = "completed", "a stream without its end came with its last chunk"
-		c.run.fault("%s: a stream without its end came with its last chunk: %q", call.Request, rest)
+		call.Outcome, call.Reason = "completed", "a stream without its end came with its last chunk"
+		c.run.violate("%s: a stream without its end came with its last chunk: %q", call.Request, rest)
 	case answer.StatusCode == http.StatusOK:
-		call.Final = "errored" // the stream broke
+		call.Outcome = "errored" // the stream broke
 	case answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests:
-		call.Final = "shed"
+		call.Outcome = "shed"
 	default:
-		call.Final = "errored"
+		call.Outcome = "errored"
 	}
-	c.run.count(fmt.Sprint(answer.StatusCode))
+	c.run.countResponse(fmt.Sprint(answer.StatusCode))
 	if err != nil {
 		return timeout(err)
 	}
@@ -184,24 +184,24 @@
 	return err
 }
 
-// judge notes how a call ended. A connection that broke without an answer has lost what was taken on it, unless its node
+// judgeResponse notes how a call ended. A connection that broke without an answer has lost what was taken on it, unless its node
 // was ending or not there.
-func (c *client) judge(n *node, call *audit.Call, leaves bool, err error) {
+func (c *client) judgeResponse(n *routerProcess, call *audit.ClientRecord, leaves bool, err error) {
 	switch {
-	case call.Final != "":
+	case call.Outcome != "":
 	case leaves:
-		call.Final = "left"
+		call.Outcome = "left"
 	case n.wasAway(call.Sent, call.End):
-		call.Final = "left" // a new connection may be closed unread then; an ending node's are judged by engines' records
+		call.Outcome = "left" // a new connection may be closed unread then; an ending node's are judged by engines' records
 		c.run.noteUnanswered(n, *call)
 	default:
-		call.Final, call.Why = "lost", fmt.Sprint(err)
+		call.Outcome, call.Reason = "lost", fmt.Sprint(err)
 	}
-	c.run.log.Hear(*call)
+	c.run.log.RecordClient(*call)
 }
 
 // noteUnanswered keeps a call without an answer for the judge, unless its node was killed.
-func (r *run) noteUnanswered(n *node, call audit.Call) {
+func (r *soakRun) noteUnanswered(n *routerProcess, call audit.ClientRecord) {
 	if n.wasKilled(call.Sent, call.End) {
 		return
 	}
@@ -210,8 +210,8 @@
 	r.unanswered = append(r.unanswered, call)
 }
 
-// half sends a part of a request and stays: an error or a close is owed to it.
-func (c *client) half(n *node) {
+// incompleteRequest sends a part of a request and stays: an error or a close is owed to it.
+func (c *client) incompleteRequest(n *routerProcess) {
 	conn, err := net.DialTimeout("tcp", n.addr, time.Second)
 	if err != nil {
 		return
@@ -223,28 +223,28 @@
 	if c.random.IntN(2) == 0 { // behind a request that is served
 		before = c.request(n).text()
 	}
-	c.run.others.Go(func() {
+	c.run.auxiliary.Go(func() {
 		defer conn.Close()
 		if _, err := io.WriteString(conn, before+text[:cut]); err != nil {
 			return
 		}
 		begun := time.Now()
-		owed := rudeTime
+		owed := incompleteRequestLimit
 		if before != "" {
 			owed += longestDeadline + time.Second // until the one before is served
 		}
 		conn.SetDeadline(begun.Add(owed))
 		answers, err := io.ReadAll(conn)
 		if errors.Is(timeout(err), errTimeout) && !n.wasAway(begun, time.Now()) {
-			c.run.fault("%s: half a request (%d bytes, behind another: %v) has no error and no close after %v; got %q",
+			c.run.violate("%s: half a request (%d bytes, behind another: %v) has no error and no close after %v; got %q",
 				n.name(), cut, before != "", owed, answers)
 		}
-		c.run.count("half")
+		c.run.countResponse("half")
 	})
 }
 
-// pipeline sends some requests at once; all are answered, in order.
-func (c *client) pipeline(n *node) {
+// pipelinedRequests sends some requests at once; all are answered, in order.
+func (c *client) pipelinedRequests(n *routerProcess) {
 	conn, err := net.DialTimeout("tcp", n.addr, time.Second)
 	if err != nil {
 		return
@@ -257,7 +257,7 @@
 		row = append(row, r)
 		text += r.text()
 	}
-	c.run.others.Go(func() {
+	c.run.auxiliary.Go(func() {
 		defer conn.Close()
 		in := bufio.NewReader(conn)
 		begun := time.Now()
@@ -269,7 +269,7 @@
 			answer, err := http.ReadResponse(in, nil)
 			if err != nil {
 				if !n.wasAway(begun, time.Now()) {
-					c.run.fault("%s: %d of %d requests sent at once have no answer: %v", r.name, len(row)-i, len(row), err)
+					c.run.violate("%s: %d of %d requests sent at once have no answer: %v", r.name, len(row)-i, len(row), err)
 				}
 				return
 			}
@@ -279,6 +279,6 @@
 				return // a stream broke: its connection ends with those that wait behind it
 			}
 		}
-		c.run.count("pipelined")
+		c.run.countResponse("pipelined")
 	})
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -31,25 +31,25 @@
 	changed    *sync.Cond
 	generation int64
 	instances  []*instance
-	agents     []*agent
+	agents     []*discoveryAgent
 }
 
-// agent tells one group of nodes. It may be silent, and it may move to another address.
-type agent struct {
-	d      *discovery
-	group  int
-	server *http.Server
-	addr   string
-	silent bool
-	slow   time.Duration // between two pieces of a whole list; 0 for at once
-	calls  int
+// discoveryAgent tells one group of nodes. It may be silent, and it may move to another address.
+type discoveryAgent struct {
+	discovery *discovery
+	group     int
+	server    *http.Server
+	addr      string
+	silent    bool
+	pause     time.Duration // between two pieces of a whole list; 0 for at once
+	calls     int
 }
 
 func newDiscovery(groups int) (*discovery, error) {
 	d := &discovery{generation: 1}
 	d.changed = sync.NewCond(&d.mu)
 	for g := range groups {
-		a := &agent{d: d, group: g}
+		a := &discoveryAgent{discovery: d, group: g}
 		d.agents = append(d.agents, a)
 		if err := a.listen(); err != nil {
 			return nil, err
@@ -68,7 +68,7 @@
 	}
 }
 
-func (a *agent) listen() error {
+func (a *discoveryAgent) listen() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -83,8 +83,8 @@
 // oldAgentTime is how long an agent that has moved leaves its open connections.
 const oldAgentTime = 1500 * time.Millisecond
 
-// move gives the agent of a group another address, and returns it.
-func (d *discovery) move(group int) (string, error) {
+// moveAgent gives the agent of a group another address, and returns it.
+func (d *discovery) moveAgent(group int) (string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.agents[group]
@@ -106,7 +106,7 @@
 func (d *discovery) setSlow(group int, pause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.agents[group].slow = pause
+	d.agents[group].pause = pause
 }
 
 // put adds an instance, or changes the state of one.
@@ -156,24 +156,24 @@
 	return data
 }
 
-// whole is the list for a node that starts.
-func (d *discovery) whole(group int) []byte {
+// snapshot is the list for a node that starts.
+func (d *discovery) snapshot(group int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list(group, 0)
 }
 
-func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryAgent) serve(w http.ResponseWriter, r *http.Request) {
 	index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
-	d := a.d
+	d := a.discovery
 	d.mu.Lock()
 	a.calls++
 	for r.Context().Err() == nil && (a.silent || index > 0 && d.generation <= index && time.Now().Before(end)) {
 		d.changed.Wait()
 	}
-	answer, pause := d.list(a.group, index), a.slow
+	answer, pause := d.list(a.group, index), a.pause
 	d.mu.Unlock()
 	if pause == 0 {
 		w.Write(answer)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -21,28 +21,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// node is one node under test: an address, a configuration, and the process that runs now.
-type node struct {
+// routerProcess is one node under test: an address, a configuration, and the process that runs now.
+type routerProcess struct {
 	number int
 	group  int
 	addr   string
 	config string
 	// peerAddr is where it hears others, by UDP.
 	peerAddr string
-	run      *run
+	run      *soakRun
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	exited  chan struct{}
-	ending  bool // it was told to end, or killed
-	taken   bool // by a trouble
-	life    int
+	mu          sync.Mutex
+	process     *exec.Cmd
+	exited      chan struct{}
+	stopping    bool // it was told to end, or killed
+	faulty      bool // by a trouble
+	incarnation int
 	// away are the times in which the process was ending or not there: clients' calls then may find nobody.
-	away []span
+	outages []outage
 }
 
-// span is a time; to is zero while it lasts.
-type span struct {
+// outage is a time; to is zero while it lasts.
+type outage struct {
 	from, to time.Time
 	killed   bool
 }
@@ -53,7 +53,7 @@
 	dedupWindow = time.Second
 )
 
-func (n *node) name() string { return fmt.Sprintf("n%d", n.number) }
+func (n *routerProcess) name() string { return fmt.Sprintf("n%d", n.number) }
 
 // configText is a configuration in the platform's form.
 const configText = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"memory_mb":128,"sockets":512},"known":%s,
@@ -66,13 +66,13 @@
  {"name":"alert","effect":"fragile","worth":5,"objective_us":900000}],"obligations":{"drain_grace_us":250000}}}`
 
 // configure writes the configuration as it is now. Half leaves off its end, as an editor does for a moment.
-func (n *node) configure(half bool) error {
+func (n *routerProcess) configure(half bool) error {
 	var peers []string
-	for _, other := range n.run.nodes {
+	for _, other := range n.run.routers {
 		peers = append(peers, strconv.Quote(other.peerAddr))
 	}
-	text := fmt.Sprintf(configText, n.number, n.addr, n.run.discovery.agentAddr(n.group), n.life+1, n.run.discovery.whole(n.group),
-		n.peerAddr, strings.Join(peers, ","), n.number, len(n.run.nodes), n.run.resumes())
+	text := fmt.Sprintf(configText, n.number, n.addr, n.run.discovery.agentAddr(n.group), n.incarnation+1, n.run.discovery.snapshot(n.group),
+		n.peerAddr, strings.Join(peers, ","), n.number, len(n.run.routers), n.run.resumes())
 	if half {
 		text = text[:len(text)/2]
 	}
@@ -86,11 +86,11 @@
 }
 
 // start begins a life of the node.
-func (n *node) start() error {
+func (n *routerProcess) start() error {
 	if err := n.configure(false); err != nil {
 		return err
 	}
-	command := exec.Command(n.run.config.Edge, "--config", n.config)
+	command := exec.Command(n.run.config.Binary, "--config", n.config)
 	output, err := command.StderrPipe()
 	if err != nil {
 		return err
@@ -100,18 +100,18 @@
 	}
 	exited := make(chan struct{})
 	n.mu.Lock()
-	n.process, n.exited, n.ending = command, exited, false
-	n.life++
-	life := n.life
+	n.process, n.exited, n.stopping = command, exited, false
+	n.incarnation++
+	life := n.incarnation
 	n.mu.Unlock()
 	go func() {
 		n.run.readLog(n.name(), life, output)
 		err := command.Wait()
 		n.mu.Lock()
-		ending := n.ending
+		ending := n.stopping
 		n.mu.Unlock()
 		if !ending {
-			n.run.fault("%s life %d ended by itself: %v", n.name(), life, err)
+			n.run.violate("%s life %d ended by itself: %v", n.name(), life, err)
 		}
 		close(exited)
 	}()
@@ -124,10 +124,10 @@
 }
 
 // readLog keeps a node's log, and takes broken rules from it.
-func (r *run) readLog(name string, life int, from io.Reader) {
+func (r *soakRun) readLog(name string, life int, from io.Reader) {
 	file, err := os.Create(filepath.Join(r.folder, fmt.Sprintf("%s.%d.log", name, life)))
 	if err != nil {
-		r.fault("log of %s: %v", name, err)
+		r.violate("log of %s: %v", name, err)
 		io.Copy(io.Discard, from)
 		return
 	}
@@ -139,11 +139,11 @@
 		if bytes.Contains(line, []byte(`"msg":"rule broken"`)) || bytes.Contains(line, []byte(`"msg":"module failed"`)) {
 			var l logLine
 			if json.Unmarshal(line, &l) == nil {
-				r.fault("%s life %d says: %s %s %s %s", name, life, l.Msg, l.Rule, l.Inference, l.How)
+				r.violate("%s life %d says: %s %s %s %s", name, life, l.Msg, l.Rule, l.Inference, l.How)
 			}
 		}
 		if bytes.HasPrefix(line, []byte("panic:")) || bytes.HasPrefix(line, []byte("fatal error:")) {
-			r.fault("%s life %d: %s", name, life, strings.TrimSpace(string(line)))
+			r.violate("%s life %d: %s", name, life, strings.TrimSpace(string(line)))
 		}
 		if err != nil {
 			return
@@ -152,7 +152,7 @@
 }
 
 // signal sends a signal to the process that runs now, if there is one.
-func (n *node) signal(s syscall.Signal) {
+func (n *routerProcess) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
@@ -206,7 +206,7 @@
 }
 
 // limitDescriptors leaves the process a few descriptors more than it has, for a time.
-func (n *node) limitDescriptors(more int, length time.Duration) error {
+func (n *routerProcess) limitDescriptors(more int, length time.Duration) error {
 	n.mu.Lock()
 	pid := n.process.Process.Pid
 	n.mu.Unlock()
@@ -223,11 +223,11 @@
 
 // stop ends a life: by SIGTERM and, where the process has not ended by then, SIGKILL; or by SIGKILL at once. While it ends,
 // meanwhile is run.
-func (n *node) stop(kill bool, meanwhile func()) {
+func (n *routerProcess) stop(kill bool, meanwhile func()) {
 	n.mu.Lock()
-	n.ending = true
+	n.stopping = true
 	process, exited := n.process, n.exited
-	n.away = append(n.away, span{from: time.Now()})
+	n.outages = append(n.outages, outage{from: time.Now()})
 	n.mu.Unlock()
 	if !kill {
 		process.Process.Signal(syscall.SIGTERM)
@@ -241,41 +241,41 @@
 		}
 	}
 	n.mu.Lock()
-	n.away[len(n.away)-1].killed = true
+	n.outages[len(n.outages)-1].killed = true
 	n.mu.Unlock()
 	process.Process.Signal(syscall.SIGKILL)
 	<-exited
 }
 
-// back notes that the node is there again.
-func (n *node) back() {
+// recovered notes that the node is there again.
+func (n *routerProcess) recovered() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last := len(n.away) - 1; last >= 0 && n.away[last].to.IsZero() {
-		n.away[last].to = time.Now()
+	if last := len(n.outages) - 1; last >= 0 && n.outages[last].to.IsZero() {
+		n.outages[last].to = time.Now()
 	}
 }
 
 // wasAway is whether the node was ending or not there at any moment of a time.
-func (n *node) wasAway(from, to time.Time) bool {
-	return n.was(from, to, func(span) bool { return true })
+func (n *routerProcess) wasAway(from, to time.Time) bool {
+	return n.wasOut(from, to, func(outage) bool { return true })
 }
 
 // wasKilled is whether it was away then because it was killed.
-func (n *node) wasKilled(from, to time.Time) bool {
-	return n.was(from, to, func(s span) bool { return s.killed })
+func (n *routerProcess) wasKilled(from, to time.Time) bool {
+	return n.wasOut(from, to, func(s outage) bool { return s.killed })
 }
 
-func (n *node) was(from, to time.Time, fits func(span) bool) bool {
+func (n *routerProcess) wasOut(from, to time.Time, fits func(outage) bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.away, func(s span) bool {
+	return slices.ContainsFunc(n.outages, func(s outage) bool {
 		return s.from.Before(to) && (s.to.IsZero() || from.Before(s.to)) && fits(s)
 	})
 }
 
 // awaitReady waits until the node says that it is ready.
-func (n *node) awaitReady(most time.Duration) error {
+func (n *routerProcess) awaitReady(most time.Duration) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		answer, err := client.Get("http://" + n.addr + "/_health")
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -23,11 +23,11 @@
 	Late         // what nodes send comes some time later
 )
 
-// lateness is how much later what nodes send arrives on a late way.
-const lateness = 200 * time.Millisecond
+// lateDelay is how much later what nodes send arrives on a late way.
+const lateDelay = 200 * time.Millisecond
 
-// noise is what comes in place of an answer on a spoilt way.
-const noise = "\x00\x01noise\r\n\r\nHTTP/1.1 200"
+// garbage is what comes in place of an answer on a spoilt way.
+const garbage = "\x00\x01noise\r\n\r\nHTTP/1.1 200"
 
 // Proxy stands between the nodes of one group and one address. Both sides believe that they talk to each other.
 type Proxy struct {
@@ -105,8 +105,8 @@
 	}
 }
 
-// lookEvery is how often a silent connection is looked at for its end.
-const lookEvery = 5 * time.Millisecond
+// pollInterval is how often a silent connection is looked at for its end.
+const pollInterval = 5 * time.Millisecond
 
 // wait returns once bytes may pass that came from one side; false where they never will, as the proxy has been closed or
 // that side has ended its connection meanwhile: what had not arrived by then is lost with it.
@@ -116,10 +116,10 @@
 		if closed || fault != Silent {
 			return !closed
 		}
-		if hasEnded(from) {
+		if isClosed(from) {
 			return false
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -129,8 +129,8 @@
 	return p.fault, p.closed
 }
 
-// hasEnded is whether the other side has ended a connection, though there may be bytes to read before that.
-func hasEnded(conn net.Conn) (ended bool) {
+// isClosed is whether the other side has ended a connection, though there may be bytes to read before that.
+func isClosed(conn net.Conn) (ended bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -164,8 +164,8 @@
 	p.links[link] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(target, node, true, target.LocalAddr().String()) })
-	both.Go(func() { p.copy(node, target, false, "") })
+	both.Go(func() { p.forward(target, node, true, target.LocalAddr().String()) })
+	both.Go(func() { p.forward(node, target, false, "") })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.links, link)
@@ -174,24 +174,24 @@
 	target.Close()
 }
 
-// pass writes bytes to the other side, as the fault of the moment has them. False where the connection is to be reset.
-func (p *Proxy) pass(to net.Conn, data []byte, fromNode bool) bool {
+// relay writes bytes to the other side, as the fault of the moment has them. False where the connection is to be reset.
+func (p *Proxy) relay(to net.Conn, data []byte, fromNode bool) bool {
 	fault, _ := p.current()
 	switch {
 	case fault == Late && fromNode:
-		time.Sleep(lateness)
+		time.Sleep(lateDelay)
 	case fault == Cut && !fromNode:
 		to.Write(data[:len(data)/2])
 		return false
 	case fault == Spoil && !fromNode:
-		data = []byte(noise)
+		data = []byte(garbage)
 	}
 	_, err := to.Write(data)
 	return err == nil
 }
 
-// copy passes bytes on. The end of the node's side is told at once, and passed on when bytes may pass.
-func (p *Proxy) copy(to, from net.Conn, fromNode bool, address string) {
+// forward passes bytes on. The end of the node's side is told at once, and passed on when bytes may pass.
+func (p *Proxy) forward(to, from net.Conn, fromNode bool, address string) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -204,7 +204,7 @@
 			reset(from)
 			return
 		}
-		if n > 0 && !p.pass(to, buffer[:n], fromNode) {
+		if n > 0 && !p.relay(to, buffer[:n], fromNode) {
 			reset(from)
 			reset(to)
 			return
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,51 +20,51 @@
 
 // Config is one run.
 type Config struct {
-	Edge    string        // the node's binary
-	Seed    uint64        // draws all troubles
-	Nodes   int           // processes
-	Engines int           // of each role
-	Clients int           // that ask at the same time
-	Overlap int           // troubles at the same time
-	Length  time.Duration // of the troubles
-	Folder  string        // for configurations and logs; made anew, and removed where nothing was found
+	Binary           string        // the node's binary
+	Seed             uint64        // draws all troubles
+	Routers          int           // processes
+	Engines          int           // of each role
+	Clients          int           // that ask at the same time
+	ConcurrentFaults int           // troubles at the same time
+	Duration         time.Duration // of the troubles
+	Folder           string        // for configurations and logs; made anew, and removed where nothing was found
 }
 
 // Report is what came of a run.
 type Report struct {
-	Seed     uint64
-	Faults   []string       // rules broken, crashes, nodes that do not serve again
-	Stories  []string       // of the requests concerned
-	Answers  map[string]int // by status, and of the other clients by kind
-	Troubles []string       // what was played, with its time
-	Calls    int
+	Seed           uint64
+	Violations     []string       // rules broken, crashes, nodes that do not serve again
+	Traces         []string       // of the requests concerned
+	Responses      map[string]int // by status, and of the other clients by kind
+	InjectedFaults []string       // what was played, with its time
+	Requests       int
 	// Unanswered are the calls without an answer at nodes that were ending or killed, which are no fault by themselves.
 	Unanswered int
 	Folder     string // of the logs, where something was found
 }
 
-// groups is how many groups of nodes there are, each with an agent of discovery and ways to engines of its own.
-const groups = 3
+// groupCount is how many groups of nodes there are, each with an agent of discovery and ways to engines of its own.
+const groupCount = 3
 
-// run is the state of one run.
-type run struct {
+// soakRun is the state of one run.
+type soakRun struct {
 	config    Config
 	folder    string
 	log       *audit.Log
 	fleet     *platformengine.Fleet
 	discovery *discovery
-	nodes     []*node
+	routers   []*routerProcess
 	random    *rand.Rand
-	begun     time.Time
+	startedAt time.Time
 
-	mu         sync.Mutex
-	engines    []*listedEngine
-	faults     []string
-	troubles   []string
-	answers    map[string]int
-	lastEngine int
-	unanswered []audit.Call // at nodes that were ending and were not killed
-	others     sync.WaitGroup
+	mu             sync.Mutex
+	engines        []*listedEngine
+	violations     []string
+	injectedFaults []string
+	responses      map[string]int
+	lastEngine     int
+	unanswered     []audit.ClientRecord // at nodes that were ending and were not killed
+	auxiliary      sync.WaitGroup
 }
 
 // listedEngine is a stand-in with its ways from each group of nodes.
@@ -74,26 +74,26 @@
 	listed  *instance
 }
 
-func (r *run) fault(format string, args ...any) {
+func (r *soakRun) violate(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf("%6.2fs ", time.Since(r.begun).Seconds())+fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (r *run) note(format string, args ...any) {
+func (r *soakRun) noteFault(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.troubles = append(r.troubles, fmt.Sprintf("%6.2fs ", time.Since(r.begun).Seconds())+fmt.Sprintf(format, args...))
+	r.injectedFaults = append(r.injectedFaults, fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (r *run) count(what string) {
+func (r *soakRun) countResponse(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answers[what]++
+	r.responses[what]++
 }
 
 // addEngine starts an engine and lists it.
-func (r *run) addEngine(role platformengine.Role) (*listedEngine, error) {
+func (r *soakRun) addEngine(role platformengine.Role) (*listedEngine, error) {
 	r.mu.Lock()
 	r.lastEngine++
 	id := fmt.Sprintf("s-%d", r.lastEngine)
@@ -104,8 +104,8 @@
 		return nil, err
 	}
 	l := &listedEngine{Engine: e, listed: &instance{id: id, kind: string(role), state: serving}}
-	for range groups {
-		p, err := NewProxy(e.Addr, func(address string) { r.fleet.NodeClosed(id, address) })
+	for range groupCount {
+		p, err := NewProxy(e.Addr, func(address string) { r.fleet.RouterClosed(id, address) })
 		if err != nil {
 			return nil, err
 		}
@@ -120,14 +120,14 @@
 }
 
 // idleTime is after what an engine closes idle connections: any time up to the settings' own.
-func (r *run) idleTime() time.Duration {
+func (r *soakRun) idleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return between(r.random, 500*time.Millisecond, connIdle)
 }
 
-// change lists an engine in another state.
-func (r *run) change(l *listedEngine, state string) {
+// setState lists an engine in another state.
+func (r *soakRun) setState(l *listedEngine, state string) {
 	changed := *l.listed
 	changed.state = state
 	l.listed = &changed
@@ -150,21 +150,21 @@
 	if err != nil {
 		return Report{}, err
 	}
-	r := &run{config: config, folder: folder, log: &audit.Log{}, random: rand.New(rand.NewPCG(config.Seed, 1)), begun: time.Now(),
-		answers: map[string]int{}}
+	r := &soakRun{config: config, folder: folder, log: &audit.Log{}, random: rand.New(rand.NewPCG(config.Seed, 1)), startedAt: time.Now(),
+		responses: map[string]int{}}
 	r.fleet = platformengine.NewFleet(r.log)
-	if err := r.begin(); err != nil {
-		r.end()
+	if err := r.start(); err != nil {
+		r.finish()
 		return Report{}, err
 	}
-	r.play(ctx)
-	r.settle()
-	r.end()
+	r.inject(ctx)
+	r.awaitSettled()
+	r.finish()
 	return r.report(), nil
 }
 
-func (r *run) begin() (err error) {
-	if r.discovery, err = newDiscovery(groups); err != nil {
+func (r *soakRun) start() (err error) {
+	if r.discovery, err = newDiscovery(groupCount); err != nil {
 		return err
 	}
 	for range r.config.Engines {
@@ -174,16 +174,16 @@
 			}
 		}
 	}
-	for i := range r.config.Nodes {
-		r.nodes = append(r.nodes, &node{number: i, group: i % groups, addr: address(i, clientPort), peerAddr: address(i, peerPort),
+	for i := range r.config.Routers {
+		r.routers = append(r.routers, &routerProcess{number: i, group: i % groupCount, addr: address(i, clientPort), peerAddr: address(i, peerPort),
 			config: fmt.Sprintf("%s/n%d.json", r.folder, i), run: r})
 	}
-	for _, n := range r.nodes {
+	for _, n := range r.routers {
 		if err := n.start(); err != nil {
 			return err
 		}
 	}
-	for _, n := range r.nodes {
+	for _, n := range r.routers {
 		if err := n.awaitReady(readyTime); err != nil {
 			return err
 		}
@@ -192,46 +192,46 @@
 }
 
 // resumes is whether clients of this run ask for the rest of a stream that broke, which changes how nodes end.
-func (r *run) resumes() bool { return r.config.Seed%3 == 0 }
+func (r *soakRun) resumes() bool { return r.config.Seed%3 == 0 }
 
 // readyTime is within what a node has to be ready.
 const readyTime = 10 * time.Second
 
-// play runs clients and troubles side by side.
-func (r *run) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.config.Length)
+// inject runs clients and troubles side by side.
+func (r *soakRun) inject(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, r.config.Duration)
 	defer cancel()
-	end := time.Now().Add(r.config.Length)
+	end := time.Now().Add(r.config.Duration)
 	var all sync.WaitGroup
 	for i := range r.config.Clients {
-		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(100+i))), conns: map[*node]*clientConn{}}
+		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(100+i))), conns: map[*routerProcess]*clientConnection{}}
 		all.Go(func() { c.work(end) })
 	}
-	for i := range r.config.Overlap {
+	for i := range r.config.ConcurrentFaults {
 		random := rand.New(rand.NewPCG(r.config.Seed, uint64(10+i)))
-		all.Go(func() { r.trouble(ctx, random) })
+		all.Go(func() { r.injectFaults(ctx, random) })
 	}
 	all.Wait()
-	r.others.Wait()
+	r.auxiliary.Wait()
 }
 
-// settle waits until all troubles are over, and looks whether every node serves.
-func (r *run) settle() {
-	for _, n := range r.nodes {
+// awaitSettled waits until all troubles are over, and looks whether every node serves.
+func (r *soakRun) awaitSettled() {
+	for _, n := range r.routers {
 		if err := n.awaitReady(readyTime); err != nil {
-			r.fault("at the end: %v", err)
+			r.violate("at the end: %v", err)
 		}
 	}
-	for end := time.Now().Add(settleTime); r.fleet.Held() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(settleTime); r.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	var all sync.WaitGroup
-	for i, n := range r.nodes {
-		c := &client{run: r, number: 1000 + i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(1000+i))), conns: map[*node]*clientConn{}}
+	for i, n := range r.routers {
+		c := &client{run: r, number: 1000 + i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(1000+i))), conns: map[*routerProcess]*clientConnection{}}
 		all.Go(func() {
 			defer c.closeAll()
 			if !c.servedWithin(n, settleTime) {
-				r.fault("at the end: %s serves nothing in %v", n.name(), settleTime)
+				r.violate("at the end: %s serves nothing in %v", n.name(), settleTime)
 			}
 		})
 	}
@@ -242,7 +242,7 @@
 const settleTime = 8 * time.Second
 
 // servedWithin asks a node until it serves.
-func (c *client) servedWithin(n *node, most time.Duration) bool {
+func (c *client) servedWithin(n *routerProcess, most time.Duration) bool {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		conn, err := c.connect(n)
 		if err != nil {
@@ -251,23 +251,23 @@
 		r := c.request(n)
 		r.wait = longestDeadline
 		conn.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
-		call := audit.Call{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
-		call.GiveUp = call.Sent.Add(r.wait)
+		call := audit.ClientRecord{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
+		call.Deadline = call.Sent.Add(r.wait)
 		if _, err = conn.conn.Write([]byte(r.text())); err == nil {
-			err = c.answer(conn, &call)
+			err = c.readResponse(conn, &call)
 		}
 		if err != nil {
-			c.drop(n)
+			c.closeConnection(n)
 		}
-		if call.Final == "completed" {
+		if call.Outcome == "completed" {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *run) end() {
-	for _, n := range r.nodes {
+func (r *soakRun) finish() {
+	for _, n := range r.routers {
 		if n.process != nil {
 			n.stop(true, nil)
 		}
@@ -288,20 +288,20 @@
 	notice = 300 * time.Millisecond
 )
 
-func (r *run) report() Report {
-	out := Report{Seed: r.config.Seed, Faults: r.faults, Answers: r.answers, Troubles: r.troubles, Calls: len(r.log.Calls()),
+func (r *soakRun) report() Report {
+	out := Report{Seed: r.config.Seed, Violations: r.violations, Responses: r.responses, InjectedFaults: r.injectedFaults, Requests: len(r.log.ClientRecords()),
 		Unanswered: len(r.unanswered), Folder: r.folder}
-	out.Faults = append(out.Faults, r.judgeUnanswered()...)
-	out.Faults = append(out.Faults, r.judgeWindows()...)
-	rules := audit.Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 250 * time.Millisecond, Notice: notice,
-		Pin: time.Second, Slack: slack}
+	out.Violations = append(out.Violations, r.judgeUnanswered()...)
+	out.Violations = append(out.Violations, r.judgeWindows()...)
+	rules := audit.Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 250 * time.Millisecond, ListDelay: notice,
+		ReservationLimit: time.Second, Tolerance: slack}
 	for _, b := range r.log.Judge(rules, time.Now()) {
-		out.Faults = append(out.Faults, b.String())
+		out.Violations = append(out.Violations, b.String())
 		if b.Inference != "" {
-			out.Stories = append(out.Stories, b.String()+"\n\t"+strings.Join(r.log.Story(b.Inference), "\n\t"))
+			out.Traces = append(out.Traces, b.String()+"\n\t"+strings.Join(r.log.Trace(b.Inference), "\n\t"))
 		}
 	}
-	if len(out.Faults) == 0 {
+	if len(out.Violations) == 0 {
 		os.RemoveAll(r.folder)
 		out.Folder = ""
 	}
@@ -309,10 +309,10 @@
 }
 
 // judgeUnanswered looks for calls that a node sent on before it ended, and never answered.
-func (r *run) judgeUnanswered() (faults []string) {
+func (r *soakRun) judgeUnanswered() (faults []string) {
 	began := map[string]bool{}
-	for _, s := range r.log.Seen() {
-		if s.What == audit.Began {
+	for _, s := range r.log.EngineRecords() {
+		if s.Event == audit.AttemptStarted {
 			began[s.Inference] = true
 		}
 	}
@@ -325,14 +325,14 @@
 }
 
 // judgeWindows looks for deduplicated requests that ran again when engines had forgotten the first run.
-func (r *run) judgeWindows() (faults []string) {
+func (r *soakRun) judgeWindows() (faults []string) {
 	class := map[string]string{}
-	for _, c := range r.log.Calls() {
+	for _, c := range r.log.ClientRecords() {
 		class[c.Inference] = c.Route
 	}
 	first := map[string]time.Time{}
-	for _, s := range r.log.Seen() {
-		if s.What != audit.Ran || class[s.Inference] != "label" {
+	for _, s := range r.log.EngineRecords() {
+		if s.Event != audit.Executed || class[s.Inference] != "label" {
 			continue
 		}
 		if at, ran := first[s.Inference]; ran && s.At.Sub(at) > dedupWindow {
@@ -347,20 +347,20 @@
 // String is the report as text.
 func (r Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d calls, %d troubles, %d faults, %d calls without an answer at nodes that ended;", r.Seed, r.Calls,
-		len(r.Troubles), len(r.Faults), r.Unanswered)
-	for _, what := range slices.Sorted(maps.Keys(r.Answers)) {
-		fmt.Fprintf(&b, " %s: %d", what, r.Answers[what])
+	fmt.Fprintf(&b, "seed %d: %d calls, %d troubles, %d faults, %d calls without an answer at nodes that ended;", r.Seed, r.Requests,
+		len(r.InjectedFaults), len(r.Violations), r.Unanswered)
+	for _, what := range slices.Sorted(maps.Keys(r.Responses)) {
+		fmt.Fprintf(&b, " %s: %d", what, r.Responses[what])
 	}
 	b.WriteString("\n")
-	for _, f := range r.Faults {
+	for _, f := range r.Violations {
 		fmt.Fprintf(&b, "  FAULT %s\n", f)
 	}
-	for _, s := range r.Stories {
+	for _, s := range r.Traces {
 		fmt.Fprintf(&b, "  %s\n", s)
 	}
-	if len(r.Faults) > 0 {
-		for _, t := range r.Troubles {
+	if len(r.Violations) > 0 {
+		for _, t := range r.InjectedFaults {
 			fmt.Fprintf(&b, "  trouble %s\n", t)
 		}
 		fmt.Fprintf(&b, "  logs in %s\n", r.Folder)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -77,7 +77,7 @@
 }
 
 // What was written into a silent way and given up is lost, and the end of the node's side is told.
-func TestProxyLosesWhatWasGivenUp(t *testing.T) {
+func TestProxyReportsAbandonedConnection(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestDiscoveryTellsChanges(t *testing.T) {
+func TestDiscoveryReportsChanges(t *testing.T) {
 	d, err := newDiscovery(1)
 	if err != nil {
 		t.Fatal(err)
@@ -140,23 +140,23 @@
 }
 
 // The judge finds what it is there for.
-func TestJudge(t *testing.T) {
+func TestJudgeResponse(t *testing.T) {
 	at := time.Now()
-	r := &run{log: &audit.Log{}, answers: map[string]int{}, begun: at}
+	r := &soakRun{log: &audit.Log{}, responses: map[string]int{}, startedAt: at}
 	seen := func(what, name string, after time.Duration) {
-		r.log.See(audit.Seen{At: at.Add(after), Engine: "e", What: what, Inference: name, Request: name, Writes: true})
+		r.log.RecordEngine(audit.EngineRecord{At: at.Add(after), Engine: "e", Event: what, Inference: name, Request: name, Decode: true})
 	}
 	for _, name := range []string{"forgotten", "remembered"} {
-		r.log.Hear(audit.Call{Request: name, Inference: name, Route: "label"})
-		seen(audit.Ran, name, 0)
+		r.log.RecordClient(audit.ClientRecord{Request: name, Inference: name, Route: "label"})
+		seen(audit.Executed, name, 0)
 	}
-	seen(audit.Ran, "forgotten", dedupWindow+time.Millisecond)
-	seen(audit.Ran, "remembered", dedupWindow-time.Millisecond)
+	seen(audit.Executed, "forgotten", dedupWindow+time.Millisecond)
+	seen(audit.Executed, "remembered", dedupWindow-time.Millisecond)
 	if row := r.judgeWindows(); len(row) != 1 || !strings.Contains(row[0], "forgotten") {
 		t.Errorf("windows: %q", row)
 	}
-	seen(audit.Began, "sent on", 0)
-	r.unanswered = []audit.Call{{Inference: "sent on"}, {Inference: "never read"}}
+	seen(audit.AttemptStarted, "sent on", 0)
+	r.unanswered = []audit.ClientRecord{{Inference: "sent on"}, {Inference: "never read"}}
 	if row := r.judgeUnanswered(); len(row) != 1 || !strings.Contains(row[0], "sent on") {
 		t.Errorf("unanswered: %q", row)
 	}
@@ -164,13 +164,13 @@
 
 // A node's own words count: a rule that its monitor saw broken, and a crash.
 func TestReadLog(t *testing.T) {
-	r := &run{folder: t.TempDir(), answers: map[string]int{}, begun: time.Now()}
+	r := &soakRun{folder: t.TempDir(), responses: map[string]int{}, startedAt: time.Now()}
 	r.readLog("n1", 1, strings.NewReader(`{"level":"info","msg":"completed"}
 {"level":"error","msg":"rule broken","rule":"two attempts out","inference":"a","how":"attempts 0 and 1"}
 panic: a fault
 `))
-	if len(r.faults) != 2 || !strings.Contains(r.faults[0], "two attempts out") || !strings.Contains(r.faults[1], "panic") {
-		t.Errorf("faults %q", r.faults)
+	if len(r.violations) != 2 || !strings.Contains(r.violations[0], "two attempts out") || !strings.Contains(r.violations[1], "panic") {
+		t.Errorf("faults %q", r.violations)
 	}
 }
 
