--- a/internal/asynclog/logsink.go
+++ b/internal/asynclog/sink.go
@@ -1,8 +1,9 @@
-// Package logsink writes log lines on a goroutine of its own, so that whoever logs never waits for the log's reader.
-// Where the reader stalls, lines are dropped and counted.
+// Package asynclog writes log lines on a goroutine of its own, so that a caller that logs never waits for the reader of the
+// log. When the reader stalls, lines are dropped and counted.
 package asynclog
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"sync/atomic"
@@ -10,13 +11,15 @@
 )
 
 const (
-	// maxPendingLines is how many lines wait at most: some seconds of a busy node, some hundred kilobytes.
+	// maxPendingLines is some seconds of a busy router's log, some hundred kilobytes.
 	maxPendingLines = 1024
 	// syncTimeout is how long Sync waits for a reader that may have stalled.
 	syncTimeout = 200 * time.Millisecond
+	// droppedLine reports the number of dropped lines, in the form of the other log lines.
+	droppedLine = `{"level":"warn","msg":"log lines dropped","count":%d}` + "\n"
 )
 
-// Sink is a zapcore.WriteSyncer that never blocks in Write.
+// Sink is a zapcore.WriteSyncer whose Write never blocks.
 type Sink struct {
 	lines   chan []byte
 	flushes chan chan struct{}
@@ -30,32 +33,32 @@
 	return s
 }
 
-// Write hands over a copy of a line. It reports success also where the line is dropped: the log's trouble is not its
-// caller's.
+// Write queues a copy of a line. It reports success even if the line is dropped: a caller cannot do anything about a fault
+// of the log.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
-	case s.lines <- append([]byte(nil), line...):
+	case s.lines <- bytes.Clone(line):
 	default:
 		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped and not told of yet.
+// Dropped is the number of dropped lines that the log does not report yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Sync waits until the lines so far are written, or for a moment.
+// Sync waits until the lines so far are written, or until a short timeout.
 func (s *Sink) Sync() error {
 	done := make(chan struct{})
-	late := time.After(syncTimeout)
+	timeout := time.After(syncTimeout)
 	select {
 	case s.flushes <- done:
-	case <-late:
+	case <-timeout:
 		return nil
 	}
 	select {
 	case <-done:
-	case <-late:
+	case <-timeout:
 	}
 	return nil
 }
@@ -83,10 +86,11 @@
 	}
 }
 
-// write passes one line on, and tells first of those that are missing before it. An error has no one to be told to.
+// write writes one line, after a report of those that were dropped before it. Errors of the log's own writer cannot be
+// reported anywhere.
 func (s *Sink) write(w io.Writer, line []byte) {
-	if n := s.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(w, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", n)
+	if count := s.dropped.Swap(0); count > 0 {
+		fmt.Fprintf(w, droppedLine, count)
 	}
 	w.Write(line)
 }
