--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process is what each of the long-running programs does with its signals and its log.
+// Package process sets up the signals and the log of a long-running program.
 package process
 
 import (
@@ -13,14 +13,14 @@
 	"sandcourse/internal/asynclog"
 )
 
-// Signals are what the operating system asks of the process.
+// Signals are the signals that the operating system sends to the process.
 type Signals struct {
 	Stop   <-chan os.Signal // SIGTERM or SIGINT
 	Reload <-chan os.Signal // SIGHUP
 }
 
-// CatchSignals is the first that a program does: each of these signals ends a process that does not catch it, also in the
-// middle of its start. A write to a log whose reader has ended raises SIGPIPE; ignored, the write fails instead.
+// CatchSignals has to be the first call of a program: each of these signals ends a process that does not catch it, even
+// during its start. A write to a log whose reader has ended raises SIGPIPE; ignored, the write fails instead.
 func CatchSignals() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -29,27 +29,30 @@
 	return Signals{stop, reload}
 }
 
-// AwaitStop waits for Stop, in a program that reads its settings at its start alone: SIGHUP is told in the log.
+// AwaitStop waits for Stop, in a program that reads its settings only when it starts: Reload is logged and has no other
+// effect.
 func (s Signals) AwaitStop(log *zap.Logger) {
 	for {
 		select {
 		case <-s.Stop:
 			return
-		case <-s.Reload:
-			log.Warn("SIGHUP: the settings are read at the start alone; restart the program to change them")
+		case received := <-s.Reload:
+			log.Warn("reload not supported, restart to apply settings", zap.Stringer("signal", received))
 		}
 	}
 }
 
-// Of lines with the same message, the first of each second are written, and then one in so many.
+// Of the lines with the same message, the first logSampleInitial of each second are written, and then each
+// logSampleThereafter-th.
 const (
 	logSampleInitial    = 100
 	logSampleThereafter = 100
 )
 
-// NewLogger makes the process's log: JSON lines on standard error, written so that nobody waits for their reader.
+// NewLogger returns the logger of the process: JSON lines on standard error, written without blocking the caller.
 func NewLogger() *zap.Logger {
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), asynclog.New(os.Stderr), zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, logSampleInitial, logSampleThereafter), zap.AddCaller(),
-		zap.AddStacktrace(zap.ErrorLevel))
+	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
+	core := zapcore.NewCore(encoder, asynclog.New(os.Stderr), zap.InfoLevel)
+	sampled := zapcore.NewSamplerWithOptions(core, time.Second, logSampleInitial, logSampleThereafter)
+	return zap.New(sampled, zap.AddCaller(), zap.AddStacktrace(zap.ErrorLevel))
 }
