--- /dev/null
+++ b/internal/admission/admit.go
@@ -0,0 +1,89 @@
+package admission
+
+import "cmp"
+
+// Rejection states why a request is not admitted.
+type Rejection uint8
+
+// The rejections.
+const (
+	Admitted         Rejection = iota
+	QuotaExceeded              // the client has its fair share open already, and there is no more to give
+	CapacityExceeded           // the router has as many open requests as it may
+	BufferFull                 // the router buffers as many bytes as it may
+)
+
+var rejectionNames = [...]string{
+	Admitted:         "admitted",
+	QuotaExceeded:    "quota exceeded",
+	CapacityExceeded: "capacity exceeded",
+	BufferFull:       "buffer full",
+}
+
+// String returns the rejection's name.
+func (r Rejection) String() string { return rejectionNames[r] }
+
+// Of the limit of open requests, three quarters are open to every client. The last one is for clients that have less than
+// their equal share of the first three, so that a client that floods the router, even while it is alone, cannot keep out
+// those that come later.
+const (
+	quarters       = 4
+	commonQuarters = 3
+)
+
+// Admit counts a request of a client as open, or returns why it is rejected.
+func (ct *Controller) Admit(id int64, client string) Rejection {
+	c, open := ct.connections[id], ct.openByClient[client]
+	clients := len(ct.openByClient)
+	if open == 0 {
+		clients++
+	}
+	common := commonQuarters * ct.limits.OpenRequests
+	switch {
+	case c == nil || ct.openRequests >= ct.limits.OpenRequests:
+		return CapacityExceeded
+	case ct.bufferedBytes > ct.limits.BufferedBytes:
+		return BufferFull
+	case quarters*ct.openRequests >= common && open >= max(1, common/(quarters*clients)):
+		return QuotaExceeded
+	}
+	c.openRequests++
+	ct.openRequests++
+	ct.openByClient[client]++
+	return Admitted
+}
+
+// Release ends a request that Admit has admitted.
+func (ct *Controller) Release(id int64, client string) {
+	if c := ct.connections[id]; c != nil {
+		c.openRequests--
+	}
+	ct.openRequests--
+	if ct.openByClient[client]--; ct.openByClient[client] <= 0 {
+		delete(ct.openByClient, client)
+	}
+}
+
+// LargestUnfinished is the connection with the most bytes of an incomplete request while too many bytes are buffered; 0 for
+// none. It is closed first, as a client that sends much and slowly holds up all others.
+func (ct *Controller) LargestUnfinished() int64 {
+	if ct.bufferedBytes <= ct.limits.BufferedBytes {
+		return 0
+	}
+	var largest *connection
+	for _, c := range ct.connections {
+		unfinished := c.state == ReadingHeader || c.state == ReadingBody
+		if unfinished && (largest == nil || largerThan(c, largest)) {
+			largest = c
+		}
+	}
+	if largest == nil {
+		return 0
+	}
+	return largest.id
+}
+
+// largerThan orders by buffered bytes; of equal connections the older one counts as larger.
+func largerThan(a, b *connection) bool {
+	return cmp.Or(cmp.Compare(a.bufferedBytes, b.bufferedBytes), cmp.Compare(b.id, a.id)) > 0
+}
--- /dev/null
+++ b/internal/admission/controller.go
@@ -0,0 +1,119 @@
+// Package admission decides what one router takes from its clients: how many connections, open requests and bytes, how
+// long a header and a body may take, and what is rejected first when a limit is reached. It does no I/O.
+//
+// Limits are shared fairly: a client that uses less than an equal share is rejected last.
+package admission
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Limits bound what one router takes from its clients.
+type Limits struct {
+	Connections         int
+	OpenRequests        int // admitted and not answered yet
+	BufferedBytes       int // of request bodies, complete and in part
+	HeaderTimeout       time.Duration
+	BodyTimeout         time.Duration
+	IdleTimeout         time.Duration // between two requests on one connection
+	FirstRequestTimeout time.Duration // from the start of a connection to its first complete request; 0 for no limit
+	RetryShare          float64       // of requests that may be retries; 0 for no limit
+	DrainTimeout        time.Duration // for a client to read the rest of a response before its connection is closed
+}
+
+type connection struct {
+	id                int64
+	state             State
+	stateSince        int64
+	bufferedBytes     int
+	openRequests      int
+	firstRequestSince int64 // when the connection was opened; 0 once a request has been complete
+}
+
+// Controller tracks the connections and open requests of one router's clients.
+type Controller struct {
+	limits        Limits
+	connections   map[int64]*connection
+	openByClient  map[string]int // number of open requests
+	openRequests  int
+	bufferedBytes int
+}
+
+// New returns a controller without connections.
+func New(limits Limits) *Controller {
+	return &Controller{limits: limits, connections: map[int64]*connection{}, openByClient: map[string]int{}}
+}
+
+// AcceptConnection adds a new connection, or reports false. At the limit, the connection that has been idle longest is
+// closed for it; where none is idle, the new one is rejected. TryClose closes an idle connection, or reports false because
+// a request is about to arrive on it.
+func (ct *Controller) AcceptConnection(id, now int64, tryClose func(id int64) bool) bool {
+	if len(ct.connections) >= ct.limits.Connections && !ct.evictIdle(now, tryClose) {
+		return false
+	}
+	ct.connections[id] = &connection{id: id, stateSince: now, firstRequestSince: now}
+	return true
+}
+
+func (ct *Controller) evictIdle(now int64, tryClose func(id int64) bool) bool {
+	var idle []*connection
+	for _, c := range ct.connections {
+		if c.state == Idle {
+			idle = append(idle, c)
+		}
+	}
+	slices.SortFunc(idle, func(a, b *connection) int {
+		return cmp.Or(cmp.Compare(a.stateSince, b.stateSince), cmp.Compare(a.id, b.id))
+	})
+	for _, c := range idle {
+		if tryClose(c.id) {
+			ct.Handle(c.id, ConnectionClosed, now)
+			return true
+		}
+	}
+	return false
+}
+
+// Handle applies an event to one connection. An event that no transition takes changes nothing.
+func (ct *Controller) Handle(id int64, event Event, now int64) {
+	c := ct.connections[id]
+	if c == nil {
+		return
+	}
+	fired := findTransition(c.state, event)
+	if fired == nil {
+		return
+	}
+	// A header that arrives slowly must not extend its own timeout.
+	if c.state != fired.next {
+		c.state, c.stateSince = fired.next, now
+	}
+	if event == RequestComplete {
+		c.firstRequestSince = 0
+	}
+	if c.state == Terminated {
+		ct.AddBytes(id, -c.bufferedBytes)
+		delete(ct.connections, id)
+	}
+}
+
+// ServedAndIdle reports whether a connection has been served before and has no request in progress.
+func (ct *Controller) ServedAndIdle(id int64) bool {
+	c := ct.connections[id]
+	return c != nil && c.state == Idle && c.firstRequestSince == 0
+}
+
+// AddBytes records that a connection buffers more bytes, or fewer.
+func (ct *Controller) AddBytes(id int64, more int) {
+	if c := ct.connections[id]; c != nil {
+		c.bufferedBytes += more
+		ct.bufferedBytes += more
+	}
+}
+
+// Usage is the number of connections, open requests and buffered bytes.
+func (ct *Controller) Usage() (connections, openRequests, bufferedBytes int) {
+	return len(ct.connections), ct.openRequests, ct.bufferedBytes
+}
--- /dev/null
+++ b/internal/attempt/unavailable.go
@@ -0,0 +1,21 @@
+package attempt
+
+// UnavailableSince holds, for each engine that drains or has left the endpoint list, when this router was first
+// notified of it. A later notification that the engine is ready removes the entry.
+type UnavailableSince map[string]int64
+
+// Note records a notification about one engine.
+func (u UnavailableSince) Note(engine string, ready bool, now int64) {
+	if ready {
+		delete(u, engine)
+	} else if u[engine] == 0 {
+		u[engine] = now
+	}
+}
+
+// NoteAll records an endpoint list: a known engine that is not ready in it is unavailable.
+func (u UnavailableSince) NoteAll(ready map[string]bool, known []string, now int64) {
+	for _, engine := range known {
+		u.Note(engine, ready[engine], now)
+	}
+}
--- /dev/null
+++ b/internal/connpool/acquire.go
@@ -0,0 +1,103 @@
+package connpool
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Lease is the connection that Acquire found. Evict is a connection that must be closed to make room for it, 0 for none.
+type Lease struct {
+	ID     int64
+	Reused bool // otherwise it has to be dialed
+	Evict  int64
+	OK     bool // false where a limit is reached
+}
+
+// Acquire finds a connection for an attempt. An idle one is reused only if it has been idle for less than maxIdle: the
+// longer it has been idle, the likelier the other side closes it just as it is written to, and then the attempt may have
+// run. The youngest is reused first, so that the others can expire. One that has just carried a stream settles first:
+// a second response that comes late behind the first would otherwise be taken for that of the next request.
+//
+// Spare connections are granted beyond the limits to what must not wait behind attempts: releases of reservations.
+func (p *Pool) Acquire(engine string, now, maxIdle int64, spare int) Lease {
+	usage := p.usage(engine, now)
+	if c := usage.youngestSettled; c != nil && p.reusable(c, now, maxIdle) {
+		p.Handle(c.id, Acquired, now)
+		return Lease{ID: c.id, Reused: true, OK: true}
+	}
+	if usage.dialing >= p.limits.ConcurrentDials+spare {
+		return Lease{}
+	}
+	evict := usage.oldestIdle
+	totalReached := p.limits.Total > 0 && len(p.connections) >= p.limits.Total+spare
+	if totalReached {
+		evict = p.oldestIdle()
+	}
+	var lease Lease
+	if totalReached || len(p.byEngine[engine]) >= p.limits.PerEngine+spare {
+		if evict == nil {
+			return Lease{}
+		}
+		lease.Evict = evict.id
+		p.Handle(evict.id, IdleExpired, now)
+	}
+	lease.ID, lease.OK = p.open(engine, now), true
+	return lease
+}
+
+// engineUsage is what the connections to one engine are used for.
+type engineUsage struct {
+	dialing                     int
+	youngestSettled, oldestIdle *connection // nil for none
+}
+
+func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
+	for _, c := range p.byEngine[engine] {
+		switch {
+		case c.state == Dialing:
+			usage.dialing++
+		case c.state != Idle:
+		default:
+			if now >= c.settledAt && (usage.youngestSettled == nil || c.stateSince > usage.youngestSettled.stateSince) {
+				usage.youngestSettled = c
+			}
+			if usage.oldestIdle == nil || c.stateSince < usage.oldestIdle.stateSince {
+				usage.oldestIdle = c
+			}
+		}
+	}
+	return usage
+}
+
+// oldestIdle is the connection to any engine that has been idle longest; nil for none.
+func (p *Pool) oldestIdle() (oldest *connection) {
+	for _, c := range p.connections {
+		older := oldest == nil || cmp.Or(cmp.Compare(c.stateSince, oldest.stateSince), cmp.Compare(c.id, oldest.id)) < 0
+		if c.state == Idle && older {
+			oldest = c
+		}
+	}
+	return oldest
+}
+
+// open adds a connection that is to be dialed.
+func (p *Pool) open(engine string, now int64) (id int64) {
+	p.nextID++
+	c := &connection{id: p.nextID, engine: engine, stateSince: now}
+	p.connections[c.id] = c
+	p.byEngine[engine] = append(p.byEngine[engine], c)
+	p.Handle(c.id, Requested, now)
+	return c.id
+}
+
+// HasReusable reports whether Acquire would reuse a connection to an engine.
+func (p *Pool) HasReusable(engine string, now, maxIdle int64) bool {
+	return slices.ContainsFunc(p.byEngine[engine], func(c *connection) bool {
+		return c.state == Idle && now >= c.settledAt && p.reusable(c, now, maxIdle)
+	})
+}
+
+// reusable reports whether an idle connection has not been idle for too long to be reused.
+func (p *Pool) reusable(c *connection, now, maxIdle int64) bool {
+	return now-c.stateSince < min(maxIdle, p.limits.IdleTimeout)
+}
--- /dev/null
+++ b/internal/connpool/state.go
@@ -0,0 +1,106 @@
+package connpool
+
+import (
+	"fmt"
+	"slices"
+)
+
+// State is the state of a connection. There is none for a half-closed one: the socket library ends a connection
+// completely when the other side closes its half. That is the safe interpretation, as nothing more can be read from it.
+type State uint8
+
+// The states of a connection.
+const (
+	Absent State = iota
+	Dialing
+	Idle
+	Busy
+	Closed
+)
+
+var stateNames = [...]string{Absent: "absent", Dialing: "dialing", Idle: "idle", Busy: "busy", Closed: "closed"}
+
+// String returns the state's name.
+func (s State) String() string { return stateNames[s] }
+
+// Event is what happens to a connection.
+type Event uint8
+
+// The events of a connection.
+const (
+	Requested           Event = iota // it is needed, and no idle one is usable
+	Dialed                           // it is open, and carries what it was requested for
+	DialFailed                       // it could not be opened
+	Acquired                         // it was idle, and carries something now
+	Released                         // the response has been read completely, no unread bytes remain
+	ReleasedAfterStream              // the same, and the response was a stream
+	ReleasedDirty                    // what it carried ended in any other way
+	Broken                           // it is gone
+	IdleExpired                      // it has been idle for longer than is allowed
+)
+
+var eventNames = [...]string{
+	Requested:           "requested",
+	Dialed:              "dialed",
+	DialFailed:          "dial failed",
+	Acquired:            "acquired",
+	Released:            "released",
+	ReleasedAfterStream: "released after stream",
+	ReleasedDirty:       "released dirty",
+	Broken:              "broken",
+	IdleExpired:         "idle expired",
+}
+
+// String returns the event's name.
+func (e Event) String() string { return eventNames[e] }
+
+// Action is what is to be done with a connection's socket.
+type Action uint8
+
+// The actions.
+const (
+	NoAction Action = iota
+	Dial
+	Close
+)
+
+var actionNames = [...]string{NoAction: "none", Dial: "dial", Close: "close"}
+
+// String returns the action's name.
+func (a Action) String() string { return actionNames[a] }
+
+// transition is one row of the state machine of a connection.
+type transition struct {
+	from   []State
+	event  Event
+	next   State
+	action Action
+}
+
+var transitions = []transition{
+	{[]State{Absent}, Requested, Dialing, Dial},
+	{[]State{Dialing}, Dialed, Busy, NoAction},
+	{[]State{Dialing}, DialFailed, Closed, Close},
+	{[]State{Idle}, Acquired, Busy, NoAction},
+	{[]State{Busy}, Released, Idle, NoAction},
+	{[]State{Busy}, ReleasedAfterStream, Idle, NoAction},
+	{[]State{Idle}, IdleExpired, Closed, Close},
+	{[]State{Dialing, Busy}, ReleasedDirty, Closed, Close},
+	// A byte on an idle connection belongs to no request: an unread rest.
+	{[]State{Idle}, ReleasedDirty, Closed, Close},
+	{[]State{Dialing, Idle, Busy}, Broken, Closed, Close},
+}
+
+// findTransition returns the index of the transition that an event causes in a state; -1 where it causes none.
+func findTransition(from State, event Event) int {
+	return slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
+}
+
+// TransitionNames names the transitions in the order of the bits of Pool.FiredTransitions.
+func TransitionNames() []string {
+	names := make([]string, len(transitions))
+	for i, t := range transitions {
+		names[i] = fmt.Sprintf("connpool transition %d: states %v, event %v, next %v", i+1, t.from, t.event, t.next)
+	}
+	return names
+}
--- a/internal/invariant/export_test.go
+++ b/internal/invariant/export_test.go
@@ -5,5 +5,5 @@
 	"slices"
 )
 
-// OpenRequests are the requests that are known, by id.
+// OpenRequests lists the IDs of the requests that are recorded.
 func (m *Monitor) OpenRequests() []int64 { return slices.Sorted(maps.Keys(m.requests)) }
--- a/internal/invariant/guard_test.go
+++ b/internal/invariant/invariant_test.go
@@ -17,23 +17,23 @@
 }
 
 func drawPriorAttempt(t *rapid.T, now int64) PriorAttempt {
-	return PriorAttempt{Decode: rapid.Bool().Draw(t, "decode"), InFlight: rapid.Bool().Draw(t, "out"),
+	return PriorAttempt{Decode: rapid.Bool().Draw(t, "decode"), InFlight: rapid.Bool().Draw(t, "in flight"),
 		NeverRan: rapid.Bool().Draw(t, "never ran"), WrittenAt: rapid.Int64Range(0, now).Draw(t, "written")}
 }
 
-// What the gate lets pass the monitor does not complain of, also where the write comes later by what a node may be held up.
+// The monitor reports no violation for what the gate allows, also where the write is late by the longest delay.
 func TestGateAndMonitorAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base = int64(time.Hour)
 		now := base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "now")
 		a := Attempt{Answered: rapid.Bool().Draw(t, "answered"), ClientGone: rapid.Bool().Draw(t, "gone"),
-			Deadline:    base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "give up"),
+			Deadline:    base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "deadline"),
 			Effect:      rapid.SampledFrom([]Effect{Retriable, Deduplicated, NonRetriable}).Draw(t, "effect"),
 			DedupWindow: rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "window")}
 		if rapid.Bool().Draw(t, "drains") {
-			a.DrainNotifiedAt = base + rapid.Int64Range(-int64(time.Second), now-base).Draw(t, "drained")
+			a.DrainNotifiedAt = base + rapid.Int64Range(-int64(time.Second), now-base).Draw(t, "drain notified")
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "earlier") {
+		for range rapid.IntRange(0, 3).Draw(t, "prior attempts") {
 			a.PriorAttempts = append(a.PriorAttempts, drawPriorAttempt(t, now))
 		}
 		const grace = int64(250 * time.Millisecond)
@@ -41,21 +41,22 @@
 			return
 		}
 		m := NewMonitor(LimitsFor(time.Duration(grace), time.Second))
-		m.RequestAccepted(1, "a", a.Effect, a.DedupWindow, a.Deadline)
-		for i, e := range a.PriorAttempts {
-			if e.WrittenAt == 0 {
+		m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: a.Effect, DedupWindow: a.DedupWindow, Deadline: a.Deadline})
+		for i, prior := range a.PriorAttempts {
+			if prior.WrittenAt == 0 {
 				continue
 			}
-			m.AttemptWritten(1, i, e.Decode, e.WrittenAt, 0, 0)
-			if !e.InFlight {
-				m.AttemptEnded(1, i, e.NeverRan)
+			m.AttemptWritten(1, WrittenAttempt{Index: i, Decode: prior.Decode, WrittenAt: prior.WrittenAt})
+			if !prior.InFlight {
+				m.AttemptEnded(1, i, prior.NeverRan)
 			}
-			m.TakeViolations() // attempts of the past may have broken any rule
+			m.TakeViolations() // prior attempts may have broken any rule
 		}
 		late := now + int64(MaxDelay)
-		m.AttemptWritten(1, len(a.PriorAttempts), true, late, a.DrainNotifiedAt, time.Duration(a.Deadline-now))
+		m.AttemptWritten(1, WrittenAttempt{Index: len(a.PriorAttempts), Decode: true, WrittenAt: late,
+			DrainNotifiedAt: a.DrainNotifiedAt, TimeBudget: time.Duration(a.Deadline - now)})
 		if violations := m.TakeViolations(); len(violations) > 0 {
-			t.Fatalf("the gate allows what the monitor calls %v", violations)
+			t.Fatalf("the gate allows what the monitor reports as %v", violations)
 		}
 	})
 }
@@ -67,42 +68,45 @@
 		act  func(m *Monitor)
 	}{
 		{AnsweredTwice, func(m *Monitor) { m.RequestAnswered(1, 0); m.RequestAnswered(1, 0) }},
-		{AttemptAfterAnswer, func(m *Monitor) { m.RequestAnswered(1, 0); m.AttemptWritten(1, 0, false, 0, 0, 0) }},
-		{ConcurrentAttempts, func(m *Monitor) { m.AttemptWritten(1, 0, false, 0, 0, 0); m.AttemptWritten(1, 1, false, 0, 0, 0) }},
+		{AttemptAfterAnswer, func(m *Monitor) { m.RequestAnswered(1, 0); m.AttemptWritten(1, WrittenAttempt{}) }},
+		{ConcurrentAttempts, func(m *Monitor) { m.AttemptWritten(1, WrittenAttempt{}); m.AttemptWritten(1, WrittenAttempt{Index: 1}) }},
 		{ExecutedTwice, func(m *Monitor) {
-			m.AttemptWritten(1, 0, true, 0, 0, 0)
+			m.AttemptWritten(1, WrittenAttempt{Decode: true})
 			m.AttemptEnded(1, 0, false)
-			m.AttemptWritten(1, 1, true, 1, 0, 0)
+			m.AttemptWritten(1, WrittenAttempt{Index: 1, Decode: true, WrittenAt: 1})
+		}},
+		{AttemptToDrainingEngine, func(m *Monitor) { m.AttemptWritten(1, WrittenAttempt{WrittenAt: second, DrainNotifiedAt: second / 2}) }},
+		{ExcessiveTimeBudget, func(m *Monitor) {
+			m.AttemptWritten(1, WrittenAttempt{WrittenAt: 2 * second, TimeBudget: 2 * time.Second})
 		}},
-		{AttemptToDrainingEngine, func(m *Monitor) { m.AttemptWritten(1, 0, false, second, second/2, 0) }},
-		{ExcessiveTimeBudget, func(m *Monitor) { m.AttemptWritten(1, 0, false, 2*second, 0, 2*time.Second) }},
 		{LateAnswer, func(m *Monitor) { m.RequestAnswered(1, 4*second) }},
 		{ClosedUnanswered, func(m *Monitor) { m.ConnectionClosing(Connection{Unanswered: 1}, "idle") }},
 		{ReservedTooLong, func(m *Monitor) { m.ReservationUnclaimed("a", 2*time.Second) }},
 	}
 	for _, c := range cases {
 		m := NewMonitor(LimitsFor(250*time.Millisecond, time.Second))
-		m.RequestAccepted(1, "a", NonRetriable, 0, 3*second)
+		m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: NonRetriable, Deadline: 3 * second})
 		c.act(m)
 		if violations := m.TakeViolations(); len(violations) != 1 || violations[0].Rule != c.rule {
 			t.Errorf("%s: got %v", c.rule, violations)
 		}
 		if len(m.TakeViolations()) > 0 {
-			t.Errorf("%s is told twice", c.rule)
+			t.Errorf("%s is reported twice", c.rule)
 		}
 	}
-	// What is allowed is no violation: a retry after what never ran, a stream that ends after its client's time, a close
-	// between two requests.
+	// What is allowed is no violation: a retry after an attempt that has not run, a stream that ends after its client's
+	// deadline, a close between two requests.
 	m := NewMonitor(LimitsFor(250*time.Millisecond, time.Second))
-	m.RequestAccepted(1, "a", NonRetriable, 0, 3*second)
-	m.AttemptWritten(1, 0, true, 0, 0, 0)
+	m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: NonRetriable, Deadline: 3 * second})
+	m.AttemptWritten(1, WrittenAttempt{Decode: true})
 	m.AttemptEnded(1, 0, true)
-	m.AttemptWritten(1, 2, true, second/10, second/10-1, 3*time.Second)
+	m.AttemptWritten(1, WrittenAttempt{Index: 2, Decode: true, WrittenAt: second / 10, DrainNotifiedAt: second/10 - 1,
+		TimeBudget: 3 * time.Second})
 	m.AnswerStarted(1)
 	m.RequestAnswered(1, 20*second)
 	m.AttemptEnded(1, 2, false)
 	m.ConnectionClosing(Connection{}, "idle")
-	m.ConnectionClosing(Connection{Unanswered: 2, ResponseBroken: true}, "broke")
+	m.ConnectionClosing(Connection{Unanswered: 2, ResponseBroken: true}, "response broke")
 	m.ReservationUnclaimed("a", time.Second)
 	m.Forget(1)
 	if violations := m.TakeViolations(); len(violations) > 0 || len(m.OpenRequests()) > 0 {
@@ -111,31 +115,34 @@
 }
 
 func TestMayAcceptAndClose(t *testing.T) {
-	if MayAccept(Arrival{Accepting: true}) != Allowed || MayAccept(Arrival{}) != ShuttingDown || MayAccept(Arrival{DuplicateID: true, Accepting: true}) != DuplicateRequestID {
-		t.Error("starts")
+	if MayAccept(Arrival{Accepting: true}) != Allowed || MayAccept(Arrival{}) != ShuttingDown ||
+		MayAccept(Arrival{DuplicateID: true, Accepting: true}) != DuplicateRequestID {
+		t.Error("MayAccept")
 	}
-	if MayClose(Connection{}) != Allowed || MayClose(Connection{UnreadRequest: true}) != RequestIncoming || MayClose(Connection{Unanswered: 1, UnreadRequest: true}) != RequestUnanswered {
-		t.Error("closes")
+	if MayClose(Connection{}) != Allowed || MayClose(Connection{UnreadRequest: true}) != RequestIncoming ||
+		MayClose(Connection{Unanswered: 1, UnreadRequest: true}) != RequestUnanswered {
+		t.Error("MayClose")
 	}
-	if ParseEffect("retriable") != Retriable || ParseEffect("deduped") != Deduplicated || ParseEffect("of no known kind") != NonRetriable {
-		t.Error("effects")
+	if ParseEffect("retriable") != Retriable || ParseEffect("deduped") != Deduplicated ||
+		ParseEffect("non-retriable") != NonRetriable || ParseEffect("unknown") != NonRetriable {
+		t.Error("ParseEffect")
 	}
 }
 
-// Whatever the grace, what the gate lets pass arrives within it, also where the node is held up; without news of a drain
-// nothing is held back.
+// Whatever the grace, what the gate allows arrives within it, also where the router is delayed; without a drain notification
+// nothing is rejected.
 func TestDrainGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Int64Range(1, 1e12).Draw(t, "grace")
-		notifiedAt := rapid.Int64Range(1, 1e15).Draw(t, "told")
+		notifiedAt := rapid.Int64Range(1, 1e15).Draw(t, "notified at")
 		now := notifiedAt + rapid.Int64Range(0, 2e12).Draw(t, "later")
 		a := Attempt{Deadline: now + 1, DrainNotifiedAt: notifiedAt}
 		if MaySend(a, now, grace) == Allowed && now+int64(MaxDelay)-notifiedAt > grace {
-			t.Fatal("written past the grace")
+			t.Fatal("written after the grace")
 		}
 		a.DrainNotifiedAt = 0
 		if MaySend(a, now, grace) != Allowed {
-			t.Fatal("held back without news")
+			t.Fatal("rejected without a drain notification")
 		}
 	})
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -5,73 +5,41 @@
 	"time"
 )
 
-// Rule names a rule that the monitor checks.
-type Rule string
-
-// The rules.
-const (
-	AnsweredTwice           Rule = "answered twice"
-	AttemptAfterAnswer      Rule = "attempt after the final answer"
-	ConcurrentAttempts      Rule = "two attempts out"
-	ExecutedTwice           Rule = "run more than once"
-	AttemptToDrainingEngine Rule = "attempt to a draining engine"
-	ExcessiveTimeBudget     Rule = "an engine is told more time than is left"
-	LateAnswer              Rule = "answer late"
-	ClosedUnanswered        Rule = "connection closed with a request unanswered"
-	ReservedTooLong         Rule = "state held too long"
-)
-
-// Rules are all rules, in the order in which they are shown.
-var Rules = []Rule{AnsweredTwice, AttemptAfterAnswer, ConcurrentAttempts, ExecutedTwice, AttemptToDrainingEngine, ExcessiveTimeBudget, LateAnswer, ClosedUnanswered, ReservedTooLong}
-
-// Violation is one rule that was broken, and how.
-type Violation struct {
-	Rule    Rule
-	Request string
-	Detail  string
-}
+// maxReportedReservations is how many requests are remembered whose reservation was reported, so that it is reported once.
+const maxReportedReservations = 1000
 
-// Limits are the spans that the monitor judges by, in nanoseconds.
-type Limits struct {
-	DrainGrace       int64 // after the news of a drain
-	ReservationLimit int64 // that a state may be held while no attempt is out
-	AnswerSlack      int64 // that a final answer may come after its client's time
-	TimeBudgetSlack  int64 // by which the time that an engine is told may be over what is left
+// AcceptedRequest is what the monitor needs to know of a request.
+type AcceptedRequest struct {
+	Name        string
+	Effect      Effect
+	DedupWindow int64 // for how long engines remember a run of a deduplicated request
+	Deadline    int64 // of its client
 }
 
-// The slack that the protocol adds.
-const (
-	answerSlack      = 500 * time.Millisecond
-	timeBudgetSlack  = 150 * time.Millisecond
-	reservationSlack = 300 * time.Millisecond
-)
-
-// LimitsFor are the limits for the spans that the settings give.
-func LimitsFor(drainGrace, reservationLimit time.Duration) Limits {
-	return Limits{DrainGrace: int64(drainGrace), ReservationLimit: int64(reservationLimit + reservationSlack), AnswerSlack: int64(answerSlack), TimeBudgetSlack: int64(timeBudgetSlack)}
+// WrittenAttempt is an attempt whose first byte has been written.
+type WrittenAttempt struct {
+	Index           int // among the attempts of its request, from 0
+	Decode          bool
+	WrittenAt       int64
+	DrainNotifiedAt int64         // since when its engine is known to drain or to be removed; 0 where it is ready
+	TimeBudget      time.Duration // as sent to the engine
 }
 
-// Monitor keeps its own account of what has been done for each request.
+// Monitor keeps its own record of what has been done for each request, and checks the rules against it.
 type Monitor struct {
-	limits               Limits
-	requests             map[int64]*requestRecord
-	reportedReservations map[string]time.Duration // requests whose state was told of as held too long, and for how long it was then
-	// violations that have not been handed over.
-	violations []Violation
+	limits   Limits
+	requests map[int64]*requestRecord
+	// reportedReservations holds the requests whose reservation was reported, and for how long it was unclaimed then.
+	reportedReservations map[string]time.Duration
+	violations           []Violation // those that TakeViolations has not returned yet
 }
 
-// maxReportedReservations is how many requests are remembered whose state was told of, so that it is told of once.
-const maxReportedReservations = 1000
-
-// requestRecord is what has happened for one request.
+// requestRecord is what has happened to one request.
 type requestRecord struct {
-	name          string
-	effect        Effect
-	dedupWindow   int64
-	deadline      int64
+	AcceptedRequest
 	answerStarted bool // its client has the first event
 	answered      bool
-	attempts      []*attemptRecord
+	attempts      []attemptRecord
 }
 
 type attemptRecord struct {
@@ -81,102 +49,107 @@
 	neverRan  bool
 }
 
-// NewMonitor makes a monitor that knows of nothing.
+// NewMonitor returns a monitor without records.
 func NewMonitor(limits Limits) *Monitor {
 	return &Monitor{limits: limits, requests: map[int64]*requestRecord{}, reportedReservations: map[string]time.Duration{}}
 }
 
-// RequestAccepted notes a request that the node has taken.
-func (m *Monitor) RequestAccepted(id int64, name string, effect Effect, dedupWindow, deadline int64) {
-	m.requests[id] = &requestRecord{name: name, effect: effect, dedupWindow: dedupWindow, deadline: deadline}
+// RequestAccepted records a request that the router has accepted.
+func (m *Monitor) RequestAccepted(id int64, request AcceptedRequest) {
+	m.requests[id] = &requestRecord{AcceptedRequest: request}
 }
 
-// AttemptWritten notes that the first byte of an attempt has been written. Drained is when the news of its engine's drain came, 0
-// for none; left is the time that the engine was told.
-func (m *Monitor) AttemptWritten(id int64, attempt int, decode bool, now, drainNotifiedAt int64, timeBudget time.Duration) {
+// AttemptWritten records that the first byte of an attempt has been written.
+func (m *Monitor) AttemptWritten(id int64, attempt WrittenAttempt) {
 	record := m.requests[id]
 	if record == nil {
-		m.report(AttemptAfterAnswer, "", "attempt %d of request %d, which is not known", attempt, id)
+		m.report(AttemptAfterAnswer, "", "attempt %d of unknown request %d", attempt.Index, id)
 		return
 	}
-	m.checkAttempt(record, attempt, decode, now, drainNotifiedAt, timeBudget)
-	for len(record.attempts) <= attempt {
-		record.attempts = append(record.attempts, &attemptRecord{ended: true, neverRan: true})
+	m.checkAttempt(record, attempt)
+	m.checkPriorAttempts(record, attempt)
+	for len(record.attempts) <= attempt.Index {
+		record.attempts = append(record.attempts, attemptRecord{ended: true, neverRan: true})
 	}
-	record.attempts[attempt] = &attemptRecord{decode: decode, writtenAt: now}
+	record.attempts[attempt.Index] = attemptRecord{decode: attempt.Decode, writtenAt: attempt.WrittenAt}
 }
 
-func (m *Monitor) checkAttempt(record *requestRecord, attempt int, decode bool, now, drainNotifiedAt int64, timeBudget time.Duration) {
+func (m *Monitor) checkAttempt(record *requestRecord, attempt WrittenAttempt) {
 	if record.answered {
-		m.report(AttemptAfterAnswer, record.name, "attempt %d", attempt)
+		m.report(AttemptAfterAnswer, record.Name, "attempt %d", attempt.Index)
 	}
-	if drainNotifiedAt != 0 && now-drainNotifiedAt > m.limits.DrainGrace {
-		m.report(AttemptToDrainingEngine, record.name, "attempt %d, %v after the news", attempt, time.Duration(now-drainNotifiedAt))
+	sinceDrain := attempt.WrittenAt - attempt.DrainNotifiedAt
+	if attempt.DrainNotifiedAt != 0 && sinceDrain > m.limits.DrainGrace {
+		m.report(AttemptToDrainingEngine, record.Name, "attempt %d, %v after the notification", attempt.Index, time.Duration(sinceDrain))
 	}
-	if excess := int64(timeBudget) - max(0, record.deadline-now); excess > m.limits.TimeBudgetSlack {
-		m.report(ExcessiveTimeBudget, record.name, "attempt %d, %v too much", attempt, time.Duration(excess))
+	timeLeft := max(0, record.Deadline-attempt.WrittenAt)
+	if excess := int64(attempt.TimeBudget) - timeLeft; excess > m.limits.TimeBudgetSlack {
+		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v too much", attempt.Index, time.Duration(excess))
 	}
+}
+
+func (m *Monitor) checkPriorAttempts(record *requestRecord, attempt WrittenAttempt) {
 	for i, prior := range record.attempts {
 		if !prior.ended {
-			m.report(ConcurrentAttempts, record.name, "attempts %d and %d", i, attempt)
+			m.report(ConcurrentAttempts, record.Name, "attempts %d and %d", i, attempt.Index)
 		}
+		apart := attempt.WrittenAt - prior.writtenAt
 		mayHaveRun := prior.decode && !prior.neverRan
-		forgotten := record.effect == Deduplicated && now-prior.writtenAt >= record.dedupWindow
-		if decode && mayHaveRun && (record.effect == NonRetriable || forgotten) {
-			m.report(ExecutedTwice, record.name, "attempts %d and %d, %v apart", i, attempt, time.Duration(now-prior.writtenAt))
+		forgotten := record.Effect == Deduplicated && apart >= record.DedupWindow
+		if attempt.Decode && mayHaveRun && (record.Effect == NonRetriable || forgotten) {
+			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, time.Duration(apart))
 		}
 	}
 }
 
-// AttemptEnded notes the outcome of an attempt.
+// AttemptEnded records the outcome of an attempt. One that was never written is ignored.
 func (m *Monitor) AttemptEnded(id int64, attempt int, neverRan bool) {
 	record := m.requests[id]
 	if record == nil || attempt >= len(record.attempts) {
-		return // it was never written
+		return
 	}
 	record.attempts[attempt].ended, record.attempts[attempt].neverRan = true, neverRan
 }
 
-// AnswerStarted notes that the first event of an answer has gone to the client: its time does not run any more.
+// AnswerStarted records that the first event of an answer has been sent to the client: its deadline is met.
 func (m *Monitor) AnswerStarted(id int64) {
 	if record := m.requests[id]; record != nil {
 		record.answerStarted = true
 	}
 }
 
-// RequestAnswered notes a final answer.
+// RequestAnswered records a final answer.
 func (m *Monitor) RequestAnswered(id int64, now int64) {
 	record := m.requests[id]
 	switch {
 	case record == nil:
-		m.report(AnsweredTwice, "", "request %d, which is not known", id)
+		m.report(AnsweredTwice, "", "unknown request %d", id)
+		return
 	case record.answered:
-		m.report(AnsweredTwice, record.name, "")
-	case !record.answerStarted && now-record.deadline > m.limits.AnswerSlack:
-		m.report(LateAnswer, record.name, "%v after its client's time", time.Duration(now-record.deadline))
-	}
-	if record != nil {
-		record.answered = true
+		m.report(AnsweredTwice, record.Name, "")
+	case !record.answerStarted && now-record.Deadline > m.limits.AnswerSlack:
+		m.report(LateAnswer, record.Name, "%v after its client's deadline", time.Duration(now-record.Deadline))
 	}
+	record.answered = true
 }
 
-// Forget drops a request that has its answer and no attempt out.
+// Forget drops the record of a request that has its answer and no attempt in flight.
 func (m *Monitor) Forget(id int64) { delete(m.requests, id) }
 
-// ConnectionClosing notes that a client's connection is closed by the node, though a gate may speak against it.
+// ConnectionClosing records that the router closes a client's connection.
 func (m *Monitor) ConnectionClosing(c Connection, cause string) {
-	if reason := MayClose(c); reason == RequestUnanswered {
+	if MayClose(c) == RequestUnanswered {
 		m.report(ClosedUnanswered, "", "%d requests, closed as: %s", c.Unanswered, cause)
 	}
 }
 
-// ReservationUnclaimed notes for how long a state has been held while no attempt that may take it was out.
+// ReservationUnclaimed records for how long no attempt that may consume a reservation of a request has been in flight.
 func (m *Monitor) ReservationUnclaimed(request string, unclaimed time.Duration) {
 	if int64(unclaimed) <= m.limits.ReservationLimit {
 		return
 	}
 	previous, reported := m.reportedReservations[request]
-	if !reported || unclaimed < previous { // another state of the same request
+	if !reported || unclaimed < previous { // shorter: another reservation of the same request
 		m.report(ReservedTooLong, request, "%v", unclaimed)
 	}
 	if len(m.reportedReservations) >= maxReportedReservations {
@@ -189,7 +162,7 @@
 	m.violations = append(m.violations, Violation{rule, request, fmt.Sprintf(format, args...)})
 }
 
-// TakeViolations hands over the violations since the last call.
+// TakeViolations returns the violations since the last call.
 func (m *Monitor) TakeViolations() []Violation {
 	violations := m.violations
 	m.violations = nil
--- /dev/null
+++ b/internal/reservation/table.go
@@ -0,0 +1,198 @@
+package reservation
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Never is the due time of an empty table.
+const Never = int64(math.MaxInt64)
+
+// Table holds all reservations of a router.
+type Table struct {
+	limits    Limits
+	byRequest map[string][]*Reservation // in the order of their prefills
+	count     int
+	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation that had it may be gone.
+	nextDue      int64
+	nextDueStale bool
+}
+
+// New returns an empty table.
+func New(limits Limits) *Table {
+	return &Table{limits: limits, byRequest: map[string][]*Reservation{}, nextDue: Never}
+}
+
+// Find returns the reservation of an ID; nil where none is known.
+func (t *Table) Find(id ID) *Reservation {
+	for _, r := range t.byRequest[id.Request] {
+		if r.ID == id {
+			return r
+		}
+	}
+	return nil
+}
+
+// All lists all reservations, in the order of requests and attempts.
+func (t *Table) All() []*Reservation {
+	all := make([]*Reservation, 0, t.count)
+	for _, reservations := range t.byRequest {
+		all = append(all, reservations...)
+	}
+	slices.SortFunc(all, func(a, b *Reservation) int {
+		return cmp.Or(cmp.Compare(a.ID.Request, b.ID.Request), cmp.Compare(a.ID.Attempt, b.ID.Attempt))
+	})
+	return all
+}
+
+// NextDue is when the next reservation is due.
+func (t *Table) NextDue() int64 {
+	if !t.nextDueStale {
+		return t.nextDue
+	}
+	t.nextDue, t.nextDueStale = Never, false
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			t.nextDue = min(t.nextDue, r.DueAt)
+		}
+	}
+	return t.nextDue
+}
+
+// DueBy lists the reservations that are due, in the order of requests and attempts.
+func (t *Table) DueBy(now int64) (due []*Reservation) {
+	if now < t.NextDue() {
+		return nil
+	}
+	for _, r := range t.All() {
+		if r.DueAt <= now {
+			due = append(due, r)
+		}
+	}
+	return due
+}
+
+// Count is the number of reservations.
+func (t *Table) Count() int { return t.count }
+
+// OldestSince is since when the oldest reservation has been known; 0 for an empty table.
+func (t *Table) OldestSince() (since int64) {
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			if since == 0 || r.KnownSince < since {
+				since = r.KnownSince
+			}
+		}
+	}
+	return since
+}
+
+// Unreleased counts the reservations that a router must not leave behind when it ends. Where releases are repeated, two
+// acknowledgements are enough: the earlier attempts are over by then, unless their engines hang.
+func (t *Table) Unreleased() (count int) {
+	const enoughAcknowledgements = 2
+	for _, reservations := range t.byRequest {
+		for _, r := range reservations {
+			if r.State != Releasing || r.acknowledgements < enoughAcknowledgements {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// EventTimes are the times of an event, in nanoseconds.
+type EventTimes struct {
+	Now     int64
+	Since   int64 // the earliest time at which the event may have happened
+	Horizon int64 // until when an abandoned attempt of the request may still act at its engine; 0 where there is none
+}
+
+// Add records the reservation of a prefill that has just ended, by PrefillDone or PrefillLost. It returns nil if the table
+// is full of reservations no release of which has been acknowledged.
+func (t *Table) Add(id ID, engine string, event Event, times EventTimes) *Reservation {
+	if r := t.Find(id); r != nil {
+		return r
+	}
+	if t.count >= t.limits.MaxReservations && !t.evictAcknowledged() {
+		return nil
+	}
+	r := &Reservation{ID: id, Engine: engine, KnownSince: times.Now, unclaimedSince: times.Now}
+	t.byRequest[id.Request] = append(t.byRequest[id.Request], r)
+	t.count++
+	t.handle(r, event, times)
+	return r
+}
+
+// evictAcknowledged removes a reservation of which a release has been acknowledged, if there is one.
+func (t *Table) evictAcknowledged() bool {
+	for _, r := range t.All() {
+		if r.State == Releasing && r.Acknowledged() {
+			r.State = None
+			t.remove(r)
+			return true
+		}
+	}
+	return false
+}
+
+// HandleAttempt applies the event of an attempt to all reservations of its request, as it may consume any of them, or
+// Unneeded. It returns the reservations whose due time has changed.
+func (t *Table) HandleAttempt(request string, event Event, times EventTimes) (changed []*Reservation) {
+	for _, r := range slices.Clone(t.byRequest[request]) {
+		if r.State == Releasing && !t.limits.ReleasesWholeRequest {
+			continue // attempts name the reservation that they consume, and it is not this one
+		}
+		before := r.DueAt
+		t.handle(r, event, times)
+		if r.State != None && r.DueAt != before {
+			changed = append(changed, r)
+		}
+	}
+	return changed
+}
+
+// handle applies one event to one reservation. An event that no transition takes changes nothing but the horizon.
+func (t *Table) handle(r *Reservation, event Event, times EventTimes) {
+	r.horizon = max(r.horizon, times.Horizon)
+	if event == Consumed && times.Now < r.horizon {
+		event = ConsumedBeforeHorizon
+	}
+	fired := findTransition(r.State, event)
+	if fired == nil {
+		return
+	}
+	r.State = fired.next
+	if event == AttemptAbandoned || event == AttemptRejected {
+		r.attemptAbandoned, r.unclaimedSince = event == AttemptAbandoned, times.Now
+	}
+	switch fired.due {
+	case dueAfterKeepTime:
+		t.setDue(r, times.Since+t.limits.KeepTime)
+	case dueNow:
+		t.setDue(r, times.Now)
+		r.startRound()
+	case dueAfterRepeatInterval:
+		t.setDue(r, times.Now+t.limits.RepeatInterval)
+	}
+	if r.State == None {
+		t.remove(r)
+	}
+}
+
+func (t *Table) setDue(r *Reservation, at int64) {
+	t.nextDueStale = t.nextDueStale || r.DueAt == t.nextDue
+	r.DueAt = at
+	t.nextDue = min(t.nextDue, at)
+}
+
+func (t *Table) remove(r *Reservation) {
+	request := r.ID.Request
+	t.nextDueStale = t.nextDueStale || r.DueAt == t.nextDue
+	t.byRequest[request] = slices.DeleteFunc(t.byRequest[request], func(other *Reservation) bool { return other == r })
+	t.count--
+	if len(t.byRequest[request]) == 0 {
+		delete(t.byRequest, request)
+	}
+}
--- /dev/null
+++ b/internal/reservation/table_test.go
@@ -0,0 +1,219 @@
+package reservation
+
+import (
+	"flag"
+	"os"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestMain makes random tests draw the same in every run; -rapid.seed on the command line draws others.
+func TestMain(m *testing.M) {
+	if err := flag.Set("rapid.seed", "20261202"); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
+const (
+	limit  = time.Second
+	second = int64(time.Second)
+	start  = 1000 * second
+)
+
+func newTable(wholeRequest bool) *Table { return New(LimitsFor(limit, wholeRequest, 100)) }
+
+// at are the times of an event that happens now, without an abandoned attempt.
+func at(now int64) EventTimes { return EventTimes{Now: now, Since: now} }
+
+var first = ID{Request: "a", Attempt: 0}
+
+// A reservation follows the events of its request.
+func TestTransitions(t *testing.T) {
+	const horizon = start + 3*second
+	for _, c := range []struct {
+		name   string
+		events []Event
+		want   State
+		due    int64 // after the start; of no meaning for None
+	}{
+		{"prefill", []Event{PrefillDone}, Reserved, second * 3 / 4},
+		{"prefill, and consumed", []Event{PrefillDone, AttemptSent, Consumed}, None, 0},
+		{"prefill, and unneeded", []Event{PrefillDone, Unneeded}, Releasing, 0},
+		{"a lost prefill", []Event{PrefillLost}, Releasing, 0},
+		{"the decode engine is full", []Event{PrefillDone, AttemptSent, AttemptRejected}, Reserved, second * 3 / 4},
+		{"an attempt that never arrived", []Event{PrefillDone, AttemptSent, AttemptUnsent}, Reserved, second * 3 / 4},
+		{"unneeded while an attempt is in flight", []Event{PrefillDone, AttemptSent, Unneeded}, Contested, 0},
+		{"that attempt is abandoned", []Event{PrefillDone, AttemptSent, Unneeded, AttemptAbandoned}, Releasing, 0},
+		{"or rejected", []Event{PrefillDone, AttemptSent, Unneeded, AttemptRejected}, Releasing, 0},
+		{"or consumes it after all", []Event{PrefillDone, AttemptSent, Unneeded, Consumed}, None, 0},
+		{"a second attempt", []Event{PrefillDone, AttemptSent, AttemptAbandoned, AttemptSent, Consumed}, None, 0},
+		{"consumed, and a lost prefill may still leave another", []Event{PrefillLost, AttemptSent, Consumed}, Releasing, second / 2},
+		{"consumed twice", []Event{PrefillDone, Consumed, Consumed, Unneeded}, None, 0},
+	} {
+		table := newTable(true)
+		r := table.Add(first, "r", c.events[0], at(start))
+		for _, event := range c.events[1:] {
+			until := int64(0)
+			if event == AttemptAbandoned || c.events[0] == PrefillLost {
+				until = horizon
+			}
+			table.HandleAttempt(first.Request, event, EventTimes{start, start, until})
+		}
+		if r.State != c.want || r.State != None && r.DueAt-start != c.due {
+			t.Errorf("%s: state %v, due after %v", c.name, r.State, time.Duration(r.DueAt-start))
+		}
+		if known := table.Find(first) != nil; known != (c.want != None) || table.Count() == 0 == known {
+			t.Errorf("%s: in the table: %v, %d in all", c.name, known, table.Count())
+		}
+	}
+}
+
+// Found with random engines, and on a fleet of real processes: the end of an abandoned attempt's connection and the release
+// that follows it reach two engines in either order. A release that arrives first frees nothing.
+func TestReleasesAreRepeatedAfterAnAbandonedAttempt(t *testing.T) {
+	table := newTable(true)
+	r := table.Add(first, "r", PrefillDone, at(start))
+	table.HandleAttempt("a", AttemptSent, at(start))
+	table.HandleAttempt("a", AttemptAbandoned, EventTimes{start, start, start + 3*second})
+	table.HandleAttempt("a", Unneeded, EventTimes{start, start, start + 3*second})
+	releases, last := 0, start
+	for now := start; r.State != None; now += second / 100 {
+		if now > start+10*second {
+			t.Fatal("it is never removed")
+		}
+		if action, _ := table.HandleDue(r, now); action == Release {
+			if gap := now - last; gap > int64(limit)*3/4 {
+				t.Errorf("%v without a release", time.Duration(gap))
+			}
+			releases, last = releases+1, now
+			table.Acknowledge(r, r.Round, now)
+			if unreleased := table.Unreleased(); (unreleased > 0) != (releases < 2) {
+				t.Errorf("%d unreleased after %d releases", unreleased, releases)
+			}
+		}
+	}
+	if releases < 4 || last < start+2*second {
+		t.Errorf("%d releases, the last after %v", releases, time.Duration(last-start))
+	}
+}
+
+// An acknowledgement of a release that was sent before the attempt ended proves nothing about the reservation that the
+// attempt left.
+func TestAcknowledgementOfAnEarlierRoundIsIgnored(t *testing.T) {
+	table := newTable(true)
+	r := table.Add(first, "r", PrefillDone, at(start))
+	table.HandleAttempt("a", AttemptSent, at(start))
+	table.HandleAttempt("a", Unneeded, at(start))
+	table.HandleDue(r, start)
+	round := r.Round
+	table.HandleAttempt("a", AttemptRejected, at(start))
+	table.Acknowledge(r, round, start)
+	if r.State != Releasing {
+		t.Errorf("state %v after the acknowledgement of an earlier round", r.State)
+	}
+	table.HandleDue(r, start)
+	table.Acknowledge(r, r.Round, start)
+	if r.State != None {
+		t.Errorf("state %v after the acknowledgement of the current round", r.State)
+	}
+}
+
+// Where a release frees all reservations of a request, that of a stray one must not cost the one that is still to be used;
+// where a release names one reservation, it need not wait.
+func TestStrayReservationWaitsForTheOneInUse(t *testing.T) {
+	for _, wholeRequest := range []bool{true, false} {
+		table := newTable(wholeRequest)
+		stray := table.Add(first, "r", PrefillLost, EventTimes{start, start, start + 3*second})
+		table.HandleDue(stray, start)
+		table.Acknowledge(stray, stray.Round, start)
+		used := table.Add(ID{"a", 1}, "r2", PrefillDone, at(start+second/4))
+		action, _ := table.HandleDue(stray, start+second/2)
+		if wholeRequest && (action != NoAction || stray.DueAt != used.DueAt) || !wholeRequest && action != Release {
+			t.Errorf("releases whole request %v: action %v, due after %v", wholeRequest, action, time.Duration(stray.DueAt-start))
+		}
+	}
+}
+
+// The number of reservations is limited, and releases that no engine acknowledges are abandoned.
+func TestLimits(t *testing.T) {
+	limits := LimitsFor(limit, true, 2)
+	table := New(limits)
+	r := table.Add(first, "r", PrefillLost, at(start))
+	table.Add(ID{"b", 0}, "r", PrefillDone, at(start))
+	if table.Add(ID{"c", 0}, "r", PrefillDone, at(start)) != nil {
+		t.Error("a third reservation is added")
+	}
+	full := New(limits)
+	acknowledged := full.Add(first, "r", PrefillLost, EventTimes{start, start, start + 9*second})
+	full.HandleDue(acknowledged, start)
+	full.Acknowledge(acknowledged, acknowledged.Round, start)
+	full.Add(ID{"b", 0}, "r", PrefillDone, at(start))
+	if full.Add(ID{"c", 0}, "r", PrefillDone, at(start)) == nil || full.Find(first) != nil {
+		t.Error("a reservation of which a release was acknowledged is not evicted")
+	}
+	releases, now := 0, start
+	for ; r.State != None && now < start+60*second; now += second / 100 {
+		if action, _ := table.HandleDue(r, now); action == Release {
+			releases++
+		}
+	}
+	if gone := now - start; gone > limits.AbandonAfter+second || releases < 10 {
+		t.Errorf("abandoned after %v and %d releases", time.Duration(gone), releases)
+	}
+	if table.Unreleased() != 1 || table.Count() != 1 || table.OldestSince() != start {
+		t.Errorf("%d unreleased, %d in all, the oldest since %d", table.Unreleased(), table.Count(), table.OldestSince())
+	}
+}
+
+// Whatever happens: a waiting reservation is due within its limit, an unneeded one is released soon and again until an
+// engine acknowledges, and the table is empty in the end.
+func TestNoReservationIsLeftBehind(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		wholeRequest := rapid.Bool().Draw(t, "releases whole request")
+		table := newTable(wholeRequest)
+		now, prefills := start, 0
+		events := []Event{AttemptSent, AttemptUnsent, AttemptRejected, AttemptAbandoned, Consumed, Unneeded}
+		horizon := int64(0)
+		for range rapid.IntRange(1, 40).Draw(t, "events") {
+			now += int64(rapid.IntRange(0, 400).Draw(t, "ms")) * int64(time.Millisecond)
+			if rapid.IntRange(0, 3).Draw(t, "prefill") == 0 {
+				event := rapid.SampledFrom([]Event{PrefillDone, PrefillLost}).Draw(t, "prefill event")
+				if event == PrefillLost {
+					horizon = now + 3*second
+				}
+				since := now - int64(rapid.IntRange(0, 300).Draw(t, "late"))
+				table.Add(ID{"a", prefills}, "r", event, EventTimes{now, since, horizon})
+				prefills++
+			} else {
+				event := rapid.SampledFrom(events).Draw(t, "event")
+				if event == AttemptAbandoned {
+					horizon = now + 3*second
+				}
+				table.HandleAttempt("a", event, EventTimes{now, now, horizon})
+			}
+			acknowledged := rapid.Bool().Draw(t, "acknowledged")
+			for _, r := range table.All() {
+				if action, _ := table.HandleDue(r, now); action == Release && acknowledged {
+					table.Acknowledge(r, r.Round, now)
+				}
+				if r.State != None && r.DueAt > now+int64(limit)*3/4 {
+					t.Fatalf("%v: nothing is due for %v", r.ID, time.Duration(r.DueAt-now))
+				}
+			}
+		}
+		for range 2000 {
+			now += second / 100
+			table.HandleAttempt("a", AttemptUnsent, at(now))
+			table.HandleAttempt("a", Unneeded, at(now))
+			for _, r := range table.All() {
+				table.HandleDue(r, now)
+			}
+		}
+		if table.Count() != 0 || table.Unreleased() != 0 {
+			t.Fatalf("%d reservations are left", table.Count())
+		}
+	})
+}
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -39,7 +39,7 @@
 		lines = append(lines, fmt.Sprintln("line", conn.Engine, state, r.now-since, carries, conn.drainingSince > 0, conn.socket != nil,
 			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
-	fmt.Fprintln(w, r.pool.EarlyCloseAges(r.now))
+	fmt.Fprintln(w, r.pool.EarlyCloseFingerprint(r.now))
 	for control := range r.controlRequests {
 		lines = append(lines, fmt.Sprintln("control", control.engine, control.describe(), r.now-control.startedAt))
 	}
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -97,7 +97,8 @@
 	req.collector = r.protocol.NewCollector(received.Call)
 	client.current = req
 	r.requests[req.id], r.requestsByName[req.name] = req, req
-	r.monitor.RequestAccepted(req.id, req.name, req.effect(cfg), int64(cfg.Routes[route].DedupWindow), req.deadline)
+	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: req.effect(cfg),
+		DedupWindow: int64(cfg.Routes[route].DedupWindow), Deadline: req.deadline})
 	session := received.Call.Session
 	if session == "" {
 		session = req.name // one of its own: the module must not take strangers for one session
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -118,7 +118,8 @@
 	if att := conn.attempt; att != nil {
 		r.firedTransitions |= 1 << att.machine.Handle(attempt.Connected).Transition
 		att.writtenAt = r.now
-		r.monitor.AttemptWritten(att.request.id, att.index, att.decode, r.now, r.drains[conn.Engine], r.advertisedTimeout(att.request))
+		r.monitor.AttemptWritten(att.request.id, invariant.WrittenAttempt{Index: att.index, Decode: att.decode, WrittenAt: r.now,
+			DrainNotifiedAt: r.drains[conn.Engine], TimeBudget: r.advertisedTimeout(att.request)})
 		if att.decode {
 			r.updateReservations(att.request, reservation.AttemptSent)
 		}
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -37,7 +37,8 @@
 
 func (r *Router) addReservation(att *engineAttempt, event reservation.Event) {
 	id := reservation.ID{Request: att.request.name, Attempt: att.index}
-	reserved := r.reservations.Add(id, att.engine, event, r.now, max(att.writtenAt, r.earliestEventTime()), att.request.abandonedUntil)
+	reserved := r.reservations.Add(id, att.engine, event, reservation.EventTimes{Now: r.now,
+		Since: max(att.writtenAt, r.earliestEventTime()), Horizon: att.request.abandonedUntil})
 	if reserved == nil {
 		r.observer.ReservationChanged(ReleaseTableFull)
 		return
@@ -70,7 +71,8 @@
 func (r *Router) releaseReservations(req *request) { r.updateReservations(req, reservation.Unneeded) }
 
 func (r *Router) updateReservations(req *request, event reservation.Event) {
-	for _, reserved := range r.reservations.HandleAttempt(req.name, event, r.now, r.earliestEventTime(), req.abandonedUntil) {
+	times := reservation.EventTimes{Now: r.now, Since: r.earliestEventTime(), Horizon: req.abandonedUntil}
+	for _, reserved := range r.reservations.HandleAttempt(req.name, event, times) {
 		r.runReservation(reserved)
 	}
 }
