--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"runtime"
@@ -45,7 +44,7 @@
 // parseConfig makes a configuration of what was read of its file; the error, if any, is of type script.Faults.
 func parseConfig(file string, data []byte, err error) (*platform.NodeConfig, error) {
 	if err != nil {
-		return nil, script.Faults{fmt.Sprintf("%s: %v", file, err)}
+		return nil, script.Faults{&script.Fault{File: file, Err: err}}
 	}
 	return platform.ParseNodeConfig(file, data)
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/deployment_test.go
@@ -140,7 +140,7 @@
 changes(floor = 2, drain_time = "3s")
 `
 	p, err := ReadPlanner("p.star", []byte(good))
-	if err != nil || p.Assignment.MinServing != 2 || p.Assignment.DrainTimeout != 3*time.Second || p.RolePairs[0] != [2]string{"p", "d"} {
+	if err != nil || p.Assignment.MinServing != 2 || p.Assignment.DrainTimeout != 3*time.Second || p.RolePairs[0] != (RolePair{PrefillKind: "p", DecodeKind: "d"}) {
 		t.Errorf("%+v %v", p, err)
 	}
 	for script, want := range map[string]string{
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"path/filepath"
 	"slices"
 	"time"
 
@@ -9,16 +8,25 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// Planner is all that a planner's script says.
+// Planner is the configuration of one planner.
 type Planner struct {
-	File, Listen, Store, EndpointFile string
-	TakeOver                          bool // by the command line: begin a new store though engines follow another planner
-	Kinds                             []EngineKind
-	RolePairs                         [][2]string // kinds that are two roles of the same engines
-	Assignment                        assignment.Config
+	File         string // the script that it was read from
+	Listen       string
+	Store        string // path of the durable store
+	EndpointFile string
+	TakeOver     bool // begin a new store though engines follow another planner; set by the command line
+	Kinds        []EngineKind
+	RolePairs    []RolePair
+	Assignment   assignment.Config
 }
 
-// LoadPlanner reads a planner's script from a file. Paths in it are taken from its folder.
+// RolePair names two kinds that are the two roles of the same engines.
+type RolePair struct{ PrefillKind, DecodeKind string }
+
+// Has is whether a kind is one of the two.
+func (p RolePair) Has(kind string) bool { return kind == p.PrefillKind || kind == p.DecodeKind }
+
+// LoadPlanner reads a planner's script from a file. Paths in it are relative to the script's directory.
 func LoadPlanner(path string) (*Planner, error) {
 	text, err := script.ReadFile(path)
 	if err != nil {
@@ -28,80 +36,49 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, file := range []*string{&p.Store, &p.EndpointFile} {
-		if !filepath.IsAbs(*file) {
-			*file = filepath.Join(filepath.Dir(path), *file)
-		}
-	}
+	p.Store, p.EndpointFile = relativeTo(path, p.Store), relativeTo(path, p.EndpointFile)
 	return p, nil
 }
 
-// DefaultPlanner are those of a script that names only its files and kinds.
+// DefaultPlanner is the configuration of a script that names its files and kinds only.
 func DefaultPlanner() *Planner {
-	return &Planner{Listen: "127.0.0.1:9090", Store: "planner.db",
-		Assignment: assignment.Config{DrainTimeout: 20 * time.Second, OrderTimeout: 3 * time.Second,
-			LoadTimeout: 2 * time.Minute, TrialTimeout: 5 * time.Second, WarmUp: 12 * time.Second, Cooldown: 30 * time.Second,
-			MinServing: 1, MaxChangingShare: 0.1, MaxSharePerMinute: 0.25,
-			DrainGrace: 250 * time.Millisecond, RouteValues: map[string]float64{}}}
+	return &Planner{
+		Listen: "127.0.0.1:9090",
+		Store:  "planner.db",
+		Assignment: assignment.Config{
+			DrainTimeout:      20 * time.Second,
+			OrderTimeout:      3 * time.Second,
+			LoadTimeout:       2 * time.Minute,
+			TrialTimeout:      5 * time.Second,
+			WarmUp:            12 * time.Second,
+			Cooldown:          30 * time.Second,
+			MinServing:        1,
+			MaxChangingShare:  0.1,
+			MaxSharePerMinute: 0.25,
+			DrainGrace:        250 * time.Millisecond,
+			RouteValues:       map[string]float64{},
+		},
+	}
 }
 
 // ReadPlanner runs a planner's script. The error, if any, is of type script.Faults.
 func ReadPlanner(name string, text []byte) (*Planner, error) {
 	p := DefaultPlanner()
 	p.File = name
-	r := &p.Assignment
 	kinds := Defaults()
-	calls := map[string]script.Function{
-		"kind": kinds.ScriptFunctions()["kind"],
-		"planner": func() ([]script.Argument, func(faultFunc)) {
-			return []script.Argument{{Name: "listen", Target: &p.Listen, Address: true},
-				{Name: "store", Target: &p.Store, Required: true},
-				{Name: "roster", Target: &p.EndpointFile, Required: true}}, nil
-		},
-		"pair": func() ([]script.Argument, func(faultFunc)) {
-			var pair [2]string
-			return []script.Argument{{Name: "read", Target: &pair[0], Required: true},
-					{Name: "write", Target: &pair[1], Required: true}},
-				func(say faultFunc) {
-					for i, role := range []string{"read", "write"} {
-						if pair[i] != "" && kinds.Role(pair[i]) != role {
-							say(role, "%q is no kind named above with the role %s", pair[i], role)
-						}
-						if slices.ContainsFunc(p.RolePairs, func(o [2]string) bool { return o[i] == pair[i] }) {
-							say(role, "%q is in a pair already", pair[i])
-						}
-					}
-					p.RolePairs = append(p.RolePairs, pair)
-				}
-		},
-		"value": func() ([]script.Argument, func(faultFunc)) {
-			route, value := "", 1.0
-			return []script.Argument{{Name: "route", Target: &route, Required: true},
-					{Name: "value", Target: &value, Min: 0.001, Max: 1e6, Required: true}},
-				func(faultFunc) { r.RouteValues[route] = value }
-		},
-		"changes": func() ([]script.Argument, func(faultFunc)) {
-			explain := false
-			return []script.Argument{{Name: "drain_time", Target: &r.DrainTimeout, Min: 0.1, Max: 3600},
-				{Name: "order_time", Target: &r.OrderTimeout, Min: 0.1, Max: 600},
-				{Name: "load_time", Target: &r.LoadTimeout, Min: 0.1, Max: 7200},
-				{Name: "trial_time", Target: &r.TrialTimeout, Min: 0.1, Max: 600},
-				{Name: "cold", Target: &r.WarmUp, Max: 600}, {Name: "rest", Target: &r.Cooldown, Min: 0.1, Max: 86400},
-				{Name: "floor", Target: &r.MinServing, Min: 1, Max: 10000},
-				{Name: "share", Target: &r.MaxChangingShare, Min: 0.001, Max: 0.5},
-				{Name: "per_minute", Target: &r.MaxSharePerMinute, Min: 0.001, Max: 10},
-				{Name: "drain_grace", Target: &r.DrainGrace, Min: 0.05, Max: 60},
-				{Name: "read_pace", Target: &r.PrefillThroughput, Max: 1e9},
-				{Name: "write_pace", Target: &r.DecodeThroughput, Max: 1e9},
-				{Name: "explain_only", Target: &explain}}, func(faultFunc) { r.ExplainOnly = explain }
-		},
+	functions := map[string]script.Function{
+		"planner": fixed(p.fileArguments()),
+		"kind":    kinds.addKind,
+		"pair":    func() ([]script.Argument, func(script.ReportFault)) { return p.addRolePair(kinds) },
+		"value":   p.addRouteValue,
+		"changes": p.changeArguments,
 	}
-	err := script.Run(name, text, calls, func(say func(format string, args ...any)) {
+	err := script.Run(name, text, functions, func(report script.ReportScriptFault) {
 		if p.EndpointFile == "" {
-			say("planner: it is missing; it names listen, store and roster")
+			report("planner: it is missing; it names listen, store and roster")
 		}
 		if len(kinds.Kinds) == 0 {
-			say("kind: none is given")
+			report("kind: none is given")
 		}
 	})
 	if err != nil {
@@ -110,3 +87,65 @@
 	p.Kinds = kinds.Kinds
 	return p, nil
 }
+
+func (p *Planner) fileArguments() []script.Argument {
+	return []script.Argument{
+		script.Address("listen", &p.Listen),
+		script.Text("store", &p.Store).Required(),
+		script.Text("roster", &p.EndpointFile).Required(),
+	}
+}
+
+// addRolePair adds a pair of the kinds that were named so far.
+func (p *Planner) addRolePair(kinds *Deployment) ([]script.Argument, func(script.ReportFault)) {
+	var pair RolePair
+	arguments := []script.Argument{
+		script.Text(RolePrefill, &pair.PrefillKind).Required(),
+		script.Text(RoleDecode, &pair.DecodeKind).Required(),
+	}
+	return arguments, func(report script.ReportFault) {
+		checkKind := func(role, kind string, paired func(RolePair) bool) {
+			if kind != "" && kinds.Role(kind) != role {
+				report(role, "%q is no kind named above with the role %s", kind, role)
+			}
+			if slices.ContainsFunc(p.RolePairs, paired) {
+				report(role, "%q is in a pair already", kind)
+			}
+		}
+		checkKind(RolePrefill, pair.PrefillKind, func(other RolePair) bool { return other.PrefillKind == pair.PrefillKind })
+		checkKind(RoleDecode, pair.DecodeKind, func(other RolePair) bool { return other.DecodeKind == pair.DecodeKind })
+		p.RolePairs = append(p.RolePairs, pair)
+	}
+}
+
+// addRouteValue sets what a completed request of a route is worth.
+func (p *Planner) addRouteValue() ([]script.Argument, func(script.ReportFault)) {
+	route, value := "", 1.0
+	arguments := []script.Argument{
+		script.Text("route", &route).Required(),
+		script.Number("value", &value, 0.001, 1e6).Required(),
+	}
+	return arguments, func(script.ReportFault) { p.Assignment.RouteValues[route] = value }
+}
+
+// changeArguments set the bounds of role changes.
+func (p *Planner) changeArguments() ([]script.Argument, func(script.ReportFault)) {
+	a := &p.Assignment
+	explainOnly := false
+	arguments := []script.Argument{
+		script.Number("drain_time", &a.DrainTimeout, 0.1, 3600),
+		script.Number("order_time", &a.OrderTimeout, 0.1, 600),
+		script.Number("load_time", &a.LoadTimeout, 0.1, 7200),
+		script.Number("trial_time", &a.TrialTimeout, 0.1, 600),
+		script.Number("cold", &a.WarmUp, 0, 600),
+		script.Number("rest", &a.Cooldown, 0.1, 86400),
+		script.Number("floor", &a.MinServing, 1, 10000),
+		script.Number("share", &a.MaxChangingShare, 0.001, 0.5),
+		script.Number("per_minute", &a.MaxSharePerMinute, 0.001, 10),
+		script.Number("drain_grace", &a.DrainGrace, 0.05, 60),
+		script.Number("read_pace", &a.PrefillThroughput, 0, 1e9),
+		script.Number("write_pace", &a.DecodeThroughput, 0, 1e9),
+		script.Bool("explain_only", &explainOnly),
+	}
+	return arguments, func(script.ReportFault) { a.ExplainOnly = explainOnly }
+}
--- /dev/null
+++ b/internal/config/script/argument.go
@@ -0,0 +1,124 @@
+package script
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"go.starlark.net/starlark"
+)
+
+// maxTextBytes is the most bytes of an argument that is a text.
+const maxTextBytes = 256
+
+// Argument is a named argument of a function. Text, OneOf, Address, Bool and Number make one.
+type Argument struct {
+	Name     string
+	required bool
+	// set stores a value. If the value is not allowed it stores nothing, and says what is allowed.
+	set func(starlark.Value) (allowed string, ok bool)
+}
+
+// Required returns the argument as one that each call must have.
+func (a Argument) Required() Argument {
+	a.required = true
+	return a
+}
+
+// Text is an argument that is any text of 1 to 256 bytes.
+func Text(name string, target *string) Argument {
+	return text(name, target, func(string) (string, bool) { return "", true })
+}
+
+// OneOf is an argument that is one of some words.
+func OneOf(name string, target *string, words ...string) Argument {
+	return text(name, target, func(s string) (string, bool) {
+		return "it must be one of " + strings.Join(words, ", "), slices.Contains(words, s)
+	})
+}
+
+// Address is an argument that is an IP address and a port.
+func Address(name string, target *string) Argument {
+	return text(name, target, func(s string) (string, bool) {
+		address, err := netip.ParseAddrPort(s)
+		return `it must be address:port, such as "127.0.0.1:8080"`, err == nil && address.IsValid()
+	})
+}
+
+// text is an argument that is a text which check allows.
+func text(name string, target *string, check func(string) (allowed string, ok bool)) Argument {
+	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
+		s, ok := starlark.AsString(value)
+		if !ok || s == "" || len(s) > maxTextBytes {
+			return fmt.Sprintf("it must be a text of 1 to %d bytes", maxTextBytes), false
+		}
+		if allowed, ok := check(s); !ok {
+			return allowed, false
+		}
+		*target = s
+		return "", true
+	}}
+}
+
+// Bool is an argument that is True or False.
+func Bool(name string, target *bool) Argument {
+	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
+		b, ok := value.(starlark.Bool)
+		if !ok {
+			return "it must be True or False", false
+		}
+		*target = bool(b)
+		return "", true
+	}}
+}
+
+// Number is an argument that is a number or a time of least to most. Times are bounded in seconds.
+func Number[T int | float64 | time.Duration](name string, target *T, least, most float64) Argument {
+	bounds := bounds{least, most}
+	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
+		switch target := any(target).(type) {
+		case *int:
+			return bounds.setInt(target, value)
+		case *float64:
+			return bounds.setFloat(target, value)
+		case *time.Duration:
+			return bounds.setDuration(target, value)
+		}
+		panic("script: a number of a type that Number does not allow")
+	}}
+}
+
+// bounds are the least and the most that a number may be.
+type bounds struct{ least, most float64 }
+
+func (b bounds) include(value float64) bool { return value >= b.least && value <= b.most }
+
+func (b bounds) setInt(target *int, value starlark.Value) (string, bool) {
+	var n int
+	if err := starlark.AsInt(value, &n); err != nil || !b.include(float64(n)) {
+		return fmt.Sprintf("it must be a whole number of %.0f to %.0f", b.least, b.most), false
+	}
+	*target = n
+	return "", true
+}
+
+func (b bounds) setFloat(target *float64, value starlark.Value) (string, bool) {
+	f, ok := starlark.AsFloat(value)
+	if !ok || !b.include(f) {
+		return fmt.Sprintf("it must be a number of %g to %g", b.least, b.most), false
+	}
+	*target = f
+	return "", true
+}
+
+func (b bounds) setDuration(target *time.Duration, value starlark.Value) (string, bool) {
+	s, _ := starlark.AsString(value)
+	duration, err := time.ParseDuration(s)
+	if err != nil || !b.include(duration.Seconds()) {
+		return fmt.Sprintf(`it must be a time of %gs to %gs, such as "250ms"`, b.least, b.most), false
+	}
+	*target = duration
+	return "", true
+}
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -1,225 +1,202 @@
-// Package script runs the operators' Starlark-like scripts: a script only calls functions with keys, each key is
-// checked for its type and range, and all faults are told in one go with file, line and key.
+// Package script runs the operators' scripts, which are Starlark. A script only calls functions with named arguments.
+// Each argument is checked for its type and range, and all faults are reported at once with file, line and argument.
 package script
 
 import (
 	"cmp"
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 	"slices"
-	"strings"
-	"time"
 
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 )
 
-// Faults are all that is wrong with a script.
-type Faults []string
-
-func (f Faults) Error() string { return strings.Join(f, "\n") }
-
 // Bounds of a script: a fleet of thousands of engines listed by loops stays far under these.
 const (
 	MaxBytes = 1 << 20
 	maxSteps = 5_000_000
 )
 
-// Argument is one key of a call: where its value goes, and what is allowed. Times are bounded in seconds.
-type Argument struct {
-	Name     string
-	Target   any // *string, *float64, *int, *bool or *time.Duration
-	Min, Max float64
-	Allowed  []string
-	Required bool
-	Address  bool
-}
+// Function is one function that a script can call. It makes a new set of arguments for each call. If done is not nil, it
+// runs once the arguments are set, and may report further faults.
+type Function func() (arguments []Argument, done func(ReportFault))
 
-// Function is one function of a script. It makes a fresh set of keys for each call; done, if not nil, runs after the
-// keys are set and may tell more faults.
-type Function func() (keys []Argument, done func(fault func(key, format string, args ...any)))
+// ReportFault reports a fault of one argument of a call, or of the whole call if argument is empty.
+type ReportFault func(argument, format string, args ...any)
 
-// locatedFault is a fault and the line that it stands in; 0 for the script as a whole.
-type locatedFault struct {
-	line int32
-	text string
-}
+// ReportScriptFault reports a fault of a script as a whole.
+type ReportScriptFault func(format string, args ...any)
 
-type interpreter struct {
-	name              string
-	functions         map[string]Function
-	faults            []locatedFault
-	argumentPositions map[syntax.Position]map[string]syntax.Position // of a call's bracket: where its keys stand
-}
-
-// ReadFile reads a script's text; the error, if any, is of type Faults.
+// ReadFile reads a script's text. The error, if any, is of type Faults.
 func ReadFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > MaxBytes {
-		err = fmt.Errorf("has %d bytes, at most %d are read", info.Size(), MaxBytes)
+		err = &TooLargeError{Bytes: info.Size()}
 	}
-	if err != nil {
-		return nil, Faults{fmt.Sprintf("%s: %v", path, err)}
+	var text []byte
+	if err == nil {
+		text, err = os.ReadFile(path)
 	}
-	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{fmt.Sprintf("%s: %v", path, err)}
+		return nil, Faults{&Fault{File: path, Err: err}}
 	}
 	return text, nil
 }
 
-// Run runs a script; the error, if any, is of type Faults. Whole, if not nil, checks what no single call can.
-func Run(name string, text []byte, functions map[string]Function, check func(fault func(format string, args ...any))) error {
+// Run runs a script. Check, if not nil, runs after a script that ended without an error and reports what no single call can.
+// The error, if any, is of type Faults.
+func Run(name string, text []byte, functions map[string]Function, check func(ReportScriptFault)) error {
 	if len(text) > MaxBytes {
-		return Faults{fmt.Sprintf("%s: has %d bytes, at most %d are read", name, len(text), MaxBytes)}
+		return Faults{&Fault{File: name, Err: &TooLargeError{Bytes: int64(len(text))}}}
 	}
 	in := &interpreter{name: name, functions: functions, argumentPositions: map[syntax.Position]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
-		return Faults{err.Error()}
+		return Faults{err}
 	}
 	syntax.Walk(file, in.recordArguments)
-	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
+	if err := in.execute(options, text); err != nil {
+		in.addExecutionFault(err)
+	} else if check != nil { // what a script lacks that did not run to its end is not known
+		check(func(format string, args ...any) {
+			in.faults = append(in.faults, located{0, &Fault{File: name, Err: fmt.Errorf(format, args...)}})
+		})
+	}
+	return in.sortedFaults()
+}
+
+// interpreter is one run of a script.
+type interpreter struct {
+	name              string
+	functions         map[string]Function
+	faults            []located
+	argumentPositions map[syntax.Position]map[string]syntax.Position // by a call's opening bracket, then by argument
+}
+
+// located is a fault and the line that it is sorted by; 0 for the script as a whole.
+type located struct {
+	line int32
+	err  error
+}
+
+// execute runs the script's text with the functions predeclared.
+func (in *interpreter) execute(options *syntax.FileOptions, text []byte) error {
+	thread := &starlark.Thread{Name: in.name, Print: func(*starlark.Thread, string) {},
 		Load: func(_ *starlark.Thread, module string) (starlark.StringDict, error) {
-			return nil, fmt.Errorf("load(%q): a script is one file", module)
+			return nil, &LoadError{Module: module}
 		}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	predeclared := starlark.StringDict{}
-	for fn := range functions {
-		predeclared[fn] = starlark.NewBuiltin(fn, in.call)
-	}
-	if _, err := starlark.ExecFileOptions(options, thread, name, text, predeclared); err != nil {
-		var evalError *starlark.EvalError
-		if errors.As(err, &evalError) && len(evalError.CallStack) > 0 {
-			line := evalError.CallStack[0].Pos.Line
-			in.faults = append(in.faults, locatedFault{line, fmt.Sprintf("%s:%d: %s", name, line, evalError.Msg)})
-		} else {
-			in.faults = append(in.faults, locatedFault{0, err.Error()})
-		}
-	} else if check != nil { // what a script lacks that was not run to its end is not known
-		check(func(format string, args ...any) {
-			in.faults = append(in.faults, locatedFault{0, name + ": " + fmt.Sprintf(format, args...)})
-		})
+	for function := range in.functions {
+		predeclared[function] = starlark.NewBuiltin(function, in.call)
 	}
+	_, err := starlark.ExecFileOptions(options, thread, in.name, text, predeclared)
+	return err
+}
+
+// addExecutionFault records why a script did not run to its end.
+func (in *interpreter) addExecutionFault(err error) {
+	var evalError *starlark.EvalError
+	if !errors.As(err, &evalError) || len(evalError.CallStack) == 0 {
+		in.faults = append(in.faults, located{0, err})
+		return
+	}
+	line := evalError.CallStack[0].Pos.Line
+	in.faults = append(in.faults, located{line, &Fault{File: in.name, Line: line, Err: errors.New(evalError.Msg)}})
+}
+
+// sortedFaults returns all faults by line, those that are the same once.
+func (in *interpreter) sortedFaults() error {
 	if len(in.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(in.faults, func(a, b locatedFault) int { return cmp.Compare(a.line, b.line) })
+	slices.SortStableFunc(in.faults, func(a, b located) int { return cmp.Compare(a.line, b.line) })
+	unique := slices.CompactFunc(in.faults, func(a, b located) bool {
+		return a.line == b.line && a.err.Error() == b.err.Error()
+	})
 	var faults Faults
-	for _, f := range slices.Compact(in.faults) {
-		faults = append(faults, f.text)
+	for _, fault := range unique {
+		faults = append(faults, fault.err)
 	}
 	return faults
 }
 
-// recordArguments remembers where each key of each call stands, which the interpreter does not tell.
+// recordArguments records the position of each argument of each call, which the interpreter does not tell.
 func (in *interpreter) recordArguments(n syntax.Node) bool {
-	if call, ok := n.(*syntax.CallExpr); ok {
-		keys := map[string]syntax.Position{}
-		for _, arg := range call.Args {
-			if b, ok := arg.(*syntax.BinaryExpr); ok && b.Op == syntax.EQ {
-				if id, ok := b.X.(*syntax.Ident); ok {
-					keys[id.Name] = id.NamePos
-				}
+	call, ok := n.(*syntax.CallExpr)
+	if !ok {
+		return true
+	}
+	positions := map[string]syntax.Position{}
+	for _, arg := range call.Args {
+		if assignment, ok := arg.(*syntax.BinaryExpr); ok && assignment.Op == syntax.EQ {
+			if name, ok := assignment.X.(*syntax.Ident); ok {
+				positions[name.Name] = name.NamePos
 			}
 		}
-		in.argumentPositions[withoutFile(call.Lparen)] = keys
 	}
+	in.argumentPositions[withoutFile(call.Lparen)] = positions
 	return true
 }
 
+// withoutFile returns a position that is comparable: the interpreter's positions point to names of files.
 func withoutFile(p syntax.Position) syntax.Position {
 	return syntax.MakePosition(nil, p.Line, p.Col)
 }
 
-func (in *interpreter) addFault(position syntax.Position, key, format string, args ...any) {
-	if argument, ok := in.argumentPositions[withoutFile(position)][key]; ok {
-		position = argument
+// addFault records a fault of a call, at the line of the argument if there is one.
+func (in *interpreter) addFault(call syntax.Position, argument string, err error) {
+	line := call.Line
+	if position, ok := in.argumentPositions[withoutFile(call)][argument]; ok {
+		line = position.Line
 	}
-	if key != "" {
-		key += ": "
-	}
-	in.faults = append(in.faults, locatedFault{position.Line, fmt.Sprintf("%s:%d: %s%s", in.name, position.Line, key, fmt.Sprintf(format, args...))})
+	in.faults = append(in.faults, located{line, &Fault{File: in.name, Line: line, Argument: argument, Err: err}})
 }
 
-func (in *interpreter) call(thread *starlark.Thread, fn *starlark.Builtin, args starlark.Tuple,
+// call is what runs for each call of a function by the script.
+func (in *interpreter) call(thread *starlark.Thread, function *starlark.Builtin, args starlark.Tuple,
 	kwargs []starlark.Tuple) (starlark.Value, error) {
 	position := thread.CallFrame(1).Pos
 	if len(args) > 0 {
-		in.addFault(position, "", "%s takes keys only, such as %s(name = ...)", fn.Name(), fn.Name())
+		in.addFault(position, "", &PositionalArgumentError{Function: function.Name()})
 	}
-	arguments, done := in.functions[fn.Name()]()
+	arguments, done := in.functions[function.Name()]()
 	given := map[string]bool{}
-	for _, keyword := range kwargs {
-		name := string(keyword[0].(starlark.String))
+	for _, pair := range kwargs {
+		name := string(pair[0].(starlark.String))
 		given[name] = true
-		i := slices.IndexFunc(arguments, func(k Argument) bool { return k.Name == name })
-		if i < 0 {
-			var names []string
-			for _, k := range arguments {
-				names = append(names, k.Name)
-			}
-			in.addFault(position, name, "unknown key of %s; it has %s", fn.Name(), strings.Join(names, ", "))
-			continue
-		}
-		if allowed := arguments[i].set(keyword[1]); allowed != "" {
-			in.addFault(position, name, "%s, not %s", allowed, keyword[1])
+		if err := setArgument(function.Name(), arguments, name, pair[1]); err != nil {
+			in.addFault(position, name, err)
 		}
 	}
-	for _, k := range arguments {
-		if k.Required && !given[k.Name] {
-			in.addFault(position, "", "%s needs the key %s", fn.Name(), k.Name)
+	for _, argument := range arguments {
+		if argument.required && !given[argument.Name] {
+			in.addFault(position, "", &MissingArgumentError{Function: function.Name(), Argument: argument.Name})
 		}
 	}
 	if done != nil {
-		done(func(key, format string, args ...any) { in.addFault(position, key, format, args...) })
+		done(func(argument, format string, args ...any) {
+			in.addFault(position, argument, fmt.Errorf(format, args...))
+		})
 	}
 	return starlark.None, nil
 }
 
-// set sets a key, or says what is allowed.
-func (a Argument) set(value starlark.Value) string {
-	switch target := a.Target.(type) {
-	case *string:
-		s, ok := starlark.AsString(value)
-		switch {
-		case !ok || s == "" || len(s) > 256:
-			return "it must be a text of 1 to 256 bytes"
-		case len(a.Allowed) > 0 && !slices.Contains(a.Allowed, s):
-			return "it must be one of " + strings.Join(a.Allowed, ", ")
-		}
-		if at, err := netip.ParseAddrPort(s); a.Address && (err != nil || !at.IsValid()) {
-			return `it must be address:port, such as "127.0.0.1:8080"`
+// setArgument stores the value of the argument of that name.
+func setArgument(function string, arguments []Argument, name string, value starlark.Value) error {
+	i := slices.IndexFunc(arguments, func(a Argument) bool { return a.Name == name })
+	if i < 0 {
+		var known []string
+		for _, argument := range arguments {
+			known = append(known, argument.Name)
 		}
-		*target = s
-	case *bool:
-		b, ok := value.(starlark.Bool)
-		if !ok {
-			return "it must be True or False"
-		}
-		*target = bool(b)
-	case *int:
-		var n int
-		if err := starlark.AsInt(value, &n); err != nil || float64(n) < a.Min || float64(n) > a.Max {
-			return fmt.Sprintf("it must be a whole number of %.0f to %.0f", a.Min, a.Max)
-		}
-		*target = n
-	case *float64:
-		f, ok := starlark.AsFloat(value)
-		if !ok || !(f >= a.Min && f <= a.Max) {
-			return fmt.Sprintf("it must be a number of %g to %g", a.Min, a.Max)
-		}
-		*target = f
-	case *time.Duration:
-		s, _ := starlark.AsString(value)
-		t, err := time.ParseDuration(s)
-		if err != nil || t.Seconds() < a.Min || t.Seconds() > a.Max {
-			return fmt.Sprintf(`it must be a time of %gs to %gs, such as "250ms"`, a.Min, a.Max)
-		}
-		*target = t
+		return &UnknownArgumentError{Function: function, Known: known}
+	}
+	if allowed, ok := arguments[i].set(value); !ok {
+		return &ValueError{Allowed: allowed, Given: value.String()}
 	}
-	return ""
+	return nil
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -28,54 +28,54 @@
 	x := &Experiment{Seeds: 5}
 	d := Defaults()
 	var routes []Route
-	type fault = func(key, format string, args ...any)
+	type fault = script.ReportFault
 	keys := func(d *Scenario) []script.Argument {
-		return []script.Argument{{Name: "nodes", Target: &d.Routers, Min: 1, Max: 300},
-			{Name: "readers", Target: &d.PrefillEngines, Min: 1, Max: 1000},
-			{Name: "writers", Target: &d.DecodeEngines, Min: 1, Max: 1000},
-			{Name: "rate", Target: &d.RequestRate, Min: 0.01, Max: 1e5},
-			{Name: "beginnings", Target: &d.Prefixes, Min: 1, Max: 1e6},
-			{Name: "shared_tokens", Target: &d.PrefixTokens, Max: 1e6},
-			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "retries", Target: &d.Retries, Max: 100},
-			{Name: "retry_share", Target: &d.RetryBudget, Max: 1}}
+		return []script.Argument{script.Number("nodes", &d.Routers, 1, 300),
+			script.Number("readers", &d.PrefillEngines, 1, 1000),
+			script.Number("writers", &d.DecodeEngines, 1, 1000),
+			script.Number("rate", &d.RequestRate, 0.01, 1e5),
+			script.Number("beginnings", &d.Prefixes, 1, 1e6),
+			script.Number("shared_tokens", &d.PrefixTokens, 0, 1e6),
+			script.Number("turns", &d.Turns, 1, 100), script.Number("retries", &d.Retries, 0, 100),
+			script.Number("retry_share", &d.RetryBudget, 0, 1)}
 	}
 	var arms []func()
 	calls := map[string]script.Function{
 		"day": func() ([]script.Argument, func(fault)) {
-			return append(keys(&d), script.Argument{Name: "length", Target: &d.Length, Min: 1, Max: 36000},
-				script.Argument{Name: "seeds", Target: &x.Seeds, Min: 1, Max: 1000}), nil
+			return append(keys(&d), script.Number("length", &d.Length, 1, 36000),
+				script.Number("seeds", &x.Seeds, 1, 1000)), nil
 		},
 		"engine": func() ([]script.Argument, func(fault)) {
 			e := &d.Engine
-			return []script.Argument{{Name: "read_slots", Target: &e.PrefillSlots, Min: 1, Max: 1000},
-				{Name: "write_slots", Target: &e.DecodeSlots, Min: 1, Max: 1000},
-				{Name: "read_pace", Target: &e.PrefillRate, Min: 1, Max: 1e7},
-				{Name: "token_time", Target: &e.TokenTime, Min: 0.0001, Max: 1},
-				{Name: "batch", Target: &e.BatchSlowdown, Max: 100}, {Name: "queue", Target: &e.QueueLimit, Min: 1, Max: 100_000},
-				{Name: "memory", Target: &e.MemoryTokens, Min: 100, Max: 1e9},
-				{Name: "move", Target: &e.TransferRate, Min: 1, Max: 1e9},
-				{Name: "cold", Target: &e.WarmUp, Max: 600},
-				{Name: "cold_share", Target: &e.WarmUpShare, Min: 0.01, Max: 1}}, nil
+			return []script.Argument{script.Number("read_slots", &e.PrefillSlots, 1, 1000),
+				script.Number("write_slots", &e.DecodeSlots, 1, 1000),
+				script.Number("read_pace", &e.PrefillRate, 1, 1e7),
+				script.Number("token_time", &e.TokenTime, 0.0001, 1),
+				script.Number("batch", &e.BatchSlowdown, 0, 100), script.Number("queue", &e.QueueLimit, 1, 100_000),
+				script.Number("memory", &e.MemoryTokens, 100, 1e9),
+				script.Number("move", &e.TransferRate, 1, 1e9),
+				script.Number("cold", &e.WarmUp, 0, 600),
+				script.Number("cold_share", &e.WarmUpShare, 0.01, 1)}, nil
 		},
 		"route": func() ([]script.Argument, func(fault)) {
 			r := Route{Effect: "retriable", Share: 1, PriorityWeight: 1, FirstTokenTarget: time.Second,
 				Timeout: 5 * time.Second, PromptTokens: 300, AnswerTokens: 60}
-			return []script.Argument{{Name: "name", Target: &r.Name, Required: true},
-					{Name: "effect", Target: &r.Effect, Allowed: []string{"retriable", "deduped", "non-retriable"}},
-					{Name: "share", Target: &r.Share, Min: 0.0001, Max: 1e6},
-					{Name: "value", Target: &r.PriorityWeight, Min: 0.001, Max: 1e6},
-					{Name: "first_token_target", Target: &r.FirstTokenTarget, Min: 0.01, Max: 600},
-					{Name: "route_timeout", Target: &r.Timeout, Min: 0.05, Max: 3600},
-					{Name: "prompt_tokens", Target: &r.PromptTokens, Min: 1, Max: 1e6},
-					{Name: "answer_tokens", Target: &r.AnswerTokens, Min: 2, Max: 1e6}},
+			return []script.Argument{script.Text("name", &r.Name).Required(),
+					script.OneOf("effect", &r.Effect, "retriable", "deduped", "non-retriable"),
+					script.Number("share", &r.Share, 0.0001, 1e6),
+					script.Number("value", &r.PriorityWeight, 0.001, 1e6),
+					script.Number("first_token_target", &r.FirstTokenTarget, 0.01, 600),
+					script.Number("route_timeout", &r.Timeout, 0.05, 3600),
+					script.Number("prompt_tokens", &r.PromptTokens, 1, 1e6),
+					script.Number("answer_tokens", &r.AnswerTokens, 2, 1e6)},
 				func(fault) { routes = append(routes, r) }
 		},
 		"trouble": func() ([]script.Argument, func(fault)) {
 			t := Fault{Duration: 10 * time.Second, Fraction: 0.25}
-			return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: FaultKinds, Required: true},
-					{Name: "at", Target: &t.At, Max: 36000},
-					{Name: "length", Target: &t.Duration, Max: 36000}, {Name: "part", Target: &t.Fraction, Max: 1000},
-					{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}},
+			return []script.Argument{script.OneOf("kind", &t.Kind, FaultKinds...).Required(),
+					script.Number("at", &t.At, 0, 36000),
+					script.Number("length", &t.Duration, 0, 36000), script.Number("part", &t.Fraction, 0, 1000),
+					script.OneOf("role", &t.Role, "read", "write")},
 				func(fault) { d.Faults = append(d.Faults, t) }
 		},
 		// An arm's keys are set once more on a day that is whole: what stands below an arm in the script
@@ -84,7 +84,7 @@
 			a := &Arm{}
 			was, set := d, d
 			a.Scenario = set
-			list := append([]script.Argument{{Name: "name", Target: &a.Name, Required: true}}, keys(&a.Scenario)...)
+			list := append([]script.Argument{script.Text("name", &a.Name).Required()}, keys(&a.Scenario)...)
 			return list, func(say fault) {
 				if slices.ContainsFunc(x.Arms, func(o Arm) bool { return o.Name == a.Name }) {
 					say("name", "arm %q stands twice", a.Name)
@@ -99,7 +99,7 @@
 			}
 		},
 	}
-	err := script.Run(name, text, calls, func(say func(string, ...any)) {
+	err := script.Run(name, text, calls, func(say script.ReportScriptFault) {
 		if len(routes) > 0 {
 			d.Routes = routes
 		}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -51,7 +51,7 @@
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
 	settings.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	settings.RolePairs = [][2]string{{"prefill", "decode"}}
+	settings.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
 	endpoint.WriteFile(settings.EndpointFile, list)
 	p := New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
--- a/internal/planner/plan_test.go
+++ b/internal/planner/plan_test.go
@@ -61,7 +61,7 @@
 	f.settings = config.DefaultPlanner()
 	f.settings.Listen, f.settings.Store, f.settings.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), path
 	f.settings.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	f.settings.RolePairs = [][2]string{{"prefill", "decode"}}
+	f.settings.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
 	b := &f.settings.Assignment
 	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown, b.DrainGrace = 2*time.Second, time.Second, 2*time.Second,
 		time.Second, 100*time.Millisecond,
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -355,8 +355,8 @@
 			Ready:   e.State == endpoint.Ready,
 			UpSince: e.StartedAtMs * int64(time.Millisecond), Kinds: map[string]string{k.Role: k.Name}}
 		for _, pair := range p.settings.RolePairs {
-			if pair[0] == k.Name || pair[1] == k.Name {
-				for _, name := range pair {
+			if pair.Has(k.Name) {
+				for _, name := range []string{pair.PrefillKind, pair.DecodeKind} {
 					b.Kinds[p.kinds[name].Role] = name
 				}
 				b.CanChange = true
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -41,7 +41,9 @@
 func ParseNodeConfig(file string, data []byte) (*NodeConfig, error) {
 	var c NodeConfig
 	var faults script.Faults
-	refuse := func(format string, args ...any) { faults = append(faults, file+": "+fmt.Sprintf(format, args...)) }
+	refuse := func(format string, args ...any) {
+		faults = append(faults, &script.Fault{File: file, Err: fmt.Errorf(format, args...)})
+	}
 	if err := json.Unmarshal(data, &c); err != nil {
 		refuse("it is no JSON object of the known form: %v", err)
 		return nil, faults
@@ -164,17 +166,17 @@
 	// Absent, it has a default. What is there and no number must not be taken for absent.
 	if pin, given := settings["engine_facts.pin"]; given {
 		if _, ok := pin.(float64); !ok {
-			faults = append(faults, fmt.Sprintf("%s: settings: family_info: pin_limit %v is no number", file, pin))
+			faults = append(faults, fmt.Errorf("%s: settings: family_info: pin_limit %v is no number", file, pin))
 		}
 	}
 	for i, r := range d.Routes {
 		if !slices.Contains(config.Effects, r.Effect) {
-			faults = append(faults, fmt.Sprintf("%s: settings: route %d: effect %q is none of %q",
+			faults = append(faults, fmt.Errorf("%s: settings: route %d: effect %q is none of %q",
 				file, i, r.Effect, config.Effects))
 		}
 	}
 	d.Check(func(format string, args ...any) {
-		faults = append(faults, file+": settings: "+fmt.Sprintf(format, args...))
+		faults = append(faults, fmt.Errorf("%s: settings: %w", file, fmt.Errorf(format, args...)))
 	})
 	if len(faults) > 0 {
 		return nil, faults
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -237,7 +237,7 @@
 			_, err = m.Deployment("c")
 		}
 		var faults script.Faults
-		if !errors.As(err, &faults) || !bytes.HasPrefix([]byte(faults[0]), []byte("c: ")) {
+		if !errors.As(err, &faults) || !bytes.HasPrefix([]byte(faults[0].Error()), []byte("c: ")) {
 			t.Errorf("%s: %v", with, err)
 		}
 	}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -53,27 +53,27 @@
 	for _, not := range []string{"listen", "node", "roster", "engine"} {
 		delete(calls, not) // the day makes these itself
 	}
-	type say = func(key, format string, args ...any)
+	type say = script.ReportFault
 	calls["day"] = func() ([]script.Argument, func(say)) {
-		return []script.Argument{{Name: "length", Target: &d.Duration, Min: 0.5, Max: 3600}, {Name: "rate", Target: &d.RequestRate, Min: 0.1, Max: 5000},
-			{Name: "seed", Target: &d.Seed, Max: 1 << 31}, {Name: "retries", Target: &d.Retries, Max: 10},
-			{Name: "turns", Target: &d.Turns, Min: 1, Max: 100}, {Name: "beginnings", Target: &d.Prefixes, Min: 1, Max: 10_000},
-			{Name: "words", Target: &d.PrefixWords, Min: 1, Max: 20_000}, {Name: "leave", Target: &d.DisconnectShare, Max: 1}}, nil
+		return []script.Argument{script.Number("length", &d.Duration, 0.5, 3600), script.Number("rate", &d.RequestRate, 0.1, 5000),
+			script.Number("seed", &d.Seed, 0, 1<<31), script.Number("retries", &d.Retries, 0, 10),
+			script.Number("turns", &d.Turns, 1, 100), script.Number("beginnings", &d.Prefixes, 1, 10_000),
+			script.Number("words", &d.PrefixWords, 1, 20_000), script.Number("leave", &d.DisconnectShare, 0, 1)}, nil
 	}
 	calls["edges"] = func() ([]script.Argument, func(say)) {
-		return []script.Argument{{Name: "count", Target: &d.Edges, Min: 1, Max: 32}}, nil
+		return []script.Argument{script.Number("count", &d.Edges, 1, 32)}, nil
 	}
 	calls["fleet"] = func() ([]script.Argument, func(say)) {
-		return []script.Argument{{Name: "readers", Target: &d.PrefillEngines, Min: 1, Max: 200}, {Name: "writers", Target: &d.DecodeEngines, Min: 1, Max: 200},
-			{Name: "reader_slots", Target: &d.PrefillSlots, Min: 1, Max: 1000}, {Name: "queue", Target: &d.QueueLimit, Min: 1, Max: 10_000},
-			{Name: "writer_slots", Target: &d.DecodeSlots, Min: 1, Max: 1000}, {Name: "memory", Target: &d.MemoryTokens, Min: 1000, Max: 1e9},
-			{Name: "pace", Target: &d.PrefillRate, Min: 100, Max: 1e8}, {Name: "send_rate", Target: &d.AttemptRate, Min: 0.1, Max: 1e5},
-			{Name: "token_time", Target: &d.TokenTime, Min: 0.0001, Max: 1}}, nil
+		return []script.Argument{script.Number("readers", &d.PrefillEngines, 1, 200), script.Number("writers", &d.DecodeEngines, 1, 200),
+			script.Number("reader_slots", &d.PrefillSlots, 1, 1000), script.Number("queue", &d.QueueLimit, 1, 10_000),
+			script.Number("writer_slots", &d.DecodeSlots, 1, 1000), script.Number("memory", &d.MemoryTokens, 1000, 1e9),
+			script.Number("pace", &d.PrefillRate, 100, 1e8), script.Number("send_rate", &d.AttemptRate, 0.1, 1e5),
+			script.Number("token_time", &d.TokenTime, 0.0001, 1)}, nil
 	}
 	calls["client"] = func() ([]script.Argument, func(say)) {
 		c := TrafficShare{Share: 1, MaxTokens: 32}
-		return []script.Argument{{Name: "route", Target: &c.Route, Required: true}, {Name: "share", Target: &c.Share, Min: 0.0001, Max: 1e6},
-				{Name: "max_tokens", Target: &c.MaxTokens, Min: 1, Max: 4096}},
+		return []script.Argument{script.Text("route", &c.Route).Required(), script.Number("share", &c.Share, 0.0001, 1e6),
+				script.Number("max_tokens", &c.MaxTokens, 1, 4096)},
 			func(fault say) {
 				if c.Route != "" && d.Deployment.Route(c.Route) < 0 {
 					fault("route", "%q is no route named above", c.Route)
@@ -83,9 +83,9 @@
 	}
 	calls["trouble"] = func() ([]script.Argument, func(say)) {
 		t := Fault{Duration: 3 * time.Second, Fraction: 0.25}
-		return []script.Argument{{Name: "kind", Target: &t.Kind, Allowed: FaultKinds(), Required: true}, {Name: "at", Target: &t.At, Max: 3600},
-				{Name: "length", Target: &t.Duration, Max: 3600}, {Name: "part", Target: &t.Fraction, Max: 1}, {Name: "size", Target: &t.Size, Max: 1000},
-				{Name: "role", Target: &t.Role, Allowed: []string{"read", "write"}}, {Name: "on", Target: &t.Selector, Max: 1e6}},
+		return []script.Argument{script.OneOf("kind", &t.Kind, FaultKinds()...).Required(), script.Number("at", &t.At, 0, 3600),
+				script.Number("length", &t.Duration, 0, 3600), script.Number("part", &t.Fraction, 0, 1), script.Number("size", &t.Size, 0, 1000),
+				script.OneOf("role", &t.Role, "read", "write"), script.Number("on", &t.Selector, 0, 1e6)},
 			func(fault say) {
 				if len(d.Faults) >= 1000 {
 					fault("", "more than 1000 troubles")
@@ -94,7 +94,7 @@
 				d.Faults = append(d.Faults, t)
 			}
 	}
-	err := script.Run(name, text, calls, func(fault func(string, ...any)) {
+	err := script.Run(name, text, calls, func(fault script.ReportScriptFault) {
 		d.Deployment.CheckScript(fault)
 		if len(d.Clients) == 0 {
 			fault("client: none is given; at least one is needed")
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -68,7 +68,7 @@
 	p := config.DefaultPlanner()
 	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	p.RolePairs = [][2]string{{"prefill", "decode"}}
+	p.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
 	b := &p.Assignment
 	b.DrainTimeout, b.OrderTimeout, b.LoadTimeout, b.TrialTimeout, b.WarmUp, b.Cooldown = 4*time.Second, time.Second, 5*time.Second,
 		2*time.Second, 2*time.Second, 4*time.Second
