--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -50,7 +50,7 @@
 		policy, created := policies[event.Node]
 		switch {
 		case event.Create != nil:
-			policies[event.Node] = routing.New(event.Create.Seed, event.Create.Facts)
+			policies[event.Node] = routing.New(event.Create.Seed, event.Create.Config)
 		case event.Unknown != "":
 			warn(fmt.Sprintf("event %d: unknown event %q passed over", i, event.Unknown))
 		case !created:
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -8,6 +8,7 @@
 	"sandcourse/internal/admission"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/planner/planapi"
+	"sandcourse/internal/routing"
 )
 
 // Effects of a request that runs a second time, as a route's settings name them.
@@ -102,12 +103,12 @@
 
 	// The fields below are set by a platform's configuration only.
 
-	GivenFacts           map[string]any // the routing configuration as it was given
-	Zones                []string       // the names of zones by their numbers
-	ShutdownAcceptTime   time.Duration  // how long a router that was told to stop accepts connections
-	ShutdownStayTime     time.Duration  // how long it keeps its clients if it hears of no peer
-	ShutdownHandoverTime time.Duration  // when it hands over requests that came later than it had to accept them
-	QueueBytes           int            // of events that wait for the router's core
+	PlatformRouting      *routing.Config // of routing decisions, before what the deployment adds
+	Zones                []string        // the names of zones by their numbers
+	ShutdownAcceptTime   time.Duration   // how long a router that was told to stop accepts connections
+	ShutdownStayTime     time.Duration   // how long it keeps its clients if it hears of no peer
+	ShutdownHandoverTime time.Duration   // when it hands over requests that came later than it had to accept them
+	QueueBytes           int             // of events that wait for the router's core
 	// ReleaseRepeatTime is for how long releases are repeated after an attempt was abandoned, where engines forget them:
 	// an attempt that goes on after its connection ended reserves its state, or gives it back, later.
 	ReleaseRepeatTime time.Duration
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -20,13 +21,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.RoutingConfig()
-	for name, want := range map[string]any{"routes.1.effect": "non-retriable", "routes.1.value": 5.0,
-		"routes.0.first_token_target": 1e9, "engine_facts.role_of_kind.1": "write", "engine_facts.pin": 6.25e8,
-		"engine_facts.target_per_1000_tokens.0": 4e7, "rules.cold": 1e10, "limits.cancel": true} {
-		if f[name] != want {
-			t.Errorf("%s is %v, want %v", name, f[name], want)
-		}
+	c := d.RoutingConfig()
+	got := []any{c.Routes[1].Effect, c.Routes[1].PriorityWeight, c.Routes[0].FirstTokenObjective, c.Kinds[1].Role, c.ReservationLimit,
+		c.Routes[0].ObjectivePer1000Tokens, c.SlowStart.Duration, c.Cancel}
+	want := []any{routing.NonRetriable, 5.0, time.Second, routing.DecodeOnly, 625 * time.Millisecond,
+		40 * time.Millisecond, 10 * time.Second, true}
+	if !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
 	}
 }
 
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"fmt"
-	"maps"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -12,48 +10,51 @@
 	"sandcourse/internal/routing"
 )
 
-// RoutingConfig are what the decision module is handed, by the names that it reads.
-func (d *Deployment) RoutingConfig() map[string]any {
-	// The module may keep a state for five eighths of the pin limit. The rest is for telling its reader: one try
-	// may hang for a quarter, and another follows.
-	pin := float64(d.Rules.ReservationLimit) * 5 / 8
-	if d.GivenFacts != nil {
-		config := maps.Clone(d.GivenFacts)
-		config["engine_facts.pin"] = pin
-		d.setDedupWindows(config)
-		return config
+// RoutingConfig is the part of the deployment that routing decisions depend on.
+func (d *Deployment) RoutingConfig() routing.Config {
+	c := d.platformOrScriptConfig()
+	// Decisions may use a reservation for five eighths of its limit. The rest is for releasing it: one attempt to
+	// tell the engine may hang for a quarter, and another follows.
+	c.SetReservationLimit(d.Rules.ReservationLimit * 5 / 8)
+	// The dedup windows are those that the node's gate keeps to, so that no decision asks for what the gate
+	// holds back.
+	for i, route := range d.Routes {
+		c.Routes[i].DedupWindow = max(0, route.DedupWindow-invariant.MaxDelay)
 	}
-	config := map[string]any{
-		"limits.sends": float64(d.MaxAttempts), "limits.cancel": true, "limits.probes": d.HealthChecks, "limits.peers": false,
-		"limits.retry_after": d.MaxRetryAfter > 0, "limits.max_retry_after": float64(d.MaxRetryAfter),
-		"nodes": float64(d.NodeCount), "me": float64(d.NodeNumber), "zone": float64(indexOf(d.zones(), d.Zone)),
-		"tick": float64(d.TickInterval), "discovery": "automatic",
-		"engine_facts.pin": pin,
-		"rules.cold":       float64(d.Rules.SlowStart), "rules.cold_share": d.Rules.SlowStartShare,
-		"rules.fall_multiple": d.Rules.OverloadMultiple, "rules.fall_window": float64(d.Rules.OverloadWindow),
-		"routes.count": float64(len(d.Routes)),
+	return c
+}
+
+func (d *Deployment) platformOrScriptConfig() routing.Config {
+	if d.PlatformRouting != nil {
+		c := *d.PlatformRouting
+		c.Routes = slices.Clone(c.Routes)
+		return c
 	}
-	for i, route := range d.Routes {
-		for name, v := range map[string]any{"effect": route.Effect, "value": route.PriorityWeight, "dedup_group": route.DedupGroup,
-			"first_token_target": float64(route.FirstTokenObjective)} {
-			config[fmt.Sprintf("routes.%d.%s", i, name)] = v
-		}
-		config[fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i)] = float64(route.ObjectivePer1000Tokens)
+	c := routing.Config{Node: d.NodeNumber, Nodes: d.NodeCount, Zone: indexOf(d.zones(), d.Zone), Tick: d.TickInterval,
+		MaxAttempts: d.MaxAttempts, Cancel: true, HealthChecks: d.HealthChecks, SuggestRetryAfter: d.MaxRetryAfter > 0,
+		MaxRetryAfter: d.MaxRetryAfter, SlowStart: routing.SlowStart{Duration: d.Rules.SlowStart,
+			Share: d.Rules.SlowStartShare, Multiple: d.Rules.OverloadMultiple, Window: d.Rules.OverloadWindow}}
+	for _, r := range d.Routes {
+		c.Routes = append(c.Routes, r.routing())
 	}
-	for i, kind := range d.Kinds {
-		config[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = kind.Role
-		config[fmt.Sprintf("engine_facts.memory_of_kind.%d", i)] = kind.MemoryTokens
+	for _, k := range d.Kinds {
+		c.Kinds = append(c.Kinds, k.routing())
 	}
-	d.setDedupWindows(config)
-	return config
+	return c
 }
 
-// setDedupWindows gives the module the windows for repeats as the node's gate keeps them, so that it does not ask for what the
-// gate holds back.
-func (d *Deployment) setDedupWindows(config map[string]any) {
-	for i, route := range d.Routes {
-		config[fmt.Sprintf("routes.%d.dedup_window", i)] = float64(max(0, route.DedupWindow-invariant.MaxDelay))
-	}
+// routing is the route as decisions know it. The words of the settings are checked when they are read.
+func (r Route) routing() routing.Route {
+	effect, _ := routing.ParseEffect(r.Effect)
+	group, _ := routing.ParseDedupGroup(r.DedupGroup)
+	return routing.Route{Effect: effect, DedupGroup: group, PriorityWeight: r.PriorityWeight,
+		FirstTokenObjective: r.FirstTokenObjective, ObjectivePer1000Tokens: r.ObjectivePer1000Tokens}
+}
+
+// routing is the kind of engine as decisions know it. The words of the settings are checked when they are read.
+func (k EngineKind) routing() routing.EngineKind {
+	role, _ := routing.ParseRole(k.Role)
+	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
 // EndpointUpdate turns a list into what the module hears. Entries of a kind that the settings do not name are returned
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strconv"
 	"strings"
 	"testing"
 
@@ -112,8 +111,8 @@
 	golden.Check(t, "planner-refusals.golden", refusals(t, ReadPlanner, row))
 }
 
-// What the decision module is handed for the demo's script, and for one that names all that a script can.
-func TestGoldenFacts(t *testing.T) {
+// The configuration of routing decisions for the demo's script, and for one that names all that a script can.
+func TestGoldenRoutingConfig(t *testing.T) {
 	const all = `node(name = "edge3", zone = "z2", number = 3, nodes = 5)
 listen(chat = "127.0.0.1:8081", metrics = "127.0.0.1:8082")
 kind(name = "prefill", role = "read", memory = 200000)
@@ -134,25 +133,10 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n", c[0])
-		facts := d.RoutingConfig()
-		for _, name := range slices.Sorted(maps.Keys(facts)) {
-			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
+		config := golden.RoutingSettings(d.RoutingConfig())
+		for _, name := range slices.Sorted(maps.Keys(config)) {
+			fmt.Fprintf(&b, "%s = %s\n", name, config[name])
 		}
 	}
 	golden.Check(t, "facts.golden", b.String())
 }
-
-// value is a fact's value as text: a number in full, true or false, or a quoted word.
-func value(t *testing.T, v any) string {
-	t.Helper()
-	switch v := v.(type) {
-	case float64:
-		return strconv.FormatFloat(v, 'f', -1, 64)
-	case bool:
-		return strconv.FormatBool(v)
-	case string:
-		return strconv.Quote(v)
-	}
-	t.Errorf("a fact is neither a number, a word nor true or false: %v", v)
-	return ""
-}
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -18,6 +18,7 @@
 	"sandcourse/internal/edge"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol/platform"
+	"sandcourse/internal/routing"
 )
 
 // scriptedEngine is an engine of the platform that answers as a test says, byte for byte.
@@ -507,7 +508,7 @@
 	n := startPlatformEdge(t, 1024, func(d *config.Deployment) {
 		for i := range d.Kinds {
 			d.Kinds[i].Role = "both"
-			d.GivenFacts[fmt.Sprintf("engine_facts.role_of_kind.%d", i)] = "both"
+			d.PlatformRouting.Kinds[i].Role = routing.Mixed
 		}
 	}, mixed, mixed)
 	defer n.Stop()
--- a/internal/modelcheck/copy.go
+++ b/internal/modelcheck/copy.go
@@ -9,6 +9,7 @@
 	"sandcourse/internal/config"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chatapi"
+	"sandcourse/internal/routing"
 )
 
 // A state is copied field by field, so that the events of one state need not each play its path from the
@@ -20,7 +21,7 @@
 	reflect.TypeFor[*http.Response]():     true,
 	reflect.TypeFor[*protocol.Request]():  true,
 	reflect.TypeFor[*chatapi.Codec]():     true,
-	reflect.TypeFor[map[string]any]():     true, // the module's facts
+	reflect.TypeFor[*routing.Config]():    true, // fixed while a policy lives
 }
 
 type copiedPointers map[unsafe.Pointer]reflect.Value
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -119,7 +119,8 @@
 func (c *NodeConfig) Deployment(file string) (*config.Deployment, error) {
 	d := config.Defaults()
 	settings := params.Flatten(c.Settings)
-	d.File, d.NodeName, d.ChatAddress, d.GivenFacts = file, c.Name, c.ListenAddress, settings
+	decisions := settings.RoutingConfig()
+	d.File, d.NodeName, d.ChatAddress, d.PlatformRouting = file, c.Name, c.ListenAddress, &decisions
 	number := func(name string, fallback float64) float64 {
 		if v, ok := settings[name].(float64); ok {
 			return v
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -18,6 +18,7 @@
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/httpframing"
+	"sandcourse/internal/routing"
 )
 
 const sampleHead = "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
@@ -214,13 +215,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.RoutingConfig()
-	if f["routes.0.effect"] != "non-retriable" || f["routes.0.first_token_target"] != 8e8 || f["zone"] != 1.0 ||
+	c := d.RoutingConfig()
+	if c.Routes[0].Effect != routing.NonRetriable || c.Routes[0].FirstTokenObjective != 800*time.Millisecond || c.Zone != 1 ||
 		d.Role("decode") != "write" || d.Route("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(m.LoadReportFields()) != "[x0 x1]" {
-		t.Errorf("%+v %v", d, f)
+		t.Errorf("%+v %+v", d, c)
 	}
-	if f["engine_facts.pin"] != 625e6 {
-		t.Errorf("the module may keep states for %v, which leaves no time to let go of them", f["engine_facts.pin"])
+	if c.ReservationLimit != 625*time.Millisecond {
+		t.Errorf("decisions may use a reservation for %v, which leaves no time to release it", c.ReservationLimit)
 	}
 	if d.Limits.Connections+d.Connections.Total+reservedSockets > 256 || d.Limits.Connections < 256/3 || d.Limits.BufferedBytes+d.QueueBytes > 16<<20 {
 		t.Errorf("%+v %+v do not fit", d.Limits, d.Connections)
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -10,8 +10,10 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/config/params"
 	"sandcourse/internal/config/script"
 	"sandcourse/internal/golden"
+	"sandcourse/internal/routing"
 )
 
 // goTypeNames are where the JSON reader's own words name structs of this program, which may change. What is kept is where the
@@ -96,9 +98,9 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n\nfacts\n", c[0])
-		facts := d.RoutingConfig()
-		for _, name := range slices.Sorted(maps.Keys(facts)) {
-			fmt.Fprintf(&b, "%s = %s\n", name, value(t, facts[name]))
+		lines := settingLines(t, params.Flatten(m.Settings), d.RoutingConfig())
+		for _, name := range slices.Sorted(maps.Keys(lines)) {
+			fmt.Fprintf(&b, "%s = %s\n", name, lines[name])
 		}
 		fmt.Fprintf(&b, "\ntold\nname = %s\nlisten = %s\ndiscovery = %s\nseed = %d\npeer_listen = %s\npeers = %q\npeers_all = %s\n"+
 			"known = %s\nmemory = %d\nreports = %q\n", m.Name, m.ListenAddress, m.DiscoveryAddress, m.SeedValue(), m.PeerListenAddress, m.Peers,
@@ -126,7 +128,25 @@
 	golden.Check(t, "deployment.golden", b.String())
 }
 
-// value is a fact's value as text: a number in full, true or false, or a quoted word.
+// settingLines are the settings as they were sent, with those that decisions depend on as the routing configuration has
+// them. What the program sets itself stands there even if it was not sent.
+func settingLines(t *testing.T, sent params.Settings, c routing.Config) map[string]string {
+	t.Helper()
+	lines, decided := map[string]string{}, golden.RoutingSettings(c)
+	for name, v := range sent {
+		if lines[name] = value(t, v); decided[name] != "" {
+			lines[name] = decided[name]
+		}
+	}
+	lines["engine_facts.pin"] = decided["engine_facts.pin"]
+	for i := range c.Routes {
+		name := fmt.Sprintf("routes.%d.dedup_window", i)
+		lines[name] = decided[name]
+	}
+	return lines
+}
+
+// value is a setting's value as text: a number in full, true or false, or a quoted word.
 func value(t *testing.T, v any) string {
 	t.Helper()
 	switch v := v.(type) {
@@ -137,6 +157,6 @@
 	case string:
 		return strconv.Quote(v)
 	}
-	t.Errorf("a fact is neither a number, a word nor true or false: %v", v)
+	t.Errorf("a setting is neither a number, a word nor true or false: %v", v)
 	return ""
 }
--- a/internal/routing/api.go
+++ b/internal/routing/api.go
@@ -165,10 +165,9 @@
 func (SendGossip) isAction()     {}
 func (WatchEndpoints) isAction() {}
 
-// New makes the brain of one node that has just started. The named facts of the deployment are flat, such as
-// "routes.0.value"; they may lack any name. Numbers are float64, times are nanoseconds.
-func New(seed uint64, facts map[string]any) *Policy {
-	return &Policy{seed: seed, config: facts, engines: map[string]*engine{}, requests: map[int64]*request{},
+// New returns the policy of one node that has just started.
+func New(seed uint64, config Config) *Policy {
+	return &Policy{seed: seed, config: &config, engines: map[string]*engine{}, requests: map[int64]*request{},
 		timers: map[int64]timer{}, cached: map[cacheKey]cacheEntry{}, affinities: map[string]affinity{}}
 }
 
--- a/internal/routing/brain.go
+++ b/internal/routing/brain.go
@@ -108,7 +108,7 @@
 // sendTo sends to an engine if the rules allow it, else says what stands against it.
 func (p *Policy) sendTo(req *request, e *engine) trigger {
 	switch {
-	case len(req.attempts) >= int(p.num("limits.sends", 1)) || !p.mayRetryOn(req, e):
+	case len(req.attempts) >= p.config.MaxAttempts || !p.mayRetryOn(req, e):
 		return attemptsExhausted
 	case p.now >= req.Deadline-p.deadlineMargin():
 		return attemptsExhausted
@@ -128,20 +128,18 @@
 // mayRetryOn keeps an effect from happening twice: what may have run goes out again only as its route allows.
 // Reads have no effect.
 func (p *Policy) mayRetryOn(req *request, e *engine) bool {
-	effect := p.word(p.route(req, "effect"))
-	if effect == "retriable" {
+	route := p.route(req)
+	if route.Effect == Retriable {
 		return true
 	}
 	for _, s := range req.attempts {
 		if s.neverRan || !s.decode {
 			continue
 		}
-		if effect != "deduped" || p.now-s.sentAt >= int64(p.num(p.route(req, "dedup_window"), 0)) {
+		if route.Effect != Deduped || p.now-s.sentAt >= int64(route.DedupWindow) {
 			return false
 		}
-		first, dedupGroup := p.engines[s.engine], p.word(p.route(req, "dedup_group"))
-		sameGroup := first != nil && (dedupGroup == "zone" && first.Zone == e.Zone || dedupGroup == "cell" && first.Cell == e.Cell)
-		if e.canDecode && dedupGroup != "all" && !sameGroup {
+		if e.canDecode && !route.DedupGroup.spans(p.engines[s.engine], e) {
 			return false
 		}
 	}
@@ -150,16 +148,16 @@
 
 // reject is the gate of final answers: shed where that is true, else errored. What is held or out goes too.
 func (p *Policy) reject(req *request) trigger {
-	effect := p.word(p.route(req, "effect"))
-	mayShed := effect == "retriable" || effect == "deduped" && p.word(p.route(req, "dedup_group")) == "all"
+	route := p.route(req)
+	mayShed := route.Effect == Retriable || route.Effect == Deduped && route.DedupGroup == DedupAll
 	// A stream that returned after a break has run before, under another id. A send that is out is not known
 	// not to have run, at a reader neither.
 	ran := req.Resumed || slices.ContainsFunc(req.attempts, func(s attempt) bool { return s.inFlight || !s.neverRan })
 	if mayShed || !ran {
 		var retryAfter int64
-		if p.flag("limits.retry_after") {
+		if p.config.SuggestRetryAfter {
 			// Half a second: longer than a jam of a few reads, shorter than most clients' patience.
-			retryAfter = min(int64(500*time.Millisecond), int64(p.num("limits.max_retry_after", 0)))
+			retryAfter = int64(min(500*time.Millisecond, p.config.MaxRetryAfter))
 		}
 		p.actions = append(p.actions, Shed{req.RequestID, retryAfter})
 	} else {
@@ -171,7 +169,7 @@
 // releaseAll withdraws what is out and discards what is held. A read that still ends is discarded when it does.
 func (p *Policy) releaseAll(req *request) trigger {
 	for i, s := range req.attempts {
-		if s.inFlight && !s.streaming && p.flag("limits.cancel") {
+		if s.inFlight && !s.streaming && p.config.Cancel {
 			p.actions = append(p.actions, CancelAttempt{req.RequestID, i})
 		}
 	}
@@ -192,7 +190,7 @@
 }
 
 // deadlineMargin is how long before the client gives up the answer must go: timer and answer may each wait a tick.
-func (p *Policy) deadlineMargin() int64 { return 3 * int64(p.num("tick", float64(time.Millisecond))) }
+func (p *Policy) deadlineMargin() int64 { return 3 * int64(p.config.Tick) }
 
 // ---- shedding
 
@@ -240,7 +238,7 @@
 // shedLate sheds a read that has not ended by its target, where that may be said with a send out: in a jam it
 // takes the place of one that could be in time.
 func (p *Policy) shedLate(req *request) trigger {
-	if p.word(p.route(req, "effect")) == "retriable" && !req.Resumed && p.shareAbove(p.firstTokenOverruns, overloadWindow, overloadMinSamples) > 0.2 {
+	if p.route(req).Effect == Retriable && !req.Resumed && p.shareAbove(p.firstTokenOverruns, overloadWindow, overloadMinSamples) > 0.2 {
 		return cannotMeetTarget
 	}
 	return noTrigger
@@ -300,7 +298,7 @@
 		weights += capacity(e)
 	}
 	load := func(e *engine) int { return loads[e.Engine].prefills }
-	crossZone := func(e *engine) int { return differ(e.Zone, int(p.num("zone", 0))) } // crossing zones costs
+	crossZone := func(e *engine) int { return differ(e.Zone, p.config.Zone) } // crossing zones costs
 	under := func(e *engine) bool {
 		return float64(load(e)) < math.Ceil((1+loadMargin)*total*capacity(e)/weights)
 	}
@@ -339,7 +337,7 @@
 // thirds of a reader's fair share for it. There are none where the session is known here or others tell.
 func (p *Policy) preferredEngines(req *request, ready []*engine) []*engine {
 	known := func(e *engine) bool { return p.cached[cacheKey{true, req.Session, e.Engine}].tokens > 0 }
-	if p.num("nodes", 1) < 2 || p.gossipEnabled() || slices.ContainsFunc(ready, known) {
+	if p.config.Nodes < 2 || p.gossipEnabled() || slices.ContainsFunc(ready, known) {
 		return nil
 	}
 	preferred := slices.Clone(ready)
@@ -450,8 +448,8 @@
 // gossipEnabled is whether other nodes are told where a session's text is kept: where that is allowed, and a word to
 // all costs no more than 0.005 of the value, about what a text found again saves.
 func (p *Policy) gossipEnabled() bool {
-	others := p.num("nodes", 1) - 1
-	return p.flag("limits.peers") && others > 0 && p.num("prices.peer", 0)*others*100/256 < 0.005
+	others := float64(p.config.Nodes - 1)
+	return p.config.Gossip && others > 0 && p.config.GossipPrice*others*100/256 < 0.005
 }
 
 // gossipAffinity lets the other nodes know where a session was served: a front spreads its turns over all nodes. Lost
@@ -507,7 +505,7 @@
 	req.awaitedEngines = req.awaitedEngines[:0]
 	for _, e := range engines {
 		unknown := p.now-e.checkAnsweredAt >= reportTTL && !p.hasFreshLoad(e)
-		if p.flag("limits.probes") && unknown && !slices.Contains(req.awaitedEngines, e.Engine) {
+		if p.config.HealthChecks && unknown && !slices.Contains(req.awaitedEngines, e.Engine) {
 			p.healthCheck(e)
 			req.awaitedEngines = append(req.awaitedEngines, e.Engine)
 		}
@@ -558,7 +556,7 @@
 	if !slices.ContainsFunc(p.engineIDs, func(id string) bool { return p.mayRetryOn(req, p.engines[id]) }) {
 		return attemptsExhausted
 	}
-	if p.now-req.idleSince > int64(p.num("engine_facts.pin", 0))-2*p.deadlineMargin()-retryDelay {
+	if p.now-req.idleSince > int64(p.config.ReservationLimit)-2*p.deadlineMargin()-retryDelay {
 		return attemptsExhausted
 	}
 	e := p.pickDecode(req)
@@ -624,12 +622,12 @@
 // goes by a fresh report and what was sent since, else by this node's own part, as if all nodes sent alike. A
 // wrong guess costs a wait of three quarters of the pin limit. 1.05: reports are noisy.
 func (p *Policy) hasCapacity(req *request, e *engine, l engineLoad) bool {
-	memory := p.num(fmt.Sprintf("engine_facts.memory_of_kind.%d", e.Kind), 0)
-	used := l.promptTokens * p.num("nodes", 1)
+	memory := p.config.kind(e.Kind).MemoryTokens
+	used := l.promptTokens * float64(p.config.Nodes)
 	if p.hasFreshLoad(e) {
 		used = e.memoryShare*memory + l.unreportedTokens
 	}
-	waited := req.idleSince > 0 && float64(p.now-req.idleSince) > 0.75*p.num("engine_facts.pin", 0)
+	waited := req.idleSince > 0 && float64(p.now-req.idleSince) > 0.75*float64(p.config.ReservationLimit)
 	return memory == 0 || waited || used == 0 || used+req.PromptTokens < 1.05*memory
 }
 
@@ -794,10 +792,10 @@
 func (p *Policy) cancelLastAttempt(req *request) trigger {
 	s := &req.attempts[len(req.attempts)-1]
 	// A read has no effect, yet reads given up have counted as such that may have run: docs/incidents.
-	mayRetry := p.word(p.route(req, "effect")) == "retriable"
+	mayRetry := p.route(req).Effect == Retriable
 	switch {
 	case s.canceled:
-	case mayRetry && len(req.attempts) < int(p.num("limits.sends", 1)) && p.flag("limits.cancel"):
+	case mayRetry && len(req.attempts) < p.config.MaxAttempts && p.config.Cancel:
 		s.canceled = true
 		p.actions = append(p.actions, CancelAttempt{req.RequestID, len(req.attempts) - 1})
 	case s.decode:
@@ -812,7 +810,7 @@
 // after half the target, as another read would be too late later.
 func (p *Policy) responseTimeout(req *request) int64 {
 	if req.attempts[len(req.attempts)-1].decode {
-		return int64(p.num("engine_facts.pin", 1e9)) / 3
+		return int64(p.config.DecodeResponseTimeout)
 	}
 	return int64(p.firstTokenTarget(req) / 2)
 }
@@ -828,7 +826,7 @@
 func (p *Policy) checkUnresponsive(req *request) trigger {
 	s := &req.attempts[len(req.attempts)-1]
 	e := p.engines[s.engine]
-	if p.lastUnanswered(req) && p.now-s.sentAt >= p.responseTimeout(req) && p.flag("limits.probes") && !p.warmingUp(e) {
+	if p.lastUnanswered(req) && p.now-s.sentAt >= p.responseTimeout(req) && p.config.HealthChecks && !p.warmingUp(e) {
 		p.healthCheck(e)
 	}
 	return noTrigger
@@ -843,7 +841,7 @@
 }
 
 func (p *Policy) warmingUp(e *engine) bool {
-	return e.warmingSince != 0 && p.now-e.warmingSince <= int64(p.num("rules.cold", 0))
+	return e.warmingSince != 0 && p.now-e.warmingSince <= int64(p.config.SlowStart.Duration)
 }
 
 // withinSlowStart keeps all nodes together from pushing a cold engine over. What the engines of that role did for
@@ -854,20 +852,20 @@
 		return true
 	}
 	const span = int64(20 * time.Second) // a node among many sends little; and all of a role may be cold at once
-	window, done, alike := max(4, int64(p.num("rules.fall_window", 1e9))), 0.0, 0.0
+	window, done, alike := max(4, int64(p.config.SlowStart.Window)), 0.0, 0.0
 	for _, other := range p.engines {
 		if recent := p.countSince(other.progressTimes, span); other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
 			done, alike = done+recent, alike+1
 		}
 	}
 	// 1.2: engines seldom do all that they can. Lots get two thirds of it, as they fall unevenly.
-	places := 1.2 * p.num("rules.cold_share", 0) * p.num("rules.fall_multiple", 0) * done / max(1, alike) *
+	places := 1.2 * p.config.SlowStart.Share * p.config.SlowStart.Multiple * done / max(1, alike) *
 		float64(window) / float64(min(span, max(window, p.now-p.startedAt)))
 	// Any window touches five quarters at most, so each quarter gives out a fifth.
-	nodes := max(1, p.num("nodes", 1))
+	nodes := max(1, float64(p.config.Nodes))
 	whole, rest := math.Modf(places)
 	first := float64(hash(fmt.Sprint(e.Engine, 4*p.now/window))%1e6) / 1e6 * nodes
-	if math.Mod(p.num("me", 0)+first, nodes) < rest*nodes/7.5 && p.countSince(e.sendTimes, window/4) == 0 {
+	if math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5 && p.countSince(e.sendTimes, window/4) == 0 {
 		whole++
 	}
 	return p.countSince(e.sendTimes, window) < whole
@@ -887,7 +885,7 @@
 
 // watchEndpoints asks discovery for news where it does not come by itself.
 func (p *Policy) watchEndpoints() {
-	if p.word("discovery") == "watch" {
+	if p.config.WatchEndpoints {
 		p.actions = append(p.actions, WatchEndpoints{})
 	}
 }
--- a/internal/routing/help.go
+++ b/internal/routing/help.go
@@ -98,20 +98,7 @@
 	return float64(hash(fmt.Sprint(p.seed, p.randomDraws))>>11) / (1 << 53)
 }
 
-func (p *Policy) route(req *request, name string) string {
-	return fmt.Sprintf("routes.%d.%s", req.Route, name)
-}
-
-func (p *Policy) num(name string, absent float64) float64 {
-	if v, ok := p.config[name].(float64); ok {
-		return v
-	}
-	return absent
-}
-
-func (p *Policy) word(name string) string { v, _ := p.config[name].(string); return v }
-
-func (p *Policy) flag(name string) bool { v, _ := p.config[name].(bool); return v }
+func (p *Policy) route(req *request) Route { return p.config.route(req.Route) }
 
 func states(s ...state) []state { return s }
 
@@ -210,8 +197,8 @@
 			n.Weight = 1
 		}
 		e.Endpoint, e.removedAt = n, 0
-		role := p.word(fmt.Sprintf("engine_facts.role_of_kind.%d", n.Kind))
-		e.canPrefill, e.canDecode = role != "write", role != "read"
+		role := p.config.kind(n.Kind).Role
+		e.canPrefill, e.canDecode = role != DecodeOnly, role != PrefillOnly
 	}
 	for id, e := range p.engines {
 		if update.Complete && !seen[id] || e.Removed {
@@ -233,8 +220,8 @@
 
 // firstTokenTarget is the time in which the first token is wanted.
 func (p *Policy) firstTokenTarget(req *request) float64 {
-	per := p.num(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", req.Route), 0)
-	return p.num(p.route(req, "first_token_target"), 1e9) + per*req.PromptTokens/1000
+	route := p.route(req)
+	return float64(route.FirstTokenObjective) + float64(route.ObjectivePer1000Tokens)*req.PromptTokens/1000
 }
 
 func (p *Policy) handleGossip(text string) {
@@ -279,10 +266,10 @@
 // valueShare is a route's value over that of the highest.
 func (p *Policy) valueShare(req *request) float64 {
 	most := 1e-9
-	for i := range int(p.num("routes.count", 0)) {
-		most = max(most, p.num(fmt.Sprintf("routes.%d.value", i), 1))
+	for _, route := range p.config.Routes {
+		most = max(most, route.PriorityWeight)
 	}
-	return p.num(p.route(req, "value"), 1) / most
+	return p.route(req).PriorityWeight / most
 }
 
 // reservationWaits is how long the states that wait here for a writer have waited.
--- a/internal/routing/open_test.go
+++ b/internal/routing/open_test.go
@@ -3,15 +3,19 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 // BenchmarkArrivalAmongOpenStreams is one inference from arrival to its end while many others stream.
 func BenchmarkArrivalAmongOpenStreams(b *testing.B) {
 	for _, open := range []int{100, 5000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
-			br := New(1, map[string]any{"limits.sends": 4.0, "limits.cancel": true, "engine_facts.pin": 1e9, "nodes": 1.0,
-				"engine_facts.role_of_kind.0": "read", "engine_facts.role_of_kind.1": "write", "routes.0.effect": "retriable",
-				"routes.0.first_token_target": 1e9, "routes.count": 1.0})
+			config := DefaultConfig()
+			config.MaxAttempts, config.Cancel = 4, true
+			config.SetReservationLimit(time.Second)
+			config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
+			config.Routes = []Route{{Effect: Retriable, PriorityWeight: 1, FirstTokenObjective: time.Second}}
+			br := New(1, config)
 			news := EndpointUpdate{Complete: true}
 			for i := range 8 {
 				news.Engines = append(news.Engines, Endpoint{Engine: fmt.Sprint("e", i), Weight: 1, Kind: i / 4, Ready: true})
--- a/internal/routing/plain_test.go
+++ b/internal/routing/plain_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 // testNode is one brain with two readers r0, r1 and two writers w0, w1.
@@ -13,18 +14,18 @@
 	actions []Action
 }
 
-func newTestNode(t *testing.T, more map[string]any) *testNode {
-	facts := map[string]any{
-		"limits.sends": 4.0, "limits.cancel": true, "tick": 4e6, "nodes": 2.0, "routes.count": 2.0,
-		"engine_facts.pin": 500e6, "engine_facts.role_of_kind.0": "read", "engine_facts.role_of_kind.1": "write",
-		"rules.cold": 10e9, "rules.fall_window": 1e9, "rules.cold_share": 0.25, "rules.fall_multiple": 3.0,
-		"routes.0.effect": "retriable", "routes.0.value": 1.0, "routes.0.first_token_target": 1e9,
-		"routes.1.effect": "non-retriable", "routes.1.value": 1.0, "routes.1.first_token_target": 1e9,
+func newTestNode(t *testing.T, change func(*Config)) *testNode {
+	config := DefaultConfig()
+	config.MaxAttempts, config.Cancel, config.Tick, config.Nodes = 4, true, 4*time.Millisecond, 2
+	config.SetReservationLimit(500 * time.Millisecond)
+	config.SlowStart = SlowStart{Duration: 10 * time.Second, Window: time.Second, Share: 0.25, Multiple: 3}
+	config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
+	config.Routes = []Route{{Effect: Retriable, PriorityWeight: 1, FirstTokenObjective: time.Second},
+		{Effect: NonRetriable, PriorityWeight: 1, FirstTokenObjective: time.Second}}
+	if change != nil {
+		change(&config)
 	}
-	for name, v := range more {
-		facts[name] = v
-	}
-	n := &testNode{t: t, policy: New(1, facts), now: 1e12}
+	n := &testNode{t: t, policy: New(1, config), now: 1e12}
 	n.engines(Endpoint{}, "r0", "r1", "w0", "w1")
 	return n
 }
@@ -208,7 +209,7 @@
 }
 
 func TestDecodeEngineReportedFullIsSkipped(t *testing.T) {
-	n := newTestNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
+	n := newTestNode(t, func(c *Config) { c.Kinds[1].MemoryTokens = 100_000 })
 	_, decodeEngine := n.serve(1, "s")
 	n.serve(2, "s")
 	n.step(5, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true,
@@ -219,7 +220,7 @@
 }
 
 func TestFalseLoadReportsOnlyDelayADecode(t *testing.T) {
-	n := newTestNode(t, map[string]any{"engine_facts.memory_of_kind.1": 100000.0})
+	n := newTestNode(t, func(c *Config) { c.Kinds[1].MemoryTokens = 100_000 })
 	for req := int64(1); req <= 2; req++ {
 		n.serve(req, fmt.Sprint("s", req))
 	}
@@ -242,7 +243,7 @@
 
 // Incident i103f8c: a front spreads the turns of a session over nodes.
 func TestSessionAffinityIsSharedByGossip(t *testing.T) {
-	peers := map[string]any{"limits.peers": true}
+	peers := func(c *Config) { c.Gossip = true }
 	a, b := newTestNode(t, peers), newTestNode(t, peers)
 	usual, _ := newTestNode(t, peers).serve(1, "s")
 	a.step(0, EndpointUpdate{Engines: []Endpoint{{Engine: usual, Draining: true}}})
@@ -277,7 +278,7 @@
 
 // First scores at a hundred nodes: jams at one home while others idle.
 func TestOverloadedPreferredEngineIsSkipped(t *testing.T) {
-	n := newTestNode(t, map[string]any{"limits.probes": true})
+	n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
 	home, _ := newTestNode(t, nil).serve(1, "s")
 	n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 	var asked []string
@@ -453,7 +454,7 @@
 
 // newTestNodeWithOverdueDecode is a node whose writer has had an inference of a route for so long that it is asked whether it is there.
 func newTestNodeWithOverdueDecode(t *testing.T, route int) (n *testNode, decodeEngine string) {
-	n = newTestNode(t, map[string]any{"limits.probes": true, "nodes": 1.0})
+	n = newTestNode(t, func(c *Config) { c.HealthChecks, c.Nodes = true, 1 })
 	decodeEngine = n.prefill(20, 1, n.prefillAfterChecks(route))
 	n.letResponseBecomeOverdue(decodeEngine)
 	return n, decodeEngine
@@ -513,7 +514,7 @@
 // docs/incidents/read-given-up-at-a-silent-reader.md.
 func TestPrefillOnAnUnresponsiveEngineIsRetriedOnlyIfIdempotent(t *testing.T) {
 	for route, effects := range [][]Action{{CancelAttempt{1, 0}}, nil} {
-		n := newTestNode(t, map[string]any{"limits.probes": true})
+		n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
 		prefillEngine := n.prefillAfterChecks(route)
 		n.letResponseBecomeOverdue(prefillEngine)
 		n.step(0, HealthCheckResult{Engine: prefillEngine, Verdict: TimedOut})
@@ -529,7 +530,7 @@
 		home, other, found float64
 		moves              bool
 	}{{6, 3, 0, true}, {3.2, 3, 1, false}, {3.2, 3, 0, true}, {3, 3, 0, false}} {
-		n := newTestNode(t, map[string]any{"limits.probes": true})
+		n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
 		n.policy.recentLatencyPerWork, n.policy.recentCacheHits = []int64{50 * ms}, []int64{int64(1e6 * at.found)}
 		n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 		to := ""
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 )
@@ -37,7 +38,7 @@
 type simulation struct {
 	t             *rapid.T
 	policy        *Policy
-	facts         map[string]any
+	config        Config
 	now           int64
 	requests      map[int64]*requestRecord
 	ids           []int64
@@ -48,22 +49,18 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	facts := map[string]any{
-		"limits.sends": float64(rapid.IntRange(2, 6).Draw(t, "sends")), "limits.cancel": true,
-		"limits.second_copies": false, "limits.retry_after": true, "limits.max_retry_after": 1e9, "tick": 4e6,
-		"engine_facts.pin": 300e6, "engine_facts.role_of_kind.0": "read", "engine_facts.role_of_kind.1": "write",
-		"engine_facts.resume": rapid.Bool().Draw(t, "resume"), "engine_facts.role_of_kind.2": "both",
-		"rules.cold": 10e9, "rules.fall_window": 1e9, "rules.cold_share": 0.25, "rules.fall_multiple": 3.0,
-		"rules.answer_slack": 16e6, "nodes": 3.0,
+	config := DefaultConfig()
+	config.MaxAttempts, config.Cancel, config.Tick, config.Nodes = rapid.IntRange(2, 6).Draw(t, "sends"), true, 4*time.Millisecond, 3
+	config.SuggestRetryAfter, config.MaxRetryAfter = true, time.Second
+	config.SetReservationLimit(300 * time.Millisecond)
+	config.SlowStart = SlowStart{Duration: 10 * time.Second, Window: time.Second, Share: 0.25, Multiple: 3}
+	config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}, {Role: Mixed}}
+	for i, effect := range []Effect{Retriable, Deduped, NonRetriable} {
+		group := rapid.SampledFrom([]DedupGroup{DedupAll, DedupZone, DedupCell}).Draw(t, "group")
+		config.Routes = append(config.Routes, Route{Effect: effect, DedupWindow: 2 * time.Second, DedupGroup: group,
+			FirstTokenObjective: time.Second, PriorityWeight: float64(i + 1)})
 	}
-	for i, effect := range []string{"retriable", "deduped", "non-retriable"} {
-		facts[fmt.Sprintf("routes.%d.effect", i)] = effect
-		facts[fmt.Sprintf("routes.%d.dedup_window", i)] = 2e9
-		facts[fmt.Sprintf("routes.%d.dedup_group", i)] = rapid.SampledFrom([]string{"all", "zone", "cell"}).Draw(t, "group")
-		facts[fmt.Sprintf("routes.%d.first_token_target", i)] = 1e9
-		facts[fmt.Sprintf("routes.%d.value", i)] = float64(i + 1)
-	}
-	w := &simulation{t: t, policy: New(7, facts), facts: facts, now: 1e12, requests: map[int64]*requestRecord{},
+	w := &simulation{t: t, policy: New(7, config), config: config, now: 1e12, requests: map[int64]*requestRecord{},
 		engines: map[string]Endpoint{}, timers: map[int64][]int64{}, sentWarmingUp: map[string][]int64{}, sentTo: map[string][]int64{}}
 	w.updateEndpoints()
 	return w
@@ -110,8 +107,8 @@
 	}
 	for i, ran := range a.ran {
 		first := w.engines[a.engines[i]]
-		group := w.facts[fmt.Sprintf("routes.%d.dedup_group", a.Route)]
-		inGroup := group == "all" || group == "zone" && first.Zone == eng.Zone || group == "cell" && first.Cell == eng.Cell
+		group := w.config.Routes[a.Route].DedupGroup
+		inGroup := group == DedupAll || group == DedupZone && first.Zone == eng.Zone || group == DedupCell && first.Cell == eng.Cell
 		if ran && (a.Route == 2 || a.Route == 1 && (w.now-a.sentAt[i] > 2e9 || eng.Kind != 0 && !inGroup)) {
 			w.fail("2", "%d was sent again though it may have run", e.RequestID)
 		}
@@ -157,7 +154,7 @@
 	case w.now > a.Deadline+16*ms:
 		w.fail("1", "%d was answered too late", req)
 	}
-	if how == "shed" && a.Route > 0 && (a.Route == 2 || w.facts["routes.1.dedup_group"] != "all") {
+	if how == "shed" && a.Route > 0 && (a.Route == 2 || w.config.Routes[1].DedupGroup != DedupAll) {
 		for _, ran := range a.ran {
 			if ran || len(a.inFlight) > 0 || a.Resumed {
 				w.fail("2", "%d was shed though it may have run", req)
@@ -318,8 +315,8 @@
 func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, readers := rapid.IntRange(1, 300).Draw(t, "nodes"), rapid.IntRange(3, 12).Draw(t, "readers")
-		facts := newSimulation(t).facts
-		facts["nodes"], facts["limits.probes"] = float64(nodes), rapid.Bool().Draw(t, "probes")
+		config := newSimulation(t).config
+		config.Nodes, config.HealthChecks = nodes, rapid.Bool().Draw(t, "probes")
 		list := EndpointUpdate{Complete: true, Engines: []Endpoint{{Engine: "w", Weight: 1, Kind: 1, Ready: true}}}
 		for i := range readers {
 			list.Engines = append(list.Engines, Endpoint{Engine: fmt.Sprint("r", i), Weight: 1, Ready: true})
@@ -332,11 +329,8 @@
 		var due []event
 		policies, now := make([]*Policy, nodes), int64(1e12)
 		for i := range policies {
-			own := map[string]any{"me": float64(i)}
-			for name, v := range facts {
-				own[name] = v
-			}
-			policies[i] = New(uint64(i), own)
+			config.Node = i
+			policies[i] = New(uint64(i), config)
 			policies[i].Step(now, list)
 		}
 		// A third of the readers restarts, or all of them, of which one is back before the others.
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -3,7 +3,7 @@
 // Policy is all that one node knows. It is not safe for concurrent use.
 type Policy struct {
 	seed, randomDraws uint64
-	config            map[string]any
+	config            *Config
 	now               int64
 	actions           []Action
 
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -22,8 +22,8 @@
 
 // NodeCreated starts a node.
 type NodeCreated struct {
-	Seed  uint64
-	Facts map[string]any
+	Seed   uint64
+	Config routing.Config
 }
 
 type eventHeader struct {
@@ -136,7 +136,7 @@
 	}
 	switch *header.Type {
 	case "create":
-		ev.Create = &NodeCreated{Seed: r.RandomSeed, Facts: params.Flatten(r.Params)}
+		ev.Create = &NodeCreated{Seed: r.RandomSeed, Config: params.Flatten(r.Params).RoutingConfig()}
 	case "down":
 		ev.Down = true
 	case "endpoints":
