--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -99,7 +99,7 @@
 		mu.Unlock()
 		list.Entries[n%engines].Weight += 0.01
 		begun := time.Now()
-		p.enqueue(func() { p.step(assignment.EnginesListed{Engines: p.engineRecords(list)}) })
+		p.enqueue(func() { p.step(assignment.EnginesListed{Engines: p.listedEngines(list)}) })
 		wait(last)
 		mu.Lock()
 		for _, t := range at {
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -1,8 +1,6 @@
 package planner
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -10,21 +8,22 @@
 	"syscall"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
+	"go.uber.org/zap"
 
 	"sandcourse/internal/planner/assignment"
 )
 
-// Store keeps the planner's intent: its term, its orders, and where each engine's role stands. A transaction
-// is whole or not there; each value has a checksum of its own as well, for what a disk does to it later.
+// Store is the planner's durable store: its term, its orders, and the state of each engine's role change. A transaction is
+// complete or not there. Each value has a checksum of its own as well, against what a disk does to it later.
 type Store struct {
 	path     string
 	db       *bbolt.DB
-	failSave func() error // a test's full disk
+	failSave func() error // set by tests, to fail as a full disk does
 }
 
+// Buckets and keys of the store's file.
 var (
 	recordsBucket = []byte("records")
 	metaBucket    = []byte("meta")
@@ -32,20 +31,91 @@
 	termKey       = []byte("term")
 )
 
-// ErrStoreInUse says that another planner has the store open.
-var ErrStoreInUse = errors.New("another planner has it open")
-
-// StoredState is what a store held.
+// StoredState is what a store held when it was opened.
 type StoredState struct {
 	Term    int64
 	Meta    assignment.Meta
 	Records []assignment.Record
-	Faults  []string // what could not be read, and was left out
+	Faults  []error // what could not be read and was left out
+}
+
+// openTimeout is how long the lock of a store's file is waited for.
+const openTimeout = time.Second
+
+// A disk may be full or fail for a while: opening the store is tried again for so long before the planner's start fails.
+const (
+	storeOpenTimeout       = 30 * time.Second
+	storeOpenRetryInterval = 200 * time.Millisecond
+)
+
+// ErrStoreInUse says that another planner has the store open.
+var ErrStoreInUse = errors.New("another planner has it open")
+
+// DamagedError says that reading or writing a store's file faulted.
+type DamagedError struct {
+	Path  string
+	Fault any // what the access panicked with
+}
+
+// Error returns the store and the fault.
+func (e *DamagedError) Error() string { return fmt.Sprintf("store %s is damaged: %v", e.Path, e.Fault) }
+
+// ReplacedError says that a damaged store was replaced by an empty one.
+type ReplacedError struct {
+	Path, SetAside string
+	Err            error
+}
+
+// Error returns the store, the damage, and where the damaged file is.
+func (e *ReplacedError) Error() string {
+	return fmt.Sprintf("store %s: %v; it is kept as %s, and a new one begun", e.Path, e.Err, e.SetAside)
+}
+
+// Unwrap returns the damage.
+func (e *ReplacedError) Unwrap() error { return e.Err }
+
+// RecordError says that the record of one engine is damaged.
+type RecordError struct {
+	Path, Engine string
+	Err          error
+}
+
+// Error returns the store, the engine, and the damage.
+func (e *RecordError) Error() string {
+	return fmt.Sprintf("store %s: engine %s: %v; it is asked for its role", e.Path, e.Engine, e.Err)
+}
+
+// Unwrap returns the damage.
+func (e *RecordError) Unwrap() error { return e.Err }
+
+// openWithRetry opens a store, and tries again for a while if the disk or the machine fails.
+func openWithRetry(path string, log *zap.Logger) (*Store, StoredState, error) {
+	end := time.Now().Add(storeOpenTimeout)
+	for {
+		store, stored, err := Open(path)
+		if err == nil || !retryable(err) || time.Now().After(end) {
+			return store, stored, err
+		}
+		log.Warn("store open failed, retrying", zap.Error(err))
+		time.Sleep(storeOpenRetryInterval)
+	}
+}
+
+// retryable is whether a store may be opened later. What is not there or not permitted stays so.
+func retryable(err error) bool {
+	return isSystemError(err) && !errors.Is(err, os.ErrPermission) && !errors.Is(err, os.ErrNotExist)
+}
+
+// isSystemError is whether an error is that of a system call, as on a full or failing disk, or without free descriptors. It
+// says nothing about the content of the file.
+func isSystemError(err error) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno)
 }
 
-// Open opens the store at path, or makes it. A file that is damaged as a whole is put beside under another
-// name, and an empty one takes its place: engines are asked for their roles then. Where the disk or the machine fails, the
-// file stays as it is, and the error is told.
+// Open opens the store at path, or creates it. A file that is damaged as a whole is set aside under another name, and an
+// empty one takes its place: engines are asked for their roles then. If the disk or the machine fails, the file stays as it
+// is and the error is returned.
 func Open(path string) (*Store, StoredState, error) {
 	s := &Store{path: path}
 	stored, err := s.open()
@@ -59,183 +129,96 @@
 		return s, stored, err
 	}
 	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().Unix())
-	if e := os.Rename(path, aside); e != nil {
-		return s, stored, errors.Join(err, e)
+	if renameErr := os.Rename(path, aside); renameErr != nil {
+		return s, stored, errors.Join(err, renameErr)
 	}
-	why := fmt.Sprintf("store %s: %v; it is kept as %s, and a new one begun", path, err, aside)
+	replaced := &ReplacedError{Path: path, SetAside: aside, Err: err}
 	stored, err = s.open()
-	stored.Faults = append(stored.Faults, why)
+	stored.Faults = append(stored.Faults, replaced)
 	return s, stored, err
 }
 
-// isSystemError is whether an error is that of a system call, as on a full or failing disk, or where descriptors have run
-// out. It says nothing of what the file holds.
-func isSystemError(err error) bool {
-	var no syscall.Errno
-	return errors.As(err, &no)
-}
-
-// newStoreSuffix is of the name under which a new store is made. It gets its own name once it is whole.
-const newStoreSuffix = ".new"
-
-// createStore makes an empty store where there is none. A start that fails in the middle leaves nothing under the store's name.
-func createStore(path string) error {
-	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		return err
-	}
-	newPath := path + newStoreSuffix
-	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return err
-	}
-	db, err := bbolt.Open(newPath, 0o600, &bbolt.Options{Timeout: time.Second})
-	if err == nil {
-		err = errors.Join(createBuckets(db), db.Close())
-	}
-	if err != nil {
-		os.Remove(newPath)
-		return err
-	}
-	defer os.Remove(newPath)
-	// A link, and not a new name: another planner may have made the store meanwhile, and have it open.
-	if err := os.Link(newPath, path); !errors.Is(err, os.ErrExist) {
-		return err
-	}
-	return nil
-}
-
-func createBuckets(db *bbolt.DB) error {
-	return db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{recordsBucket, metaBucket} {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-}
-
+// open opens the file and reads it.
 func (s *Store) open() (stored StoredState, err error) {
 	// bbolt reads its pages from mapped memory as they are: a damaged one ends in a panic, or a fault. Its
-	// locks are not given back then, so what it opened is left as it is.
+	// locks are not released then, so what it opened is left as it is.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			s.db, err = nil, fmt.Errorf("store %s is damaged: %v", s.path, p)
+			s.db, err = nil, &DamagedError{Path: s.path, Fault: p}
 		}
 	}()
 	s.db = nil
-	if err := createStore(s.path); err != nil {
+	if err = s.openFile(); err == nil {
+		err = s.db.View(func(tx *bbolt.Tx) error { return s.read(tx, &stored) })
+	}
+	if err != nil {
 		return stored, fmt.Errorf("store %s: %w", s.path, err)
 	}
+	return stored, nil
+}
+
+// openFile opens the file, and creates it if it is not there.
+func (s *Store) openFile() error {
+	if err := createStore(s.path); err != nil {
+		return err
+	}
 	if err := checkFileSize(s.path); err != nil {
-		return stored, fmt.Errorf("store %s: %w", s.path, err)
+		return err
 	}
-	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return stored, fmt.Errorf("store %s: %w", s.path, ErrStoreInUse)
+		return ErrStoreInUse
 	} else if err != nil {
-		return stored, fmt.Errorf("store %s: %w", s.path, err)
+		return err
 	}
 	s.db = db
-	if err := createBuckets(db); err != nil {
-		return stored, fmt.Errorf("store %s: %w", s.path, err)
-	}
-	err = db.View(func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(metaBucket)
-		for _, v := range []struct {
-			key  []byte
-			into any
-		}{{termKey, &stored.Term}, {metaKey, &stored.Meta}} {
-			if data := meta.Get(v.key); data != nil {
-				if err := decodeWithChecksum(data, v.into); err != nil {
-					return fmt.Errorf("%s: %w", v.key, err) // without a term it must not go on
-				}
-			}
-		}
-		return tx.Bucket(recordsBucket).ForEach(func(key, data []byte) error {
-			var r assignment.Record
-			if err := decodeWithChecksum(data, &r); err != nil {
-				stored.Faults = append(stored.Faults,
-					fmt.Sprintf("store %s: engine %s: %v; it is asked for its role", s.path, key, err))
-				return nil
-			}
-			stored.Records = append(stored.Records, r)
-			return nil
-		})
-	})
-	if err != nil {
-		return stored, fmt.Errorf("store %s: %w", s.path, err)
-	}
-	return stored, nil
+	return createBuckets(db)
 }
 
-// checkFileSize is whether a store's file is as long as its newest page table says; a shorter one would fault
-// when it is read. The layout is bbolt's own: two pages, each with a header of 16 bytes and a meta record.
-func checkFileSize(path string) error {
-	f, err := os.Open(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	} else if err != nil {
+// read reads all that the store holds. A damaged record is left out; without its term a planner must not go on.
+func (s *Store) read(tx *bbolt.Tx, stored *StoredState) error {
+	meta := tx.Bucket(metaBucket)
+	if err := readValue(meta, termKey, &stored.Term); err != nil {
 		return err
 	}
-	defer f.Close()
-	info, err := f.Stat()
-	if err != nil {
+	if err := readValue(meta, metaKey, &stored.Meta); err != nil {
 		return err
 	}
-	if info.Size() == 0 {
-		return errors.New("it is empty")
-	}
-	const magic, header, meta = 0xED0CDAED, 16, 64
-	var pages, size uint64
-	for _, at := range []int64{0, int64(os.Getpagesize())} {
-		row := make([]byte, header+meta)
-		if _, err := f.ReadAt(row, at); err != nil {
-			continue
-		}
-		m := row[header:]
-		if binary.NativeEndian.Uint32(m) == magic {
-			size = uint64(binary.NativeEndian.Uint32(m[8:]))
-			pages = max(pages, binary.NativeEndian.Uint64(m[40:]))
+	return tx.Bucket(recordsBucket).ForEach(func(engine, data []byte) error {
+		var record assignment.Record
+		if err := decodeWithChecksum(data, &record); err != nil {
+			stored.Faults = append(stored.Faults, &RecordError{Path: s.path, Engine: string(engine), Err: err})
+			return nil
 		}
-	}
-	if pages > 1<<32 || size > 1<<20 || pages*size > uint64(info.Size()) {
-		return fmt.Errorf("it has %d bytes, and %d pages of %d are written of", info.Size(), pages, size)
-	}
-	return nil
+		stored.Records = append(stored.Records, record)
+		return nil
+	})
 }
 
-// encodeWithChecksum puts a checksum before a value.
-func encodeWithChecksum(v any) ([]byte, error) {
-	data, err := json.Marshal(v)
-	if err != nil {
-		return nil, err
+// readValue reads the value of a key, if there is one.
+func readValue(bucket *bbolt.Bucket, key []byte, target any) error {
+	data := bucket.Get(key)
+	if data == nil {
+		return nil
 	}
-	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)), data...), nil
-}
-
-func decodeWithChecksum(data []byte, into any) error {
-	if len(data) < 8 || binary.BigEndian.Uint64(data) != xxhash.Sum64(data[8:]) {
-		return errors.New("its checksum does not fit")
+	if err := decodeWithChecksum(data, target); err != nil {
+		return fmt.Errorf("%s: %w", key, err)
 	}
-	return json.Unmarshal(data[8:], into)
+	return nil
 }
 
-// SaveTerm keeps the term of this life.
+// SaveTerm saves the term of this planner.
 func (s *Store) SaveTerm(term int64) error {
-	data, err := encodeWithChecksum(term)
-	if err != nil {
-		return err
-	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(termKey, data) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return putValue(tx, metaBucket, termKey, term) })
 }
 
-// Save keeps records and meta together, on disk when it returns.
-func (s *Store) Save(k assignment.Persist) (err error) {
+// Save saves records and meta together. They are on disk when it returns.
+func (s *Store) Save(changes assignment.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil { // the file was damaged under it
-			err = fmt.Errorf("store %s is damaged: %v", s.path, p)
+		if p := recover(); p != nil { // the file was damaged while it was open
+			err = &DamagedError{Path: s.path, Fault: p}
 		}
 	}()
 	if s.failSave != nil {
@@ -244,18 +227,11 @@
 		}
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		data, err := encodeWithChecksum(k.Meta)
-		if err != nil {
+		if err := putValue(tx, metaBucket, metaKey, changes.Meta); err != nil {
 			return err
 		}
-		if err := tx.Bucket(metaBucket).Put(metaKey, data); err != nil {
-			return err
-		}
-		for _, r := range k.Records {
-			if data, err = encodeWithChecksum(r); err != nil {
-				return err
-			}
-			if err := tx.Bucket(recordsBucket).Put([]byte(r.Engine), data); err != nil {
+		for _, record := range changes.Records {
+			if err := putValue(tx, recordsBucket, []byte(record.Engine), record); err != nil {
 				return err
 			}
 		}
@@ -263,5 +239,13 @@
 	})
 }
 
-// Close gives the store free.
+func putValue(tx *bbolt.Tx, bucket, key []byte, value any) error {
+	data, err := encodeWithChecksum(value)
+	if err != nil {
+		return err
+	}
+	return tx.Bucket(bucket).Put(key, data)
+}
+
+// Close closes the store. Another planner can open it then.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"time"
 
@@ -17,85 +16,131 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-const loadPath = engineapi.LoadPath
+const (
+	// trialBody is a client's request with a prompt of one word.
+	trialBody            = `{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`
+	trialDialInterval    = 50 * time.Millisecond
+	maxTrialResponseSize = 1 << 16
+)
 
-// readEndpointFile reads a roster, bounded as the follower of the file bounds it.
-func readEndpointFile(path string) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
+// TrialError says that an engine did not answer a trial as an engine of its role does.
+type TrialError struct {
+	Role      string
+	Status    string // HTTP status of its response
+	Rejection string // its reason, if it gave one
+}
+
+// Error returns what was asked and how the engine answered.
+func (e *TrialError) Error() string {
+	asked := "asked to read"
+	if e.Role == planapi.Decode {
+		asked = "asked to write from a state that is not there"
 	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, 4<<20+1))
+	return fmt.Sprintf("%s, it answers %s %s", asked, e.Status, e.Rejection)
 }
 
-// runTrial gives an engine a small piece of work under its new epoch, through the protocol that edges speak. A
-// reader shows a state for a prompt of one word; a writer, asked for the answer from a state that does not
-// exist, says so, which only an engine that writes knows.
-func (p *Planner) runTrial(t assignment.StartTrial) error {
+// trialResult runs a trial and returns its result as an event.
+func (p *Planner) trialResult(trial assignment.StartTrial) assignment.TrialEnded {
+	result := assignment.TrialEnded{Engine: trial.Engine, Number: trial.Number}
+	if err := p.runTrial(trial); err != nil {
+		result.Reason = err.Error()
+	} else {
+		result.OK = true
+	}
+	return result
+}
+
+// runTrial sends an engine a small request under its new epoch, through the protocol that edges use. A prefill engine
+// answers a prompt of one word with a reservation. A decode engine is asked to go on from a reservation that does not
+// exist, and rejects that with a reason which only an engine that decodes gives.
+func (p *Planner) runTrial(trial assignment.StartTrial) error {
 	ctx, cancel := context.WithTimeout(p.ctx, p.settings.Assignment.TrialTimeout)
 	defer cancel()
-	call, err := chat.ParseRequest([]byte(`{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`), nil)
+	requestID := fmt.Sprintf("%s%d-%d", planapi.TrialPrefix, p.term, trial.Number)
+	request, err := trialRequest(trial, requestID)
 	if err != nil {
 		return err
 	}
-	job := engineapi.Request{Chat: call, ID: fmt.Sprintf("%s%d-%d", planapi.TrialPrefix, p.term, t.Number)}
-	request, err := job.Prefill(t.Engine, t.Epoch, 0)
-	if t.Role == planapi.Decode {
-		host, port, e := net.SplitHostPort(t.Engine)
-		if e != nil {
-			return e
-		}
-		number, _ := strconv.Atoi(port)
-		request, err = job.Decode(t.Engine, t.Epoch, engineapi.KVTransfer{RemotePrefill: true, Engine: job.ID +
-			"/none", Host: host, Port: number})
-	}
+	connection, err := dialUntilDone(ctx, trial.Engine)
 	if err != nil {
 		return err
 	}
-	// An engine that has just come back may not listen for a moment.
-	var conn net.Conn
-	for conn == nil {
-		if conn, err = (&net.Dialer{}).DialContext(ctx, "tcp", t.Engine); err != nil {
-			select {
-			case <-ctx.Done():
-				return err
-			case <-time.After(50 * time.Millisecond):
-			}
-		}
-	}
-	defer conn.Close()
+	defer connection.Close()
 	deadline, _ := ctx.Deadline()
-	conn.SetDeadline(deadline)
-	if _, err := conn.Write(request); err != nil {
+	connection.SetDeadline(deadline)
+	if _, err := connection.Write(request); err != nil {
 		return err
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	word := answer.Header.Get(engineapi.HeaderRejected)
-	if t.Role == planapi.Decode {
-		if word != engineapi.RejectedNoReservation {
-			return fmt.Errorf("asked to write from a state that is not there, it answers %s %s",
-				answer.Status, word)
-		}
-		return nil
+	defer response.Body.Close()
+	if trial.Role == planapi.Decode {
+		return checkDecodeResponse(response)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, 1<<16))
-	if err != nil {
+	if err := checkPrefillResponse(response); err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("asked to read, it answers %s %s", answer.Status, word)
+	// If the release is lost, the engine drops the reservation at its own limit.
+	connection.Write(engineapi.Release(trial.Engine, requestID, 0))
+	return nil
+}
+
+// trialRequest is the request of a trial, as it is sent.
+func trialRequest(trial assignment.StartTrial, requestID string) ([]byte, error) {
+	chatRequest, err := chat.ParseRequest([]byte(trialBody), nil)
+	if err != nil {
+		return nil, err
+	}
+	request := engineapi.Request{Chat: chatRequest, ID: requestID}
+	if trial.Role != planapi.Decode {
+		return request.Prefill(trial.Engine, trial.Epoch, 0)
 	}
-	if _, _, err := engineapi.ParsePrefillResponse(body); err != nil {
-		return err
+	host, port, err := net.SplitHostPort(trial.Engine)
+	if err != nil {
+		return nil, err
+	}
+	portNumber, _ := strconv.Atoi(port)
+	return request.Decode(trial.Engine, trial.Epoch, engineapi.KVTransfer{RemotePrefill: true,
+		Engine: requestID + "/none", Host: host, Port: portNumber})
+}
+
+// dialUntilDone connects to an engine. It tries again until the context ends: an engine that has just come back may not
+// listen yet.
+func dialUntilDone(ctx context.Context, engine string) (net.Conn, error) {
+	for {
+		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", engine)
+		if err == nil {
+			return connection, nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-time.After(trialDialInterval):
+		}
 	}
-	// What it holds for the trial is let go of; if this is lost, it drops the state by its own time.
-	if _, err := conn.Write(engineapi.Release(t.Engine, job.ID, 0)); err != nil {
-		return nil
+}
+
+// checkDecodeResponse checks that an engine knows that the reservation does not exist.
+func checkDecodeResponse(response *http.Response) error {
+	rejection := response.Header.Get(engineapi.HeaderRejected)
+	if rejection != engineapi.RejectedNoReservation {
+		return &TrialError{Role: planapi.Decode, Status: response.Status, Rejection: rejection}
 	}
 	return nil
 }
+
+// checkPrefillResponse checks that an engine has answered with a reservation.
+func checkPrefillResponse(response *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxTrialResponseSize))
+	if err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusOK {
+		return &TrialError{Role: planapi.Prefill, Status: response.Status,
+			Rejection: response.Header.Get(engineapi.HeaderRejected)}
+	}
+	_, _, err = engineapi.ParsePrefillResponse(body)
+	return err
+}
