--- a/internal/config/script/argument.go
+++ b/internal/config/script/argument.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
-	"net/netip"
 	"slices"
 	"strings"
 	"time"
 
 	"go.starlark.net/starlark"
+
+	"sandcourse/internal/netaddr"
 )
 
 // maxTextBytes is the most bytes of an argument that is a text.
@@ -42,8 +43,7 @@
 // Address is an argument that is an IP address and a port.
 func Address(name string, target *string) Argument {
 	return text(name, target, func(s string) (string, bool) {
-		address, err := netip.ParseAddrPort(s)
-		return `it must be address:port, such as "127.0.0.1:8080"`, err == nil && address.IsValid()
+		return `it must be address:port, such as "127.0.0.1:8080"`, netaddr.CheckListen(s) == nil
 	})
 }
 
--- /dev/null
+++ b/internal/endpoint/file.go
@@ -0,0 +1,93 @@
+package endpoint
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// defaultPollInterval is a fifth of the shortest drain grace that operators have asked for.
+const defaultPollInterval = 50 * time.Millisecond
+
+// WriteFile replaces the list in the file at path atomically.
+func WriteFile(path string, list List) error {
+	data, err := json.MarshalIndent(list, "", " ")
+	if err != nil {
+		return err
+	}
+	file, err := os.CreateTemp(filepath.Dir(path), ".roster-*")
+	if err != nil {
+		return err
+	}
+	defer os.Remove(file.Name())
+	if _, err := file.Write(append(data, '\n')); err != nil {
+		file.Close()
+		return err
+	}
+	if err := file.Close(); err != nil {
+		return err
+	}
+	return os.Rename(file.Name(), path)
+}
+
+// FileSource is the Source that polls a file.
+type FileSource struct {
+	Path         string
+	PollInterval time.Duration // 0 for 50 ms
+}
+
+// Run implements Source. An error that lasts is reported once.
+func (f FileSource) Run(ctx context.Context, onList func(List), onError func(error)) {
+	interval := f.PollInterval
+	if interval <= 0 {
+		interval = defaultPollInterval
+	}
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	reader := fileReader{path: f.Path, revision: -1}
+	lastError := ""
+	for {
+		list, changed, err := reader.read()
+		switch {
+		case changed:
+			lastError = ""
+			onList(list)
+		case err != nil && err.Error() != lastError:
+			lastError = err.Error()
+			onError(fmt.Errorf("roster %s: %w; the list before stays", f.Path, err))
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// fileReader knows the last valid list of a file.
+type fileReader struct {
+	path     string
+	data     []byte
+	revision int64 // -1 before the first list
+}
+
+// read returns the list of the file if it is valid and differs from the last one that was.
+func (r *fileReader) read() (list List, changed bool, err error) {
+	data, err := os.ReadFile(r.path)
+	if err != nil || bytes.Equal(data, r.data) {
+		return List{}, false, err
+	}
+	list, err = Parse(data)
+	if err == nil && list.Revision < r.revision {
+		err = &RollbackError{list.Revision, r.revision}
+	}
+	if err != nil {
+		return List{}, false, err
+	}
+	r.data, r.revision = data, list.Revision
+	return list, true, nil
+}
