--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -1,6 +1,7 @@
 package catalog
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -10,61 +11,60 @@
 	"sandcourse/internal/endpoint"
 )
 
-func instanceJSON(id int, state string, started int) string {
+func instanceJSON(id int, state lifecycle, startedAtMs int) string {
 	return fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"127.0.1.%d:3000","zone":"a","machineType":"m","cell":3,`+
-		`"lifecycle":%q,"weight":1.0,"startedAtMs":%d}`, id, id+1, state, started)
+		`"lifecycle":%q,"weight":1.0,"startedAtMs":%d}`, id, id+1, state, startedAtMs)
 }
 
-func response(generation int, snapshot bool, instances ...string) []byte {
+func responseJSON(generation int, snapshot bool, instances ...string) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, generation, snapshot, strings.Join(instances, ","))
 }
 
-// However news is told, whole or as changes, late or twice, what is listed is the truth of the last
-// generation heard.
+// Whether a generation comes as a snapshot or as changes, late or twice, the list is that of the last generation received.
 func TestChangesAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth, known, generation := map[int]string{}, &Catalog{}, 1
-		whole := func() []byte {
-			var lines []string
+		truth, catalog, generation := map[int]lifecycle{}, &Catalog{}, 1
+		snapshot := func() []byte {
+			var instances []string
 			for id, state := range truth {
-				lines = append(lines, instanceJSON(id, state, 5))
+				instances = append(instances, instanceJSON(id, state, 5))
 			}
-			return response(generation, true, lines...)
+			return responseJSON(generation, true, instances...)
 		}
-		if _, _, err := known.Apply(whole()); err != nil {
+		if _, err := catalog.Apply(snapshot()); err != nil {
 			t.Fatal(err)
 		}
 		var last []byte
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			generation++
-			var lines []string
+			var instances []string
 			for id := range rapid.IntRange(0, 4).Draw(t, "changes") {
-				state := rapid.SampledFrom([]string{lifecycleServing, lifecycleDraining, lifecycleDeleted}).Draw(t, "state")
-				lines = append(lines, instanceJSON(id, state, 5))
-				if truth[id] = state; state == lifecycleDeleted {
+				state := rapid.SampledFrom([]lifecycle{serving, draining, deleted}).Draw(t, "state")
+				instances = append(instances, instanceJSON(id, state, 5))
+				if truth[id] = state; state == deleted {
 					delete(truth, id)
 				}
 			}
-			told := response(generation, false, lines...)
+			latest := responseJSON(generation, false, instances...)
 			if rapid.IntRange(0, 3).Draw(t, "behind") == 0 {
-				told = whole()
+				latest = snapshot()
 			}
-			for _, a := range [][]byte{told, told, last} { // again, and an old one
-				if a != nil && !strings.Contains(string(a), `"reset":true`) || string(a) == string(told) {
-					if _, odd, err := known.Apply(a); err != nil || len(odd) > 0 {
-						t.Fatal(odd, err)
+			for _, a := range [][]byte{latest, latest, last} { // again, and an old one
+				if a != nil && !strings.Contains(string(a), `"reset":true`) || string(a) == string(latest) {
+					if update, err := catalog.Apply(a); err != nil || len(update.Invalid) > 0 {
+						t.Fatal(update, err)
 					}
 				}
 			}
-			last = told
-			list := known.List()
+			last = latest
+			list := catalog.List()
 			if len(list.Entries) != len(truth) {
 				t.Fatalf("%+v, want %v", list, truth)
 			}
 			for _, e := range list.Entries {
 				var id int
 				fmt.Sscanf(e.ID, "s-%d", &id)
-				if (e.State == endpoint.Draining) != (truth[id] == lifecycleDraining) || e.Address == "" || e.StartedAtMs != 5 {
+				if (e.State == endpoint.Draining) != (truth[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
 					t.Fatalf("%+v, want %s", e, truth[id])
 				}
 			}
@@ -72,25 +72,25 @@
 	})
 }
 
-// One line that makes no sense hides nothing else, and its engine is not sent to.
+// An invalid instance is not listed, and does not hide a change of another one.
 func TestInvalidInstanceHidesNothingElse(t *testing.T) {
 	c := &Catalog{}
-	c.Apply(response(1, true, instanceJSON(0, lifecycleServing, 0), instanceJSON(1, lifecycleServing, 0)))
-	news, odd, err := c.Apply(response(2, false, strings.Replace(instanceJSON(0, lifecycleServing, 0), ":3000", "", 1), instanceJSON(1, lifecycleDraining, 0)))
+	c.Apply(responseJSON(1, true, instanceJSON(0, serving, 0), instanceJSON(1, serving, 0)))
+	update, err := c.Apply(responseJSON(2, false, strings.Replace(instanceJSON(0, serving, 0), ":3000", "", 1), instanceJSON(1, draining, 0)))
 	list := c.List()
-	if err != nil || !news || len(odd) != 1 || len(list.Entries) != 1 || list.Entries[0].State != endpoint.Draining {
-		t.Fatal(list, odd, err)
+	if err != nil || !update.Changed || len(update.Invalid) != 1 || len(list.Entries) != 1 || list.Entries[0].State != endpoint.Draining {
+		t.Fatal(list, update, err)
 	}
 }
 
 func FuzzApply(f *testing.F) {
-	f.Add(response(1, true, instanceJSON(0, lifecycleServing, 0)), response(2, false, instanceJSON(0, lifecycleDeleted, 0)))
+	f.Add(responseJSON(1, true, instanceJSON(0, serving, 0)), responseJSON(2, false, instanceJSON(0, deleted, 0)))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		c := &Catalog{}
 		for _, a := range [][]byte{first, second} {
 			before := fmt.Sprint(c.List())
-			if _, _, err := c.Apply(a); err != nil && fmt.Sprint(c.List()) != before {
-				t.Fatal("a list that is refused changes what is known")
+			if _, err := c.Apply(a); err != nil && fmt.Sprint(c.List()) != before {
+				t.Fatal("a response that is refused changes the list")
 			}
 		}
 		for _, e := range c.List().Entries {
@@ -101,21 +101,34 @@
 	})
 }
 
-// One entry that is not as it should be must not hide the drain of another, whatever is wrong with it.
+// Whatever is wrong with an instance, the drain of another one is applied.
 func TestInvalidInstancesAreLeftOutSingly(t *testing.T) {
 	for _, bad := range []string{`7`, `null`, `"s-1"`, `[]`, `{}`, `{"instanceId":"s-1","weight":"heavy"}`,
 		`{"instanceId":"s-1","hostPort":"127.0.1.1:3000","lifecycle":"SERVING","startedAtMs":"now"}`,
 		`{"instanceId":"s-1","hostPort":7,"lifecycle":"SERVING"}`} {
 		c := &Catalog{}
-		if _, _, err := c.Apply(response(1, true, instanceJSON(1, lifecycleServing, 0), instanceJSON(2, lifecycleServing, 0))); err != nil {
+		if _, err := c.Apply(responseJSON(1, true, instanceJSON(1, serving, 0), instanceJSON(2, serving, 0))); err != nil {
 			t.Fatal(err)
 		}
-		if _, odd, err := c.Apply(response(2, false, bad, instanceJSON(2, lifecycleDraining, 0))); err != nil || len(odd) != 1 {
-			t.Errorf("%s: set aside %q, %v", bad, odd, err)
+		if update, err := c.Apply(responseJSON(2, false, bad, instanceJSON(2, draining, 0))); err != nil || len(update.Invalid) != 1 {
+			t.Errorf("%s: left out %q, %v", bad, update.Invalid, err)
 		}
 		list := c.List().Entries
 		if i := len(list) - 1; i < 0 || list[i].ID != "s-2" || list[i].State != endpoint.Draining {
-			t.Errorf("%s: the drain beside it is not heard: %v", bad, list)
+			t.Errorf("%s: the drain of the other instance is lost: %v", bad, list)
+		}
+	}
+}
+
+func TestRefusedResponses(t *testing.T) {
+	var size *endpoint.SizeError
+	if _, err := new(Catalog).Apply(make([]byte, MaxResponseBytes+1)); !errors.As(err, &size) {
+		t.Errorf("a response over the limit: %v", err)
+	}
+	for body, want := range map[string]error{"{": endpoint.ErrMalformed, "[]": endpoint.ErrMalformed,
+		`{"reset":true}`: ErrNoGeneration, `{"generation":1}`: ErrNoSnapshot} {
+		if _, err := new(Catalog).Apply([]byte(body)); !errors.Is(err, want) {
+			t.Errorf("%s: %v, want %v", body, err, want)
 		}
 	}
 }
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -4,41 +4,42 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/golden"
 )
 
-// What is asked of discovery next, and which engines are known, over a sequence of answers.
+// The next query and the list over a sequence of responses.
 func TestGoldenQueries(t *testing.T) {
 	c := &Catalog{}
 	var out strings.Builder
-	say := func() {
-		fmt.Fprintf(&out, "query %q\n", c.Query(1500))
+	report := func() {
+		fmt.Fprintf(&out, "query %q\n", c.Query(1500*time.Millisecond))
 		for _, e := range c.List().Entries {
 			fmt.Fprintf(&out, "    engine %q host %q type %q zone %q cell %q weight %v draining %v started %d\n", e.ID, e.Address,
 				e.Kind, e.Zone, e.Cell, e.Weight, e.State == endpoint.Draining, e.StartedAtMs)
 		}
 	}
-	say()
+	report()
 	for _, response := range []string{
-		string(response(4, false, instanceJSON(0, lifecycleServing, 5))), // changes before a whole list
+		string(responseJSON(4, false, instanceJSON(0, serving, 5))), // changes before a whole list
 		"{", "[]", `{"reset":true,"instances":[]}`,
-		string(response(5, true, instanceJSON(0, lifecycleServing, 5), instanceJSON(1, lifecycleServing, 6))),
-		string(response(5, false)),
-		string(response(6, false, instanceJSON(1, lifecycleDraining, 6), instanceJSON(2, lifecycleServing, 7))),
-		string(response(6, false, instanceJSON(2, lifecycleDeleted, 7))), // known already
-		string(response(7, false, instanceJSON(0, lifecycleDeleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
+		string(responseJSON(5, true, instanceJSON(0, serving, 5), instanceJSON(1, serving, 6))),
+		string(responseJSON(5, false)),
+		string(responseJSON(6, false, instanceJSON(1, draining, 6), instanceJSON(2, serving, 7))),
+		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // known already
+		string(responseJSON(7, false, instanceJSON(0, deleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
 		`{"generation":8,"reset":false,"instances":[{"instanceId":"s-3","hostPort":"127.0.0.1:1","lifecycle":"SERVING","weight":-1}]}`,
-		string(response(3, false, instanceJSON(4, lifecycleServing, 1))), // a store that was restored
-		string(response(3, true, instanceJSON(4, lifecycleServing, 1))),
+		string(responseJSON(3, false, instanceJSON(4, serving, 1))), // the store was restored
+		string(responseJSON(3, true, instanceJSON(4, serving, 1))),
 		"not JSON",
-		string(response(4, false, instanceJSON(4, lifecycleDraining, 1))),
-		string(response(9, true)),
+		string(responseJSON(4, false, instanceJSON(4, draining, 1))),
+		string(responseJSON(9, true)),
 	} {
-		news, odd, err := c.Apply([]byte(response))
-		fmt.Fprintf(&out, "response %s\n    news %v, left out %q, refused %v\n", response, news, odd, err != nil)
-		say()
+		update, err := c.Apply([]byte(response))
+		fmt.Fprintf(&out, "response %s\n    news %v, left out %q, refused %v\n", response, update.Changed, update.Invalid, err != nil)
+		report()
 	}
 	golden.Check(t, "queries.golden", out.String())
 }
--- a/internal/discovery/discover_test.go
+++ b/internal/discovery/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -24,8 +25,7 @@
 		generation, snapshot, id, state)
 }
 
-// The list known from before, the whole list, a change, an agent that stays silent, and another one in its
-// place.
+// The cached list, a snapshot, a change, an agent that becomes unresponsive, and another one that replaces it.
 func TestClientFollowsAgents(t *testing.T) {
 	lists := make(chan endpoint.List, 8)
 	addresses := make(chan string, 1)
@@ -38,7 +38,7 @@
 		case strings.HasPrefix(query, "index=5&"):
 			fmt.Fprint(w, listJSON(6, false, "a", "DRAINING"))
 		default:
-			<-r.Context().Done() // silent
+			<-r.Context().Done() // unresponsive
 		}
 	})
 	second := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -62,14 +62,14 @@
 				t.Fatalf("%s, want %s", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%s is not heard", want)
+			t.Fatalf("no list %s", want)
 		}
 	}
 	expect("4z ready")
 	addresses <- first
 	expect("5a ready")
 	expect("6a draining")
-	for range 4 { // the silent call is given up and asked again
+	for range 4 { // the request without a response is abandoned and retried
 		if q := <-queries; strings.HasPrefix(q, "index=6&") {
 			break
 		}
@@ -80,7 +80,7 @@
 	<-done
 }
 
-// runClient follows an agent at one address until the test ends; what it takes goes to heard.
+// runClient follows an agent at one address until the test ends; its lists go to the channel.
 func runClient(t *testing.T, address string) (lists chan endpoint.List) {
 	lists = make(chan endpoint.List, 64)
 	addresses := make(chan string, 1)
@@ -100,7 +100,7 @@
 	return lists
 }
 
-// A crowded agent sends its list steadily, and needs longer for it than a call may be held.
+// An overloaded agent sends its list steadily, and needs longer for it than a request may be held back.
 func TestSlowResponseIsAccepted(t *testing.T) {
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
 		if query != "" {
@@ -117,16 +117,16 @@
 	select {
 	case <-runClient(t, address):
 	case <-time.After(8 * time.Second):
-		t.Fatal("a list that comes steadily is never taken")
+		t.Fatal("a list that arrives steadily is never accepted")
 	}
 }
 
-// An answer that stops in its middle is given up soon, and asked for again.
+// A response that stalls in its middle is abandoned soon, and the request is retried.
 func TestStalledResponseIsRetried(t *testing.T) {
-	var calls atomic.Int64
+	var requests atomic.Int64
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
 		response := listJSON(5, true, "a", "SERVING")
-		if calls.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			fmt.Fprint(w, response[:20])
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
@@ -137,12 +137,12 @@
 	select {
 	case <-runClient(t, address):
 	case <-time.After(4 * time.Second):
-		t.Fatal("a list that stopped is not asked for again in time")
+		t.Fatal("the request is not retried in time")
 	}
 }
 
-// An agent that answers at once with nothing new must not be asked without a pause, whether it sends no changes, the same
-// whole list again, or changes of a generation that has gone back.
+// An agent that responds at once with nothing new gets no requests without a pause, whether it sends no changes, the same
+// snapshot again, or changes of a generation that has gone back.
 func TestResponsesWithoutChangesAreRateLimited(t *testing.T) {
 	for name, response := range map[string]string{
 		"nothing":        `{"generation":5,"reset":false,"instances":[]}`,
@@ -150,9 +150,9 @@
 		"an older state": `{"generation":3,"reset":false,"instances":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var calls atomic.Int64
+			var requests atomic.Int64
 			address := startAgent(t, func(query string, w http.ResponseWriter, _ *http.Request) {
-				calls.Add(1)
+				requests.Add(1)
 				if query == "" {
 					fmt.Fprint(w, listJSON(5, true, "a", "SERVING"))
 					return
@@ -161,15 +161,15 @@
 			})
 			<-runClient(t, address)
 			const observed = time.Second
-			time.Sleep(observed) // what is counted is calls in a time
-			if most := 3 * int64(observed/minCallInterval); calls.Load() > most {
-				t.Errorf("%d calls in %v, at most %d are fine", calls.Load(), observed, most)
+			time.Sleep(observed) // requests in this time are counted
+			if most := 3 * int64(observed/minRequestInterval); requests.Load() > most {
+				t.Errorf("%d requests in %v, at most %d are allowed", requests.Load(), observed, most)
 			}
 		})
 	}
 }
 
-// The store of discovery was restored: its generation has gone back, and what it holds now counts.
+// The store of discovery was restored: its generation has gone back, and its present list is valid.
 func TestGenerationRollback(t *testing.T) {
 	var restored atomic.Bool
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -193,7 +193,44 @@
 				return
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("the list of the restored store is never taken")
+			t.Fatal("the list of the restored store is never accepted")
 		}
 	}
 }
+
+// Errors are typed, the errors of an agent say which one it was, and one that lasts is reported once.
+func TestErrors(t *testing.T) {
+	address := startAgent(t, func(query string, w http.ResponseWriter, _ *http.Request) {
+		if query == "" {
+			fmt.Fprint(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"a"}]}`)
+			return
+		}
+		http.Error(w, "overloaded", http.StatusServiceUnavailable)
+	})
+	addresses := make(chan string, 1)
+	addresses <- address
+	errs := make(chan error, 64)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		Client{Addresses: addresses, Cached: []byte("{")}.Run(ctx, func(endpoint.List) {}, func(err error) { errs <- err })
+	}()
+	if err := <-errs; !errors.Is(err, endpoint.ErrMalformed) {
+		t.Errorf("a malformed cached list: %v", err)
+	}
+	var invalid *InvalidInstancesError
+	if err := <-errs; !errors.As(err, &invalid) || len(invalid.IDs) != 1 || invalid.IDs[0] != "a" {
+		t.Errorf("an invalid instance: %v", err)
+	}
+	var status *StatusError
+	if err := <-errs; !errors.As(err, &status) || !strings.Contains(err.Error(), address) {
+		t.Errorf("an overloaded agent: %v", err)
+	}
+	time.Sleep(3 * minRequestInterval)
+	cancel()
+	<-done
+	if len(errs) > 0 {
+		t.Errorf("reported again: %v", <-errs)
+	}
+}
--- /dev/null
+++ b/internal/discovery/fetch.go
@@ -0,0 +1,68 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"sandcourse/internal/discovery/catalog"
+)
+
+const (
+	// responseGrace is how long after the wait the response of a working agent may begin.
+	responseGrace = 400 * time.Millisecond
+
+	// bodyIdleTimeout is how long a response that has begun may bring nothing, and responseTimeout bounds it in all: an
+	// overloaded agent takes its time for a long list.
+	bodyIdleTimeout = time.Second
+	responseTimeout = 30 * time.Second
+)
+
+// StatusError reports a response with a status other than 200.
+type StatusError struct {
+	Status string // with its number, such as "503 Service Unavailable"
+}
+
+func (e *StatusError) Error() string { return "it answers " + e.Status }
+
+// fetch makes one request. The agent has the time of the watch to begin its response; after that the response may take
+// longer, as long as it goes on.
+func fetch(ctx context.Context, client *http.Client, url string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
+	defer cancel()
+	idleTimer := time.AfterFunc(watchWait+responseGrace, cancel)
+	defer idleTimer.Stop()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	idleTimer.Reset(bodyIdleTimeout)
+	body, err := io.ReadAll(io.LimitReader(progressReader{response.Body, idleTimer}, catalog.MaxResponseBytes+1))
+	switch {
+	case err != nil:
+		return nil, err
+	case response.StatusCode != http.StatusOK:
+		return nil, &StatusError{response.Status}
+	}
+	return body, nil
+}
+
+// progressReader restarts the idle timer at each read that brings something.
+type progressReader struct {
+	source    io.Reader
+	idleTimer *time.Timer
+}
+
+func (r progressReader) Read(into []byte) (int, error) {
+	n, err := r.source.Read(into)
+	if n > 0 {
+		r.idleTimer.Reset(bodyIdleTimeout)
+	}
+	return n, err
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/golden"
 )
 
-// goldenAgent answers the requests that come to it in order, byte for byte, and passes each request on as it came.
+// goldenAgent sends the responses in order, byte for byte, and passes on each request as it came.
 func goldenAgent(t *testing.T, responses []string) (address string, requests chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 					select {
 					case response := <-next:
 						fmt.Fprint(c, response)
-					default: // silent behind the last
+					default: // unresponsive after the last one
 					}
 				}
 			}()
@@ -59,7 +59,7 @@
 	return l.Addr().String(), requests
 }
 
-// What goes to discovery over a sequence of its answers, to the byte.
+// The bytes of the requests to discovery over a sequence of its responses.
 func TestGoldenRequests(t *testing.T) {
 	response := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -67,14 +67,14 @@
 	const ok = "200 OK"
 	responses := []string{
 		response("503 Service Unavailable", "not yet"),
-		response(ok, listJSON(4, false, "a", "SERVING")), // changes before a whole list
+		response(ok, listJSON(4, false, "a", "SERVING")), // changes before a snapshot
 		response(ok, listJSON(5, true, "a", "SERVING")),
 		response(ok, listJSON(6, false, "a", "DRAINING")),
 		response(ok, `{"generation":6,"reset":false,"instances":[]}`),
 		response(ok, "{"),
 		response("500 Internal Server Error", ""),
 		response(ok, listJSON(7, false, "b", "SERVING")),
-		"", // silent until the time is up
+		"", // none until the deadline
 		response(ok, listJSON(3, false, "a", "DELETED")), // a store that was restored
 		response(ok, listJSON(3, true, "c", "SERVING")),
 		response(ok, listJSON(4, false, "c", "DELETED")),
@@ -99,7 +99,7 @@
 				}
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("request %d does not come", i+1)
+			t.Fatalf("request %d is not sent", i+1)
 		}
 		if i < len(responses) {
 			fmt.Fprintf(&out, "response %q\n", responses[i])
