--- a/internal/config/params/report.go
+++ b/internal/config/params/report.go
@@ -1,17 +1,30 @@
 package params
 
-// reportNames maps the wire's names of load figures to this program's.
-var reportNames = map[string]string{"x0": "memory_share", "x1": "waiting_thousand_tokens", "active": "open",
-	"avg_ms": "recent_lag_ms"}
+import (
+	"time"
 
-// LoadReport gives the figures of a load report this program's names.
-func LoadReport(telemetry map[string]float64) map[string]float64 {
-	out := map[string]float64{}
-	for name, v := range telemetry {
-		if known, ok := reportNames[name]; ok {
-			name = known
-		}
-		out[name] = v
+	"sandcourse/internal/routing"
+)
+
+// The wire's names of the figures in a load report.
+const (
+	fieldMemoryShare   = "x0"
+	fieldQueuedTokens  = "x1" // in thousands
+	fieldOpenRequests  = "active"
+	fieldRecentLatency = "avg_ms"
+)
+
+// LoadReport reads the figures of a load report; nil if there are none.
+func LoadReport(telemetry map[string]float64) *routing.LoadReport {
+	if len(telemetry) == 0 {
+		return nil
+	}
+	report := routing.LoadReport{MemoryShare: telemetry[fieldMemoryShare], QueuedWork: telemetry[fieldOpenRequests]}
+	if queued, ok := telemetry[fieldQueuedTokens]; ok {
+		report.QueuedWork = queued
+	}
+	if latency, ok := telemetry[fieldRecentLatency]; ok {
+		report.RecentLatency, report.HasRecentLatency = time.Duration(latency*float64(time.Millisecond)), true
 	}
-	return out
+	return &report
 }
--- a/internal/protocol/chatapi/chatline.go
+++ b/internal/protocol/chatapi/chatline.go
@@ -16,6 +16,7 @@
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
+	"sandcourse/internal/routing"
 )
 
 // Codec is the chat API's.
@@ -166,11 +167,11 @@
 	return t, cachedTokens, err
 }
 
-func (*Codec) ParseLoadReport(head *http.Response, _ []byte) map[string]float64 {
+func (*Codec) ParseLoadReport(head *http.Response, _ []byte) *routing.LoadReport {
 	return engineapi.ParseLoadReport(head.Header)
 }
 
-func (*Codec) ParseLoadComment([]byte) map[string]float64 { return nil }
+func (*Codec) ParseLoadComment([]byte) *routing.LoadReport { return nil }
 
 // MixedEnginePrefillsOnDecode is false: an engine is told in the call whether it is to read or to answer.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return false }
--- a/internal/protocol/dialect.go
+++ b/internal/protocol/dialect.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/routing"
 )
 
 // Request is one inference as its client asks for it, whatever the protocol.
@@ -88,9 +89,9 @@
 	// Held reads a reader's whole answer: what it holds, and how many tokens it had kept.
 	ParseReservation(body []byte) (ReservationHandle, int, error)
 	// Load reads the load report that came with an answer; body is only given for a probe's. Nil for none.
-	ParseLoadReport(head *http.Response, body []byte) map[string]float64
+	ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport
 	// Comment reads a comment line of a stream, which may be a load report too.
-	ParseLoadComment(line []byte) map[string]float64
+	ParseLoadComment(line []byte) *routing.LoadReport
 	// Last is whether an event ends its stream and is not passed on.
 	IsFinalEvent(event []byte) bool
 	// Cut says what the end of a stream's framing means where no event has ended it, and why.
--- a/internal/protocol/engineapi/engine.go
+++ b/internal/protocol/engineapi/engine.go
@@ -12,6 +12,7 @@
 
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/routing"
 )
 
 // Paths and headers. Those that begin with X-Sandcourse or /sandcourse are extensions.
@@ -140,21 +141,21 @@
 	return *response.Transfer, max(0, response.Usage.Details.Cached), nil
 }
 
-// ParseLoadReport reads an engine's load as the module names its parts; what is missing or no sane figure is left out,
-// so that an engine that lies in this way is only unheard of.
-func ParseLoadReport(header http.Header) map[string]float64 {
-	report := map[string]float64{}
-	for _, field := range []struct {
-		header, name string
-		most         float64
-	}{{HeaderMemoryShare, "memory_share", 4}, {HeaderWaitingTokens, "waiting_thousand_tokens", 1e6}, {HeaderOpenRequests, "open", 1e6}} {
-		if v, err := strconv.ParseFloat(header.Get(field.header), 64); err == nil && v >= 0 && v <= field.most {
-			report[field.name] = v
-		}
-	}
-	// One without the other would be taken for zero.
-	if len(report) != 3 {
+// ParseLoadReport reads an engine's load. If a figure is missing or out of range there is no report: with a part of the
+// figures, the rest would be taken for zero.
+func ParseLoadReport(header http.Header) *routing.LoadReport {
+	const maxMemoryShare, maxWork = 4, 1e6
+	memoryShare, hasMemory := parseFigure(header, HeaderMemoryShare, maxMemoryShare)
+	waiting, hasWaiting := parseFigure(header, HeaderWaitingTokens, maxWork)
+	_, hasOpen := parseFigure(header, HeaderOpenRequests, maxWork)
+	if !hasMemory || !hasWaiting || !hasOpen {
 		return nil
 	}
-	return report
+	return &routing.LoadReport{MemoryShare: memoryShare, QueuedWork: waiting}
+}
+
+// parseFigure reads a header's number, if it is one from 0 to limit.
+func parseFigure(header http.Header, name string, limit float64) (v float64, ok bool) {
+	v, err := strconv.ParseFloat(header.Get(name), 64)
+	return v, err == nil && v >= 0 && v <= limit
 }
--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -19,6 +19,7 @@
 	"sandcourse/internal/config/params"
 	"sandcourse/internal/protocol"
 	"sandcourse/internal/protocol/chat"
+	"sandcourse/internal/routing"
 )
 
 // The paths and headers of the protocol.
@@ -291,14 +292,14 @@
 	return reservationByRequestID{}, *response.Kept, nil
 }
 
-func (d *Codec) ParseLoadReport(head *http.Response, body []byte) map[string]float64 {
+func (d *Codec) ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport {
 	if report := d.parseReportText(head.Header.Get(HeaderLoadReport)); report != nil {
 		return report
 	}
 	return d.parseReportText(string(body))
 }
 
-func (d *Codec) ParseLoadComment(line []byte) map[string]float64 {
+func (d *Codec) ParseLoadComment(line []byte) *routing.LoadReport {
 	name, value, _ := strings.Cut(string(line), ":")
 	if !strings.EqualFold(strings.TrimSpace(name), HeaderLoadReport) {
 		return nil
@@ -308,7 +309,7 @@
 
 // parseReportText reads a load report. One that lacks a field or has one that is no sane figure is left out whole, so
 // that an engine that lies in this way is only unheard of.
-func (d *Codec) parseReportText(text string) map[string]float64 {
+func (d *Codec) parseReportText(text string) *routing.LoadReport {
 	const maxBytes = 1024
 	text = strings.TrimSpace(text)
 	if len(d.reportFields) == 0 || text == "" || len(text) > maxBytes {
--- a/internal/protocol/platform/platform_test.go
+++ b/internal/protocol/platform/platform_test.go
@@ -124,7 +124,7 @@
 		"TEXT x0=0.5, x1=nan": false, "TEXT x0=0.5, x1=-1": false, "TEXT x0=0.5, x1=inf": false, "{": false, "": false,
 		"TEXT x0=0.5, x1": false, strings.Repeat("x0=1,", 1000) + "x1=1": false} {
 		got := d.ParseLoadComment([]byte(" Server-Load: " + text))
-		if (got != nil) != sane || sane && (got["memory_share"] != 0.5 || got["waiting_thousand_tokens"] != 2) {
+		if (got != nil) != sane || sane && *got != (routing.LoadReport{MemoryShare: 0.5, QueuedWork: 2}) {
 			t.Errorf("%.40q: %v", text, got)
 		}
 	}
@@ -188,7 +188,11 @@
 		if _, kept, err := d.ParseReservation([]byte(body)); err == nil && kept < 0 {
 			t.Fatal(kept)
 		}
-		for _, v := range d.ParseLoadReport(&http.Response{Header: http.Header{HeaderLoadReport: {load}}}, []byte(body)) {
+		r := d.ParseLoadReport(&http.Response{Header: http.Header{HeaderLoadReport: {load}}}, []byte(body))
+		if r == nil {
+			return
+		}
+		for _, v := range []float64{r.MemoryShare, r.QueuedWork, r.RecentLatency.Seconds() * 1e3} {
 			if !(v >= 0 && v <= 1e9) {
 				t.Fatal(v)
 			}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -27,7 +27,7 @@
 	relay         Relay // of its stream, if it has one
 	cachedTokens  float64
 	transfer      protocol.ReservationHandle
-	loadReport    map[string]float64
+	loadReport    *routing.LoadReport
 	verdict       routing.Verdict
 	ended         bool
 	stale         bool // its line had been given up by the other side before it was written to
@@ -144,14 +144,12 @@
 		}
 	}
 	r.reportAttempt(att)
-	note := 0.0
 	if result.Verdict == routing.PrefillDone {
-		note, req.transfer = att.cachedTokens, att.transfer
+		req.transfer = att.transfer
 	}
 	r.recordReservation(att, event, result)
 	if result.ReservationMissing {
 		// The writer could not fetch it. Its reader may still hold it, unheard, and nobody will ask for it again.
-		note = 1
 		r.releaseReservations(req)
 	}
 	if att.machine.FirstTokenReceived {
@@ -164,7 +162,8 @@
 		r.finishRequest(req, outcomeCompleted, "") // an answer without a token
 	}
 	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: r.now - att.startedAt,
-		RequestEnded: req.outcome != "", Note: note, Report: att.loadReport, StaleConnection: att.stale})
+		RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
+		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.stale})
 	// What came after the end is let go of here too: a read whose inference nobody waits for.
 	if req.outcome != "" {
 		r.releaseReservations(req)
--- a/internal/routing/api.go
+++ b/internal/routing/api.go
@@ -2,6 +2,8 @@
 // the time go in through Step, effects come out.
 package routing
 
+import "time"
+
 // Event is one of the types below that say so.
 type Event interface{ isEvent() }
 
@@ -56,8 +58,15 @@
 	PrefillDone
 )
 
-// Outcome ends a send. Note carries kept prompt tokens on ReadDone and Completed; on Full, 1 says that the
-// state is gone.
+// LoadReport is what an engine reports of its load. It counts the requests of all nodes.
+type LoadReport struct {
+	MemoryShare      float64
+	QueuedWork       float64 // thousands of tokens to prefill, or open requests where an engine reports no tokens
+	RecentLatency    time.Duration
+	HasRecentLatency bool
+}
+
+// Outcome is the end of an attempt.
 type Outcome struct {
 	RequestID       int64
 	Attempt         int
@@ -65,8 +74,9 @@
 	Verdict         Verdict
 	Latency         int64
 	RequestEnded    bool
-	Note            float64
-	Report          map[string]float64
+	CachedTokens    float64 // prompt tokens that a prefill engine found in its cache
+	ReservationLost bool    // with Full: the prefill engine holds nothing for the request any more
+	Report          *LoadReport
 	StaleConnection bool // a kept connection broke as it was used again: it may have run, but tells nothing of the engine
 }
 
@@ -81,7 +91,7 @@
 	Engine  string
 	Verdict Verdict
 	Latency int64
-	Report  map[string]float64
+	Report  *LoadReport
 }
 
 // GossipReceived came from another node.
--- a/internal/routing/brain.go
+++ b/internal/routing/brain.go
@@ -92,7 +92,7 @@
 		event = prefillDone
 	case !s.decode:
 		event = prefillFailed
-	case o.Verdict == Full && o.Note == 1:
+	case o.Verdict == Full && o.ReservationLost:
 		event = reservationLost
 	case s.neverRan:
 		event = decodeNotStarted
@@ -739,10 +739,10 @@
 	case Completed:
 		e.suspect, e.healthyAt = false, p.now // a stream to its end is a sign of health too
 	case PrefillDone:
-		p.recordCached(req, s.engine, o.Note)
+		p.recordCached(req, s.engine, o.CachedTokens)
 		p.recordLatency(e, o.Latency, s.sentAt)
 		// Half a thousand tokens: less work than that says more of the way than of the engine.
-		if work := s.queuedWork - 1 + (req.PromptTokens-o.Note)/1000; s.queuedWork > 0 && work > 0.5 {
+		if work := s.queuedWork - 1 + (req.PromptTokens-o.CachedTokens)/1000; s.queuedWork > 0 && work > 0.5 {
 			e.latencyPerWork = appendBounded(e.latencyPerWork, int64(float64(o.Latency)/work), 5)
 		}
 		if s.queuedWork > 0 {
--- a/internal/routing/help.go
+++ b/internal/routing/help.go
@@ -235,19 +235,14 @@
 	p.cached[cacheKey{true, session, prefillEngine}] = cacheEntry{tokens, p.now}
 }
 
-// recordReport keeps an engine's load as it counts all nodes' sends: thousands of tokens to read, else
-// inferences.
-func (p *Policy) recordReport(e *engine, report map[string]float64) {
-	if e == nil || len(report) == 0 {
+// recordReport notes an engine's load.
+func (p *Policy) recordReport(e *engine, report *LoadReport) {
+	if e == nil || report == nil {
 		return
 	}
-	e.memoryShare, e.reportedAt, p.countedLoads = report["memory_share"], p.now, nil
-	if latency, ok := report["recent_lag_ms"]; ok {
-		e.latencySamples = appendBounded(e.latencySamples, sample{p.now, int64(latency * float64(time.Millisecond))}, 64)
-	}
-	e.queuedWork = report["open"]
-	if w, ok := report["waiting_thousand_tokens"]; ok {
-		e.queuedWork = w
+	e.memoryShare, e.queuedWork, e.reportedAt, p.countedLoads = report.MemoryShare, report.QueuedWork, p.now, nil
+	if report.HasRecentLatency {
+		e.latencySamples = appendBounded(e.latencySamples, sample{p.now, int64(report.RecentLatency)}, 64)
 	}
 }
 
--- a/internal/routing/plain_test.go
+++ b/internal/routing/plain_test.go
@@ -213,7 +213,7 @@
 	_, decodeEngine := n.serve(1, "s")
 	n.serve(2, "s")
 	n.step(5, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true,
-		Report: map[string]float64{"memory_share": 1.2}})
+		Report: &LoadReport{MemoryShare: 1.2}})
 	if _, w := n.serve(3, "s"); w == decodeEngine {
 		t.Fatalf("sent to %s, which is full", w)
 	}
@@ -290,9 +290,9 @@
 	n.policy.recentLatencyPerWork = []int64{100 * ms}
 	to := ""
 	for _, id := range asked {
-		load := map[string]float64{"waiting_thousand_tokens": 1}
+		load := &LoadReport{QueuedWork: 1}
 		if id == home {
-			load["waiting_thousand_tokens"] = 50
+			load.QueuedWork = 50
 		}
 		to = n.step(1, HealthCheckResult{Engine: id, Verdict: Completed, Report: load})
 	}
@@ -308,7 +308,7 @@
 		n.step(0, EndpointUpdate{Engines: []Endpoint{{Engine: "w1", Weight: 1, Kind: 1, Cell: 1, Ready: true}}})
 		prefillEngine := n.arrive(1, 0, "s")
 		for id, memory := range map[string]float64{"w0": share, "w1": 0.1} {
-			n.policy.recordReport(n.policy.engines[id], map[string]float64{"memory_share": memory})
+			n.policy.recordReport(n.policy.engines[id], &LoadReport{MemoryShare: memory})
 		}
 		if w := n.prefill(20, 1, prefillEngine); (w == "w0") != (share < 0.5) {
 			t.Fatalf("sent to %s with the near writer's memory held to %.2f", w, share)
@@ -536,9 +536,9 @@
 		to := ""
 		for _, e := range n.actions {
 			if p, ok := e.(HealthCheck); ok {
-				load := map[string]float64{"waiting_thousand_tokens": at.other}
+				load := &LoadReport{QueuedWork: at.other}
 				if p.Engine == home {
-					load["waiting_thousand_tokens"] = at.home
+					load.QueuedWork = at.home
 				}
 				if sent := n.step(1, HealthCheckResult{Engine: p.Engine, Verdict: Completed, Report: load}); sent != "" {
 					to = sent
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -235,10 +235,10 @@
 	switch o.Verdict {
 	case Full:
 		if a.decode[n] && rapid.Bool().Draw(w.t, "gone") {
-			o.Note, a.reserved = 1, false
+			o.ReservationLost, a.reserved = true, false
 		}
 	case PrefillDone:
-		a.reserved, o.Note = true, rapid.SampledFrom([]float64{0, 1500}).Draw(w.t, "kept")
+		a.reserved, o.CachedTokens = true, rapid.SampledFrom([]float64{0, 1500}).Draw(w.t, "kept")
 	case EngineError, TimedOut, ConnectionLost, Canceled:
 		a.ran[n] = a.decode[n]
 	}
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -155,7 +155,7 @@
 		ev.Payload = routing.ClientDisconnected{RequestID: r.RequestID}
 	case "response":
 		ev.Payload = routing.Outcome{RequestID: r.RequestID, Attempt: r.Attempt, Engine: r.Engine, Verdict: verdict,
-			Latency: r.Latency * 1000, RequestEnded: r.Ended, Note: r.Note, Report: params.LoadReport(r.LoadReport)}
+			Latency: r.Latency * 1000, RequestEnded: r.Ended, CachedTokens: r.Note, ReservationLost: verdict == routing.Full && r.Note == 1, Report: params.LoadReport(r.LoadReport)}
 	case "flowing":
 		ev.Payload = routing.FirstToken{RequestID: r.RequestID, Attempt: r.Attempt, Engine: r.Engine, Latency: r.Latency * 1000}
 	case "ring":
