--- a/internal/planner/planapi/golden_test.go
+++ b/internal/planner/planapi/golden_test.go
@@ -4,19 +4,20 @@
 	"encoding/json"
 	"fmt"
 	"reflect"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
+
+	"sandcourse/internal/golden"
 )
 
-// parser is how a message of one kind is read, as its value.
+// parser parses a message of one kind.
 type parser func([]byte) (any, error)
 
-func parserOf[T any](read func([]byte) (T, error)) parser {
-	return func(data []byte) (any, error) { return read(data) }
+func parserOf[T any](parse func([]byte) (T, error)) parser {
+	return func(data []byte) (any, error) { return parse(data) }
 }
 
-// Each message has these bytes, with all its fields and with the fewest, and reads back as what it was.
+// Each message has these bytes, with all its fields and with the fewest, and parses as what it was.
 func TestGoldenMessages(t *testing.T) {
 	plans, engines, edges, roleOrders, orders := parserOf(ParsePlan), parserOf(ParseEngineReport), parserOf(ParseEdgeReport),
 		parserOf(ParseRoleOrder), parserOf(ParseOrder)
@@ -24,7 +25,7 @@
 	for _, c := range []struct {
 		what  string
 		value any
-		read  parser
+		parse parser
 	}{
 		{"plan", Plan{Term: 8, Number: 42, Engines: []Engine{{Engine: "10.0.0.1:8000", Kind: "prefill", Zone: "a", Cell: "c1",
 			Weight: 1.5, State: "ready", Epoch: 3, UptimeMillis: 5}, {Engine: "10.0.0.2:8000", Kind: "decode", State: "draining"}}}, plans},
@@ -50,28 +51,45 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n%s\n", c.what, data)
-		if back, err := c.read(data); err != nil || !reflect.DeepEqual(back, c.value) {
+		if back, err := c.parse(data); err != nil || !reflect.DeepEqual(back, c.value) {
 			again, _ := json.Marshal(back)
-			t.Errorf("%s: %v: %s is read as %s", c.what, err, data, again)
+			t.Errorf("%s: %v: %s is parsed as %s", c.what, err, data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", b.String())
 }
 
-// The paths at which messages are taken, and the words that go with them.
+// The paths of messages, and the constants that go with them.
 func TestGoldenPaths(t *testing.T) {
 	golden.Check(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
 		"order " + OrderPath, "role " + RolePath, "trial " + TrialPrefix, "read " + Prefill, "write " + Decode,
 		"ops " + strings.Join(Operations, " "), fmt.Sprintf("most bytes of a plan %d, of a report %d", MaxPlanBytes, MaxReportBytes)}, "\n")+"\n")
 }
 
-// Each message that is refused, with the words of the refusal.
-func TestGoldenRefusals(t *testing.T) {
+// rejection is a message that is rejected, and its parser.
+type rejection struct {
+	text  string
+	parse parser
+}
+
+// rejections are the errors of messages, each under the message that it is of.
+func rejections(t *testing.T, messages []rejection) string {
+	t.Helper()
 	var b strings.Builder
-	for _, c := range []struct {
-		text string
-		read parser
-	}{
+	for _, m := range messages {
+		_, err := m.parse([]byte(m.text))
+		if err == nil {
+			t.Errorf("%s is accepted", m.text)
+			continue
+		}
+		fmt.Fprintf(&b, "%.120s\n\t%v\n", m.text, err)
+	}
+	return b.String()
+}
+
+// Messages that are rejected, with the texts of their errors.
+func TestGoldenRefusals(t *testing.T) {
+	golden.Check(t, "refusals.golden", rejections(t, []rejection{
 		{``, parserOf(ParsePlan)}, {`{"term":1,"number":1,"engines":[]`, parserOf(ParsePlan)},
 		{`{"number":1,"engines":[]}`, parserOf(ParsePlan)}, {`{"term":1,"number":1}`, parserOf(ParsePlan)},
 		{`{"term":1,"number":1,"engines":[]}{}`, parserOf(ParsePlan)},
@@ -86,13 +104,19 @@
 		{`{"op":"dance"}`, parserOf(ParseOrder)}, {`{"op":"pin"}`, parserOf(ParseOrder)},
 		{`{"op":"stop","engine":"10.0.0.1:1"}`, parserOf(ParseOrder)},
 		{`{"op":"stop","who":"` + strings.Repeat("w", 257) + `"}`, parserOf(ParseOrder)},
-	} {
-		_, err := c.read([]byte(c.text))
-		if err == nil {
-			t.Errorf("%s is taken", c.text)
-			continue
-		}
-		fmt.Fprintf(&b, "%.120s\n\t%v\n", c.text, err)
-	}
-	golden.Check(t, "refusals.golden", b.String())
+	}))
+}
+
+// A message with a value of another type is rejected with these texts, which operators and edges are sent.
+func TestGoldenTypeMismatches(t *testing.T) {
+	golden.Check(t, "type-mismatches.golden", rejections(t, []rejection{
+		{`{"term":"1"}`, parserOf(ParsePlan)}, {`{"engines":[{"engine":1}]}`, parserOf(ParsePlan)},
+		{`{"engines":[{"state":1}]}`, parserOf(ParsePlan)}, {`{"engines":[{"up_for_ms":1.5}]}`, parserOf(ParsePlan)},
+		{`{"role":1}`, parserOf(ParseEngineReport)}, {`{"life":"x"}`, parserOf(ParseEngineReport)},
+		{`{"hot":[]}`, parserOf(ParseEngineReport)}, {`{"edge":1}`, parserOf(ParseEdgeReport)},
+		{`{"routes":[{"route":1}]}`, parserOf(ParseEdgeReport)},
+		{`{"routes":[{"shed":"1"}]}`, parserOf(ParseEdgeReport)}, {`{"role":1}`, parserOf(ParseRoleOrder)},
+		{`{"drain":1}`, parserOf(ParseRoleOrder)}, {`{"op":1}`, parserOf(ParseOrder)}, {`{"why":[]}`, parserOf(ParseOrder)},
+		{`{"dry":"yes"}`, parserOf(ParseOrder)},
+	}))
 }
--- /dev/null
+++ b/internal/planner/planapi/orders.go
@@ -0,0 +1,76 @@
+package planapi
+
+// RoleOrder is an order of a planner to an engine. An engine follows the latest term and epoch only. In its present epoch
+// it starts and ends drains; a higher epoch makes it change to the role named.
+type RoleOrder struct {
+	Term  int64  `json:"term"`
+	Epoch int64  `json:"epoch"`
+	Role  string `json:"role"`
+	Drain bool   `json:"drain"`
+}
+
+// Order is an order of an operator.
+type Order struct {
+	Operation string `json:"op"`               // one of Operations
+	Engine    string `json:"engine,omitempty"` // for operations on one engine
+	Operator  string `json:"who"`
+	Reason    string `json:"why"`
+	DryRun    bool   `json:"dry,omitempty"` // report only what would be done
+}
+
+// Operations of an operator's order.
+const (
+	OperationPin     = "pin"     // an engine keeps its role
+	OperationUnpin   = "unpin"   // an engine's role may change again
+	OperationMove    = "move"    // an engine changes to its other role
+	OperationReadmit = "readmit" // an engine that was set aside serves again
+	OperationStop    = "stop"    // the planner starts no role change by itself
+	OperationGo      = "go"      // the planner starts role changes again
+)
+
+// Operations are all operations.
+var Operations = []string{OperationPin, OperationUnpin, OperationMove, OperationReadmit, OperationStop, OperationGo}
+
+const (
+	maxRoleOrderBytes = 1 << 12
+	maxOrderBytes     = 1 << 14
+	maxOperatorBytes  = 256
+	maxReasonBytes    = 1024
+)
+
+// needsEngine is whether an operation is on one engine; known is false if there is no such operation.
+func needsEngine(operation string) (needs, known bool) {
+	switch operation {
+	case OperationPin, OperationUnpin, OperationMove, OperationReadmit:
+		return true, true
+	case OperationStop, OperationGo:
+		return false, true
+	}
+	return false, false
+}
+
+// ParseRoleOrder parses and checks an order to an engine.
+func ParseRoleOrder(data []byte) (RoleOrder, error) {
+	return parse(MessageOrder, data, maxRoleOrderBytes, func(o RoleOrder) error {
+		if !isRole(o.Role) || o.Epoch < 0 || o.Term < 1 {
+			return invalid("role %q, epoch %d, term %d", o.Role, o.Epoch, o.Term)
+		}
+		return nil
+	})
+}
+
+// ParseOrder parses and checks an operator's order.
+func ParseOrder(data []byte) (Order, error) {
+	return parse(MessageOrder, data, maxOrderBytes, func(o Order) error {
+		needs, known := needsEngine(o.Operation)
+		switch {
+		case !known:
+			return invalid("op is one of %v, not %q", Operations, o.Operation)
+		case needs != (o.Engine != ""):
+			return invalid("%s with engine %q", o.Operation, o.Engine)
+		case len(o.Operator) > maxOperatorBytes || len(o.Reason) > maxReasonBytes:
+			return invalid("who has at most %d bytes, why %d", maxOperatorBytes, maxReasonBytes)
+		}
+		return nil
+	})
+}
--- a/internal/planner/planapi/planwire_test.go
+++ b/internal/planner/planapi/parse_test.go
@@ -14,7 +14,7 @@
 		{Engine: "10.0.0.2:80", Kind: "decode", State: "draining"}}}
 }
 
-// A plan that is cut at any byte is told, never taken for a shorter one; whole, it is what was sent.
+// A plan that is truncated at any byte is rejected, never taken for a shorter one; complete, it is what was sent.
 func TestTruncatedPlanIsRejected(t *testing.T) {
 	data, _ := json.Marshal(samplePlan())
 	for i := range data {
@@ -25,13 +25,13 @@
 	if p, err := ParsePlan(append(data, '\n')); err != nil || !reflect.DeepEqual(p, samplePlan()) {
 		t.Errorf("%+v %v", p, err)
 	}
-	// One version later may say more.
+	// A later version may add fields.
 	if _, err := ParsePlan([]byte(`{"term":1,"number":1,"engines":[],"leases":{"a":1}}`)); err != nil {
 		t.Error(err)
 	}
 }
 
-// Whatever the bytes, the readers return and what they let through is within bounds.
+// Whatever the bytes, the parsers return, and what they accept is in range.
 func TestParsersReturnOnlyValuesInRange(t *testing.T) {
 	bases := []any{samplePlan(), EngineReport{Role: Prefill, Epoch: 1}, EdgeReport{Edge: "e",
 		Routes: []RouteCount{{Route: "a", Arrived: 1}}},
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -15,14 +15,14 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// An edge takes a planner's stream and answers with its counts: what it asks for, what it takes from lines with these bytes,
-// and what it posts. A line of an older number, an empty one and unknown fields stand between.
+// A client follows a planner's stream and sends its edge's reports: what it requests, the lists that it makes of lines with
+// these bytes, and what it posts. An empty line, a plan of the same number and unknown fields stand between.
 func TestGoldenEdgeAndPlanner(t *testing.T) {
 	const stream = `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode","state":"draining"}]}` +
 		"\n\n" + `{"term":8,"number":42,"engines":[]}` + "\n" +
 		`{"term":9,"number":1,"later":true,"engines":[{"engine":"10.0.0.2:8000","kind":"prefill","state":"ready","epoch":4}]}` + "\n"
-	asked, posted := make(chan string, 1), make(chan string, 1)
+	requested, posted := make(chan string, 1), make(chan string, 1)
 	planner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		text := fmt.Sprintf("%s %s\n%s", r.Method, r.URL, body)
@@ -40,7 +40,7 @@
 			return
 		}
 		select {
-		case asked <- text:
+		case requested <- text:
 		default:
 		}
 		io.WriteString(w, stream)
@@ -62,7 +62,7 @@
 			}}.Run(ctx, func(list endpoint.List) { lists <- list }, func(err error) { t.Log(err) })
 	}()
 	var b strings.Builder
-	fmt.Fprintln(&b, <-asked)
+	fmt.Fprintln(&b, <-requested)
 	for range 2 {
 		list := <-lists
 		fmt.Fprintln(&b, "list", list.Revision)
@@ -76,6 +76,6 @@
 	<-over
 	golden.Check(t, "edge.golden", b.String())
 	if len(lists) > 0 {
-		t.Errorf("%d lists more were taken", len(lists))
+		t.Errorf("%d more lists were handed over", len(lists))
 	}
 }
--- a/internal/planner/role_order.go
+++ b/internal/planner/role_order.go
@@ -5,10 +5,11 @@
 	"encoding/json"
 	"io"
 	"net/http"
-	"sandcourse/internal/planner/assignment"
-	"sandcourse/internal/planner/planapi"
 
 	"go.uber.org/zap"
+
+	"sandcourse/internal/planner/assignment"
+	"sandcourse/internal/planner/planapi"
 )
 
 // sendRoleOrder sends an order to an engine. Whether it took effect shows in the engine's reports.
