--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -8,6 +8,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"sandcourse/internal/routing"
 )
@@ -56,6 +57,5 @@
 	return v == routing.Full || v == routing.NotConnected || v == routing.NotSent
 }
 
-// Stalled reports whether an attempt in this state that has received nothing for the time idle counts as stalled. Both
-// times are in nanoseconds.
-func Stalled(state State, idle, stall int64) bool { return state == Streaming && idle > stall }
+// Stalled reports whether an attempt in this state that has received nothing for the time idle counts as stalled.
+func Stalled(state State, idle, stall time.Duration) bool { return state == Streaming && idle > stall }
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 )
 
 // Lease is the connection that Acquire found. Evict is a connection that must be closed to make room for it, 0 for none.
@@ -19,7 +20,7 @@
 // a second response that comes late behind the first would otherwise be taken for that of the next request.
 //
 // Spare connections are granted beyond the limits to what must not wait behind attempts: releases of reservations.
-func (p *Pool) Acquire(engine string, now, maxIdle int64, spare int) Lease {
+func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
 	if c := usage.youngestSettled; c != nil && p.reusable(c, now, maxIdle) {
 		p.Handle(c.id, Acquired, now)
@@ -91,13 +92,13 @@
 }
 
 // HasReusable reports whether Acquire would reuse a connection to an engine.
-func (p *Pool) HasReusable(engine string, now, maxIdle int64) bool {
+func (p *Pool) HasReusable(engine string, now int64, maxIdle time.Duration) bool {
 	return slices.ContainsFunc(p.byEngine[engine], func(c *connection) bool {
 		return c.state == Idle && now >= c.settledAt && p.reusable(c, now, maxIdle)
 	})
 }
 
 // reusable reports whether an idle connection has not been idle for too long to be reused.
-func (p *Pool) reusable(c *connection, now, maxIdle int64) bool {
-	return now-c.stateSince < min(maxIdle, p.limits.IdleTimeout)
+func (p *Pool) reusable(c *connection, now int64, maxIdle time.Duration) bool {
+	return time.Duration(now-c.stateSince) < min(maxIdle, p.limits.IdleTimeout)
 }
--- a/internal/connpool/earlyclose.go
+++ b/internal/connpool/earlyclose.go
@@ -9,9 +9,9 @@
 const (
 	// earlyCloseMemory is how long early closes are remembered. Faults on the network last for some ten seconds, and a
 	// connection for each attempt costs an engine a millisecond of work.
-	earlyCloseMemory = int64(10 * time.Second)
+	earlyCloseMemory = 10 * time.Second
 	// earlyCloseAge is the idle time from which on the close of an idle connection is normal: engines keep them for seconds.
-	earlyCloseAge = int64(time.Second)
+	earlyCloseAge = time.Second
 )
 
 // earlyCloses remembers when idle connections were last closed too early by the other side.
@@ -24,13 +24,15 @@
 
 func (e *earlyCloses) recentOf(engine string, now int64) bool {
 	at, known := e.byEngine[engine]
-	return known && now-at < earlyCloseMemory
+	return known && time.Duration(now-at) < earlyCloseMemory
 }
 
-func (e *earlyCloses) recentOfAny(now int64) bool { return e.last > 0 && now-e.last < earlyCloseMemory }
+func (e *earlyCloses) recentOfAny(now int64) bool {
+	return e.last > 0 && time.Duration(now-e.last) < earlyCloseMemory
+}
 
 func (e *earlyCloses) expire(now int64) {
-	maps.DeleteFunc(e.byEngine, func(_ string, at int64) bool { return now-at >= earlyCloseMemory })
+	maps.DeleteFunc(e.byEngine, func(_ string, at int64) bool { return time.Duration(now-at) >= earlyCloseMemory })
 }
 
 // NoteEarlyClose records that the other side closed a connection too early: as it was written to, or hardly idle. This
@@ -41,7 +43,7 @@
 
 // MaxReuseIdle is for how long a connection to an engine may have been idle to be reused: maxIdle where nothing speaks
 // against it. For an attempt that must not run twice, an early close of any engine counts against all.
-func (p *Pool) MaxReuseIdle(engine string, now, maxIdle int64, mayRunTwice bool) int64 {
+func (p *Pool) MaxReuseIdle(engine string, now int64, maxIdle time.Duration, mayRunTwice bool) time.Duration {
 	if p.earlyCloses.recentOf(engine, now) || !mayRunTwice && p.earlyCloses.recentOfAny(now) {
 		return 0
 	}
@@ -51,7 +53,7 @@
 // EarlyCloseFingerprint describes the early closes that still count, by engine and relative to now; the empty name stands
 // for any engine.
 func (p *Pool) EarlyCloseFingerprint(now int64) string {
-	ages := map[string]int64{}
+	ages := map[string]int64{} // nanoseconds
 	for engine, at := range p.earlyCloses.byEngine {
 		if p.earlyCloses.recentOf(engine, now) {
 			ages[engine] = now - at
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -2,15 +2,18 @@
 // closed. It does no I/O.
 package connpool
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
-// Limits bound the connections of one router. Its times are in nanoseconds.
+// Limits bound the connections of one router.
 type Limits struct {
-	PerEngine       int   // connections to one engine
-	ConcurrentDials int   // dials in progress to one engine: many handshakes at once are work for it
-	Total           int   // connections to all engines together; 0 for no limit
-	IdleTimeout     int64 // an idle connection is closed after this
-	SettleTime      int64 // a connection that carried a stream is not reused for this long
+	PerEngine       int           // connections to one engine
+	ConcurrentDials int           // dials in progress to one engine: many handshakes at once are work for it
+	Total           int           // connections to all engines together; 0 for no limit
+	IdleTimeout     time.Duration // an idle connection is closed after this
+	SettleTime      time.Duration // a connection that carried a stream is not reused for this long
 }
 
 type connection struct {
@@ -21,7 +24,7 @@
 	settledAt  int64 // until when it is not reused
 }
 
-// Pool is the state of all connections of one router to engines.
+// Pool is the state of all connections of one router to engines. Points in time are in nanoseconds since the start.
 type Pool struct {
 	limits           Limits
 	connections      map[int64]*connection
@@ -47,12 +50,12 @@
 	if i < 0 {
 		return NoAction
 	}
-	if event == Broken && c.state == Idle && now-c.stateSince < earlyCloseAge {
+	if event == Broken && c.state == Idle && time.Duration(now-c.stateSince) < earlyCloseAge {
 		p.NoteEarlyClose(c.engine, now)
 	}
 	c.state, c.stateSince = transitions[i].next, now
 	if event == ReleasedAfterStream {
-		c.settledAt = now + p.limits.SettleTime
+		c.settledAt = now + int64(p.limits.SettleTime)
 	}
 	p.firedTransitions |= 1 << i
 	if c.state == Closed {
@@ -74,7 +77,7 @@
 func (p *Pool) IdleExpired(now int64) []int64 {
 	var ids []int64
 	for id, c := range p.connections {
-		if c.state == Idle && now-c.stateSince >= p.limits.IdleTimeout {
+		if c.state == Idle && time.Duration(now-c.stateSince) >= p.limits.IdleTimeout {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -20,7 +20,7 @@
 			now += rapid.Int64Range(0, 60).Draw(t, "time")
 			if rapid.Bool().Draw(t, "acquire") {
 				engine := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "engine")
-				maxIdle := rapid.SampledFrom([]int64{0, 20, 1000}).Draw(t, "max idle")
+				maxIdle := rapid.SampledFrom([]time.Duration{0, 20, 1000}).Draw(t, "max idle")
 				spare := rapid.IntRange(0, 1).Draw(t, "spare")
 				lease := p.Acquire(engine, now, maxIdle, spare)
 				if lease.Evict != 0 && (p.State(lease.Evict) != Closed || carries[lease.Evict]) {
@@ -115,7 +115,7 @@
 // After an idle connection was closed early, none of that engine is reused for a while, and none of any engine for what must
 // not run twice. A close after a longer idle time does not count.
 func TestEarlyCloses(t *testing.T) {
-	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, IdleTimeout: int64(15 * time.Second)})
+	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, IdleTimeout: 15 * time.Second})
 	idle := func(engine string, now int64) int64 {
 		lease := p.Acquire(engine, now, 0, 0)
 		p.Handle(lease.ID, Dialed, now)
@@ -132,7 +132,7 @@
 		engine      string
 		after       int64
 		mayRunTwice bool
-		want        int64
+		want        time.Duration
 	}{{"a", s, true, 0}, {"a", s, false, 0}, {"b", s, true, 9}, {"b", s, false, 0}, {"a", 11 * s, false, 9}} {
 		if got := p.MaxReuseIdle(c.engine, now+s/100+c.after, 9, c.mayRunTwice); got != c.want {
 			t.Errorf("%+v: %d", c, got)
--- a/internal/invariant/gates.go
+++ b/internal/invariant/gates.go
@@ -3,7 +3,7 @@
 //
 // A gate is asked before an act, with what the router knows. The monitor is notified of acts that have happened and keeps
 // its own record of them, so that an act that bypassed its gate, or a gate that was asked with wrong facts, shows as a
-// violation.
+// violation. Points in time are in nanoseconds since the start of the router.
 package invariant
 
 import (
@@ -31,13 +31,13 @@
 	DrainNotifiedAt int64 // since when its engine is known to drain or to be removed; 0 where it is ready
 	AddressChanged  bool  // its connection leads to a former address of its engine
 	Effect          Effect
-	DedupWindow     int64 // for how long engines remember a run of a deduplicated request
+	DedupWindow     time.Duration // for how long engines remember a run of a deduplicated request
 	PriorAttempts   []PriorAttempt
 }
 
 // MaySend is the gate of an attempt's first byte, of retries too. Grace is for how long after the notification of a drain
 // an attempt may still arrive.
-func MaySend(a Attempt, now, grace int64) Reason {
+func MaySend(a Attempt, now int64, grace time.Duration) Reason {
 	switch {
 	case a.Answered:
 		return AlreadyAnswered
@@ -55,14 +55,14 @@
 
 // withinDrainGrace reports whether what is written now arrives within the grace at an engine that is known to drain, with
 // as much time to spare again for the network.
-func withinDrainGrace(notifiedAt, now, grace int64) bool {
-	spare := grace - int64(MaxDelay)
-	return notifiedAt == 0 || spare >= 0 && now-notifiedAt <= spare/2
+func withinDrainGrace(notifiedAt, now int64, grace time.Duration) bool {
+	spare := grace - MaxDelay
+	return notifiedAt == 0 || spare >= 0 && time.Duration(now-notifiedAt) <= spare/2
 }
 
 // MayRetry is the gate of a retry: never while another attempt is in flight, and after one that may have run only as the
 // effect allows.
-func MayRetry(effect Effect, dedupWindow int64, priorAttempts []PriorAttempt, now int64) Reason {
+func MayRetry(effect Effect, dedupWindow time.Duration, priorAttempts []PriorAttempt, now int64) Reason {
 	if slices.ContainsFunc(priorAttempts, func(p PriorAttempt) bool { return p.InFlight }) {
 		return AttemptInFlight
 	}
@@ -72,7 +72,7 @@
 		case !mayHaveRun || effect == Retriable:
 		case effect == NonRetriable:
 			return MayHaveRun
-		case now-prior.WrittenAt >= dedupWindow-int64(MaxDelay):
+		case time.Duration(now-prior.WrittenAt) >= dedupWindow-MaxDelay:
 			return DedupWindowExpired
 		}
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -29,18 +29,18 @@
 		a := Attempt{Answered: rapid.Bool().Draw(t, "answered"), ClientGone: rapid.Bool().Draw(t, "gone"),
 			Deadline:    base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "deadline"),
 			Effect:      rapid.SampledFrom([]Effect{Retriable, Deduplicated, NonRetriable}).Draw(t, "effect"),
-			DedupWindow: rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "window")}
+			DedupWindow: time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "window"))}
 		if rapid.Bool().Draw(t, "drains") {
 			a.DrainNotifiedAt = base + rapid.Int64Range(-int64(time.Second), now-base).Draw(t, "drain notified")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "prior attempts") {
 			a.PriorAttempts = append(a.PriorAttempts, drawPriorAttempt(t, now))
 		}
-		const grace = int64(250 * time.Millisecond)
+		const grace = 250 * time.Millisecond
 		if MaySend(a, now, grace) != Allowed {
 			return
 		}
-		m := NewMonitor(LimitsFor(time.Duration(grace), time.Second))
+		m := NewMonitor(LimitsFor(grace, time.Second))
 		m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: a.Effect, DedupWindow: a.DedupWindow, Deadline: a.Deadline})
 		for i, prior := range a.PriorAttempts {
 			if prior.WrittenAt == 0 {
@@ -133,11 +133,11 @@
 // nothing is rejected.
 func TestDrainGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		grace := rapid.Int64Range(1, 1e12).Draw(t, "grace")
+		grace := time.Duration(rapid.Int64Range(1, 1e12).Draw(t, "grace"))
 		notifiedAt := rapid.Int64Range(1, 1e15).Draw(t, "notified at")
 		now := notifiedAt + rapid.Int64Range(0, 2e12).Draw(t, "later")
 		a := Attempt{Deadline: now + 1, DrainNotifiedAt: notifiedAt}
-		if MaySend(a, now, grace) == Allowed && now+int64(MaxDelay)-notifiedAt > grace {
+		if MaySend(a, now, grace) == Allowed && time.Duration(now-notifiedAt)+MaxDelay > grace {
 			t.Fatal("written after the grace")
 		}
 		a.DrainNotifiedAt = 0
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -12,8 +12,8 @@
 type AcceptedRequest struct {
 	Name        string
 	Effect      Effect
-	DedupWindow int64 // for how long engines remember a run of a deduplicated request
-	Deadline    int64 // of its client
+	DedupWindow time.Duration // for how long engines remember a run of a deduplicated request
+	Deadline    int64         // of its client
 }
 
 // WrittenAttempt is an attempt whose first byte has been written.
@@ -78,13 +78,13 @@
 	if record.answered {
 		m.report(AttemptAfterAnswer, record.Name, "attempt %d", attempt.Index)
 	}
-	sinceDrain := attempt.WrittenAt - attempt.DrainNotifiedAt
+	sinceDrain := time.Duration(attempt.WrittenAt - attempt.DrainNotifiedAt)
 	if attempt.DrainNotifiedAt != 0 && sinceDrain > m.limits.DrainGrace {
-		m.report(AttemptToDrainingEngine, record.Name, "attempt %d, %v after the notification", attempt.Index, time.Duration(sinceDrain))
+		m.report(AttemptToDrainingEngine, record.Name, "attempt %d, %v after the notification", attempt.Index, sinceDrain)
 	}
-	timeLeft := max(0, record.Deadline-attempt.WrittenAt)
-	if excess := int64(attempt.TimeBudget) - timeLeft; excess > m.limits.TimeBudgetSlack {
-		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v too much", attempt.Index, time.Duration(excess))
+	timeLeft := time.Duration(max(0, record.Deadline-attempt.WrittenAt))
+	if excess := attempt.TimeBudget - timeLeft; excess > m.limits.TimeBudgetSlack {
+		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v too much", attempt.Index, excess)
 	}
 }
 
@@ -93,11 +93,11 @@
 		if !prior.ended {
 			m.report(ConcurrentAttempts, record.Name, "attempts %d and %d", i, attempt.Index)
 		}
-		apart := attempt.WrittenAt - prior.writtenAt
+		apart := time.Duration(attempt.WrittenAt - prior.writtenAt)
 		mayHaveRun := prior.decode && !prior.neverRan
 		forgotten := record.Effect == Deduplicated && apart >= record.DedupWindow
 		if attempt.Decode && mayHaveRun && (record.Effect == NonRetriable || forgotten) {
-			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, time.Duration(apart))
+			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, apart)
 		}
 	}
 }
@@ -121,14 +121,16 @@
 // RequestAnswered records a final answer.
 func (m *Monitor) RequestAnswered(id int64, now int64) {
 	record := m.requests[id]
-	switch {
-	case record == nil:
+	if record == nil {
 		m.report(AnsweredTwice, "", "unknown request %d", id)
 		return
+	}
+	late := time.Duration(now - record.Deadline)
+	switch {
 	case record.answered:
 		m.report(AnsweredTwice, record.Name, "")
-	case !record.answerStarted && now-record.Deadline > m.limits.AnswerSlack:
-		m.report(LateAnswer, record.Name, "%v after its client's deadline", time.Duration(now-record.Deadline))
+	case !record.answerStarted && late > m.limits.AnswerSlack:
+		m.report(LateAnswer, record.Name, "%v after its client's deadline", late)
 	}
 	record.answered = true
 }
@@ -145,7 +147,7 @@
 
 // ReservationUnclaimed records for how long no attempt that may consume a reservation of a request has been in flight.
 func (m *Monitor) ReservationUnclaimed(request string, unclaimed time.Duration) {
-	if int64(unclaimed) <= m.limits.ReservationLimit {
+	if unclaimed <= m.limits.ReservationLimit {
 		return
 	}
 	previous, reported := m.reportedReservations[request]
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -29,12 +29,12 @@
 	Detail  string
 }
 
-// Limits are the time spans that the monitor applies, in nanoseconds.
+// Limits are the time spans that the monitor applies.
 type Limits struct {
-	DrainGrace       int64 // for attempts, after the notification of a drain
-	ReservationLimit int64 // for a reservation that no attempt in flight may consume
-	AnswerSlack      int64 // for a final answer, after its client's deadline
-	TimeBudgetSlack  int64 // by which the time budget sent to an engine may exceed the time that is left
+	DrainGrace       time.Duration // for attempts, after the notification of a drain
+	ReservationLimit time.Duration // for a reservation that no attempt in flight may consume
+	AnswerSlack      time.Duration // for a final answer, after its client's deadline
+	TimeBudgetSlack  time.Duration // by which the time budget sent to an engine may exceed the time that is left
 }
 
 // The slack that the protocol adds.
@@ -47,9 +47,9 @@
 // LimitsFor returns the limits for the time spans of the settings.
 func LimitsFor(drainGrace, reservationLimit time.Duration) Limits {
 	return Limits{
-		DrainGrace:       int64(drainGrace),
-		ReservationLimit: int64(reservationLimit + reservationSlack),
-		AnswerSlack:      int64(answerSlack),
-		TimeBudgetSlack:  int64(timeBudgetSlack),
+		DrainGrace:       drainGrace,
+		ReservationLimit: reservationLimit + reservationSlack,
+		AnswerSlack:      answerSlack,
+		TimeBudgetSlack:  timeBudgetSlack,
 	}
 }
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Limits bound a table. Its times are in nanoseconds.
+// Limits bound a table.
 type Limits struct {
-	KeepTime             int64 // how long a reservation may wait to be consumed, from the last time at which an attempt was in flight
-	RepeatInterval       int64 // between two acknowledged releases
-	RetryInterval        int64 // between the first releases that are not acknowledged; the interval doubles after some
-	AbandonAfter         int64 // how long releases are tried that no engine acknowledges
+	KeepTime             time.Duration // how long a reservation may wait to be consumed, from the last time at which an attempt was in flight
+	RepeatInterval       time.Duration // between two acknowledged releases
+	RetryInterval        time.Duration // between the first releases that are not acknowledged; the interval doubles after some
+	AbandonAfter         time.Duration // how long releases are tried that no engine acknowledges
 	MaxReservations      int
 	ReleasesWholeRequest bool // a release frees all reservations of its request, whichever prefill made them
 }
@@ -29,11 +29,11 @@
 	return Limits{
 		// A quarter remains for the releases and for a process that is not scheduled in time. The routing policy releases
 		// earlier by itself: this is the last resort.
-		KeepTime: int64(limit) * 3 / 4,
+		KeepTime: limit * 3 / 4,
 		// A reservation that is made just after a release has half the limit left at the next one.
-		RepeatInterval:       int64(limit / 2),
-		RetryInterval:        int64(max(minRetryInterval, min(maxRetryInterval, limit/retriesPerLimit))),
-		AbandonAfter:         int64(abandonAfterLimits * limit),
+		RepeatInterval:       limit / 2,
+		RetryInterval:        max(minRetryInterval, min(maxRetryInterval, limit/retriesPerLimit)),
+		AbandonAfter:         abandonAfterLimits * limit,
 		MaxReservations:      maxReservations,
 		ReleasesWholeRequest: releasesWholeRequest,
 	}
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -1,5 +1,7 @@
 package reservation
 
+import "time"
+
 const (
 	// steadyRetries is how many releases follow one another at the shortest interval: enough to ask a few engines, one of
 	// which runs, before a reservation is kept for too long.
@@ -29,17 +31,17 @@
 	if r.unacknowledgedSince == 0 {
 		r.unacknowledgedSince = now
 	}
-	if now-r.unacknowledgedSince > t.limits.AbandonAfter && now > r.horizon {
+	if time.Duration(now-r.unacknowledgedSince) > t.limits.AbandonAfter && now > r.horizon {
 		t.handle(r, ReleaseAbandoned, EventTimes{Now: now, Since: now})
 		return Abandon, expiredIn
 	}
 	r.unacknowledged++
-	t.setDue(r, now+t.backoff(r.unacknowledged))
+	t.setDue(r, now+int64(t.backoff(r.unacknowledged)))
 	return Release, expiredIn
 }
 
 // backoff is how long the next release waits for an acknowledgement of this one.
-func (t *Table) backoff(unacknowledged int) int64 {
+func (t *Table) backoff(unacknowledged int) time.Duration {
 	doublings := min(max(0, unacknowledged-steadyRetries), maxDoublings)
 	longest := max(t.limits.RepeatInterval/2, t.limits.RetryInterval)
 	return min(t.limits.RetryInterval<<doublings, longest)
--- a/internal/reservation/table.go
+++ b/internal/reservation/table.go
@@ -169,12 +169,12 @@
 	}
 	switch fired.due {
 	case dueAfterKeepTime:
-		t.setDue(r, times.Since+t.limits.KeepTime)
+		t.setDue(r, times.Since+int64(t.limits.KeepTime))
 	case dueNow:
 		t.setDue(r, times.Now)
 		r.startRound()
 	case dueAfterRepeatInterval:
-		t.setDue(r, times.Now+t.limits.RepeatInterval)
+		t.setDue(r, times.Now+int64(t.limits.RepeatInterval))
 	}
 	if r.State == None {
 		t.remove(r)
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -160,8 +160,8 @@
 			releases++
 		}
 	}
-	if gone := now - start; gone > limits.AbandonAfter+second || releases < 10 {
-		t.Errorf("abandoned after %v and %d releases", time.Duration(gone), releases)
+	if gone := time.Duration(now - start); gone > limits.AbandonAfter+time.Second || releases < 10 {
+		t.Errorf("abandoned after %v and %d releases", gone, releases)
 	}
 	if table.Unreleased() != 1 || table.Count() != 1 || table.OldestSince() != start {
 		t.Errorf("%d unreleased, %d in all, the oldest since %d", table.Unreleased(), table.Count(), table.OldestSince())
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -48,9 +48,9 @@
 		r.handleAttemptEvent(att, attempt.EngineUnavailable, string(reason))
 		return
 	}
-	maxIdle := int64(r.config.Connections.IdleTimeout)
+	maxIdle := r.config.Connections.IdleTimeout
 	if att.decode && r.config.Routes[req.route].Effect != "retriable" {
-		maxIdle = int64(r.config.Connections.NonIdempotentIdleTimeout)
+		maxIdle = r.config.Connections.NonIdempotentIdleTimeout
 	}
 	if !r.dispatch(action.Engine, att, nil, maxIdle) {
 		// The node's own bound says nothing of the engine.
@@ -63,14 +63,14 @@
 	req := att.request
 	candidate := invariant.Attempt{Answered: req.outcome != "", ClientGone: req.client.disconnected, Deadline: req.deadline, DrainNotifiedAt: r.drains[att.engine],
 		AddressChanged: conn != nil && conn.Host != r.engineAddress(att.engine).Address, Effect: req.effect(r.config),
-		DedupWindow: int64(r.config.Routes[req.route].DedupWindow)}
+		DedupWindow: r.config.Routes[req.route].DedupWindow}
 	for _, before := range req.attempts {
 		if before != att {
 			candidate.PriorAttempts = append(candidate.PriorAttempts, invariant.PriorAttempt{Decode: before.decode, WrittenAt: before.writtenAt, InFlight: !before.ended,
 				NeverRan: before.ended && attempt.NeverRan(before.verdict)})
 		}
 	}
-	reason := invariant.MaySend(candidate, r.now, int64(r.config.Rules.DrainGrace))
+	reason := invariant.MaySend(candidate, r.now, r.config.Rules.DrainGrace)
 	if reason != invariant.Allowed {
 		r.observer.AttemptBlocked(req.name, reason)
 	}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -27,7 +27,7 @@
 func (r *Router) startControl(control *controlRequest) {
 	control.startedAt = r.now
 	r.controlRequests[control] = true
-	if !r.dispatch(control.engine, nil, control, int64(r.config.Connections.IdleTimeout)) {
+	if !r.dispatch(control.engine, nil, control, r.config.Connections.IdleTimeout) {
 		r.finishControl(control, nil, nil)
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -100,7 +100,7 @@
 	observer Observer) *Router {
 	r := &Router{config: cfg, protocol: protocol, seed: seed, incarnation: incarnation, transport: transport, observer: observer, now: now, drains: attempt.UnavailableSince{},
 		admission: admission.New(cfg.Limits), clientRetries: admission.NewRetryBudget(cfg.Limits.RetryShare), pool: connpool.New(connpool.Limits{PerEngine: cfg.Connections.PerEngine,
-			ConcurrentDials: cfg.Connections.ConcurrentDials, Total: cfg.Connections.Total, IdleTimeout: int64(cfg.Connections.IdleTimeout), SettleTime: int64(cfg.Connections.ReuseDelay)}),
+			ConcurrentDials: cfg.Connections.ConcurrentDials, Total: cfg.Connections.Total, IdleTimeout: cfg.Connections.IdleTimeout, SettleTime: cfg.Connections.ReuseDelay}),
 		clients: map[int64]*ClientConnection{}, closing: map[int64]int64{}, engineConnections: map[int64]*EngineConnection{},
 		controlRequests: map[*controlRequest]bool{}, reservations: reservation.New(reservation.LimitsFor(cfg.Rules.ReservationLimit, protocol.ReleaseReachesAllEngines(),
 			reservationsPerRequest*cfg.Limits.OpenRequests)), monitor: invariant.NewMonitor(invariant.LimitsFor(cfg.Rules.DrainGrace, cfg.Rules.ReservationLimit)), requests: map[int64]*request{}, requestsByName: map[string]*request{}, lastResponseAt: map[string]int64{}}
@@ -139,12 +139,12 @@
 			if att.ended {
 				continue
 			}
-			idle := r.now - max(att.startedAt, att.lastTokenAt)
+			idle := time.Duration(r.now - max(att.startedAt, att.lastTokenAt))
 			if att.relay != nil {
-				idle = min(idle, r.now-att.relay.LastTokenAt())
+				idle = min(idle, time.Duration(r.now-att.relay.LastTokenAt()))
 			}
-			if attempt.Stalled(att.machine.State, idle, int64(r.config.StallTimeout)) {
-				r.handleAttemptEvent(att, attempt.StreamStalled, "no token for "+time.Duration(idle).String())
+			if attempt.Stalled(att.machine.State, idle, r.config.StallTimeout) {
+				r.handleAttemptEvent(att, attempt.StreamStalled, "no token for "+idle.String())
 			}
 		}
 	}
--- a/internal/router/inference.go
+++ b/internal/router/inference.go
@@ -98,7 +98,7 @@
 	client.current = req
 	r.requests[req.id], r.requestsByName[req.name] = req, req
 	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: req.effect(cfg),
-		DedupWindow: int64(cfg.Routes[route].DedupWindow), Deadline: req.deadline})
+		DedupWindow: cfg.Routes[route].DedupWindow, Deadline: req.deadline})
 	session := received.Call.Session
 	if session == "" {
 		session = req.name // one of its own: the module must not take strangers for one session
--- a/internal/router/lines.go
+++ b/internal/router/lines.go
@@ -16,7 +16,7 @@
 const spareConnections = 2
 
 // dispatch finds a line for an attempt or a control request and writes to it, now or once it is connected.
-func (r *Router) dispatch(engineID string, att *engineAttempt, control *controlRequest, maxIdle int64) bool {
+func (r *Router) dispatch(engineID string, att *engineAttempt, control *controlRequest, maxIdle time.Duration) bool {
 	spare := 0
 	if control != nil {
 		spare = spareConnections
--- a/internal/router/release.go
+++ b/internal/router/release.go
@@ -127,7 +127,7 @@
 	}
 	if first { // a connection more for each release would be dear
 		i := slices.IndexFunc(engines, func(engine string) bool {
-			return engine != reserved.Engine && r.pool.HasReusable(engine, r.now, int64(r.config.Connections.IdleTimeout))
+			return engine != reserved.Engine && r.pool.HasReusable(engine, r.now, r.config.Connections.IdleTimeout)
 		})
 		if i < 0 {
 			return engines[:min(1, len(engines))]
