--- a/internal/edge/accept.go
+++ b/internal/edge/client_accept.go
@@ -11,13 +11,17 @@
 	"sandcourse/internal/neterr"
 )
 
-// acceptRetryInterval is how long the listener rests after a connection could not be accepted, as when descriptors have
-// run out. Without it the accepting goroutine would spin until some are free.
-const acceptRetryInterval = 10 * time.Millisecond
+const (
+	// spareConnections are accepted over the settings' bound, so that the core can reject them with a response.
+	spareConnections = 16
+	// acceptRetryInterval is how long the listener rests after a connection could not be accepted, as when descriptors
+	// have run out. Without it the accepting goroutine would spin until some are free.
+	acceptRetryInterval = 10 * time.Millisecond
+)
 
-// connectionLimit counts clients' connections where they are accepted: a crowd that connects at once must not take the
-// node's descriptors before its owner has seen the first of it. Past the bound they wait in the kernel's
-// queue.
+// connectionLimit counts clients' connections where they are accepted: many that connect at once must not take the
+// process's descriptors before the owner has seen the first of them. Past the limit they wait in the kernel's queue.
+// Any goroutine may use it.
 type connectionLimit struct {
 	mu       sync.Mutex
 	released *sync.Cond
@@ -45,6 +49,7 @@
 	l.released.Broadcast()
 }
 
+// wait returns once there is capacity, or after close.
 func (l *connectionLimit) wait() {
 	l.mu.Lock()
 	for l.open >= l.max && !l.isClosed() {
@@ -71,14 +76,14 @@
 	l.released.Broadcast()
 }
 
-// limitedListener accepts while there is room.
+// limitedListener accepts while there is capacity.
 type limitedListener struct {
 	net.Listener
 	limit *connectionLimit
 }
 
-// Accept does not return errors at once: the socket library asks again without a pause, also after the listener
-// has been closed.
+// Accept does not return errors at once: the socket library asks again without a pause, also after the listener has been
+// closed.
 func (l limitedListener) Accept() (net.Conn, error) {
 	l.limit.wait()
 	conn, err := l.Listener.Accept()
@@ -93,8 +98,8 @@
 	return conn, err
 }
 
-// adopt makes an accepted connection one of the socket library's, which takes a descriptor more for a moment. Where
-// there is none the client waits: the library would reset its connection, and what it has sent would be lost.
+// adopt makes an accepted connection one of the socket library's, which takes a descriptor more for a moment. Where there
+// is none the client waits: the library would reset its connection, and what it has sent would be lost.
 func (l limitedListener) adopt(conn net.Conn) (net.Conn, error) {
 	for {
 		adopted, err := nbio.NBConn(conn)
--- /dev/null
+++ b/internal/edge/client_side.go
@@ -0,0 +1,127 @@
+package edge
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"sync/atomic"
+	"syscall"
+
+	"github.com/lesismal/nbio"
+
+	"sandcourse/internal/protocol/httpframing"
+	"sandcourse/internal/router"
+)
+
+// clientSide is the listener and the pollers of clients' connections. Its callbacks run on the pollers.
+type clientSide struct {
+	edge     *Edge
+	listener net.Listener
+	limit    *connectionLimit
+	pollers  *nbio.Engine
+	reuse    reuseGuard
+	lastID   atomic.Int64
+}
+
+// listen binds the address of clients. Connections wait in the kernel's queue until start.
+func (s *clientSide) listen() error {
+	address := s.edge.deployment.ChatAddress
+	err := s.edge.retryStartup(func() (err error) {
+		s.listener, err = net.Listen("tcp", address)
+		return err
+	})
+	if err != nil {
+		return fmt.Errorf("listen for clients on %s: %w", address, err)
+	}
+	return nil
+}
+
+// start accepts and serves clients.
+func (s *clientSide) start() error {
+	s.pollers = nbio.NewEngine(nbio.Config{
+		Name:               "clients",
+		Network:            "tcp",
+		Addrs:              []string{s.listener.Addr().String()},
+		NPoller:            s.edge.pollersPerSide,
+		MaxWriteBufferSize: s.edge.deployment.ClientBufferBytes,
+		Listen: func(string, string) (net.Listener, error) {
+			return limitedListener{s.listener, s.limit}, nil
+		},
+	})
+	s.pollers.OnOpen(s.opened)
+	s.pollers.OnClose(s.closed)
+	s.pollers.OnRead(s.readable)
+	s.pollers.OnWrittenSize(s.written)
+	if err := s.pollers.Start(); err != nil {
+		return fmt.Errorf("start pollers of clients: %w", err)
+	}
+	return s.reuse.start(s.edge, s.pollers)
+}
+
+func (s *clientSide) opened(conn *nbio.Conn) {
+	if _, ok := conn.Session().(*batchMarker); ok {
+		return
+	}
+	s.reuse.waitForFreshBatch(conn)
+	e := s.edge
+	bounds := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
+	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
+	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
+	conn.SetSession(c)
+	s.limit.acquire()
+	e.sessions.publish()
+	e.inbox.put(0, func() { e.core.ClientOpened(c.state) })
+}
+
+func (s *clientSide) closed(conn *nbio.Conn, _ error) {
+	e := s.edge
+	e.sessions.acquire()
+	if c, ok := conn.Session().(*clientConnection); ok {
+		s.limit.release()
+		e.inbox.put(0, func() { e.core.ClientDisconnected(c.state) })
+	}
+}
+
+func (s *clientSide) written(conn *nbio.Conn, _ []byte, size int) {
+	s.edge.sessions.acquire()
+	if c, ok := conn.Session().(*clientConnection); ok {
+		c.bytesFlushed.Add(int64(size))
+	}
+}
+
+func (s *clientSide) readable(conn *nbio.Conn) {
+	s.edge.sessions.acquire()
+	switch session := conn.Session().(type) {
+	case *batchMarker:
+		session.onReadable()
+	case *clientConnection:
+		session.readable()
+	}
+}
+
+const (
+	readBufferSize = 16 << 10
+	// maxReadsPerWakeup bounds how long one connection keeps its poller from the others. It covers the longest request.
+	maxReadsPerWakeup = 20
+)
+
+// readBuffers are shared by the pollers: a connection needs one only while it is read.
+var readBuffers = sync.Pool{New: func() any { b := make([]byte, readBufferSize); return &b }}
+
+// errPeerClosed says that the other side sends nothing more.
+var errPeerClosed = errors.New("connection closed by peer")
+
+// readOnce reads what is there, which may be nothing.
+func readOnce(conn *nbio.Conn, buffer []byte) (size int, err error) {
+	size, err = conn.Read(buffer)
+	switch {
+	case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.EAGAIN):
+		return 0, nil // the poller reports again what is unread
+	case err != nil:
+		return 0, err
+	case size == 0:
+		return 0, errPeerClosed
+	}
+	return size, nil
+}
--- a/internal/edge/export_test.go
+++ b/internal/edge/export_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+	dto "github.com/prometheus/client_model/go"
 
 	"sandcourse/internal/routing"
 )
@@ -13,7 +14,7 @@
 // PauseOwner keeps the owner from doing anything for a time, as a loaded machine does.
 func (e *Edge) PauseOwner(d time.Duration) { e.inbox.put(0, func() { time.Sleep(d) }) }
 
-// PanicOn makes the module panic on inputs that fit.
+// PanicOn makes the policy panic on events that fit.
 func (e *Edge) PanicOn(fits func(routing.Event) bool) {
 	e.inbox.put(0, func() {
 		e.decisionHook = func(in routing.Event) {
@@ -24,20 +25,20 @@
 	})
 }
 
-// OnSyncPoint calls f whenever a goroutine passes a point. It is called before Start.
+// OnSyncPoint calls f whenever a goroutine reaches a sync point. It is called before Start.
 func (e *Edge) OnSyncPoint(f func(SyncPoint)) { e.syncPointHook = f }
 
-// QueuedTasks is how many events wait for the owner.
+// QueuedTasks is how many tasks wait for the owner.
 func (e *Edge) QueuedTasks() int {
 	e.inbox.mu.Lock()
 	defer e.inbox.mu.Unlock()
 	return len(e.inbox.tasks)
 }
 
-// UrgentPending is whether a list waits for the owner.
+// UrgentPending is whether an endpoint list waits for the owner.
 func (e *Edge) UrgentPending() bool { return e.inbox.hasUrgent.Load() }
 
-// BlockOwner keeps the owner at one event until the returned function is called.
+// BlockOwner keeps the owner at one task until the returned function is called.
 func (e *Edge) BlockOwner() (release func()) {
 	reached, free := make(chan struct{}), make(chan struct{})
 	e.inbox.put(0, func() { close(reached); <-free })
@@ -48,23 +49,32 @@
 // UseOnePoller makes one goroutine wait on all sockets of a side. It is called before Start.
 func (e *Edge) UseOnePoller() { e.pollersPerSide = 1 }
 
-// WaitingConnections is how many connections of clients wait until their poller may hear of them.
+// WaitingConnections is how many connections of clients wait until their poller may know of them.
 func (e *Edge) WaitingConnections() (count int) {
-	for _, s := range e.clientReuseGuard.markers {
-		s.mu.Lock()
-		count += len(s.arrived) + len(s.nextBatch)
-		s.mu.Unlock()
+	for _, marker := range e.clients.reuse.markers {
+		marker.mu.Lock()
+		count += len(marker.arrived) + len(marker.nextBatch)
+		marker.mu.Unlock()
 	}
 	return count
 }
 
-// UseDial makes the node dial engines in another way. It is called before Start.
+// UseDial makes the edge dial engines in another way. It is called before Start.
 func (e *Edge) UseDial(dial func(ctx context.Context, address string) (net.Conn, error)) {
-	e.dial = dial
+	e.engines.dial = dial
 }
 
 // MetricsAddr is where metrics are served.
 func (e *Edge) MetricsAddr() string { return e.metricsListener.Addr().String() }
 
-// MetricsCollector are all metrics that are registered, shown or not.
+// MetricsCollector is all metrics that are registered, shown or not.
 func (e *Edge) MetricsCollector() prometheus.Collector { return e.metrics.registry }
+
+// DecisionSeconds is how long decisions have taken in all.
+func (e *Edge) DecisionSeconds() float64 {
+	var m dto.Metric
+	if err := e.metrics.decisionSeconds.Write(&m); err != nil {
+		return 0
+	}
+	return m.GetCounter().GetValue()
+}
--- a/internal/edge/inbox.go
+++ b/internal/edge/inbox.go
@@ -5,19 +5,20 @@
 	"sync/atomic"
 )
 
-// inbox is the bounded queue from the sockets to the owner. Who brings bytes waits while it is full, which slows
-// the sockets down; what must not wait, such as the end of a connection, comes at most once a connection or is
-// made by the owner itself.
+// inbox is the bounded queue of tasks from the sockets to the owner. Who brings bytes waits while it is full, which slows
+// the sockets down; what must not wait, such as the end of a connection, comes at most once a connection or is made by
+// the owner itself.
 type inbox struct {
+	wake      chan struct{} // holds one item while something waits
+	hasUrgent atomic.Bool   // urgent is not empty
+
 	mu           sync.Mutex
-	capacity     *sync.Cond
+	capacity     *sync.Cond // there may be some again, or the inbox is closed
 	tasks        []func()
-	urgent       []func()    // run before all items that wait
-	hasUrgent    atomic.Bool // urgent is not empty
+	urgent       []func() // run before all tasks that wait
 	queuedWeight int
 	maxWeight    int
 	closed       bool
-	wake         chan struct{}
 }
 
 func newInbox(maxWeight int) *inbox {
@@ -26,7 +27,7 @@
 	return b
 }
 
-// put adds an event that the owner will run. Weight 0 never waits.
+// put adds a task that the owner will run. Weight 0 never waits.
 func (b *inbox) put(weight int, task func()) {
 	b.mu.Lock()
 	for weight > 0 && b.queuedWeight > 0 && b.queuedWeight+weight > b.maxWeight && !b.closed {
@@ -37,14 +38,11 @@
 		b.queuedWeight += weight
 	}
 	b.mu.Unlock()
-	select {
-	case b.wake <- struct{}{}:
-	default:
-	}
+	b.wakeOwner()
 }
 
-// putUrgent adds an event that the owner runs before all that waits, and never waits itself. Lists of engines come
-// this way: the time in which a drain has to be kept begins when it is told, not when the owner gets to it.
+// putUrgent adds a task that the owner runs before all that waits, and never waits itself. Endpoint lists come this way:
+// the time within which a drain has to be respected begins when it is notified, not when the owner gets to it.
 func (b *inbox) putUrgent(task func()) {
 	b.mu.Lock()
 	if !b.closed {
@@ -52,13 +50,17 @@
 		b.hasUrgent.Store(true)
 	}
 	b.mu.Unlock()
+	b.wakeOwner()
+}
+
+func (b *inbox) wakeOwner() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// takeUrgent hands over all urgent events.
+// takeUrgent hands over all urgent tasks.
 func (b *inbox) takeUrgent() []func() {
 	if !b.hasUrgent.Load() {
 		return nil
@@ -71,7 +73,7 @@
 	return tasks
 }
 
-// take hands over all that waits; into is used again.
+// take hands over all that waits; the memory of into is used again.
 func (b *inbox) take(into []func()) []func() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,6 +84,7 @@
 	return tasks
 }
 
+// close drops all that waits and all that comes.
 func (b *inbox) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -19,6 +19,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"sandcourse/internal/edge"
 )
 
 // routerProcess is one node under test: an address, a configuration, and the process that runs now.
@@ -118,9 +120,15 @@
 	return nil
 }
 
-// logLine is what the run looks at in a node's log.
+// logLine is what the run reads of a line of an edge's log.
 type logLine struct {
-	Level, Msg, Rule, Inference, How string
+	Msg, Rule, Request, Detail string
+}
+
+// reportsFault is whether a line of an edge's log reports a fault of the program.
+func reportsFault(line []byte) bool {
+	return bytes.Contains(line, []byte(`"msg":"`+edge.LogInvariantViolated+`"`)) ||
+		bytes.Contains(line, []byte(`"msg":"`+edge.LogPolicyPanicked+`"`))
 }
 
 // readLog keeps a node's log, and takes broken rules from it.
@@ -136,10 +144,10 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		file.Write(line)
-		if bytes.Contains(line, []byte(`"msg":"rule broken"`)) || bytes.Contains(line, []byte(`"msg":"module failed"`)) {
+		if reportsFault(line) {
 			var l logLine
 			if json.Unmarshal(line, &l) == nil {
-				r.violate("%s life %d says: %s %s %s %s", name, life, l.Msg, l.Rule, l.Inference, l.How)
+				r.violate("%s life %d says: %s %s %s %s", name, life, l.Msg, l.Rule, l.Request, l.Detail)
 			}
 		}
 		if bytes.HasPrefix(line, []byte("panic:")) || bytes.HasPrefix(line, []byte("fatal error:")) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -165,11 +165,11 @@
 // A node's own words count: a rule that its monitor saw broken, and a crash.
 func TestReadLog(t *testing.T) {
 	r := &soakRun{folder: t.TempDir(), responses: map[string]int{}, startedAt: time.Now()}
-	r.readLog("n1", 1, strings.NewReader(`{"level":"info","msg":"completed"}
-{"level":"error","msg":"rule broken","rule":"two attempts out","inference":"a","how":"attempts 0 and 1"}
+	r.readLog("n1", 1, strings.NewReader(`{"level":"info","msg":"request finished"}
+{"level":"error","msg":"invariant violated","rule":"two attempts out","request":"a","detail":"attempts 0 and 1"}
 panic: a fault
 `))
-	if len(r.violations) != 2 || !strings.Contains(r.violations[0], "two attempts out") || !strings.Contains(r.violations[1], "panic") {
+	if len(r.violations) != 2 || !strings.Contains(r.violations[0], "two attempts out a attempts 0 and 1") || !strings.Contains(r.violations[1], "panic") {
 		t.Errorf("faults %q", r.violations)
 	}
 }
