--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -1,5 +1,5 @@
-// Command sandcourse-edge is one node: it takes chat calls and routes them over the engines that its settings
-// or its roster name.
+// Command sandcourse-edge is one edge router: it takes chat requests and routes them over the engines that its settings,
+// an endpoint list or discovery name.
 package main
 
 import (
@@ -20,31 +20,47 @@
 	"sandcourse/internal/process"
 )
 
+// Exit statuses.
+const (
+	exitFailed  = 1
+	exitRefused = 2 // the settings or the configuration have faults
+)
+
 func main() {
 	signals := process.CatchSignals()
+	if err := newCommand(signals).Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "sandcourse-edge:", err)
+		var faults script.Faults
+		if errors.As(err, &faults) {
+			os.Exit(exitRefused)
+		}
+		os.Exit(exitFailed)
+	}
+}
+
+func newCommand(signals process.Signals) *cobra.Command {
 	var settingsFile, configFile string
-	command := &cobra.Command{Use: "sandcourse-edge --settings FILE | --config FILE", Short: "One node of sandcourse", Args: cobra.NoArgs,
-		SilenceUsage: true, SilenceErrors: true,
+	command := &cobra.Command{
+		Use:           "sandcourse-edge --settings FILE | --config FILE",
+		Short:         "One edge router of sandcourse",
+		Args:          cobra.NoArgs,
+		SilenceUsage:  true,
+		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
 			if configFile != "" {
 				return runOnPlatform(configFile, signals)
 			}
 			return runOnSettings(settingsFile, signals)
-		}}
+		},
+	}
 	command.Flags().StringVar(&settingsFile, "settings", "", "the settings script")
-	command.Flags().StringVar(&configFile, "config", "", "the operators' platform's configuration, in place of a script")
+	command.Flags().StringVar(&configFile, "config", "", "the platform's configuration, in place of a script")
 	command.MarkFlagsOneRequired("settings", "config")
 	command.MarkFlagsMutuallyExclusive("settings", "config")
-	if err := command.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "sandcourse-edge:", err)
-		var faults script.Faults
-		if errors.As(err, &faults) {
-			os.Exit(2)
-		}
-		os.Exit(1)
-	}
+	return command
 }
 
+// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT; a second one ends it at once.
 func runOnSettings(file string, signals process.Signals) error {
 	deployment, err := config.Load(file)
 	if err != nil {
@@ -57,9 +73,14 @@
 		return err
 	}
 	signals.AwaitStop(log)
-	signal.Reset(syscall.SIGTERM, os.Interrupt) // a second one ends it at once
+	signal.Reset(syscall.SIGTERM, os.Interrupt)
+	drain(node, log)
+	return nil
+}
+
+// drain ends an edge gracefully.
+func drain(node *edge.Edge, log *zap.Logger) {
 	if err := node.Drain(context.Background()); err != nil {
-		log.Warn("stopped with inferences open", zap.Error(err))
+		log.Warn("drain incomplete, requests abandoned", zap.Error(err))
 	}
-	return nil
 }
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -10,15 +10,15 @@
 
 const (
 	// A configuration that cannot be read may be half written, or descriptors may have run out for a moment: it is read
-	// again soon. What discovery tells counts four seconds after SIGHUP.
-	rereadIntervalShort = 100 * time.Millisecond
-	// After some seconds it is bad for good, or until somebody mends it.
-	rereadIntervalLong    = time.Second
+	// again soon. The new discovery address counts four seconds after SIGHUP.
+	rereadIntervalShort   = 100 * time.Millisecond
 	shortIntervalAttempts = 50
+	// After that it is bad until somebody mends it.
+	rereadIntervalLong = time.Second
 )
 
-// reloader reads the configuration anew at each SIGHUP. Only the address of discovery may change in a running node; all
-// else takes a restart.
+// reloader reads the configuration again at each SIGHUP. Only the discovery address may change in a running edge; all else
+// takes a restart.
 type reloader struct {
 	file             string
 	hangups          <-chan os.Signal
@@ -26,7 +26,7 @@
 	log              *zap.Logger
 }
 
-// run reads until ctx ends. It goes on while the node shuts down: what discovery tells counts until the end.
+// run reads until ctx ends. It goes on while the edge drains: discovery counts until the end.
 func (r *reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -44,24 +44,24 @@
 	for attempt := 0; ; attempt++ {
 		configuration, err := readConfig(r.file)
 		if err == nil {
-			r.log.Info("configuration read anew", zap.String("discovery", configuration.DiscoveryAddress), zap.Int("tries", attempt+1))
+			r.log.Info("configuration reloaded", zap.String("discovery", configuration.DiscoveryAddress), zap.Int("attempts", attempt+1))
 			r.publish(configuration.DiscoveryAddress)
 			return
 		}
 		if err.Error() != lastError {
 			lastError = err.Error()
-			r.log.Warn("the configuration cannot be read anew; it is tried again", zap.Error(err))
+			r.log.Warn("configuration reload failed, retrying", zap.Error(err))
 		}
-		pause := rereadIntervalShort
+		interval := rereadIntervalShort
 		if attempt >= shortIntervalAttempts {
-			pause = rereadIntervalLong
+			interval = rereadIntervalLong
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.hangups:
 			attempt, lastError = -1, ""
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
--- a/cmd/sandcourse/tilt.go
+++ b/cmd/sandcourse/tilt.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os"
-	"os/signal"
-	"strings"
-	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -16,55 +14,69 @@
 	"sandcourse/internal/scenario"
 )
 
+// tiltOptions are the flags of demo --tilt.
 type tiltOptions struct {
-	on, fixed, kill bool
-	phase           time.Duration
-	rate            float64
-	seed            uint64
+	fixed, kill bool
+	phase       time.Duration
+	rate        float64
+	seed        uint64
 }
 
-// runTilt plays a day that tilts: long prompts, then long answers, then long prompts.
+// phases are long prompts, then long responses, then long prompts again.
+func (o tiltOptions) phases() []scenario.Phase {
+	return []scenario.Phase{
+		{Name: "long prompts", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24},
+		{Name: "long answers", Duration: o.phase, RequestRate: o.rate, UserWords: 40, MaxTokens: 200},
+		{Name: "long prompts again", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24},
+	}
+}
+
+// runTilt runs a fleet and a planner under a load that shifts between prefill and decode, and checks the invariants.
 func runTilt(c *cobra.Command, o tiltOptions, prefill, decode int) error {
-	dir, err := os.MkdirTemp("", "sandcourse-tilt-")
+	folder, err := os.MkdirTemp("", "sandcourse-tilt-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer os.RemoveAll(folder)
+	ctx, stop := untilStopped(context.Background())
 	defer stop()
-	was, begun := "", time.Now()
-	t := scenario.LoadShift{PrefillEngines: prefill, DecodeEngines: decode, Edges: 2, FixedRoles: o.fixed, KillPlanner: o.kill,
-		Seed: o.seed, Phases: []scenario.Phase{
-			{Name: "long prompts", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24},
-			{Name: "long answers", Duration: o.phase, RequestRate: o.rate, UserWords: 40, MaxTokens: 200},
-			{Name: "long prompts again", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24}},
-		OnPlan: func(p planapi.Plan) {
-			count := map[string]int{}
-			for _, e := range p.Engines {
-				count[e.Kind+" "+e.State]++
-			}
-			now := fmt.Sprintf("%d read, %d write, %d drain, %d change", count["prefill ready"],
-				count["decode ready"],
-				count["prefill draining"]+count["decode draining"], prefill+decode-len(p.Engines))
-			if now != was {
-				was = now
-				fmt.Fprintf(c.OutOrStdout(), "  %5.1f s plan %d of term %d: %s\n",
-					time.Since(begun).Seconds(), p.Number, p.Term, now)
-			}
-		}}
-	res, err := t.Run(ctx, dir, zap.NewNop(), c.OutOrStdout())
+	out := c.OutOrStdout()
+	plans := planPrinter{out: out, engines: prefill + decode, startedAt: time.Now()}
+	tilt := scenario.LoadShift{PrefillEngines: prefill, DecodeEngines: decode, Edges: 2, FixedRoles: o.fixed, KillPlanner: o.kill, Seed: o.seed,
+		Phases: o.phases(), OnPlan: plans.print}
+	result, err := tilt.Run(ctx, folder, zap.NewNop(), out)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "role changes: %d; planner killed %d times; states left held: %d\n",
-		res.RoleChanges, res.PlannerKills, res.HeldAtEnd)
-	if len(res.Violations) > 0 {
-		for _, b := range res.Violations {
-			fmt.Fprintln(c.OutOrStdout(), "BROKEN", b)
-		}
-		return exitStatus(1)
+	fmt.Fprintf(out, "role changes: %d; planner killed %d times; states left held: %d\n", result.RoleChanges, result.PlannerKills, result.HeldAtEnd)
+	for _, violation := range result.Violations {
+		fmt.Fprintln(out, "BROKEN", violation)
 	}
-	fmt.Fprintln(c.OutOrStdout(),
-		strings.TrimSpace("all five rules kept (simulated: stand-in engines on loopback)"))
+	if len(result.Violations) > 0 {
+		return exitFailed
+	}
+	fmt.Fprintln(out, "all five rules kept (simulated: stand-in engines on loopback)")
 	return nil
 }
+
+// planPrinter prints each plan that changes how many engines have which role and state.
+type planPrinter struct {
+	out       io.Writer
+	engines   int
+	startedAt time.Time
+	last      string
+}
+
+func (p *planPrinter) print(plan planapi.Plan) {
+	count := map[string]int{} // of engines, by kind and state
+	for _, e := range plan.Engines {
+		count[e.Kind+" "+e.State]++
+	}
+	summary := fmt.Sprintf("%d read, %d write, %d drain, %d change", count["prefill ready"], count["decode ready"],
+		count["prefill draining"]+count["decode draining"], p.engines-len(plan.Engines))
+	if summary == p.last {
+		return
+	}
+	p.last = summary
+	fmt.Fprintf(p.out, "  %5.1f s plan %d of term %d: %s\n", time.Since(p.startedAt).Seconds(), plan.Number, plan.Term, summary)
+}
