--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -1,12 +1,14 @@
 package admission
 
 import (
+	"maps"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-func limits(connections, open, bytes int) Limits {
+func testLimits(connections, open, bytes int) Limits {
 	return Limits{Connections: connections, OpenRequests: open, BufferedBytes: bytes, HeaderTimeout: 10, BodyTimeout: 20,
 		IdleTimeout: 50, DrainTimeout: 5}
 }
@@ -15,87 +17,111 @@
 // is rejected only where the router is full.
 func TestController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := limits(rapid.IntRange(1, 6).Draw(t, "connections"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
-		ct := New(bounds)
-		type admitted struct {
-			connection int64
-			client     string
-		}
-		var open []admitted
-		live := map[int64]int{}
-		reading := map[int64]bool{} // a request is about to arrive, so it may not be closed
-		now := int64(0)
+		limits := testLimits(rapid.IntRange(1, 6).Draw(t, "connections"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
+		m := &model{controller: New(limits), bytes: map[int64]int{}, arriving: map[int64]bool{}}
+		steps := []func(t *rapid.T, id int64){m.accept, m.handle, m.admit, m.release, m.addBytes, m.close}
 		for id := int64(1); id < 80; id++ {
-			now += rapid.Int64Range(0, 8).Draw(t, "time")
-			switch rapid.IntRange(0, 5).Draw(t, "step") {
-			case 0:
-				if ct.AcceptConnection(id, now, func(evict int64) bool {
-					if reading[evict] {
-						return false
-					}
-					delete(live, evict)
-					return true
-				}) {
-					reading[id] = rapid.Bool().Draw(t, "reading")
-					live[id] = 0
-				}
-			case 1:
-				for c := range live {
-					ct.Handle(c, Event(rapid.IntRange(int(HeaderStarted), int(AllAnswered)).Draw(t, "event")), now)
-					break
-				}
-			case 2:
-				client := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "client")
-				for c := range live {
-					openOfClient := 0
-					for _, other := range open {
-						if other.client == client {
-							openOfClient++
-						}
-					}
-					switch ct.Admit(c, client) {
-					case Admitted:
-						open = append(open, admitted{c, client})
-					case QuotaExceeded:
-						if openOfClient == 0 {
-							t.Fatal("a client without open requests has exceeded its quota")
-						}
-					}
-					break
-				}
-			case 3:
-				if len(open) > 0 {
-					ct.Release(open[0].connection, open[0].client)
-					open = open[1:]
-				}
-			case 4:
-				for c := range live {
-					more := rapid.IntRange(0, 60).Draw(t, "bytes")
-					ct.AddBytes(c, more)
-					live[c] += more
-					break
-				}
-			case 5:
-				for c := range live {
-					ct.Handle(c, ConnectionClosed, now)
-					delete(live, c)
-					break
-				}
-			}
-			sum := 0
-			for _, n := range live {
-				sum += n
-			}
-			connections, opened, bytes := ct.Usage()
-			if connections != len(live) || connections > bounds.Connections || opened != len(open) || opened > bounds.OpenRequests || bytes != sum {
-				t.Fatalf("usage is %d %d %d, want %d %d %d", connections, opened, bytes, len(live), len(open), sum)
-			}
+			m.now += rapid.Int64Range(0, 8).Draw(t, "time")
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")](t, id)
+			m.check(t, limits)
 		}
 	})
 }
 
+type admittedRequest struct {
+	connection int64
+	client     string
+}
+
+// model is what a controller has to know.
+type model struct {
+	controller *Controller
+	now        int64
+	bytes      map[int64]int  // buffered by each connection
+	arriving   map[int64]bool // connections on which a request is about to arrive, so that they may not be closed
+	open       []admittedRequest
+}
+
+// connection draws one of the connections; 0 where there is none.
+func (m *model) connection(t *rapid.T) int64 {
+	if len(m.bytes) == 0 {
+		return 0
+	}
+	return rapid.SampledFrom(slices.Sorted(maps.Keys(m.bytes))).Draw(t, "connection")
+}
+
+func (m *model) accept(t *rapid.T, id int64) {
+	tryClose := func(evict int64) bool {
+		if m.arriving[evict] {
+			return false
+		}
+		delete(m.bytes, evict)
+		return true
+	}
+	if m.controller.AcceptConnection(id, m.now, tryClose) {
+		m.arriving[id] = rapid.Bool().Draw(t, "arriving")
+		m.bytes[id] = 0
+	}
+}
+
+func (m *model) handle(t *rapid.T, _ int64) {
+	if id := m.connection(t); id != 0 {
+		m.controller.Handle(id, Event(rapid.IntRange(int(HeaderStarted), int(AllAnswered)).Draw(t, "event")), m.now)
+	}
+}
+
+func (m *model) admit(t *rapid.T, _ int64) {
+	id := m.connection(t)
+	if id == 0 {
+		return
+	}
+	request := admittedRequest{id, rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "client")}
+	hasOpen := slices.ContainsFunc(m.open, func(other admittedRequest) bool { return other.client == request.client })
+	switch m.controller.Admit(id, request.client) {
+	case Admitted:
+		m.open = append(m.open, request)
+	case QuotaExceeded:
+		if !hasOpen {
+			t.Fatal("a client without open requests has exceeded its quota")
+		}
+	}
+}
+
+func (m *model) release(*rapid.T, int64) {
+	if len(m.open) > 0 {
+		m.controller.Release(m.open[0].connection, m.open[0].client)
+		m.open = m.open[1:]
+	}
+}
+
+func (m *model) addBytes(t *rapid.T, _ int64) {
+	if id := m.connection(t); id != 0 {
+		more := rapid.IntRange(0, 60).Draw(t, "bytes")
+		m.controller.AddBytes(id, more)
+		m.bytes[id] += more
+	}
+}
+
+func (m *model) close(t *rapid.T, _ int64) {
+	if id := m.connection(t); id != 0 {
+		m.controller.Handle(id, ConnectionClosed, m.now)
+		delete(m.bytes, id)
+	}
+}
+
+func (m *model) check(t *rapid.T, limits Limits) {
+	sum := 0
+	for _, bytes := range m.bytes {
+		sum += bytes
+	}
+	connections, open, bytes := m.controller.Usage()
+	if connections != len(m.bytes) || connections > limits.Connections || open != len(m.open) || open > limits.OpenRequests || bytes != sum {
+		t.Fatalf("usage is %d %d %d, want %d %d %d", connections, open, bytes, len(m.bytes), len(m.open), sum)
+	}
+}
+
 func TestFloodingClientLeavesCapacityForOthers(t *testing.T) {
-	ct := New(limits(10, 100, 1))
+	ct := New(testLimits(10, 100, 1))
 	ct.AcceptConnection(1, 0, yield)
 	ct.AcceptConnection(2, 0, yield)
 	flood := 0
@@ -117,7 +143,7 @@
 }
 
 func TestTimeoutsAndBufferedBytes(t *testing.T) {
-	ct := New(limits(2, 1, 100))
+	ct := New(testLimits(2, 1, 100))
 	ct.AcceptConnection(1, 0, yield)
 	ct.AcceptConnection(2, 0, yield)
 	ct.Handle(1, HeaderStarted, 1)
@@ -142,7 +168,7 @@
 // A connection whose first request arrives slowly, or not at all, has one timeout for all of it; after a complete request each
 // further one has its own.
 func TestFirstRequestHasOneTimeout(t *testing.T) {
-	bounds := limits(9, 9, 100)
+	bounds := testLimits(9, 9, 100)
 	bounds.FirstRequestTimeout = 12
 	ct := New(bounds)
 	for id := int64(1); id <= 3; id++ {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -13,60 +13,71 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{PerEngine: rapid.IntRange(1, 4).Draw(t, "per engine"), ConcurrentDials: rapid.IntRange(1, 3).Draw(t, "dials"),
 			IdleTimeout: 100}
-		p := New(limits)
-		carries, dirty := map[int64]bool{}, map[int64]bool{}
-		now := int64(1)
+		m := &model{pool: New(limits), now: 1, busy: map[int64]bool{}, dirty: map[int64]bool{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += rapid.Int64Range(0, 60).Draw(t, "time")
+			m.now += rapid.Int64Range(0, 60).Draw(t, "time")
 			if rapid.Bool().Draw(t, "acquire") {
-				engine := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "engine")
-				maxIdle := rapid.SampledFrom([]time.Duration{0, 20, 1000}).Draw(t, "max idle")
-				spare := rapid.IntRange(0, 1).Draw(t, "spare")
-				lease := p.Acquire(engine, now, maxIdle, spare)
-				if lease.Evict != 0 && (p.State(lease.Evict) != Closed || carries[lease.Evict]) {
-					t.Fatal("a connection in use is evicted")
-				}
-				if !lease.OK {
-					continue
-				}
-				if lease.Reused && (carries[lease.ID] || dirty[lease.ID] || maxIdle == 0) {
-					t.Fatalf("connection %d is reused: carries %v, dirty %v", lease.ID, carries[lease.ID], dirty[lease.ID])
-				}
-				carries[lease.ID] = true
-			} else if ids := p.IDs(); len(ids) > 0 {
-				id := rapid.SampledFrom(ids).Draw(t, "connection")
-				event := Event(rapid.IntRange(int(Dialed), int(IdleExpired)).Draw(t, "event"))
-				before := p.State(id)
-				action := p.Handle(id, event, now)
-				if action == Close && p.State(id) != Closed {
-					t.Fatal("a connection that is to be closed lives on")
-				}
-				if before != Idle && p.State(id) == Idle && event != Released && event != ReleasedAfterStream {
-					t.Fatalf("idle by %v", event)
-				}
-				if (event == Released || event == ReleasedAfterStream) && p.State(id) == Idle {
-					carries[id] = false
-				}
-				dirty[id] = dirty[id] || event == ReleasedDirty || event == Broken
+				m.acquire(t)
+			} else if ids := m.pool.IDs(); len(ids) > 0 {
+				m.handle(t, rapid.SampledFrom(ids).Draw(t, "connection"))
 			}
-			for _, engine := range []string{"a", "b"} {
-				if p.Count(engine) > limits.PerEngine+1 {
-					t.Fatal("too many connections")
-				}
+			if max(m.pool.Count("a"), m.pool.Count("b")) > limits.PerEngine+1 {
+				t.Fatal("too many connections")
 			}
-			for _, id := range p.IdleExpired(now) {
-				p.Handle(id, IdleExpired, now)
+			for _, id := range m.pool.IdleExpired(m.now) {
+				m.pool.Handle(id, IdleExpired, m.now)
 			}
 		}
-		for _, id := range p.IDs() {
-			p.Handle(id, Broken, now)
+		for _, id := range m.pool.IDs() {
+			m.pool.Handle(id, Broken, m.now)
 		}
-		if len(p.IDs()) != 0 || p.Count("a")+p.Count("b") != 0 {
+		if len(m.pool.IDs()) != 0 || m.pool.Count("a")+m.pool.Count("b") != 0 {
 			t.Fatal("connections left behind")
 		}
 	})
 }
 
+// model is what a pool has to know of its connections.
+type model struct {
+	pool        *Pool
+	now         int64
+	busy, dirty map[int64]bool
+}
+
+func (m *model) acquire(t *rapid.T) {
+	engine := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "engine")
+	maxIdle := rapid.SampledFrom([]time.Duration{0, 20, 1000}).Draw(t, "max idle")
+	spare := rapid.IntRange(0, 1).Draw(t, "spare")
+	lease := m.pool.Acquire(engine, m.now, maxIdle, spare)
+	if lease.Evict != 0 && (m.pool.State(lease.Evict) != Closed || m.busy[lease.Evict]) {
+		t.Fatal("a connection in use is evicted")
+	}
+	if !lease.OK {
+		return
+	}
+	if lease.Reused && (m.busy[lease.ID] || m.dirty[lease.ID] || maxIdle == 0) {
+		t.Fatalf("connection %d is reused: busy %v, dirty %v", lease.ID, m.busy[lease.ID], m.dirty[lease.ID])
+	}
+	m.busy[lease.ID] = true
+}
+
+func (m *model) handle(t *rapid.T, id int64) {
+	event := Event(rapid.IntRange(int(Dialed), int(IdleExpired)).Draw(t, "event"))
+	before := m.pool.State(id)
+	action := m.pool.Handle(id, event, m.now)
+	if action == Close && m.pool.State(id) != Closed {
+		t.Fatal("a connection that is to be closed lives on")
+	}
+	cleanEnd := event == Released || event == ReleasedAfterStream
+	if before != Idle && m.pool.State(id) == Idle && !cleanEnd {
+		t.Fatalf("idle by %v", event)
+	}
+	if cleanEnd && m.pool.State(id) == Idle {
+		m.busy[id] = false
+	}
+	m.dirty[id] = m.dirty[id] || event == ReleasedDirty || event == Broken
+}
+
 func TestConnectionIdleForTooLongIsNotReused(t *testing.T) {
 	p := New(Limits{PerEngine: 1, ConcurrentDials: 1, IdleTimeout: 1000})
 	first := p.Acquire("a", 0, 1000, 0)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-func TestMonitor(t *testing.T) {
-	second := int64(time.Second)
+func TestMonitorReportsViolations(t *testing.T) {
+	const second = int64(time.Second)
 	cases := []struct {
 		rule Rule
 		act  func(m *Monitor)
@@ -94,8 +94,12 @@
 			t.Errorf("%s is reported twice", c.rule)
 		}
 	}
-	// What is allowed is no violation: a retry after an attempt that has not run, a stream that ends after its client's
-	// deadline, a close between two requests.
+}
+
+// What is allowed is no violation: a retry after an attempt that has not run, a stream that ends after its client's deadline,
+// a close between two requests.
+func TestMonitorAcceptsAllowedActs(t *testing.T) {
+	const second = int64(time.Second)
 	m := NewMonitor(LimitsFor(250*time.Millisecond, time.Second))
 	m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: NonRetriable, Deadline: 3 * second})
 	m.AttemptWritten(1, WrittenAttempt{Decode: true})
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -204,16 +204,21 @@
 				}
 			}
 		}
-		for range 2000 {
-			now += second / 100
-			table.HandleAttempt("a", AttemptUnsent, at(now))
-			table.HandleAttempt("a", Unneeded, at(now))
-			for _, r := range table.All() {
-				table.HandleDue(r, now)
-			}
-		}
-		if table.Count() != 0 || table.Unreleased() != 0 {
-			t.Fatalf("%d reservations are left", table.Count())
-		}
+		expectEmptyInTheEnd(t, table, now)
 	})
 }
+
+// expectEmptyInTheEnd lets 20 seconds pass in which the request has no attempt, needs nothing, and no engine acknowledges.
+func expectEmptyInTheEnd(t *rapid.T, table *Table, now int64) {
+	for range 2000 {
+		now += second / 100
+		table.HandleAttempt("a", AttemptUnsent, at(now))
+		table.HandleAttempt("a", Unneeded, at(now))
+		for _, r := range table.All() {
+			table.HandleDue(r, now)
+		}
+	}
+	if table.Count() != 0 || table.Unreleased() != 0 {
+		t.Fatalf("%d reservations are left", table.Count())
+	}
+}
