--- /dev/null
+++ b/internal/protocol/chat/completion.go
@@ -0,0 +1,128 @@
+package chat
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// CompletionChunk is what the router reads of a streamed event.
+type CompletionChunk struct {
+	ID      string `json:"id"`
+	Choices []struct {
+		Index int `json:"index"`
+		Delta struct {
+			Content string `json:"content"`
+		} `json:"delta"`
+		FinishReason *string `json:"finish_reason"`
+	} `json:"choices"`
+	Usage *Usage `json:"usage,omitempty"`
+}
+
+// Usage counts tokens.
+type Usage struct {
+	PromptTokens     int `json:"prompt_tokens"`
+	CompletionTokens int `json:"completion_tokens"`
+	TotalTokens      int `json:"total_tokens"`
+}
+
+// ErrCompletionTooLarge ends a CompletionBuilder whose limit is reached.
+var ErrCompletionTooLarge = errors.New("answer is over its bound")
+
+// CompletionBuilder makes one complete response of the events of a stream.
+type CompletionBuilder struct {
+	maxBytes     int
+	id           string
+	text         strings.Builder
+	finishReason string
+	tokens       int
+	usage        *Usage
+}
+
+// NewCompletionBuilder makes a builder that holds at most so many bytes of text.
+func NewCompletionBuilder(maxBytes int) *CompletionBuilder {
+	return &CompletionBuilder{maxBytes: maxBytes, finishReason: "stop"}
+}
+
+// Add takes the next event.
+func (b *CompletionBuilder) Add(data []byte) error {
+	var chunk CompletionChunk
+	if err := json.Unmarshal(data, &chunk); err != nil {
+		return fmt.Errorf("event is not JSON: %w", err)
+	}
+	if b.id == "" {
+		b.id = chunk.ID
+	}
+	if chunk.Usage != nil {
+		b.usage = chunk.Usage
+	}
+	for _, choice := range chunk.Choices {
+		if choice.Index != 0 {
+			continue
+		}
+		if b.text.Len()+len(choice.Delta.Content) > b.maxBytes {
+			return ErrCompletionTooLarge
+		}
+		if choice.Delta.Content != "" {
+			b.tokens++
+		}
+		b.text.WriteString(choice.Delta.Content)
+		if choice.FinishReason != nil {
+			b.finishReason = *choice.FinishReason
+		}
+	}
+	return nil
+}
+
+// completion is a complete response. Keys are in alphabetical order, as clients have always got them.
+type completion struct {
+	Choices [1]completionChoice `json:"choices"`
+	ID      string              `json:"id"`
+	Model   string              `json:"model"`
+	Object  string              `json:"object"`
+	Usage   *Usage              `json:"usage"`
+}
+
+type completionChoice struct {
+	FinishReason string            `json:"finish_reason"`
+	Index        int               `json:"index"`
+	Message      completionMessage `json:"message"`
+}
+
+type completionMessage struct {
+	Content string `json:"content"`
+	Role    string `json:"role"`
+}
+
+// Body is the body of the complete response.
+func (b *CompletionBuilder) Body(request *Request) []byte {
+	usage := b.usage
+	if usage == nil {
+		usage = &Usage{request.PromptTokens, b.tokens, request.PromptTokens + b.tokens}
+	}
+	choice := completionChoice{FinishReason: b.finishReason, Message: completionMessage{b.text.String(), "assistant"}}
+	body, _ := json.Marshal(completion{Choices: [1]completionChoice{choice}, ID: b.id, Model: request.Model,
+		Object: "chat.completion", Usage: usage})
+	return body
+}
+
+// apiError is an error object as OpenAI-style clients expect it.
+type apiError struct {
+	Code    string  `json:"code"`
+	Message string  `json:"message"`
+	Param   *string `json:"param"`
+	Type    string  `json:"type"`
+}
+
+// ErrorBody is the body of an error response. The param is empty where the error concerns no parameter.
+func ErrorBody(kind, code, param, text string) []byte {
+	inner := apiError{Code: code, Message: text, Type: kind}
+	if param != "" {
+		inner.Param = &param
+	}
+	body, _ := json.Marshal(struct {
+		Error apiError `json:"error"`
+	}{inner})
+	return body
+}
--- /dev/null
+++ b/internal/protocol/chat/decoder.go
@@ -0,0 +1,91 @@
+package chat
+
+import (
+	"bytes"
+	"errors"
+)
+
+// ErrEventTooLong refuses an event that is over the decoder's limit.
+var ErrEventTooLong = errors.New("event of the stream is over its bound")
+
+// Decoder splits a stream into events. Only the data field is kept; other fields are skipped, and comments too where no
+// OnComment is set.
+type Decoder struct {
+	OnComment func(text []byte) // called with each comment, if set; it may keep the slice
+
+	maxBytes int
+	line     []byte // present line, as far as it has come
+	data     []byte // of the present event
+	hasData  bool   // the present event has a data field
+	afterCR  bool   // the last byte was a carriage return; a line feed that follows belongs to it
+	started  bool   // the first line, which may have a byte order mark, is past
+	err      error
+}
+
+// NewDecoder makes a decoder that holds at most so many bytes of one event.
+func NewDecoder(maxBytes int) *Decoder { return &Decoder{maxBytes: maxBytes} }
+
+// Feed decodes the next bytes and calls emit with the data of each complete event; emit may keep the slice. After an error
+// the decoder accepts no more.
+func (d *Decoder) Feed(in []byte, emit func(data []byte)) error {
+	for len(in) > 0 && d.err == nil {
+		if d.afterCR {
+			d.afterCR = false
+			if in[0] == '\n' {
+				in = in[1:]
+				continue
+			}
+		}
+		i := bytes.IndexAny(in, "\r\n")
+		if i < 0 {
+			d.appendToLine(in)
+			break
+		}
+		d.appendToLine(in[:i])
+		d.afterCR = in[i] == '\r'
+		in = in[i+1:]
+		if d.err == nil {
+			d.handleLine(emit)
+		}
+	}
+	return d.err
+}
+
+// AtBoundary is whether no event is incomplete.
+func (d *Decoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
+
+func (d *Decoder) appendToLine(more []byte) {
+	if len(d.line)+len(d.data)+len(more) > d.maxBytes {
+		d.err = ErrEventTooLong
+		return
+	}
+	d.line = append(d.line, more...)
+}
+
+func (d *Decoder) handleLine(emit func([]byte)) {
+	line := d.line
+	if !d.started {
+		d.started, line = true, bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
+	}
+	defer func() { d.line = d.line[:0] }()
+	if len(line) == 0 {
+		if d.hasData {
+			emit(bytes.Clone(d.data))
+		}
+		d.data, d.hasData = d.data[:0], false
+		return
+	}
+	if line[0] == ':' && d.OnComment != nil {
+		d.OnComment(bytes.Clone(line[1:]))
+		return
+	}
+	name, value, _ := bytes.Cut(line, []byte(":"))
+	if string(name) != "data" {
+		return
+	}
+	if d.hasData {
+		d.data = append(d.data, '\n')
+	}
+	d.hasData = true
+	d.data = append(d.data, bytes.TrimPrefix(value, []byte(" "))...)
+}
--- /dev/null
+++ b/internal/protocol/chat/request.go
@@ -0,0 +1,181 @@
+package chat
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+	"unicode/utf8"
+
+	"sandcourse/internal/protocol"
+)
+
+// Limits of one request beyond its size in bytes.
+const (
+	maxMessages            = 4096
+	maxIDBytes             = 256     // of a session, an idempotency key, a request ID, a model
+	maxTokens              = 1 << 20 // asked for by max_tokens
+	maxFirstTokenTimeoutMs = 3_600_000
+	maxRetryCount          = 1_000_000
+)
+
+// Request is a request for a completion as its client sends it.
+type Request struct {
+	Model             string
+	Session           string // empty where the client names none
+	PrefixHash        string // of the leading messages that sessions may share; empty for none
+	PromptTokens      int    // as EstimateTokens counts
+	PrefixTokens      int    // of the leading messages
+	MaxOutputTokens   int
+	Stream            bool
+	IdempotencyKey    string
+	ClientRequestID   string        // the client's own ID of the request
+	RetryCount        int           // attempts of the client before this one; 0 where it does not say
+	FirstTokenTimeout time.Duration // how long the client waits for a first token; 0 where it does not say
+	fields            map[string]json.RawMessage
+}
+
+// InvalidRequestError is what a client must change.
+type InvalidRequestError struct {
+	Status int    // of the response
+	Param  string // the field or header
+	Reason string
+}
+
+func (e *InvalidRequestError) Error() string { return e.Param + ": " + e.Reason }
+
+func invalid(param, format string, args ...any) error {
+	return &InvalidRequestError{http.StatusBadRequest, param, fmt.Sprintf(format, args...)}
+}
+
+// ParseRequest decodes a request. Errors are of type *InvalidRequestError.
+func ParseRequest(body []byte, header http.Header) (*Request, error) {
+	if !utf8.Valid(body) {
+		return nil, invalid("body", "it is not UTF-8")
+	}
+	r := &Request{}
+	if err := json.Unmarshal(body, &r.fields); err != nil || r.fields == nil {
+		return nil, invalid("body", "it is not a JSON object: %v", err)
+	}
+	decoded, err := r.decodeFields()
+	if err != nil {
+		return nil, err
+	}
+	switch {
+	case r.Model == "" || len(r.Model) > maxIDBytes:
+		return nil, invalid("model", "it must name a model route in at most %d bytes", maxIDBytes)
+	case len(decoded.messages) == 0 || len(decoded.messages) > maxMessages:
+		return nil, invalid("messages", "there must be 1 to %d", maxMessages)
+	}
+	r.MaxOutputTokens = decoded.maxOutputTokens()
+	if r.MaxOutputTokens < 1 || r.MaxOutputTokens > maxTokens {
+		return nil, invalid("max_tokens", "it must be 1 to %d", maxTokens)
+	}
+	if err := r.parseHeaders(header, decoded.user); err != nil {
+		return nil, err
+	}
+	return r, r.measureMessages(decoded.messages)
+}
+
+// decodedFields are fields of the body that a Request does not keep as they are.
+type decodedFields struct {
+	user                string
+	maxTokens           *int
+	maxCompletionTokens *int // replaces maxTokens where it is given
+	messages            []Message
+}
+
+// decodeFields decodes the fields of the body that the router reads.
+func (r *Request) decodeFields() (decoded decodedFields, err error) {
+	for _, field := range []struct {
+		name string
+		to   any
+		want string
+	}{
+		{"model", &r.Model, "a text"}, {"stream", &r.Stream, "true or false"}, {"user", &decoded.user, "a text"},
+		{"max_tokens", &decoded.maxTokens, "a whole number"},
+		{"max_completion_tokens", &decoded.maxCompletionTokens, "a whole number"},
+		{"messages", &decoded.messages, "a list of messages"},
+	} {
+		if raw, ok := r.fields[field.name]; ok && json.Unmarshal(raw, field.to) != nil {
+			return decoded, invalid(field.name, "it must be %s", field.want)
+		}
+	}
+	choices := 0
+	if raw, ok := r.fields["n"]; ok && (json.Unmarshal(raw, &choices) != nil || choices != 1) {
+		return decoded, invalid("n", "only one answer a call is given; it must be 1")
+	}
+	return decoded, nil
+}
+
+func (d *decodedFields) maxOutputTokens() int {
+	switch {
+	case d.maxCompletionTokens != nil:
+		return *d.maxCompletionTokens
+	case d.maxTokens != nil:
+		return *d.maxTokens
+	}
+	return protocol.DefaultMaxOutputTokens
+}
+
+// parseHeaders reads the headers of the API. The body's user is the session where the header names none.
+func (r *Request) parseHeaders(header http.Header, user string) error {
+	for _, field := range []struct {
+		name string
+		to   *string
+	}{{HeaderSession, &r.Session}, {HeaderIdempotencyKey, &r.IdempotencyKey}, {HeaderClientRequestID, &r.ClientRequestID}} {
+		*field.to = header.Get(field.name)
+		if len(*field.to) > maxIDBytes || strings.ContainsFunc(*field.to, isControl) {
+			return invalid(field.name, "it must be printable and at most %d bytes", maxIDBytes)
+		}
+	}
+	if r.Session == "" {
+		r.Session = user
+	}
+	if len(r.Session) > maxIDBytes {
+		return invalid("user", "it must be at most %d bytes", maxIDBytes)
+	}
+	timeoutMs, err := numberIn(header, HeaderFirstTokenTimeout, 1, maxFirstTokenTimeoutMs, " milliseconds")
+	if err != nil {
+		return err
+	}
+	r.FirstTokenTimeout = time.Duration(timeoutMs) * time.Millisecond
+	r.RetryCount, err = numberIn(header, HeaderRetryCount, 0, maxRetryCount, "")
+	return err
+}
+
+func isControl(r rune) bool { return r < ' ' || r == 0x7f }
+
+// numberIn reads a number in a header; it is 0 where the header is absent.
+func numberIn(header http.Header, name string, least, most int, unit string) (int, error) {
+	text := header.Get(name)
+	if text == "" {
+		return 0, nil
+	}
+	n, err := strconv.Atoi(text)
+	if err != nil || n < least || n > most {
+		return 0, invalid(name, "it must be %d to %d%s, not %q", least, most, unit, text)
+	}
+	return n, nil
+}
+
+// Replacements are fields for the body of a request to an engine; nil removes a field.
+type Replacements map[string]any
+
+// RewrittenBody is the body of the request with some fields replaced.
+func (r *Request) RewrittenBody(replacements Replacements) ([]byte, error) {
+	fields := make(map[string]any, len(r.fields)+len(replacements))
+	for name, raw := range r.fields {
+		fields[name] = raw
+	}
+	for name, value := range replacements {
+		if value == nil {
+			delete(fields, name)
+		} else {
+			fields[name] = value
+		}
+	}
+	return json.Marshal(fields)
+}
--- /dev/null
+++ b/internal/protocol/chatapi/codec.go
@@ -0,0 +1,56 @@
+// Package chatapi is the codec of the open protocol: the chat API towards clients (package chat), and the published form of
+// prefill/decode disaggregation towards engines (package engineapi). It does no I/O.
+package chatapi
+
+import (
+	"encoding/json"
+
+	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chat"
+)
+
+// Codec implements protocol.Codec.
+type Codec struct {
+	models []byte // response of the list of models
+}
+
+var _ protocol.Codec = (*Codec)(nil)
+
+// modelList is the list of models as OpenAI-style clients expect it.
+type modelList struct {
+	Data   []model `json:"data"`
+	Object string  `json:"object"`
+}
+
+type model struct {
+	ID      string `json:"id"`
+	Object  string `json:"object"`
+	OwnedBy string `json:"owned_by"`
+}
+
+// NewCodec makes the codec of a node that serves these model routes.
+func NewCodec(routes []string) *Codec {
+	list := modelList{Object: "list"}
+	for _, route := range routes {
+		list.Data = append(list.Data, model{ID: route, Object: "model", OwnedBy: "sandcourse"})
+	}
+	models, _ := json.Marshal(list)
+	return &Codec{models}
+}
+
+// ToRequest converts a chat request into the form that the core takes.
+func ToRequest(request *chat.Request) *protocol.Request {
+	return &protocol.Request{
+		Route:             request.Model,
+		Session:           request.Session,
+		Prefix:            request.PrefixHash,
+		PromptTokens:      request.PromptTokens,
+		PrefixTokens:      request.PrefixTokens,
+		MaxOutputTokens:   request.MaxOutputTokens,
+		Stream:            request.Stream,
+		Idempotent:        request.IdempotencyKey != "",
+		Retried:           request.RetryCount > 0,
+		FirstTokenTimeout: request.FirstTokenTimeout,
+		ProtocolData:      request,
+	}
+}
--- /dev/null
+++ b/internal/protocol/httpframing/head.go
@@ -0,0 +1,126 @@
+package httpframing
+
+import (
+	"bufio"
+	"bytes"
+	"net/http"
+	"strings"
+)
+
+// maxInterimResponses bounds the interim responses before a final one; common servers send one or two.
+const maxInterimResponses = 16
+
+// bodyFraming is how the end of a body is known.
+type bodyFraming struct {
+	length  int64 // negative for none
+	chunked bool
+}
+
+func (p *Parser) parseHead(in []byte) (*Part, int, error) {
+	i := bytes.Index(in, []byte("\r\n\r\n"))
+	if i < 0 && len(in) > p.limits.HeadBytes || i > p.limits.HeadBytes {
+		return nil, 0, messageError(http.StatusRequestHeaderFieldsTooLarge, "head over %d bytes", p.limits.HeadBytes)
+	}
+	if i < 0 {
+		return nil, 0, nil
+	}
+	head := in[:i+4]
+	if err := validateHead(head[:i+2]); err != nil {
+		return nil, 0, err
+	}
+	part, framing, err := p.decodeHead(bufio.NewReaderSize(bytes.NewReader(head), 512))
+	if err != nil {
+		return nil, 0, err
+	}
+	if part == nil {
+		return nil, len(head), nil
+	}
+	if framing.length > int64(p.limits.BodyBytes) {
+		return nil, 0, p.bodyTooLarge()
+	}
+	p.remaining, p.bodyBytes, p.trailerBytes, p.state = int(max(0, framing.length)), 0, 0, inBody
+	if framing.chunked {
+		p.state = inChunkSize
+	}
+	return part, len(head), nil
+}
+
+func (p *Parser) decodeHead(head *bufio.Reader) (*Part, bodyFraming, error) {
+	if p.direction == Requests {
+		return p.decodeRequest(head)
+	}
+	return p.decodeResponse(head)
+}
+
+func (p *Parser) decodeRequest(head *bufio.Reader) (*Part, bodyFraming, error) {
+	request, err := http.ReadRequest(head)
+	if err != nil {
+		return nil, bodyFraming{}, messageError(http.StatusBadRequest, "request head: %w", err)
+	}
+	if request.ProtoMajor != 1 {
+		return nil, bodyFraming{}, messageError(http.StatusHTTPVersionNotSupported, "protocol %s is not spoken here", request.Proto)
+	}
+	return &Part{Kind: Head, Request: request}, bodyFraming{request.ContentLength, len(request.TransferEncoding) > 0}, nil
+}
+
+// decodeResponse returns no part for an interim response. A client must be able to skip those that it did not ask for
+// (RFC 9110, section 15.2); after a change of protocol the rest would be no HTTP.
+func (p *Parser) decodeResponse(head *bufio.Reader) (*Part, bodyFraming, error) {
+	response, err := http.ReadResponse(head, nil)
+	if err != nil {
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "answer's head: %w", err)
+	}
+	status := response.StatusCode
+	interim := status < http.StatusOK
+	if interim && status != http.StatusSwitchingProtocols && p.interimResponses < maxInterimResponses {
+		p.interimResponses++
+		return nil, bodyFraming{}, nil
+	}
+	p.interimResponses = 0
+	if interim {
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "interim answer %d was not asked for", status)
+	}
+	framing := bodyFraming{response.ContentLength, len(response.TransferEncoding) > 0}
+	if framing.length < 0 && !framing.chunked && status != http.StatusNoContent {
+		// The end of the connection may be the end of the body, or a fault.
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "answer has neither a length nor chunks")
+	}
+	return &Part{Kind: Head, Response: response}, framing, nil
+}
+
+// validateHead refuses what two parties may read differently. The head ends with the end of its last line.
+func validateHead(head []byte) error {
+	lengths, codings := 0, 0
+	for n, line := range bytes.Split(head[:len(head)-2], []byte("\r\n")) {
+		if bytes.ContainsAny(line, "\r\n\x00") {
+			return messageError(http.StatusBadRequest, "head line %d has a stray line end or a zero byte", n+1)
+		}
+		if n == 0 {
+			continue
+		}
+		if len(line) == 0 || line[0] == ' ' || line[0] == '\t' {
+			return messageError(http.StatusBadRequest, "head line %d goes on from the one before", n+1)
+		}
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !ok || bytes.ContainsAny(name, " \t") {
+			return messageError(http.StatusBadRequest, "head line %d is not a field", n+1)
+		}
+		value = bytes.TrimSpace(value)
+		switch strings.ToLower(string(name)) {
+		case "content-length":
+			lengths++
+			if bytes.ContainsFunc(value, func(r rune) bool { return r < '0' || r > '9' }) {
+				return messageError(http.StatusBadRequest, "content length %q is not a number", value)
+			}
+		case "transfer-encoding":
+			codings++
+			if !strings.EqualFold(string(value), "chunked") {
+				return messageError(http.StatusNotImplemented, "transfer encoding %q is not spoken here", value)
+			}
+		}
+	}
+	if lengths > 1 || codings > 1 || lengths+codings > 1 {
+		return messageError(http.StatusBadRequest, "more than one length: %d content lengths, %d transfer encodings", lengths, codings)
+	}
+	return nil
+}
--- a/internal/protocol/httpframing/framing_test.go
+++ b/internal/protocol/httpframing/parser_test.go
@@ -12,13 +12,13 @@
 
 var small = Limits{HeadBytes: 512, BodyBytes: 1024}
 
-// read cuts messages given in pieces and returns their bodies.
-func read(side Direction, parts ...[]byte) (bodies []string, c *Parser, err error) {
-	c = NewParser(side, small)
+// read parses messages that come in slices and returns their bodies.
+func read(direction Direction, slices ...[]byte) (bodies []string, parser *Parser, err error) {
+	parser = NewParser(direction, small)
 	var body []byte
-	for _, part := range parts {
-		pieces, err := c.Feed(part)
-		for _, p := range pieces {
+	for _, slice := range slices {
+		parts, err := parser.Feed(slice)
+		for _, p := range parts {
 			switch p.Kind {
 			case Head:
 				body = nil
@@ -29,13 +29,12 @@
 			}
 		}
 		if err != nil {
-			return bodies, c, err
+			return bodies, parser, err
 		}
 	}
-	return bodies, c, nil
+	return bodies, parser, nil
 }
 
-// However the bytes are split, the same messages come out.
 func TestSplitInputGivesTheSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wire bytes.Buffer
@@ -55,33 +54,33 @@
 				fmt.Fprintf(&wire, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
 		}
-		var parts [][]byte
+		var slices [][]byte
 		for rest := wire.Bytes(); len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "part")
-			parts = append(parts, bytes.Clone(rest[:n]))
+			slices = append(slices, bytes.Clone(rest[:n]))
 			rest = rest[n:]
 		}
-		got, c, err := read(Requests, parts...)
-		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !c.AtBoundary() {
+		got, parser, err := read(Requests, slices...)
+		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !parser.AtBoundary() {
 			t.Fatalf("%q, %v; want %q", got, err, want)
 		}
 	})
 }
 
-// What goes ahead of an answer is passed over, whatever it says of a length.
+// Interim responses are skipped, whatever they say of a length.
 func TestInterimResponses(t *testing.T) {
-	got, c, err := read(Responses, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
+	got, parser, err := read(Responses, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
-	if err != nil || fmt.Sprint(got) != "[ok]" || !c.AtBoundary() {
+	if err != nil || fmt.Sprint(got) != "[ok]" || !parser.AtBoundary() {
 		t.Fatal(got, err)
 	}
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
-		side   Direction
-		wire   string
-		status int
+		direction Direction
+		wire      string
+		status    int
 	}{
 		"two lengths":       {Requests, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400},
 		"both":              {Requests, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400},
@@ -97,16 +96,16 @@
 		"endless extension": {Requests, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("x", 2000), 400},
 		"no status":         {Responses, "HTTP/1.1 abc\r\n\r\n", 502},
 		"no length":         {Responses, "HTTP/1.1 200 OK\r\n\r\n", 502},
-		"interim for ever":  {Responses, strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", maxInterimResponses+1), 502},
+		"endless interim":   {Responses, strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", maxInterimResponses+1), 502},
 		"other protocol":    {Responses, "HTTP/1.1 101 Switching\r\n\r\n", 502},
 	} {
-		_, cutter, err := read(c.side, []byte(c.wire))
-		var f *MessageError
-		if !errors.As(err, &f) || f.Status != c.status {
+		_, parser, err := read(c.direction, []byte(c.wire))
+		var refused *MessageError
+		if !errors.As(err, &refused) || refused.Status != c.status {
 			t.Errorf("%s: %v", name, err)
 		}
-		if _, again := cutter.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); again == nil || cutter.AtBoundary() {
-			t.Errorf("%s: goes on after its fault", name)
+		if _, next := parser.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); next == nil || parser.AtBoundary() {
+			t.Errorf("%s: parses more after an error", name)
 		}
 	}
 }
@@ -115,15 +114,15 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"), 5)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 9)
 	f.Fuzz(func(t *testing.T, wire []byte, cut int) {
-		for _, side := range []Direction{Requests, Responses} {
-			whole, _, errWhole := read(side, wire)
+		for _, direction := range []Direction{Requests, Responses} {
+			whole, _, errWhole := read(direction, wire)
 			cut := min(len(wire), max(0, cut))
-			parts, c, errParts := read(side, wire[:cut], wire[cut:])
+			parts, parser, errParts := read(direction, wire[:cut], wire[cut:])
 			if (errWhole == nil) != (errParts == nil) || fmt.Sprint(whole) != fmt.Sprint(parts) {
 				t.Fatalf("split at %d: %q %v against %q %v", cut, parts, errParts, whole, errWhole)
 			}
-			if c.Buffered() > small.HeadBytes+small.BodyBytes+4096 && c.Buffered() > len(wire) {
-				t.Fatal("holds more than it was given")
+			if parser.Buffered() > small.HeadBytes+small.BodyBytes+4096 && parser.Buffered() > len(wire) {
+				t.Fatal("buffers more than it was given")
 			}
 		}
 	})
--- /dev/null
+++ b/internal/protocol/platform/engine.go
@@ -0,0 +1,94 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"sandcourse/internal/attempt"
+	"sandcourse/internal/protocol"
+	"sandcourse/internal/protocol/chat"
+)
+
+// ErrNoCachedTokens refuses the response of a prefill engine without a count of cached tokens.
+var ErrNoCachedTokens = errors.New("reader's answer does not say what it had kept")
+
+// MixedEnginePrefillsOnDecode is true: a mixed engine without a reservation runs the prefill and streams the output.
+func (*Codec) MixedEnginePrefillsOnDecode() bool { return true }
+
+// PrefillRequest implements protocol.EngineCodec.
+func (*Codec) PrefillRequest(request *protocol.Request, requestID string, to protocol.Target, _ int,
+	remaining time.Duration) ([]byte, error) {
+	return request.ProtocolData.(*forwardedRequest).encode(requestID, to, remaining), nil
+}
+
+// DecodeRequest implements protocol.EngineCodec. The decode engine finds the reservation by the request's ID.
+func (*Codec) DecodeRequest(request *protocol.Request, requestID string, to protocol.Target, _ protocol.ReservationHandle,
+	remaining time.Duration) ([]byte, error) {
+	return request.ProtocolData.(*forwardedRequest).encode(requestID, to, remaining), nil
+}
+
+// HealthCheckRequest implements protocol.EngineCodec.
+func (c *Codec) HealthCheckRequest(to protocol.Target) []byte {
+	path := LoadReportPath
+	if len(c.reportFields) == 0 {
+		path = PingPath
+	}
+	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, to.Address)
+}
+
+// ReleaseRequest releases all reservations of a request, whichever attempt made them.
+func (*Codec) ReleaseRequest(to protocol.Target, requestID string, _ int) []byte {
+	return fmt.Appendf(nil, "DELETE %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", ReservationsPath, requestID, to.Address)
+}
+
+// ReleaseReachesAllEngines is true: any engine accepts a release of what the others hold for the request.
+func (*Codec) ReleaseReachesAllEngines() bool { return true }
+
+// ClassifyResponse implements protocol.EngineCodec. Nothing ran only where the engine says so itself.
+func (*Codec) ClassifyResponse(head *http.Response, decode bool) attempt.Event {
+	notStarted := head.Header.Get(HeaderNotStarted) == "1"
+	switch {
+	case decode && head.StatusCode == http.StatusOK && chat.IsEventStream(head.Header):
+		return attempt.SuccessStatus
+	case !decode && head.StatusCode == http.StatusAccepted:
+		return attempt.SuccessStatus
+	case head.StatusCode < http.StatusBadRequest:
+		return attempt.MalformedResponse
+	case head.StatusCode == http.StatusGone && notStarted:
+		return attempt.ReservationNotFound
+	case notStarted && (head.StatusCode == http.StatusServiceUnavailable || head.StatusCode == http.StatusGatewayTimeout):
+		return attempt.Rejected
+	}
+	return attempt.ErrorStatus
+}
+
+// reservationByRequestID is the handle of a reservation that engines know by the request's ID.
+type reservationByRequestID struct{}
+
+// ParseReservation implements protocol.EngineCodec.
+func (*Codec) ParseReservation(body []byte) (handle protocol.ReservationHandle, cachedTokens int, err error) {
+	var response struct {
+		CachedTokens *int `json:"cached_tokens"`
+	}
+	if err := json.Unmarshal(body, &response); err != nil {
+		return nil, 0, fmt.Errorf("%w: %w", protocol.ErrMalformedPrefillResponse, err)
+	}
+	if response.CachedTokens == nil || *response.CachedTokens < 0 {
+		return nil, 0, ErrNoCachedTokens
+	}
+	return reservationByRequestID{}, *response.CachedTokens, nil
+}
+
+// IsFinalEvent is false: the event that says that a stream is done goes to the client, too.
+func (*Codec) IsFinalEvent([]byte) bool { return false }
+
+// ClassifyStreamEnd implements protocol.EngineCodec. Only a complete stream has the last chunk that ends its framing.
+func (*Codec) ClassifyStreamEnd(hasEvents bool) (input attempt.Event, reason string) {
+	if !hasEvents {
+		return attempt.MalformedResponse, "the stream has no event"
+	}
+	return attempt.DecodeCompleted, ""
+}
--- /dev/null
+++ b/internal/protocol/platform/loadreport.go
@@ -0,0 +1,56 @@
+package platform
+
+import (
+	"math"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+
+	"sandcourse/internal/config/params"
+	"sandcourse/internal/routing"
+)
+
+// Limits of a load report.
+const (
+	maxReportBytes = 1024
+	maxReportValue = 1e9
+)
+
+// ParseLoadReport implements protocol.EngineCodec. The header comes before the body.
+func (c *Codec) ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport {
+	if report := c.parseReportText(head.Header.Get(HeaderLoadReport)); report != nil {
+		return report
+	}
+	return c.parseReportText(string(body))
+}
+
+// ParseLoadComment implements protocol.EngineCodec. A report in a comment looks like the header.
+func (c *Codec) ParseLoadComment(line []byte) *routing.LoadReport {
+	name, value, _ := strings.Cut(string(line), ":")
+	if !strings.EqualFold(strings.TrimSpace(name), HeaderLoadReport) {
+		return nil
+	}
+	return c.parseReportText(value)
+}
+
+// parseReportText decodes the text of a load report. One that lacks a field, or has a value out of range, counts as none.
+func (c *Codec) parseReportText(text string) *routing.LoadReport {
+	text = strings.TrimSpace(text)
+	if len(c.reportFields) == 0 || text == "" || len(text) > maxReportBytes {
+		return nil
+	}
+	values := map[string]float64{}
+	for part := range strings.SplitSeq(strings.TrimPrefix(text, "TEXT "), ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
+		number, err := strconv.ParseFloat(value, 64)
+		if !ok || err != nil || math.IsNaN(number) || number < 0 || number > maxReportValue {
+			return nil
+		}
+		values[name] = number
+	}
+	if slices.ContainsFunc(c.reportFields, func(name string) bool { _, ok := values[name]; return !ok }) {
+		return nil
+	}
+	return params.LoadReport(values)
+}
--- /dev/null
+++ b/internal/protocol/platform/request.go
@@ -0,0 +1,147 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"sandcourse/internal/protocol"
+)
+
+// Limits of a request beyond its size in bytes.
+const (
+	maxIDBytes = 128              // of a request ID, an affinity key, a prefix
+	maxTokens  = 1 << 24          // of any length in tokens
+	maxTimeout = 10 * time.Minute // that a client may wait
+)
+
+// bytesPerToken estimates the length of a prompt whose client does not say it.
+const bytesPerToken = 4
+
+// resumeRetry is the value of HeaderClientRetry that asks for the rest of a stream.
+const resumeRetry = "again"
+
+// errNotObject refuses a body that no engine can use; the engine's error would look like its own fault.
+var errNotObject = errors.New("the body is no JSON object")
+
+// HeaderError refuses the value of a header of a client's request.
+type HeaderError struct {
+	Header  string // may go on with the name of a part: "Request-Info: prefix"
+	Problem string // the value that is allowed
+}
+
+func (e *HeaderError) Error() string { return e.Header + " " + e.Problem }
+
+func headerError(header, format string, args ...any) error {
+	return &HeaderError{header, fmt.Sprintf(format, args...)}
+}
+
+// ParseRequest implements protocol.ClientCodec. The platform names no tenants.
+func (c *Codec) ParseRequest(r *http.Request, body []byte) (*protocol.Request, string, *protocol.Response) {
+	if r.URL.Path != CompletionsPath || r.Method != http.MethodPost {
+		return nil, "", nil
+	}
+	request, err := parseRequest(r, body)
+	if err != nil {
+		rejection := c.InvalidRequestResponse(http.StatusBadRequest, "bad_call", "", err.Error())
+		return nil, "", &rejection
+	}
+	return request, "", nil
+}
+
+// singleHeaders may stand once in a request.
+var singleHeaders = []string{HeaderRequestID, HeaderRequestClass, HeaderAffinityKey, HeaderTimeout, HeaderRequestInfo,
+	HeaderClientRetry}
+
+func parseRequest(r *http.Request, body []byte) (*protocol.Request, error) {
+	for _, name := range singleHeaders {
+		if len(r.Header.Values(name)) > 1 {
+			return nil, headerError(name, "stands twice")
+		}
+	}
+	retry := r.Header.Get(HeaderClientRetry)
+	request := &protocol.Request{
+		ID:              r.Header.Get(HeaderRequestID),
+		Route:           r.Header.Get(HeaderRequestClass),
+		Session:         r.Header.Get(HeaderAffinityKey),
+		PromptTokens:    len(body) / bytesPerToken,
+		MaxOutputTokens: protocol.DefaultMaxOutputTokens,
+		Stream:          true,
+		Idempotent:      retry != "",
+		Resumes:         retry == resumeRetry,
+		Retried:         retry != "",
+		ProtocolData:    &forwardedRequest{r.Method + " " + r.RequestURI, forwardedFields(r.Header), body},
+	}
+	switch {
+	case !validRequestID(request.ID):
+		return nil, headerError(HeaderRequestID, "must be 1 to %d letters, digits, - or _", maxIDBytes)
+	case request.Route == "":
+		return nil, headerError(HeaderRequestClass, "is missing")
+	case len(request.Session) > maxIDBytes:
+		return nil, headerError(HeaderAffinityKey, "must have at most %d bytes", maxIDBytes)
+	}
+	var err error
+	if request.FirstTokenTimeout, err = parseTimeout(r.Header.Get(HeaderTimeout)); err != nil {
+		return nil, err
+	}
+	if err := parseRequestInfo(request, r.Header.Get(HeaderRequestInfo)); err != nil {
+		return nil, err
+	}
+	if !json.Valid(body) || bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
+		return nil, errNotObject
+	}
+	return request, nil
+}
+
+// validRequestID is whether an ID can stand in a path and in a header as it is.
+func validRequestID(id string) bool {
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, isReserved) && strings.Trim(id, ".") != ""
+}
+
+// isReserved is whether a character has to be escaped in a path (RFC 3986, section 2.3).
+func isReserved(r rune) bool {
+	return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.~", r))
+}
+
+func parseTimeout(text string) (time.Duration, error) {
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(seconds > 0 && seconds <= maxTimeout.Seconds()) {
+		return 0, headerError(HeaderTimeout, "must be seconds over 0 and up to %v, not %q", maxTimeout.Seconds(), text)
+	}
+	return time.Duration(seconds * float64(time.Second)), nil
+}
+
+// parseRequestInfo reads the lengths and the prefix that a client reports; unknown parts are skipped.
+func parseRequestInfo(request *protocol.Request, text string) error {
+	for part := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		var tokens *int
+		switch name {
+		case "prefix":
+			if len(value) > maxIDBytes {
+				return headerError(HeaderRequestInfo+": prefix", "must have at most %d bytes", maxIDBytes)
+			}
+			request.Prefix = value
+			continue
+		case "prompt_len":
+			tokens = &request.PromptTokens
+		case "prefix_len":
+			tokens = &request.PrefixTokens
+		case "max_out":
+			tokens = &request.MaxOutputTokens
+		default:
+			continue
+		}
+		n, err := strconv.Atoi(value)
+		if err != nil || n < 0 || n > maxTokens {
+			return headerError(HeaderRequestInfo+": "+name, "must be 0 to %d, not %q", maxTokens, value)
+		}
+		*tokens = n
+	}
+	return nil
+}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -220,8 +220,8 @@
 func (r *Router) reply(client *ClientConnection, received *ClientRequest, answer protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
 		answer.Status, http.StatusText(answer.Status), answer.ContentType, len(answer.Body))
-	for i := 0; i+1 < len(answer.Headers); i += 2 {
-		head = fmt.Appendf(head, "%s: %s\r\n", answer.Headers[i], answer.Headers[i+1])
+	for _, header := range answer.Headers {
+		head = fmt.Appendf(head, "%s: %s\r\n", header.Name, header.Value)
 	}
 	keep := received != nil && !received.Request.Close && received.Request.ProtoAtLeast(1, 1)
 	if !keep {
