--- a/cmd/sandcourse/roles_print.go
+++ b/cmd/sandcourse/roles_print.go
@@ -79,7 +79,7 @@
 	fmt.Fprintf(out, "%s: %s of epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State,
 		time.Unix(0, e.StateSince).Format(time.TimeOnly))
 	printIfSet(out, "last order or change", e.Reason)
-	printIfSet(out, "may not change now", e.IneligibleReason)
+	printIfSet(out, "may not change now", string(e.IneligibleReason))
 	printIfSet(out, "trouble", e.Fault)
 	if e.NextRole != "" {
 		fmt.Fprintf(out, "  on its way to %s of epoch %d\n", e.NextRole, e.NextEpoch)
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -9,239 +9,209 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// workSample is one engine's work between two reports.
-type workSample struct {
-	takenAt, duration   int64
-	tokens, busySeconds float64 // tokens, and seconds of all its slots
-	prefill             bool
+const (
+	// maxDeltas is how many reports back the demand is measured. Ten reports of a second are long enough that a
+	// variance of a few seconds evens out, and short enough that a shift shows within one change.
+	maxDeltas = 10
+	// maxEdges bounds the memory that edges with ever new names can take.
+	maxEdges            = 10_000
+	edgeResponsiveFor   = 4 * time.Second // the counts of an edge that has not reported for longer are not used
+	edgeExpectedFor     = time.Minute     // after which an edge that does not report is forgotten
+	minEdgeSpan         = 0.1             // seconds, so that one early report makes no high rate
+	defaultAnswerTokens = 64              // of a request on a route of which no request has ended yet
+	// Of a prompt token, a part is computed: an engine may compute again what another has cached, so it can be
+	// more than 1. Values below a fiftieth are not credible.
+	minUncachedRatio = 0.02
+	maxUncachedRatio = 1.5
+)
+
+// demandEstimator estimates the demand from the load reports of edges.
+type demandEstimator struct {
+	edges         map[string]*edgeRecord
+	uncachedRatio float64            // computed tokens per prompt token, latest known; 0 if unknown
+	answerTokens  map[string]float64 // of a request by route, latest known
+}
+
+func newDemandEstimator() demandEstimator {
+	return demandEstimator{edges: map[string]*edgeRecord{}, answerTokens: map[string]float64{}}
 }
 
-// edgeRecord is what is known of one edge: its last reports, as differences.
+// edgeRecord is what is known of one edge.
 type edgeRecord struct {
 	report     planapi.EdgeReport
 	reportedAt int64
 	deltas     []countDelta
 }
 
+// countDelta is what an edge counted between two reports.
 type countDelta struct {
-	takenAt, duration int64
-	routes            []planapi.RouteCount // counted within dt
-}
-
-// How far back measurements go. Ten reports of a second: long enough that a swing of a few seconds evens out,
-// short enough that a shift shows within one switch.
-const (
-	maxDeltas         = 10
-	maxSamples        = 16
-	edgeResponsiveFor = int64(4 * time.Second)  // an edge that said nothing for longer is not counted
-	edgeKnownFor      = int64(60 * time.Second) // and after this it is not expected any more
-)
-
-// recordSample takes what an engine did since its last report. A report of another life or role, or one that
-// counts backwards, begins anew.
-func (engine *engineRecord) recordSample(report planapi.EngineReport, now int64) {
-	previous := engine.report
-	elapsed := now - engine.reportedAt
-	if engine.reportedAt == 0 || previous.Incarnation != report.Incarnation || previous.Role != report.Role || report.PrefillTokens < previous.PrefillTokens ||
-		report.DecodeTokens < previous.DecodeTokens || report.BusySeconds < previous.BusySeconds || elapsed <= 0 {
-		return
-	}
-	sample := workSample{takenAt: now, duration: elapsed, tokens: report.DecodeTokens - previous.DecodeTokens, busySeconds: report.BusySeconds - previous.BusySeconds,
-		prefill: report.Role == planapi.Prefill}
-	if sample.prefill {
-		sample.tokens = report.PrefillTokens - previous.PrefillTokens
-	}
-	// Reports come four times a second; a second of them makes a sample.
-	if n := len(engine.samples); n > 0 && engine.samples[n-1].duration < int64(time.Second) &&
-		engine.samples[n-1].prefill == sample.prefill {
-		latest := &engine.samples[n-1]
-		latest.takenAt, latest.duration, latest.tokens, latest.busySeconds = sample.takenAt, latest.duration+sample.duration, latest.tokens+sample.tokens, latest.busySeconds+sample.busySeconds
-		return
-	}
-	engine.samples = appendBounded(engine.samples, sample, maxSamples)
+	duration time.Duration
+	routes   []planapi.RouteCount
 }
 
-// handleEdgeReport takes the differences between two reports of one life of an edge.
-func (c *Controller) handleEdgeReport(report planapi.EdgeReport) {
-	edge := c.edges[report.Edge]
+// handleReport takes the difference to the last report of the same incarnation of an edge.
+func (d *demandEstimator) handleReport(now int64, report planapi.EdgeReport) {
+	edge := d.edges[report.Edge]
 	if edge == nil {
-		if len(c.edges) >= 10_000 {
+		if len(d.edges) >= maxEdges {
 			return
 		}
 		edge = &edgeRecord{}
-		c.edges[report.Edge] = edge
+		d.edges[report.Edge] = edge
 	}
-	if edge.reportedAt > 0 && edge.report.Incarnation == report.Incarnation && c.now > edge.reportedAt {
-		delta := countDelta{takenAt: c.now, duration: c.now - edge.reportedAt}
+	if edge.reportedAt > 0 && edge.report.Incarnation == report.Incarnation && now > edge.reportedAt {
+		delta := countDelta{duration: time.Duration(now - edge.reportedAt)}
 		for _, count := range report.Routes {
-			i := slices.IndexFunc(edge.report.Routes,
-				func(previous planapi.RouteCount) bool { return previous.Route == count.Route })
-			var previous planapi.RouteCount
-			if i >= 0 {
-				previous = edge.report.Routes[i]
+			if difference, ok := subtractCounts(count, edge.countOf(count.Route)); ok {
+				delta.routes = append(delta.routes, difference)
 			}
-			difference := planapi.RouteCount{Route: count.Route, Arrived: count.Arrived - previous.Arrived,
-				PromptTokens: count.PromptTokens - previous.PromptTokens, Started: count.Started - previous.Started,
-				StartedPromptTokens: count.StartedPromptTokens - previous.StartedPromptTokens, Completed: count.Completed - previous.Completed, CompletionTokens: count.CompletionTokens - previous.CompletionTokens,
-				WithinObjective: count.WithinObjective - previous.WithinObjective,
-				Shed:            count.Shed - previous.Shed}
-			if min(difference.Arrived, difference.PromptTokens, difference.Started, difference.StartedPromptTokens, difference.Completed, difference.CompletionTokens, difference.WithinObjective, difference.Shed) < 0 {
-				continue // it counts backwards: no life does
-			}
-			delta.routes = append(delta.routes, difference)
 		}
 		edge.deltas = appendBounded(edge.deltas, delta, maxDeltas)
 	}
-	edge.report, edge.reportedAt = report, c.now
+	edge.report, edge.reportedAt = report, now
 }
 
-// routeDemand is what arrives on one model route.
-type routeDemand struct {
-	Route         string  `json:"route"`
-	Rate          float64 `json:"rate"`         // inferences a second
-	PrefillTokens float64 `json:"read_tokens"`  // work of one at a reader
-	DecodeTokens  float64 `json:"write_tokens"` // and at a writer
-	Value         float64 `json:"value"`
-	LostRate      float64 `json:"lost"` // inferences a second that are shed, or whose first token comes late
+// countOf is the latest report's count of a route, or the zero count.
+func (e *edgeRecord) countOf(route string) planapi.RouteCount {
+	for _, count := range e.report.Routes {
+		if count.Route == route {
+			return count
+		}
+	}
+	return planapi.RouteCount{}
 }
 
-// trafficMix is all of them, by route.
-type trafficMix []routeDemand
+// subtractCounts is what was counted since an earlier report. It is not ok if a count went down, which no edge
+// does within an incarnation.
+func subtractCounts(count, earlier planapi.RouteCount) (difference planapi.RouteCount, ok bool) {
+	difference = planapi.RouteCount{Route: count.Route,
+		Arrived: count.Arrived - earlier.Arrived, PromptTokens: count.PromptTokens - earlier.PromptTokens,
+		Started: count.Started - earlier.Started, StartedPromptTokens: count.StartedPromptTokens - earlier.StartedPromptTokens,
+		Completed: count.Completed - earlier.Completed, CompletionTokens: count.CompletionTokens - earlier.CompletionTokens,
+		WithinObjective: count.WithinObjective - earlier.WithinObjective, Shed: count.Shed - earlier.Shed}
+	return difference, min(difference.Arrived, difference.PromptTokens, difference.Started, difference.StartedPromptTokens,
+		difference.Completed, difference.CompletionTokens, difference.WithinObjective, difference.Shed) >= 0
+}
 
-// estimateDemand adds up what arrives. Edges that are not heard are taken to see as much as the others do on average,
-// and no edge counts for more than four times the middle one: a report may be wrong.
-func (c *Controller) estimateDemand() (mix trafficMix, reporting, known int) {
-	type sum struct{ arrived, prompt, ended, answer, lost float64 }
-	rates := map[string][]float64{}
-	totals := map[string]*sum{}
-	begun, rows := 0.0, 0 // prompt tokens a second whose first token came
-	for _, name := range slices.Sorted(maps.Keys(c.edges)) {
-		edge := c.edges[name]
-		if c.now-edge.reportedAt > edgeKnownFor {
-			delete(c.edges, name)
+// edgeCounts adds up what the edges counted within the window.
+type edgeCounts struct {
+	known, reporting int
+	startedTokenRate float64 // prompt tokens per second of the requests whose first token came
+	routes           map[string]*routeCounts
+}
+
+// routeCounts adds up one model route.
+type routeCounts struct {
+	arrived, prompt, ended, answer, lost float64
+	rates                                []float64 // arrivals per second at each edge that has the route
+}
+
+func (d *demandEstimator) collect(now int64) edgeCounts {
+	counts := edgeCounts{routes: map[string]*routeCounts{}}
+	for _, name := range slices.Sorted(maps.Keys(d.edges)) {
+		edge := d.edges[name]
+		silence := time.Duration(now - edge.reportedAt)
+		if silence > edgeExpectedFor {
+			delete(d.edges, name)
 			continue
 		}
-		known++
-		if c.now-edge.reportedAt > edgeResponsiveFor || len(edge.deltas) == 0 {
+		counts.known++
+		if silence > edgeResponsiveFor || len(edge.deltas) == 0 {
 			continue
 		}
-		reporting++
-		span, read := 0.0, 0.0
-		arrivedByRoute := map[string]float64{}
-		for _, delta := range edge.deltas {
-			span += float64(delta.duration) / 1e9
-			for _, count := range delta.routes {
-				arrivedByRoute[count.Route] += count.Arrived
-				if totals[count.Route] == nil {
-					totals[count.Route] = &sum{}
-				}
-				total := totals[count.Route]
-				total.arrived, total.prompt, total.ended, total.answer = total.arrived+count.Arrived, total.prompt+count.PromptTokens,
-					total.ended+count.Completed, total.answer+count.CompletionTokens
-				total.lost += count.Shed + max(0, count.Started-count.WithinObjective)
-				read += count.StartedPromptTokens
+		counts.reporting++
+		counts.add(edge)
+	}
+	return counts
+}
+
+func (c *edgeCounts) add(edge *edgeRecord) {
+	span, startedTokens := 0.0, 0.0
+	arrived := map[string]float64{}
+	for _, delta := range edge.deltas {
+		span += seconds(delta.duration)
+		for _, count := range delta.routes {
+			if c.routes[count.Route] == nil {
+				c.routes[count.Route] = &routeCounts{}
 			}
-		}
-		begun += read / max(span, 0.1)
-		rows++
-		for route, n := range arrivedByRoute {
-			rates[route] = append(rates[route], n/max(span, 0.1))
+			c.routes[count.Route].add(count)
+			arrived[count.Route] += count.Arrived
+			startedTokens += count.StartedPromptTokens
 		}
 	}
-	if read, n := c.tokenRate(planapi.Prefill); begun > 0 && n > 0 {
-		// What is read of each prompt token. Readers and edges that are not heard are as the others are. A
-		// reader may read again what another kept, so more than all is possible; under a fiftieth is not
-		// believed.
-		all, _ := c.supply(planapi.Prefill)
-		read *= max(1, all/float64(n))
-		begun *= float64(known) / float64(reporting)
-		c.uncachedRatio = min(max(read/begun, 0.02), 1.5)
+	span = max(span, minEdgeSpan)
+	c.startedTokenRate += startedTokens / span
+	for route, count := range arrived { // each adds to its own route, so the order does not matter
+		c.routes[route].rates = append(c.routes[route].rates, count/span)
 	}
-	for _, route := range slices.Sorted(maps.Keys(totals)) {
-		total := totals[route]
-		if total.ended > 0 {
-			c.answerTokens[route] = total.answer / total.ended
-		}
-		row := rates[route]
-		for len(row) < rows {
-			row = append(row, 0)
-		}
-		slices.Sort(row)
-		limit := 4 * row[len(row)/2]
-		if len(row) < 3 || limit == 0 {
-			limit = row[len(row)-1]
-		}
-		demand := routeDemand{Route: route, Value: cmp.Or(c.config.RouteValues[route], 1)}
-		for _, r := range row {
-			demand.Rate += min(r, limit)
-		}
-		demand.Rate *= float64(known) / float64(max(reporting, 1))
-		demand.LostRate = demand.Rate * min(1, total.lost/max(total.arrived, 1))
-		demand.PrefillTokens, demand.DecodeTokens = total.prompt/max(total.arrived, 1)*cmp.Or(c.uncachedRatio, 1), cmp.Or(c.answerTokens[route], 64)
+}
+
+func (r *routeCounts) add(count planapi.RouteCount) {
+	r.arrived += count.Arrived
+	r.prompt += count.PromptTokens
+	r.ended += count.Completed
+	r.answer += count.CompletionTokens
+	r.lost += count.Shed + max(0, count.Started-count.WithinObjective)
+}
+
+// arrivalRate is the arrivals per second at so many edges, none of which counts for more than a few times the
+// median one, as a load report may be wrong.
+func (r *routeCounts) arrivalRate(edges int) (total float64) {
+	for len(r.rates) < edges {
+		r.rates = append(r.rates, 0)
+	}
+	slices.Sort(r.rates)
+	limit := outlierFactor * r.rates[len(r.rates)/2]
+	if len(r.rates) < minForOutlierLimit || limit == 0 {
+		limit = r.rates[len(r.rates)-1]
+	}
+	for _, rate := range r.rates {
+		total += min(rate, limit)
+	}
+	return total
+}
+
+// estimateDemand returns what arrives, and how many edges report of those that are known. Edges that do not
+// report are taken to receive as much as the others do on average.
+func (c *Controller) estimateDemand() (mix trafficMix, reporting, known int) {
+	counts := c.demand.collect(c.now)
+	c.updateUncachedRatio(counts)
+	for _, route := range slices.Sorted(maps.Keys(counts.routes)) {
+		demand := c.demand.onRoute(route, counts)
+		demand.Value = cmp.Or(c.config.RouteValues[route], 1)
 		if demand.Rate > 0 {
 			mix = append(mix, demand)
 		}
 	}
-	// Those of highest value are served first, as the edges do.
+	// Edges admit the routes of the highest value first.
 	slices.SortStableFunc(mix, func(a, b routeDemand) int {
-		return cmp.Or(cmp.Compare(b.Value, a.Value),
-			cmp.Compare(a.Route, b.Route))
+		return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Route, b.Route))
 	})
-	return mix, reporting, known
-}
-
-// tokenRate is how many tokens a second all engines of a role do, and how many of them were heard. None counts for
-// more than four times the middle one.
-func (c *Controller) tokenRate(role string) (total float64, n int) {
-	var rates []float64
-	for _, id := range c.engineIDs {
-		engine := c.engines[id]
-		tokens, span := 0.0, int64(0)
-		for _, sample := range engine.samples {
-			if sample.prefill == (role == planapi.Prefill) && c.now-sample.takenAt < int64(maxDeltas*time.Second) {
-				tokens, span = tokens+sample.tokens, span+sample.duration
-			}
-		}
-		if span > 0 {
-			rates = append(rates, tokens/(float64(span)/1e9))
-		}
-	}
-	slices.Sort(rates)
-	for _, rate := range rates {
-		if mid := rates[len(rates)/2]; len(rates) >= 3 && mid > 0 {
-			rate = min(rate, 4*mid)
-		}
-		total += rate
-	}
-	return total, len(rates)
-}
-
-// throughput is how many tokens a second an engine of weight 1 does when it is busy: of each engine the second best
-// of its last samples, so that a slow spell that is shorter than they reach does not count as more demand,
-// and one wrong report does not count at all; of all engines the middle one.
-func (c *Controller) throughput(role string) float64 {
-	var throughputs []float64
-	for _, id := range c.engineIDs {
-		engine := c.engines[id]
-		var ownThroughputs []float64
-		for _, sample := range engine.samples {
-			// A twentieth busy: less work than that says little of how fast it goes.
-			if sample.prefill == (role == planapi.Prefill) && sample.busySeconds > 0.05*float64(sample.duration)/1e9 && sample.tokens > 0 {
-				ownThroughputs = append(ownThroughputs, sample.tokens/sample.busySeconds/cmp.Or(engine.listed.Weight, 1))
-			}
-		}
-		if len(ownThroughputs) >= 3 {
-			slices.Sort(ownThroughputs)
-			throughputs = append(throughputs, ownThroughputs[len(ownThroughputs)-2])
-		}
-	}
-	if len(throughputs) > 0 {
-		slices.Sort(throughputs)
-		c.throughputs[role] = throughputs[len(throughputs)/2]
+	return mix, counts.reporting, counts.known
+}
+
+// updateUncachedRatio compares the tokens that prefill engines computed with the prompt tokens of the requests
+// that they computed them for. Engines and edges that do not report are taken to be like the others.
+func (c *Controller) updateUncachedRatio(counts edgeCounts) {
+	computed, measured := c.tokenRate(planapi.Prefill)
+	if counts.startedTokenRate <= 0 || measured == 0 {
+		return
 	}
-	if c.throughputs[role] == 0 {
-		c.throughputs[role] = map[string]float64{planapi.Prefill: c.config.PrefillThroughput,
-			planapi.Decode: c.config.DecodeThroughput}[role]
+	serving, _ := c.supply(planapi.Prefill)
+	computed *= max(1, serving/float64(measured))
+	started := counts.startedTokenRate * (float64(counts.known) / float64(counts.reporting))
+	c.demand.uncachedRatio = min(max(computed/started, minUncachedRatio), maxUncachedRatio)
+}
+
+// onRoute is the demand on a route, without its value.
+func (d *demandEstimator) onRoute(route string, counts edgeCounts) routeDemand {
+	total := counts.routes[route]
+	if total.ended > 0 {
+		d.answerTokens[route] = total.answer / total.ended
 	}
-	return c.throughputs[role]
+	rate := total.arrivalRate(counts.reporting) * (float64(counts.known) / float64(max(counts.reporting, 1)))
+	return routeDemand{Route: route, Rate: rate,
+		PrefillTokens: total.prompt / max(total.arrived, 1) * cmp.Or(d.uncachedRatio, 1),
+		DecodeTokens:  cmp.Or(d.answerTokens[route], defaultAnswerTokens),
+		LostRate:      rate * min(1, total.lost/max(total.arrived, 1))}
 }
--- /dev/null
+++ b/internal/planner/assignment/operator_orders.go
@@ -0,0 +1,117 @@
+package assignment
+
+import (
+	"errors"
+	"fmt"
+
+	"sandcourse/internal/planner/planapi"
+)
+
+// Errors of ApplyOrder. They are wrapped with the engine that they are about.
+var (
+	ErrNotListed      = errors.New("no such engine is listed")
+	ErrPinned         = errors.New("is pinned already")
+	ErrNotPinned      = errors.New("is unpinned already")
+	ErrStopped        = errors.New("changes are stopped already")
+	ErrNotStopped     = errors.New("changes are going on already")
+	ErrNotQuarantined = errors.New("not aside")
+)
+
+// IneligibleError says why an engine may not change its role.
+type IneligibleError struct {
+	Engine string
+	Reason Reason
+}
+
+func (e *IneligibleError) Error() string {
+	return fmt.Sprintf("%s may not change: %s", e.Engine, e.Reason)
+}
+
+// ApplyOrder carries out an operator's order and returns a description of what it does, or the error for which
+// it is rejected. A dry run changes nothing.
+func (c *Controller) ApplyOrder(now int64, order planapi.Order) (text string, actions []Action, err error) {
+	c.beginStep(now)
+	engine := c.engines.byAddress[order.Engine]
+	if order.Engine != "" && (engine == nil || !engine.present) {
+		return "", nil, fmt.Errorf("%s: %w", order.Engine, ErrNotListed)
+	}
+	switch order.Operation {
+	case "pin", "unpin":
+		text, err = c.setPinned(engine, order)
+	case "stop", "go":
+		text, err = c.setStopped(order)
+	case "readmit":
+		text, err = c.readmit(engine, order)
+	case "move":
+		text, err = c.move(engine, order)
+	}
+	if err != nil {
+		return "", nil, err
+	}
+	return text, c.finishStep(), nil
+}
+
+func requestedBy(order planapi.Order) string {
+	return fmt.Sprintf("%s: %s", order.Operator, order.Reason)
+}
+
+func (c *Controller) setPinned(engine *engineRecord, order planapi.Order) (string, error) {
+	pin := order.Operation == "pin"
+	switch {
+	case pin && engine.Pinned:
+		return "", fmt.Errorf("%s %w", engine.Engine, ErrPinned)
+	case !pin && !engine.Pinned:
+		return "", fmt.Errorf("%s %w", engine.Engine, ErrNotPinned)
+	}
+	if !order.DryRun {
+		engine.Pinned, engine.Reason = pin, requestedBy(order)
+		c.output.markDirty(engine)
+	}
+	return fmt.Sprintf("%s is %sned in its role, %s", engine.Engine, order.Operation, engine.Role), nil
+}
+
+func (c *Controller) setStopped(order planapi.Order) (string, error) {
+	stop := order.Operation == "stop"
+	text := "changes go on"
+	if stop {
+		text = "no change begins; engines that drain go back, what is loading comes to its end"
+	}
+	switch {
+	case stop && c.meta.Stopped:
+		return "", ErrStopped
+	case !stop && !c.meta.Stopped:
+		return "", ErrNotStopped
+	case order.DryRun:
+		return text, nil
+	}
+	c.meta.Stopped, c.meta.StoppedBy, c.meta.StopReason = stop, order.Operator, order.Reason
+	c.output.metaDirty = true
+	if stop {
+		for _, engine := range c.engines.sorted {
+			c.fire(engine, changesStopped)
+		}
+	}
+	return text, nil
+}
+
+func (c *Controller) readmit(engine *engineRecord, order planapi.Order) (string, error) {
+	if engine.State != Quarantined {
+		return "", fmt.Errorf("%s is %s, %w", engine.Engine, engine.State, ErrNotQuarantined)
+	}
+	if !order.DryRun {
+		engine.quarantineCount = 0
+		c.fire(engine, readmitted)
+	}
+	return engine.Engine + " is asked to come back as " + engine.Role, nil
+}
+
+func (c *Controller) move(engine *engineRecord, order planapi.Order) (string, error) {
+	if reason := c.ineligibleReason(engine); reason != "" {
+		return "", &IneligibleError{Engine: engine.Engine, Reason: reason}
+	}
+	text := fmt.Sprintf("%s leaves %s for %s", engine.Engine, engine.Role, planapi.OtherRole(engine.Role))
+	if !order.DryRun {
+		c.beginChange(engine, "by order of "+requestedBy(order))
+	}
+	return text, nil
+}
--- /dev/null
+++ b/internal/planner/assignment/output.go
@@ -0,0 +1,78 @@
+package assignment
+
+import (
+	"maps"
+	"slices"
+)
+
+// output collects what a step has to do until the step ends.
+type output struct {
+	actions        []Action
+	dirty          map[string]bool // addresses of engines whose records changed
+	metaDirty      bool
+	publishPending bool // the plan changed; it stays pending until the first plan may be published
+	published      bool // the first plan is out
+}
+
+func (o *output) add(actions ...Action) { o.actions = append(o.actions, actions...) }
+
+func (o *output) markDirty(engine *engineRecord) { o.dirty[engine.Engine] = true }
+
+// finishStep puts what must be durable before everything else, then the plan, then the rest.
+func (c *Controller) finishStep() []Action {
+	out := &c.output
+	if c.steppedDown {
+		out.actions = slices.DeleteFunc(out.actions, isCommand)
+		return out.actions
+	}
+	publish := out.publishPending && c.mayPublish()
+	if publish {
+		c.meta.PlanNumber++
+		out.published, out.publishPending = true, false
+	}
+	var actions []Action
+	if len(out.dirty) > 0 || out.metaDirty || publish {
+		actions = append(actions, Persist{Records: c.dirtyRecords(), Meta: c.meta})
+	}
+	if publish {
+		actions = append(actions, PublishPlan{c.Plan()})
+	}
+	clear(out.dirty)
+	out.metaDirty = false
+	return append(actions, out.actions...)
+}
+
+// isCommand is whether an action makes an engine do something.
+func isCommand(action Action) bool {
+	switch action.(type) {
+	case SendRoleOrder, StartTrial:
+		return true
+	}
+	return false
+}
+
+func (c *Controller) dirtyRecords() (records []Record) {
+	for _, address := range slices.Sorted(maps.Keys(c.output.dirty)) {
+		records = append(records, c.engines.byAddress[address].Record)
+	}
+	return records
+}
+
+// mayPublish is whether a plan can be published. A first one that is made before the engines reported their
+// roles may list roles that they no longer have; one that never comes would leave edges without any.
+func (c *Controller) mayPublish() bool {
+	if c.output.published {
+		return true
+	}
+	present, unknown := 0, 0
+	for _, engine := range c.engines.sorted {
+		if !engine.present {
+			continue
+		}
+		present++
+		if engine.listed.CanChange && !engine.roleKnown {
+			unknown++
+		}
+	}
+	return present > 0 && (unknown == 0 || c.since(c.startedAt) >= firstPlanTimeout)
+}
--- /dev/null
+++ b/internal/planner/assignment/plan.go
@@ -0,0 +1,40 @@
+package assignment
+
+import (
+	"time"
+
+	"sandcourse/internal/endpoint"
+	"sandcourse/internal/planner/planapi"
+)
+
+// maxPublishedUpTime is longer than any warm-up: engines that are up for longer are published as warm.
+const maxPublishedUpTime = 10 * time.Minute
+
+// Plan is the endpoint list that edges have to follow. An engine that is between two roles is not in it.
+func (c *Controller) Plan() planapi.Plan {
+	plan := planapi.Plan{Term: c.term, Number: c.meta.PlanNumber, Engines: []planapi.Engine{}}
+	for _, engine := range c.engines.sorted {
+		if !engine.present {
+			continue
+		}
+		state := endpoint.Ready
+		switch engine.State {
+		case Draining:
+			state = endpoint.Draining
+		case Ordered, Loading, RollingBack, InTrial, Quarantined:
+			continue
+		}
+		if !engine.listed.Ready {
+			state = endpoint.Draining
+		}
+		entry := planapi.Engine{Engine: engine.Engine, Kind: engine.listed.Kinds[engine.Role],
+			Zone: engine.listed.Zone, Cell: engine.listed.Cell, Weight: engine.listed.Weight, State: state,
+			Epoch: engine.Epoch}
+		upSince := max(engine.ServingSince, engine.listed.UpSince)
+		if upSince > 0 && c.since(upSince) < maxPublishedUpTime {
+			entry.UptimeMillis = max(1, c.since(upSince).Milliseconds())
+		}
+		plan.Engines = append(plan.Engines, entry)
+	}
+	return plan
+}
--- /dev/null
+++ b/internal/planner/assignment/report.go
@@ -0,0 +1,120 @@
+package assignment
+
+import (
+	"fmt"
+	"time"
+
+	"sandcourse/internal/planner/planapi"
+)
+
+// maxReportDelays is over how many engine reports the median delay is taken.
+const maxReportDelays = 64
+
+func (c *Controller) handleEngineReport(event EngineReported) {
+	report := event.Report
+	engine := c.engines.byAddress[report.Engine]
+	if engine == nil {
+		return
+	}
+	if report.Term > c.term && !c.steppedDown {
+		c.stepDown(report)
+		return
+	}
+	engine.recordSample(report, c.now)
+	engine.report, engine.reportedAt, engine.reportRequestedAt = report, c.now, event.RequestedAt
+	c.reportDelays = appendBounded(c.reportDelays, c.since(event.RequestedAt), maxReportDelays)
+	switch {
+	case !engine.listed.CanChange:
+	case !engine.roleKnown:
+		c.acceptReportedRole(engine, report)
+	case event.RequestedAt >= engine.StateSince:
+		c.compareWithOrder(engine, report)
+	}
+}
+
+// stepDown ends the work of a controller when an engine follows a planner of a later term.
+func (c *Controller) stepDown(report planapi.EngineReport) {
+	c.steppedDown = true
+	c.output.add(StepDown{report.Term}, NotifyOperators{fmt.Sprintf(
+		"%s follows a planner of term %d, this one has %d: it stops", report.Engine, report.Term, c.term)})
+}
+
+// acceptReportedRole takes the role that an engine reports, for a planner that has no record of it.
+func (c *Controller) acceptReportedRole(engine *engineRecord, report planapi.EngineReport) {
+	engine.roleKnown = true
+	engine.Role, engine.Epoch, engine.Incarnation, engine.StateSince = report.Role, report.Epoch, report.Incarnation, c.now
+	if report.UptimeMillis > 0 {
+		engine.ServingSince = engine.reportedUpSince(c.now)
+	}
+	c.output.publishPending = true
+	c.output.markDirty(engine)
+}
+
+// compareWithOrder makes a trigger of what an engine reports, compared with what it was ordered.
+func (c *Controller) compareWithOrder(engine *engineRecord, report planapi.EngineReport) {
+	holdsCurrentRole := report.Epoch == engine.Epoch && report.Role == engine.Role && !report.Changing
+	reportsNextRole := report.Epoch == engine.NextEpoch && report.Role == engine.NextRole && engine.NextRole != ""
+	switch engine.State {
+	case Serving, WarmingUp:
+		c.checkServing(engine, report, holdsCurrentRole)
+	case Draining:
+		c.checkDraining(engine, report, holdsCurrentRole)
+	case Ordered, Loading, RollingBack:
+		switch {
+		case reportsNextRole && !report.Changing:
+			c.fire(engine, roleReported)
+		case reportsNextRole:
+			c.fire(engine, loadConfirmed)
+		default:
+			c.resendOrder(engine)
+		}
+	case InTrial:
+		if !reportsNextRole || report.Changing {
+			engine.fault = fmt.Sprintf("it says role %s of epoch %d in a trial of %s of %d", report.Role, report.Epoch,
+				engine.NextRole, engine.NextEpoch)
+			c.fire(engine, mismatchReported)
+		}
+	}
+}
+
+func (c *Controller) checkServing(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
+	switch {
+	case !holdsCurrentRole:
+		engine.fault = fmt.Sprintf("it says role %s of epoch %d, it was given %s of %d", report.Role, report.Epoch,
+			engine.Role, engine.Epoch)
+		c.fire(engine, mismatchReported)
+	case report.Incarnation != engine.Incarnation && engine.Incarnation != 0:
+		c.fire(engine, restarted)
+	case engine.Incarnation == 0:
+		engine.Incarnation = report.Incarnation
+		c.output.markDirty(engine)
+	case report.Draining: // its drain was aborted, and the order for that got lost
+		c.resendOrder(engine)
+	}
+}
+
+func (c *Controller) checkDraining(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
+	switch {
+	case !holdsCurrentRole:
+		engine.fault = fmt.Sprintf("it says role %s of epoch %d in a drain of %d", report.Role, report.Epoch,
+			engine.Epoch)
+		c.fire(engine, mismatchReported)
+	case !report.Draining:
+		c.resendOrder(engine)
+	case report.OpenRequests == 0 && report.Reservations == 0 && c.since(engine.StateSince) >= 2*c.config.DrainGrace:
+		c.fire(engine, drained)
+	}
+}
+
+// unresponsiveAfter is four intervals of load reports.
+const unresponsiveAfter = 4 * time.Second
+
+// unresponsive is whether an engine has not reported for so long that it may be down.
+func (c *Controller) unresponsive(engine *engineRecord) bool {
+	return c.since(engine.reportedAt) > unresponsiveAfter
+}
+
+// available is whether requests can be sent to an engine in its role.
+func (c *Controller) available(engine *engineRecord) bool {
+	return engine.inService() && engine.listed.Ready && !c.unresponsive(engine)
+}
--- a/internal/planner/assignment/roles_test.go
+++ b/internal/planner/assignment/roles_test.go
@@ -124,7 +124,7 @@
 			case 5:
 				ok := rapid.Bool().Draw(t, "good")
 				step(func(c *Controller) []Action {
-					return c.Step(now, TrialEnded{engine, c.engines[engine].trialNumber, ok,
+					return c.Step(now, TrialEnded{engine, c.engines.byAddress[engine].trialNumber, ok,
 						"no"})
 				})
 			case 6:
@@ -154,10 +154,10 @@
 				r.Changing, r.OpenRequests, r.Reservations = false, 0, 0
 				reports[listed.Engine] = r
 				step(func(c *Controller) []Action { return c.Step(now, EngineReported{now - 1e6, r}) })
-				if controller.engines[listed.Engine].State == InTrial {
+				if controller.engines.byAddress[listed.Engine].State == InTrial {
 					step(func(c *Controller) []Action {
 						return c.Step(now, TrialEnded{listed.Engine,
-							c.engines[listed.Engine].trialNumber, true, ""})
+							c.engines.byAddress[listed.Engine].trialNumber, true, ""})
 					})
 				}
 			}
@@ -231,19 +231,19 @@
 			at += int64(100 * time.Millisecond)
 			for _, engine := range engines {
 				report := planapi.EngineReport{Engine: engine.Engine, Role: engine.Role, Epoch: 1, Incarnation: 1}
-				if record := c.engines[engine.Engine]; record.NextEpoch > 0 {
+				if record := c.engines.byAddress[engine.Engine]; record.NextEpoch > 0 {
 					report.Role, report.Epoch = record.NextRole, record.NextEpoch
 				} else if record.roleKnown {
 					report.Role, report.Epoch = record.Role, record.Epoch
 				}
 				c.Step(at, EngineReported{at, report})
-				if record := c.engines[engine.Engine]; record.State == InTrial {
+				if record := c.engines.byAddress[engine.Engine]; record.State == InTrial {
 					c.Step(at, TrialEnded{engine.Engine, record.trialNumber, true, ""})
 				}
 			}
 			c.Step(at, Tick{})
 		}
-		if s := c.engines[engines[0].Engine]; s.State != Serving {
+		if s := c.engines.byAddress[engines[0].Engine]; s.State != Serving {
 			t.Errorf("clock off by %v: %+v", offset, s.Record)
 		}
 	}
--- /dev/null
+++ b/internal/planner/assignment/transitions.go
@@ -0,0 +1,180 @@
+package assignment
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"sandcourse/internal/planner/planapi"
+)
+
+// State is the state of an engine's role. Its values are stored and shown to operators.
+type State string
+
+// The states of an engine's role.
+const (
+	Serving     State = "serving"
+	Draining    State = "draining"  // published as draining, and ordered to drain
+	Ordered     State = "ordered"   // drained, and ordered to load for its next role
+	Loading     State = "loading"   // it confirmed the order and loads
+	InTrial     State = "trying"    // it reports the next role; a trial request verifies it
+	WarmingUp   State = "cold"      // it serves in a new role or incarnation below its full throughput
+	RollingBack State = "returning" // ordered to take up its last verified role under a new epoch
+	Quarantined State = "aside"     // out of the plan: it did not follow its orders or failed its trial
+)
+
+// trigger is what makes the state of an engine's role change.
+type trigger string
+
+const (
+	changeChosen      trigger = "chosen"
+	drained           trigger = "empty"     // nothing in flight or reserved, long enough after its drain was published
+	timedOut          trigger = "late"      // the timeout of its state has passed
+	loadConfirmed     trigger = "confirmed" // it reports that it loads under the epoch of the order
+	roleReported      trigger = "came"      // it reports that it serves in the role and epoch of the order
+	trialPassed       trigger = "good"
+	trialFailed       trigger = "bad"
+	warmedUp          trigger = "warm"
+	mismatchReported  trigger = "strange"   // it reports a role or an epoch that was not ordered
+	restarted         trigger = "restarted" // the same role and epoch, another incarnation
+	changesStopped    trigger = "halt"      // an operator stopped all changes
+	readmitted        trigger = "readmitted"
+	quarantineExpired trigger = "rested"
+)
+
+type transition struct {
+	from    []State
+	trigger trigger
+	next    State
+	action  func(*Controller, *engineRecord)
+}
+
+// transitions lists, for a state and a trigger, the next state and the action. Every state but Serving has a
+// timeout with a way back, so that no change gets stuck. An order that may have been followed is undone by
+// another order under a higher epoch, never by assuming that it got lost.
+var transitions = []transition{
+	{[]State{Serving}, changeChosen, Draining, (*Controller).startDrain},
+	{[]State{Draining}, drained, Ordered, (*Controller).publishAndOrder},
+	{[]State{Draining}, timedOut, Serving, (*Controller).abortDrain},
+	{[]State{Draining}, changesStopped, Serving, (*Controller).abortDrain},
+	{[]State{Ordered}, loadConfirmed, Loading, nil},
+	{[]State{Ordered, Loading, RollingBack}, roleReported, InTrial, (*Controller).startTrial},
+	{[]State{Ordered, Loading}, timedOut, RollingBack, (*Controller).rollBack},
+	{[]State{RollingBack}, timedOut, Quarantined, (*Controller).quarantine},
+	{[]State{InTrial}, trialPassed, WarmingUp, (*Controller).adoptRole},
+	{[]State{InTrial}, trialFailed, Quarantined, (*Controller).quarantine},
+	{[]State{InTrial}, timedOut, Quarantined, (*Controller).quarantine},
+	{[]State{WarmingUp}, warmedUp, Serving, nil},
+	{[]State{Serving, WarmingUp}, restarted, WarmingUp, (*Controller).acceptRestart},
+	{[]State{Serving, WarmingUp, Draining, InTrial}, mismatchReported, RollingBack, (*Controller).rollBack},
+	{[]State{Quarantined}, quarantineExpired, RollingBack, (*Controller).rollBack},
+	{[]State{Quarantined}, readmitted, RollingBack, (*Controller).rollBack},
+}
+
+// TransitionNames names the transitions in the order of the bits of Controller.FiredTransitions.
+func TransitionNames() (names []string) {
+	for i, t := range transitions {
+		names = append(names, fmt.Sprintf("roles row %d: %v, %s, next %s", i+1, t.from, t.trigger, t.next))
+	}
+	return names
+}
+
+// FiredTransitions is a bit for each transition that fired so far.
+func (c *Controller) FiredTransitions() uint64 { return c.firedTransitions }
+
+// fire is the only place where a state changes. A trigger that means nothing in a state is ignored.
+func (c *Controller) fire(engine *engineRecord, cause trigger) {
+	i := slices.IndexFunc(transitions, func(t transition) bool {
+		return slices.Contains(t.from, engine.State) && t.trigger == cause
+	})
+	if i < 0 {
+		return
+	}
+	c.firedTransitions |= 1 << i
+	if next := transitions[i].next; engine.State != next {
+		engine.State, engine.StateSince = next, c.now
+	}
+	if action := transitions[i].action; action != nil {
+		action(c, engine)
+	}
+	c.output.markDirty(engine)
+}
+
+// stateTimeout is how long a state may last; 0 for ever.
+func (c *Controller) stateTimeout(state State) time.Duration {
+	switch state {
+	case Draining:
+		return c.config.DrainTimeout
+	case Ordered:
+		return c.config.OrderTimeout
+	case Loading, RollingBack:
+		return c.config.LoadTimeout
+	case InTrial:
+		return c.config.TrialTimeout
+	}
+	return 0
+}
+
+func (c *Controller) startDrain(engine *engineRecord) {
+	engine.NextRole, engine.NextEpoch = planapi.OtherRole(engine.Role), engine.Epoch+1
+	c.publishAndOrder(engine)
+}
+
+// publishAndOrder publishes the state that an engine has now and orders the engine to follow it.
+func (c *Controller) publishAndOrder(engine *engineRecord) {
+	c.output.publishPending = true
+	c.sendOrder(engine)
+}
+
+// abortDrain ends a change while the engine still has its old role and epoch.
+func (c *Controller) abortDrain(engine *engineRecord) {
+	engine.NextRole, engine.NextEpoch, engine.lastChangeEndedAt = "", 0, c.now
+	c.publishAndOrder(engine)
+}
+
+// rollBack orders the last verified role, under an epoch above all that the engine may have followed.
+func (c *Controller) rollBack(engine *engineRecord) {
+	engine.NextRole = engine.Role
+	engine.NextEpoch, engine.lastChangeEndedAt = max(engine.Epoch, engine.NextEpoch, engine.report.Epoch)+1, c.now
+	c.publishAndOrder(engine)
+}
+
+func (c *Controller) startTrial(engine *engineRecord) {
+	engine.trialNumber++
+	c.output.add(StartTrial{Engine: engine.Engine, Role: engine.NextRole, Epoch: engine.NextEpoch,
+		Number: engine.trialNumber})
+}
+
+// adoptRole is the only place where an engine gets a role, after a trial verified it under the new epoch.
+func (c *Controller) adoptRole(engine *engineRecord) {
+	if engine.Role != engine.NextRole {
+		c.history.complete(time.Duration(c.now - engine.changeStartedAt))
+		engine.samples, engine.ServingSince = nil, c.now
+	} else { // the same role again needs no warm-up beyond that of its incarnation
+		engine.ServingSince = engine.reportedUpSince(c.now)
+	}
+	engine.Role, engine.Epoch, engine.NextRole, engine.NextEpoch = engine.NextRole, engine.NextEpoch, "", 0
+	engine.Incarnation, engine.lastChangeEndedAt = engine.report.Incarnation, c.now
+	c.output.publishPending = true
+}
+
+func (c *Controller) acceptRestart(engine *engineRecord) {
+	engine.Incarnation, engine.ServingSince = engine.report.Incarnation, engine.reportedUpSince(c.now)
+	c.output.publishPending = true
+}
+
+func (c *Controller) quarantine(engine *engineRecord) {
+	engine.quarantineCount++
+	c.output.publishPending = true
+	c.output.add(NotifyOperators{fmt.Sprintf(
+		"%s is set aside: %s; it is asked again after %v, or by an operator's readmit",
+		engine.Engine, engine.fault, c.quarantineDuration(engine))})
+}
+
+// maxQuarantineDoublings limits the backoff of retries to sixteen times the cooldown.
+const maxQuarantineDoublings = 4
+
+// quarantineDuration doubles each time that an engine is quarantined until an operator readmits it.
+func (c *Controller) quarantineDuration(engine *engineRecord) time.Duration {
+	return c.config.Cooldown << min(max(engine.quarantineCount-1, 0), maxQuarantineDoublings)
+}
--- /dev/null
+++ b/internal/planner/assignment/view.go
@@ -0,0 +1,61 @@
+package assignment
+
+import (
+	"sandcourse/internal/planner/planapi"
+)
+
+// EngineView is what operators see of one engine.
+type EngineView struct {
+	Record
+	Listed           bool                 `json:"Listed"`
+	CanChange        bool                 `json:"CanChange"`
+	Report           planapi.EngineReport `json:"said"`
+	ReportedMsAgo    int64                `json:"heard_ms_ago"` // -1 for never
+	IneligibleReason Reason               `json:"barred,omitempty"`
+	Fault            string               `json:"trouble,omitempty"`
+}
+
+// Engines returns all known engines by address.
+func (c *Controller) Engines() (views []EngineView) {
+	for _, engine := range c.engines.sorted {
+		view := EngineView{Record: engine.Record, Listed: engine.present, CanChange: engine.listed.CanChange,
+			Report: engine.report, ReportedMsAgo: -1, IneligibleReason: c.ineligibleReason(engine), Fault: engine.fault}
+		if engine.reportedAt > 0 {
+			view.ReportedMsAgo = c.since(engine.reportedAt).Milliseconds()
+		}
+		views = append(views, view)
+	}
+	return views
+}
+
+// ReportTargets returns the engines to request load reports from, and those of them whose change waits for a
+// report.
+func (c *Controller) ReportTargets() (all, urgent []string) {
+	for _, engine := range c.engines.sorted {
+		if !engine.present {
+			continue
+		}
+		all = append(all, engine.Engine)
+		if engine.changing() {
+			urgent = append(urgent, engine.Engine)
+		}
+	}
+	return all, urgent
+}
+
+// RoleState is a role and a state that engines can have in it.
+type RoleState struct {
+	Role  string
+	State State
+}
+
+// CountEngines counts the listed engines in each role and state.
+func (c *Controller) CountEngines() map[RoleState]int {
+	counts := map[RoleState]int{}
+	for _, engine := range c.engines.sorted {
+		if engine.present {
+			counts[RoleState{engine.Role, engine.State}]++
+		}
+	}
+	return counts
+}
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -42,8 +42,8 @@
 // observe sets the gauges to what the controller knows.
 func (m metrics) observe(c *assignment.Controller) {
 	m.engines.Reset()
-	for labels, count := range c.CountEngines() {
-		m.engines.WithLabelValues(labels[0], labels[1]).Set(float64(count))
+	for group, count := range c.CountEngines() {
+		m.engines.WithLabelValues(group.Role, string(group.State)).Set(float64(count))
 	}
 	for role, required := range c.LastDecision().RequiredEngines {
 		m.neededEngines.WithLabelValues(role).Set(required)
