--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -150,3 +150,24 @@
 		}
 	})
 }
+
+// The gate leaves the longest delay of the grace, and half of the rest for the network.
+func TestDrainGateLimits(t *testing.T) {
+	const notifiedAt = int64(time.Hour)
+	for _, c := range []struct {
+		grace, sinceDrain time.Duration
+		want              Reason
+	}{
+		{MaxDelay + 100*time.Millisecond, 0, Allowed},
+		{MaxDelay + 100*time.Millisecond, 50 * time.Millisecond, Allowed},
+		{MaxDelay + 100*time.Millisecond, 50*time.Millisecond + 1, EngineDraining},
+		{MaxDelay, 0, Allowed},
+		{MaxDelay, 1, EngineDraining},
+		{MaxDelay - 1, 0, EngineDraining},
+	} {
+		now := notifiedAt + int64(c.sinceDrain)
+		if got := MaySend(Attempt{Deadline: now + 1, DrainNotifiedAt: notifiedAt}, now, c.grace); got != c.want {
+			t.Errorf("grace %v, %v after the notification: %q, want %q", c.grace, c.sinceDrain, got, c.want)
+		}
+	}
+}
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -168,6 +168,21 @@
 	}
 }
 
+// The first releases that are not acknowledged follow one another at the retry interval; then the interval doubles up to half
+// the repeat interval.
+func TestBackoff(t *testing.T) {
+	limits := Limits{RetryInterval: 10 * time.Millisecond, RepeatInterval: 100 * time.Millisecond}
+	table := New(limits)
+	for i, want := range []time.Duration{10, 10, 10, 10, 20, 40, 50, 50} {
+		if got := table.backoff(i + 1); got != want*time.Millisecond {
+			t.Errorf("after release %d: %v, want %v", i+1, got, want*time.Millisecond)
+		}
+	}
+	if got := table.backoff(1000); got != 50*time.Millisecond {
+		t.Errorf("after release 1000: %v", got)
+	}
+}
+
 // Whatever happens: a waiting reservation is due within its limit, an unneeded one is released soon and again until an
 // engine acknowledges, and the table is empty in the end.
 func TestNoReservationIsLeftBehind(t *testing.T) {
