--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -13,7 +13,6 @@
 
 	"go.uber.org/zap"
 
-	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/planner/assignment"
@@ -27,9 +26,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// 300 edges follow one planner of 300 engines, all in one process on loopback: how long a plan takes to reach
-// them,
-// and how long a planner that was killed and started needs until all follow it again.
+// 300 edges follow one planner of 300 engines, all in one process on loopback: how long a plan takes to reach them, and how
+// long a planner that was restarted needs until all follow it again.
 func BenchmarkPlanTo300Edges(b *testing.B) {
 	const engines, edges = 300, 300
 	list := endpoint.List{Revision: 1}
@@ -48,10 +46,7 @@
 			State: endpoint.Ready})
 	}
 	dir := b.TempDir()
-	settings := config.DefaultPlanner()
-	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json")
-	settings.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
-	settings.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
+	settings := testSettings(filepath.Join(dir, "p.db"), filepath.Join(dir, "roster.json"))
 	endpoint.WriteFile(settings.EndpointFile, list)
 	p := New(settings, zap.NewNop())
 	if err := p.Start(); err != nil {
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -23,8 +23,8 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// earlierStore was written by the program as it was at commit 105440a. It is never to be written anew: planners of
-// later versions have to open what an earlier one left.
+// earlierStore was written by the program as it was at commit 105440a. It is never to be written again: planners of later
+// versions have to open what an earlier one left.
 const earlierStore = "store-105440a.db"
 
 const storeTerm = 7
@@ -54,7 +54,7 @@
 	return path
 }
 
-// A store of an earlier version opens as it is: its term, its orders and all engines come back, and nothing is put aside.
+// A store of an earlier version opens as it is: its term, its orders and all engines are there, and nothing is set aside.
 func TestGoldenEarlierStoreOpens(t *testing.T) {
 	path := copyStore(t)
 	store, stored, err := Open(path)
@@ -102,7 +102,7 @@
 	return b.String()
 }
 
-// What is kept now has the bytes that an earlier version wrote, so that one can open it as well.
+// What is saved now has the bytes that an earlier version wrote, so that one can open it as well.
 func TestGoldenStoreIsWrittenAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "planner.db")
 	store, _, err := Open(path)
@@ -126,7 +126,7 @@
 }
 
 // A planner that starts with an earlier store goes on from it: one term later, stopped as it was ordered to be, with each
-// engine's role and epoch, and with the same words for whoever looks.
+// engine's role and epoch, and with the same status for operators.
 func TestGoldenPlannerGoesOnFromEarlierStore(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
@@ -134,12 +134,12 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := http.Get("http://" + p.Addr() + "/plan/roles")
+	response, err := http.Get("http://" + p.Addr() + "/plan/roles")
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := io.ReadAll(answer.Body)
-	answer.Body.Close()
+	data, err := io.ReadAll(response.Body)
+	response.Body.Close()
 	p.Stop()
 	if err != nil {
 		t.Fatal(err)
@@ -167,9 +167,9 @@
 	}
 }
 
-// What operators are shown has these names and this form; the command line of another version reads it.
+// The status has these names and this form; the command line of another version reads it.
 func TestGoldenStatus(t *testing.T) {
-	shown := Status{Term: 8, Number: 42, Deposed: true, SaveFailing: true, FollowingEdges: 3,
+	status := Status{Term: 8, Number: 42, Deposed: true, SaveFailing: true, FollowingEdges: 3,
 		Engines: []assignment.EngineView{{Record: storeContent().Records[1], Listed: true, CanChange: true,
 			Report: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Incarnation: 6, UptimeMillis: 1500,
 				Changing: true, Draining: true, PrefillTokens: 10.5, DecodeTokens: 20, BusySeconds: 0.25, OpenRequests: 2, Reservations: 1, CachedTokens: 300,
@@ -181,7 +181,7 @@
 			IncomingEngines: map[string]float64{"read": 1}, Throughput: map[string]float64{"read": 9000, "write": 700},
 			Evaluations: []assignment.Evaluation{{ToRole: "read", Gain: 1.5, ReversalLoss: 0.5, MeanGain: 0.75, RemainingSeconds: 60, Cost: 12, GainingSeconds: 5,
 				Engine: "10.0.0.2:8000", LostTokens: 100, Reason: "it pays", Chosen: true}}, Changing: 1, Stopped: true}}
-	data, err := json.MarshalIndent(shown, "", " ")
+	data, err := json.MarshalIndent(status, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,13 +190,13 @@
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
 	}
-	shown.Engines[0].Report.Engine = "" // it is not sent
-	if !reflect.DeepEqual(back, shown) {
-		t.Error("what was read back is not what was written")
+	status.Engines[0].Report.Engine = "" // it is not sent
+	if !reflect.DeepEqual(back, status) {
+		t.Error("what was decoded is not what was encoded")
 	}
 }
 
-// A line of the stream that is sent again later differs only in how long engines have been up.
+// A line of the stream that is sent later differs only in how long engines have been up.
 func TestGoldenStreamLine(t *testing.T) {
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
@@ -205,7 +205,7 @@
 		string(withUptimeAdded([]byte(line), 1250*time.Millisecond)))
 }
 
-// What a planner answers at each of its paths. Requests stand here as they are sent.
+// The responses of a planner at each of its paths, to requests as they are sent.
 func TestGoldenAnswers(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
@@ -214,21 +214,21 @@
 		t.Fatal(err)
 	}
 	defer p.Stop()
-	ask := func(method, path, body string) (int, string, string) {
-		r, err := http.NewRequest(method, "http://"+p.Addr()+path, strings.NewReader(body))
+	send := func(method, path, body string) (int, string, string) {
+		request, err := http.NewRequest(method, "http://"+p.Addr()+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer answer.Body.Close()
-		data, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		data, err := io.ReadAll(response.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return answer.StatusCode, answer.Header.Get("Content-Type"), string(data)
+		return response.StatusCode, response.Header.Get("Content-Type"), string(data)
 	}
 	var b strings.Builder
 	for _, c := range [][3]string{{"POST", "/plan/report", `{"edge":"edge0","life":9,"term":8,"plan":42,"routes":[{"route":"clip-summary",` +
@@ -245,13 +245,13 @@
 		{"POST", "/plan/order", `{"op":"readmit","engine":"10.0.0.3:8000","who":"ops","why":"a test"}`},
 		{"POST", "/plan/order", `{"op":"go","who":"ops","why":"a test"}`},
 		{"POST", "/plan/order", `{"op":"stop","who":"ops","why":"a test"}`}} {
-		status, kind, text := ask(c[0], c[1], c[2])
+		status, kind, text := send(c[0], c[1], c[2])
 		fmt.Fprintf(&b, "%s %s\n%s\n%d %s\n%s\n", c[0], c[1], c[2], status, kind, text)
 	}
 	golden.Check(t, "answers.golden", b.String())
 }
 
-// The planner's metrics by their names, labels and words.
+// The planner's metrics by their names, labels and help texts.
 func TestGoldenMetrics(t *testing.T) {
 	m := newMetrics()
 	m.plans.Add(3)
--- /dev/null
+++ b/internal/planner/role_change_test.go
@@ -0,0 +1,125 @@
+package planner
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"sandcourse/internal/fake/engine"
+	"sandcourse/internal/planner/assignment"
+	"sandcourse/internal/planner/planapi"
+)
+
+// minRoleChangeActions is the least number of actions that a role change has.
+const minRoleChangeActions = 7
+
+// The planner is killed before each action of a role change in turn. The next one on its store must complete the change, and
+// its records and the engines must agree.
+func TestCrashBeforeEachEffectOfARoleChange(t *testing.T) {
+	for k := 1; ; k++ {
+		f := newFleet(t, 2, 2)
+		killedBefore, killed := moveAndKill(f, k)
+		if !killed {
+			if k <= minRoleChangeActions {
+				t.Fatalf("a role change has %d actions only", k-1)
+			}
+			return
+		}
+		p := f.startPlanner(nil)
+		status := f.awaitStatus(p, "settled after a kill before "+killedBefore, allServing)
+		for _, view := range status.Engines {
+			i := slices.IndexFunc(f.engines, func(e *engine.Engine) bool { return e.Addr() == view.Engine })
+			if e := f.engines[i]; e.Role() != view.Role || e.Epoch() != view.Epoch {
+				t.Errorf("killed before %s: %s is %s of epoch %d, recorded as %s of %d", killedBefore, view.Engine, e.Role(),
+					e.Epoch(), view.Role, view.Epoch)
+			}
+		}
+		p.Stop()
+		for i := 1; i < len(f.plans); i++ {
+			if !f.plans[i].Newer(f.plans[i-1]) {
+				t.Errorf("plan %d of term %d follows %d of %d", f.plans[i].Number, f.plans[i].Term,
+					f.plans[i-1].Number, f.plans[i-1].Term)
+			}
+		}
+	}
+}
+
+// moveAndKill lets a planner move the first engine and kills it before the k-th action of that. It returns false if the move
+// was complete before.
+func moveAndKill(f *fleet, k int) (before string, killed bool) {
+	var mu sync.Mutex
+	moving, count, killedBefore := false, 0, ""
+	p := f.startPlanner(func(action assignment.Action) bool {
+		mu.Lock()
+		defer mu.Unlock()
+		if !moving {
+			return false
+		}
+		count++
+		if count == k && killedBefore == "" {
+			killedBefore = fmt.Sprintf("%T", action)
+			return true
+		}
+		return false
+	})
+	defer p.Stop()
+	f.awaitStatus(p, "ready", allServing)
+	mu.Lock()
+	moving = true
+	mu.Unlock()
+	moved := f.engines[0]
+	postOrder(p, planapi.OperationMove, moved.Addr())
+	for {
+		select {
+		case <-p.Done():
+			return killedBefore, true
+		case <-time.After(50 * time.Millisecond):
+		}
+		status, err := getStatus(p)
+		if err != nil || !allServing(status) || moved.Role() != planapi.Decode {
+			continue
+		}
+		i := slices.IndexFunc(status.Engines, func(view assignment.EngineView) bool { return view.Engine == moved.Addr() })
+		if status.Engines[i].Role == planapi.Decode {
+			return "", false
+		}
+	}
+}
+
+// An engine that claims a role without having it, or does not come back, is quarantined and never listed in its new role.
+func TestEnginesThatFailTheirChangeAreSetAside(t *testing.T) {
+	for name, faults := range map[string]engine.Faults{"claims a role": {FalseRole: true}, "never back": {NeverBack: true}} {
+		t.Run(name, func(t *testing.T) {
+			f := newFleet(t, 2, 2)
+			p := f.startPlanner(nil)
+			defer p.Stop()
+			f.awaitStatus(p, "ready", allServing)
+			faulty := f.engines[0]
+			faulty.SetFaults(faults)
+			if status, text := postOrder(p, planapi.OperationMove, faulty.Addr()); status != http.StatusOK {
+				t.Fatal(status, text)
+			}
+			f.awaitStatus(p, "quarantined", func(status Status) bool {
+				return slices.ContainsFunc(status.Engines, func(view assignment.EngineView) bool {
+					return view.Engine == faulty.Addr() && view.State == assignment.Quarantined && view.Fault != ""
+				})
+			})
+			for _, plan := range f.published() {
+				if slices.ContainsFunc(plan.Engines, func(e planapi.Engine) bool {
+					return e.Engine == faulty.Addr() && e.Kind == "decode"
+				}) {
+					t.Errorf("plan %d lists it as a decode engine", plan.Number)
+				}
+			}
+			// Mended, it comes back by itself after its cooldown, in the role that it had.
+			faulty.SetFaults(engine.Faults{})
+			f.awaitStatus(p, "back", allServing)
+			if faulty.Role() != planapi.Prefill {
+				t.Errorf("it came back as %s", faulty.Role())
+			}
+		})
+	}
+}
