--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -18,9 +18,6 @@
 	LogInvariantViolated = "invariant violated"
 )
 
-// outcomeShed is the outcome of a request that was shed.
-const outcomeShed = "shed"
-
 // observer writes what the core reports to the log, the metrics and the load counters. The owner calls it.
 type observer struct{ edge *Edge }
 
@@ -40,10 +37,10 @@
 }
 
 func (o observer) RequestFinished(f router.RequestSummary) {
-	o.edge.metrics.finalResponses.WithLabelValues(f.Route, f.Outcome).Inc()
+	o.edge.metrics.finalResponses.WithLabelValues(f.Route, string(f.Outcome)).Inc()
 	o.countFinal(f)
 	fields := []zap.Field{
-		zap.String("outcome", f.Outcome),
+		zap.String("outcome", string(f.Outcome)),
 		zap.String("request", f.Request),
 		zap.String("route", f.Route),
 		zap.String("session", sessionHash(f.Session)),
@@ -55,7 +52,7 @@
 		fields = append(fields, zap.Duration("first_token", f.TimeToFirstToken))
 	}
 	if f.Reason != "" {
-		fields = append(fields, zap.String("reason", f.Reason))
+		fields = append(fields, zap.String("reason", string(f.Reason)))
 	}
 	o.edge.log.Info("request finished", fields...)
 }
@@ -69,18 +66,18 @@
 		count.Completed++
 		count.CompletionTokens += float64(f.OutputTokens)
 	}
-	if f.Outcome == outcomeShed {
+	if f.Outcome == router.OutcomeShed {
 		count.Shed++
 	}
 }
 
 func (o observer) RequestShed(s router.ShedRequest) {
-	o.edge.metrics.finalResponses.WithLabelValues(s.Route, outcomeShed).Inc()
+	o.edge.metrics.finalResponses.WithLabelValues(s.Route, string(router.OutcomeShed)).Inc()
 	count := o.edge.loads.of(s.Route)
 	count.Arrived++
 	count.PromptTokens += float64(s.PromptTokens)
 	count.Shed++
-	o.edge.log.Info("request shed", zap.String("request", s.Request), zap.String("route", s.Route), zap.String("reason", s.Reason))
+	o.edge.log.Info("request shed", zap.String("request", s.Request), zap.String("route", s.Route), zap.String("reason", string(s.Reason)))
 }
 
 func (o observer) FirstToken(route string, after time.Duration, prompt int) {
@@ -99,7 +96,9 @@
 	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(prompt)/1000)
 }
 
-func (o observer) Rejected(why string) { o.edge.metrics.rejected.WithLabelValues(why).Inc() }
+func (o observer) Rejected(reason router.RejectReason) {
+	o.edge.metrics.rejected.WithLabelValues(string(reason)).Inc()
+}
 
 func (o observer) AttemptEnded(a router.AttemptSummary) {
 	o.edge.metrics.attempts.WithLabelValues(stageName(a.Decode), a.Verdict).Inc()
@@ -112,7 +111,7 @@
 		zap.String("engine", a.Engine),
 		zap.String("stage", stageName(a.Decode)),
 		zap.String("verdict", a.Verdict),
-		zap.String("reason", a.Reason),
+		zap.String("reason", string(a.Reason)),
 		zap.Duration("connecting", a.Connecting),
 		zap.Duration("duration", a.Duration))
 }
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -462,6 +462,6 @@
 func (ignoreObservations) ClientClosed(int64, router.CloseReason)           {}
 func (ignoreObservations) ConnectionChanged(string, router.ConnectionEvent) {}
 func (ignoreObservations) FirstToken(string, time.Duration, int)            {}
-func (ignoreObservations) Rejected(string)                                  {}
+func (ignoreObservations) Rejected(router.RejectReason)                     {}
 func (ignoreObservations) ReservationChanged(router.ReservationEvent)       {}
 func (ignoreObservations) EndpointsUpdated(int64, int, []string)            {}
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -403,7 +403,9 @@
 func (w violationObserver) ConnectionChanged(string, router.ConnectionEvent) {}
 
 func (w violationObserver) FirstToken(string, time.Duration, int) {}
-func (w violationObserver) Rejected(why string)                   { w.simulation.violate("P12 refused: %s", why) }
+func (w violationObserver) Rejected(why router.RejectReason) {
+	w.simulation.violate("P12 refused: %s", why)
+}
 func (w violationObserver) ReservationChanged(how router.ReservationEvent) {
 	if how == router.ReleaseOverdue {
 		w.simulation.violate("P5 the module keeps a state until the node lets go of it")
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -11,18 +11,22 @@
 	"sandcourse/internal/routing"
 )
 
-// engineAttempt is one send of an inference.
+// deadlineMargin is by how much the timeout that an engine is told is shorter than the time that is left, so that a router
+// that is delayed between its look at the clock and the write does not tell too much. Of a very short time it is a quarter.
+const deadlineMargin = 50 * time.Millisecond
+
+// engineAttempt is one attempt at a request.
 type engineAttempt struct {
 	request       *request
-	index         int
+	index         int // among the attempts of its request
 	engine        string
-	decode        bool
+	decode        bool // else a prefill
 	startedAt     int64
-	writtenAt     int64 // when its request was written; 0 while it is not
+	writtenAt     int64 // when it was written; 0 while it is not
 	machine       attempt.Attempt
 	connection    *EngineConnection
 	responseHeads int
-	token         []byte
+	token         []byte // the event that is handled now
 	lastTokenAt   int64
 	relay         Relay // of its stream, if it has one
 	cachedTokens  float64
@@ -30,12 +34,18 @@
 	loadReport    *routing.LoadReport
 	verdict       routing.Verdict
 	ended         bool
-	stale         bool // its line had been given up by the other side before it was written to
-	reason        string
+	stale         bool // its connection had been closed by the engine before it was written
+	reason        AttemptReason
+}
+
+// ownsConnection is whether its connection still carries it.
+func (a *engineAttempt) ownsConnection() bool {
+	return a.connection != nil && a.connection.attempt == a
 }
 
+// startAttempt sends a request to an engine.
 func (r *Router) startAttempt(action routing.Send) {
-	req := r.requests[action.RequestID]
+	req := r.requests.byID[action.RequestID]
 	if req == nil {
 		return
 	}
@@ -45,29 +55,31 @@
 		r.ClientDisconnected(req.client)
 	}
 	if reason := r.checkAttempt(att, nil); reason != invariant.Allowed {
-		r.handleAttemptEvent(att, attempt.EngineUnavailable, string(reason))
+		r.handleAttemptEvent(att, attempt.EngineUnavailable, AttemptReason(reason))
 		return
 	}
-	maxIdle := r.config.Connections.IdleTimeout
-	if att.decode && r.config.Routes[req.route].Effect != "retriable" {
-		maxIdle = r.config.Connections.NonIdempotentIdleTimeout
-	}
-	if !r.dispatch(action.Engine, att, nil, maxIdle) {
-		// The node's own bound says nothing of the engine.
-		r.handleAttemptEvent(att, attempt.EngineUnavailable, "no line to it may be opened")
+	if !r.dispatch(action.Engine, att, nil) {
+		// The router's own limit says nothing of the engine.
+		r.handleAttemptEvent(att, attempt.EngineUnavailable, reasonConnectionLimit)
 	}
 }
 
-// checkAttempt asks the gate of attempts, on a connection or before there is one.
+// checkAttempt is whether the invariants allow an attempt, on its connection or, where conn is nil, before it has one.
 func (r *Router) checkAttempt(att *engineAttempt, conn *EngineConnection) invariant.Reason {
 	req := att.request
-	candidate := invariant.Attempt{Answered: req.outcome != "", ClientGone: req.client.disconnected, Deadline: req.deadline, DrainNotifiedAt: r.drains[att.engine],
-		AddressChanged: conn != nil && conn.Host != r.engineAddress(att.engine).Address, Effect: req.effect(r.config),
-		DedupWindow: r.config.Routes[req.route].DedupWindow}
-	for _, before := range req.attempts {
-		if before != att {
-			candidate.PriorAttempts = append(candidate.PriorAttempts, invariant.PriorAttempt{Decode: before.decode, WrittenAt: before.writtenAt, InFlight: !before.ended,
-				NeverRan: before.ended && attempt.NeverRan(before.verdict)})
+	candidate := invariant.Attempt{
+		Answered:        req.outcome != "",
+		ClientGone:      req.client.disconnected,
+		Deadline:        req.deadline,
+		DrainNotifiedAt: r.endpoints.drains[att.engine],
+		AddressChanged:  conn != nil && conn.Host != r.endpoints.target(att.engine).Address,
+		Effect:          r.effect(req.route),
+		DedupWindow:     r.config.Routes[req.route].DedupWindow,
+	}
+	for _, prior := range req.attempts {
+		if prior != att {
+			candidate.PriorAttempts = append(candidate.PriorAttempts, invariant.PriorAttempt{Decode: prior.decode, WrittenAt: prior.writtenAt,
+				InFlight: !prior.ended, NeverRan: prior.ended && attempt.NeverRan(prior.verdict)})
 		}
 	}
 	reason := invariant.MaySend(candidate, r.now, r.config.Rules.DrainGrace)
@@ -77,127 +89,166 @@
 	return reason
 }
 
-// encodeRequest is what a line is to carry. It is made as it is written: what it says of the client's time must not
-// count the time that the line took to come up.
+// encodeRequest is what a connection is to carry. It is encoded when it is written: the timeout that the engine is told must
+// not include the time that the connection took to come up.
 func (r *Router) encodeRequest(conn *EngineConnection) ([]byte, error) {
-	to := r.engineAddress(conn.Engine)
-	if control := conn.control; control != nil {
-		if control.reservation != nil {
-			return r.protocol.ReleaseRequest(to, control.reservation.ID.Request, control.reservation.ID.Attempt), nil
-		}
-		return r.protocol.HealthCheckRequest(to), nil
+	target := r.endpoints.target(conn.Engine)
+	if conn.control != nil {
+		return r.encodeControlRequest(conn.control, target), nil
 	}
 	att := conn.attempt
-	req, left := att.request, r.advertisedTimeout(att.request)
+	req, timeout := att.request, r.advertisedTimeout(att.request)
 	if att.decode {
-		return r.protocol.DecodeRequest(req.received.Call, req.name, to, req.transfer, left)
+		return r.protocol.DecodeRequest(req.received.Call, req.name, target, req.transfer, timeout)
 	}
-	return r.protocol.PrefillRequest(req.received.Call, req.name, to, att.index, left)
+	return r.protocol.PrefillRequest(req.received.Call, req.name, target, att.index, timeout)
 }
 
-// deadlineMargin is by how much less time an engine is told than is left, so that a node which is held up between its look at
-// the clock and the write does not tell too much. A request with very little time gives a quarter of it.
-const deadlineMargin = 50 * time.Millisecond
-
-// advertisedTimeout is the time that an engine is told.
+// advertisedTimeout is the timeout that an engine is told.
 func (r *Router) advertisedTimeout(req *request) time.Duration {
 	left := time.Duration(req.deadline - r.now)
 	return left - min(deadlineMargin, max(0, left/4))
 }
 
-// handleAttemptEvent is where all socket events of a send end up: its machine judges them, and the outcome, if there is
-// one, goes to the module.
-func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Event, reason string) {
+// transition feeds an event to the state machine of an attempt.
+func (r *Router) transition(att *engineAttempt, event attempt.Event) attempt.Result {
+	result := att.machine.Handle(event)
+	r.requests.attemptTransitions |= 1 << result.Transition
+	return result
+}
+
+// handleAttemptEvent handles whatever happens to an attempt: its state machine decides what that means, and the policy is
+// told of the outcome, if there is one.
+func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Event, reason AttemptReason) {
 	if att.ended {
 		return
 	}
-	req := att.request
-	// The kernel may have taken the rest of a request since the last event; a send that is withdrawn or breaks
-	// then may have run, though its machine still thinks that a part of it is here.
-	if conn := att.connection; conn != nil && conn.attempt == att && conn.socket != nil && att.machine.State == attempt.Writing {
-		if event == attempt.Canceled {
-			conn.socket.Close() // before the look: nothing more can leave behind it
-		}
-		if conn.socket.RequestWritten() {
-			r.firedTransitions |= 1 << att.machine.Handle(attempt.RequestWritten).Transition
-		}
-	}
-	result := att.machine.Handle(event)
-	r.firedTransitions |= 1 << result.Transition
+	r.noteWritten(att, event)
+	result := r.transition(att, event)
 	if event == attempt.TokenReceived && att.machine.State == attempt.Streaming {
 		r.forwardToken(att, result.FirstToken)
 		return
 	}
-	if !result.Final {
-		return
+	if result.Final {
+		r.endAttempt(att, event, result, reason)
 	}
-	att.ended, att.verdict, att.reason = true, result.Verdict, reason
-	if conn := att.connection; conn != nil && conn.attempt == att {
-		conn.attempt = nil
-		switch {
-		case result.Connection == attempt.MustClose:
-			r.discardConnection(conn)
-		case event == attempt.EngineUnavailable:
-			r.pool.Handle(conn.ID, connpool.Released, r.now)
-		default:
-			conn.drainingSince = r.now
+}
+
+// noteWritten looks whether the kernel has taken the rest of a request since the last event: an attempt that is cancelled or
+// breaks then may have run, though its state machine still expects a part of it to be here.
+func (r *Router) noteWritten(att *engineAttempt, event attempt.Event) {
+	if conn := att.connection; att.ownsConnection() && conn.socket != nil && att.machine.State == attempt.Writing {
+		if event == attempt.Canceled {
+			conn.socket.Close() // before the look: nothing more can leave after it
+		}
+		if conn.socket.RequestWritten() {
+			r.transition(att, attempt.RequestWritten)
 		}
 	}
+}
+
+// endAttempt handles the end of an attempt.
+func (r *Router) endAttempt(att *engineAttempt, event attempt.Event, result attempt.Result, reason AttemptReason) {
+	req := att.request
+	att.ended, att.verdict, att.reason = true, result.Verdict, reason
+	r.releaseConnection(att, event, result)
 	r.reportAttempt(att)
 	if result.Verdict == routing.PrefillDone {
 		req.transfer = att.transfer
 	}
 	r.recordReservation(att, event, result)
 	if result.ReservationMissing {
-		// The writer could not fetch it. Its reader may still hold it, unheard, and nobody will ask for it again.
+		// The decode engine could not fetch it. The prefill engine may still hold it, and nobody will claim it.
 		r.releaseReservations(req)
 	}
-	if att.machine.FirstTokenReceived {
-		if result.Verdict == routing.Completed {
-			r.finishRequest(req, outcomeCompleted, "")
-		} else {
-			r.finishRequest(req, outcomeErrored, "the stream broke: "+reason)
-		}
-	} else if result.Verdict == routing.Completed {
-		r.finishRequest(req, outcomeCompleted, "") // an answer without a token
-	}
+	r.finishAfterAttempt(att)
 	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: r.now - att.startedAt,
 		RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
 		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.stale})
-	// What came after the end is let go of here too: a read whose inference nobody waits for.
+	// What was reserved after the request ended is released too: a prefill for which nobody waits.
 	if req.outcome != "" {
 		r.releaseReservations(req)
 	}
 	r.forgetRequest(req)
 }
 
-// reportAttempt tells the monitor and the logs of an attempt's outcome.
+// releaseConnection gives the connection of an attempt back, or closes it.
+func (r *Router) releaseConnection(att *engineAttempt, event attempt.Event, result attempt.Result) {
+	if !att.ownsConnection() {
+		return
+	}
+	conn := att.connection
+	conn.attempt = nil
+	switch {
+	case result.Connection == attempt.MustClose:
+		r.discardConnection(conn)
+	case event == attempt.EngineUnavailable:
+		r.connections.Handle(conn.ID, connpool.Released, r.now)
+	default:
+		conn.drainingSince = r.now
+	}
+}
+
+// finishAfterAttempt answers a request whose decode is completed, or broke after its first token.
+func (r *Router) finishAfterAttempt(att *engineAttempt) {
+	switch {
+	case att.verdict == routing.Completed:
+		r.finishRequest(att.request, OutcomeCompleted, "")
+	case att.machine.FirstTokenReceived:
+		r.finishRequest(att.request, OutcomeErrored, reasonStreamBroken+FailureReason(att.reason))
+	}
+}
+
+// reportAttempt reports an attempt that has ended.
 func (r *Router) reportAttempt(att *engineAttempt) {
 	r.monitor.AttemptEnded(att.request.id, att.index, attempt.NeverRan(att.verdict))
-	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode, Verdict: verdictNames[att.verdict], Reason: att.reason,
-		Duration: time.Duration(r.now - att.startedAt)}
+	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode,
+		Verdict: verdictNames[att.verdict], Reason: att.reason, Duration: time.Duration(r.now - att.startedAt)}
 	if att.writtenAt > 0 {
 		summary.Connecting = time.Duration(att.writtenAt - att.startedAt)
 	}
 	r.observer.AttemptEnded(summary)
 }
 
-// forwardToken passes one on, and tells the module of the first.
+// forwardToken forwards a token to the client, and notifies the policy of the first.
 func (r *Router) forwardToken(att *engineAttempt, first bool) {
 	req := att.request
 	if first {
-		req.streaming, req.firstTokenAt = true, r.now
-		r.monitor.AnswerStarted(req.id)
-		r.updateReservations(req, reservation.Consumed)
-		if req.collector == nil && req.outcome == "" {
-			r.write(req.client, r.protocol.StreamHead(req.name))
-		}
-		r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
-		r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: r.now - att.startedAt})
+		r.handleFirstToken(att)
 	}
 	req.tokens++
-	if req.collector == nil && req.outcome == "" {
+	if req.forwardsTokens() {
 		r.write(req.client, r.protocol.StreamEvent(att.token))
 	}
 	att.token = nil
 }
+
+func (r *Router) handleFirstToken(att *engineAttempt) {
+	req := att.request
+	req.streaming, req.firstTokenAt = true, r.now
+	r.monitor.AnswerStarted(req.id)
+	r.updateReservations(req, reservation.Consumed)
+	if req.forwardsTokens() {
+		r.write(req.client, r.protocol.StreamHead(req.name))
+	}
+	r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
+	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: r.now - att.startedAt})
+}
+
+// reapStalledStreams ends the attempts whose streams have had no token for too long.
+func (r *Router) reapStalledStreams() {
+	for _, id := range r.requests.ids() {
+		for _, att := range r.requests.byID[id].attempts {
+			if att.ended {
+				continue
+			}
+			idle := time.Duration(r.now - max(att.startedAt, att.lastTokenAt))
+			if att.relay != nil {
+				idle = min(idle, time.Duration(r.now-att.relay.LastTokenAt()))
+			}
+			if attempt.Stalled(att.machine.State, idle, r.config.StallTimeout) {
+				r.handleAttemptEvent(att, attempt.StreamStalled, reasonStalled+AttemptReason(idle.String()))
+			}
+		}
+	}
+}
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -59,7 +59,7 @@
 func (ignoredObserver) ClientClosed(int64, router.CloseReason)           {}
 func (ignoredObserver) ConnectionChanged(string, router.ConnectionEvent) {}
 func (ignoredObserver) FirstToken(string, time.Duration, int)            {}
-func (ignoredObserver) Rejected(string)                                  {}
+func (ignoredObserver) Rejected(router.RejectReason)                     {}
 func (ignoredObserver) ReservationChanged(router.ReservationEvent)       {}
 func (ignoredObserver) EndpointsUpdated(int64, int, []string)            {}
 
--- /dev/null
+++ b/internal/router/engine_responses.go
@@ -0,0 +1,112 @@
+package router
+
+import (
+	"net/http"
+
+	"sandcourse/internal/attempt"
+	"sandcourse/internal/connpool"
+)
+
+// ResponseHead handles the head of an engine's answer, with the relay of its stream if it is one.
+func (r *Router) ResponseHead(conn *EngineConnection, head *http.Response, relay Relay) {
+	conn.streamed = conn.attempt != nil && conn.attempt.decode
+	r.endpoints.lastResponseAt[conn.Engine] = r.now
+	switch {
+	case conn.attempt != nil:
+		att := conn.attempt
+		att.responseHeads++
+		if att.responseHeads > 1 {
+			r.handleAttemptEvent(att, attempt.MalformedResponse, reasonSecondHead)
+			return
+		}
+		att.loadReport, att.relay = r.protocol.ParseLoadReport(head, nil), relay
+		r.handleAttemptEvent(att, r.protocol.ClassifyResponse(head, att.decode), AttemptReason(head.Status))
+	case conn.control != nil:
+		conn.control.head = head
+	case conn.drainingSince == 0:
+		r.discardConnection(conn)
+	}
+}
+
+// StreamEvent handles one event of a stream.
+func (r *Router) StreamEvent(conn *EngineConnection, event []byte) {
+	att := conn.attempt
+	if att == nil {
+		return
+	}
+	if r.protocol.IsFinalEvent(event) {
+		r.handleAttemptEvent(att, attempt.DecodeCompleted, "")
+		return
+	}
+	req := att.request
+	if req.collector != nil {
+		if err := req.collector.Add(event); err != nil {
+			r.handleAttemptEvent(att, attempt.MalformedResponse, AttemptReason(err.Error()))
+			return
+		}
+	}
+	att.lastTokenAt = r.now
+	att.token = event
+	r.handleAttemptEvent(att, attempt.TokenReceived, "")
+	if att.relay != nil && req.forwardsTokens() && att.machine.State == attempt.Streaming {
+		client := req.client
+		att.relay.Forwarded(client.Socket, func() { r.flush(client) })
+	}
+}
+
+// StreamComment handles a comment of a stream, which may be the engine's load report.
+func (r *Router) StreamComment(conn *EngineConnection, text []byte) {
+	if report := r.protocol.ParseLoadComment(text); report != nil && conn.attempt != nil {
+		conn.attempt.loadReport = report
+	}
+}
+
+// ResponseComplete handles the end of an answer; clean is false where more bytes followed.
+func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
+	if att := conn.attempt; att != nil {
+		r.attemptResponseComplete(att, body)
+	}
+	if control := conn.control; control != nil {
+		conn.control = nil
+		conn.drainingSince = r.now
+		r.finishControlRequest(control, control.head, body)
+	}
+	if r.connections.byID[conn.ID] != conn || conn.socket == nil {
+		return
+	}
+	conn.drainingSince = 0
+	if !clean {
+		r.discardConnection(conn)
+		return
+	}
+	event := connpool.Released
+	if conn.streamed {
+		event = connpool.ReleasedAfterStream
+	}
+	if r.connections.Handle(conn.ID, event, r.now) == connpool.Close {
+		r.closeConnection(conn.ID)
+	}
+}
+
+func (r *Router) attemptResponseComplete(att *engineAttempt, body []byte) {
+	if att.decode {
+		event, reason := r.protocol.ClassifyStreamEnd(att.machine.FirstTokenReceived)
+		r.handleAttemptEvent(att, event, AttemptReason(reason))
+		return
+	}
+	transfer, cachedTokens, err := r.protocol.ParseReservation(body)
+	if err != nil {
+		r.handleAttemptEvent(att, attempt.MalformedResponse, AttemptReason(err.Error()))
+		return
+	}
+	att.cachedTokens, att.transfer = float64(cachedTokens), transfer
+	r.handleAttemptEvent(att, attempt.PrefillCompleted, "")
+}
+
+// ResponseInvalid handles bytes that are no valid answer.
+func (r *Router) ResponseInvalid(conn *EngineConnection, err error) {
+	if conn.attempt != nil {
+		r.handleAttemptEvent(conn.attempt, attempt.MalformedResponse, AttemptReason(err.Error()))
+	}
+	r.discardConnection(conn)
+}
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -3,14 +3,14 @@
 import "fmt"
 
 // HealthCheck asks an engine for its load.
-func (r *Router) HealthCheck(engine string) { r.startControl(&controlRequest{engine: engine}) }
+func (r *Router) HealthCheck(engine string) { r.startControlRequest(&controlRequest{engine: engine}) }
 
 // AddNames notes so many names of requests.
 func (r *Router) AddNames(n int) {
 	for i := range n {
-		r.requestNames.add(fmt.Sprint("flood", i))
+		r.requests.names.add(fmt.Sprint("flood", i))
 	}
 }
 
 // KnownEngines is how many engines the core knows.
-func (r *Router) KnownEngines() int { return max(len(r.knownEngines), len(r.drains)) }
+func (r *Router) KnownEngines() int { return max(len(r.endpoints.known), len(r.endpoints.drains)) }
--- /dev/null
+++ b/internal/router/observer.go
@@ -0,0 +1,66 @@
+package router
+
+import (
+	"time"
+
+	"sandcourse/internal/invariant"
+	"sandcourse/internal/routing"
+)
+
+// Observer is told what happens, for logs and metrics. No decision depends on it.
+type Observer interface {
+	// AroundStep runs one step of the routing policy.
+	AroundStep(event routing.Event, step func())
+	// PolicyPanicked reports a panic of the routing policy, which is then restarted.
+	PolicyPanicked(p any, event routing.Event, stack []byte)
+	// RequestFinished reports the outcome of a request.
+	RequestFinished(summary RequestSummary)
+	// RequestShed reports a request that was shed before the policy saw it.
+	RequestShed(shed ShedRequest)
+	// FirstToken reports the first token of a request.
+	FirstToken(route string, after time.Duration, promptTokens int)
+	// Rejected reports a message or connection that was rejected, or closed as its client was slow.
+	Rejected(reason RejectReason)
+	// AttemptEnded reports the end of an attempt.
+	AttemptEnded(summary AttemptSummary)
+	// AttemptBlocked reports an attempt that an invariant did not allow.
+	AttemptBlocked(request string, reason invariant.Reason)
+	// InvariantViolated reports that an invariant does not hold.
+	InvariantViolated(violation invariant.Violation)
+	// ClientClosed reports that the router closes a client's connection.
+	ClientClosed(client int64, reason CloseReason)
+	// ConnectionChanged reports a change of a connection to an engine.
+	ConnectionChanged(engine string, event ConnectionEvent)
+	// ReservationChanged reports a change of a reservation that no attempt has consumed.
+	ReservationChanged(event ReservationEvent)
+	// EndpointsUpdated reports a new endpoint list, and the engines in it that are left out as their kind is unknown.
+	EndpointsUpdated(revision int64, engines int, unknown []string)
+}
+
+// RequestSummary describes a finished request.
+type RequestSummary struct {
+	Request, Route, Session    string
+	Outcome                    RequestOutcome
+	Reason                     FailureReason // why it has failed; empty for other outcomes
+	Attempts                   []string      // the engine and the verdict of each
+	Duration, TimeToFirstToken time.Duration // the latter is 0 where no token came
+	PromptTokens, OutputTokens int
+}
+
+// ShedRequest describes a request that was shed before the policy saw it.
+type ShedRequest struct {
+	Request, Route string
+	Reason         ShedReason
+	PromptTokens   int
+}
+
+// AttemptSummary describes an attempt that has ended.
+type AttemptSummary struct {
+	Request, Engine string
+	Index           int
+	Decode          bool
+	Verdict         string
+	Reason          AttemptReason // empty where it succeeded
+	Connecting      time.Duration // until its request was written; 0 where it was not
+	Duration        time.Duration
+}
--- /dev/null
+++ b/internal/router/policy.go
@@ -0,0 +1,143 @@
+package router
+
+import (
+	"runtime/debug"
+
+	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
+	"sandcourse/internal/routing"
+)
+
+// policyRunner runs the routing policy: it queues events while one is handled, and keeps the policy's timers.
+type policyRunner struct {
+	*routing.Policy
+	seed     uint64
+	restarts uint64          // a panic of the policy starts a new one
+	pending  []routing.Event // not handled yet
+	running  bool            // events are being handled
+	timers   timerQueue
+}
+
+func newPolicyRunner(seed uint64, cfg *config.Deployment) policyRunner {
+	return policyRunner{Policy: routing.New(seed, cfg.RoutingConfig()), seed: seed}
+}
+
+func (p *policyRunner) restart(cfg *config.Deployment) {
+	p.restarts++
+	p.Policy = routing.New(p.seed+p.restarts, cfg.RoutingConfig())
+}
+
+// notifyPolicy hands an event to the routing policy and performs the actions that it decides on. Actions may cause further
+// events, which wait for their turn.
+func (r *Router) notifyPolicy(event routing.Event) {
+	r.policy.pending = append(r.policy.pending, event)
+	if r.policy.running {
+		return
+	}
+	r.policy.running = true
+	for len(r.policy.pending) > 0 {
+		event := r.policy.pending[0]
+		r.policy.pending = r.policy.pending[1:]
+		actions, ok := r.runPolicy(event)
+		if !ok {
+			r.policy.pending = nil
+			r.restartPolicy()
+			continue
+		}
+		for _, action := range actions {
+			r.performAction(action)
+		}
+		// Not before all actions are performed: a release comes after the answer.
+		for _, req := range r.requests.justFinished {
+			r.forgetRequest(req)
+		}
+		r.requests.justFinished = r.requests.justFinished[:0]
+	}
+	r.policy.pending, r.policy.running = nil, false
+}
+
+// runPolicy is the only place that calls the policy. A panic there must not end the requests of the whole router.
+func (r *Router) runPolicy(event routing.Event) (actions []routing.Action, ok bool) {
+	defer func() {
+		if p := recover(); p != nil {
+			r.observer.PolicyPanicked(p, event, debug.Stack())
+			actions, ok = nil, false
+		}
+	}()
+	r.observer.AroundStep(event, func() { actions = r.policy.Step(r.now, event) })
+	return actions, true
+}
+
+// restartPolicy answers all open requests with an error, since the old policy's view of them is lost, and starts a new
+// policy from the present endpoint list. What was in flight may have run, so the answers do not say that a retry is safe.
+func (r *Router) restartPolicy() {
+	r.policy.restart(r.config)
+	if r.endpoints.current != nil { // before the requests that wait behind those answered now
+		update, _ := r.config.EndpointUpdate(*r.endpoints.current)
+		r.policy.pending = append(r.policy.pending, update)
+	}
+	for _, id := range r.requests.ids() {
+		req := r.requests.byID[id]
+		r.finishRequest(req, OutcomeErrored, reasonPolicyFailed)
+		for _, att := range req.attempts {
+			if !att.ended {
+				r.dropAttempt(att)
+			}
+		}
+		r.releaseReservations(req)
+		r.removeRequest(req)
+	}
+}
+
+// dropAttempt ends an attempt that the new policy does not know of.
+func (r *Router) dropAttempt(att *engineAttempt) {
+	att.ended = true
+	r.recordReservation(att, attempt.Canceled, attempt.Result{Verdict: routing.Canceled, MayLeaveReservation: true})
+	if conn := att.connection; conn != nil && conn.attempt == att {
+		conn.attempt = nil
+		r.discardConnection(conn)
+	}
+}
+
+// performAction carries out one decision of the policy.
+func (r *Router) performAction(action routing.Action) {
+	switch action := action.(type) {
+	case routing.Send:
+		r.startAttempt(action)
+	case routing.Shed:
+		if req := r.requests.byID[action.RequestID]; req != nil {
+			r.shedRequest(req, action.RetryAfter)
+		}
+	case routing.Fail:
+		if req := r.requests.byID[action.RequestID]; req != nil {
+			r.failRequest(req)
+		}
+	case routing.CancelAttempt:
+		if req := r.requests.byID[action.RequestID]; req != nil && action.Attempt < len(req.attempts) {
+			r.handleAttemptEvent(req.attempts[action.Attempt], attempt.Canceled, reasonCanceled)
+		}
+	case routing.Release:
+		if req := r.requests.byID[action.RequestID]; req != nil {
+			r.releaseReservations(req)
+		}
+	case routing.StartTimer:
+		r.policy.timers.set(timer{at: r.now + action.After, token: action.Token, restarts: r.policy.restarts})
+	case routing.HealthCheck:
+		r.startControlRequest(&controlRequest{engine: action.Engine})
+	case routing.SendGossip:
+		r.transport.SendToPeer(action.To, action.Text)
+	}
+}
+
+// fireTimers hands the timers that are due to the policy that has set them.
+func (r *Router) fireTimers() {
+	for {
+		t, ok := r.policy.timers.popDue(r.now)
+		if !ok {
+			return
+		}
+		if t.restarts == r.policy.restarts {
+			r.notifyPolicy(routing.TimerFired{Token: t.token})
+		}
+	}
+}
--- /dev/null
+++ b/internal/router/reasons.go
@@ -0,0 +1,125 @@
+package router
+
+import "sandcourse/internal/routing"
+
+// RequestOutcome is how a request has ended. The values are labels of metrics.
+type RequestOutcome string
+
+// The outcomes of requests.
+const (
+	OutcomeCompleted RequestOutcome = "completed"
+	OutcomeShed      RequestOutcome = "shed"
+	OutcomeErrored   RequestOutcome = "errored"
+	OutcomeAbandoned RequestOutcome = "left" // its client disconnected
+)
+
+// FailureReason is why a request failed. Its text is part of the answer to the client.
+type FailureReason string
+
+// The reasons for which the router itself fails a request.
+const (
+	reasonDeadlineExceeded FailureReason = "time is up"
+	reasonNoAnswer         FailureReason = "the answer could not be given"
+	reasonPolicyFailed     FailureReason = "the router failed inside"
+	reasonShuttingDown     FailureReason = "this node is stopping"
+	reasonStreamShed       FailureReason = "the stream was given up"
+
+	// reasonStreamBroken comes before the reason of the attempt whose stream broke.
+	reasonStreamBroken FailureReason = "the stream broke: "
+)
+
+// ShedReason is why a request was shed. Its text is part of the answer to the client.
+type ShedReason string
+
+// The reasons for which the router sheds requests, beside those of package invariant.
+const (
+	shedPipelined   ShedReason = "too many requests wait on this connection"
+	shedRetryBudget ShedReason = "more calls are repeated than this node takes"
+	shedQuota       ShedReason = "you have your share of this node open already"
+	shedCapacity    ShedReason = "this node holds all that it may"
+	shedConnections ShedReason = "this node has all the connections that it may"
+	shedDeadline    ShedReason = "it would not be answered in time"
+)
+
+// AttemptReason is why an attempt ended as it did. Besides the constants it may be the text of an error, the status of the
+// engine's answer, or a reason of package invariant.
+type AttemptReason string
+
+// The reasons of the router itself.
+const (
+	reasonCanceled           AttemptReason = "withdrawn"
+	reasonClientDisconnected AttemptReason = "its client left"
+	reasonConnectionLimit    AttemptReason = "no line to it may be opened"
+	reasonConnectionLost     AttemptReason = "the connection is gone"
+	reasonSecondHead         AttemptReason = "a second head"
+
+	// These come before an error or a duration.
+	reasonDialFailed AttemptReason = "no connection: "
+	reasonStalled    AttemptReason = "no token for "
+)
+
+// RejectReason is why a message or a connection of a client was rejected. The values are labels of metrics.
+type RejectReason string
+
+// The reasons of rejections.
+const (
+	RejectConnections RejectReason = "connections"  // too many connections
+	RejectBytes       RejectReason = "bytes"        // too many bytes of unfinished requests
+	RejectMessage     RejectReason = "message"      // not a valid message
+	RejectDuplicate   RejectReason = "name known"   // another request has the same ID
+	RejectPipelined   RejectReason = "pipelined"    // too many requests wait on the connection
+	RejectSlowReader  RejectReason = "slow client"  // the client does not read its answers
+	RejectTimeout     RejectReason = "slow or idle" // the client sent nothing, or too slowly
+)
+
+// CloseReason is why the router closes a client's connection. The values are labels of metrics.
+type CloseReason string
+
+// The reasons for which the router closes a client's connection.
+const (
+	CloseIdle         CloseReason = "idle"            // the idle timeout has passed
+	CloseShutdown     CloseReason = "stopping"        // the router is shutting down
+	CloseEvicted      CloseReason = "crowded"         // another client needs the capacity
+	CloseAnswered     CloseReason = "last answer out" // the last answer on it has been written
+	CloseStreamBroken CloseReason = "stream broke"    // its client must not take a partial stream for a complete one
+	CloseUnread       CloseReason = "not read"        // its client did not read the answer in time
+)
+
+// ConnectionEvent is a change of a connection to an engine. The values are labels of metrics.
+type ConnectionEvent string
+
+// The changes of connections to engines.
+const (
+	Dialled           ConnectionEvent = "dialled"
+	DialFailed        ConnectionEvent = "dial failed"
+	DialFailedLocally ConnectionEvent = "dial failed on this machine"
+	ConnectionReused  ConnectionEvent = "reused"
+	ConnectionBroken  ConnectionEvent = "broken"
+	ConnectionClosed  ConnectionEvent = "closed"
+)
+
+// ReservationEvent is a change of a reservation that no attempt has consumed. The values are labels of metrics.
+type ReservationEvent string
+
+// The changes of reservations.
+const (
+	ReleaseSent         ReservationEvent = "sent"         // the first release was sent
+	ReleaseAcknowledged ReservationEvent = "acknowledged" // an engine has acknowledged a release
+	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation for as long as it may
+	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the attempt that was to consume it was unresponsive for as long
+	ReleaseAbandoned    ReservationEvent = "given up"     // no engine acknowledges releases
+	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are known: this one is not released
+)
+
+// verdictNames are labels of metrics.
+var verdictNames = [...]string{
+	routing.Completed:      "completed",
+	routing.EngineError:    "engine error",
+	routing.Full:           "full",
+	routing.TimedOut:       "timed out",
+	routing.NotConnected:   "not connected",
+	routing.ConnectionLost: "connection lost",
+	routing.Canceled:       "withdrawn",
+	routing.NotSent:        "not sent",
+	routing.PrefillDone:    "read",
+}
--- /dev/null
+++ b/internal/router/request_admission.go
@@ -0,0 +1,126 @@
+package router
+
+import (
+	"cmp"
+	"fmt"
+	"net/http"
+	"time"
+
+	"sandcourse/internal/admission"
+	"sandcourse/internal/invariant"
+	"sandcourse/internal/protocol"
+	"sandcourse/internal/routing"
+)
+
+// admitRequest hands a request to the policy, or answers it before the policy hears of it.
+func (r *Router) admitRequest(client *ClientConnection, received *ClientRequest) {
+	route := r.config.Route(received.Call.Route)
+	if !r.isValid(client, received, route) || !r.isAllowed(client, received) || !r.hasCapacity(client, received) {
+		return
+	}
+	req := r.newRequest(client, received, route)
+	client.current = req
+	r.requests.add(req)
+	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: r.effect(route),
+		DedupWindow: r.config.Routes[route].DedupWindow, Deadline: req.deadline})
+	r.notifyPolicy(arrivalOf(req))
+	r.forgetRequest(req)
+}
+
+// isValid is whether a request can be served at all. If not, it is answered.
+func (r *Router) isValid(client *ClientConnection, received *ClientRequest, route int) bool {
+	if route < 0 {
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
+			fmt.Sprintf("there is no model route %q", received.Call.Route)))
+		return false
+	}
+	if !received.Request.ProtoAtLeast(1, 1) {
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusHTTPVersionNotSupported, "bad_protocol", "",
+			"calls are taken over HTTP/1.1"))
+		return false
+	}
+	return true
+}
+
+// isAllowed is whether the invariants let a request start. If not, it is answered. Its name is taken from now on.
+func (r *Router) isAllowed(client *ClientConnection, received *ClientRequest) bool {
+	name := received.Call.ID
+	arrival := invariant.Arrival{DuplicateID: r.requests.isKnown(name), Accepting: r.acceptsRequests()}
+	switch reason := invariant.MayAccept(arrival); reason {
+	case invariant.Allowed:
+		if name != "" {
+			r.requests.names.add(name)
+		}
+		return true
+	case invariant.DuplicateRequestID:
+		r.observer.Rejected(RejectDuplicate)
+		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusConflict, "known", "", string(reason)))
+	default:
+		r.shedOnArrival(client, received, http.StatusServiceUnavailable, ShedReason(reason), 0)
+	}
+	return false
+}
+
+// hasCapacity is whether the limits of this router leave capacity for a request. If not, it is shed.
+func (r *Router) hasCapacity(client *ClientConnection, received *ClientRequest) bool {
+	status, reason := http.StatusServiceUnavailable, ShedReason("")
+	if received.excess {
+		r.observer.Rejected(RejectPipelined)
+		reason = shedPipelined
+	} else if !r.admission.retries.Allow(r.now, received.Call.Retried) {
+		reason = shedRetryBudget
+	} else {
+		switch r.admission.Admit(client.ID, received.Caller) {
+		case admission.QuotaExceeded:
+			status, reason = http.StatusTooManyRequests, shedQuota
+		case admission.CapacityExceeded, admission.BufferFull:
+			reason = shedCapacity
+		}
+	}
+	if reason != "" {
+		r.shedOnArrival(client, received, status, reason, r.config.MaxRetryAfter)
+	}
+	return reason == ""
+}
+
+func (r *Router) newRequest(client *ClientConnection, received *ClientRequest, route int) *request {
+	r.requests.lastID++
+	id := r.requests.lastID
+	timeout := r.config.Routes[route].Timeout
+	if received.Call.FirstTokenTimeout > 0 {
+		timeout = min(timeout, received.Call.FirstTokenTimeout)
+	}
+	return &request{
+		id:        id,
+		name:      cmp.Or(received.Call.ID, fmt.Sprintf("%s-%x-%d", r.config.NodeName, r.incarnation, id)),
+		client:    client,
+		received:  received,
+		route:     route,
+		arrivedAt: r.now,
+		deadline:  r.arrivalTime() + int64(timeout),
+		collector: r.protocol.NewCollector(received.Call),
+	}
+}
+
+// arrivalOf is what the policy is told of a new request. A request without a session is one of its own: the policy must not
+// take strangers for one session.
+func arrivalOf(req *request) routing.RequestArrived {
+	call := req.received.Call
+	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(call.Session, req.name), Prefix: call.Prefix,
+		Deadline: req.deadline, PromptTokens: float64(call.PromptTokens), PrefixTokens: float64(call.PrefixTokens),
+		MaxOutputTokens: float64(call.MaxOutputTokens), ClientRetry: call.Idempotent, Resumed: call.Resumes}
+}
+
+// shedOnArrival sheds a request before the policy sees it. A request for the rest of a stream has run before, under another
+// name; where it must not run twice it gets an error instead, as to shed it would say that a retry is safe.
+func (r *Router) shedOnArrival(client *ClientConnection, received *ClientRequest, status int, reason ShedReason, retryAfter time.Duration) {
+	call := received.Call
+	r.observer.RequestShed(ShedRequest{Request: call.ID, Route: call.Route, Reason: reason, PromptTokens: call.PromptTokens})
+	var answer protocol.Response
+	if call.Resumes && !r.retriable(r.config.Route(call.Route)) {
+		answer = r.protocol.ErrorResponse("", string(reason), false)
+	} else {
+		answer = r.protocol.ShedResponse(status, "", string(reason), retryAfter)
+	}
+	r.reply(client, received, answer)
+}
--- /dev/null
+++ b/internal/router/request_outcomes.go
@@ -0,0 +1,118 @@
+package router
+
+import (
+	"net/http"
+	"time"
+
+	"sandcourse/internal/attempt"
+	"sandcourse/internal/routing"
+)
+
+// endRequest sets the outcome of a request. The first call counts, and no token is forwarded after it.
+func (r *Router) endRequest(req *request, outcome RequestOutcome, reason FailureReason) bool {
+	if req.outcome != "" {
+		return false
+	}
+	req.outcome = outcome
+	for _, att := range req.attempts {
+		if att.relay != nil {
+			att.relay.Close()
+		}
+	}
+	if outcome != OutcomeAbandoned {
+		r.monitor.RequestAnswered(req.id, r.now)
+	}
+	r.requests.justFinished = append(r.requests.justFinished, req)
+	r.admission.Release(req.client.ID, req.received.Caller)
+	r.reportRequest(req, reason)
+	return true
+}
+
+// finishRequest answers a request that is completed or has failed.
+func (r *Router) finishRequest(req *request, outcome RequestOutcome, reason FailureReason) {
+	client := req.client
+	if !r.endRequest(req, outcome, reason) || client.disconnected {
+		return
+	}
+	switch {
+	case outcome == OutcomeCompleted && req.collector != nil:
+		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Call, req.name, req.collector))
+	case req.streaming && req.collector == nil, outcome == OutcomeCompleted:
+		if !req.streaming { // an answer without a token
+			r.write(client, r.protocol.StreamHead(req.name))
+		}
+		last, keepAlive := r.protocol.StreamEnd(outcome == OutcomeCompleted, string(reason))
+		r.write(client, last)
+		if !keepAlive {
+			r.abortResponse(client)
+			return
+		}
+		r.finishReply(client, req.received, !req.received.Request.Close)
+	default:
+		r.reply(client, req.received, r.protocol.ErrorResponse(req.name, string(reason), r.deadlinePassed(req)))
+	}
+}
+
+// failRequest answers a request that the policy has given up.
+func (r *Router) failRequest(req *request) {
+	reason := reasonNoAnswer
+	if r.deadlinePassed(req) {
+		reason = reasonDeadlineExceeded
+	}
+	r.finishRequest(req, OutcomeErrored, reason)
+}
+
+// shedRequest answers a request that the policy sheds.
+func (r *Router) shedRequest(req *request, retryAfter int64) {
+	if req.streaming { // the policy never sheds a stream; if it did, it would be too late to say that a retry is safe
+		r.finishRequest(req, OutcomeErrored, reasonStreamShed)
+		return
+	}
+	if client := req.client; r.endRequest(req, OutcomeShed, "") && !client.disconnected {
+		r.reply(client, req.received, r.protocol.ShedResponse(http.StatusServiceUnavailable, req.name, string(shedDeadline),
+			time.Duration(retryAfter)))
+	}
+}
+
+// cancelRequest ends a request whose client does not wait for it.
+func (r *Router) cancelRequest(req *request) {
+	r.endRequest(req, OutcomeAbandoned, "")
+	r.notifyPolicy(routing.ClientDisconnected{RequestID: req.id})
+	for _, att := range req.attempts {
+		if !att.ended { // the policy does not cancel streams
+			r.handleAttemptEvent(att, attempt.Canceled, reasonClientDisconnected)
+		}
+	}
+	r.releaseReservations(req)
+	if !req.wasSent() {
+		r.requests.names.remove(req.name)
+	}
+	r.forgetRequest(req)
+}
+
+// abortRequest answers a request with an error and cancels what is in flight of it.
+func (r *Router) abortRequest(req *request, reason FailureReason) {
+	r.finishRequest(req, OutcomeErrored, reason)
+	r.cancelRequest(req)
+}
+
+// reportRequest reports a request that has its outcome.
+func (r *Router) reportRequest(req *request, reason FailureReason) {
+	call := req.received.Call
+	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: call.Session, Outcome: req.outcome,
+		Duration: time.Duration(r.now - req.arrivedAt), PromptTokens: call.PromptTokens, OutputTokens: req.tokens, Reason: reason}
+	if req.streaming {
+		summary.TimeToFirstToken = time.Duration(req.firstTokenAt - req.arrivedAt)
+	}
+	for _, att := range req.attempts {
+		verdict := "out"
+		if att.ended {
+			verdict = verdictNames[att.verdict]
+		}
+		summary.Attempts = append(summary.Attempts, att.engine+" "+verdict)
+		if att.relay != nil {
+			summary.OutputTokens += att.relay.Tokens()
+		}
+	}
+	r.observer.RequestFinished(summary)
+}
--- a/internal/router/release.go
+++ b/internal/router/reservations.go
@@ -5,24 +5,31 @@
 	"slices"
 
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
+	"sandcourse/internal/protocol"
 	"sandcourse/internal/reservation"
 	"sandcourse/internal/routing"
 )
 
-// reservationsPerRequest bounds the states that are looked after by the calls that may be open: a call may have read twice, and
-// as many calls that have ended may still have states to release.
+// reservationsPerRequest bounds the reservations that are tracked by the requests that may be open: a request may have two
+// prefills, and as many requests that have ended may still have reservations to release.
 const reservationsPerRequest = 4
 
-// parallelReleases is how many engines a release goes to at a time, where any of them may take it: one that hangs must not
-// cost the time of the next try.
+// parallelReleases is how many engines a release goes to at a time, where any of them may handle it: one that hangs must not
+// delay the next.
 const parallelReleases = 2
 
-// recordReservation tells the table of holds what the outcome of an attempt says of the state that it made or asked for.
+func newReservationTable(cfg *config.Deployment, codec protocol.Codec) *reservation.Table {
+	return reservation.New(reservation.LimitsFor(cfg.Rules.ReservationLimit, codec.ReleaseReachesAllEngines(),
+		reservationsPerRequest*cfg.Limits.OpenRequests))
+}
+
+// recordReservation notes what the outcome of an attempt says of the reservation that it made or claimed.
 func (r *Router) recordReservation(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	req := att.request
-	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without an engine's word for it
+	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without an answer of the engine
 	if cancelled && r.config.ReleaseRepeatTime > 0 {
-		// Engines are told the time of a request, and need some to notice its end.
+		// Engines know the timeout of a request, and need some time to notice that it has passed.
 		req.abandonedUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
 	}
 	switch {
@@ -46,7 +53,7 @@
 	r.runReservation(reserved)
 }
 
-// claimResult is what the outcome of an attempt that may have taken a state says of it.
+// claimResult is what the verdict of a decode says of the reservation that it may have claimed.
 func claimResult(verdict routing.Verdict, cancelled bool) reservation.Event {
 	switch {
 	case verdict == routing.Completed:
@@ -59,15 +66,7 @@
 	return reservation.AttemptRejected
 }
 
-// earliestEventTime is the earliest time at which what is handed over now may have happened.
-func (r *Router) earliestEventTime() int64 {
-	if r.earliestEvent == 0 {
-		return r.now
-	}
-	return min(r.now, r.earliestEvent)
-}
-
-// releaseReservations has all states released that engines hold for an inference.
+// releaseReservations releases all reservations that engines hold for a request.
 func (r *Router) releaseReservations(req *request) { r.updateReservations(req, reservation.Unneeded) }
 
 func (r *Router) updateReservations(req *request, event reservation.Event) {
@@ -77,16 +76,16 @@
 	}
 }
 
-// runReservation does what a hold asks for, if its time has come.
+// runReservation does what is due for a reservation.
 func (r *Router) runReservation(reserved *reservation.Reservation) {
-	do, kept := r.reservations.HandleDue(reserved, r.now)
-	switch kept {
+	action, expiredState := r.reservations.HandleDue(reserved, r.now)
+	switch expiredState {
 	case reservation.Reserved:
 		r.observer.ReservationChanged(ReleaseOverdue)
 	case reservation.Claimed:
 		r.observer.ReservationChanged(ReleaseUnconfirmed)
 	}
-	switch do {
+	switch action {
 	case reservation.Release:
 		r.sendReleases(reserved)
 	case reservation.Abandon:
@@ -100,47 +99,59 @@
 		r.observer.ReservationChanged(ReleaseSent)
 	}
 	for _, engine := range r.releaseTargets(reserved, first) {
-		// Where only one engine can take it, every second try is on a connection of its own.
-		fresh := !r.protocol.ReleaseReachesAllEngines() && len(reserved.ReleaseTargets)%2 == 1
+		// Where only one engine can handle it, every second release is on a connection of its own.
+		newConnection := !r.protocol.ReleaseReachesAllEngines() && len(reserved.ReleaseTargets)%2 == 1
 		reserved.ReleaseTargets = append(reserved.ReleaseTargets, engine)
-		r.startControl(&controlRequest{engine: engine, reservation: reserved, round: reserved.Round, newConnection: fresh})
+		r.startControlRequest(&controlRequest{engine: engine, reservation: reserved, round: reserved.Round, newConnection: newConnection})
 	}
 }
 
-// releaseTargets are the engines that a release goes to now. Where any engine takes releases, that is the one that
-// holds the state, and with it one that the node has a connection to; then those that answered last, as they run.
+// releaseTargets are the engines that a release goes to now. Where any engine handles releases, that is the one that holds the
+// reservation, and with the first release one that there is an idle connection to; with later ones, those that answered last.
 func (r *Router) releaseTargets(reserved *reservation.Reservation, first bool) []string {
-	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints == nil {
+	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints.current == nil {
 		return []string{reserved.Engine}
 	}
-	var engines []string
-	for _, listed := range r.endpoints.Entries {
-		engines = append(engines, listed.ID)
+	engines := r.releaseCandidates(reserved)
+	if !first {
+		return engines[:min(parallelReleases, len(engines))]
 	}
-	if len(reserved.ReleaseTargets) >= len(engines) {
-		reserved.ReleaseTargets = reserved.ReleaseTargets[:0] // all were asked: from the beginning
+	// A new connection for each release would cost too much.
+	connected := slices.IndexFunc(engines, func(engine string) bool {
+		return engine != reserved.Engine && r.connections.HasReusable(engine, r.now, r.config.Connections.IdleTimeout)
+	})
+	switch {
+	case connected < 0:
+		return engines[:min(1, len(engines))]
+	case engines[0] != reserved.Engine:
+		return engines[connected : connected+1]
 	}
-	engines = slices.DeleteFunc(engines, func(engine string) bool { return slices.Contains(reserved.ReleaseTargets, engine) })
-	slices.SortStableFunc(engines, func(a, b string) int { return cmp.Compare(r.lastResponseAt[b], r.lastResponseAt[a]) })
-	if i := slices.Index(engines, reserved.Engine); i >= 0 {
-		engines = slices.Insert(slices.Delete(engines, i, i+1), 0, reserved.Engine)
+	return []string{reserved.Engine, engines[connected]}
+}
+
+// releaseCandidates are the listed engines that the release has not gone to yet; once it has gone to all, it starts over. The
+// engine that holds the reservation comes first, then those that answered last.
+func (r *Router) releaseCandidates(reserved *reservation.Reservation) []string {
+	entries := r.endpoints.current.Entries
+	if len(reserved.ReleaseTargets) >= len(entries) {
+		reserved.ReleaseTargets = reserved.ReleaseTargets[:0]
 	}
-	if first { // a connection more for each release would be dear
-		i := slices.IndexFunc(engines, func(engine string) bool {
-			return engine != reserved.Engine && r.pool.HasReusable(engine, r.now, r.config.Connections.IdleTimeout)
-		})
-		if i < 0 {
-			return engines[:min(1, len(engines))]
-		}
-		if engines[0] != reserved.Engine {
-			return engines[i : i+1]
+	var engines []string
+	for _, entry := range entries {
+		if !slices.Contains(reserved.ReleaseTargets, entry.ID) {
+			engines = append(engines, entry.ID)
 		}
-		return []string{reserved.Engine, engines[i]}
 	}
-	return engines[:min(parallelReleases, len(engines))]
+	slices.SortStableFunc(engines, func(a, b string) int {
+		return cmp.Compare(r.endpoints.lastResponseAt[b], r.endpoints.lastResponseAt[a])
+	})
+	if i := slices.Index(engines, reserved.Engine); i >= 0 {
+		engines = slices.Insert(slices.Delete(engines, i, i+1), 0, reserved.Engine)
+	}
+	return engines
 }
 
-// releaseAcknowledged takes an engine's acknowledgement.
+// releaseAcknowledged handles an engine's acknowledgement of a release.
 func (r *Router) releaseAcknowledged(control *controlRequest) {
 	r.observer.ReservationChanged(ReleaseAcknowledged)
 	r.reservations.Acknowledge(control.reservation, control.round, r.now)
--- /dev/null
+++ b/internal/router/shutdown.go
@@ -0,0 +1,84 @@
+package router
+
+import "sandcourse/internal/config"
+
+// shutdownState is how far a graceful shutdown has come.
+type shutdownState struct {
+	requested      bool
+	requestedAt    int64
+	clientsDrained bool // idle connections of clients are closed since
+}
+
+// accepts is whether requests are still accepted: those that were on their way when the shutdown was requested, and all
+// until clients are drained.
+func (s *shutdownState) accepts(cfg *config.Deployment, now int64) bool {
+	return !s.requested || now-s.requestedAt < int64(cfg.ShutdownAcceptTime) || cfg.ShutdownAcceptTime > 0 && !s.clientsDrained
+}
+
+// handoverDue is whether requests that arrived late have to end, so that their clients may retry elsewhere before this
+// router is killed.
+func (s *shutdownState) handoverDue(cfg *config.Deployment, now int64) bool {
+	return s.requested && cfg.ShutdownStayTime != 0 && now-s.requestedAt >= int64(cfg.ShutdownHandoverTime)
+}
+
+// Shutdown begins a graceful shutdown. Where the settings let the router linger, requests that are on their way are still
+// accepted for that long, and then clients are drained.
+func (r *Router) Shutdown() {
+	if !r.shutdown.requested {
+		r.shutdown.requested, r.shutdown.requestedAt = true, r.now
+		r.drainClients()
+	}
+}
+
+// acceptsRequests is whether the router accepts new requests.
+func (r *Router) acceptsRequests() bool { return r.shutdown.accepts(r.config, r.now) }
+
+// drainClients closes the idle connections of clients while the router shuts down, so that clients go elsewhere. It waits
+// until a peer is heard: rolling restarts follow one another, and if the router before is not back yet, clients find
+// nobody. Where peers serve and are not heard, the wait only delays the drain.
+func (r *Router) drainClients() {
+	stays := r.config.ShutdownAcceptTime > 0 && r.now-r.shutdown.requestedAt < int64(r.config.ShutdownStayTime) &&
+		!r.gossip.peerIsFresh(r.now)
+	if !r.shutdown.requested || !r.shutdown.clientsDrained && stays {
+		return
+	}
+	r.shutdown.clientsDrained = true
+	for _, id := range r.clients.ids() {
+		r.closeDrainingClient(r.clients.byID[id])
+	}
+}
+
+// closeDrainingClient closes an idle connection while clients are drained. A connection with a request in flight is tried
+// again after the answer.
+func (r *Router) closeDrainingClient(client *ClientConnection) {
+	if r.shutdown.clientsDrained && r.config.ShutdownAcceptTime > 0 && r.admission.ServedAndIdle(client.ID) {
+		r.closeIfIdle(client, CloseShutdown)
+	}
+}
+
+// abandonLateRequests ends the requests that arrived too late in a shutdown to be sure of their end before the process is
+// killed: the client of a stream resumes it at another router, and others get an answer while there is time for one.
+func (r *Router) abandonLateRequests() {
+	if !r.shutdown.handoverDue(r.config, r.now) {
+		return
+	}
+	for _, id := range r.requests.ids() {
+		req := r.requests.byID[id]
+		if req.arrivedAt-r.shutdown.requestedAt >= int64(r.config.ShutdownAcceptTime) && req.outcome == "" {
+			r.abortRequest(req, reasonShuttingDown)
+		}
+	}
+}
+
+// notReadyReason is why the router cannot serve, for readiness checks; empty where it can.
+func (r *Router) notReadyReason() string {
+	switch {
+	case r.shutdown.requested:
+		return "this node is stopping"
+	case r.endpoints.current == nil:
+		return "no list of engines has come yet"
+	case len(r.endpoints.current.Entries) == 0:
+		return "the list of engines is empty"
+	}
+	return ""
+}
