--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -140,10 +140,10 @@
 // run runs all arms. It is deterministic, and writes only what belongs to its seed.
 func (r sweepRun) run() {
 	arms := r.point.arms
-	arms[armRoles][r.seed] = fluidmodel.Run(r.day, fluidmodel.Strategy{Adaptive: true})
+	arms[armRoles][r.seed] = fluidmodel.Run(r.day, fluidmodel.Adaptive)
 	arms[armBestFixed][r.seed], _ = fluidmodel.BestFixedSplit(r.day)
-	arms[armFixed][r.seed] = fluidmodel.Run(r.day, fluidmodel.Strategy{})
-	arms[armThreshold][r.seed] = fluidmodel.Run(r.day, fluidmodel.Strategy{Threshold: true})
+	arms[armFixed][r.seed] = fluidmodel.Run(r.day, fluidmodel.FixedSplit)
+	arms[armThreshold][r.seed] = fluidmodel.Run(r.day, fluidmodel.Threshold)
 }
 
 // onAllCores does n independent things, as many at once as there are cores.
--- a/internal/fluidmodel/sway_test.go
+++ b/internal/fluidmodel/fluidmodel_test.go
@@ -12,13 +12,13 @@
 		Utilization: 0.9, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second, Seed: 1}
 }
 
-// A mix that swings every few seconds must not make engines swing with it.
+// A skew that alternates every few seconds must not make engines alternate with it.
 func TestFastOscillationCausesFewChanges(t *testing.T) {
 	for _, period := range []time.Duration{4 * time.Second, 6 * time.Second, 10 * time.Second,
 		20 * time.Second} {
 		scenario := baseScenario()
 		scenario.Period, scenario.Utilization = period, 0.75
-		adaptive, fixed := Run(scenario, Strategy{Adaptive: true}), Run(scenario, Strategy{})
+		adaptive, fixed := Run(scenario, Adaptive), Run(scenario, FixedSplit)
 		if adaptive.Changes > 6 || adaptive.Value < fixed.Value-0.02 {
 			t.Errorf("period %v: %d changes, value %.3f, with fixed roles %.3f", period, adaptive.Changes,
 				adaptive.Value, fixed.Value)
@@ -26,13 +26,13 @@
 	}
 }
 
-// Where the mix swings for as long as a few changes take, engines may move, and must not make it worse than
-// fixed roles.
+// Where the skew alternates about as fast as a few changes take, engines may change, and the result must be no
+// worse than with fixed roles.
 func TestSlowOscillationIsNoWorseThanFixedRoles(t *testing.T) {
 	for _, period := range []time.Duration{30 * time.Second, 60 * time.Second, 120 * time.Second} {
 		scenario := baseScenario()
 		scenario.Period, scenario.Utilization, scenario.Duration = period, 0.85, 600*time.Second
-		adaptive, fixed := Run(scenario, Strategy{Adaptive: true}), Run(scenario, Strategy{})
+		adaptive, fixed := Run(scenario, Adaptive), Run(scenario, FixedSplit)
 		if adaptive.Value < fixed.Value {
 			t.Errorf("period %v: %d changes, value %.3f, with fixed roles %.3f", period, adaptive.Changes,
 				adaptive.Value, fixed.Value)
@@ -40,19 +40,19 @@
 	}
 }
 
-// A shift that stays must be followed, with the hard cases on top of it.
+// A lasting skew must be followed, also under faults.
 func TestLastingSkewIsFollowed(t *testing.T) {
 	for name, change := range map[string]func(*Scenario){
-		"plain":                          func(*Scenario) {},
-		"reports of a third are missing": func(scenario *Scenario) { scenario.MissingReports = 0.33 },
-		"reports come late":              func(scenario *Scenario) { scenario.ReportDelay = 2 * time.Second },
-		"a tenth of reports lies":        func(scenario *Scenario) { scenario.FalseReports = 0.1 },
-		"half of the fleet cannot":       func(scenario *Scenario) { scenario.FixedRoles = 0.5 },
-		"small":                          func(scenario *Scenario) { scenario.Engines, scenario.PrefillEngines, scenario.Cells = 8, 4, 1 },
+		"no fault":                          func(*Scenario) {},
+		"a third of the reports is missing": func(scenario *Scenario) { scenario.MissingReports = 0.33 },
+		"delayed reports":                   func(scenario *Scenario) { scenario.ReportDelay = 2 * time.Second },
+		"a tenth of the reports is false":   func(scenario *Scenario) { scenario.FalseReports = 0.1 },
+		"half of the fleet cannot change":   func(scenario *Scenario) { scenario.FixedRoles = 0.5 },
+		"small fleet":                       func(scenario *Scenario) { scenario.Engines, scenario.PrefillEngines, scenario.Cells = 8, 4, 1 },
 	} {
 		scenario := baseScenario()
 		change(&scenario)
-		adaptive, fixed := Run(scenario, Strategy{Adaptive: true}), Run(scenario, Strategy{})
+		adaptive, fixed := Run(scenario, Adaptive), Run(scenario, FixedSplit)
 		if adaptive.Value < fixed.Value+0.05 || adaptive.Changes == 0 {
 			t.Errorf("%s: value %.3f with %d changes, with fixed roles %.3f", name, adaptive.Value,
 				adaptive.Changes, fixed.Value)
@@ -60,25 +60,25 @@
 	}
 }
 
-// A spell in which writers are slow looks like a shift to writing. While it is shorter than what paces are
-// measured over, it must not move anybody to speak of.
+// A slowdown of decode engines looks like a skew to decode. While it is shorter than the window of the throughput,
+// it must make hardly any engine change.
 func TestShortDecodeSlowdownIsNoSkew(t *testing.T) {
 	scenario := baseScenario()
 	scenario.SkewDepth, scenario.Utilization, scenario.SlowDecode = 0, 0.55, [2]float64{0.5, 0.53}
-	if r := Run(scenario, Strategy{Adaptive: true}); r.Changes > 2 {
-		t.Errorf("%d changes in a slow spell of 12 s", r.Changes)
+	if r := Run(scenario, Adaptive); r.Changes > 2 {
+		t.Errorf("%d changes in a slowdown of 12 s", r.Changes)
 	}
 	scenario.SlowDecode = [2]float64{0.5, 0.5}
-	if r := Run(scenario, Strategy{Adaptive: true}); r.Changes != 0 {
-		t.Errorf("%d changes on a calm day", r.Changes)
+	if r := Run(scenario, Adaptive); r.Changes != 0 {
+		t.Errorf("%d changes without skew", r.Changes)
 	}
 }
 
-// All readers but one go for good: writers must help, within floors.
+// When all prefill engines but one are lost for good, decode engines must replace them within the limits.
 func TestDecodeEnginesReplaceLostPrefillEngines(t *testing.T) {
 	scenario := baseScenario()
 	scenario.SkewDepth, scenario.Utilization, scenario.PrefillLossAt = 0, 0.4, 0.25
-	adaptive, fixed := Run(scenario, Strategy{Adaptive: true}), Run(scenario, Strategy{})
+	adaptive, fixed := Run(scenario, Adaptive), Run(scenario, FixedSplit)
 	if adaptive.Value < fixed.Value+0.2 || adaptive.Windows[len(adaptive.Windows)-1] < 0.8 {
 		t.Errorf("value %.3f, at the end %.2f, with fixed roles %.3f", adaptive.Value,
 			adaptive.Windows[len(adaptive.Windows)-1], fixed.Value)
@@ -88,7 +88,7 @@
 func TestSameSeedSameResult(t *testing.T) {
 	scenario := baseScenario()
 	scenario.ReportDelay, scenario.MissingReports, scenario.FalseReports = time.Second, 0.2, 0.1
-	if a, b := Run(scenario, Strategy{Adaptive: true}), Run(scenario, Strategy{Adaptive: true}); !reflect.DeepEqual(a, b) {
+	if a, b := Run(scenario, Adaptive), Run(scenario, Adaptive); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
