--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -156,10 +156,10 @@
 	r.flush(client)
 }
 
-// closeFlushed closes the connections that have written all, and those whose clients do not read in time.
+// closeFlushed closes the connections that have written all, and those whose clients do not read in time, by ID.
 func (r *Router) closeFlushed() {
-	for id, since := range r.clients.closingSince {
-		client := r.clients.byID[id]
+	for _, id := range slices.Sorted(maps.Keys(r.clients.closingSince)) {
+		client, since := r.clients.byID[id], r.clients.closingSince[id]
 		if client == nil {
 			delete(r.clients.closingSince, id)
 			continue
--- a/internal/router/core_test.go
+++ b/internal/router/core_test.go
@@ -31,6 +31,7 @@
 
 	panicNext, mayPanic bool           // the module, at its next input; and whether that is wanted
 	expectedViolation   invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
+	closedClients       []int64        // by the router, in order
 }
 
 func (b *testbed) Dial(conn *router.EngineConnection) { b.dials = append(b.dials, conn) }
@@ -63,6 +64,11 @@
 func (ignoredObserver) ReservationChanged(router.ReservationEvent)       {}
 func (ignoredObserver) EndpointsUpdated(int64, int, []string)            {}
 
+// ClientClosed records a close of a client's connection.
+func (b *testbed) ClientClosed(client int64, _ router.CloseReason) {
+	b.closedClients = append(b.closedClients, client)
+}
+
 // InvariantViolated is a fault in any test.
 func (b *testbed) InvariantViolated(v invariant.Violation) {
 	if v.Rule != b.expectedViolation {
