--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -36,6 +36,7 @@
 	IDs []string // empty where an instance shows no ID
 }
 
+// Error names the instances.
 func (e *InvalidInstancesError) Error() string {
 	return fmt.Sprintf("entries that make no sense are left out: %q", e.IDs)
 }
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -24,6 +24,7 @@
 	Status string // with its number, such as "503 Service Unavailable"
 }
 
+// Error returns the status.
 func (e *StatusError) Error() string { return "it answers " + e.Status }
 
 // fetch makes one request. The agent has the time of the watch to begin its response; after that the response may take
@@ -59,6 +60,7 @@
 	idleTimer *time.Timer
 }
 
+// Read implements io.Reader.
 func (r progressReader) Read(into []byte) (int, error) {
 	n, err := r.source.Read(into)
 	if n > 0 {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -17,7 +17,8 @@
 	RoleEpoch   int64   `json:"epoch,omitempty"`       // 0 where the role never changes
 }
 
-// The values of Entry.State. An engine that has stopped is not listed.
+// The values of Entry.State, which is no type of its own as refusals name the types of fields. An engine that has stopped is
+// not listed.
 const (
 	Ready    = "ready"
 	Draining = "draining"
--- a/internal/endpoint/errors.go
+++ b/internal/endpoint/errors.go
@@ -19,6 +19,7 @@
 // SizeError refuses a list of more bytes than are read.
 type SizeError struct{ Bytes, Limit int }
 
+// Error returns the size and the limit.
 func (e *SizeError) Error() string {
 	return fmt.Sprintf("list has %d bytes, at most %d are read", e.Bytes, e.Limit)
 }
@@ -26,6 +27,7 @@
 // RollbackError refuses a list whose revision is below that of the list before.
 type RollbackError struct{ Revision, Last int64 }
 
+// Error returns both revisions.
 func (e *RollbackError) Error() string {
 	return fmt.Sprintf("revision %d is older than %d", e.Revision, e.Last)
 }
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -44,6 +44,7 @@
 	Reason string
 }
 
+// Error returns the parameter and the reason.
 func (e *InvalidRequestError) Error() string { return e.Param + ": " + e.Reason }
 
 func invalid(param, format string, args ...any) error {
--- a/internal/protocol/chatapi/engine.go
+++ b/internal/protocol/chatapi/engine.go
@@ -44,11 +44,11 @@
 
 // ClassifyResponse implements protocol.EngineCodec. An accepted decode streams, an accepted prefill does not.
 func (*Codec) ClassifyResponse(head *http.Response, decode bool) attempt.Event {
-	input := engineapi.ClassifyHead(head)
-	if input == attempt.SuccessStatus && decode != chat.IsEventStream(head.Header) {
+	event := engineapi.ClassifyHead(head)
+	if event == attempt.SuccessStatus && decode != chat.IsEventStream(head.Header) {
 		return attempt.MalformedResponse
 	}
-	return input
+	return event
 }
 
 // ParseReservation implements protocol.EngineCodec. The handle is an engineapi.KVTransfer.
@@ -68,6 +68,6 @@
 func (*Codec) IsFinalEvent(event []byte) bool { return string(event) == chat.Done }
 
 // ClassifyStreamEnd is a reset, as a complete stream has a final event.
-func (*Codec) ClassifyStreamEnd(bool) (input attempt.Event, reason string) {
+func (*Codec) ClassifyStreamEnd(bool) (event attempt.Event, reason string) {
 	return attempt.ConnectionReset, "the stream ended without its last event"
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -62,7 +62,7 @@
 	// ReleaseReachesAllEngines is whether a release request to any engine releases the reservations of the others, too.
 	ReleaseReachesAllEngines() bool
 
-	// ClassifyResponse maps the head of a response to an input of the attempt's state machine.
+	// ClassifyResponse maps the head of a response to an event of the attempt's state machine.
 	ClassifyResponse(head *http.Response, decode bool) attempt.Event
 	// ParseReservation decodes the response of a prefill engine: the reservation, and the number of prompt tokens that
 	// were cached.
@@ -74,5 +74,5 @@
 	// IsFinalEvent is whether an event ends its stream and is not forwarded.
 	IsFinalEvent(event []byte) bool
 	// ClassifyStreamEnd is the meaning of a stream whose framing ends and that had no final event, and the reason.
-	ClassifyStreamEnd(hasEvents bool) (input attempt.Event, reason string)
+	ClassifyStreamEnd(hasEvents bool) (event attempt.Event, reason string)
 }
--- a/internal/protocol/httpframing/message.go
+++ b/internal/protocol/httpframing/message.go
@@ -41,6 +41,7 @@
 	Err    error
 }
 
+// Error returns the text of the cause.
 func (e *MessageError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/protocol/platform/engine.go
+++ b/internal/protocol/platform/engine.go
@@ -86,7 +86,7 @@
 func (*Codec) IsFinalEvent([]byte) bool { return false }
 
 // ClassifyStreamEnd implements protocol.EngineCodec. Only a complete stream has the last chunk that ends its framing.
-func (*Codec) ClassifyStreamEnd(hasEvents bool) (input attempt.Event, reason string) {
+func (*Codec) ClassifyStreamEnd(hasEvents bool) (event attempt.Event, reason string) {
 	if !hasEvents {
 		return attempt.MalformedResponse, "the stream has no event"
 	}
--- a/internal/protocol/platform/request.go
+++ b/internal/protocol/platform/request.go
@@ -35,6 +35,7 @@
 	Problem string // the value that is allowed
 }
 
+// Error returns the header and the problem.
 func (e *HeaderError) Error() string { return e.Header + " " + e.Problem }
 
 func headerError(header, format string, args ...any) error {
