--- a/cmd/sandcourse-plan/golden_test.go
+++ b/cmd/sandcourse-plan/golden_test.go
@@ -8,27 +8,28 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
+
+	"sandcourse/internal/golden"
 )
 
-// exits runs a command line by line in a folder with these files, and tells what it prints and its exit status.
+// exits runs command lines in a directory with these files, and returns what they print and their exit statuses.
 func exits(t *testing.T, binary string, files map[string]string, lines []string) string {
 	t.Helper()
-	folder := t.TempDir()
+	directory := t.TempDir()
 	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var b strings.Builder
 	for _, line := range lines {
-		// One that is not refused would run on.
+		// A planner whose settings are accepted would run on.
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		c := exec.CommandContext(ctx, binary, strings.Fields(line)...)
-		c.Dir = folder
+		c.Dir = directory
 		var out, errs bytes.Buffer
 		c.Stdout, c.Stderr = &out, &errs
 		status := 0
@@ -44,7 +45,7 @@
 	return b.String()
 }
 
-// A script's faults are printed as they are, and the exit status is 2; 0 where it is only checked and has none, and 1 for
+// A script's faults are printed, and the exit status is 2; it is 0 for a script without faults that is only checked, and 1 for
 // other errors.
 func TestGoldenCheckExits(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "sandcourse-plan")
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -1,5 +1,5 @@
-// Command sandcourse-plan is the planner: it watches what engines and edges report, moves engines between reading and
-// writing, and streams plans to edges.
+// Command sandcourse-plan is the planner: it watches the reports of engines and edges, changes the roles of engines between
+// prefill and decode, and streams plans to edges.
 package main
 
 import (
@@ -15,40 +15,63 @@
 	"sandcourse/internal/process"
 )
 
+// Exit statuses.
+const (
+	exitFailed          = 1
+	exitInvalidSettings = 2
+)
+
+// options are the command line.
+type options struct {
+	settings string
+	takeOver bool
+	check    bool
+}
+
 func main() {
 	signals := process.CatchSignals()
-	var file string
-	var takeOver, check bool
-	command := &cobra.Command{Use: "sandcourse-plan --settings FILE", Short: "The planner of sandcourse", Args: cobra.NoArgs,
-		SilenceUsage: true, SilenceErrors: true,
-		RunE: func(*cobra.Command, []string) error { return run(file, signals, takeOver, check) }}
-	command.Flags().StringVar(&file, "settings", "", "the planner's script")
-	command.Flags().BoolVar(&takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
-	command.Flags().BoolVar(&check, "check", false, "check the script and end")
-	command.MarkFlagRequired("settings")
-	if err := command.Execute(); err != nil {
+	if err := command(signals).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "sandcourse-plan:", err)
 		var faults script.Faults
 		if errors.As(err, &faults) {
-			os.Exit(2)
+			os.Exit(exitInvalidSettings)
 		}
-		os.Exit(1)
+		os.Exit(exitFailed)
+	}
+}
+
+// command is the command line with its flags.
+func command(signals process.Signals) *cobra.Command {
+	var o options
+	c := &cobra.Command{
+		Use:           "sandcourse-plan --settings FILE",
+		Short:         "The planner of sandcourse",
+		Args:          cobra.NoArgs,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		RunE:          func(*cobra.Command, []string) error { return run(o, signals) },
 	}
+	c.Flags().StringVar(&o.settings, "settings", "", "the planner's script")
+	c.Flags().BoolVar(&o.takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
+	c.Flags().BoolVar(&o.check, "check", false, "check the script and end")
+	c.MarkFlagRequired("settings")
+	return c
 }
 
-func run(file string, signals process.Signals, takeOver, check bool) error {
-	settings, err := config.LoadPlanner(file)
-	if err != nil || check {
+// run runs a planner until a signal stops it, or only checks its settings.
+func run(o options, signals process.Signals) error {
+	settings, err := config.LoadPlanner(o.settings)
+	if err != nil || o.check {
 		return err
 	}
-	settings.TakeOver = takeOver
+	settings.TakeOver = o.takeOver
 	log := process.NewLogger()
 	defer log.Sync()
-	server := planner.New(settings, log)
-	if err := server.Start(); err != nil {
+	p := planner.New(settings, log)
+	if err := p.Start(); err != nil {
 		return err
 	}
 	signals.AwaitStop(log)
-	server.Stop()
+	p.Stop()
 	return nil
 }
--- a/cmd/sandcourse-plan/signals_test.go
+++ b/cmd/sandcourse-plan/signals_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// startPlanner builds the planner and starts it from the sample script with a roster of its own.
+// startPlanner builds the planner and starts it with the sample script on a free port.
 func startPlanner(t *testing.T, log *os.File) (command *exec.Cmd, address string) {
 	t.Helper()
-	folder := t.TempDir()
-	binary := filepath.Join(folder, "sandcourse-plan")
+	directory := t.TempDir()
+	binary := filepath.Join(directory, "sandcourse-plan")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -35,7 +35,7 @@
 	if !bytes.Contains(script, []byte(listen)) {
 		t.Fatalf("the sample script does not listen on %s", listen)
 	}
-	file := filepath.Join(folder, "planner.star")
+	file := filepath.Join(directory, "planner.star")
 	if err := os.WriteFile(file, bytes.Replace(script, []byte(listen), []byte(address), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -46,17 +46,17 @@
 	}
 	t.Cleanup(func() { command.Process.Kill(); command.Wait() })
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if answer, err := http.Get("http://" + address + "/metrics"); err == nil {
-			answer.Body.Close()
+		if response, err := http.Get("http://" + address + "/metrics"); err == nil {
+			response.Body.Close()
 			return command, address
 		}
 		if time.Now().After(end) {
-			t.Fatal("the planner never serves")
+			t.Fatal("the planner does not serve within 10 s")
 		}
 	}
 }
 
-// The reader of the planner's log ends, its terminal hangs up, and it logs: it goes on, until SIGTERM.
+// The reader of the planner's log ends, its terminal hangs up, and it logs: it goes on until SIGTERM.
 func TestPlannerOutlivesItsLog(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -68,12 +68,12 @@
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(500 * time.Millisecond) // it looks for its roster, which is not there, and says so
-	answer, err := http.Get("http://" + address + "/metrics")
+	time.Sleep(500 * time.Millisecond) // it looks for its endpoint file, which is not there, and logs that
+	response, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
 		t.Fatalf("the planner has ended: %v", err)
 	}
-	answer.Body.Close()
+	response.Body.Close()
 	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -30,7 +30,7 @@
 	return b.String()
 }
 
-// refusals are all refusals of scripts, each under the script that it is of.
+// refusals are the faults of scripts, each under the script that it is of.
 func refusals[T any](t *testing.T, read func(string, []byte) (T, error), scripts []string) string {
 	t.Helper()
 	var b strings.Builder
@@ -38,7 +38,7 @@
 		_, err := read("s.star", []byte(text))
 		var faults script.Faults
 		if !errors.As(err, &faults) {
-			t.Errorf("%s\nis answered with %v", text, err)
+			t.Errorf("%s\nhas the error %v", text, err)
 			continue
 		}
 		shown := strings.TrimRight(text, "\n")
@@ -50,13 +50,13 @@
 	return b.String()
 }
 
-// Each bad script is refused with these words: the line, the key, what is allowed and what is there.
+// Each invalid script is rejected with these texts: the line, the argument, what is allowed and what was given.
 func TestGoldenRefusals(t *testing.T) {
 	good := sampleWithout("", "")
 	if _, err := Read("s.star", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	row := []string{"", "(", "nonsense(1)\n", "node(name = 1 / 0)\n", "load(\"x.star\", \"y\")\n", "while True:\n    pass\n",
+	scripts := []string{"", "(", "nonsense(1)\n", "node(name = 1 / 0)\n", "load(\"x.star\", \"y\")\n", "while True:\n    pass\n",
 		"for i in range(10000000):\n    x = i\n", "def f():\n    node(name = \"\")\nf()\n", strings.Repeat("#", script.MaxBytes+1),
 		sampleWithout("kinds", ""), sampleWithout("route", ""), sampleWithout("roster", ""),
 		sampleWithout("kinds", "kind(name = \"a\", role = \"read\")\n"), sampleWithout("kinds", "kind(name = \"b\", role = \"write\")\n"),
@@ -72,29 +72,30 @@
 		good + "listen(chat = 8080, metrics = \"localhost\")\n", good + "listen(colour = \"red\")\n",
 		good + "route(name = \"q\",\n      effect = \"retriable\",\n      value = -1,\n      colour = \"red\",\n      dedup_window = 5)\n" +
 			"limits(open = 1.5,\n       probes = 1)\nlines(dials = 0)\n"}
-	// Each key of each call, once of no type that a key has and once with a text that no key but a name takes.
+	// Each argument of each function: with a value of a type that no argument has, with numbers out of range, and with a text
+	// that only a name may be.
 	d := Defaults()
-	for _, call := range slices.Sorted(maps.Keys(d.ScriptFunctions())) {
-		keys, _ := d.ScriptFunctions()[call]()
+	for _, function := range slices.Sorted(maps.Keys(d.ScriptFunctions())) {
+		arguments, _ := d.ScriptFunctions()[function]()
 		for _, v := range []string{"[1]", "-1", "\"1e99h\"", "1e99"} {
 			var all []string
-			for _, k := range keys {
-				all = append(all, fmt.Sprintf("%s = %s", k.Name, v))
+			for _, argument := range arguments {
+				all = append(all, fmt.Sprintf("%s = %s", argument.Name, v))
 			}
-			row = append(row, fmt.Sprintf("%s(%s)\n", call, strings.Join(all, ",\n    ")))
+			scripts = append(scripts, fmt.Sprintf("%s(%s)\n", function, strings.Join(all, ",\n    ")))
 		}
 	}
-	golden.Check(t, "refusals.golden", refusals(t, Read, row))
+	golden.Check(t, "refusals.golden", refusals(t, Read, scripts))
 }
 
-// The same for planners' scripts.
+// The same for scripts of planners.
 func TestGoldenPlannerRefusals(t *testing.T) {
 	const files, kinds = "planner(store = \"p.db\", roster = \"roster.json\")\n",
 		"kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"
 	if _, err := ReadPlanner("s.star", []byte(files+kinds)); err != nil {
 		t.Fatal(err)
 	}
-	row := []string{"", files, kinds, "planner()\n" + kinds, "planner(listen = \"x\", store = 1, roster = \"\")\n" + kinds,
+	scripts := []string{"", files, kinds, "planner()\n" + kinds, "planner(listen = \"x\", store = 1, roster = \"\")\n" + kinds,
 		files + kinds + "route(name = \"r\")\n", files + kinds + "planner(file = \"x\")\n",
 		files + kinds + "pair()\n", files + kinds + "pair(read = \"b\", write = \"a\")\n",
 		files + kinds + "pair(read = \"a\", write = \"b\")\npair(read = \"a\", write = \"b\")\n",
@@ -106,9 +107,9 @@
 			"per_minute", "drain_grace", "read_pace", "write_pace", "explain_only"} {
 			all = append(all, fmt.Sprintf("%s = %s", k, v))
 		}
-		row = append(row, fmt.Sprintf("%s%schanges(%s)\n", files, kinds, strings.Join(all, ",\n    ")))
+		scripts = append(scripts, fmt.Sprintf("%s%schanges(%s)\n", files, kinds, strings.Join(all, ",\n    ")))
 	}
-	golden.Check(t, "planner-refusals.golden", refusals(t, ReadPlanner, row))
+	golden.Check(t, "planner-refusals.golden", refusals(t, ReadPlanner, scripts))
 }
 
 // The configuration of routing decisions for the demo's script, and for one that names all that a script can.
