--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -11,46 +11,55 @@
 	"sandcourse/internal/routing"
 )
 
-// Effects of a request that runs a second time, as a route's settings name them.
+// Effect is what a second run of a request does, as a route's settings name it.
+type Effect string
+
+// The effects.
 const (
-	EffectRetriable    = "retriable"     // idempotent
-	EffectDeduped      = "deduped"       // idempotent with an idempotency key, within the route's window and group
-	EffectNonRetriable = "non-retriable" // not idempotent
+	EffectRetriable    Effect = "retriable"     // idempotent
+	EffectDeduped      Effect = "deduped"       // idempotent with an idempotency key, within the route's window and group
+	EffectNonRetriable Effect = "non-retriable" // not idempotent
 )
 
 // Effects are all effects that a route may have.
-var Effects = []string{EffectRetriable, EffectDeduped, EffectNonRetriable}
+var Effects = []Effect{EffectRetriable, EffectDeduped, EffectNonRetriable}
+
+// DedupGroup is the set of engines that know of one another's idempotency keys, as a route's settings name it.
+type DedupGroup string
 
-// Groups of engines that know of one another's idempotency keys, as a route's settings name them.
+// The groups.
 const (
-	DedupGroupAll  = "all"
-	DedupGroupZone = "zone"
-	DedupGroupCell = "cell"
+	DedupGroupAll  DedupGroup = "all"
+	DedupGroupZone DedupGroup = "zone"
+	DedupGroupCell DedupGroup = "cell"
 )
 
-// Roles of a kind of engine, as settings name them.
+// Role is the role of a kind of engine, as settings name it.
+type Role string
+
+// The roles.
 const (
-	RolePrefill = planapi.Prefill
-	RoleDecode  = planapi.Decode
-	RoleBoth    = "both"
+	RolePrefill Role = planapi.Prefill
+	RoleDecode  Role = planapi.Decode
+	RoleBoth    Role = "both"
 )
 
 // Route is one model route.
 type Route struct {
 	Name                   string
-	Effect                 string // one of Effects
+	Effect                 Effect
 	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective of the first token
 	ObjectivePer1000Tokens time.Duration // added to it for each 1,000 prompt tokens
 	Timeout                time.Duration
 	DedupWindow            time.Duration
-	DedupGroup             string
+	DedupGroup             DedupGroup
 }
 
 // EngineKind is one kind of engine.
 type EngineKind struct {
 	Name         string
-	Role         string // RolePrefill, RoleDecode or RoleBoth
+	Role         Role
 	MemoryTokens float64
 }
 
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -45,15 +45,15 @@
 
 // routing is the route as decisions know it. The words of the settings are checked when they are read.
 func (r Route) routing() routing.Route {
-	effect, _ := routing.ParseEffect(r.Effect)
-	group, _ := routing.ParseDedupGroup(r.DedupGroup)
+	effect, _ := routing.ParseEffect(string(r.Effect))
+	group, _ := routing.ParseDedupGroup(string(r.DedupGroup))
 	return routing.Route{Effect: effect, DedupGroup: group, PriorityWeight: r.PriorityWeight,
 		FirstTokenObjective: r.FirstTokenObjective, ObjectivePer1000Tokens: r.ObjectivePer1000Tokens}
 }
 
 // routing is the kind of engine as decisions know it. The words of the settings are checked when they are read.
 func (k EngineKind) routing() routing.EngineKind {
-	role, _ := routing.ParseRole(k.Role)
+	role, _ := routing.ParseRole(string(k.Role))
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // Role is what a kind of engine does; empty for a kind that is not known.
-func (d *Deployment) Role(kind string) string {
+func (d *Deployment) Role(kind string) Role {
 	if i := slices.IndexFunc(d.Kinds, func(k EngineKind) bool { return k.Name == kind }); i >= 0 {
 		return d.Kinds[i].Role
 	}
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -100,16 +100,16 @@
 func (p *Planner) addRolePair(kinds *Deployment) ([]script.Argument, func(script.ReportFault)) {
 	var pair RolePair
 	arguments := []script.Argument{
-		script.Text(RolePrefill, &pair.PrefillKind).Required(),
-		script.Text(RoleDecode, &pair.DecodeKind).Required(),
+		script.Text(string(RolePrefill), &pair.PrefillKind).Required(),
+		script.Text(string(RoleDecode), &pair.DecodeKind).Required(),
 	}
 	return arguments, func(report script.ReportFault) {
-		checkKind := func(role, kind string, paired func(RolePair) bool) {
+		checkKind := func(role Role, kind string, paired func(RolePair) bool) {
 			if kind != "" && kinds.Role(kind) != role {
-				report(role, "%q is no kind named above with the role %s", kind, role)
+				report(string(role), "%q is no kind named above with the role %s", kind, role)
 			}
 			if slices.ContainsFunc(p.RolePairs, paired) {
-				report(role, "%q is in a pair already", kind)
+				report(string(role), "%q is in a pair already", kind)
 			}
 		}
 		checkKind(RolePrefill, pair.PrefillKind, func(other RolePair) bool { return other.PrefillKind == pair.PrefillKind })
--- a/internal/config/script/argument.go
+++ b/internal/config/script/argument.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 
 	"go.starlark.net/starlark"
@@ -34,9 +33,16 @@
 }
 
 // OneOf is an argument that is one of some words.
-func OneOf(name string, target *string, words ...string) Argument {
-	return text(name, target, func(s string) (string, bool) {
-		return "it must be one of " + strings.Join(words, ", "), slices.Contains(words, s)
+func OneOf[T ~string](name string, target *T, words ...T) Argument {
+	return text(name, target, func(s T) (string, bool) {
+		allowed := "it must be one of"
+		for i, word := range words {
+			if i > 0 {
+				allowed += ","
+			}
+			allowed += " " + string(word)
+		}
+		return allowed, slices.Contains(words, s)
 	})
 }
 
@@ -48,16 +54,16 @@
 }
 
 // text is an argument that is a text which check allows.
-func text(name string, target *string, check func(string) (allowed string, ok bool)) Argument {
+func text[T ~string](name string, target *T, check func(T) (allowed string, ok bool)) Argument {
 	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
 		s, ok := starlark.AsString(value)
 		if !ok || s == "" || len(s) > maxTextBytes {
 			return fmt.Sprintf("it must be a text of 1 to %d bytes", maxTextBytes), false
 		}
-		if allowed, ok := check(s); !ok {
+		if allowed, ok := check(T(s)); !ok {
 			return allowed, false
 		}
-		*target = s
+		*target = T(s)
 		return "", true
 	}}
 }
--- a/internal/emulator/edge.go
+++ b/internal/emulator/edge.go
@@ -78,7 +78,7 @@
 		{Name: "decode", Role: "write", MemoryTokens: em.scenario.Engine.MemoryTokens}}
 	d.Rules.SlowStart, d.Rules.SlowStartShare = em.scenario.Engine.WarmUp, em.scenario.Engine.WarmUpShare
 	for _, r := range em.scenario.Routes {
-		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: r.Effect, PriorityWeight: r.PriorityWeight,
+		d.Routes = append(d.Routes, config.Route{Name: r.Name, Effect: config.Effect(r.Effect), PriorityWeight: r.PriorityWeight,
 			FirstTokenObjective: r.FirstTokenTarget, Timeout: r.Timeout,
 			DedupWindow: 5 * time.Second, DedupGroup: "all"})
 	}
--- a/internal/modelcheck/sim.go
+++ b/internal/modelcheck/sim.go
@@ -154,7 +154,7 @@
 	d.NodeCount = max(1, w.Routers)
 	d.Kinds = []config.EngineKind{{Name: "prefill", Role: "read"}, {Name: "decode", Role: "write"}}
 	for _, effect := range []string{"retriable", "deduped", "non-retriable"} {
-		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: effect, PriorityWeight: 1, FirstTokenObjective: firstTokenTarget,
+		d.Routes = append(d.Routes, config.Route{Name: effect, Effect: config.Effect(effect), PriorityWeight: 1, FirstTokenObjective: firstTokenTarget,
 			Timeout: clientTimeout, DedupWindow: time.Second, DedupGroup: "all"})
 	}
 	return d
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -254,18 +254,18 @@
 		}
 		engine := assignment.ListedEngine{
 			Engine:  entry.ID,
-			Role:    kind.Role,
+			Role:    string(kind.Role),
 			Zone:    entry.Zone,
 			Cell:    entry.Cell,
 			Weight:  entry.Weight,
 			Ready:   entry.State == endpoint.Ready,
 			UpSince: entry.StartedAtMs * int64(time.Millisecond),
-			Kinds:   map[string]string{kind.Role: kind.Name},
+			Kinds:   map[string]string{string(kind.Role): kind.Name},
 		}
 		for _, pair := range p.settings.RolePairs {
 			if pair.Has(kind.Name) {
-				engine.Kinds[p.kinds[pair.PrefillKind].Role] = pair.PrefillKind
-				engine.Kinds[p.kinds[pair.DecodeKind].Role] = pair.DecodeKind
+				engine.Kinds[string(p.kinds[pair.PrefillKind].Role)] = pair.PrefillKind
+				engine.Kinds[string(p.kinds[pair.DecodeKind].Role)] = pair.DecodeKind
 				engine.CanChange = true
 			}
 		}
--- a/internal/protocol/platform/deployment.go
+++ b/internal/protocol/platform/deployment.go
@@ -75,7 +75,7 @@
 	for i := range s.Count("kinds") {
 		kinds = append(kinds, config.EngineKind{
 			Name:         s.Text(fmt.Sprintf("kinds.%d", i)),
-			Role:         s.Text(fmt.Sprintf("engine_facts.role_of_kind.%d", i)),
+			Role:         config.Role(s.Text(fmt.Sprintf("engine_facts.role_of_kind.%d", i))),
 			MemoryTokens: s.Number(fmt.Sprintf("engine_facts.memory_of_kind.%d", i), 0),
 		})
 	}
@@ -87,14 +87,14 @@
 		name := func(key string) string { return fmt.Sprintf("routes.%d.%s", i, key) }
 		routes = append(routes, config.Route{
 			Name:                   s.Text(name("name")),
-			Effect:                 s.Text(name("effect")),
+			Effect:                 config.Effect(s.Text(name("effect"))),
 			PriorityWeight:         s.Number(name("value"), 1),
 			FirstTokenObjective:    s.Duration(name("first_token_target"), time.Second),
 			ObjectivePer1000Tokens: s.Duration(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
 			// A client's own timeout is valid even if it is longer than the route's.
 			Timeout:     maxTimeout,
 			DedupWindow: s.Duration(name("dedup_window"), 0),
-			DedupGroup:  s.Text(name("dedup_group")),
+			DedupGroup:  config.DedupGroup(s.Text(name("dedup_group"))),
 		})
 	}
 	return routes
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -77,7 +77,7 @@
 
 // effect is what a second run of the requests of a route would do.
 func (r *Router) effect(route int) invariant.Effect {
-	return invariant.ParseEffect(r.config.Routes[route].Effect)
+	return invariant.ParseEffect(string(r.config.Routes[route].Effect))
 }
 
 // retriable is whether the requests of a route may run twice.
