--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -114,7 +114,7 @@
 		r.dialFailed(conn, err)
 		return
 	}
-	r.observer.ConnectionChanged(conn.Engine, Dialled)
+	r.observer.ConnectionChanged(conn.Engine, ConnectionDialed)
 	conn.socket = socket
 	r.connections.Handle(conn.ID, connpool.Dialed, r.now)
 	if conn.attempt == nil && conn.control == nil {
--- a/internal/router/engine_starts.go
+++ b/internal/router/engine_starts.go
@@ -6,64 +6,65 @@
 	"sandcourse/internal/endpoint"
 )
 
-// maxReportedAge is how old a start may be of which this node hears while it runs: lists come seconds late, and discovery may be
-// down for longer. A start that seems older was stamped by a clock that differs from this node's, and counts from when it
-// was heard of, so that the engine is taken for a cold one.
+// maxReportedAge is how old the start of an engine may be that is first reported while this router runs: lists come seconds
+// late, and discovery may be down for longer. A start that seems older was stamped by a clock that differs from this
+// router's, and counts from when it was first reported, so that the engine counts as one that is warming up.
 const maxReportedAge = 30 * time.Second
 
-// engineStart is when an engine came up, as it was told and on this node's clock.
+// nanosPerMilli converts between the unit of endpoint lists and that of the router.
+const nanosPerMilli = int64(time.Millisecond)
+
+// engineStart is when an engine started.
 type engineStart struct {
-	reported int64 // in the list's own units
-	at       int64
-	listedAt int64 // when it was last listed
+	reported int64 // as the list says, in milliseconds
+	at       int64 // by the router's clock, in nanoseconds
+	listedAt int64 // when the engine was last listed
 }
 
-// engineStarts turn the starts that lists tell into times on the node's own clock. Machines stamp them with their wall clocks,
-// which may be stepped, while the node's clock runs on; so a start is compared with the clock once, when it is first heard
-// of, and what is told of it is only compared with what was told before.
+// engineStarts converts the start times of endpoint lists into times of the router's clock. Machines stamp them with their
+// wall clocks, which may be stepped, while the router's clock is monotonic. So a start is compared with the clock once, when it
+// is first reported; from then on it is only compared with what was reported before.
 type engineStarts struct {
 	byEngine    map[string]engineStart
-	initialized bool // a list has come: what is new since came up while this node ran
+	initialized bool // a list has come: starts that are new since happened while this router ran
 }
 
-const nanosPerMilli = int64(time.Millisecond)
-
-// normalize gives the entries of a list their starts on the node's clock, and forgets engines that left long ago.
-func (s *engineStarts) normalize(engines []endpoint.Entry, now int64) []endpoint.Entry {
-	next := make(map[string]engineStart, len(engines))
-	out := make([]endpoint.Entry, len(engines))
-	for i, e := range engines {
-		if e.StartedAtMs > 0 {
-			known := s.startOf(e, now)
-			known.listedAt = now
-			next[e.ID] = known
-			e.StartedAtMs = known.at / nanosPerMilli
+// normalize returns the entries with their starts by the router's clock, and forgets engines that left long ago.
+func (s *engineStarts) normalize(entries []endpoint.Entry, now int64) []endpoint.Entry {
+	next := make(map[string]engineStart, len(entries))
+	normalized := make([]endpoint.Entry, len(entries))
+	for i, entry := range entries {
+		if entry.StartedAtMs > 0 {
+			start := s.startOf(entry, now)
+			start.listedAt = now
+			next[entry.ID] = start
+			entry.StartedAtMs = start.at / nanosPerMilli
 		}
-		out[i] = e
+		normalized[i] = entry
 	}
-	for engine, known := range s.byEngine {
-		if _, listed := next[engine]; !listed && now-known.listedAt <= departedRetention {
-			next[engine] = known
+	for engine, start := range s.byEngine {
+		if _, listed := next[engine]; !listed && now-start.listedAt <= departedRetention {
+			next[engine] = start
 		}
 	}
 	s.byEngine, s.initialized = next, true
-	return out
+	return normalized
 }
 
-// isRestart is whether an entry tells a start of its engine that was not told before.
-func (s *engineStarts) isRestart(e endpoint.Entry) bool {
-	return e.StartedAtMs > 0 && s.byEngine[e.ID].reported != e.StartedAtMs
+// isRestart is whether an entry reports a start of its engine that was not reported before.
+func (s *engineStarts) isRestart(entry endpoint.Entry) bool {
+	return entry.StartedAtMs > 0 && s.byEngine[entry.ID].reported != entry.StartedAtMs
 }
 
-func (s *engineStarts) startOf(e endpoint.Entry, now int64) engineStart {
-	before, known := s.byEngine[e.ID]
-	if known && before.reported == e.StartedAtMs {
-		return before
+func (s *engineStarts) startOf(entry endpoint.Entry, now int64) engineStart {
+	previous, known := s.byEngine[entry.ID]
+	if known && previous.reported == entry.StartedAtMs {
+		return previous
 	}
-	at := e.StartedAtMs * nanosPerMilli
+	at := entry.StartedAtMs * nanosPerMilli
 	if at > now || s.initialized && now-at > int64(maxReportedAge) {
 		at = now
 	}
 	// A new start is never before the last one, whatever the clocks say.
-	return engineStart{reported: e.StartedAtMs, at: max(at, before.at+nanosPerMilli)}
+	return engineStart{reported: entry.StartedAtMs, at: max(at, previous.at+nanosPerMilli)}
 }
