--- a/internal/planner/assignment/golden_test.go
+++ b/internal/planner/assignment/golden_test.go
@@ -3,18 +3,20 @@
 import (
 	"encoding/json"
 	"reflect"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
+
+	"sandcourse/internal/golden"
 )
 
-// The last decision as operators read it, with what arrives and what was weighed.
+// The last decision as operators read it, with the demand and the evaluations.
 func TestGoldenExplained(t *testing.T) {
-	last := Decision{At: 5, Mix: trafficMix{{Route: "clip-summary", Rate: 1.5, PrefillTokens: 900, DecodeTokens: 120, Value: 1, LostRate: 0.25}}, EdgesReporting: 2,
-		EdgesKnown: 3, RequiredEngines: map[string]float64{"read": 1.5}, ServingEngines: map[string]float64{"read": 1},
-		IncomingEngines: map[string]float64{"write": 1}, Throughput: map[string]float64{"read": 9000},
-		Evaluations: []Evaluation{{ToRole: "read", Gain: 1.5, ReversalLoss: 0.5, MeanGain: 0.75, RemainingSeconds: 60, Cost: 12, GainingSeconds: 5, Engine: "10.0.0.2:8000",
-			LostTokens: 100, Reason: "it pays", Chosen: true}}, Changing: 1, Stopped: true}
+	last := Decision{At: 5, Mix: trafficMix{{Route: "clip-summary", Rate: 1.5, PrefillTokens: 900, DecodeTokens: 120,
+		Value: 1, LostRate: 0.25}}, EdgesReporting: 2, EdgesKnown: 3, RequiredEngines: map[string]float64{"read": 1.5},
+		ServingEngines: map[string]float64{"read": 1}, IncomingEngines: map[string]float64{"write": 1},
+		Throughput: map[string]float64{"read": 9000}, Evaluations: []Evaluation{{ToRole: "read", Gain: 1.5,
+			ReversalLoss: 0.5, MeanGain: 0.75, RemainingSeconds: 60, Cost: 12, GainingSeconds: 5,
+			Engine: "10.0.0.2:8000", LostTokens: 100, Reason: "it pays", Chosen: true}}, Changing: 1, Stopped: true}
 	data, err := json.MarshalIndent(last, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -22,15 +24,15 @@
 	golden.Check(t, "explained.golden", string(data)+"\n")
 	var back Decision
 	if err := json.Unmarshal(data, &back); err != nil || !reflect.DeepEqual(back, last) {
-		t.Errorf("%v: what was read back is not what was written", err)
+		t.Errorf("%v: decoding does not give what was encoded", err)
 	}
 }
 
-// The states of an engine by their words, which stores and operators' tools keep.
+// The values of the states, which are stored and which operators' tools read.
 func TestGoldenStates(t *testing.T) {
-	var row []string
+	var states []string
 	for _, s := range []State{Serving, Draining, Ordered, Loading, InTrial, WarmingUp, RollingBack, Quarantined} {
-		row = append(row, string(s))
+		states = append(states, string(s))
 	}
-	golden.Check(t, "states.golden", strings.Join(row, "\n")+"\n")
+	golden.Check(t, "states.golden", strings.Join(states, "\n")+"\n")
 }
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -36,13 +36,13 @@
 		return "", nil, fmt.Errorf("%s: %w", order.Engine, ErrNotListed)
 	}
 	switch order.Operation {
-	case "pin", "unpin":
+	case planapi.OperationPin, planapi.OperationUnpin:
 		text, err = c.setPinned(engine, order)
-	case "stop", "go":
+	case planapi.OperationStop, planapi.OperationGo:
 		text, err = c.setStopped(order)
-	case "readmit":
+	case planapi.OperationReadmit:
 		text, err = c.readmit(engine, order)
-	case "move":
+	case planapi.OperationMove:
 		text, err = c.move(engine, order)
 	}
 	if err != nil {
@@ -56,7 +56,7 @@
 }
 
 func (c *Controller) setPinned(engine *engineRecord, order planapi.Order) (string, error) {
-	pin := order.Operation == "pin"
+	pin := order.Operation == planapi.OperationPin
 	switch {
 	case pin && engine.Pinned:
 		return "", fmt.Errorf("%s %w", engine.Engine, ErrPinned)
@@ -71,7 +71,7 @@
 }
 
 func (c *Controller) setStopped(order planapi.Order) (string, error) {
-	stop := order.Operation == "stop"
+	stop := order.Operation == planapi.OperationStop
 	text := "changes go on"
 	if stop {
 		text = "no change begins; engines that drain go back, what is loading comes to its end"
