--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"os"
+	"time"
 
 	"sandcourse/internal/routing"
 	"sandcourse/internal/simproto"
@@ -64,7 +65,7 @@
 	return json.Marshal(map[string][]simproto.Action{"out": actions})
 }
 
-func stepPolicy(policy *routing.Policy, name string, now int64, event routing.Event) (actions []simproto.Action) {
+func stepPolicy(policy *routing.Policy, name string, now time.Duration, event routing.Event) (actions []simproto.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			actions = []simproto.Action{simproto.NodeFailed(name, fmt.Sprint(p))}
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -68,7 +69,7 @@
 			continue
 		}
 		update.Engines = append(update.Engines, routing.Endpoint{Engine: e.ID, Weight: e.Weight, Kind: kind,
-			Zone: d.zoneIndex(e.Zone), Cell: placeID(e.Zone + "/" + e.Cell), StartedAt: e.StartedAtMs * 1e6,
+			Zone: d.zoneIndex(e.Zone), Cell: placeID(e.Zone + "/" + e.Cell), StartedAt: time.Duration(e.StartedAtMs) * time.Millisecond,
 			Ready: e.State == endpoint.Ready, Draining: e.State == endpoint.Draining})
 	}
 	return update, unknown
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -162,7 +162,7 @@
 		r.releaseReservations(req)
 	}
 	r.finishAfterAttempt(att)
-	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: r.now - att.startedAt,
+	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: time.Duration(r.now - att.startedAt),
 		RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
 		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.stale})
 	// What was reserved after the request ended is released too: a prefill for which nobody waits.
@@ -232,7 +232,7 @@
 		r.write(req.client, r.protocol.StreamHead(req.name))
 	}
 	r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
-	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: r.now - att.startedAt})
+	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: time.Duration(r.now - att.startedAt)})
 }
 
 // reapStalledStreams ends the attempts whose streams have had no token for too long.
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -2,6 +2,7 @@
 
 import (
 	"runtime/debug"
+	"time"
 
 	"sandcourse/internal/attempt"
 	"sandcourse/internal/config"
@@ -64,7 +65,7 @@
 			actions, ok = nil, false
 		}
 	}()
-	r.observer.AroundStep(event, func() { actions = r.policy.Step(r.now, event) })
+	r.observer.AroundStep(event, func() { actions = r.policy.Step(time.Duration(r.now), event) })
 	return actions, true
 }
 
@@ -106,7 +107,7 @@
 		r.startAttempt(action)
 	case routing.Shed:
 		if req := r.requests.byID[action.RequestID]; req != nil {
-			r.shedRequest(req, action.RetryAfter)
+			r.shedRequest(req, int64(action.RetryAfter))
 		}
 	case routing.Fail:
 		if req := r.requests.byID[action.RequestID]; req != nil {
@@ -121,7 +122,7 @@
 			r.releaseReservations(req)
 		}
 	case routing.StartTimer:
-		r.policy.timers.set(timer{at: r.now + action.After, token: action.Token, restarts: r.policy.restarts})
+		r.policy.timers.set(timer{at: r.now + int64(action.After), token: action.Token, restarts: r.policy.restarts})
 	case routing.HealthCheck:
 		r.startControlRequest(&controlRequest{engine: action.Engine})
 	case routing.SendGossip:
--- /dev/null
+++ b/internal/routing/admission.go
@@ -0,0 +1,91 @@
+package routing
+
+import (
+	"math"
+	"time"
+)
+
+// An overload lasts longer than the window, and a few late answers are none.
+const (
+	overloadWindow     = 4 * time.Second
+	overloadMinSamples = 32
+)
+
+// firstTokenObjective is the latency objective in nanoseconds.
+func (p *Policy) firstTokenObjective(req *request) float64 {
+	route := p.route(req)
+	return float64(route.FirstTokenObjective) + float64(route.ObjectivePer1000Tokens)*req.PromptTokens/1000
+}
+
+// weightShare is a route's priority weight over that of the highest.
+func (p *Policy) weightShare(req *request) float64 {
+	most := 1e-9
+	for _, route := range p.config.Routes {
+		most = max(most, route.PriorityWeight)
+	}
+	return p.route(req).PriorityWeight / most
+}
+
+// admit sheds at once what would miss its objective: queues that only grow make all late and never clear, whatever
+// filled them: too much traffic, engines that are lost or slow, or caches that were lost. It does harm where
+// latencies are high but harmless. Resumed streams are always admitted.
+func (p *Policy) admit(req *request) trigger {
+	loads := p.openLoads()
+	decoders := p.usableEngines(req, loads, func(e *engine) bool { return e.canDecode })
+	if len(decoders) == 0 || req.Resumed {
+		return admitted
+	}
+	weight := p.weightShare(req)
+	// Where all known decode engines are out of memory, reservations queue: the least weight is shed first.
+	if memory, known := p.leastMemoryShare(decoders); known && memory > 0.9+0.1*weight {
+		return cannotMeetObjective
+	}
+	prefill, objective := p.engines[req.prefillEngine], p.firstTokenObjective(req)
+	expected := p.expectedLatency(req, prefill, decoders, loads)
+	overrun := sample{p.now, time.Duration(expected - 0.25*objective)}
+	p.expectedOverruns = appendBounded(p.expectedOverruns, overrun, 48)
+	// Latencies are known late and vary, so the limit is under the objective: 0.8 of it for the highest weight, down
+	// to 0.4. Recent late answers show what latencies do not, and in a lasting overload, of first tokens or of
+	// latencies, prompts that are not cached feed it.
+	uncached := 1 - p.cachedTokens(req, prefill)/max(req.PromptTokens, 1)
+	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
+	overload := shareAbove(p.expectedOverruns, p.now, overloadWindow, overloadMinSamples)
+	limit := (0.4 + 0.4*weight) * (1 - late*(0.4+0.6*uncached)) * (1 - 0.6*overload*uncached)
+	if expected > limit*objective {
+		return cannotMeetObjective
+	}
+	return admitted
+}
+
+// leastMemoryShare is that of the engines whose load is known.
+func (p *Policy) leastMemoryShare(engines []*engine) (least float64, known bool) {
+	least = math.Inf(1)
+	for _, e := range engines {
+		if p.hasFreshLoad(e) {
+			least = min(least, e.memoryShare)
+		}
+	}
+	return least, !math.IsInf(least, 1)
+}
+
+// expectedLatency is when the first token of a request is expected, in nanoseconds since its arrival. Reservations
+// that wait here for a decode engine say more than any latency.
+func (p *Policy) expectedLatency(req *request, prefill *engine, decoders []*engine, loads map[string]engineLoad) float64 {
+	var decodeLatencies []time.Duration
+	for _, e := range decoders {
+		latency, _ := p.latency(e, loads[e.Engine])
+		decodeLatencies = append(decodeLatencies, latency)
+	}
+	latency, _ := p.latency(prefill, loads[prefill.Engine])
+	return float64(p.now - req.arrivedAt + median(p.reservationWaits()) + latency + median(decodeLatencies))
+}
+
+// shedLate sheds a request that is not prefilled by its objective, where it may be shed with an attempt in flight:
+// in an overload it takes the place of one that could be in time.
+func (p *Policy) shedLate(req *request) trigger {
+	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
+	if p.route(req).Effect == Retriable && !req.Resumed && late > 0.2 {
+		return cannotMeetObjective
+	}
+	return noTrigger
+}
--- a/internal/routing/open_test.go
+++ b/internal/routing/open_test.go
@@ -20,7 +20,7 @@
 			for i := range 8 {
 				news.Engines = append(news.Engines, Endpoint{Engine: fmt.Sprint("e", i), Weight: 1, Kind: i / 4, Ready: true})
 			}
-			now := int64(1e9)
+			now := time.Second
 			br.Step(now, news)
 			id := int64(0)
 			sendOf := func(effects []Action) string {
--- a/internal/routing/plain_test.go
+++ b/internal/routing/plain_test.go
@@ -10,7 +10,7 @@
 type testNode struct {
 	t       *testing.T
 	policy  *Policy
-	now     int64
+	now     time.Duration
 	actions []Action
 }
 
@@ -42,9 +42,9 @@
 	n.step(0, news)
 }
 
-// step feeds an input after some milliseconds and returns the engine that was sent to, if one was.
-func (n *testNode) step(after int64, in Event) string {
-	n.now += after * ms
+// step handles an event after a while and returns the engine that was sent to, if one was.
+func (n *testNode) step(after time.Duration, in Event) string {
+	n.now += after
 	n.actions = n.policy.Step(n.now, in)
 	for _, e := range n.actions {
 		if s, ok := e.(Send); ok {
@@ -59,19 +59,19 @@
 		Deadline: n.now + 4000*ms})
 }
 
-func (n *testNode) prefill(after, req int64, prefillEngine string) string {
-	return n.step(after, Outcome{RequestID: req, Engine: prefillEngine, Verdict: PrefillDone, Latency: after * ms})
+func (n *testNode) prefill(after time.Duration, req int64, prefillEngine string) string {
+	return n.step(after, Outcome{RequestID: req, Engine: prefillEngine, Verdict: PrefillDone, Latency: after})
 }
 
-func (n *testNode) firstToken(after, req int64, decodeEngine string) {
-	n.step(after, FirstToken{RequestID: req, Attempt: 1, Engine: decodeEngine, Latency: after * ms})
+func (n *testNode) firstToken(after time.Duration, req int64, decodeEngine string) {
+	n.step(after, FirstToken{RequestID: req, Attempt: 1, Engine: decodeEngine, Latency: after})
 }
 
 // serve takes an inference through to its first token and returns its engines.
 func (n *testNode) serve(req int64, session string) (prefillEngine, decodeEngine string) {
 	prefillEngine = n.arrive(req, 0, session)
-	decodeEngine = n.prefill(20, req, prefillEngine)
-	n.firstToken(20, req, decodeEngine)
+	decodeEngine = n.prefill(20*ms, req, prefillEngine)
+	n.firstToken(20*ms, req, decodeEngine)
 	return prefillEngine, decodeEngine
 }
 
@@ -93,9 +93,9 @@
 func TestLatePrefillIsReleased(t *testing.T) {
 	n := newTestNode(t, nil)
 	prefillEngine := n.arrive(1, 0, "s")
-	n.step(5, ClientDisconnected{1})
+	n.step(5*ms, ClientDisconnected{1})
 	n.want(CancelAttempt{1, 0}, Release{1})
-	n.prefill(5, 1, prefillEngine)
+	n.prefill(5*ms, 1, prefillEngine)
 	n.want(Release{1})
 }
 
@@ -103,14 +103,14 @@
 func TestNonRetriableIsNotShedWithAnAttemptInFlight(t *testing.T) {
 	n := newTestNode(t, nil)
 	n.arrive(1, 1, "s")
-	n.step(3990, TimerFired{1})
+	n.step(3990*ms, TimerFired{1})
 	n.want(Fail{1}, CancelAttempt{1, 0}, Release{1})
 }
 
 func TestDecodeThatMayHaveRunFailsANonRetriable(t *testing.T) {
 	n := newTestNode(t, nil)
-	decodeEngine := n.prefill(20, 1, n.arrive(1, 1, "s"))
-	n.step(20, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost})
+	decodeEngine := n.prefill(20*ms, 1, n.arrive(1, 1, "s"))
+	n.step(20*ms, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost})
 	n.want(Fail{1}, Release{1})
 }
 
@@ -119,10 +119,10 @@
 	n := newTestNode(t, nil)
 	lost := n.arrive(1, 0, "s")
 	for req := int64(2); req <= 8; req++ {
-		n.prefill(60, req, n.arrive(req, 0, "s")) // its home is where the lost one was sent
+		n.prefill(60*ms, req, n.arrive(req, 0, "s")) // its home is where the lost one was sent
 		for _, e := range n.actions {
 			if e == (CancelAttempt{1, 0}) {
-				if to := n.step(1, Outcome{RequestID: 1, Engine: lost, Verdict: Canceled}); to == "" || to == lost {
+				if to := n.step(1*ms, Outcome{RequestID: 1, Engine: lost, Verdict: Canceled}); to == "" || to == lost {
 					t.Fatalf("sent again to %q", to)
 				}
 				return
@@ -155,7 +155,7 @@
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 4; req++ {
 		prefillEngine := n.arrive(req, 0, fmt.Sprint("s", req))
-		n.prefill(1500, req, prefillEngine)
+		n.prefill(1500*ms, req, prefillEngine)
 	}
 	n.arrive(5, 0, "new")
 	n.actions = n.actions[2:] // its two timers
@@ -167,7 +167,7 @@
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 4; req++ {
 		prefillEngine := n.arrive(req, 0, fmt.Sprint("s", req))
-		n.firstToken(20, req, n.prefill(1500, req, prefillEngine))
+		n.firstToken(20*ms, req, n.prefill(1500*ms, req, prefillEngine))
 	}
 	n.now += 800 * ms
 	if n.arrive(5, 0, "new") == "" {
@@ -201,9 +201,9 @@
 	n := newTestNode(t, nil)
 	_, slow := n.serve(1, "s")
 	n.now += 3000 * ms // the quick lag of before is old
-	decodeEngine := n.prefill(20, 2, n.arrive(2, 0, "s"))
-	n.firstToken(600, 2, decodeEngine)
-	if w := n.prefill(20, 3, n.arrive(3, 0, "s")); w == slow {
+	decodeEngine := n.prefill(20*ms, 2, n.arrive(2, 0, "s"))
+	n.firstToken(600*ms, 2, decodeEngine)
+	if w := n.prefill(20*ms, 3, n.arrive(3, 0, "s")); w == slow {
 		t.Fatalf("still sent to %s", w)
 	}
 }
@@ -212,7 +212,7 @@
 	n := newTestNode(t, func(c *Config) { c.Kinds[1].MemoryTokens = 100_000 })
 	_, decodeEngine := n.serve(1, "s")
 	n.serve(2, "s")
-	n.step(5, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true,
+	n.step(5*ms, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true,
 		Report: &LoadReport{MemoryShare: 1.2}})
 	if _, w := n.serve(3, "s"); w == decodeEngine {
 		t.Fatalf("sent to %s, which is full", w)
@@ -228,15 +228,15 @@
 	for _, w := range []string{"w0", "w1"} {
 		n.policy.engines[w].memoryShare, n.policy.engines[w].reportedAt = 9, n.now+1000*ms
 	}
-	if w := n.prefill(20, 3, prefillEngine); w != "" {
+	if w := n.prefill(20*ms, 3, prefillEngine); w != "" {
 		t.Fatalf("sent to %s, which is reported full", w)
 	}
-	token := n.policy.lastTimerToken
+	token := n.policy.timers.lastToken
 	for waited := 30; waited < 480; waited += 30 {
-		if w := n.step(30, TimerFired{token}); w != "" {
+		if w := n.step(30*ms, TimerFired{token}); w != "" {
 			return
 		}
-		token = n.policy.lastTimerToken
+		token = n.policy.timers.lastToken
 	}
 	t.Fatal("never sent to a writer")
 }
@@ -287,14 +287,14 @@
 			asked = append(asked, p.Engine)
 		}
 	}
-	n.policy.recentLatencyPerWork = []int64{100 * ms}
+	n.policy.recentLatencyPerWork = []time.Duration{100 * ms}
 	to := ""
 	for _, id := range asked {
 		load := &LoadReport{QueuedWork: 1}
 		if id == home {
 			load.QueuedWork = 50
 		}
-		to = n.step(1, HealthCheckResult{Engine: id, Verdict: Completed, Report: load})
+		to = n.step(1*ms, HealthCheckResult{Engine: id, Verdict: Completed, Report: load})
 	}
 	if len(asked) < 3 || to == "" || to == home {
 		t.Fatalf("asked %v and sent to %q, its home being %s", asked, to, home)
@@ -310,7 +310,7 @@
 		for id, memory := range map[string]float64{"w0": share, "w1": 0.1} {
 			n.policy.recordReport(n.policy.engines[id], &LoadReport{MemoryShare: memory})
 		}
-		if w := n.prefill(20, 1, prefillEngine); (w == "w0") != (share < 0.5) {
+		if w := n.prefill(20*ms, 1, prefillEngine); (w == "w0") != (share < 0.5) {
 			t.Fatalf("sent to %s with the near writer's memory held to %.2f", w, share)
 		}
 	}
@@ -325,12 +325,12 @@
 		n.policy.now = n.now
 		return n.policy.isHealthy(&request{}, e, engineLoad{}, 0, 1)
 	}
-	decodeEngine := n.prefill(20, 1, n.arrive(1, 0, "s"))
-	n.step(20, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost, StaleConnection: true})
+	decodeEngine := n.prefill(20*ms, 1, n.arrive(1, 0, "s"))
+	n.step(20*ms, Outcome{RequestID: 1, Attempt: 1, Engine: decodeEngine, Verdict: ConnectionLost, StaleConnection: true})
 	if n.policy.engines[decodeEngine].suspect || len(n.policy.engines[decodeEngine].faultTimes) > 0 {
 		t.Fatal("a kept connection that broke as it was used again is a strike")
 	}
-	e.faultTimes, e.suspect = []int64{n.now}, true
+	e.faultTimes, e.suspect = []time.Duration{n.now}, true
 	if well() {
 		t.Fatal("struck just now, and tried at once")
 	}
@@ -348,7 +348,7 @@
 	n := newTestNode(t, nil)
 	_, decodeEngine := n.serve(1, "s")
 	e := n.policy.engines[decodeEngine]
-	e.faultTimes, e.suspect = []int64{n.now}, true
+	e.faultTimes, e.suspect = []time.Duration{n.now}, true
 	n.policy.now += 5000 * ms
 	if !n.policy.isHealthy(&request{}, e, n.policy.openLoads()[decodeEngine], 0, 0) {
 		t.Fatal("not tried while a stream goes on there")
@@ -365,14 +365,14 @@
 	n := newTestNode(t, nil)
 	n.engines(Endpoint{}, "r0") // the list stays; only what was struck changes
 	for _, id := range []string{"w0", "w1"} {
-		n.policy.engines[id].faultTimes, n.policy.engines[id].suspect = []int64{n.now}, true
+		n.policy.engines[id].faultTimes, n.policy.engines[id].suspect = []time.Duration{n.now}, true
 	}
-	first := n.prefill(20, 1, n.arrive(1, 0, "s"))
-	second := n.step(1, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
+	first := n.prefill(20*ms, 1, n.arrive(1, 0, "s"))
+	second := n.step(1*ms, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
 	if second == "" || second == first {
 		t.Fatalf("%q after %q", second, first)
 	}
-	if again := n.step(1, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected}); again != "" {
+	if again := n.step(1*ms, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected}); again != "" {
 		t.Fatalf("%q at once after both refused", again)
 	}
 }
@@ -381,7 +381,7 @@
 func TestUsualLatencyExcludesTheOutlier(t *testing.T) {
 	n := newTestNode(t, nil)
 	n.engines(Endpoint{}, "r2", "r3")
-	for id, lag := range map[string]int64{"r0": 20, "r1": 260, "r2": 380, "r3": 900} {
+	for id, lag := range map[string]time.Duration{"r0": 20, "r1": 260, "r2": 380, "r3": 900} {
 		n.policy.engines[id].latencySamples = []sample{{n.now, lag * ms}}
 	}
 	req := &request{RequestArrived: RequestArrived{PromptTokens: 2000}}
@@ -398,7 +398,7 @@
 	n := newTestNode(t, nil)
 	n.engines(Endpoint{}, "r2")
 	req := &request{RequestArrived: RequestArrived{PromptTokens: 4000}}
-	lagged := func(id string, lag int64, waits float64) {
+	lagged := func(id string, lag time.Duration, waits float64) {
 		e := n.policy.engines[id]
 		for range 3 {
 			n.policy.recordOutcome(req, &attempt{engine: id, queuedWork: 1 + waits}, Outcome{Verdict: PrefillDone, Latency: lag * ms})
@@ -419,12 +419,12 @@
 // state, and its reader held it for up to a second and a half.
 func TestFailedDialsDoNotExtendAReservation(t *testing.T) {
 	n := newTestNode(t, nil)
-	first := n.prefill(20, 1, n.arrive(1, 0, "s"))
-	second := n.step(240, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
+	first := n.prefill(20*ms, 1, n.arrive(1, 0, "s"))
+	second := n.step(240*ms, Outcome{RequestID: 1, Attempt: 1, Engine: first, Verdict: NotConnected})
 	if second == "" || second == first {
 		t.Fatalf("after %s it went to %q", first, second)
 	}
-	n.step(240, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected})
+	n.step(240*ms, Outcome{RequestID: 1, Attempt: 2, Engine: second, Verdict: NotConnected})
 	n.want(Shed{1, 0}, Release{1})
 }
 
@@ -433,7 +433,7 @@
 	n.arrive(1, route, "s")
 	for _, e := range n.actions {
 		if p, ok := e.(HealthCheck); ok {
-			if to := n.step(1, HealthCheckResult{Engine: p.Engine, Verdict: Completed}); to != "" {
+			if to := n.step(1*ms, HealthCheckResult{Engine: p.Engine, Verdict: Completed}); to != "" {
 				prefillEngine = to
 			}
 		}
@@ -446,7 +446,7 @@
 	n.t.Helper()
 	for _, e := range n.actions {
 		if a, ok := e.(StartTimer); ok {
-			n.step(a.After/ms+1, TimerFired{a.Token})
+			n.step(a.After+ms, TimerFired{a.Token})
 			n.want(HealthCheck{engine})
 		}
 	}
@@ -455,7 +455,7 @@
 // newTestNodeWithOverdueDecode is a node whose writer has had an inference of a route for so long that it is asked whether it is there.
 func newTestNodeWithOverdueDecode(t *testing.T, route int) (n *testNode, decodeEngine string) {
 	n = newTestNode(t, func(c *Config) { c.HealthChecks, c.Nodes = true, 1 })
-	decodeEngine = n.prefill(20, 1, n.prefillAfterChecks(route))
+	decodeEngine = n.prefill(20*ms, 1, n.prefillAfterChecks(route))
 	n.letResponseBecomeOverdue(decodeEngine)
 	return n, decodeEngine
 }
@@ -490,23 +490,23 @@
 			for k, id := range []string{"r0", "r1", fmt.Sprint("w", i), fmt.Sprint("w", i+1)} {
 				list.Engines = append(list.Engines, Endpoint{Engine: id, Weight: 1, Kind: k / 2, Ready: true})
 			}
-			n.step(1000, list)
+			n.step(1000*ms, list)
 		}
 		prefillEngine := n.arrive(i, 0, fmt.Sprint("s", i))
-		decodeEngine := n.prefill(20, i, prefillEngine)
-		n.firstToken(20, i, decodeEngine)
-		n.step(60, Outcome{RequestID: i, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true})
-		for token := range n.policy.timers {
+		decodeEngine := n.prefill(20*ms, i, prefillEngine)
+		n.firstToken(20*ms, i, decodeEngine)
+		n.step(60*ms, Outcome{RequestID: i, Attempt: 1, Engine: decodeEngine, Verdict: Completed, RequestEnded: true})
+		for token := range n.policy.timers.pending {
 			if i%50 == 0 {
 				n.step(0, TimerFired{token})
 			}
 		}
 	}
 	policy := n.policy
-	if len(policy.engines) > 40 || len(policy.engineIDs) > 40 || len(policy.requests) > 0 || len(policy.timers) > 300 || len(policy.cached) > 20001 ||
+	if len(policy.engines) > 40 || len(policy.engineIDs) > 40 || len(policy.requests) > 0 || len(policy.timers.pending) > 300 || len(policy.cache.entries) > 20001 ||
 		len(policy.affinities) > 20001 {
 		t.Errorf("engines %d, listed %d, inferences %d, timers %d, kept %d, pairs %d", len(policy.engines), len(policy.engineIDs),
-			len(policy.requests), len(policy.timers), len(policy.cached), len(policy.affinities))
+			len(policy.requests), len(policy.timers.pending), len(policy.cache.entries), len(policy.affinities))
 	}
 }
 
@@ -531,7 +531,7 @@
 		moves              bool
 	}{{6, 3, 0, true}, {3.2, 3, 1, false}, {3.2, 3, 0, true}, {3, 3, 0, false}} {
 		n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
-		n.policy.recentLatencyPerWork, n.policy.recentCacheHits = []int64{50 * ms}, []int64{int64(1e6 * at.found)}
+		n.policy.recentLatencyPerWork, n.policy.cache.recentHits = []time.Duration{50 * ms}, []int64{int64(1e6 * at.found)}
 		n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 		to := ""
 		for _, e := range n.actions {
@@ -540,7 +540,7 @@
 				if p.Engine == home {
 					load.QueuedWork = at.home
 				}
-				if sent := n.step(1, HealthCheckResult{Engine: p.Engine, Verdict: Completed, Report: load}); sent != "" {
+				if sent := n.step(1*ms, HealthCheckResult{Engine: p.Engine, Verdict: Completed, Report: load}); sent != "" {
 					to = sent
 				}
 			}
--- /dev/null
+++ b/internal/routing/policy.go
@@ -0,0 +1,149 @@
+// Package routing decides where requests are prefilled and decoded, when they are retried, and when they are shed.
+// Events and the time go in through Step, actions come out. It knows no wire format and reads no clock. It does no
+// I/O.
+//
+// All times are durations since the start of the caller's clock.
+package routing
+
+import "time"
+
+// Policy is all that one node knows, and decides by. It is not safe for concurrent use.
+type Policy struct {
+	config    *Config
+	now       time.Duration
+	startedAt time.Duration
+	started   bool
+	actions   []Action // of the current step
+
+	engines    map[string]*engine
+	engineIDs  []string // sorted
+	requests   map[int64]*request
+	timers     timerTable
+	cache      prefixCache
+	affinities affinityTable
+	random     randomSource
+	rotation   int // of round robin; 0 until it has its random start
+
+	recentPrefixes       []string        // of the last requests
+	recentLatencyPerWork []time.Duration // of the last prefills: latency by reported load, the request itself counted as one
+	expectedOverruns     []sample        // of the last requests: how far their expected latency was over a quarter of the target
+	firstTokenOverruns   []sample        // of the last first tokens: how far over the target they came
+
+	// countedLoads is what openLoads counted, until an attempt starts, streams or ends, or a report comes. Counting
+	// takes most of a step's time on a node with thousands of open streams.
+	countedLoads     map[string]engineLoad
+	firedTransitions uint64 // a bit for each
+}
+
+// New returns the policy of one node that has just started.
+func New(seed uint64, config Config) *Policy {
+	return &Policy{config: &config, engines: map[string]*engine{}, requests: map[int64]*request{},
+		timers: timerTable{pending: map[int64]timer{}}, cache: prefixCache{entries: map[cacheKey]cacheEntry{}},
+		affinities: affinityTable{}, random: randomSource{seed: seed}}
+}
+
+// Step handles one event at the time now and returns what is to be done, in order.
+func (p *Policy) Step(now time.Duration, event Event) []Action {
+	p.now, p.actions, p.countedLoads = now, nil, nil
+	p.handle(event)
+	return p.actions
+}
+
+// handle hands an event to the decisions.
+func (p *Policy) handle(event Event) {
+	if !p.started {
+		p.started, p.startedAt = true, p.now
+		p.watchEndpoints()
+	}
+	switch event := event.(type) {
+	case EndpointUpdate:
+		p.handleEndpoints(event)
+	case RequestArrived:
+		p.handleArrival(event)
+	case FirstToken:
+		if req := p.requests[event.RequestID]; req != nil && event.Attempt >= 0 && event.Attempt < len(req.attempts) {
+			p.handleFirstToken(req, event)
+		}
+	case GossipReceived:
+		p.handleGossip(event.Text)
+	case Outcome:
+		p.handleOutcome(event)
+	case HealthCheckResult:
+		p.handleHealthCheck(event)
+	case ClientDisconnected:
+		if req := p.requests[event.RequestID]; req != nil {
+			p.fire(req, clientDisconnected)
+			p.forgetIfDone(req)
+		}
+	case TimerFired:
+		p.handleTimer(event.Token)
+	}
+}
+
+// handleTimer continues what a timer was started for.
+func (p *Policy) handleTimer(token int64) {
+	t, ok := p.timers.take(token)
+	if !ok {
+		return
+	}
+	if t.requestID == noRequest {
+		p.watchEndpoints()
+		return
+	}
+	req := p.requests[t.requestID]
+	if req == nil {
+		return
+	}
+	if t.trigger == retryDue {
+		req.retryScheduled = false
+	}
+	p.fire(req, t.trigger)
+	p.forgetIfDone(req)
+}
+
+// act adds an action to those of the current step.
+func (p *Policy) act(action Action) { p.actions = append(p.actions, action) }
+
+// startTimer asks for a trigger of a request after a while.
+func (p *Policy) startTimer(requestID int64, trigger trigger, after time.Duration) {
+	p.act(StartTimer{p.timers.add(timer{requestID, trigger}), after})
+}
+
+// route is the configuration of a request's route.
+func (p *Policy) route(req *request) Route { return p.config.route(req.Route) }
+
+// forgetIfDone drops a request that has ended and has no attempt in flight.
+func (p *Policy) forgetIfDone(req *request) {
+	if req.state == ended && !req.inFlight() {
+		delete(p.requests, req.RequestID)
+	}
+}
+
+// noRequest stands for a request in timers that belong to none.
+const noRequest = -1
+
+// timer is what a token stands for.
+type timer struct {
+	requestID int64
+	trigger   trigger
+}
+
+// timerTable holds the timers that have not fired, by token.
+type timerTable struct {
+	pending   map[int64]timer
+	lastToken int64
+}
+
+// add returns the token of a new timer.
+func (t *timerTable) add(entry timer) int64 {
+	t.lastToken++
+	t.pending[t.lastToken] = entry
+	return t.lastToken
+}
+
+// take removes a timer that has fired.
+func (t *timerTable) take(token int64) (timer, bool) {
+	entry, ok := t.pending[token]
+	delete(t.pending, token)
+	return entry, ok
+}
--- /dev/null
+++ b/internal/routing/prefill.go
@@ -0,0 +1,186 @@
+package routing
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// loadMargin is how far over the mean an engine's load may be. 1.5 and 3 did no better.
+const loadMargin = 0.75
+
+// choosePrefill chooses the prefill engine of a request.
+func (p *Policy) choosePrefill(req *request) trigger {
+	e := p.pickPrefill(req, p.openLoads())
+	if e == nil || p.triedJustNow(req, e) {
+		return noPrefillEngine
+	}
+	req.prefillEngine = e.Engine
+	return prefillChosen
+}
+
+// sendToPrefill sends to the prefill engine that was chosen.
+func (p *Policy) sendToPrefill(req *request) trigger {
+	return p.sendTo(req, p.engines[req.prefillEngine])
+}
+
+// pickPrefill takes the first that there is of: the session's engine, a preferred engine, one with the prompt cached
+// and under the load cap, the prefix's by hash, the least loaded.
+func (p *Policy) pickPrefill(req *request, loads map[string]engineLoad) *engine {
+	ready := p.usableEngines(req, loads, func(e *engine) bool { return e.canPrefill })
+	if len(ready) == 0 {
+		return nil
+	}
+	if e := find(ready, p.affinityOf(req.Session).prefillEngine); e != nil {
+		return e
+	}
+	c := p.newPrefillChoice(req, loads, ready)
+	if e := c.preferred(); e != nil {
+		return e
+	}
+	if e := c.cachedOrHashed(); e != nil {
+		return e
+	}
+	// The rotation goes on with each choice, whether it is used or not.
+	rotated := p.roundRobin(ready, c.leastLoaded)
+	return cmp.Or(best(ready, c.underCap, c.leastLoaded), best(ready, c.hasCached, c.leastLoaded), rotated)
+}
+
+// prefillChoice is the choice of one request's prefill engine among those that are ready.
+type prefillChoice struct {
+	policy         *Policy
+	req            *request
+	loads          map[string]engineLoad
+	ready          []*engine
+	total, weights float64 // of all that are ready: prefills, this one included, and effective weights
+}
+
+func (p *Policy) newPrefillChoice(req *request, loads map[string]engineLoad, ready []*engine) *prefillChoice {
+	c := &prefillChoice{policy: p, req: req, loads: loads, ready: ready, total: 1}
+	for _, e := range ready {
+		c.total += float64(c.load(e))
+		c.weights += c.weight(e)
+	}
+	return c
+}
+
+func (c *prefillChoice) load(e *engine) int { return c.loads[e.Engine].prefills }
+
+// weight is what the operator gives. What other nodes load, and what is slow, shows only as latency, so it falls with
+// latency over a fifth of the objective.
+func (c *prefillChoice) weight(e *engine) float64 {
+	latency, _ := c.policy.latency(e, c.loads[e.Engine])
+	return e.Weight / max(1, 5*float64(latency)/c.policy.firstTokenObjective(c.req))
+}
+
+func (c *prefillChoice) underCap(e *engine) bool {
+	return float64(c.load(e)) < math.Ceil((1+loadMargin)*c.total*c.weight(e)/c.weights)
+}
+
+func (c *prefillChoice) cached(e *engine) float64 { return c.policy.cachedTokens(c.req, e) }
+
+func (c *prefillChoice) hasCached(e *engine) bool { return c.cached(e) > 0 }
+
+// leastLoaded orders by load; crossing zones costs.
+func (c *prefillChoice) leastLoaded(x, y *engine) int {
+	zone := c.policy.config.Zone
+	return cmp.Or(c.load(x)-c.load(y), differ(x.Zone, zone)-differ(y.Zone, zone))
+}
+
+// preferred is a preferred engine that answers and is under the load cap, also by its report. An engine that is warming
+// up within its slow start is idle, which crowded preferred engines are not.
+func (c *prefillChoice) preferred() *engine {
+	p, preferred := c.policy, c.policy.preferredEngines(c.req, c.ready)
+	available := func(e *engine) bool { return c.underCap(e) && p.lightlyLoaded(c.req, e) }
+	order := func(x, y *engine) int { return p.compareWork(c.req, preferred, x, y) }
+	if e := best(preferred, available, order); e != nil {
+		return e
+	}
+	if i := slices.IndexFunc(c.ready, p.warmingUp); i >= 0 && len(preferred) > 0 {
+		return c.ready[i]
+	}
+	if i := slices.IndexFunc(preferred, c.underCap); i >= 0 {
+		return preferred[i]
+	}
+	return nil
+}
+
+// cachedOrHashed is the engine under the load cap with the most of the prompt cached. If none has any, it is the first
+// by hash of the prefix.
+func (c *prefillChoice) cachedOrHashed() *engine {
+	both := func(e *engine) bool { return c.underCap(e) && c.hasCached(e) }
+	most := func(x, y *engine) int {
+		return cmp.Or(-cmp.Compare(c.cached(x), c.cached(y)), c.leastLoaded(x, y))
+	}
+	if e := best(byHash(c.req.Session, c.ready), both, most); e != nil {
+		return e
+	}
+	if slices.ContainsFunc(c.ready, c.hasCached) {
+		return nil
+	}
+	if e := byHash(cmp.Or(c.req.Prefix, c.req.Session), c.ready)[0]; c.underCap(e) {
+		return e
+	}
+	return nil
+}
+
+// preferredEngines are the first two, the same at all nodes, that the session hashes to among those that cache its
+// prefix: two, as copies take memory, or so many that none prefills more than two thirds of its fair share for the
+// prefix. There are none where the session is known here or nodes gossip.
+func (p *Policy) preferredEngines(req *request, ready []*engine) []*engine {
+	known := func(e *engine) bool { return p.cache.hasSession(req.Session, e.Engine) }
+	if p.config.Nodes < 2 || p.gossipEnabled() || slices.ContainsFunc(ready, known) {
+		return nil
+	}
+	preferred := slices.Clone(ready)
+	if req.Prefix != "" {
+		seen := -1 // this request says nothing of how many there are
+		for _, recent := range p.recentPrefixes {
+			seen += 1 - differ(recent, req.Prefix)
+		}
+		wanted := max(2, int(math.Ceil(1.5*float64(seen*len(ready))/float64(len(p.recentPrefixes)))))
+		preferred = byHash(req.Prefix, preferred)[:min(wanted, len(preferred))]
+	}
+	preferred = byHash(req.Session, preferred)
+	return preferred[:min(2, len(preferred))]
+}
+
+// compareWork compares two preferred engines by the thousands of tokens to prefill until the request is: what is
+// queued by the report, and what of the prompt is not cached. Both cache the prefix; only the first may cache what
+// follows, of which as much counts as was found recently. Without fresh reports the first stays first.
+func (p *Policy) compareWork(req *request, preferred []*engine, x, y *engine) int {
+	if !p.hasFreshLoad(x) || !p.hasFreshLoad(y) {
+		return 0
+	}
+	work := func(e *engine) float64 {
+		cached := min(req.PrefixTokens, req.PromptTokens)
+		if e == preferred[0] {
+			cached += float64(mean(p.cache.recentHits)) / 1e6 * (req.PromptTokens - cached)
+		}
+		return e.queuedWork + (req.PromptTokens-cached)/1000
+	}
+	return cmp.Compare(work(x), work(y))
+}
+
+// lightlyLoaded is whether an engine answers health checks, and its reported load makes a wait shorter than a full
+// prefill elsewhere, or is under the load cap of the engines that reported recently.
+func (p *Policy) lightlyLoaded(req *request, e *engine) bool {
+	if e.checkedAt > e.checkAnsweredAt || e.unresponsiveAt > max(e.reportedAt, p.now-5*time.Second) {
+		return false
+	}
+	latency, _ := p.latency(e, engineLoad{})
+	quick := float64(latency) < p.firstTokenObjective(req)/2
+	return quick || e.queuedWork <= (1+loadMargin)*p.meanQueuedWork(10*time.Second)
+}
+
+// meanQueuedWork is the mean reported load of the prefill engines that reported within a span.
+func (p *Policy) meanQueuedWork(span time.Duration) float64 {
+	sum, n := 0.0, 0.0
+	for _, id := range p.engineIDs {
+		if e := p.engines[id]; e.canPrefill && p.now-e.reportedAt < span {
+			sum, n = sum+e.queuedWork, n+1
+		}
+	}
+	return sum / max(1, n)
+}
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -17,18 +17,18 @@
 	os.Exit(m.Run())
 }
 
-const ms = int64(1_000_000)
+const ms = time.Millisecond
 
 // requestRecord is the test's own account of one inference: what is out and held, and how it was answered.
 type requestRecord struct {
 	RequestArrived
 	inFlight      []int // numbers of sends that are out
 	engines       []string
-	sentAt        []int64
+	sentAt        []time.Duration
 	ran           []bool // may have run, so far as told
 	decode        []bool
 	reserved      bool
-	reservedSince int64
+	reservedSince time.Duration
 	streaming     bool
 	ended         bool
 	answer        string
@@ -39,13 +39,13 @@
 	t             *rapid.T
 	policy        *Policy
 	config        Config
-	now           int64
+	now           time.Duration
 	requests      map[int64]*requestRecord
 	ids           []int64
 	engines       map[string]Endpoint
-	timers        map[int64][]int64 // due time to tokens
-	sentWarmingUp map[string][]int64
-	sentTo        map[string][]int64
+	timers        map[time.Duration][]int64 // due time to tokens
+	sentWarmingUp map[string][]time.Duration
+	sentTo        map[string][]time.Duration
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -61,7 +61,7 @@
 			FirstTokenObjective: time.Second, PriorityWeight: float64(i + 1)})
 	}
 	w := &simulation{t: t, policy: New(7, config), config: config, now: 1e12, requests: map[int64]*requestRecord{},
-		engines: map[string]Endpoint{}, timers: map[int64][]int64{}, sentWarmingUp: map[string][]int64{}, sentTo: map[string][]int64{}}
+		engines: map[string]Endpoint{}, timers: map[time.Duration][]int64{}, sentWarmingUp: map[string][]time.Duration{}, sentTo: map[string][]time.Duration{}}
 	w.updateEndpoints()
 	return w
 }
@@ -184,7 +184,7 @@
 		e := Endpoint{Engine: fmt.Sprintf("e%d", i), Weight: 1, Zone: i % 2, Cell: i % 3, Kind: min(i%3, 2),
 			Ready: life > 1, Draining: life == 1, Removed: life == 0, StartedAt: w.engines[fmt.Sprintf("e%d", i)].StartedAt}
 		if rapid.IntRange(0, 7).Draw(w.t, "restart") == 0 {
-			e.StartedAt = w.now - rapid.Int64Range(0, 3000).Draw(w.t, "age")*ms
+			e.StartedAt = w.now - time.Duration(rapid.Int64Range(0, 3000).Draw(w.t, "age"))*ms
 		}
 		if !news.Failed && (whole || rapid.Bool().Draw(w.t, "in")) {
 			news.Engines = append(news.Engines, e)
@@ -199,7 +199,7 @@
 	a := &requestRecord{RequestArrived: RequestArrived{RequestID: id, Route: rapid.IntRange(0, 2).Draw(w.t, "route"),
 		Session: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(w.t, "session")),
 		Prefix:  rapid.SampledFrom([]string{"", "p1", "p2"}).Draw(w.t, "prefix"), PromptTokens: 2000, PrefixTokens: 1500,
-		Deadline: w.now + rapid.Int64Range(5, 4000).Draw(w.t, "patience")*ms, MaxOutputTokens: 300,
+		Deadline: w.now + time.Duration(rapid.Int64Range(5, 4000).Draw(w.t, "patience"))*ms, MaxOutputTokens: 300,
 		Resumed: rapid.IntRange(0, 9).Draw(w.t, "resumed") == 0}}
 	w.requests[id], w.ids = a, append(w.ids, id)
 	w.step(a.RequestArrived)
@@ -253,11 +253,11 @@
 }
 
 func (w *simulation) advance() {
-	until := w.now + rapid.Int64Range(1, 60).Draw(w.t, "time")*4*ms
+	until := w.now + time.Duration(rapid.Int64Range(1, 60).Draw(w.t, "time"))*4*ms
 	for w.now < until {
 		w.now += 4 * ms
 		for at := w.now - 4*ms + 1; ; {
-			due := int64(0)
+			due := time.Duration(0)
 			for t := range w.timers {
 				if t <= w.now && t >= at-4*ms && (due == 0 || t < due) {
 					due = t
@@ -323,24 +323,24 @@
 		}
 		type event struct {
 			node int
-			at   int64
+			at   time.Duration
 			in   Event
 		}
 		var due []event
-		policies, now := make([]*Policy, nodes), int64(1e12)
+		policies, now := make([]*Policy, nodes), time.Duration(1e12)
 		for i := range policies {
 			config.Node = i
 			policies[i] = New(uint64(i), config)
 			policies[i].Step(now, list)
 		}
 		// A third of the readers restarts, or all of them, of which one is back before the others.
-		cold, toCold := max(1, readers/3), map[string][]int64{}
+		cold, toCold := max(1, readers/3), map[string][]time.Duration{}
 		if rapid.Bool().Draw(t, "all") {
 			cold = readers
 		}
 		for req := int64(1); now < 1e12+24e9; req++ {
-			now += int64(1e9 / (6 * readers)) // six a second for each reader
-			if back := int64(1e12 + 20e9); now >= back && now < back+int64(1e9/(6*readers)) {
+			now += time.Second / time.Duration(6*readers) // six a second for each reader
+			if back := time.Duration(1e12 + 20e9); now >= back && now < back+time.Second/time.Duration(6*readers) {
 				for i := range cold {
 					list.Engines[1+i].StartedAt = now
 					list.Engines[1+i].Ready, list.Engines[1+i].Removed = cold < readers || i == 0, cold == readers && i > 0
--- /dev/null
+++ b/internal/routing/transitions.go
@@ -0,0 +1,96 @@
+package routing
+
+// How to call it: New makes the policy of one node, Step takes an event and the time and returns the actions in
+// order. The interface is in events.go, actions.go and config.go, state in policy.go, request.go and engine.go. The
+// decisions are in the files that deploy/balancer.toml names; read them from this table down. A state and a trigger
+// give the next state and a function, which may return a further trigger.
+
+import (
+	"slices"
+	"time"
+)
+
+// transition is one line of the table: in one of these states, one of these triggers leads to the next state and
+// runs the function, if there is one.
+type transition struct {
+	from     []state
+	triggers []trigger
+	next     state
+	run      func(*Policy, *request) trigger
+}
+
+func states(s ...state) []state { return s }
+
+func triggers(t ...trigger) []trigger { return t }
+
+// transitions is the state machine of a request.
+var transitions = []transition{
+	{states(pending), triggers(arrived), checkingLoad, (*Policy).requestLoad},
+	{states(checkingLoad), triggers(loadKnown), pending, (*Policy).choosePrefill},
+	{states(pending), triggers(retryDue), pending, (*Policy).choosePrefill},
+	{states(pending), triggers(prefillChosen), pending, (*Policy).admit},
+	{states(pending), triggers(admitted), prefilling, (*Policy).sendToPrefill},
+	{states(pending, prefilling), triggers(noPrefillEngine, noDecodeEngine), pending, (*Policy).scheduleRetry},
+	{states(prefilling), triggers(prefillFailed, decodeNotStarted, mayHaveRun, reservationLost), pending,
+		(*Policy).choosePrefill},
+	{states(prefilling), triggers(prefillDone), reserved, (*Policy).requestDecodeLoad},
+	{states(reserved), triggers(loadKnown, retryDue), decoding, (*Policy).sendToDecode},
+	{states(decoding), triggers(decodeNotStarted, mayHaveRun), decoding, (*Policy).sendToDecode},
+	{states(decoding), triggers(noDecodeEngine), reserved, (*Policy).scheduleRetry},
+	{states(decoding), triggers(reservationLost), pending, (*Policy).choosePrefill},
+	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // a mixed engine answers what it prefills
+	{states(prefilling), triggers(objectiveMissed), prefilling, (*Policy).shedLate},
+	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkUnresponsive},
+	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkUnresponsive},
+	{states(prefilling), triggers(passedByLaterResponse, engineUnresponsive), prefilling, (*Policy).cancelLast},
+	{states(decoding), triggers(passedByLaterResponse, engineUnresponsive), decoding, (*Policy).cancelLast},
+	{openStates, triggers(deadlineNear, attemptsExhausted, cannotMeetObjective), ended, (*Policy).reject},
+	{allStates, triggers(clientDisconnected, finished), ended, (*Policy).releaseAll},
+	// What comes after the end still releases reservations.
+	{states(ended), triggers(prefillDone, prefillFailed, decodeNotStarted, reservationLost, mayHaveRun), ended,
+		(*Policy).releaseAll},
+}
+
+// fire runs the transitions of a trigger and of those that follow from it.
+func (p *Policy) fire(req *request, event trigger) {
+	for event != noTrigger {
+		i := slices.IndexFunc(transitions, func(t transition) bool {
+			return slices.Contains(t.from, req.state) && slices.Contains(t.triggers, event)
+		})
+		if i < 0 {
+			return
+		}
+		req.state, event = transitions[i].next, noTrigger
+		p.firedTransitions |= 1 << i
+		if transitions[i].run != nil {
+			event = transitions[i].run(p, req)
+		}
+	}
+}
+
+// handleArrival starts the timers of a new request and its first transition.
+func (p *Policy) handleArrival(arrival RequestArrived) {
+	req := &request{RequestArrived: arrival, arrivedAt: p.now}
+	p.requests[req.RequestID] = req
+	p.startTimer(req.RequestID, deadlineNear, max(0, req.Deadline-p.now-p.deadlineMargin()))
+	p.startTimer(req.RequestID, objectiveMissed, time.Duration(p.firstTokenObjective(req)))
+	p.fire(req, arrived)
+}
+
+// handleEndpoints takes over a watch event, and watches again after one that failed.
+func (p *Policy) handleEndpoints(update EndpointUpdate) {
+	if !update.Failed {
+		p.updateEndpoints(update)
+		return
+	}
+	// Up to twice the delay: all nodes fail at once, and discovery serves one call at a time.
+	const delay = 300 * time.Millisecond
+	p.startTimer(noRequest, retryDue, delay+time.Duration(p.random.next()*float64(delay)))
+}
+
+// watchEndpoints asks for the endpoint list where it does not come by itself.
+func (p *Policy) watchEndpoints() {
+	if p.config.WatchEndpoints {
+		p.act(WatchEndpoints{})
+	}
+}
