--- a/internal/protocol/platform/golden_test.go
+++ b/internal/protocol/platform/config_golden_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
+
+	"sandcourse/internal/golden"
 )
 
-// What the platform tells a node is found under the same keys as when the golden file was written.
+// The keys of a configuration, and what its values become.
 func TestGoldenNodeConfig(t *testing.T) {
 	c, err := ParseNodeConfig("test", []byte(`{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:10","seed":"ff",
 		"limits":{"cores":2.5,"memory_mb":300,"sockets":777},"peer_listen":"127.0.0.1:11","peers":["127.0.0.1:12","127.0.0.1:13"],
@@ -60,5 +61,5 @@
 	line("connections to engines", d.Connections.Total)
 	line("bytes", d.Limits.BufferedBytes)
 	line("stay, hand over", fmt.Sprint(d.ShutdownStayTime, " ", d.ShutdownHandoverTime))
-	golden.Check(t, "told.golden", out.String())
+	golden.Check(t, "node_config.golden", out.String())
 }
--- a/internal/protocol/platform/idle_test.go
+++ b/internal/protocol/platform/deployment_test.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/invariant"
 )
 
-// An engine closes an idle connection at the latest after the time in the settings. What a node writes to one that it
-// keeps must arrive before, also where the node is held up on the way.
+// An engine closes an idle connection at the latest after the time in the settings. What a node writes to one must arrive
+// before, even if the node is delayed on the way.
 func TestIdleTimeoutLeavesMarginForStalls(t *testing.T) {
 	for _, idle := range []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, 5 * time.Second} {
 		text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","settings":{"flavors":["m1","m2"],
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if d.Connections.IdleTimeout > max(0, idle-invariant.MaxDelay) {
-			t.Errorf("engines close after %v, the node uses a connection up to %v", idle, d.Connections.IdleTimeout)
+			t.Errorf("engines close an idle connection after %v, the node uses it for up to %v", idle, d.Connections.IdleTimeout)
 		}
 	}
 }
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -16,13 +16,13 @@
 	"sandcourse/internal/routing"
 )
 
-// goTypeNames are where the JSON reader's own words name structs of this program, which may change. What is kept is where the
-// field stands, and what it must be if that is a plain type.
+// goTypeNames are where the JSON decoder's texts name structs of this program, which may change. What is compared is the path
+// of the field, and its type if that is a plain one.
 var goTypeNames = []*regexp.Regexp{regexp.MustCompile(`(?m)(Go value of type )[a-z]+\.[A-Za-z]+$`),
 	regexp.MustCompile(`(Go struct field )[A-Za-z]*\.`),
 	regexp.MustCompile(`(?m)( of type )(?:struct \{.*\}|[a-z]+\.[A-Za-z]+)$`)}
 
-// Each bad configuration is refused with these words. It is the sample with one text in it put in place of another.
+// The refusal of each invalid configuration, which is the sample with one text in it replaced by another.
 func TestGoldenRefusals(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{sampleConfig, ""}, {sampleConfig, "{"}, {sampleConfig, "[]"}, {sampleConfig, "null"}, {sampleConfig, "{}"}, {sampleConfig, "x"}, {`{"name"`, `{`},
@@ -54,7 +54,7 @@
 		}
 		var faults script.Faults
 		if err != nil && !errors.As(err, &faults) {
-			t.Errorf("%s: the error is not one of an operator's: %v", c[1], err)
+			t.Errorf("%s: the error is not of the type for operators: %v", c[1], err)
 		}
 		old, answer := c[0], "taken"
 		if old == sampleConfig {
