--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -20,6 +20,21 @@
 	return fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, generation, snapshot, strings.Join(instances, ","))
 }
 
+// checkEntries fails the test if a list does not have the engines of these lifecycles by their numbers.
+func checkEntries(t *rapid.T, entries []endpoint.Entry, truth map[int]lifecycle) {
+	t.Helper()
+	if len(entries) != len(truth) {
+		t.Fatalf("%+v, want %v", entries, truth)
+	}
+	for _, e := range entries {
+		var id int
+		fmt.Sscanf(e.ID, "s-%d", &id)
+		if (e.State == endpoint.Draining) != (truth[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
+			t.Fatalf("%+v, want %s", e, truth[id])
+		}
+	}
+}
+
 // Whether a generation comes as a snapshot or as changes, late or twice, the list is that of the last generation received.
 func TestChangesAndSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,17 +72,7 @@
 				}
 			}
 			last = latest
-			list := catalog.List()
-			if len(list.Entries) != len(truth) {
-				t.Fatalf("%+v, want %v", list, truth)
-			}
-			for _, e := range list.Entries {
-				var id int
-				fmt.Sscanf(e.ID, "s-%d", &id)
-				if (e.State == endpoint.Draining) != (truth[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
-					t.Fatalf("%+v, want %s", e, truth[id])
-				}
-			}
+			checkEntries(t, catalog.List().Entries, truth)
 		}
 	})
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -25,6 +25,41 @@
 		generation, snapshot, id, state)
 }
 
+// startClient runs a client until the test ends, or until stop is called.
+func startClient(t *testing.T, client Client, onList func(endpoint.List), onError func(error)) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		client.Run(ctx, onList, onError)
+	}()
+	stop = func() { cancel(); <-done }
+	t.Cleanup(stop)
+	return stop
+}
+
+func ignoreError(error) {}
+
+// addressOf is the channel of a client whose agent never moves.
+func addressOf(address string) <-chan string {
+	addresses := make(chan string, 1)
+	addresses <- address
+	return addresses
+}
+
+// expectList waits for a list and compares its revision, and the ID and state of its first engine.
+func expectList(t *testing.T, lists <-chan endpoint.List, want string) {
+	t.Helper()
+	select {
+	case l := <-lists:
+		if got := fmt.Sprint(l.Revision, l.Entries[0].ID, " ", l.Entries[0].State); got != want {
+			t.Fatalf("%s, want %s", got, want)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatalf("no list %s", want)
+	}
+}
+
 // The cached list, a snapshot, a change, an agent that becomes unresponsive, and another one that replaces it.
 func TestClientFollowsAgents(t *testing.T) {
 	lists := make(chan endpoint.List, 8)
@@ -48,55 +83,30 @@
 		}
 		fmt.Fprint(w, listJSON(7, true, "b", "SERVING"))
 	})
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		Client{Addresses: addresses, Cached: []byte(listJSON(4, true, "z", "SERVING"))}.Run(ctx, func(l endpoint.List) { lists <- l }, func(error) {})
-	}()
-	expect := func(want string) {
-		t.Helper()
-		select {
-		case l := <-lists:
-			if got := fmt.Sprint(l.Revision, l.Entries[0].ID, " ", l.Entries[0].State); got != want {
-				t.Fatalf("%s, want %s", got, want)
-			}
-		case <-time.After(10 * time.Second):
-			t.Fatalf("no list %s", want)
-		}
-	}
-	expect("4z ready")
+	startClient(t, Client{Addresses: addresses, Cached: []byte(listJSON(4, true, "z", "SERVING"))},
+		func(l endpoint.List) { lists <- l }, ignoreError)
+	expectList(t, lists, "4z ready")
 	addresses <- first
-	expect("5a ready")
-	expect("6a draining")
+	expectList(t, lists, "5a ready")
+	expectList(t, lists, "6a draining")
 	for range 4 { // the request without a response is abandoned and retried
 		if q := <-queries; strings.HasPrefix(q, "index=6&") {
 			break
 		}
 	}
 	addresses <- second
-	expect("7b ready")
-	cancel()
-	<-done
+	expectList(t, lists, "7b ready")
 }
 
 // runClient follows an agent at one address until the test ends; its lists go to the channel.
 func runClient(t *testing.T, address string) (lists chan endpoint.List) {
 	lists = make(chan endpoint.List, 64)
-	addresses := make(chan string, 1)
-	addresses <- address
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		Client{Addresses: addresses}.Run(ctx, func(l endpoint.List) {
-			select {
-			case lists <- l:
-			default: // the test has seen enough
-			}
-		}, func(error) {})
-	}()
-	t.Cleanup(func() { cancel(); <-done })
+	startClient(t, Client{Addresses: addressOf(address)}, func(l endpoint.List) {
+		select {
+		case lists <- l:
+		default: // the test has seen enough
+		}
+	}, ignoreError)
 	return lists
 }
 
@@ -207,15 +217,9 @@
 		}
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 	})
-	addresses := make(chan string, 1)
-	addresses <- address
 	errs := make(chan error, 64)
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		Client{Addresses: addresses, Cached: []byte("{")}.Run(ctx, func(endpoint.List) {}, func(err error) { errs <- err })
-	}()
+	stop := startClient(t, Client{Addresses: addressOf(address), Cached: []byte("{")}, func(endpoint.List) {},
+		func(err error) { errs <- err })
 	if err := <-errs; !errors.Is(err, endpoint.ErrMalformed) {
 		t.Errorf("a malformed cached list: %v", err)
 	}
@@ -228,8 +232,7 @@
 		t.Errorf("an overloaded agent: %v", err)
 	}
 	time.Sleep(3 * minRequestInterval)
-	cancel()
-	<-done
+	stop()
 	if len(errs) > 0 {
 		t.Errorf("reported again: %v", <-errs)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"net"
 	"strings"
@@ -80,14 +79,7 @@
 		response(ok, listJSON(4, false, "c", "DELETED")),
 	}
 	address, requests := goldenAgent(t, responses)
-	addresses := make(chan string, 1)
-	addresses <- address
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		Client{Addresses: addresses}.Run(ctx, func(endpoint.List) {}, func(error) {})
-	}()
+	startClient(t, Client{Addresses: addressOf(address)}, func(endpoint.List) {}, ignoreError)
 	var out strings.Builder
 	for i := range len(responses) + 1 {
 		select {
@@ -105,7 +97,5 @@
 			fmt.Fprintf(&out, "response %q\n", responses[i])
 		}
 	}
-	cancel()
-	<-done
 	golden.Check(t, "requests.golden", out.String())
 }
--- a/internal/protocol/chatapi/golden_test.go
+++ b/internal/protocol/chatapi/golden_test.go
@@ -117,6 +117,20 @@
 // What responses of engines mean.
 func TestGoldenEngineResponses(t *testing.T) {
 	c, log := NewCodec(nil), &wireLog{}
+	log.heads(c)
+	log.reservations(c)
+	log.loadReports(c)
+	for _, event := range []string{"[DONE]", "{}", ""} {
+		log.line(event, c.IsFinalEvent([]byte(event)))
+	}
+	for _, hasEvents := range []bool{false, true} {
+		event, reason := c.ClassifyStreamEnd(hasEvents)
+		log.line(fmt.Sprint("end, events ", hasEvents), fmt.Sprintf("%v, %q", event, reason))
+	}
+	golden.Check(t, "engine_responses.golden", log.String())
+}
+
+func (l *wireLog) heads(c *Codec) {
 	for _, status := range []int{200, 202, 204, 302, 400, 404, 410, 500, 503} {
 		for _, rejected := range []string{"", "full", "draining", "no-state", "epoch", "role", "else"} {
 			for _, contentType := range []string{"application/json", "text/event-stream"} {
@@ -124,11 +138,14 @@
 				if rejected != "" {
 					head.Header.Set("X-Sandcourse-Refused", rejected)
 				}
-				log.line(fmt.Sprintf("%d %q %s", status, rejected, contentType),
+				l.line(fmt.Sprintf("%d %q %s", status, rejected, contentType),
 					fmt.Sprintf("prefill %v, decode %v", c.ClassifyResponse(head, false), c.ClassifyResponse(head, true)))
 			}
 		}
 	}
+}
+
+func (l *wireLog) reservations(c *Codec) {
 	for _, body := range []string{"", "7", "[]", "{}", `{"kv_transfer_params":{}}`,
 		`{"kv_transfer_params":{"do_remote_prefill":true,"remote_host":"h","remote_port":0}}`,
 		`{"kv_transfer_params":{"do_remote_prefill":true,"remote_host":"","remote_port":9}}`,
@@ -140,11 +157,14 @@
 		handle, cachedTokens, err := c.ParseReservation([]byte(body))
 		if err != nil {
 			text, _, _ := strings.Cut(err.Error(), ": json:")
-			log.line(body, text)
+			l.line(body, text)
 			continue
 		}
-		log.line(body, fmt.Sprint(handle, " ", cachedTokens))
+		l.line(body, fmt.Sprint(handle, " ", cachedTokens))
 	}
+}
+
+func (l *wireLog) loadReports(c *Codec) {
 	for _, header := range []http.Header{{}, {"X-Sandcourse-Memory": {"0.5"}}, {"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}},
 		{"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"3"}},
 		{"X-Sandcourse-Memory": {"4.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"3"}},
@@ -153,17 +173,9 @@
 		{"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"1e7"}}} {
 		report := c.ParseLoadReport(&http.Response{Header: header}, nil)
 		if report == nil {
-			log.line(fmt.Sprint(header), "none")
+			l.line(fmt.Sprint(header), "none")
 			continue
 		}
-		log.line(fmt.Sprint(header), fmt.Sprint(report.MemoryShare, " ", report.QueuedWork))
-	}
-	for _, event := range []string{"[DONE]", "{}", ""} {
-		log.line(event, c.IsFinalEvent([]byte(event)))
+		l.line(fmt.Sprint(header), fmt.Sprint(report.MemoryShare, " ", report.QueuedWork))
 	}
-	for _, hasEvents := range []bool{false, true} {
-		event, reason := c.ClassifyStreamEnd(hasEvents)
-		log.line(fmt.Sprint("end, events ", hasEvents), fmt.Sprintf("%v, %q", event, reason))
-	}
-	golden.Check(t, "engine_responses.golden", log.String())
 }
--- a/internal/protocol/platform/config_golden_test.go
+++ b/internal/protocol/platform/config_golden_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/golden"
 )
 
@@ -28,6 +29,12 @@
 	}
 	var out strings.Builder
 	line := func(what string, value any) { fmt.Fprintf(&out, "%s: %v\n", what, value) }
+	describeConfig(c, line)
+	describeDeployment(d, line)
+	golden.Check(t, "node_config.golden", out.String())
+}
+
+func describeConfig(c *NodeConfig, line func(what string, value any)) {
 	line("name", c.Name)
 	line("listen", c.ListenAddress)
 	line("discovery", c.DiscoveryAddress)
@@ -40,6 +47,9 @@
 	line("all peers", c.PeerBroadcastAddress)
 	line("known", string(c.CachedEndpoints))
 	line("fields of reports", c.LoadReportFields())
+}
+
+func describeDeployment(d *config.Deployment, line func(what string, value any)) {
 	line("own number", d.NodeNumber)
 	line("nodes", d.NodeCount)
 	line("zones", d.Zones)
@@ -61,5 +71,4 @@
 	line("connections to engines", d.Connections.Total)
 	line("bytes", d.Limits.BufferedBytes)
 	line("stay, hand over", fmt.Sprint(d.ShutdownStayTime, " ", d.ShutdownHandoverTime))
-	golden.Check(t, "node_config.golden", out.String())
 }
