--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -14,8 +14,8 @@
 // RoutingConfig is the part of the deployment that routing decisions depend on.
 func (d *Deployment) RoutingConfig() routing.Config {
 	c := d.platformOrScriptConfig()
-	// Decisions may use a reservation for five eighths of its limit. The rest is for releasing it: one attempt to
-	// tell the engine may hang for a quarter, and another follows.
+	// Decisions may use a reservation for five eighths of its limit. The rest is for releasing it: one
+	// attempt to tell the engine may hang for a quarter, and another follows.
 	c.SetReservationLimit(d.Rules.ReservationLimit * 5 / 8)
 	// The dedup windows are those that the node's gate keeps to, so that no decision asks for what the gate
 	// holds back.
@@ -52,14 +52,15 @@
 		FirstTokenObjective: r.FirstTokenObjective, ObjectivePer1000Tokens: r.ObjectivePer1000Tokens}
 }
 
-// routing is the kind of engine as decisions know it. The words of the settings are checked when they are read.
+// routing is the kind of engine as decisions know it. The words of the settings are checked when they are
+// read.
 func (k EngineKind) routing() routing.EngineKind {
 	role, _ := routing.ParseRole(string(k.Role))
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
-// EndpointUpdate turns a list into what the module hears. Entries of a kind that the settings do not name are returned
-// by id: they can't be sent to.
+// EndpointUpdate turns a list into what the module hears. Entries of a kind that the settings do not name are
+// returned by id: they can't be sent to.
 func (d *Deployment) EndpointUpdate(list endpoint.List) (update routing.EndpointUpdate, unknown []string) {
 	update.Complete = true
 	for _, e := range list.Entries {
@@ -83,8 +84,9 @@
 	return placeID(zone)
 }
 
-// placeID is the same for a name in every list. Were places counted list by list, an engine that has left would
-// keep the number that now is another place's, and a repeat could go to a cell that knows nothing of the first try.
+// placeID is the same for a name in every list. Were places counted list by list, an engine that has left
+// would keep the number that now is another place's, and a repeat could go to a cell that knows nothing of
+// the first try.
 func placeID(name string) int { return int(xxhash.Sum64String(name) >> 1) }
 
 // zones are those that have given numbers, or the node's own.
--- a/internal/config/params/settings.go
+++ b/internal/config/params/settings.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// add flattens a value under a name. Numbers are multiplied by scale, which turns the unit of the name's suffix
-// into nanoseconds.
+// add flattens a value under a name. Numbers are multiplied by scale, which turns the unit of the name's
+// suffix into nanoseconds.
 func (s Settings) add(name string, scale float64, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -56,7 +56,7 @@
 	{"the kernel's last bytes are not asked for", "internal/router/attempts.go", "conn.socket.RequestWritten() {\n\t\t\tr.transition", "false {\n\t\t\tr.transition", "one", "P3 P5 P9 P10 P11"},
 	{"what may have run is sent again", "internal/routing/retry.go", "\t\tif att.neverRan || !att.decode {\n\t\t\tcontinue\n\t\t}", "\t\tif true {\n\t\t\tcontinue\n\t\t}", "pair", "P3"},
 	{"what may have run is shed", "internal/routing/retry.go", "if mayShed || !ran {", "if true || mayShed || !ran {", "one", "P3"},
-	{"no timer for the end", "internal/routing/transitions.go", "p.startTimer(req.RequestID, deadlineNear,", "p.startTimer(req.RequestID, noTrigger,", "one", "P4 P9 P10"},
+	{"no timer for the end", "internal/routing/policy.go", "p.startTimer(req.RequestID, deadlineNear,", "p.startTimer(req.RequestID, noTrigger,", "one", "P4 P9 P10"},
 	{"the end comes late", "internal/routing/retry.go", "return 3 * p.config.Tick", "return -60 * p.config.Tick", "one", "P4 P5"},
 	{"states are kept past the pin limit", "internal/config/facts.go", "d.Rules.ReservationLimit * 5 / 8", "d.Rules.ReservationLimit * 4", "one", "P5"},
 	{"what is held is not let go of at the end", "internal/routing/retry.go", "\tp.act(Release{req.RequestID})\n\treturn noTrigger", "\treturn noTrigger", "one", "P5 P9 P10"},
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -5,7 +5,8 @@
 // Action is one of the types of this file. Each is something the caller of a Policy has to do.
 type Action interface{ isAction() }
 
-// Send starts an attempt: it sends a request to an engine. Without a timeout it waits until the request's deadline.
+// Send starts an attempt: it sends a request to an engine. Without a timeout it waits until the request's
+// deadline.
 type Send struct {
 	RequestID int64
 	Engine    string
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -11,24 +11,9 @@
 	overloadMinSamples = 32
 )
 
-// firstTokenObjective is the latency objective in nanoseconds.
-func (p *Policy) firstTokenObjective(req *request) float64 {
-	route := p.route(req)
-	return float64(route.FirstTokenObjective) + float64(route.ObjectivePer1000Tokens)*req.PromptTokens/1000
-}
-
-// weightShare is a route's priority weight over that of the highest.
-func (p *Policy) weightShare(req *request) float64 {
-	most := 1e-9
-	for _, route := range p.config.Routes {
-		most = max(most, route.PriorityWeight)
-	}
-	return p.route(req).PriorityWeight / most
-}
-
-// admit sheds at once what would miss its objective: queues that only grow make all late and never clear, whatever
-// filled them: too much traffic, engines that are lost or slow, or caches that were lost. It does harm where
-// latencies are high but harmless. Resumed streams are always admitted.
+// admit sheds at once what would miss its objective: queues that only grow make all late and never clear,
+// whatever filled them: too much traffic, engines that are lost or slow, or caches that were lost. It does
+// harm where latencies are high but harmless. Resumed streams are always admitted.
 func (p *Policy) admit(req *request) trigger {
 	loads := p.openLoads()
 	decoders := p.usableEngines(req, loads, func(e *engine) bool { return e.canDecode })
@@ -44,9 +29,9 @@
 	expected := p.expectedLatency(req, prefill, decoders, loads)
 	overrun := sample{p.now, time.Duration(expected - 0.25*objective)}
 	p.expectedOverruns = appendBounded(p.expectedOverruns, overrun, 48)
-	// Latencies are known late and vary, so the limit is under the objective: 0.8 of it for the highest weight, down
-	// to 0.4. Recent late answers show what latencies do not, and in a lasting overload, of first tokens or of
-	// latencies, prompts that are not cached feed it.
+	// Latencies are known late and vary, so the limit is under the objective: 0.8 of it for the highest
+	// weight, down to 0.4. Recent late answers show what latencies do not, and in a lasting overload, of
+	// first tokens or of latencies, prompts that are not cached feed it.
 	uncached := 1 - p.cachedTokens(req, prefill)/max(req.PromptTokens, 1)
 	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
 	overload := shareAbove(p.expectedOverruns, p.now, overloadWindow, overloadMinSamples)
@@ -68,9 +53,10 @@
 	return least, !math.IsInf(least, 1)
 }
 
-// expectedLatency is when the first token of a request is expected, in nanoseconds since its arrival. Reservations
-// that wait here for a decode engine say more than any latency.
-func (p *Policy) expectedLatency(req *request, prefill *engine, decoders []*engine, loads map[string]engineLoad) float64 {
+// expectedLatency is when the first token of a request is expected, in nanoseconds since its arrival.
+// Reservations that wait here for a decode engine say more than any latency.
+func (p *Policy) expectedLatency(req *request, prefill *engine, decoders []*engine,
+	loads map[string]engineLoad) float64 {
 	var decodeLatencies []time.Duration
 	for _, e := range decoders {
 		latency, _ := p.latency(e, loads[e.Engine])
@@ -80,8 +66,8 @@
 	return float64(p.now - req.arrivedAt + median(p.reservationWaits()) + latency + median(decodeLatencies))
 }
 
-// shedLate sheds a request that is not prefilled by its objective, where it may be shed with an attempt in flight:
-// in an overload it takes the place of one that could be in time.
+// shedLate sheds a request that is not prefilled by its objective, where it may be shed with an attempt in
+// flight: in an overload it takes the place of one that could be in time.
 func (p *Policy) shedLate(req *request) trigger {
 	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
 	if p.route(req).Effect == Retriable && !req.Resumed && late > 0.2 {
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -1,10 +1,6 @@
 package routing
 
-import (
-	"fmt"
-	"maps"
-	"time"
-)
+import "time"
 
 // What is remembered is kept to this many entries of a kind, a few megabytes; then what is older is evicted.
 const (
@@ -12,21 +8,6 @@
 	evictAfter = time.Minute
 )
 
-// affinity is where a session was served last.
-type affinity struct {
-	prefillEngine, decodeEngine string
-	servedAt                    time.Duration
-}
-
-// affinityTable is the affinity of each session.
-type affinityTable map[string]affinity
-
-func (t affinityTable) evict(now time.Duration) {
-	if len(t) > maxEntries {
-		maps.DeleteFunc(t, func(_ string, a affinity) bool { return now-a.servedAt > evictAfter })
-	}
-}
-
 // affinityOf is where a session was served last, if that was recently.
 func (p *Policy) affinityOf(session string) affinity {
 	const maxAge = 30 * time.Second
@@ -36,33 +17,58 @@
 	return affinity{}
 }
 
-// gossipEnabled is whether nodes tell each other where sessions are cached: where that is allowed, and a message to all
-// costs no more than 0.005 of a request's value, about what a cached prompt saves.
+// gossipEnabled is whether nodes tell each other where sessions are cached: where that is allowed, and a
+// message to all costs no more than 0.005 of a request's value, about what a cached prompt saves.
 func (p *Policy) gossipEnabled() bool {
 	others := float64(p.config.Nodes - 1)
 	return p.config.Gossip && others > 0 && p.config.GossipPrice*others*100/256 < 0.005
 }
 
-// gossipFormat is the message that says where a session was served: session, prefill and decode engine, tokens.
-const gossipFormat = "kept %q %q %q"
-
-// gossipAffinity tells the other nodes where a session was served, as its next request may come to any of them. A lost
-// message costs one full prefill.
+// gossipAffinity tells the other nodes where a session was served, as its next request may come to any of
+// them. A lost message costs one full prefill.
 func (p *Policy) gossipAffinity(req *request) {
 	if p.gossipEnabled() {
-		text := fmt.Sprintf(gossipFormat+" %.0f", req.Session, req.prefillEngine, req.decodeEngine, req.PromptTokens)
-		p.act(SendGossip{AllNodes, text})
+		p.act(SendGossip{AllNodes, formatGossip(req)})
 	}
 }
 
-// handleGossip takes over what another node tells. Messages of other versions are ignored.
-func (p *Policy) handleGossip(text string) {
-	var session, prefillEngine, decodeEngine string
-	var tokens float64
-	_, err := fmt.Sscanf(text, gossipFormat+" %f", &session, &prefillEngine, &decodeEngine, &tokens)
-	if err != nil || p.engines[prefillEngine] == nil {
-		return
+// cachedTokens is how much of the prompt an engine is thought to cache; under a fifth counts as none.
+func (p *Policy) cachedTokens(req *request, e *engine) float64 {
+	// Engines cache until memory runs out, which no node sees; the cached tokens that they report correct the
+	// rest.
+	const maxAge = 5 * time.Minute
+	most := 0.0
+	for _, k := range []cacheKey{{true, req.Session, e.Engine}, {false, req.Prefix, e.Engine}} {
+		if v, ok := p.cache.entries[k]; ok && k.key != "" && p.now-v.at < maxAge {
+			n := v.tokens
+			if !k.isSession {
+				n = min(n, req.PrefixTokens)
+			}
+			most = max(most, min(n, req.PromptTokens))
+		}
+	}
+	if most < 0.2*req.PromptTokens {
+		return 0
+	}
+	return most
+}
+
+// recordCached notes what an engine caches after a prefill. If a prefix was not cached that should have been,
+// the engine has lost its cache: all that was cached before is dropped.
+func (p *Policy) recordCached(req *request, engine string, cachedTokens float64) {
+	prefix := cacheKey{false, req.Prefix, engine}
+	known, ok := p.cache.entries[prefix]
+	if ok && req.Prefix != "" && cachedTokens < 0.5*min(known.tokens, req.PrefixTokens) {
+		p.cache.drop(engine, req.arrivedAt)
+	}
+	if rest := req.PromptTokens - req.PrefixTokens; rest > 0 {
+		hit := int64(1e6 * max(0, cachedTokens-req.PrefixTokens) / rest)
+		p.cache.recentHits = appendBounded(p.cache.recentHits, hit, 64)
+	}
+	p.cache.entries[cacheKey{true, req.Session, engine}] = cacheEntry{req.PromptTokens, p.now}
+	if req.Prefix != "" {
+		p.cache.entries[prefix] = cacheEntry{req.PrefixTokens, p.now}
 	}
-	p.affinities[session] = affinity{prefillEngine, decodeEngine, p.now}
-	p.cache.entries[cacheKey{true, session, prefillEngine}] = cacheEntry{tokens, p.now}
+	p.cache.evict(p.now)
+	p.affinities.evict(p.now)
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -98,8 +98,8 @@
 	MemoryTokens float64 // 0 if unknown
 }
 
-// SlowStart limits what an engine that has just started is sent: in any window Share of Multiple times of what
-// an engine of its role did on average.
+// SlowStart limits what an engine that has just started is sent: in any window Share of Multiple times of
+// what an engine of its role did on average.
 type SlowStart struct {
 	Duration        time.Duration // how long an engine counts as warming up
 	Share, Multiple float64
@@ -121,8 +121,8 @@
 	MaxRetryAfter     time.Duration
 	WatchEndpoints    bool // whether endpoint lists come only after they were asked for
 
-	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout how long a decode engine
-	// may stay without a sign of life.
+	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout how long a decode
+	// engine may stay without a sign of life.
 	ReservationLimit      time.Duration
 	DecodeResponseTimeout time.Duration
 
@@ -148,8 +148,8 @@
 	c.ReservationLimit, c.DecodeResponseTimeout = limit, responseTimeoutOf(limit)
 }
 
-// responseTimeoutOf is a third of the reservation limit, so that the wait for a health check's answer and another
-// attempt fit in before the limit.
+// responseTimeoutOf is a third of the reservation limit, so that the wait for a health check's answer and
+// another attempt fit in before the limit.
 func responseTimeoutOf(limit time.Duration) time.Duration { return limit / 3 }
 
 // route is the row of a route, or the default of one that the settings do not name.
@@ -168,8 +168,8 @@
 	return c.Kinds[number]
 }
 
-// spans is whether two engines are of one dedup group; an engine that is not known any more is in none but that
-// of all.
+// spans is whether two engines are of one dedup group; an engine that is not known any more is in none but
+// that of all.
 func (g DedupGroup) spans(first, second *engine) bool {
 	switch {
 	case g == DedupAll:
--- a/internal/routing/decode.go
+++ b/internal/routing/decode.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// lowMemoryShare is up to which memory share a decode engine counts as empty; 0.85 did far worse among many nodes.
+// lowMemoryShare is up to which memory share a decode engine counts as empty; 0.85 did far worse among many
+// nodes.
 const lowMemoryShare = 0.7
 
 // sendToDecode chooses the decode engine of a request and sends to it.
@@ -26,8 +27,8 @@
 	return p.sendTo(req, e)
 }
 
-// pickDecode takes one of the engines with the fewest streams. Among many nodes nearly all tie, so known memory comes
-// next, weighed against the distance that the KV state moves, then turns.
+// pickDecode takes one of the engines with the fewest streams. Among many nodes nearly all tie, so known
+// memory comes next, weighed against the distance that the KV state moves, then turns.
 func (p *Policy) pickDecode(req *request) *engine {
 	tied := p.fewestStreams(req)
 	if len(tied) == 0 {
@@ -37,8 +38,8 @@
 	if slices.ContainsFunc(tied, p.hasFreshLoad) {
 		tied = slices.DeleteFunc(tied, func(e *engine) bool { return !p.hasFreshLoad(e) })
 	}
-	// Leaving the cell is worth a tenth of an engine's memory, leaving the zone, where the KV state takes several times
-	// as long and holds up others on the link, four; within a tenth, reports are noise.
+	// Leaving the cell is worth a tenth of an engine's memory, leaving the zone, where the KV state takes
+	// several times as long and holds up others on the link, four; within a tenth, reports are noise.
 	distanceCosts := [...]float64{0, 1, 4}
 	cost := func(e *engine) float64 {
 		return distanceCosts[distance(from, e)] + math.Round(10*max(lowMemoryShare, e.memoryShare))
@@ -64,9 +65,9 @@
 	return slices.DeleteFunc(ready, func(e *engine) bool { return streams(e) > streams(fewest) })
 }
 
-// hasCapacity keeps an engine from running out of memory, which evicts its newest streams. It goes by a fresh report
-// and what was sent since, else by this node's own streams, as if all nodes had as many. A wrong guess costs a wait of
-// three quarters of the reservation limit. 1.05: reports are noisy.
+// hasCapacity keeps an engine from running out of memory, which evicts its newest streams. It goes by a fresh
+// report and what was sent since, else by this node's own streams, as if all nodes had as many. A wrong guess
+// costs a wait of three quarters of the reservation limit. 1.05: reports are noisy.
 func (p *Policy) hasCapacity(req *request, e *engine, l engineLoad) bool {
 	memory := p.config.kind(e.Kind).MemoryTokens
 	used := l.promptTokens * float64(p.config.Nodes)
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -36,7 +36,8 @@
 	at, value time.Duration
 }
 
-// updateEndpoints takes over an endpoint list. An engine that has restarted is warming up, and its cache is empty.
+// updateEndpoints takes over an endpoint list. An engine that has restarted is warming up, and its cache is
+// empty.
 func (p *Policy) updateEndpoints(update EndpointUpdate) {
 	listed := map[string]bool{}
 	for _, endpoint := range update.Engines {
@@ -160,3 +161,14 @@
 		l.waits = append(l.waits, now-a.sentAt)
 	}
 }
+
+// meanQueuedWork is the mean reported load of the prefill engines that reported within a span.
+func (p *Policy) meanQueuedWork(span time.Duration) float64 {
+	sum, n := 0.0, 0.0
+	for _, id := range p.engineIDs {
+		if e := p.engines[id]; e.canPrefill && p.now-e.reportedAt < span {
+			sum, n = sum+e.queuedWork, n+1
+		}
+	}
+	return sum / max(1, n)
+}
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -5,7 +5,8 @@
 // Event is one of the types of this file. Each tells a Policy what happened.
 type Event interface{ isEvent() }
 
-// EndpointUpdate is a watch event of the endpoint list. A complete list replaces what was known; others change it.
+// EndpointUpdate is a watch event of the endpoint list. A complete list replaces what was known; others
+// change it.
 type EndpointUpdate struct {
 	Complete bool
 	Failed   bool // a call to discovery failed; the old list stays
--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Fingerprint writes all that later steps may depend on, in an order of its own and with times relative to now, so that
-// two policies that will act alike write the same. Model checkers compare it; no decision depends on it.
+// Fingerprint writes all that later steps may depend on, in an order of its own and with times relative to
+// now, so that two policies that will act alike write the same. Model checkers compare it; no decision
+// depends on it.
 func (p *Policy) Fingerprint(w io.Writer) {
 	fmt.Fprintln(w, p.random.draws, p.rotation, int64(p.now-p.startedAt), p.recentPrefixes,
 		numbers(p.recentLatencyPerWork), p.cache.recentHits, p.samples(p.expectedOverruns), p.samples(p.firstTokenOverruns))
--- a/internal/routing/healthcheck.go
+++ b/internal/routing/healthcheck.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// handleHealthCheck notes what an engine reports. Requests that waited for it go on, and attempts at an engine that
-// did not answer are lost.
+// handleHealthCheck notes what an engine reports. Requests that waited for it go on, and attempts at an
+// engine that did not answer are lost.
 func (p *Policy) handleHealthCheck(result HealthCheckResult) {
 	e := p.engines[result.Engine]
 	if e == nil {
@@ -21,7 +21,8 @@
 		p.fire(req, loadKnown)
 		p.forgetIfDone(req)
 	}
-	// A busy engine answers that it is; one that does not answer has not received what was sent before either.
+	// A busy engine answers that it is; one that does not answer has not received what was sent before
+	// either.
 	if result.Verdict != TimedOut && result.Verdict != NotConnected && result.Verdict != ConnectionLost {
 		return
 	}
@@ -34,9 +35,9 @@
 	}
 }
 
-// responseTimeout is how long the last attempt may go without a sign of its engine. Nothing else tells an engine that
-// is cut off from a busy one, and what is written to a reused connection may be lost. A prefill engine is checked
-// after half the objective, as another prefill would be too late later.
+// responseTimeout is how long the last attempt may go without a sign of its engine. Nothing else tells an
+// engine that is cut off from a busy one, and what is written to a reused connection may be lost. A prefill
+// engine is checked after half the objective, as another prefill would be too late later.
 func (p *Policy) responseTimeout(req *request) time.Duration {
 	if req.last().decode {
 		return p.config.DecodeResponseTimeout
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -14,13 +14,15 @@
 	reportDelay = 500 * time.Millisecond
 )
 
-// hasFreshLoad is whether an engine's load is known. One that is warming up within its slow start has hardly any.
+// hasFreshLoad is whether an engine's load is known. One that is warming up within its slow start has hardly
+// any.
 func (p *Policy) hasFreshLoad(e *engine) bool {
 	return p.now-e.reportedAt < reportTTL || p.warmingUp(e)
 }
 
-// latency is how long attempts wait at an engine now, and whether that is known: the least of recent samples, as
-// large prompts take long anywhere, or what the load report comes to, or how long attempts there have waited.
+// latency is how long attempts wait at an engine now, and whether that is known: the least of recent samples,
+// as large prompts take long anywhere, or what the load report comes to, or how long attempts there have
+// waited.
 func (p *Policy) latency(e *engine, l engineLoad) (latency time.Duration, known bool) {
 	least := time.Duration(math.MaxInt64)
 	for _, s := range e.latencySamples[max(0, len(e.latencySamples)-8):] {
@@ -38,8 +40,8 @@
 	return max(least, median(l.waits)), known || len(l.waits) > 0
 }
 
-// requestLoad checks the preferred prefill engines and some decode engines, whose load a node among many cannot
-// know.
+// requestLoad checks the preferred prefill engines and some decode engines, whose load a node among many
+// cannot know.
 func (p *Policy) requestLoad(req *request) trigger {
 	p.recentPrefixes = appendBounded(p.recentPrefixes, req.Prefix, 64)
 	ready := p.usableEngines(req, p.openLoads(), func(e *engine) bool { return e.canPrefill })
@@ -55,8 +57,8 @@
 	return p.requestLoadOf(req, p.decodeCandidates(req))
 }
 
-// decodeCandidates are two of the nearest engines that tie for the fewest streams, and one farther away in case these
-// are full; none if what is known will do.
+// decodeCandidates are two of the nearest engines that tie for the fewest streams, and one farther away in
+// case these are full; none if what is known will do.
 func (p *Policy) decodeCandidates(req *request) []*engine {
 	tied, from, rank := p.fewestStreams(req), p.engines[req.prefillEngine], map[*engine]float64{}
 	for _, e := range tied {
@@ -72,7 +74,8 @@
 	return append(tied[:2:2], tied[max(1, farther)])
 }
 
-// requestLoadOf checks the engines whose load is not known. To one that is warming up a check would count as work.
+// requestLoadOf checks the engines whose load is not known. To one that is warming up a check would count as
+// work.
 func (p *Policy) requestLoadOf(req *request, engines []*engine) trigger {
 	req.awaitedEngines = req.awaitedEngines[:0]
 	for _, e := range engines {
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// handleFirstToken notes which engines serve the session, and how far over the objective the first token came.
+// handleFirstToken notes which engines serve the session, and how far over the objective the first token
+// came.
 func (p *Policy) handleFirstToken(req *request, first FirstToken) {
 	att := &req.attempts[first.Attempt]
 	att.streaming, p.countedLoads = true, nil
@@ -25,7 +26,8 @@
 	}
 	att := &req.attempts[o.Attempt]
 	att.inFlight, p.countedLoads = false, nil
-	// A decode that never reached its engine has not begun to fetch the KV state: the reservation has waited on.
+	// A decode that never reached its engine has not begun to fetch the KV state: the reservation has waited
+	// on.
 	if !att.decode || !att.canceled && o.Verdict != NotConnected && o.Verdict != NotSent {
 		req.idleSince = p.now
 	}
@@ -94,8 +96,9 @@
 	p.recentLatencyPerWork = appendBounded(p.recentLatencyPerWork, perWork, 32)
 }
 
-// recordLatency takes a response as a sign of health. Engines serve attempts in turn, so an attempt that later
-// responses have passed, though it has waited a sixth of its objective, was lost on the network or in the engine.
+// recordLatency takes a response as a sign of health. Engines serve attempts in turn, so an attempt that
+// later responses have passed, though it has waited a sixth of its objective, was lost on the network or in
+// the engine.
 func (p *Policy) recordLatency(e *engine, latency, sentAt time.Duration) {
 	if e == nil {
 		return
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -22,9 +22,9 @@
 	e.suspect = true
 }
 
-// isSlow is whether an engine takes three times as long for its prefill work as the median engine; its work is what
-// was queued by its report and what was not cached. Latency is high at busy engines too, this is not. It does harm where
-// an engine reports too little work: that one then counts as slow.
+// isSlow is whether an engine takes three times as long for its prefill work as the median engine; its work
+// is what was queued by its report and what was not cached. Latency is high at busy engines too, this is not.
+// It does harm where an engine reports too little work: that one then counts as slow.
 func (p *Policy) isSlow(e *engine) bool {
 	const minSamples, slowFactor = 3, 3
 	var all []time.Duration
@@ -37,13 +37,14 @@
 		median(e.latencyPerWork) > slowFactor*median(all)
 }
 
-// expired is whether an engine was removed so long ago that its faults do not count any more, and has nothing in
-// flight. Engines that are always replaced would else be remembered for ever.
+// expired is whether an engine was removed so long ago that its faults do not count any more, and has nothing
+// in flight. Engines that are always replaced would else be remembered for ever.
 func (p *Policy) expired(e *engine, l engineLoad) bool {
 	return e.removedAt > 0 && p.now-e.removedAt > faultWindow && l.prefills+l.streams == 0
 }
 
-// usableEngines are the engines that fit and are healthy, by ID. Where none is healthy, the best that fit are.
+// usableEngines are the engines that fit and are healthy, by ID. Where none is healthy, the best that fit
+// are.
 func (p *Policy) usableEngines(req *request, loads map[string]engineLoad, fits func(*engine) bool) []*engine {
 	fitting, healthy := []*engine{}, []*engine{}
 	latencies, faults := []time.Duration{}, []int64{}
@@ -55,8 +56,8 @@
 			}
 		}
 	}
-	// The usual latency is of the others: that of an outlier is the largest, and of two or four engines, half would
-	// else be usual.
+	// The usual latency is of the others: that of an outlier is the largest, and of two or four engines, half
+	// would else be usual.
 	slices.Sort(latencies)
 	usualLatency, usualFaults := median(latencies[:max(0, len(latencies)-1)]), float64(median(faults))
 	for _, e := range fitting {
@@ -70,9 +71,9 @@
 	return leastBad(req, fitting)
 }
 
-// leastBad are those of the unhealthy engines that were healthy since their fault, else those on which the request has
-// not failed: an engine that is gone has the fewest streams. It does harm where all fail alike, as turns are then less
-// even.
+// leastBad are those of the unhealthy engines that were healthy since their fault, else those on which the
+// request has not failed: an engine that is gone has the fewest streams. It does harm where all fail alike,
+// as turns are then less even.
 func leastBad(req *request, engines []*engine) []*engine {
 	suspect := func(e *engine) bool { return e.suspect || req.failedOn(e) }
 	for _, worse := range []func(*engine) bool{suspect, req.failedOn} {
@@ -83,12 +84,14 @@
 	return engines
 }
 
-// isHealthy ejects failing, unresponsive and slow engines alike. Each fault ejects an engine, for longer with each more;
-// then one attempt at a time tries it, beside the open streams. Latencies and faults are measured against those of
-// the other engines: a busy fleet has high ones too, and network faults hit all alike; to eject whoever was met last
-// would leave all to one or two. It does harm where most engines fail in part.
-func (p *Policy) isHealthy(req *request, e *engine, l engineLoad, usualLatency time.Duration, usualFaults float64) bool {
-	// Noise seldom makes three times the usual latency and a third of the objective, slow and dead engines do.
+// isHealthy ejects failing, unresponsive and slow engines alike. Each fault ejects an engine, for longer with
+// each more; then one attempt at a time tries it, beside the open streams. Latencies and faults are measured
+// against those of the other engines: a busy fleet has high ones too, and network faults hit all alike; to
+// eject whoever was met last would leave all to one or two. It does harm where most engines fail in part.
+func (p *Policy) isHealthy(req *request, e *engine, l engineLoad, usualLatency time.Duration,
+	usualFaults float64) bool {
+	// Noise seldom makes three times the usual latency and a third of the objective, slow and dead engines
+	// do.
 	latency, _ := p.latency(e, l)
 	high := float64(latency) > p.firstTokenObjective(req)/3
 	if high && (latency > 3*usualLatency || p.isSlow(e)) {
--- a/internal/routing/plain_test.go
+++ b/internal/routing/plain_test.go
@@ -428,7 +428,8 @@
 	n.want(Shed{1, 0}, Release{1})
 }
 
-// prefillAfterChecks takes an inference of a route whose engines all answer when they are asked, and returns its reader.
+// prefillAfterChecks takes an inference of a route whose engines all answer when they are asked, and returns
+// its reader.
 func (n *testNode) prefillAfterChecks(route int) (prefillEngine string) {
 	n.arrive(1, route, "s")
 	for _, e := range n.actions {
@@ -452,7 +453,8 @@
 	}
 }
 
-// newTestNodeWithOverdueDecode is a node whose writer has had an inference of a route for so long that it is asked whether it is there.
+// newTestNodeWithOverdueDecode is a node whose writer has had an inference of a route for so long that it is
+// asked whether it is there.
 func newTestNodeWithOverdueDecode(t *testing.T, route int) (n *testNode, decodeEngine string) {
 	n = newTestNode(t, func(c *Config) { c.HealthChecks, c.Nodes = true, 1 })
 	decodeEngine = n.prefill(20*ms, 1, n.prefillAfterChecks(route))
@@ -460,8 +462,8 @@
 	return n, decodeEngine
 }
 
-// Found on split+term+brink: what is written to a kept connection of a machine that is cut off is never answered,
-// and its state was held until the client gave up.
+// Found on split+term+brink: what is written to a kept connection of a machine that is cut off is never
+// answered, and its state was held until the client gave up.
 func TestUnresponsiveDecodeEngineIsAbandoned(t *testing.T) {
 	n, decodeEngine := newTestNodeWithOverdueDecode(t, 0)
 	n.step(0, HealthCheckResult{Engine: decodeEngine, Verdict: TimedOut})
@@ -522,8 +524,8 @@
 	}
 }
 
-// Found on the new engines' calm day: inferences stood behind tens of thousands of tokens at their first home, while
-// the second, which keeps the shared beginning as well, had none to read.
+// Found on the new engines' calm day: inferences stood behind tens of thousands of tokens at their first
+// home, while the second, which keeps the shared beginning as well, had none to read.
 func TestPreferredEngineWithLessQueuedWorkIsChosen(t *testing.T) {
 	home, _ := newTestNode(t, nil).serve(1, "s")
 	for _, at := range []struct {
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -1,6 +1,6 @@
-// Package routing decides where requests are prefilled and decoded, when they are retried, and when they are shed.
-// Events and the time go in through Step, actions come out. It knows no wire format and reads no clock. It does no
-// I/O.
+// Package routing decides where requests are prefilled and decoded, when they are retried, and when they are
+// shed. Events and the time go in through Step, actions come out. It knows no wire format and reads no clock.
+// It does no I/O.
 //
 // All times are durations since the start of the caller's clock.
 package routing
@@ -29,8 +29,8 @@
 	expectedOverruns     []sample        // of the last requests: how far their expected latency was over a quarter of the target
 	firstTokenOverruns   []sample        // of the last first tokens: how far over the target they came
 
-	// countedLoads is what openLoads counted, until an attempt starts, streams or ends, or a report comes. Counting
-	// takes most of a step's time on a node with thousands of open streams.
+	// countedLoads is what openLoads counted, until an attempt starts, streams or ends, or a report comes.
+	// Counting takes most of a step's time on a node with thousands of open streams.
 	countedLoads     map[string]engineLoad
 	firedTransitions uint64 // a bit for each
 }
@@ -147,3 +147,19 @@
 	delete(t.pending, token)
 	return entry, ok
 }
+
+// handleArrival starts the timers of a new request and its first transition.
+func (p *Policy) handleArrival(arrival RequestArrived) {
+	req := &request{RequestArrived: arrival, arrivedAt: p.now}
+	p.requests[req.RequestID] = req
+	p.startTimer(req.RequestID, deadlineNear, max(0, req.Deadline-p.now-p.deadlineMargin()))
+	p.startTimer(req.RequestID, objectiveMissed, time.Duration(p.firstTokenObjective(req)))
+	p.fire(req, arrived)
+}
+
+// watchEndpoints asks for the endpoint list where it does not come by itself.
+func (p *Policy) watchEndpoints() {
+	if p.config.WatchEndpoints {
+		p.act(WatchEndpoints{})
+	}
+}
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -25,8 +25,8 @@
 	return p.sendTo(req, p.engines[req.prefillEngine])
 }
 
-// pickPrefill takes the first that there is of: the session's engine, a preferred engine, one with the prompt cached
-// and under the load cap, the prefix's by hash, the least loaded.
+// pickPrefill takes the first that there is of: the session's engine, a preferred engine, one with the prompt
+// cached and under the load cap, the prefix's by hash, the least loaded.
 func (p *Policy) pickPrefill(req *request, loads map[string]engineLoad) *engine {
 	ready := p.usableEngines(req, loads, func(e *engine) bool { return e.canPrefill })
 	if len(ready) == 0 {
@@ -67,8 +67,8 @@
 
 func (c *prefillChoice) load(e *engine) int { return c.loads[e.Engine].prefills }
 
-// weight is what the operator gives. What other nodes load, and what is slow, shows only as latency, so it falls with
-// latency over a fifth of the objective.
+// weight is what the operator gives. What other nodes load, and what is slow, shows only as latency, so it
+// falls with latency over a fifth of the objective.
 func (c *prefillChoice) weight(e *engine) float64 {
 	latency, _ := c.policy.latency(e, c.loads[e.Engine])
 	return e.Weight / max(1, 5*float64(latency)/c.policy.firstTokenObjective(c.req))
@@ -88,8 +88,8 @@
 	return cmp.Or(c.load(x)-c.load(y), differ(x.Zone, zone)-differ(y.Zone, zone))
 }
 
-// preferred is a preferred engine that answers and is under the load cap, also by its report. An engine that is warming
-// up within its slow start is idle, which crowded preferred engines are not.
+// preferred is a preferred engine that answers and is under the load cap, also by its report. An engine that
+// is warming up within its slow start is idle, which crowded preferred engines are not.
 func (c *prefillChoice) preferred() *engine {
 	p, preferred := c.policy, c.policy.preferredEngines(c.req, c.ready)
 	available := func(e *engine) bool { return c.underCap(e) && p.lightlyLoaded(c.req, e) }
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// cachedOrHashed is the engine under the load cap with the most of the prompt cached. If none has any, it is the first
-// by hash of the prefix.
+// cachedOrHashed is the engine under the load cap with the most of the prompt cached. If none has any, it is
+// the first by hash of the prefix.
 func (c *prefillChoice) cachedOrHashed() *engine {
 	both := func(e *engine) bool { return c.underCap(e) && c.hasCached(e) }
 	most := func(x, y *engine) int {
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// preferredEngines are the first two, the same at all nodes, that the session hashes to among those that cache its
-// prefix: two, as copies take memory, or so many that none prefills more than two thirds of its fair share for the
-// prefix. There are none where the session is known here or nodes gossip.
+// preferredEngines are the first two, the same at all nodes, that the session hashes to among those that
+// cache its prefix: two, as copies take memory, or so many that none prefills more than two thirds of its
+// fair share for the prefix. There are none where the session is known here or nodes gossip.
 func (p *Policy) preferredEngines(req *request, ready []*engine) []*engine {
 	known := func(e *engine) bool { return p.cache.hasSession(req.Session, e.Engine) }
 	if p.config.Nodes < 2 || p.gossipEnabled() || slices.ContainsFunc(ready, known) {
@@ -146,9 +146,10 @@
 	return preferred[:min(2, len(preferred))]
 }
 
-// compareWork compares two preferred engines by the thousands of tokens to prefill until the request is: what is
-// queued by the report, and what of the prompt is not cached. Both cache the prefix; only the first may cache what
-// follows, of which as much counts as was found recently. Without fresh reports the first stays first.
+// compareWork compares two preferred engines by the thousands of tokens to prefill until the request is: what
+// is queued by the report, and what of the prompt is not cached. Both cache the prefix; only the first may
+// cache what follows, of which as much counts as was found recently. Without fresh reports the first stays
+// first.
 func (p *Policy) compareWork(req *request, preferred []*engine, x, y *engine) int {
 	if !p.hasFreshLoad(x) || !p.hasFreshLoad(y) {
 		return 0
@@ -163,8 +164,8 @@
 	return cmp.Compare(work(x), work(y))
 }
 
-// lightlyLoaded is whether an engine answers health checks, and its reported load makes a wait shorter than a full
-// prefill elsewhere, or is under the load cap of the engines that reported recently.
+// lightlyLoaded is whether an engine answers health checks, and its reported load makes a wait shorter than a
+// full prefill elsewhere, or is under the load cap of the engines that reported recently.
 func (p *Policy) lightlyLoaded(req *request, e *engine) bool {
 	if e.checkedAt > e.checkAnsweredAt || e.unresponsiveAt > max(e.reportedAt, p.now-5*time.Second) {
 		return false
@@ -173,14 +174,3 @@
 	quick := float64(latency) < p.firstTokenObjective(req)/2
 	return quick || e.queuedWork <= (1+loadMargin)*p.meanQueuedWork(10*time.Second)
 }
-
-// meanQueuedWork is the mean reported load of the prefill engines that reported within a span.
-func (p *Policy) meanQueuedWork(span time.Duration) float64 {
-	sum, n := 0.0, 0.0
-	for _, id := range p.engineIDs {
-		if e := p.engines[id]; e.canPrefill && p.now-e.reportedAt < span {
-			sum, n = sum+e.queuedWork, n+1
-		}
-	}
-	return sum / max(1, n)
-}
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -130,3 +130,31 @@
 	}
 	return waits
 }
+
+// transition is one line of the table: in one of these states, one of these triggers leads to the next state
+// and runs the function, if there is one.
+type transition struct {
+	from     []state
+	triggers []trigger
+	next     state
+	run      func(*Policy, *request) trigger
+}
+
+func states(s ...state) []state { return s }
+
+func triggers(t ...trigger) []trigger { return t }
+
+// firstTokenObjective is the latency objective in nanoseconds.
+func (p *Policy) firstTokenObjective(req *request) float64 {
+	route := p.route(req)
+	return float64(route.FirstTokenObjective) + float64(route.ObjectivePer1000Tokens)*req.PromptTokens/1000
+}
+
+// weightShare is a route's priority weight over that of the highest.
+func (p *Policy) weightShare(req *request) float64 {
+	most := 1e-9
+	for _, route := range p.config.Routes {
+		most = max(most, route.PriorityWeight)
+	}
+	return p.route(req).PriorityWeight / most
+}
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -50,8 +50,8 @@
 // retryDelay is a few steps of a decode engine, so that free capacity does not stay idle for long.
 const retryDelay = 30 * time.Millisecond
 
-// triedJustNow is whether an attempt at an engine has just come back. Without the delay, an engine that is gone, and
-// refuses at once, would use up all attempts of a request within a millisecond.
+// triedJustNow is whether an attempt at an engine has just come back. Without the delay, an engine that is
+// gone, and refuses at once, would use up all attempts of a request within a millisecond.
 func (p *Policy) triedJustNow(req *request, e *engine) bool {
 	return slices.ContainsFunc(req.attempts, func(att attempt) bool {
 		return att.engine == e.Engine && att.decode == e.canDecode && p.now-att.sentAt < retryDelay
@@ -67,7 +67,8 @@
 	return noTrigger
 }
 
-// deadlineMargin is how long before the deadline the answer must go: timer and answer may each be a tick late.
+// deadlineMargin is how long before the deadline the answer must go: timer and answer may each be a tick
+// late.
 func (p *Policy) deadlineMargin() time.Duration { return 3 * p.config.Tick }
 
 // reject is the gate of final answers: it sheds where the client may retry, else it fails the request.
@@ -75,7 +76,8 @@
 	route := p.route(req)
 	mayShed := route.Effect == Retriable || route.Effect == Deduped && route.DedupGroup == DedupAll
 	// A resumed stream has run before, under another ID. An attempt in flight may run, a prefill too.
-	ran := req.Resumed || slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.inFlight || !a.neverRan })
+	mayRun := func(att attempt) bool { return att.inFlight || !att.neverRan }
+	ran := req.Resumed || slices.ContainsFunc(req.attempts, mayRun)
 	if mayShed || !ran {
 		var retryAfter time.Duration
 		if p.config.SuggestRetryAfter {
@@ -100,8 +102,8 @@
 	return noTrigger
 }
 
-// cancelLast cancels the attempt in flight, if another may follow. Else its reservation is released all the same:
-// most likely it was not fetched, and if the decode is still queued, its engine will report it.
+// cancelLast cancels the attempt in flight, if another may follow. Else its reservation is released all the
+// same: most likely it was not fetched, and if the decode is still queued, its engine will report it.
 func (p *Policy) cancelLast(req *request) trigger {
 	att := req.last()
 	// A prefill has no effect, yet clients count canceled ones as such that may have run: see docs/incidents.
--- a/internal/routing/rules_test.go
+++ b/internal/routing/rules_test.go
@@ -114,8 +114,8 @@
 		}
 	}
 	if eng.StartedAt > 0 && w.now-eng.StartedAt < 10e9 {
-		// A window holds 0.25 x 3 x 1 s of what an engine can do, which is what one was sent on average at least.
-		// One more is the lot of one of the three nodes.
+		// A window holds 0.25 x 3 x 1 s of what an engine can do, which is what one was sent on average at
+		// least. One more is the lot of one of the three nodes.
 		recent, sent, like := 0, 0.0, 0.0
 		for _, at := range w.sentWarmingUp[e.Engine] {
 			if w.now-at < 1e9 {
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -11,8 +11,8 @@
 	return e.warmingSince != 0 && p.now-e.warmingSince <= p.config.SlowStart.Duration
 }
 
-// withinSlowStart keeps all nodes together from overloading an engine that is warming up. Whole places are this node's
-// own; for the rest all nodes draw the same lots.
+// withinSlowStart keeps all nodes together from overloading an engine that is warming up. Whole places are
+// this node's own; for the rest all nodes draw the same lots.
 func (p *Policy) withinSlowStart(e *engine) bool {
 	if !p.warmingUp(e) {
 		return true
@@ -20,17 +20,18 @@
 	window := max(4, p.config.SlowStart.Window)
 	nodes := max(1, float64(p.config.Nodes))
 	whole, rest := math.Modf(p.slowStartPlaces(e, window))
-	// Any window touches five quarters at most, so each quarter gives out a fifth. Lots get two thirds of it, as they
-	// fall unevenly.
+	// Any window touches five quarters at most, so each quarter gives out a fifth. Lots get two thirds of it,
+	// as they fall unevenly.
 	first := float64(hash(fmt.Sprint(e.Engine, int64(4*p.now/window)))%1e6) / 1e6 * nodes
-	if math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5 && p.countSince(e.sendTimes, window/4) == 0 {
+	idle := p.countSince(e.sendTimes, window/4) == 0
+	if math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5 && idle {
 		whole++
 	}
 	return p.countSince(e.sendTimes, window) < whole
 }
 
-// slowStartPlaces is this node's part of what an engine may be sent within a window: a share of what the engines of its
-// role did for this node on average, removed ones too, which is what one can do at least.
+// slowStartPlaces is this node's part of what an engine may be sent within a window: a share of what the
+// engines of its role did for this node on average, removed ones too, which is what one can do at least.
 func (p *Policy) slowStartPlaces(e *engine, window time.Duration) float64 {
 	const span = 20 * time.Second // a node among many sends little, and all of a role may be warming up at once
 	done, alike := 0.0, 0.0
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -32,8 +32,8 @@
 	return sum / int64(max(1, len(values)))
 }
 
-// shareAbove is the share of samples that came within a span before now and are above zero. Fewer samples than
-// atLeast count as that many.
+// shareAbove is the share of samples that came within a span before now and are above zero. Fewer samples
+// than atLeast count as that many.
 func shareAbove(samples []sample, now, span time.Duration, atLeast int) float64 {
 	n := 0.0
 	for _, s := range samples {
--- a/internal/routing/transitions.go
+++ b/internal/routing/transitions.go
@@ -1,28 +1,15 @@
 package routing
 
-// How to call it: New makes the policy of one node, Step takes an event and the time and returns the actions in
-// order. The interface is in events.go, actions.go and config.go, state in policy.go, request.go and engine.go. The
-// decisions are in the files that deploy/balancer.toml names; read them from this table down. A state and a trigger
-// give the next state and a function, which may return a further trigger.
+// How to call it: New makes the policy of one node, Step takes an event and the time and returns the actions
+// in order. The interface is in events.go, actions.go and config.go, state in policy.go, request.go and
+// engine.go. The decisions are in the files that deploy/balancer.toml names; read them from this table down.
+// A state and a trigger give the next state and a function, which may return a further trigger.
 
 import (
 	"slices"
 	"time"
 )
 
-// transition is one line of the table: in one of these states, one of these triggers leads to the next state and
-// runs the function, if there is one.
-type transition struct {
-	from     []state
-	triggers []trigger
-	next     state
-	run      func(*Policy, *request) trigger
-}
-
-func states(s ...state) []state { return s }
-
-func triggers(t ...trigger) []trigger { return t }
-
 // transitions is the state machine of a request.
 var transitions = []transition{
 	{states(pending), triggers(arrived), checkingLoad, (*Policy).requestLoad},
@@ -38,7 +25,7 @@
 	{states(decoding), triggers(decodeNotStarted, mayHaveRun), decoding, (*Policy).sendToDecode},
 	{states(decoding), triggers(noDecodeEngine), reserved, (*Policy).scheduleRetry},
 	{states(decoding), triggers(reservationLost), pending, (*Policy).choosePrefill},
-	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // a mixed engine answers what it prefills
+	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // mixed engines answer at once
 	{states(prefilling), triggers(objectiveMissed), prefilling, (*Policy).shedLate},
 	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkUnresponsive},
 	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkUnresponsive},
@@ -68,15 +55,6 @@
 	}
 }
 
-// handleArrival starts the timers of a new request and its first transition.
-func (p *Policy) handleArrival(arrival RequestArrived) {
-	req := &request{RequestArrived: arrival, arrivedAt: p.now}
-	p.requests[req.RequestID] = req
-	p.startTimer(req.RequestID, deadlineNear, max(0, req.Deadline-p.now-p.deadlineMargin()))
-	p.startTimer(req.RequestID, objectiveMissed, time.Duration(p.firstTokenObjective(req)))
-	p.fire(req, arrived)
-}
-
 // handleEndpoints takes over a watch event, and watches again after one that failed.
 func (p *Policy) handleEndpoints(update EndpointUpdate) {
 	if !update.Failed {
@@ -87,10 +65,3 @@
 	const delay = 300 * time.Millisecond
 	p.startTimer(noRequest, retryDue, delay+time.Duration(p.random.next()*float64(delay)))
 }
-
-// watchEndpoints asks for the endpoint list where it does not come by itself.
-func (p *Policy) watchEndpoints() {
-	if p.config.WatchEndpoints {
-		p.act(WatchEndpoints{})
-	}
-}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -1,5 +1,5 @@
-// Package simproto reads and writes the messages of the simulator: batches of events come in, actions go out. It renames
-// fields and converts units, and decides nothing. It does no I/O.
+// Package simproto reads and writes the messages of the simulator: batches of events come in, actions go out.
+// It renames fields and converts units, and decides nothing. It does no I/O.
 package simproto
 
 import (
@@ -31,7 +31,8 @@
 
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Event is one event of a batch. Exactly one of Payload, Create and Down is set; an unknown event sets Unknown.
+// Event is one event of a batch. Exactly one of Payload, Create and Down is set; an unknown event sets
+// Unknown.
 type Event struct {
 	Node    string
 	Payload routing.Event
