--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -62,13 +62,13 @@
 
 // ReplacedError says that a damaged store was replaced by an empty one.
 type ReplacedError struct {
-	Path, SetAside string
-	Err            error
+	SetAside string // where the damaged file is
+	Err      error
 }
 
-// Error returns the store, the damage, and where the damaged file is.
+// Error returns the damage and where the damaged file is.
 func (e *ReplacedError) Error() string {
-	return fmt.Sprintf("store %s: %v; it is kept as %s, and a new one begun", e.Path, e.Err, e.SetAside)
+	return fmt.Sprintf("%v; set aside as %s and replaced by an empty store", e.Err, e.SetAside)
 }
 
 // Unwrap returns the damage.
@@ -82,7 +82,7 @@
 
 // Error returns the store, the engine, and the damage.
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("store %s: engine %s: %v; it is asked for its role", e.Path, e.Engine, e.Err)
+	return fmt.Sprintf("store %s: record of engine %s ignored: %v", e.Path, e.Engine, e.Err)
 }
 
 // Unwrap returns the damage.
@@ -132,7 +132,7 @@
 	if renameErr := os.Rename(path, aside); renameErr != nil {
 		return s, stored, errors.Join(err, renameErr)
 	}
-	replaced := &ReplacedError{Path: path, SetAside: aside, Err: err}
+	replaced := &ReplacedError{SetAside: aside, Err: err}
 	stored, err = s.open()
 	stored.Faults = append(stored.Faults, replaced)
 	return s, stored, err
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -18,9 +18,9 @@
 
 const (
 	// trialBody is a client's request with a prompt of one word.
-	trialBody            = `{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`
-	trialDialInterval    = 50 * time.Millisecond
-	maxTrialResponseSize = 1 << 16
+	trialBody             = `{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`
+	trialDialInterval     = 50 * time.Millisecond
+	maxTrialResponseBytes = 1 << 16
 )
 
 // TrialError says that an engine did not answer a trial as an engine of its role does.
@@ -133,7 +133,7 @@
 
 // checkPrefillResponse checks that an engine has answered with a reservation.
 func checkPrefillResponse(response *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxTrialResponseSize))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxTrialResponseBytes))
 	if err != nil {
 		return err
 	}
