--- a/internal/protocol/engineapi/response.go
+++ b/internal/protocol/engineapi/response.go
@@ -13,7 +13,7 @@
 )
 
 // ErrNoReservation refuses the response of a prefill engine that does not say where its KV state is.
-var ErrNoReservation = errors.New("reader's answer names no state to fetch")
+var ErrNoReservation = errors.New("prefill response names no KV state")
 
 // ClassifyHead maps the head of a response to an event of the attempt's state machine.
 func ClassifyHead(response *http.Response) attempt.Event {
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -3,4 +3,4 @@
 import "errors"
 
 // ErrMalformedPrefillResponse is wrapped by the errors of ParseReservation for a body that can't be decoded.
-var ErrMalformedPrefillResponse = errors.New("reader's answer is not JSON")
+var ErrMalformedPrefillResponse = errors.New("prefill response is not JSON")
--- a/internal/protocol/platform/engine.go
+++ b/internal/protocol/platform/engine.go
@@ -13,7 +13,7 @@
 )
 
 // ErrNoCachedTokens refuses the response of a prefill engine without a count of cached tokens.
-var ErrNoCachedTokens = errors.New("reader's answer does not say what it had kept")
+var ErrNoCachedTokens = errors.New("prefill response has no number of cached tokens")
 
 // MixedEnginePrefillsOnDecode is true: a mixed engine without a reservation runs the prefill and streams the output.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return true }
