--- a/cmd/sandcourse/modelcheck_files.go
+++ b/cmd/sandcourse/modelcheck_files.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/gob"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -96,17 +95,17 @@
 
 // loadSnapshot is the unfinished exploration of a world, or a new one where none is kept.
 func loadSnapshot(folder string, w modelcheck.World) (*modelcheck.Snapshot, error) {
-	snapshot := modelcheck.NewSnapshot(w)
 	if folder == "" {
-		return snapshot, nil
+		return modelcheck.NewSnapshot(w), nil
 	}
 	path := snapshotPath(folder, w)
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return snapshot, nil
+		return modelcheck.NewSnapshot(w), nil
 	}
+	var snapshot *modelcheck.Snapshot
 	if err == nil {
-		err = gob.NewDecoder(f).Decode(snapshot)
+		snapshot, err = modelcheck.DecodeSnapshot(f)
 		f.Close()
 	}
 	if err != nil {
@@ -125,7 +124,7 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	if err := errors.Join(gob.NewEncoder(f).Encode(snapshot), f.Close()); err != nil {
+	if err := errors.Join(snapshot.Encode(f), f.Close()); err != nil {
 		return err
 	}
 	return os.Rename(f.Name(), snapshotPath(folder, w))
--- /dev/null
+++ b/internal/modelcheck/events.go
@@ -0,0 +1,175 @@
+package modelcheck
+
+import (
+	"fmt"
+	"io"
+	"slices"
+
+	"sandcourse/internal/endpoint"
+)
+
+// enabledEvents lists what may happen now, in an order that depends on the state alone.
+func (s *simulation) enabledEvents() []Event {
+	list, pending := s.routerEvents()
+	if s.inFleet {
+		return list.events
+	}
+	for i, e := range s.endpoints.Entries {
+		if e.State != endpoint.Ready {
+			continue
+		}
+		list.add(Event{Name: drainName(e.ID), Action: DrainEngine, Engine: e.ID, fault: FaultDrain, apply: func() {
+			s.endpoints = withDraining(s.endpoints, i)
+			s.updateEndpoints()
+		}})
+		list.add(Event{Name: restartName(e.ID), Action: RestartEngine, Engine: e.ID, fault: FaultRestart, apply: func() {
+			s.endpoints = withRestarted(s.endpoints, i, s.now)
+			s.restartEngine(e.ID)
+		}})
+	}
+	if !pending && !s.isQuiescent() {
+		due := max(s.core.NextDue(), s.now)
+		list.add(Event{Name: "time passes", Action: TimePasses, apply: func() { s.advanceTo(due) }})
+		list.add(Event{Name: lateTimerName, Action: TimePasses, fault: FaultLate, apply: func() { s.advanceTo(due + int64(timerDelay)) }})
+	}
+	return list.events
+}
+
+var lateTimerName = fmt.Sprintf("time passes, and timers fire %v late", timerDelay)
+
+func drainName(engine string) string   { return "the endpoint list marks " + engine + " as draining" }
+func restartName(engine string) string { return engine + " restarts and warms up" }
+
+// withDraining is the next revision of an endpoint list, with one engine draining.
+func withDraining(list endpoint.List, i int) endpoint.List {
+	list.Revision++
+	list.Entries = slices.Clone(list.Entries)
+	list.Entries[i].State = endpoint.Draining
+	return list
+}
+
+// withRestarted is the next revision of an endpoint list, with one engine restarted.
+func withRestarted(list endpoint.List, i int, now int64) endpoint.List {
+	list.Revision++
+	list.Entries = slices.Clone(list.Entries)
+	list.Entries[i].StartedAtMs = now / 1e6
+	return list
+}
+
+// routerEvents lists what may happen at this router and on its connections. Pending reports whether some of it happens
+// by itself before time passes.
+func (s *simulation) routerEvents() (list *eventList, pending bool) {
+	list = &eventList{world: s.world, faultsUsed: s.faultsUsed}
+	for _, c := range s.clients {
+		pending = s.addClientEvents(list, c) || pending
+	}
+	for _, c := range s.connections {
+		if !c.closed {
+			pending = s.addConnectionEvents(list, c) || pending
+		}
+	}
+	if slices.ContainsFunc(s.clients, (*simulatedClient).isWaiting) {
+		list.addNamed(FaultKill, s.killRouter, "the router is killed and restarts")
+	}
+	return list, pending
+}
+
+func (s *simulation) addClientEvents(list *eventList, c *simulatedClient) (pending bool) {
+	switch {
+	case !c.requested:
+		list.add(Event{Name: fmt.Sprintf("client %d sends a request (%s)", c.number, c.effect), Action: SendRequest, Client: c.number,
+			apply: func() { s.sendRequest(c) }})
+		return true
+	case c.endedAt == 0 && !c.disconnected:
+		list.add(Event{Name: fmt.Sprintf("client %d disconnects", c.number), Action: DisconnectClient, Client: c.number, fault: FaultLeave,
+			apply: func() {
+				c.disconnect(outcomeLeft)
+				s.handle(func() { s.core.ClientDisconnected(c.core) })
+			}})
+	case c.outcome == outcomeLeft && !c.retried:
+		list.add(Event{Name: fmt.Sprintf("client %d reconnects and repeats its request", c.number), Action: RepeatRequest, Client: c.number,
+			fault: FaultRetry, apply: func() {
+				c.retried = true
+				s.sendRequest(s.addClient(c.effect))
+			}})
+	}
+	return false
+}
+
+func (s *simulation) addConnectionEvents(list *eventList, c *simulatedConnection) (pending bool) {
+	switch r := c.request; {
+	case c.hangingSince > 0:
+		list.addNamed(noFault, func() {
+			c.hangingSince = 0
+			s.establish(c)
+		}, "connection to %s is established after a delay", c.core.Engine)
+		return false
+	case !c.established:
+		s.addDialEvents(list, c)
+		return true
+	case c.unreadRest && r == nil:
+		s.addUnreadRestEvents(list, c)
+		return true
+	case r == nil:
+		list.addNamed(FaultGarbled, func() {
+			s.handle(func() { s.core.ResponseHead(c.core, okHead(), nil) })
+		}, "unexpected bytes arrive from %s on an idle connection", c.core.Engine)
+		return false
+	case c.partlyWritten:
+		s.addPartialWriteEvents(list, c)
+		return !r.unresponsive
+	case r.unresponsive:
+		addResponse(list, r, BecomeResponsive, noFault, func() { r.unresponsive = false })
+		return false
+	default:
+		s.addResponses(list, r)
+		return true
+	}
+}
+
+// establish completes a dial.
+func (s *simulation) establish(c *simulatedConnection) {
+	c.established = true
+	s.handle(func() { s.core.EngineConnected(c.core, c, nil) })
+}
+
+func (s *simulation) addDialEvents(list *eventList, c *simulatedConnection) {
+	engine := c.core.Engine
+	list.addNamed(FaultConnect, func() {
+		c.hangingSince = s.now
+		s.reservations.dialUnanswered(engine)
+	}, "connection to %s hangs", engine)
+	list.addNamed(FaultPartialWrite, func() {
+		c.partlyWritten = true
+		s.establish(c)
+	}, "connection to %s is established and accepts part of the request", engine)
+	list.add(Event{Name: "connection to " + engine + " is established", Action: EstablishConnection, Engine: engine,
+		apply: func() { s.establish(c) }})
+	list.addNamed(FaultConnect, func() {
+		c.closed = true
+		s.reservations.dialUnanswered(engine)
+		s.handle(func() { s.core.EngineConnected(c.core, nil, io.ErrUnexpectedEOF) })
+	}, "connection to %s fails", engine)
+}
+
+func (s *simulation) addUnreadRestEvents(list *eventList, c *simulatedConnection) {
+	name := "the rest of the response from " + c.core.Engine + " arrives"
+	list.add(Event{Name: name + ", and unexpected bytes", Action: DeliverUnreadRest, Engine: c.core.Engine, fault: FaultGarbled, apply: func() {
+		s.handle(func() { s.core.ResponseComplete(c.core, nil, false) })
+	}})
+	list.add(Event{Name: name, Action: DeliverUnreadRest, Engine: c.core.Engine, apply: func() {
+		c.unreadRest = false
+		s.handle(func() { s.core.ResponseComplete(c.core, nil, true) })
+	}})
+}
+
+func (s *simulation) addPartialWriteEvents(list *eventList, c *simulatedConnection) {
+	r, engine := c.request, c.core.Engine
+	if !r.unresponsive {
+		list.addNamed(noFault, func() { c.partlyWritten = false }, "the rest of the request to %s is sent", engine)
+		list.addNamed(noFault, func() { r.unresponsive = true }, "the rest of the request to %s is delayed", engine)
+	} else {
+		list.addNamed(noFault, func() { c.partlyWritten, r.unresponsive = false, false }, "the rest of the request to %s is sent late", engine)
+	}
+	list.addNamed(FaultReset, func() { s.resetConnection(c) }, "connection to %s is reset with part of the request sent", engine)
+}
--- a/internal/modelcheck/prove_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -1,9 +1,12 @@
 package modelcheck
 
 import (
+	"bytes"
 	"reflect"
 	"strings"
 	"testing"
+
+	"sandcourse/internal/config"
 )
 
 func tell(t *testing.T, r Result) {
@@ -65,8 +68,8 @@
 
 // Events of different nodes commute: taking them in one order leaves out no end, and no break.
 func TestRouterOrderReductionIsComplete(t *testing.T) {
-	for _, kinds := range [][]string{{"drain"}, {"restart", "reset"}, {"leave", "full", "late"}} {
-		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1, Routers: 2, FaultKinds: kinds}
+	for _, kinds := range [][]FaultKind{{FaultDrain}, {FaultRestart, FaultReset}, {FaultLeave, FaultFull, FaultLate}} {
+		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2, FaultKinds: kinds}
 		ordered := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		w.AllOrders = true
 		plain := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
@@ -91,8 +94,8 @@
 
 // Opening states that are alike once must lose nothing: without merging, every way of a small world ends alike.
 func TestMergingStatesIsComplete(t *testing.T) {
-	w := World{Name: "tiny", PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1,
-		FaultKinds: []string{"reset", "full", "leave", "connect"}}
+	w := World{Name: "tiny", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
+		FaultKinds: []FaultKind{FaultReset, FaultFull, FaultLeave, FaultConnect}}
 	merged := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 	finals := map[string]bool{}
 	ends := 0
@@ -124,7 +127,7 @@
 	w, _ := FindWorld("one")
 	r := Result{World: w, Path: Path{0, 0}}
 	lines, broken := Describe(w, r.Path)
-	if len(broken) > 0 || len(lines) < 4 || !strings.Contains(lines[1], "client 0 asks") {
+	if len(broken) > 0 || len(lines) < 4 || !strings.Contains(lines[1], "client 0 sends") {
 		t.Errorf("%v %v", lines, broken)
 	}
 	if lines, _ := Describe(w, Path{200}); !strings.Contains(lines[len(lines)-1], "does not fit") {
@@ -135,12 +138,12 @@
 // The traces of what was found, on the text as it is now. Each names what it once broke.
 func TestPastCounterexamples(t *testing.T) {
 	for name, events := range map[string][]string{
-		"P5, P3: withdrawn as never written after the kernel had taken the rest": {"client 0 asks (non-retriable)", "connection to 127.0.0.1:1001 is there, and takes a part of the request",
-			"the rest of the request to 127.0.0.1:1001 goes out", "client 0 leaves"},
-		"P5: a lost read's state stays until the inference ends": {"client 0 asks (non-retriable)", "connection to 127.0.0.1:1001 is there",
-			"read of n-1-1 at 127.0.0.1:1001 ends, half its answer comes"},
-		"P5: the module keeps a state to the pin limit, then the release hangs": {"client 0 asks (non-retriable)",
-			"connection to 127.0.0.1:1001 is there", "the list says that 127.0.0.1:2001 drains", "read of n-1-1 at 127.0.0.1:1001 ends"},
+		"P5, P3: canceled as never written after the kernel had taken the rest": {"client 0 sends a request (non-retriable)", "connection to 127.0.0.1:1001 is established and accepts part of the request",
+			"the rest of the request to 127.0.0.1:1001 is sent", "client 0 disconnects"},
+		"P5: the reservation of a lost prefill is held until the request ends": {"client 0 sends a request (non-retriable)", "connection to 127.0.0.1:1001 is established",
+			"prefill of n-1-1 at 127.0.0.1:1001 completes, and half of its response arrives"},
+		"P5: the policy keeps a reservation to the limit, then the release hangs": {"client 0 sends a request (non-retriable)",
+			"connection to 127.0.0.1:1001 is established", "the endpoint list marks 127.0.0.1:2001 as draining", "prefill of n-1-1 at 127.0.0.1:1001 completes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, _ := FindWorld("one")
@@ -166,9 +169,31 @@
 				}
 				s.apply(list[0])
 			}
-			if len(s.violated) > 0 || len(s.enabledEvents()) > 0 {
+			if len(s.violated.texts) > 0 || len(s.enabledEvents()) > 0 {
 				t.Errorf("%v after\n%s", s.violated, strings.Join(s.trace, "\n"))
 			}
 		})
 	}
 }
+
+// A snapshot that is stored and read again is resumed to the same result.
+func TestStoredSnapshotResumes(t *testing.T) {
+	w, _ := FindWorld("single")
+	want := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
+	stopped := NewSnapshot(w)
+	stopped.Explore(Limits{Workers: 4, MaxDepth: 9}, nil)
+	var file bytes.Buffer
+	if err := stopped.Encode(&file); err != nil {
+		t.Fatal(err)
+	}
+	restored, err := DecodeSnapshot(&file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := restored.Explore(Limits{Workers: 4}, nil); !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v\n%+v", got, want)
+	}
+	if _, err := DecodeSnapshot(strings.NewReader("x")); err == nil {
+		t.Error("what is no snapshot is decoded")
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/plannerevents.go
@@ -0,0 +1,161 @@
+package modelcheck
+
+import (
+	"fmt"
+	"slices"
+
+	"sandcourse/internal/planner/assignment"
+)
+
+// enabledEvents lists what may happen now. The actions of the planner come before anything else, and the operator
+// before the engines, so that fewer orders have to be tried.
+func (s *plannerSimulation) enabledEvents() []Event {
+	list := &eventList{world: s.world, faultsUsed: s.faultsUsed}
+	switch {
+	case s.isSettled():
+		s.addReadmissions(list)
+	case !s.running:
+		list.addNamed(noFault, s.startPlanner, "the planner restarts")
+		if s.ticksWithoutPlanner < maxPlannerDown {
+			list.addNamed(noFault, func() { s.ticksWithoutPlanner++; s.advance() }, "time passes without a planner")
+		}
+	case len(s.queue) > 0:
+		list.addNamed(noFault, s.executeNext, "the planner executes %T", s.queue[0])
+		list.addNamed(FaultKill, s.killPlanner, "the planner is killed before %T", s.queue[0])
+	case s.operatorMoves > 0:
+		s.addOperatorMoves(list)
+	default:
+		s.addOrderEvents(list)
+		s.addTrialEvents(list)
+		for _, engine := range s.engines {
+			s.addEngineEvents(list, engine)
+		}
+		s.addPlanEvents(list)
+		s.addTick(list)
+		s.addOperatorStop(list)
+		s.addStaleAttempts(list)
+	}
+	return list.events
+}
+
+func (s *plannerSimulation) addReadmissions(list *eventList) {
+	for _, engine := range s.engines {
+		if s.stored[engine.name].State == assignment.Quarantined {
+			list.addNamed(FaultLeave, func() {
+				engine.lost, engine.keepsOldRole = false, false
+				s.operate("readmit", engine.name)
+			}, "an operator repairs and readmits %s", engine.name)
+		}
+	}
+}
+
+// addOperatorMoves lets the operator move the first engine of either role.
+func (s *plannerSimulation) addOperatorMoves(list *eventList) {
+	for i, engine := range s.engines {
+		if i == 0 || i == s.world.PrefillEngines {
+			list.addNamed(noFault, func() {
+				s.operatorMoves--
+				s.operate("move", engine.name)
+			}, "an operator moves %s", engine.name)
+		}
+	}
+}
+
+func (s *plannerSimulation) addOrderEvents(list *eventList) {
+	for i, o := range s.orders {
+		remove := func() { s.orders = slices.Delete(s.orders, i, i+1) }
+		name := fmt.Sprintf("order %+v to %s", o.order, o.engine)
+		list.addNamed(noFault, func() { remove(); s.engine(o.engine).handleOrder(o.order) }, "%s arrives", name)
+		list.addNamed(FaultReset, remove, "%s is lost", name)
+		if o.delayedTicks == 0 {
+			list.addNamed(FaultLate, func() { s.orders[i].delayedTicks = orderDelayTicks }, "%s is delayed", name)
+		}
+	}
+}
+
+func (s *plannerSimulation) addTrialEvents(list *eventList) {
+	for i, t := range s.trials {
+		passed := s.engine(t.Engine).passesTrial(t)
+		remove := func() { s.trials = slices.Delete(s.trials, i, i+1) }
+		list.addNamed(noFault, func() {
+			remove()
+			s.decide(assignment.TrialEnded{Engine: t.Engine, Number: t.Number, OK: passed, Reason: "no"})
+		}, "the trial of %s ends", t.Engine)
+		list.addNamed(FaultReset, remove, "the trial of %s is lost", t.Engine)
+	}
+}
+
+func (s *plannerSimulation) addEngineEvents(list *eventList, e *simulatedEngine) {
+	if e.loading && !e.lost {
+		list.addNamed(noFault, e.finishLoading, "%s has loaded", e.name)
+		list.addNamed(FaultSilent, func() { e.lost = true }, "%s never comes back", e.name)
+		if !e.keepsOldRole && e.claimedRole != e.role {
+			list.addNamed(FaultGarbled, func() { e.keepsOldRole = true; e.finishLoading() }, "%s claims the role and keeps the old one", e.name)
+		}
+	}
+	s.addCrashes(list, e)
+	if e.openRequests > 0 && !e.requestsStuck {
+		list.addNamed(noFault, func() { e.openRequests = 0 }, "open requests at %s end", e.name)
+		list.addNamed(FaultSilent, func() { e.requestsStuck = true }, "open requests at %s do not end", e.name)
+	}
+}
+
+func (s *plannerSimulation) addCrashes(list *eventList, e *simulatedEngine) {
+	if e.loading {
+		list.addNamed(FaultRestart, func() { e.lost = false; e.finishLoading(); e.incarnation++ },
+			"%s crashes and restarts in the role that it was loading", e.name)
+	} else if record, ok := s.stored[e.name]; ok && record.State != assignment.Serving {
+		list.addNamed(FaultRestart, func() { e.incarnation++; e.draining, e.openRequests = false, 0 }, "%s crashes and restarts", e.name)
+	}
+	if e.epoch > 1 && !e.loading {
+		list.addNamed(FaultRestart, e.resetToFirstRole, "%s crashes and restarts in its first role, with all else forgotten", e.name)
+	}
+}
+
+func (s *plannerSimulation) addPlanEvents(list *eventList) {
+	for i := range s.edges {
+		if s.plan.Newer(s.edges[i]) {
+			list.addNamed(noFault, func() { s.edges[i] = s.plan }, "edge %d receives plan %d", i, s.plan.Number)
+		}
+	}
+}
+
+// addTick lets time pass where nothing else happens by itself.
+func (s *plannerSimulation) addTick(list *eventList) {
+	orderIsDue := func(o pendingOrder) bool { return o.delayedTicks <= 1 }
+	if slices.ContainsFunc(s.orders, orderIsDue) || len(s.trials) > 0 || slices.ContainsFunc(s.engines, (*simulatedEngine).isBusy) ||
+		s.edgeIsBehind() {
+		return
+	}
+	list.addNamed(noFault, func() {
+		requestedAt := s.now + 1
+		s.advance()
+		for _, engine := range s.engines {
+			s.sendReport(engine, requestedAt)
+		}
+		s.decide(assignment.Tick{})
+	}, "time passes and all engines are polled")
+}
+
+func (s *plannerSimulation) addOperatorStop(list *eventList) {
+	if s.meta.Stopped || s.stopped {
+		return
+	}
+	list.addNamed(FaultLeave, func() {
+		s.stopped = true
+		s.operate("stop", "")
+	}, "an operator stops all changes")
+}
+
+// addStaleAttempts lets an edge with an older plan send an attempt to an engine that drains.
+func (s *plannerSimulation) addStaleAttempts(list *eventList) {
+	for _, engine := range s.engines {
+		if s.stored[engine.name].State == assignment.Draining && engine.openRequests == 0 {
+			list.addNamed(FaultLate, func() {
+				if !engine.draining {
+					engine.openRequests = 1
+				}
+			}, "an attempt by an older plan is open at %s", engine.name)
+		}
+	}
+}
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -1,63 +1,67 @@
 package modelcheck
 
-import "slices"
+import (
+	"slices"
 
-// Worlds are those that are explored whole. Small ones run in CI.
+	"sandcourse/internal/config"
+)
+
+// Worlds are those that are explored exhaustively. Small ones run in CI.
 var Worlds = []World{
-	{Name: "one", About: "one non-retriable inference, one reader, one writer, any two faults",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 2},
-	{Name: "single", About: "one non-retriable inference, one reader, one writer, any one fault",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1},
-	{Name: "pair", About: "one non-retriable inference, two readers, two writers, any two faults",
-		PrefillEngines: 2, DecodeEngines: 2, Effects: []string{"non-retriable"}, Faults: 2},
-	{Name: "retriable", About: "one retriable inference, two readers, two writers, any two faults",
-		PrefillEngines: 2, DecodeEngines: 2, Effects: []string{"retriable"}, Faults: 2},
-	{Name: "deduped", About: "one deduped inference, two readers, two writers, any two faults",
-		PrefillEngines: 2, DecodeEngines: 2, Effects: []string{"deduped"}, Faults: 2},
-	{Name: "two", About: "two inferences, one reader, one writer, any one fault",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable", "retriable"}, Faults: 1},
-	{Name: "lines", About: "three inferences over few connections of one reader and one writer, no fault but resets",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"retriable", "retriable", "retriable"}, Faults: 1, ConnectionsPerEngine: 2,
-		FaultKinds: []string{"reset", "half"}},
-	{Name: "lines-garbled", About: "two inferences over one connection an engine, answers that are none",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"retriable", "retriable"}, Faults: 1, ConnectionsPerEngine: 1,
-		FaultKinds: []string{"garbled", "half"}},
-	{Name: "probes", About: "one non-retriable inference, one reader, two writers, load asked for, any two faults",
-		PrefillEngines: 1, DecodeEngines: 2, Effects: []string{"non-retriable"}, Faults: 2, HealthChecks: true},
-	{Name: "limit", About: "two inferences at a node that takes one at once, any one fault",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable", "retriable"}, Faults: 1, MaxOpenRequests: 1},
-	{Name: "nodes-two", About: "two nodes, one inference each, one reader, one writer, any one fault",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1, Routers: 2},
-	{Name: "nodes-news", About: "two nodes that hear of drains and restarts at different times, two such faults",
-		PrefillEngines: 1, DecodeEngines: 2, Effects: []string{"non-retriable"}, Faults: 2, Routers: 2, FaultKinds: []string{"drain", "restart"}},
-	{Name: "roles-one", About: "planner, two readers and two writers, one move, any one fault",
+	{Name: "one", About: "one non-retriable request, one prefill engine, one decode engine, any two faults",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 2},
+	{Name: "single", About: "one non-retriable request, one prefill engine, one decode engine, any one fault",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1},
+	{Name: "pair", About: "one non-retriable request, two prefill and two decode engines, any two faults",
+		PrefillEngines: 2, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 2},
+	{Name: "retriable", About: "one retriable request, two prefill and two decode engines, any two faults",
+		PrefillEngines: 2, DecodeEngines: 2, Effects: []config.Effect{config.EffectRetriable}, Faults: 2},
+	{Name: "deduped", About: "one deduped request, two prefill and two decode engines, any two faults",
+		PrefillEngines: 2, DecodeEngines: 2, Effects: []config.Effect{config.EffectDeduped}, Faults: 2},
+	{Name: "two", About: "two requests, one prefill engine, one decode engine, any one fault",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable, config.EffectRetriable}, Faults: 1},
+	{Name: "lines", About: "three requests over few connections of one prefill and one decode engine, no fault but resets",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectRetriable, config.EffectRetriable, config.EffectRetriable}, Faults: 1, ConnectionsPerEngine: 2,
+		FaultKinds: []FaultKind{FaultReset, FaultHalf}},
+	{Name: "lines-garbled", About: "two requests over one connection for each engine, malformed responses",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectRetriable, config.EffectRetriable}, Faults: 1, ConnectionsPerEngine: 1,
+		FaultKinds: []FaultKind{FaultGarbled, FaultHalf}},
+	{Name: "probes", About: "one non-retriable request, one prefill engine, two decode engines, load polled, any two faults",
+		PrefillEngines: 1, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 2, HealthChecks: true},
+	{Name: "limit", About: "two requests at a router that admits one at once, any one fault",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable, config.EffectRetriable}, Faults: 1, MaxOpenRequests: 1},
+	{Name: "nodes-two", About: "two routers, one request each, one prefill engine, one decode engine, any one fault",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2},
+	{Name: "nodes-news", About: "two routers that learn of drains and restarts at different times, two such faults",
+		PrefillEngines: 1, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 2, Routers: 2, FaultKinds: []FaultKind{FaultDrain, FaultRestart}},
+	{Name: "roles-one", About: "planner, two prefill and two decode engines, one role change, any one fault",
 		PrefillEngines: 2, DecodeEngines: 2, Faults: 1, Routers: 1, RoleChanges: true},
 	{Name: "roles", About: "the same, any two faults", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 1, RoleChanges: true},
-	{Name: "roles-last", About: "one reader and one writer, which no change may take", PrefillEngines: 1, DecodeEngines: 1, Faults: 1, Routers: 1,
+	{Name: "roles-last", About: "one prefill and one decode engine, which no role change may take", PrefillEngines: 1, DecodeEngines: 1, Faults: 1, Routers: 1,
 		RoleChanges: true},
-	{Name: "roles-edges", About: "the same with two edges, kills and lost or late orders", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 2,
-		RoleChanges: true, FaultKinds: []string{"kill", "late", "reset"}},
-	{Name: "pair-three", About: "one non-retriable inference, two readers, two writers, any three faults (minutes)",
-		PrefillEngines: 2, DecodeEngines: 2, Effects: []string{"non-retriable"}, Faults: 3},
-	{Name: "two-two", About: "two inferences, one reader, one writer, any two faults (minutes)",
-		PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable", "retriable"}, Faults: 2},
+	{Name: "roles-edges", About: "the same with two edges, kills and lost or delayed orders", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 2,
+		RoleChanges: true, FaultKinds: []FaultKind{FaultKill, FaultLate, FaultReset}},
+	{Name: "pair-three", About: "one non-retriable request, two prefill and two decode engines, any three faults (minutes)",
+		PrefillEngines: 2, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 3},
+	{Name: "two-two", About: "two requests, one prefill engine, one decode engine, any two faults (minutes)",
+		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable, config.EffectRetriable}, Faults: 2},
 }
 
 // LargeWorlds are walked at random.
 var LargeWorlds = []World{
-	{Name: "swarm-mixed", About: "six inferences of all effects, four readers, four writers, ten faults", PrefillEngines: 4, DecodeEngines: 4,
-		Effects: []string{"non-retriable", "retriable", "deduped", "non-retriable", "retriable", "non-retriable"}, Faults: 10},
-	{Name: "swarm-narrow", About: "five inferences on one reader and two writers, two connections each, eight faults", PrefillEngines: 1,
-		DecodeEngines: 2, Effects: []string{"non-retriable", "non-retriable", "retriable", "deduped", "retriable"}, Faults: 8, ConnectionsPerEngine: 2},
+	{Name: "swarm-mixed", About: "six requests of all effects, four prefill and four decode engines, ten faults", PrefillEngines: 4, DecodeEngines: 4,
+		Effects: []config.Effect{config.EffectNonRetriable, config.EffectRetriable, config.EffectDeduped, config.EffectNonRetriable, config.EffectRetriable, config.EffectNonRetriable}, Faults: 10},
+	{Name: "swarm-narrow", About: "five requests on one prefill and two decode engines, two connections each, eight faults", PrefillEngines: 1,
+		DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable, config.EffectNonRetriable, config.EffectRetriable, config.EffectDeduped, config.EffectRetriable}, Faults: 8, ConnectionsPerEngine: 2},
 }
 
 // CrowdWorlds are many nodes, for what they do together.
 var CrowdWorlds = []World{
-	{Name: "crowd-300", About: "300 nodes, steady arrivals, engines restart cold: the budget of all together", PrefillEngines: 4,
-		DecodeEngines: 4, Effects: []string{}, Routers: 300, Crowd: true},
-	{Name: "crowd-30", About: "30 nodes, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []string{}, Routers: 30, Crowd: true},
-	{Name: "crowd-3", About: "three nodes, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []string{}, Routers: 3, Crowd: true},
-	{Name: "crowd-1", About: "one node, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []string{}, Routers: 1, Crowd: true},
+	{Name: "crowd-300", About: "300 routers, steady arrivals, engines restart and warm up: the budget of all together", PrefillEngines: 4,
+		DecodeEngines: 4, Effects: []config.Effect{}, Routers: 300, Crowd: true},
+	{Name: "crowd-30", About: "30 routers, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []config.Effect{}, Routers: 30, Crowd: true},
+	{Name: "crowd-3", About: "three routers, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []config.Effect{}, Routers: 3, Crowd: true},
+	{Name: "crowd-1", About: "one router, as above", PrefillEngines: 3, DecodeEngines: 3, Effects: []config.Effect{}, Routers: 1, Crowd: true},
 }
 
 // FindWorld is a world by name.
--- a/internal/replay/puppet_test.go
+++ b/internal/replay/replay_test.go
@@ -3,13 +3,15 @@
 import (
 	"testing"
 
+	"sandcourse/internal/config"
 	"sandcourse/internal/modelcheck"
 )
 
-// Random paths of the smallest world, without the faults that sockets can't play, end alike on sockets.
+// The shortest paths of the smallest world, without the faults that sockets cannot replay, have the same outcome on sockets.
 func TestPathsHaveSameOutcomeOnSockets(t *testing.T) {
-	w := modelcheck.World{Name: "small", PrefillEngines: 1, DecodeEngines: 1, Effects: []string{"non-retriable"}, Faults: 1,
-		FaultKinds: []string{"reset", "half", "full", "error", "no-state"}}
+	w := modelcheck.World{Name: "small", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
+		FaultKinds: []modelcheck.FaultKind{modelcheck.FaultReset, modelcheck.FaultHalf, modelcheck.FaultFull, modelcheck.FaultError,
+			modelcheck.FaultNoReservation}}
 	paths := modelcheck.ShortestEndPaths(w, 40)
 	if len(paths) < 5 {
 		t.Fatalf("only %d paths", len(paths))
