--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -1,9 +1,10 @@
-// Command drill runs brains on the simulator's wire: one line of events in, one line of actions out.
+// Command sandcourse-sim runs routing policies in the simulator: one line of events in, one line of actions out.
 package main
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,66 +14,89 @@
 	"sandcourse/internal/simproto"
 )
 
+const (
+	program         = "sandcourse-sim"
+	inputBufferSize = 1 << 20
+)
+
+// errNotCreated is an event of a node that was never created.
+var errNotCreated = errors.New("was never created")
+
 func main() {
 	if err := run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		os.Exit(1)
 	}
 }
 
+// run answers each line of the input until its end.
 func run(in io.Reader, out, log io.Writer) error {
-	reader := bufio.NewReaderSize(in, 1<<20)
-	policies := map[string]*routing.Policy{} // nil: created once, down now
+	input := bufio.NewReaderSize(in, inputBufferSize)
+	nodes := fleet{}
 	for lineNumber := 1; ; lineNumber++ {
-		line, err := reader.ReadBytes('\n')
+		line, err := input.ReadBytes('\n')
 		if err == io.EOF && len(line) == 0 {
 			return nil
 		}
 		if err != nil && err != io.EOF {
 			return err
 		}
-		reply, err := handleBatch(line, policies, func(text string) { fmt.Fprintf(log, "drill: line %d: %s\n", lineNumber, text) })
+		reply, unknown, err := nodes.handleBatch(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
+		for _, eventType := range unknown {
+			fmt.Fprintf(log, "%s: unknown event ignored: line=%d type=%q\n", program, lineNumber, eventType)
+		}
 		if _, err := out.Write(append(reply, '\n')); err != nil {
 			return err
 		}
 	}
 }
 
-func handleBatch(line []byte, policies map[string]*routing.Policy, warn func(string)) ([]byte, error) {
+// fleet is the policy of each node that was created; nil while the node is down.
+type fleet map[string]*routing.Policy
+
+// reply is the answer to a batch.
+type reply struct {
+	Actions []simproto.Action `json:"out"`
+}
+
+// handleBatch answers one batch, and returns the types of events that it does not know.
+func (f fleet) handleBatch(line []byte) (answer []byte, unknown []string, err error) {
 	now, events, err := simproto.Decode(line)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
 	actions := []simproto.Action{}
 	for i, event := range events {
-		policy, created := policies[event.Node]
+		policy, created := f[event.Node]
 		switch {
 		case event.Create != nil:
-			policies[event.Node] = routing.New(event.Create.Seed, event.Create.Config)
+			f[event.Node] = routing.New(event.Create.Seed, event.Create.Config)
 		case event.Unknown != "":
-			warn(fmt.Sprintf("event %d: unknown event %q passed over", i, event.Unknown))
+			unknown = append(unknown, event.Unknown)
 		case !created:
-			return nil, fmt.Errorf("event %d: field i: %q was never created", i, event.Node)
+			return nil, nil, fmt.Errorf("event %d: field i: %q %w", i, event.Node, errNotCreated)
 		case event.Down:
-			policies[event.Node] = nil
+			f[event.Node] = nil
 		case policy != nil:
-			actions = append(actions, stepPolicy(policy, event.Node, now, event.Payload)...)
+			actions = append(actions, step(policy, event.Node, now, event.Payload)...)
 		}
 	}
-	return json.Marshal(map[string][]simproto.Action{"out": actions})
+	answer, err = json.Marshal(reply{actions})
+	return answer, unknown, err
 }
 
-func stepPolicy(policy *routing.Policy, name string, now time.Duration, event routing.Event) (actions []simproto.Action) {
+// step is one step of a node's policy. A panic ends the node, not the program.
+func step(policy *routing.Policy, node string, now time.Duration, event routing.Event) (actions []simproto.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			actions = []simproto.Action{simproto.NodeFailed(name, fmt.Sprint(p))}
+		if reason := recover(); reason != nil {
+			actions = []simproto.Action{simproto.NodeFailed(node, fmt.Sprint(reason))}
 		}
 	}()
 	for _, action := range policy.Step(now, event) {
-		actions = append(actions, simproto.Encode(name, action))
+		actions = append(actions, simproto.Encode(node, action))
 	}
 	return actions
 }
--- a/internal/config/facts.go
+++ b/internal/config/routing.go
@@ -25,6 +25,7 @@
 	return c
 }
 
+// platformOrScriptConfig is the configuration as the platform gave it, or else as the script comes to.
 func (d *Deployment) platformOrScriptConfig() routing.Config {
 	if d.PlatformRouting != nil {
 		c := *d.PlatformRouting
@@ -59,8 +60,8 @@
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
-// EndpointUpdate turns a list into what the module hears. Entries of a kind that the settings do not name are
-// returned by id: they can't be sent to.
+// EndpointUpdate turns an endpoint list into the event that routing decisions learn it by. Entries of a kind that the
+// settings do not name cannot be sent to; their IDs are returned.
 func (d *Deployment) EndpointUpdate(list endpoint.List) (update routing.EndpointUpdate, unknown []string) {
 	update.Complete = true
 	for _, e := range list.Entries {
@@ -70,13 +71,14 @@
 			continue
 		}
 		update.Engines = append(update.Engines, routing.Endpoint{Engine: e.ID, Weight: e.Weight, Kind: kind,
-			Zone: d.zoneIndex(e.Zone), Cell: placeID(e.Zone + "/" + e.Cell), StartedAt: time.Duration(e.StartedAtMs) * time.Millisecond,
-			Ready: e.State == endpoint.Ready, Draining: e.State == endpoint.Draining})
+			Zone: d.zoneIndex(e.Zone), Cell: placeID(e.Zone + "/" + e.Cell),
+			StartedAt: time.Duration(e.StartedAtMs) * time.Millisecond,
+			Ready:     e.State == endpoint.Ready, Draining: e.State == endpoint.Draining})
 	}
 	return update, unknown
 }
 
-// zoneIndex is the zone's place in the settings, or a number of its own.
+// zoneIndex is the zone's index in the settings, or the number that its name gives.
 func (d *Deployment) zoneIndex(zone string) int {
 	if i := slices.Index(d.zones(), zone); i >= 0 {
 		return i
@@ -84,12 +86,11 @@
 	return placeID(zone)
 }
 
-// placeID is the same for a name in every list. Were places counted list by list, an engine that has left
-// would keep the number that now is another place's, and a repeat could go to a cell that knows nothing of
-// the first try.
+// placeID numbers a zone or cell by its name, so that it has the same number in every list. Numbers in the order of a
+// list would change with it, and a retry could go to a cell that does not know the first attempt.
 func placeID(name string) int { return int(xxhash.Sum64String(name) >> 1) }
 
-// zones are those that have given numbers, or the node's own.
+// zones are the numbered zones, or else the node's own.
 func (d *Deployment) zones() []string {
 	if len(d.Zones) > 0 {
 		return slices.Clone(d.Zones)
@@ -97,14 +98,15 @@
 	return []string{d.Zone}
 }
 
+// indexOf is 0 for a name that is not among them.
 func indexOf(names []string, name string) int { return max(0, slices.Index(names, name)) }
 
-// Route finds a model route by name; -1 for none.
+// Route is the index of a model route by name; -1 if there is none.
 func (d *Deployment) Route(name string) int {
 	return slices.IndexFunc(d.Routes, func(t Route) bool { return t.Name == name })
 }
 
-// Role is what a kind of engine does; empty for a kind that is not known.
+// Role is the role of a kind of engine; empty for a kind that is not known.
 func (d *Deployment) Role(kind string) Role {
 	if i := slices.IndexFunc(d.Kinds, func(k EngineKind) bool { return k.Name == kind }); i >= 0 {
 		return d.Kinds[i].Role
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -58,7 +58,7 @@
 	{"what may have run is shed", "internal/routing/retry.go", "if mayShed || !ran {", "if true || mayShed || !ran {", "one", "P3"},
 	{"no timer for the end", "internal/routing/policy.go", "p.startTimer(req.RequestID, deadlineNear,", "p.startTimer(req.RequestID, noTrigger,", "one", "P4 P9 P10"},
 	{"the end comes late", "internal/routing/retry.go", "return 3 * p.config.Tick", "return -60 * p.config.Tick", "one", "P4 P5"},
-	{"states are kept past the pin limit", "internal/config/facts.go", "d.Rules.ReservationLimit * 5 / 8", "d.Rules.ReservationLimit * 4", "one", "P5"},
+	{"states are kept past the pin limit", "internal/config/routing.go", "d.Rules.ReservationLimit * 5 / 8", "d.Rules.ReservationLimit * 4", "one", "P5"},
 	{"what is held is not let go of at the end", "internal/routing/retry.go", "\tp.act(Release{req.RequestID})\n\treturn noTrigger", "\treturn noTrigger", "one", "P5 P9 P10"},
 	{"every node has a lot", "internal/routing/slowstart.go", "math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5", "first+rest >= 0", "crowd-300", "P14"},
 	{"the cold budget is six times as large", "internal/routing/slowstart.go", "places := 1.2 *", "places := 6 * 1.2 *", "crowd-300", "P14"},
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 )
 
@@ -20,14 +21,9 @@
 
 func (e Effect) String() string { return effectNames[e] }
 
-// ParseEffect reads an effect by its word in the settings.
+// ParseEffect reads an effect by its word in the settings. The error, if any, is an UnknownWordError.
 func ParseEffect(word string) (Effect, error) {
-	for effect, name := range effectNames {
-		if name == word {
-			return Effect(effect), nil
-		}
-	}
-	return NonRetriable, fmt.Errorf("effect %q is none of %q", word, effectNames)
+	return parseWord[Effect]("effect", word, effectNames[:])
 }
 
 // DedupGroup is the set of engines that share the memory by which they drop a second run. The zero value is
@@ -47,14 +43,9 @@
 
 func (g DedupGroup) String() string { return dedupGroupNames[g] }
 
-// ParseDedupGroup reads a dedup group by its word in the settings.
+// ParseDedupGroup reads a dedup group by its word in the settings. The error, if any, is an UnknownWordError.
 func ParseDedupGroup(word string) (DedupGroup, error) {
-	for group, name := range dedupGroupNames {
-		if name == word {
-			return DedupGroup(group), nil
-		}
-	}
-	return DedupNone, fmt.Errorf("dedup group %q is none of %q", word, dedupGroupNames[DedupCell:])
+	return parseWord[DedupGroup]("dedup group", word, dedupGroupNames[:])
 }
 
 // Role is the stage of a request that a kind of engine runs. The zero value is both.
@@ -72,14 +63,26 @@
 
 func (r Role) String() string { return roleNames[r] }
 
-// ParseRole reads a role by its word in the settings.
-func ParseRole(word string) (Role, error) {
-	for role, name := range roleNames {
-		if name == word {
-			return Role(role), nil
-		}
+// ParseRole reads a role by its word in the settings. The error, if any, is an UnknownWordError.
+func ParseRole(word string) (Role, error) { return parseWord[Role]("role", word, roleNames[:]) }
+
+// UnknownWordError is a word of the settings that is none of those that are allowed.
+type UnknownWordError struct {
+	Setting, Word string
+	Allowed       []string
+}
+
+func (e *UnknownWordError) Error() string {
+	return fmt.Sprintf("%s %q is none of %q", e.Setting, e.Word, e.Allowed)
+}
+
+// parseWord is the index of a word among those that are allowed; 0 if it is none of them.
+func parseWord[T ~uint8](setting, word string, allowed []string) (T, error) {
+	i := slices.Index(allowed, word)
+	if i < 0 {
+		return 0, &UnknownWordError{setting, word, allowed}
 	}
-	return Mixed, fmt.Errorf("role %q is none of %q", word, roleNames)
+	return T(i), nil
 }
 
 // Route is what the decisions need to know of a model route.
--- /dev/null
+++ b/internal/routing/config_test.go
@@ -0,0 +1,43 @@
+package routing
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestWordsOfSettingsAreReadBack(t *testing.T) {
+	for i := range effectNames {
+		if effect, err := ParseEffect(Effect(i).String()); err != nil || effect != Effect(i) {
+			t.Errorf("%q is read as %q: %v", Effect(i), effect, err)
+		}
+	}
+	for i := range dedupGroupNames {
+		if group, err := ParseDedupGroup(DedupGroup(i).String()); err != nil || group != DedupGroup(i) {
+			t.Errorf("%q is read as %q: %v", DedupGroup(i), group, err)
+		}
+	}
+	for i := range roleNames {
+		if role, err := ParseRole(Role(i).String()); err != nil || role != Role(i) {
+			t.Errorf("%q is read as %q: %v", Role(i), role, err)
+		}
+	}
+}
+
+func TestUnknownWordIsTheStrictestAndAnError(t *testing.T) {
+	effect, err := ParseEffect("Retriable")
+	unknown, ok := errors.AsType[*UnknownWordError](err)
+	if effect != NonRetriable || !ok || unknown.Word != "Retriable" || len(unknown.Allowed) != len(effectNames) {
+		t.Errorf("%v, %v", effect, err)
+	}
+	if group, err := ParseDedupGroup("town"); group != DedupNone || err == nil {
+		t.Errorf("%v, %v", group, err)
+	}
+}
+
+// Routes and kinds that the settings do not name have the defaults of settings that name nothing.
+func TestUnnamedRoutesAndKindsHaveDefaults(t *testing.T) {
+	c := DefaultConfig()
+	if c.route(0) != DefaultRoute() || c.route(-1) != DefaultRoute() || c.kind(3) != (EngineKind{}) {
+		t.Errorf("%+v, %+v", c.route(0), c.kind(3))
+	}
+}
