--- a/internal/planner/assignment/actions.go
+++ b/internal/planner/assignment/actions.go
@@ -1,6 +1,10 @@
 package assignment
 
-import "sandcourse/internal/planner/planapi"
+import (
+	"time"
+
+	"sandcourse/internal/planner/planapi"
+)
 
 // Action is an output of Controller.Step. Actions must be carried out in order.
 type Action interface{ isAction() }
@@ -30,15 +34,35 @@
 	Number int64
 }
 
-// NotifyOperators is a message for the log.
-type NotifyOperators struct{ Text string }
+// EngineQuarantined notifies operators that an engine is out of the plan. It is ordered back into its last role
+// after RetryAfter, or when an operator readmits it.
+type EngineQuarantined struct {
+	Engine     string
+	Fault      string
+	RetryAfter time.Duration
+}
+
+// DrainTimedOut notifies operators that an engine keeps its role, as its requests in flight did not end in time.
+type DrainTimedOut struct {
+	Engine  string
+	Timeout time.Duration
+}
+
+// LaterTermFollowed notifies operators that an engine follows a planner of a later term than this one's.
+type LaterTermFollowed struct {
+	Engine  string
+	Term    int64
+	OwnTerm int64
+}
 
 // StepDown says that a planner of a later term is active: this one sends orders and trials no more.
 type StepDown struct{ Term int64 }
 
-func (Persist) isAction()         {}
-func (PublishPlan) isAction()     {}
-func (SendRoleOrder) isAction()   {}
-func (StartTrial) isAction()      {}
-func (NotifyOperators) isAction() {}
-func (StepDown) isAction()        {}
+func (Persist) isAction()           {}
+func (PublishPlan) isAction()       {}
+func (SendRoleOrder) isAction()     {}
+func (StartTrial) isAction()        {}
+func (EngineQuarantined) isAction() {}
+func (DrainTimedOut) isAction()     {}
+func (LaterTermFollowed) isAction() {}
+func (StepDown) isAction()          {}
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -172,8 +172,7 @@
 	}
 	switch engine.State {
 	case Draining:
-		c.output.add(NotifyOperators{fmt.Sprintf("%s did not empty within %v: it stays in its role",
-			engine.Engine, timeout)})
+		c.output.add(DrainTimedOut{Engine: engine.Engine, Timeout: timeout})
 	case RollingBack:
 		engine.fault = fmt.Sprintf("it did not come back within %v", timeout)
 	case InTrial:
--- a/internal/planner/assignment/report.go
+++ b/internal/planner/assignment/report.go
@@ -35,8 +35,8 @@
 // stepDown ends the work of a controller when an engine follows a planner of a later term.
 func (c *Controller) stepDown(report planapi.EngineReport) {
 	c.steppedDown = true
-	c.output.add(StepDown{report.Term}, NotifyOperators{fmt.Sprintf(
-		"%s follows a planner of term %d, this one has %d: it stops", report.Engine, report.Term, c.term)})
+	c.output.add(StepDown{report.Term},
+		LaterTermFollowed{Engine: report.Engine, Term: report.Term, OwnTerm: c.term})
 }
 
 // acceptReportedRole takes the role that an engine reports, for a planner that has no record of it.
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -166,9 +166,7 @@
 func (c *Controller) quarantine(engine *engineRecord) {
 	engine.quarantineCount++
 	c.output.publishPending = true
-	c.output.add(NotifyOperators{fmt.Sprintf(
-		"%s is set aside: %s; it is asked again after %v, or by an operator's readmit",
-		engine.Engine, engine.fault, c.quarantineDuration(engine))})
+	c.output.add(EngineQuarantined{Engine: engine.Engine, Fault: engine.fault, RetryAfter: c.quarantineDuration(engine)})
 }
 
 // maxQuarantineDoublings limits the backoff of retries to sixteen times the cooldown.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -212,8 +212,14 @@
 		if !p.saver.failing {
 			p.tasks.Go(func() { p.handle(p.trialResult(action)) })
 		}
-	case assignment.NotifyOperators:
-		p.log.Warn("role assignment needs attention", zap.String("notice", action.Text))
+	case assignment.EngineQuarantined:
+		p.log.Warn("engine quarantined", zap.String("engine", action.Engine), zap.String("fault", action.Fault),
+			zap.Duration("retry_after", action.RetryAfter))
+	case assignment.DrainTimedOut:
+		p.log.Warn("drain timed out", zap.String("engine", action.Engine), zap.Duration("timeout", action.Timeout))
+	case assignment.LaterTermFollowed:
+		p.log.Warn("engine follows a later planner", zap.String("engine", action.Engine),
+			zap.Int64("term", action.Term), zap.Int64("own_term", action.OwnTerm))
 	case assignment.StepDown:
 		p.log.Error("planner deposed", zap.Int64("by_term", action.Term))
 		p.stream.close()
