--- a/internal/routing/open_test.go
+++ b/internal/routing/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkArrivalAmongOpenStreams is one inference from arrival to its end while many others stream.
+// BenchmarkArrivalAmongOpenStreams is one request from arrival to its end while many others stream.
 func BenchmarkArrivalAmongOpenStreams(b *testing.B) {
 	for _, open := range []int{100, 5000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
@@ -23,13 +23,13 @@
 			now := time.Second
 			br.Step(now, news)
 			id := int64(0)
-			sendOf := func(effects []Action) string {
-				for _, e := range effects {
+			sendOf := func(actions []Action) string {
+				for _, e := range actions {
 					if s, ok := e.(Send); ok {
 						return s.Engine
 					}
 				}
-				b.Fatalf("no send in %v", effects)
+				b.Fatalf("no attempt in %v", actions)
 				return ""
 			}
 			begin := func() (int64, string) {
--- a/internal/routing/rules_test.go
+++ b/internal/routing/simulation_test.go
@@ -19,10 +19,14 @@
 
 const ms = time.Millisecond
 
-// requestRecord is the test's own account of one inference: what is out and held, and how it was answered.
+// simulationStart is when simulated nodes start.
+const simulationStart = 1000 * time.Second
+
+// requestRecord is the test's own record of one request: what is in flight and reserved, and how it was
+// answered.
 type requestRecord struct {
 	RequestArrived
-	inFlight      []int // numbers of sends that are out
+	inFlight      []int // indices of attempts
 	engines       []string
 	sentAt        []time.Duration
 	ran           []bool // may have run, so far as told
@@ -34,7 +38,7 @@
 	answer        string
 }
 
-// simulation feeds random events to one brain and keeps its own account of the five rules.
+// simulation feeds random events to one policy and checks the five rules by its own record.
 type simulation struct {
 	t             *rapid.T
 	policy        *Policy
@@ -50,7 +54,8 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	config := DefaultConfig()
-	config.MaxAttempts, config.Cancel, config.Tick, config.Nodes = rapid.IntRange(2, 6).Draw(t, "sends"), true, 4*time.Millisecond, 3
+	config.MaxAttempts = rapid.IntRange(2, 6).Draw(t, "attempts")
+	config.Cancel, config.Tick, config.Nodes = true, 4*time.Millisecond, 3
 	config.SuggestRetryAfter, config.MaxRetryAfter = true, time.Second
 	config.SetReservationLimit(300 * time.Millisecond)
 	config.SlowStart = SlowStart{Duration: 10 * time.Second, Window: time.Second, Share: 0.25, Multiple: 3}
@@ -60,15 +65,16 @@
 		config.Routes = append(config.Routes, Route{Effect: effect, DedupWindow: 2 * time.Second, DedupGroup: group,
 			FirstTokenObjective: time.Second, PriorityWeight: float64(i + 1)})
 	}
-	w := &simulation{t: t, policy: New(7, config), config: config, now: 1e12, requests: map[int64]*requestRecord{},
-		engines: map[string]Endpoint{}, timers: map[time.Duration][]int64{}, sentWarmingUp: map[string][]time.Duration{}, sentTo: map[string][]time.Duration{}}
+	w := &simulation{t: t, policy: New(7, config), config: config, now: simulationStart, requests: map[int64]*requestRecord{},
+		engines: map[string]Endpoint{}, timers: map[time.Duration][]int64{},
+		sentWarmingUp: map[string][]time.Duration{}, sentTo: map[string][]time.Duration{}}
 	w.updateEndpoints()
 	return w
 }
 
-func (w *simulation) step(in Event) {
-	for _, effect := range w.policy.Step(w.now, in) {
-		w.apply(effect)
+func (w *simulation) step(event Event) {
+	for _, action := range w.policy.Step(w.now, event) {
+		w.apply(action)
 	}
 	w.checkReservations()
 }
@@ -77,8 +83,8 @@
 	w.t.Fatalf("rule %s: %s", rule, fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) apply(effect Action) {
-	switch e := effect.(type) {
+func (w *simulation) apply(action Action) {
+	switch e := action.(type) {
 	case Send:
 		w.send(e)
 	case Shed:
@@ -96,54 +102,71 @@
 }
 
 func (w *simulation) send(e Send) {
-	a, eng := w.requests[e.RequestID], w.engines[e.Engine]
+	req, engine := w.requests[e.RequestID], w.engines[e.Engine]
 	switch {
-	case a == nil || a.ended:
+	case req == nil || req.ended:
 		w.fail("1", "%d was sent after its end", e.RequestID)
-	case len(a.inFlight) > 0:
-		w.fail("2", "%d has two sends out", e.RequestID)
-	case !eng.Ready:
+	case len(req.inFlight) > 0:
+		w.fail("2", "%d has two attempts in flight", e.RequestID)
+	case !engine.Ready:
 		w.fail("3", "%d was sent to %s, which is not ready", e.RequestID, e.Engine)
 	}
-	for i, ran := range a.ran {
-		first := w.engines[a.engines[i]]
-		group := w.config.Routes[a.Route].DedupGroup
-		inGroup := group == DedupAll || group == DedupZone && first.Zone == eng.Zone || group == DedupCell && first.Cell == eng.Cell
-		if ran && (a.Route == 2 || a.Route == 1 && (w.now-a.sentAt[i] > 2e9 || eng.Kind != 0 && !inGroup)) {
-			w.fail("2", "%d was sent again though it may have run", e.RequestID)
+	w.checkRetry(req, engine)
+	if engine.StartedAt > 0 && w.now-engine.StartedAt < w.config.SlowStart.Duration {
+		w.checkSlowStart(engine)
+	}
+	w.sentTo[e.Engine] = append(w.sentTo[e.Engine], w.now)
+	req.inFlight = append(req.inFlight, len(req.engines))
+	req.engines, req.sentAt = append(req.engines, e.Engine), append(req.sentAt, w.now)
+	req.decode = append(req.decode, engine.Kind != 0)
+	req.ran = append(req.ran, false)
+}
+
+// checkRetry fails if a request that may have run is sent again where its route does not allow it.
+func (w *simulation) checkRetry(req *requestRecord, engine Endpoint) {
+	route := w.config.Routes[req.Route]
+	for i, ran := range req.ran {
+		if !ran || route.Effect == Retriable {
+			continue
+		}
+		first, group := w.engines[req.engines[i]], route.DedupGroup
+		inGroup := group == DedupAll || group == DedupZone && first.Zone == engine.Zone ||
+			group == DedupCell && first.Cell == engine.Cell
+		late := w.now-req.sentAt[i] > route.DedupWindow
+		if route.Effect == NonRetriable || late || engine.Kind != 0 && !inGroup {
+			w.fail("2", "%d was sent again though it may have run", req.RequestID)
 		}
 	}
-	if eng.StartedAt > 0 && w.now-eng.StartedAt < 10e9 {
-		// A window holds 0.25 x 3 x 1 s of what an engine can do, which is what one was sent on average at
-		// least. One more is the lot of one of the three nodes.
-		recent, sent, like := 0, 0.0, 0.0
-		for _, at := range w.sentWarmingUp[e.Engine] {
-			if w.now-at < 1e9 {
-				recent++
-			}
+}
+
+// checkSlowStart fails if an engine that is warming up is sent too much. A window holds 0.25 x 3 x 1 s of
+// what an engine can do, which is what one was sent on average at least. One more is the lot of one of the
+// three nodes.
+func (w *simulation) checkSlowStart(engine Endpoint) {
+	recent, sent, alike := 0, 0.0, 0.0
+	for _, at := range w.sentWarmingUp[engine.Engine] {
+		if w.now-at < time.Second {
+			recent++
 		}
-		for id, other := range w.engines {
-			if other.Kind == eng.Kind {
-				if other.Ready {
-					like++
-				}
-				for _, at := range w.sentTo[id] {
-					if w.now-at < 20e9 {
-						sent++
-					}
-				}
-			}
+	}
+	for id, other := range w.engines {
+		if other.Kind != engine.Kind {
+			continue
 		}
-		budget := 0.75 * sent / max(1, like) * 1e9 / float64(min(20e9, max(1e9, w.now-1e12)))
-		if w.sentWarmingUp[e.Engine] = append(w.sentWarmingUp[e.Engine], w.now); recent > int(budget) {
-			w.fail("4", "%s is cold and got %d sends within a window", e.Engine, recent+1)
+		if other.Ready {
+			alike++
+		}
+		for _, at := range w.sentTo[id] {
+			if w.now-at < 20*time.Second {
+				sent++
+			}
 		}
 	}
-	w.sentTo[e.Engine] = append(w.sentTo[e.Engine], w.now)
-	a.inFlight = append(a.inFlight, len(a.engines))
-	a.engines, a.sentAt = append(a.engines, e.Engine), append(a.sentAt, w.now)
-	a.decode = append(a.decode, eng.Kind != 0)
-	a.ran = append(a.ran, false)
+	budget := 0.75 * sent / max(1, alike) * 1e9 / float64(min(20*time.Second, max(time.Second, w.now-simulationStart)))
+	w.sentWarmingUp[engine.Engine] = append(w.sentWarmingUp[engine.Engine], w.now)
+	if recent > int(budget) {
+		w.fail("4", "%s is warming up and got %d attempts within a window", engine.Engine, recent+1)
+	}
 }
 
 func (w *simulation) answer(req int64, how string) {
@@ -310,80 +333,3 @@
 		}
 	})
 }
-
-// All nodes together, from few to hundreds, by the test's own account of their sends.
-func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		nodes, readers := rapid.IntRange(1, 300).Draw(t, "nodes"), rapid.IntRange(3, 12).Draw(t, "readers")
-		config := newSimulation(t).config
-		config.Nodes, config.HealthChecks = nodes, rapid.Bool().Draw(t, "probes")
-		list := EndpointUpdate{Complete: true, Engines: []Endpoint{{Engine: "w", Weight: 1, Kind: 1, Ready: true}}}
-		for i := range readers {
-			list.Engines = append(list.Engines, Endpoint{Engine: fmt.Sprint("r", i), Weight: 1, Ready: true})
-		}
-		type event struct {
-			node int
-			at   time.Duration
-			in   Event
-		}
-		var due []event
-		policies, now := make([]*Policy, nodes), time.Duration(1e12)
-		for i := range policies {
-			config.Node = i
-			policies[i] = New(uint64(i), config)
-			policies[i].Step(now, list)
-		}
-		// A third of the readers restarts, or all of them, of which one is back before the others.
-		cold, toCold := max(1, readers/3), map[string][]time.Duration{}
-		if rapid.Bool().Draw(t, "all") {
-			cold = readers
-		}
-		for req := int64(1); now < 1e12+24e9; req++ {
-			now += time.Second / time.Duration(6*readers) // six a second for each reader
-			if back := time.Duration(1e12 + 20e9); now >= back && now < back+time.Second/time.Duration(6*readers) {
-				for i := range cold {
-					list.Engines[1+i].StartedAt = now
-					list.Engines[1+i].Ready, list.Engines[1+i].Removed = cold < readers || i == 0, cold == readers && i > 0
-				}
-				for _, b := range policies {
-					b.Step(now, list)
-				}
-			}
-			at := int(hash(fmt.Sprint(req)) % uint64(nodes))
-			due = append(due, event{at, now, RequestArrived{RequestID: req, Session: fmt.Sprint(req), PromptTokens: 2000, Deadline: now + 4000*ms}})
-			for k := 0; k < len(due); k++ {
-				if due[k].at > now {
-					continue
-				}
-				happens := due[k]
-				due, k = append(due[:k], due[k+1:]...), k-1
-				for _, effect := range policies[happens.node].Step(now, happens.in) {
-					switch e := effect.(type) {
-					case StartTimer:
-						if e.After < 100*ms {
-							due = append(due, event{happens.node, now + e.After, TimerFired{e.Token}})
-						}
-					case Send:
-						toCold[e.Engine] = append(toCold[e.Engine], now)
-						policies[happens.node].Step(now, Outcome{RequestID: e.RequestID, Engine: e.Engine, Verdict: PrefillDone})
-						policies[happens.node].Step(now, ClientDisconnected{e.RequestID})
-					}
-				}
-			}
-		}
-		for i := range cold {
-			row := toCold[fmt.Sprint("r", i)]
-			for j, at := range row {
-				n := 0
-				for _, other := range row[j:] {
-					if at > 1e12+20e9 && other-at < 1e9 {
-						n++
-					}
-				}
-				if n > 6 { // 0.25 x 3 x the 6 a second that one reader gets, and a third for chance
-					t.Fatalf("rule 4: r%d is cold and got %d sends of %d nodes within a window", i, n, nodes)
-				}
-			}
-		}
-	})
-}
