--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -1,70 +1,71 @@
 package router_test
 
 import (
-	"sandcourse/internal/invariant"
 	"strings"
 	"testing"
 	"time"
+
+	"sandcourse/internal/invariant"
 )
 
-// The time that an engine is told is what is left when it is told: where its connection was slow to come up, on the turn
-// from read to write, and on a further attempt. A line that took a quarter second to come up had its engine told as much
-// too much.
+// The timeout that an engine is told is what is left when the request is written: where its connection was slow to come up,
+// between prefill and decode, and for a retry. A connection that took a quarter second to come up once had its engine told
+// as much too much.
 func TestEngineGetsRemainingTimeout(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
 	b.request("a1", "chat")
 	expect := func(what string, s *fakeEngineSocket, left time.Duration) {
 		t.Helper()
-		rows := advertisedTimeouts(t, s)
-		if n := len(rows); n == 0 || rows[n-1] > left+10*time.Millisecond || rows[n-1] < left-100*time.Millisecond {
-			t.Errorf("%s: %v told, %v left", what, rows, left)
+		timeouts := advertisedTimeouts(t, s)
+		if n := len(timeouts); n == 0 || timeouts[n-1] > left+10*time.Millisecond || timeouts[n-1] < left-100*time.Millisecond {
+			t.Errorf("%s: told %v, %v left", what, timeouts, left)
 		}
 	}
 	b.pass(200 * time.Millisecond)
-	reader := b.connect()
-	expect("a connection that came up late", reader, 2800*time.Millisecond)
+	prefill := b.connect()
+	expect("a connection that came up late", prefill, 2800*time.Millisecond)
 	b.pass(300 * time.Millisecond)
-	b.answerPrefill(reader)
+	b.answerPrefill(prefill)
 	b.pass(100 * time.Millisecond)
-	writer := b.connect()
-	expect("the turn from read to write", writer, 2400*time.Millisecond)
+	decode := b.connect()
+	expect("a decode after its prefill", decode, 2400*time.Millisecond)
 	b.pass(100 * time.Millisecond)
-	b.answerFull(writer)
+	b.answerFull(decode)
 	b.pass(200 * time.Millisecond)
-	expect("a further attempt", b.connect(), 2100*time.Millisecond)
+	expect("a retry", b.connect(), 2100*time.Millisecond)
 }
 
-// A client that has gone is sent on nowhere: not while its line is dialled, nor between read and write, nor while
-// it waits for a writer. Its state is let go of all the same.
+// Nothing is forwarded for a client that has disconnected: not while a connection is dialed, nor between prefill and decode,
+// nor while the request waits for a decode engine. Its reservation is released all the same.
 func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	for _, route := range []string{"chat", "alert"} {
 		b := newUnacknowledgedTestbed(t)
-		c, _ := b.request("a1", route)
-		b.core.ClientDisconnected(c)
+		client, _ := b.request("a1", route)
+		b.core.ClientDisconnected(client)
 		b.connect()
 		b.pass(3 * time.Second)
 		if n := b.countPosts(); n != 0 {
-			t.Errorf("%s: %d sends for a client that left while its line was dialled", route, n)
+			t.Errorf("%s: %d attempts for a client that disconnected during the dial", route, n)
 		}
 
 		b = newUnacknowledgedTestbed(t)
-		c, _ = b.request("a2", route)
+		client, _ = b.request("a2", route)
 		s := b.connect()
-		b.core.ClientDisconnected(c)
+		b.core.ClientDisconnected(client)
 		b.answerPrefill(s)
 		b.pass(3 * time.Second)
 		if n := b.countPosts(); n != 1 {
-			t.Errorf("%s: %d sends, the read among them, for a client that left while it was read", route, n)
+			t.Errorf("%s: %d attempts, the prefill among them, for a client that disconnected during the prefill", route, n)
 		}
 
 		b = newUnacknowledgedTestbed(t)
-		b.setEndpoints("r") // no writer is there
-		c, _ = b.request("a3", route)
+		b.setEndpoints("r") // no decode engine is there
+		client, _ = b.request("a3", route)
 		s = b.connect()
 		b.answerPrefill(s)
 		b.pass(50 * time.Millisecond)
-		b.core.ClientDisconnected(c)
+		b.core.ClientDisconnected(client)
 		b.setEndpoints("r", "w")
 		b.pass(3 * time.Second)
 		released := false
@@ -75,25 +76,23 @@
 			released = released || strings.Contains(s.written.String(), "DELETE /v1/holds/a3")
 		}
 		if n := b.countPosts(); n != 1 || !released {
-			t.Errorf("%s: %d sends, state let go of: %v, for a client that left while it waited", route, n, released)
+			t.Errorf("%s: %d attempts, released: %v, for a client that disconnected while its request waited", route, n, released)
 		}
 	}
 }
 
-// testbedAfterLostDecode is a bench on which a deduplicated request was written to a writer, whose connection then broke.
+// testbedAfterLostDecode is one where a deduplicated request was written to a decode engine whose connection then broke.
 func testbedAfterLostDecode(t *testing.T) *testbed {
 	b := newTestbed(t)
 	b.request("a1", "label")
 	b.answerPrefill(b.connect())
-	writer := b.connect()
-	b.core.SetTime(b.now)
-	b.core.EngineDisconnected(writer.conn)
-	b.core.RunDue(b.now)
+	decode := b.connect()
+	b.do(func() { b.core.EngineDisconnected(decode.conn) })
 	return b
 }
 
-// Found by random settings: a class is deduplicated for a time, and the window passed while the connection of the second
-// attempt came up. It is looked at again before the first byte.
+// Found by random settings: the deduplication window of a class passed while the connection of the second attempt came up. It
+// is checked again before the first byte.
 func TestDedupWindowExpiresWhileDialing(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
@@ -101,7 +100,7 @@
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		want := 3 // a read and two writes, the second within the window of 300 ms
+		want := 3 // a prefill and two decodes, the second within the window of 300 ms
 		if after > 300*time.Millisecond {
 			want = 2
 		}
@@ -111,48 +110,48 @@
 	}
 }
 
-// A process that is not run for a while finds requests that have waited for it: their time began when they came.
+// A process that did not run for a while finds requests that have waited for it: their timeouts began when they came.
 func TestDeadlineCountsTimeWaitedForTheProcess(t *testing.T) {
 	b := newTestbed(t)
-	looked := b.now
+	lastLook := b.now
 	b.now += int64(600 * time.Millisecond)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(looked)
+	b.core.SetEarliestEventTime(lastLook)
 	b.request("a1", "chat")
-	if rows := advertisedTimeouts(t, b.connect()); len(rows) != 1 || rows[0] > 2400*time.Millisecond {
-		t.Errorf("an engine is told %v of 3 s, 0.6 of which may have passed", rows)
+	if timeouts := advertisedTimeouts(t, b.connect()); len(timeouts) != 1 || timeouts[0] > 2400*time.Millisecond {
+		t.Errorf("an engine is told %v of 3 s, of which 0.6 s may have passed", timeouts)
 	}
 }
 
-// A node may be held up for 0.15 s between its look at the clock and the arrival of what it writes. Engines forget a first
-// attempt at the end of the window, so a repeat must not be written in the last of it.
+// A router may be delayed for 0.15 s between its look at the clock and the arrival of what it writes. Engines forget a first
+// attempt at the end of the deduplication window, so a retry must not be written in the last of it.
 func TestDedupWindowAllowsForADelayedRouter(t *testing.T) {
-	for _, held := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
+	for _, delay := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
-		b.pass(held)
+		b.pass(delay)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
 		if n := b.countPosts(); n != 2 {
-			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, held)
+			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, delay)
 		}
 	}
 }
 
-// A process that was not run for longer than a client waits answers at once, and sends nothing on.
+// A process that did not run for longer than a client waits answers at once, and forwards nothing.
 func TestRequestThatOutwaitedItsClient(t *testing.T) {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.LateAnswer // by the process that was not run
-	looked := b.now
+	b.expectedViolation = invariant.LateAnswer // by the process that did not run
+	lastLook := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(looked)
+	b.core.SetEarliestEventTime(lastLook)
 	_, out := b.request("a1", "alert")
 	b.pass(100 * time.Millisecond)
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	if rows := responseStatuses(t, out); len(rows) != 1 || b.countPosts() != 0 {
-		t.Errorf("answers %v, %d attempts, for a request whose time was over when it was read", rows, b.countPosts())
+	if statuses := responseStatuses(t, out); len(statuses) != 1 || b.countPosts() != 0 {
+		t.Errorf("answers %v, %d attempts, for a request whose deadline had passed when it was read", statuses, b.countPosts())
 	}
 }
--- a/internal/router/client_connections_test.go
+++ b/internal/router/client_connections_test.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"io"
 	"net/http"
-	"sandcourse/internal/admission"
-	"sandcourse/internal/router"
 	"slices"
 	"testing"
 	"time"
+
+	"sandcourse/internal/admission"
+	"sandcourse/internal/router"
 )
 
 // Connections that are due to be closed at the same time are closed in the order of their IDs: the order of a map would
@@ -29,25 +30,25 @@
 	}
 }
 
-// Where a node has all the connections that it may, and where it holds too many bytes, it says so: a request that is on
-// its way on the connection is owed an answer.
+// Connections over the limit, and those whose partial requests are too large, get an answer: a request that is on its way on
+// the connection needs one.
 func TestExcessConnectionsAreAnswered(t *testing.T) {
 	b := newTestbed(t)
 	var last *fakeClientSocket
 	for i := range 600 { // more than 46 of a hundred of 1,024 descriptors
 		_, last = b.request(fmt.Sprint("a", i), "chat")
 	}
-	if rows := responseStatuses(t, last); len(rows) != 1 || rows[0] != http.StatusServiceUnavailable {
-		t.Errorf("one connection more than there may be: %v", rows)
+	if statuses := responseStatuses(t, last); len(statuses) != 1 || statuses[0] != http.StatusServiceUnavailable {
+		t.Errorf("one connection over the limit: %v", statuses)
 	}
 	b = newTestbed(t)
 	out := &fakeClientSocket{}
-	c := &router.ClientConnection{ID: 1 << 40, Socket: out}
-	b.core.SetTime(b.now)
-	b.core.ClientOpened(c)
-	b.core.ReceivePartial(c, admission.HeaderComplete, 64<<20)
-	b.core.RunDue(b.now)
-	if rows := responseStatuses(t, out); len(rows) != 1 || rows[0] != http.StatusServiceUnavailable {
-		t.Errorf("half a request with more bytes than there may be: %v", rows)
+	client := &router.ClientConnection{ID: 1 << 40, Socket: out}
+	b.do(func() {
+		b.core.ClientOpened(client)
+		b.core.ReceivePartial(client, admission.HeaderComplete, 64<<20)
+	})
+	if statuses := responseStatuses(t, out); len(statuses) != 1 || statuses[0] != http.StatusServiceUnavailable {
+		t.Errorf("a partial request with more bytes than the limit: %v", statuses)
 	}
 }
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"fmt"
-	"sandcourse/internal/endpoint"
+	"slices"
 	"testing"
 	"time"
+
+	"sandcourse/internal/endpoint"
 )
 
-// Engines that are always new must not be remembered for good.
+// Engines that have left must not be remembered for good.
 func TestDepartedEnginesAreForgotten(t *testing.T) {
 	b := newTestbed(t)
 	for i := range 500 {
@@ -19,14 +21,12 @@
 	}
 }
 
-// An engine is listed at another address: what is kept or dialled to the old one leads elsewhere by now.
+// An engine is listed at another address: connections that are kept or dialed to the old one lead elsewhere by now.
 func TestEngineAtAnotherAddress(t *testing.T) {
 	move := func(b *testbed) {
-		b.core.SetTime(b.now)
-		b.core.UpdateEndpoints(endpoint.List{Revision: 2, Entries: []endpoint.Entry{
-			{ID: "r", Address: "127.0.0.1:2", Kind: "m1", Zone: "a", Weight: 1, State: endpoint.Ready},
-			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.RunDue(b.now)
+		moved := entries(endpoint.Ready, 0)
+		moved[0].Address = "127.0.0.1:2"
+		b.publish(2, moved)
 	}
 	b := newTestbed(t)
 	b.request("a1", "chat")
@@ -40,68 +40,72 @@
 	b = newTestbed(t)
 	b.request("a1", "chat")
 	move(b)
-	if dialled := b.connect(); len(advertisedTimeouts(t, dialled)) != 0 {
-		t.Error("a request went to the old address on a connection that was dialled before")
+	if dialed := b.connect(); len(advertisedTimeouts(t, dialed)) != 0 {
+		t.Error("a request went to the old address on a connection that was dialed before")
 	}
-	b.pass(200 * time.Millisecond) // the module waits a little before another attempt
+	b.pass(200 * time.Millisecond) // the policy waits a little before a retry
 	if len(b.dials) == 0 || b.dials[0].Host != "127.0.0.1:2" {
-		t.Error("the request is not sent to the new address")
+		t.Error("the request is not forwarded to the new address")
 	}
 }
 
-// Discovery moves to an agent that lags behind the one before: a drain that was told is not undone by an older list. Where
-// the older list stays, as that of a store that was restored, it counts after some seconds.
-func TestOlderListDoesNotUndoADrain(t *testing.T) {
-	b := newTestbed(t)
-	tell := func(revision int64, state string, started int64) {
-		b.core.SetTime(b.now)
-		b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
-			{ID: "r", Address: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state, StartedAtMs: started},
-			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.RunDue(b.now)
+// entries are those of r, in a state and with a start, and of w, which is ready. With the state empty r is not listed.
+func entries(state string, startedAtMs int64) []endpoint.Entry {
+	list := []endpoint.Entry{{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}
+	if state != "" {
+		list = slices.Insert(list, 0, endpoint.Entry{ID: "r", Address: "127.0.0.1:1", Kind: "m1", Zone: "a", Weight: 1, State: state,
+			StartedAtMs: startedAtMs})
 	}
-	sent := func() bool {
-		b.request(fmt.Sprint("a", b.now), "chat")
-		b.pass(50 * time.Millisecond)
-		any := len(b.dials) > 0
-		for len(b.dials) > 0 {
-			b.connect()
-		}
-		return any
+	return list
+}
+
+// publish hands a list to the router.
+func (b *testbed) publish(revision int64, entries []endpoint.Entry) {
+	b.do(func() { b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: entries}) })
+}
+
+// forwards is whether a new request is forwarded to r.
+func (b *testbed) forwards() bool {
+	b.request(fmt.Sprint("a", b.now), "chat")
+	b.pass(50 * time.Millisecond)
+	dialed := len(b.dials) > 0
+	for len(b.dials) > 0 {
+		b.connect()
 	}
-	tell(5, endpoint.Draining, 0)
-	if sent() {
-		t.Error("an attempt to an engine that drains")
+	return dialed
+}
+
+// Discovery moves to an agent that lags behind the one before: an older list does not undo a drain. Where the older list
+// stays, as that of a store that was restored, it counts after some seconds.
+func TestOlderListDoesNotUndoADrain(t *testing.T) {
+	b := newTestbed(t)
+	b.publish(5, entries(endpoint.Draining, 0))
+	if b.forwards() {
+		t.Error("an attempt at an engine that drains")
 	}
-	tell(4, endpoint.Ready, 0)
+	b.publish(4, entries(endpoint.Ready, 0))
 	b.pass(time.Second)
-	if sent() {
-		t.Error("an attempt to an engine that drains, as an older list has it ready")
+	if b.forwards() {
+		t.Error("an attempt at an engine that drains, as an older list has it ready")
 	}
 	b.pass(15 * time.Second)
-	if !sent() {
+	if !b.forwards() {
 		t.Error("no attempt 15 s after an older list, which stays")
 	}
-	tell(6, endpoint.Draining, 0)
-	tell(7, endpoint.Ready, 0)
-	if !sent() {
-		t.Error("no attempt to an engine that a newer list has ready again")
-	}
-	gone := func(revision int64) {
-		b.core.SetTime(b.now)
-		b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: []endpoint.Entry{
-			{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}})
-		b.core.RunDue(b.now)
+	b.publish(6, entries(endpoint.Draining, 0))
+	b.publish(7, entries(endpoint.Ready, 0))
+	if !b.forwards() {
+		t.Error("no attempt at an engine that a newer list has ready again")
 	}
-	begun := b.now/int64(time.Millisecond) - 1000
-	tell(8, endpoint.Ready, begun)
-	gone(9)
-	tell(8, endpoint.Ready, begun)
-	if sent() {
-		t.Error("an attempt to an engine that is gone, as an older list has it")
+	startedAt := b.now/int64(time.Millisecond) - 1000
+	b.publish(8, entries(endpoint.Ready, startedAt))
+	b.publish(9, entries("", 0))
+	b.publish(8, entries(endpoint.Ready, startedAt))
+	if b.forwards() {
+		t.Error("an attempt at an engine that has left, as an older list has it")
 	}
-	tell(8, endpoint.Ready, b.now/int64(time.Millisecond))
-	if !sent() {
-		t.Error("no attempt to an engine that has started anew")
+	b.publish(8, entries(endpoint.Ready, b.now/int64(time.Millisecond)))
+	if !b.forwards() {
+		t.Error("no attempt at an engine that has restarted")
 	}
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// HealthCheck asks an engine for its load.
+// HealthCheck sends a health check to an engine.
 func (r *Router) HealthCheck(engine string) { r.startControlRequest(&controlRequest{engine: engine}) }
 
-// AddNames notes so many names of requests.
+// AddNames remembers so many names of requests.
 func (r *Router) AddNames(n int) {
 	for i := range n {
 		r.requests.names.add(fmt.Sprint("flood", i))
 	}
 }
 
-// KnownEngines is how many engines the core knows.
+// KnownEngines is how many engines the router remembers.
 func (r *Router) KnownEngines() int { return max(len(r.endpoints.known), len(r.endpoints.drains)) }
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -5,6 +5,12 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
@@ -15,11 +21,6 @@
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
 	"sandcourse/settings"
-	"slices"
-	"strings"
-	"syscall"
-	"testing"
-	"time"
 )
 
 // recorder is a core on a simulated clock, with everything that it puts on a wire written down: the time, the connection
@@ -28,7 +29,7 @@
 	ignoredObserver
 	t             *testing.T
 	core          *router.Router
-	d             *config.Deployment
+	deployment    *config.Deployment
 	protocol      protocol.Codec
 	chat          bool // the chat dialect; else the platform's
 	start         int64
@@ -71,24 +72,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.d = d
+		r.deployment = d
 		d.NodeCount = nodes
 		r.protocol = chatapi.NewCodec([]string{d.Routes[0].Name, d.Routes[1].Name})
 	} else {
 		text := strings.Replace(testSettings, `"peers_total":1`, fmt.Sprintf(`"peers_total":%d`, nodes), 1)
-		told, err := platform.ParseNodeConfig("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
+		nodeConfig, err := platform.ParseNodeConfig("test", []byte(strings.Replace(text, `"cancel":true`, `"cancel":true,"peers":true`, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.d, err = told.Deployment("test"); err != nil {
+		if r.deployment, err = nodeConfig.Deployment("test"); err != nil {
 			t.Fatal(err)
 		}
-		r.protocol = platform.NewCodec(told.LoadReportFields())
+		r.protocol = platform.NewCodec(nodeConfig.LoadReportFields())
 	}
 	for _, f := range alter {
-		f(r.d)
+		f(r.deployment)
 	}
-	r.core = router.New(r.d, r.protocol, 1, 1, r.now, r, r)
+	r.core = router.New(r.deployment, r.protocol, 1, 1, r.now, r, r)
 	return r
 }
 
@@ -105,9 +106,11 @@
 	}
 }
 
-func (r *recorder) AroundStep(_ routing.Event, step func())            { step() }
-func (r *recorder) PolicyPanicked(p any, _ routing.Event, rows []byte) { r.t.Fatalf("%v\n%s", p, rows) }
-func (r *recorder) InvariantViolated(v invariant.Violation)            { r.t.Errorf("rule broken: %+v", v) }
+func (r *recorder) AroundStep(_ routing.Event, step func()) { step() }
+func (r *recorder) PolicyPanicked(p any, _ routing.Event, stack []byte) {
+	r.t.Fatalf("%v\n%s", p, stack)
+}
+func (r *recorder) InvariantViolated(v invariant.Violation) { r.t.Errorf("rule broken: %+v", v) }
 
 func (r *recorder) SendToPeer(to int, text string) {
 	r.recordBytes(fmt.Sprintf("to peer %d", to), []byte(text))
@@ -415,7 +418,7 @@
 		if drains {
 			state = endpoint.Draining
 		}
-		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: host, Kind: r.d.Kinds[kind].Name, Zone: zone,
+		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: host, Kind: r.deployment.Kinds[kind].Name, Zone: zone,
 			Weight: 1, State: state})
 	}
 	r.record("engines listed: %s", strings.Join(words, " "))
@@ -423,10 +426,10 @@
 }
 
 // injectFaults makes the first requests of a kind get answers in order; those behind them get the usual one.
-func (r *recorder) injectFaults(kind string, rows ...string) {
+func (r *recorder) injectFaults(kind string, faults ...string) {
 	r.replyFor = func(k, _ string, count int) string {
-		if k == kind && count <= len(rows) {
-			return rows[count-1]
+		if k == kind && count <= len(faults) {
+			return faults[count-1]
 		}
 		return replyNormal
 	}
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"sandcourse/internal/admission"
-	"sandcourse/internal/config"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
+
+	"sandcourse/internal/admission"
+	"sandcourse/internal/config"
+	"sandcourse/internal/golden"
 )
 
 // goldenSituations are played on both dialects.
@@ -321,16 +322,16 @@
 			r.pass(3 * time.Second)
 			r.record("more connections and requests than may be open")
 			r.setEndpoints()
-			var rows []*goldenClient
+			var clients []*goldenClient
 			for i := range 14 {
 				var fields []string
 				if i < 8 {
 					fields = []string{"Authorization: Bearer one\r\n"} // of one party, where the dialect knows parties
 				}
-				rows = append(rows, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
+				clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
 			}
 			r.pass(3 * time.Second)
-			for _, c := range rows {
+			for _, c := range clients {
 				c.disconnect()
 			}
 			r.record("clients that try again and again")
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -20,23 +20,23 @@
 	if c.disconnected || c.respondedAt > 0 {
 		w.t.Fatalf("%s: an attempt after its client had gone (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
 	}
-	if told := w.drainNotifiedAt[p.engine]; told > 0 && w.now-told > int64(w.d.Rules.DrainGrace) {
-		w.t.Fatalf("%s: an attempt at %s %v after it was told to drain", c.name, p.engine, time.Duration(w.now-told))
+	if notifiedAt := w.drainNotifiedAt[p.engine]; notifiedAt > 0 && w.now-notifiedAt > int64(w.deployment.Rules.DrainGrace) {
+		w.t.Fatalf("%s: an attempt at %s %v after it was told to drain", c.name, p.engine, time.Duration(w.now-notifiedAt))
 	}
-	for _, before := range c.attempts {
-		if before.inFlight && !before.cancelled {
-			w.t.Fatalf("%s: a second copy while one is out at %s", c.name, before.engine)
+	for _, prior := range c.attempts {
+		if prior.inFlight && !prior.cancelled {
+			w.t.Fatalf("%s: a second copy while one is out at %s", c.name, prior.engine)
 		}
-		if before.prefill || before.neverRan || c.route.Effect == "retriable" {
+		if prior.prefill || prior.neverRan || c.route.Effect == "retriable" {
 			continue
 		}
-		inWindow := c.route.Effect == "deduped" && w.now-before.receivedAt < int64(c.route.DedupWindow)
+		inWindow := c.route.Effect == "deduped" && w.now-prior.receivedAt < int64(c.route.DedupWindow)
 		known := inWindow && (p.prefill || c.route.DedupGroup == "all" ||
-			c.route.DedupGroup == "zone" && w.endpoints[p.engine].Zone == w.endpoints[before.engine].Zone ||
-			c.route.DedupGroup == "cell" && w.endpoints[p.engine].Cell == w.endpoints[before.engine].Cell)
+			c.route.DedupGroup == "zone" && w.endpoints[p.engine].Zone == w.endpoints[prior.engine].Zone ||
+			c.route.DedupGroup == "cell" && w.endpoints[p.engine].Cell == w.endpoints[prior.engine].Cell)
 		if !known {
 			w.t.Fatalf("%s (%s, %s, %v): sent to %s, and may have run at %s %v before", c.name, c.route.Effect,
-				c.route.DedupGroup, c.route.DedupWindow, p.engine, before.engine, time.Duration(w.now-before.receivedAt))
+				c.route.DedupGroup, c.route.DedupWindow, p.engine, prior.engine, time.Duration(w.now-prior.receivedAt))
 		}
 	}
 }
@@ -53,7 +53,7 @@
 		if slices.ContainsFunc(h.client.attempts, func(p *postedAttempt) bool { return p.inFlight }) {
 			h.attemptInFlightAt = w.now
 		}
-		if w.now-h.attemptInFlightAt > int64(w.d.Rules.ReservationLimit+reservationSlack) {
+		if w.now-h.attemptInFlightAt > int64(w.deployment.Rules.ReservationLimit+reservationSlack) {
 			w.t.Fatalf("%s is held at %s for %v", h.client.name, h.engine, time.Duration(w.now-h.attemptInFlightAt))
 		}
 	}
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -6,20 +6,21 @@
 	"fmt"
 	"io"
 	"net/http"
-	"sandcourse/internal/endpoint"
-	"sandcourse/internal/protocol/platform"
-	"sandcourse/internal/router"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"sandcourse/internal/endpoint"
+	"sandcourse/internal/protocol/platform"
+	"sandcourse/internal/router"
 )
 
 // sendRequest is a new client with a request of a random class.
 func (w *world) sendRequest() {
-	route := rapid.SampledFrom(w.d.Routes).Draw(w.t, "class")
+	route := rapid.SampledFrom(w.deployment.Routes).Draw(w.t, "class")
 	wait := time.Duration(rapid.IntRange(100, 4000).Draw(w.t, "wait in ms")) * time.Millisecond
 	c := &simulatedClient{world: w, name: fmt.Sprintf("q%d", len(w.clients)), route: route, deadline: w.now + int64(wait)}
 	c.client = &router.ClientConnection{ID: int64(len(w.clients) + 1), Socket: c}
@@ -32,10 +33,10 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	a := &router.ClientRequest{Request: r, Bytes: 2}
-	a.Call, a.Caller, a.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
+	received := &router.ClientRequest{Request: r, Bytes: 2}
+	received.Call, received.Caller, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
 	w.clients = append(w.clients, c)
-	w.do(func() { w.core.ClientOpened(c.client); w.core.ReceiveRequest(c.client, a) })
+	w.do(func() { w.core.ClientOpened(c.client); w.core.ReceiveRequest(c.client, received) })
 }
 
 func (w *world) disconnect(c *simulatedClient) {
@@ -58,17 +59,17 @@
 
 // The words of an engine.
 const (
-	wordDone     = "done"
-	wordRefused  = "refused"
-	wordNoState  = "no state"
-	wordError    = "error"
-	wordBreak    = "break"
-	wordEvent    = "event"
-	wordNonsense = "nonsense"
+	answerDone          = "done"
+	answerRejected      = "refused"
+	answerNoReservation = "no state"
+	answerError         = "error"
+	answerDisconnect    = "break"
+	answerToken         = "event"
+	answerInvalid       = "nonsense"
 )
 
 // respond is an engine's next word on a connection that has something to answer.
-func (w *world) respond(e *simulatedEngine, word string) {
+func (w *world) respond(e *simulatedEngine, answer string) {
 	head := func(status int, fields ...string) {
 		h := http.Header{}
 		for i := 0; i+1 < len(fields); i += 2 {
@@ -88,25 +89,25 @@
 	}
 	stream := e.method == http.MethodPost && !e.attempt.prefill
 	switch {
-	case word == wordBreak || word == wordNonsense && e.responding:
+	case answer == answerDisconnect || answer == answerInvalid && e.responding:
 		e.closed = true
 		e.loseAttempt()
 		w.do(func() { w.core.EngineDisconnected(e.conn) })
-	case word == wordNonsense:
+	case answer == answerInvalid:
 		w.do(func() { w.core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
-	case e.responding && word == wordDone:
+	case e.responding && answer == answerDone:
 		w.do(func() { end("") })
 	case e.responding:
 		w.do(func() { w.core.StreamEvent(e.conn, []byte(`{"choices":[2]}`)) })
 	case e.method != http.MethodPost:
 		w.do(func() { head(204); end("") })
-	case word == wordRefused || word == wordNoState && !stream:
+	case answer == answerRejected || answer == answerNoReservation && !stream:
 		e.attempt.neverRan = true
 		w.do(func() { head(503, platform.HeaderNotStarted, "1"); end("") })
-	case word == wordNoState:
+	case answer == answerNoReservation:
 		e.attempt.neverRan = true
 		w.do(func() { head(410, platform.HeaderNotStarted, "1"); end("") })
-	case word == wordError:
+	case answer == answerError:
 		if e.attempt.prefill {
 			w.addReservation(e.client, e.attempt.engine)
 		}
@@ -167,7 +168,7 @@
 			"deadline_us":     ms("deadline", 500, 8000),
 			"unknown_setting": 1})
 	}
-	told := map[string]any{"name": "n0", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1",
+	settings := map[string]any{"name": "n0", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1",
 		"limits": map[string]any{"sockets": rapid.SampledFrom([]int{128, 1024}).Draw(t, "sockets")},
 		"settings": map[string]any{"areas": []string{"a", "b"}, "zone": 0, "index": 0,
 			"peers_total": rapid.SampledFrom([]int{1, 3, 300}).Draw(t, "nodes"), "tick_us": 4000, "flavors": []string{"p", "d", "m"},
@@ -177,7 +178,7 @@
 			"family_info": map[string]any{"stage_of_kind": []string{"read", "write", "both"}, "pin_limit_us": ms("pin", 500, 3000),
 				"resume": rapid.Bool().Draw(t, "resume"), "kind_memory_tokens": []int{100000, 100000, 100000}},
 			"classes": classes, "obligations": map[string]any{"drain_grace_us": ms("grace", 100, 500)}}}
-	data, err := json.Marshal(told)
+	data, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,16 +186,16 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	told, err := platform.ParseNodeConfig("settings", randomSettings(t))
+	nodeConfig, err := platform.ParseNodeConfig("settings", randomSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &world{t: t, now: 1e15, endpoints: map[string]endpoint.Entry{}, drainNotifiedAt: map[string]int64{},
 		unreachable: map[string]bool{}}
-	if w.d, err = told.Deployment("settings"); err != nil {
+	if w.deployment, err = nodeConfig.Deployment("settings"); err != nil {
 		t.Fatal(err)
 	}
-	w.core = router.New(w.d, platform.NewCodec(told.LoadReportFields()), 1, 1, w.now, w, w)
+	w.core = router.New(w.deployment, platform.NewCodec(nodeConfig.LoadReportFields()), 1, 1, w.now, w, w)
 	for i, kind := range []string{"p", "p", "d", "d", "m"}[:rapid.IntRange(3, 5).Draw(t, "engines")] {
 		id := fmt.Sprint("s", i)
 		w.endpoints[id] = endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
@@ -206,44 +207,44 @@
 }
 
 // busyEngines are the connections on which an engine has something to answer.
-func (w *world) busyEngines() (rows []*simulatedEngine) {
+func (w *world) busyEngines() (busy []*simulatedEngine) {
 	w.engines = slices.DeleteFunc(w.engines, func(e *simulatedEngine) bool { return e.closed })
 	for _, e := range w.engines {
 		if e.method != "" && !w.unreachable[e.conn.Engine] {
-			rows = append(rows, e)
+			busy = append(busy, e)
 		}
 	}
-	return rows
+	return busy
 }
 
 // step is one random event.
 func (w *world) step() {
-	words := []string{wordDone, wordDone, wordDone, wordEvent, wordRefused, wordNoState, wordError, wordBreak, wordNonsense}
-	switch what := rapid.IntRange(0, 12).Draw(w.t, "event"); {
-	case what <= 1 && len(w.clients) < 12:
+	answers := []string{answerDone, answerDone, answerDone, answerToken, answerRejected, answerNoReservation, answerError, answerDisconnect, answerInvalid}
+	switch kind := rapid.IntRange(0, 12).Draw(w.t, "event"); {
+	case kind <= 1 && len(w.clients) < 12:
 		w.sendRequest()
-	case what <= 4 && len(w.dialing) > 0:
+	case kind <= 4 && len(w.dialing) > 0:
 		w.connect(rapid.IntRange(0, len(w.dialing)-1).Draw(w.t, "dial"), rapid.IntRange(0, 4).Draw(w.t, "comes up") > 0)
-	case what <= 8 && len(w.busyEngines()) > 0:
-		engine, word := rapid.SampledFrom(w.busyEngines()).Draw(w.t, "engine"), rapid.SampledFrom(words).Draw(w.t, "word")
+	case kind <= 8 && len(w.busyEngines()) > 0:
+		engine, answer := rapid.SampledFrom(w.busyEngines()).Draw(w.t, "engine"), rapid.SampledFrom(answers).Draw(w.t, "word")
 		w.delay = min(time.Duration(rapid.SampledFrom([]int{0, 0, 0, 50, 200}).Draw(w.t, "late in ms"))*time.Millisecond,
 			time.Duration(w.now-engine.writtenAt))
 		w.core.SetEarliestEventTime(w.now - int64(w.delay))
-		w.respond(engine, word)
+		w.respond(engine, answer)
 		w.delay = 0
 		w.core.SetEarliestEventTime(0)
-	case what == 9 && len(w.clients) > 0:
+	case kind == 9 && len(w.clients) > 0:
 		if c := rapid.SampledFrom(w.clients).Draw(w.t, "client"); !c.disconnected && c.respondedAt == 0 {
 			w.disconnect(c)
 		}
-	case what == 10:
+	case kind == 10:
 		id := fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "listed"))
 		w.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(w.t, "state"))
-	case what == 12 && len(w.unreachable) == 0: // one at a time, so that another can be told to let go
+	case kind == 12 && len(w.unreachable) == 0: // one at a time, so that another can be told to let go
 		w.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "deaf"))] = true
-	case what == 12:
+	case kind == 12:
 		clear(w.unreachable)
-	case what == 11 && rapid.IntRange(0, 5).Draw(w.t, "stops") == 0:
+	case kind == 11 && rapid.IntRange(0, 5).Draw(w.t, "stops") == 0:
 		w.do(w.core.Shutdown)
 	default:
 		w.pass(time.Duration(rapid.IntRange(1, 400).Draw(w.t, "time in ms")) * time.Millisecond)
@@ -259,7 +260,7 @@
 		}
 		for _, e := range w.busyEngines() {
 			if !e.closed && e.method != "" {
-				w.respond(e, wordDone)
+				w.respond(e, answerDone)
 			}
 		}
 		w.pass(50 * time.Millisecond)
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -4,17 +4,18 @@
 	"bufio"
 	"bytes"
 	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"pgregory.net/rapid"
+
 	"sandcourse/internal/config"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"slices"
-	"strings"
-	"time"
-
-	"pgregory.net/rapid"
 )
 
 // world is a node core among clients and engines that behave at random, and the judge of the rules. It believes only
@@ -22,7 +23,7 @@
 type world struct {
 	ignoredObserver
 	t               *rapid.T
-	d               *config.Deployment
+	deployment      *config.Deployment
 	core            *router.Router
 	now             int64
 	clients         []*simulatedClient
@@ -115,7 +116,7 @@
 	}
 	i := slices.IndexFunc(w.clients, func(c *simulatedClient) bool { return c.name == r.Header.Get(platform.HeaderRequestID) })
 	e.client = w.clients[i]
-	e.attempt = &postedAttempt{engine: e.conn.Engine, receivedAt: w.now, prefill: w.d.Role(w.endpoints[e.conn.Engine].Kind) == "read"}
+	e.attempt = &postedAttempt{engine: e.conn.Engine, receivedAt: w.now, prefill: w.deployment.Role(w.endpoints[e.conn.Engine].Kind) == "read"}
 	w.checkAttempt(e.client, e.attempt)
 	e.attempt.inFlight = e.method != ""
 	e.client.attempts = append(e.client.attempts, e.attempt)
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Rule 2 broke once on a soak: a non-retriable was refused after it may have run. The rest of a stream that broke is
-// asked for under a new name, and whatever bound refuses it, a refusal would say that a further try is harmless.
+// Found by a soak test: a non-retriable request was shed after it may have run. The rest of a broken stream is requested
+// under a new name, and whatever limit rejects it, to shed it would say that a retry is safe.
 func TestResumedStreamIsNotShedAsIfItNeverRan(t *testing.T) {
 	for _, at := range []struct{ route, retry, status string }{
 		{"chat", "", "503"}, {"alert", "", "503"}, {"alert", "Client-Retry: 1\r\n", "503"},
@@ -26,38 +26,34 @@
 	}
 }
 
-// A client whose connection broke before anything was sent on asks again, by the same name.
+// A client whose connection broke before anything was forwarded retries with the same name.
 func TestNameOfANeverForwardedRequestIsReusable(t *testing.T) {
 	b := newTestbed(t)
-	c, _ := b.request("a1", "alert")
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
+	client, _ := b.request("a1", "alert")
+	b.do(func() { b.core.ClientDisconnected(client) })
 	_, out := b.request("a1", "alert")
-	if rows := responseStatuses(t, out); slices.Contains(rows, http.StatusConflict) {
-		t.Error("a request of which no byte went to an engine is known by its name")
+	if statuses := responseStatuses(t, out); slices.Contains(statuses, http.StatusConflict) {
+		t.Error("the name of a request of which no byte went to an engine is taken")
 	}
-	// Once it has been sent, engines know it by its name.
+	// Once it has been forwarded, engines know it by its name.
 	b = newTestbed(t)
-	c, _ = b.request("a1", "alert")
+	client, _ = b.request("a1", "alert")
 	b.connect()
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
+	b.do(func() { b.core.ClientDisconnected(client) })
 	_, out = b.request("a1", "alert")
-	if rows := responseStatuses(t, out); !slices.Contains(rows, http.StatusConflict) {
-		t.Errorf("answers %v: a request that was sent on is taken again by its name", rows)
+	if statuses := responseStatuses(t, out); !slices.Contains(statuses, http.StatusConflict) {
+		t.Errorf("answers %v: the name of a request that was forwarded is accepted again", statuses)
 	}
 }
 
-// Engines know a request by its name for as long as an attempt of it is out, however many names come meanwhile.
+// Engines know a request by its name for as long as an attempt is in flight, however many names come meanwhile.
 func TestNameOfAnOpenRequestSurvivesAFloodOfNames(t *testing.T) {
 	b := newTestbed(t)
 	b.request("a1", "alert")
 	b.connect()
 	b.core.AddNames(13_000)
 	_, out := b.request("a1", "alert")
-	if rows := responseStatuses(t, out); !slices.Contains(rows, http.StatusConflict) {
-		t.Errorf("answers %v: the name of an open request is taken a second time", rows)
+	if statuses := responseStatuses(t, out); !slices.Contains(statuses, http.StatusConflict) {
+		t.Errorf("answers %v: the name of an open request is accepted again", statuses)
 	}
 }
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -2,58 +2,55 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
-	"net/http"
-	"sandcourse/internal/invariant"
-	"sandcourse/internal/router"
 	"strings"
 	"testing"
 	"time"
+
+	"sandcourse/internal/invariant"
+	"sandcourse/internal/router"
 )
 
-// Found on settings of our own, rolling restarts under engines that hang: a state was held past the pin limit, as its
-// reader hung and was told six times to let go of it. Any engine takes that word, so one that answers is told too.
+// Found by rolling restarts with engines that hang: a reservation was kept past its limit, as its prefill engine hung and was
+// sent six releases. Any engine handles a release, so one that answers gets it too.
 func TestReservationOfAHungPrefillEngineIsReleasedElsewhere(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r", "w", "w2") // one of the writers has answered before, the other never
-	c, _ := b.request("a1", "alert")
+	b.setEndpoints("r", "w", "w2") // one of the decode engines has answered before, the other never
+	client, _ := b.request("a1", "alert")
 	b.answerPrefill(b.connect())
 	b.answerFull(b.connect())
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
-	for range 700 { // well under the pin limit of a second
+	b.do(func() { b.core.ClientDisconnected(client) })
+	for range 700 { // well under the reservation limit of a second
 		b.pass(time.Millisecond)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
 	}
-	told := map[string]int{}
+	releases := map[string]int{}
 	for _, s := range b.engines {
-		told[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
+		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
-	if told["r"] == 0 || told["w"] == 0 || told["w2"] == 0 {
-		t.Errorf("told to let go: %v", told)
+	if releases["r"] == 0 || releases["w"] == 0 || releases["w2"] == 0 {
+		t.Errorf("releases by engine: %v", releases)
 	}
 }
 
-// A node must not end between two tries to let go of a state: whoever asks what it holds hears of the second.
+// A router must not shut down between two releases of a reservation: the second counts as in flight.
 func TestPendingReleaseRetryCountsAsInFlight(t *testing.T) {
 	b := newTestbed(t)
-	c, _ := b.request("a1", "alert")
+	client, _ := b.request("a1", "alert")
 	s := b.connect()
 	b.answerPrefill(s)
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.EngineDisconnected(s.conn) // the release went out on the connection of the read
-	b.core.RunDue(b.now)
+	b.do(func() {
+		b.core.ClientDisconnected(client)
+		b.core.EngineDisconnected(s.conn) // the release went out on the connection of the prefill
+	})
 	if n := b.core.InFlight().ControlRequests; n == 0 {
-		t.Error("nothing is held while a release waits for its second try")
+		t.Error("nothing is in flight while a release waits for its retry")
 	}
 }
 
-// releases counts the releases written for a name, whichever engine they went to. Connections that are dialled come up.
+// releases counts the releases that were written for a request, to any engine. All dials succeed.
 func (b *testbed) releases(name string) (n int) {
 	for len(b.dials) > 0 {
 		b.connect()
@@ -64,7 +61,7 @@
 	return n
 }
 
-// testbedWithDecodeInFlight is a core with an inference whose write has been sent and not answered.
+// testbedWithDecodeInFlight is one with a request whose decode has been written and not answered.
 func testbedWithDecodeInFlight(t *testing.T, route string) (*testbed, *router.ClientConnection, *fakeEngineSocket) {
 	b := newTestbed(t)
 	c, _ := b.request("a1", route)
@@ -72,19 +69,16 @@
 	return b, c, b.connect()
 }
 
-// An engine lets go of what no attempt waits for. A release that is written right behind the close of an attempt's
-// connection may arrive before the close is seen, and lets go of nothing then: it is sent again.
+// An engine releases a reservation that no attempt waits for. A release that is written right after the close of an attempt's
+// connection may arrive before the close is seen, and has no effect then: it is repeated.
 func TestReleaseIsRepeatedAfterACancelledAttempt(t *testing.T) {
-	b, c, _ := testbedWithDecodeInFlight(t, "chat")
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
+	b, client, _ := testbedWithDecodeInFlight(t, "chat")
+	b.do(func() { b.core.ClientDisconnected(client) })
 	for range 20 { // each answered
 		b.releases("a1")
 		for _, s := range b.engines {
 			if strings.Contains(s.written.String(), "DELETE") && !s.closed {
-				b.core.ResponseHead(s.conn, &http.Response{Status: "204", StatusCode: 204, Header: http.Header{}}, nil)
-				b.core.ResponseComplete(s.conn, nil, true)
+				b.respond(s, 204, nil, "")
 			}
 		}
 		b.pass(5 * time.Millisecond)
@@ -92,33 +86,33 @@
 	early := b.releases("a1")
 	b.pass(600 * time.Millisecond)
 	if again := b.releases("a1"); early == 0 || again <= early {
-		t.Errorf("%d releases at once, %d after 0.7 s", early, again)
+		t.Errorf("%d releases at first, %d after 0.7 s", early, again)
 	}
 	if h := b.core.InFlight(); h.Reservations != 1 || h.OldestReservation < 600*time.Millisecond {
-		t.Errorf("the node says that it holds %+v", h)
+		t.Errorf("in flight: %+v", h)
 	}
 }
 
-// What is written to a machine that was cut off, or whose process does not run, is an attempt for the node alone. Its
-// state must be released in time all the same, and once more if the attempt comes back without having taken it.
+// What is written to a machine that is partitioned, or whose process does not run, never arrives. Its reservation must be
+// released in time all the same, and once more if the attempt is rejected later without having claimed it.
 func TestReservationBehindAnUndeliveredAttemptIsReleased(t *testing.T) {
-	b, _, writer := testbedWithDecodeInFlight(t, "alert")
+	b, _, decode := testbedWithDecodeInFlight(t, "alert")
 	b.pass(time.Second)
 	early := b.releases("a1")
 	if early == 0 {
 		t.Error("no release within the limit")
 	}
-	b.answerFull(writer)
+	b.answerFull(decode)
 	b.pass(10 * time.Millisecond)
 	if again := b.releases("a1"); again <= early {
-		t.Errorf("%d releases before the writer refuses, %d after", early, again)
+		t.Errorf("%d releases before the decode engine rejects, %d after", early, again)
 	}
 }
 
-// The time of a state runs from when its read ended, not from when a process that was not run came to hear of it.
+// A reservation ages from when its prefill ended, not from when a delayed process handles that.
 func TestReservationReportedLateIsReleasedInTime(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r") // no writer is there
+	b.setEndpoints("r") // no decode engine is there
 	b.request("a1", "alert")
 	s := b.connect()
 	b.pass(700 * time.Millisecond)
@@ -126,24 +120,24 @@
 	b.answerPrefill(s)
 	b.pass(200 * time.Millisecond)
 	if b.releases("a1") == 0 {
-		t.Error("a state that was held for 0.8 s is not released")
+		t.Error("a reservation of 0.8 s is not released")
 	}
 }
 
-// What the module holds when it fails is released, whatever it waited for: a read that is out, a state, a write.
+// Reservations of open requests are released when the policy panics, whatever the requests wait for.
 func TestReservationsAreReleasedWhenThePolicyPanics(t *testing.T) {
-	for _, at := range []string{"read", "held", "write"} {
+	for _, at := range []string{"prefill", "reserved", "decode"} {
 		b := newTestbed(t)
 		b.mayPanic = true
-		if at == "held" {
-			b.setEndpoints("r") // no writer is there
+		if at == "reserved" {
+			b.setEndpoints("r") // no decode engine is there
 		}
 		b.request("a1", "alert")
 		s := b.connect()
-		if at != "read" {
+		if at != "prefill" {
 			b.answerPrefill(s)
 		}
-		if at == "write" {
+		if at == "decode" {
 			b.connect()
 		}
 		b.panicNext = true
@@ -155,34 +149,27 @@
 	}
 }
 
-// A release that is answered with anything but an acknowledgement is sent to others, and given up in the end.
+// unacknowledged are answers to a release that are no acknowledgement.
+var unacknowledged = map[string]func(b *testbed, s *fakeEngineSocket){
+	"404": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 404, nil, "") },
+	"500": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 500, nil, "") },
+	"invalid": func(b *testbed, s *fakeEngineSocket) {
+		b.do(func() { b.core.ResponseInvalid(s.conn, io.ErrUnexpectedEOF) })
+	},
+	"partial": func(b *testbed, s *fakeEngineSocket) {
+		b.do(func() { b.core.ResponseHead(s.conn, responseHead(204, nil), nil); b.core.EngineDisconnected(s.conn) })
+	},
+	"nothing": func(*testbed, *fakeEngineSocket) {},
+	"a reset": func(b *testbed, s *fakeEngineSocket) { b.do(func() { b.core.EngineDisconnected(s.conn) }) },
+}
+
+// A release that is answered with anything but an acknowledgement goes to other engines, and is abandoned in the end.
 func TestUnacknowledgedReleasesAreAbandoned(t *testing.T) {
-	head := func(status int) *http.Response {
-		return &http.Response{Status: fmt.Sprint(status), StatusCode: status, Header: http.Header{}}
-	}
-	for what, answer := range map[string]func(b *testbed, s *fakeEngineSocket){
-		"404": func(b *testbed, s *fakeEngineSocket) {
-			b.core.ResponseHead(s.conn, head(404), nil)
-			b.core.ResponseComplete(s.conn, nil, true)
-		},
-		"500": func(b *testbed, s *fakeEngineSocket) {
-			b.core.ResponseHead(s.conn, head(500), nil)
-			b.core.ResponseComplete(s.conn, nil, true)
-		},
-		"noise": func(b *testbed, s *fakeEngineSocket) { b.core.ResponseInvalid(s.conn, io.ErrUnexpectedEOF) },
-		"half": func(b *testbed, s *fakeEngineSocket) {
-			b.core.ResponseHead(s.conn, head(204), nil)
-			b.core.EngineDisconnected(s.conn)
-		},
-		"nothing": func(*testbed, *fakeEngineSocket) {},
-		"a reset": func(b *testbed, s *fakeEngineSocket) { b.core.EngineDisconnected(s.conn) },
-	} {
-		b, c, _ := testbedWithDecodeInFlight(t, "chat")
+	for name, answer := range unacknowledged {
+		b, client, _ := testbedWithDecodeInFlight(t, "chat")
 		b.expectedViolation = invariant.ReservedTooLong
 		b.setEndpoints("r", "w", "w2")
-		b.core.SetTime(b.now)
-		b.core.ClientDisconnected(c)
-		b.core.RunDue(b.now)
+		b.do(func() { b.core.ClientDisconnected(client) })
 		answered, engines := map[*fakeEngineSocket]int{}, map[string]bool{}
 		for range 3000 { // 15 seconds
 			b.releases("a1")
@@ -190,52 +177,43 @@
 				if n := strings.Count(s.written.String(), "DELETE"); n > answered[s] && !s.closed {
 					answered[s] = n
 					engines[s.conn.Engine] = true
-					b.core.SetTime(b.now)
 					answer(b, s)
-					b.core.RunDue(b.now)
 				}
 			}
 			b.pass(5 * time.Millisecond)
 		}
 		if n := b.releases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.InFlight().Reservations != 0 {
-			t.Errorf("%s: %d releases to %d engines, %+v", what, n, len(engines), b.core.InFlight())
+			t.Errorf("%s: %d releases to %d engines, %+v", name, n, len(engines), b.core.InFlight())
 		}
 	}
 }
 
-// One engine that hangs must not cost the time of the next try: a release goes to two engines at once where connections
-// are there.
+// One engine that hangs must not delay a release: it goes to two engines at once where connections are open.
 func TestReleaseGoesToTwoEnginesInParallel(t *testing.T) {
-	b, c, writer := testbedWithDecodeInFlight(t, "chat")
-	b.answerFull(writer)
-	b.pass(25 * time.Millisecond) // its connection rests now, as the reader's does
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
-	told := map[string]int{}
+	b, client, decode := testbedWithDecodeInFlight(t, "chat")
+	b.answerFull(decode)
+	b.pass(25 * time.Millisecond) // its connection is idle now, as that of the prefill engine is
+	b.do(func() { b.core.ClientDisconnected(client) })
+	releases := map[string]int{}
 	for _, s := range b.engines {
-		told[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
+		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
-	if told["r"] != 1 || told["w"] != 1 {
-		t.Errorf("told at once: %v", told)
+	if releases["r"] != 1 || releases["w"] != 1 {
+		t.Errorf("releases at once: %v", releases)
 	}
 }
 
-// All engines are out of reach for some seconds, as when the node's own network is cut: what they hold is released when the
-// ways are back, as long as a cut of the operators' days lasts.
+// All engines are unreachable for some seconds, as when the router's own network is partitioned: reservations are released
+// once connections come up again, after outages of the length that scenarios have.
 func TestReleaseAfterALongOutage(t *testing.T) {
-	b, c, _ := testbedWithDecodeInFlight(t, "chat")
+	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.expectedViolation = invariant.ReservedTooLong
-	b.core.SetTime(b.now)
-	b.core.ClientDisconnected(c)
-	b.core.RunDue(b.now)
-	for cut := b.now + int64(8*time.Second); b.now < cut; b.pass(5 * time.Millisecond) {
+	b.do(func() { b.core.ClientDisconnected(client) })
+	for outageEnd := b.now + int64(8*time.Second); b.now < outageEnd; b.pass(5 * time.Millisecond) {
 		for len(b.dials) > 0 {
-			line := b.dials[0]
+			conn := b.dials[0]
 			b.dials = b.dials[1:]
-			b.core.SetTime(b.now)
-			b.core.EngineConnected(line, nil, errors.New("no way"))
-			b.core.RunDue(b.now)
+			b.do(func() { b.core.EngineConnected(conn, nil, errors.New("unreachable")) })
 		}
 	}
 	before := b.releases("a1")
@@ -244,6 +222,6 @@
 		b.connect()
 	}
 	if b.releases("a1") == before {
-		t.Error("no release is sent when the ways are back after 8 s")
+		t.Error("no release is sent when connections come up again after 8 s")
 	}
 }
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -6,18 +6,19 @@
 	"fmt"
 	"io"
 	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/invariant"
 	"sandcourse/internal/protocol/platform"
 	"sandcourse/internal/router"
 	"sandcourse/internal/routing"
-	"strconv"
-	"strings"
-	"testing"
-	"time"
 )
 
-// testbed is a core whose sockets are the test's: it sees each byte that is written and the time of it.
+// testbed is a router whose sockets are the test's: it sees each byte that is written, and when.
 type testbed struct {
 	ignoredObserver
 	t       *testing.T
@@ -27,29 +28,32 @@
 	engines []*fakeEngineSocket
 	events  []routing.Event
 
-	panicNext, mayPanic bool           // the module, at its next input; and whether that is wanted
-	expectedViolation   invariant.Rule // the one that this test's world breaks, as where no engine acknowledges a release
+	panicNext, mayPanic bool           // the policy, at its next event; and whether the test expects that
+	expectedViolation   invariant.Rule // the one that the test violates, as where no engine acknowledges a release
 	closedClients       []int64        // by the router, in order
 }
 
+// Dial queues a dial, which ends with connect.
 func (b *testbed) Dial(conn *router.EngineConnection) { b.dials = append(b.dials, conn) }
 
-func (b *testbed) AroundStep(in routing.Event, step func()) {
+// AroundStep records an event of the policy.
+func (b *testbed) AroundStep(event routing.Event, step func()) {
 	if b.panicNext {
 		b.panicNext = false
-		panic("a fault put in by a test")
+		panic("injected by a test")
 	}
-	b.events = append(b.events, in)
+	b.events = append(b.events, event)
 	step()
 }
 
-func (b *testbed) PolicyPanicked(p any, _ routing.Event, rows []byte) {
+// PolicyPanicked fails a test that does not expect it.
+func (b *testbed) PolicyPanicked(p any, _ routing.Event, stack []byte) {
 	if !b.mayPanic {
-		b.t.Fatalf("%v\n%s", p, rows)
+		b.t.Fatalf("%v\n%s", p, stack)
 	}
 }
 
-// ignoredObserver are what a core tells that no test here looks at.
+// ignoredObserver ignores what a router reports and no test here looks at.
 type ignoredObserver struct{}
 
 func (ignoredObserver) SendToPeer(int, string)                           {}
@@ -69,10 +73,10 @@
 	b.closedClients = append(b.closedClients, client)
 }
 
-// InvariantViolated is a fault in any test.
+// InvariantViolated fails a test that does not expect it.
 func (b *testbed) InvariantViolated(v invariant.Violation) {
 	if v.Rule != b.expectedViolation {
-		b.t.Errorf("rule broken: %+v", v)
+		b.t.Errorf("invariant violated: %+v", v)
 	}
 }
 
@@ -90,8 +94,8 @@
 // fakeClientSocket is a connection of a client.
 type fakeClientSocket struct {
 	bytes.Buffer
-	reading      bool // a request is on its way to the core
-	disconnected bool // it has ended, and the core has not been told
+	reading      bool // a request has been read and not been handed over
+	disconnected bool // it has ended, and the router has not been notified
 	closed       bool
 }
 
@@ -109,6 +113,7 @@
 func (s *fakeClientSocket) Disconnected() bool { return s.disconnected }
 func (s *fakeClientSocket) CloseIfIdle() bool  { s.closed = s.closed || !s.reading; return s.closed }
 
+// testSettings has one class of each effect: chat may run twice, label is deduplicated, alert must not run twice.
 const testSettings = `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":1024},
  "settings":{"areas":["a"],"zone":0,"index":0,"peers_total":1,"tick_us":4000,"flavors":["m1","m2"],"ceilings":{
  "try_limit":5,"cancel":true,"retry_after":true,"max_retry_after_us":1000000,"dial_timeout_us":250000},"report":{
@@ -117,29 +122,37 @@
  {"name":"label","effect":"dedup","dedup_scope":"all","memory_span_us":300000,"worth":1,"objective_us":1000000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
+// newTestbed makes a router with a prefill engine r and a decode engine w.
 func newTestbed(t *testing.T) *testbed {
-	told, err := platform.ParseNodeConfig("test", []byte(testSettings))
+	nodeConfig, err := platform.ParseNodeConfig("test", []byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := told.Deployment("test")
+	deployment, err := nodeConfig.Deployment("test")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &testbed{t: t, now: 1e15}
-	b.core = router.New(d, platform.NewCodec(told.LoadReportFields()), 1, 1, b.now, b, b)
+	b.core = router.New(deployment, platform.NewCodec(nodeConfig.LoadReportFields()), 1, 1, b.now, b, b)
 	b.setEndpoints("r", "w")
 	return b
 }
 
-// newUnacknowledgedTestbed is one where no engine acknowledges a release.
+// newUnacknowledgedTestbed makes one where no engine acknowledges a release.
 func newUnacknowledgedTestbed(t *testing.T) *testbed {
 	b := newTestbed(t)
 	b.expectedViolation = invariant.ReservedTooLong
 	return b
 }
 
-// setEndpoints names the engines that are ready; r... are readers.
+// do lets the router handle one event.
+func (b *testbed) do(event func()) {
+	b.core.SetTime(b.now)
+	event()
+	b.core.RunDue(b.now)
+}
+
+// setEndpoints publishes the engines that are ready; those whose names begin with r are for prefill.
 func (b *testbed) setEndpoints(ids ...string) {
 	list := endpoint.List{Revision: 1}
 	for _, id := range ids {
@@ -150,11 +163,10 @@
 		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: "a", Weight: 1,
 			State: endpoint.Ready})
 	}
-	b.core.SetTime(b.now)
-	b.core.UpdateEndpoints(list)
-	b.core.RunDue(b.now)
+	b.do(func() { b.core.UpdateEndpoints(list) })
 }
 
+// pass lets time pass, with all that falls due meanwhile.
 func (b *testbed) pass(d time.Duration) {
 	for end := b.now + int64(d); b.now < end; {
 		b.now = min(end, max(b.now+1, b.core.NextDue()))
@@ -162,50 +174,63 @@
 	}
 }
 
-var clients int64
+// lastClient is the ID of the last client of any test.
+var lastClient int64
 
-// request is a client's request; its inference waits for a line to a reader then.
+// request sends a request on a new connection; it waits for a connection to a prefill engine then.
 func (b *testbed) request(name, route string, more ...string) (*router.ClientConnection, *fakeClientSocket) {
-	clients++
+	lastClient++
 	out := &fakeClientSocket{}
-	c := &router.ClientConnection{ID: clients, Socket: out}
+	client := &router.ClientConnection{ID: lastClient, Socket: out}
 	b.core.SetTime(b.now)
-	b.core.ClientOpened(c)
-	b.requestOn(c, name, route, more...)
-	return c, out
+	b.core.ClientOpened(client)
+	b.requestOn(client, name, route, more...)
+	return client, out
 }
 
-// healthCheck asks an engine for its load.
+// healthCheck sends a health check to an engine.
 func (b *testbed) healthCheck(engine string) {
-	b.core.SetTime(b.now)
-	b.core.HealthCheck(engine)
-	b.core.RunDue(b.now)
+	b.do(func() { b.core.HealthCheck(engine) })
 }
 
-// connect lets the oldest line that is dialled come up.
+// connect lets the oldest dial succeed.
 func (b *testbed) connect() *fakeEngineSocket {
 	b.t.Helper()
 	if len(b.dials) == 0 {
-		b.t.Fatal("no line is dialled")
+		b.t.Fatal("nothing is dialed")
 	}
 	s := &fakeEngineSocket{conn: b.dials[0]}
 	b.dials = b.dials[1:]
 	b.engines = append(b.engines, s)
-	b.core.SetTime(b.now)
-	b.core.EngineConnected(s.conn, s, nil)
-	b.core.RunDue(b.now)
+	b.do(func() { b.core.EngineConnected(s.conn, s, nil) })
 	return s
 }
 
-// answerPrefill answers a reader's send.
-func (b *testbed) answerPrefill(s *fakeEngineSocket) {
-	b.core.SetTime(b.now)
-	b.core.ResponseHead(s.conn, &http.Response{Status: "202", StatusCode: 202, Header: http.Header{}}, nil)
-	b.core.ResponseComplete(s.conn, []byte(`{"cached_tokens":0}`), true)
-	b.core.RunDue(b.now)
+// responseHead is the head of an engine's answer.
+func responseHead(status int, header http.Header) *http.Response {
+	if header == nil {
+		header = http.Header{}
+	}
+	return &http.Response{Status: fmt.Sprint(status), StatusCode: status, Header: header}
 }
 
-// countPosts counts the inferences written to engines so far.
+// respond completes an answer to what a connection carries.
+func (b *testbed) respond(s *fakeEngineSocket, status int, header http.Header, body string) {
+	b.do(func() {
+		b.core.ResponseHead(s.conn, responseHead(status, header), nil)
+		b.core.ResponseComplete(s.conn, []byte(body), true)
+	})
+}
+
+// answerPrefill completes a prefill.
+func (b *testbed) answerPrefill(s *fakeEngineSocket) { b.respond(s, 202, nil, `{"cached_tokens":0}`) }
+
+// answerFull rejects a decode for lack of capacity: it never ran.
+func (b *testbed) answerFull(s *fakeEngineSocket) {
+	b.respond(s, 503, http.Header{"Not-Started": {"1"}}, "")
+}
+
+// countPosts counts the attempts that were written to engines so far.
 func (b *testbed) countPosts() (n int) {
 	for _, s := range b.engines {
 		n += strings.Count(s.written.String(), "POST ")
@@ -213,14 +238,14 @@
 	return n
 }
 
-// advertisedTimeouts are the times that engines were told with the requests that a connection carried.
-func advertisedTimeouts(t *testing.T, s *fakeEngineSocket) (rows []time.Duration) {
+// advertisedTimeouts are the timeouts in the requests that a connection carried.
+func advertisedTimeouts(t *testing.T, s *fakeEngineSocket) (timeouts []time.Duration) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(s.written.Bytes()))
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			return rows
+			return timeouts
 		}
 		io.Copy(io.Discard, r.Body)
 		if r.Method != http.MethodPost {
@@ -230,12 +255,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows = append(rows, time.Duration(left*float64(time.Second)))
+		timeouts = append(timeouts, time.Duration(left*float64(time.Second)))
 	}
 }
 
-// requestOn is one more request on a client's connection.
-func (b *testbed) requestOn(c *router.ClientConnection, name, route string, more ...string) {
+// requestOn sends one more request on a client's connection.
+func (b *testbed) requestOn(client *router.ClientConnection, name, route string, more ...string) {
 	b.t.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
 		"Affinity-Key: k%s\r\nRequest-Timeout: 3.0\r\n%sContent-Length: 2\r\n\r\n{}", name, route, name, strings.Join(more, ""))
@@ -243,36 +268,26 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	a := &router.ClientRequest{Request: r, Bytes: 2}
-	a.Call, a.Caller, a.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
-	b.core.SetTime(b.now)
-	b.core.ReceiveRequest(c, a)
-	b.core.RunDue(b.now)
+	received := &router.ClientRequest{Request: r, Bytes: 2}
+	received.Call, received.Caller, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
+	b.do(func() { b.core.ReceiveRequest(client, received) })
 }
 
-// responseStatuses reads what a client got: the status of each answer in order.
-func responseStatuses(t *testing.T, out *fakeClientSocket) (rows []int) {
+// responseStatuses are the statuses of the answers that a client got, in order.
+func responseStatuses(t *testing.T, out *fakeClientSocket) (statuses []int) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(out.Bytes()))
 	for {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			return rows
+			return statuses
 		}
 		io.Copy(io.Discard, r.Body)
-		rows = append(rows, r.StatusCode)
+		statuses = append(statuses, r.StatusCode)
 	}
 }
 
-// answerFull answers a writer's send: it never ran.
-func (b *testbed) answerFull(s *fakeEngineSocket) {
-	b.core.SetTime(b.now)
-	b.core.ResponseHead(s.conn, &http.Response{Status: "503", StatusCode: 503, Header: http.Header{"Not-Started": {"1"}}}, nil)
-	b.core.ResponseComplete(s.conn, nil, true)
-	b.core.RunDue(b.now)
-}
-
-// finished answers all that is open with its writer's refusal or by its time being up.
+// untilAnswered lets time pass until a client has an answer.
 func (b *testbed) untilAnswered(out *fakeClientSocket) {
 	b.t.Helper()
 	for range 100 {
