--- a/internal/fluidmodel/scenario.go
+++ b/internal/fluidmodel/scenario.go
@@ -73,5 +73,5 @@
 	LostEngineTime  float64   `json:"lost"`    // share of all engine time that was out of service for changes
 	ServingPrefill  []float64 `json:"-"`       // prefill engines in service, every second
 	Windows         []float64 `json:"-"`       // value share of each ten seconds
-	RecoverySeconds float64   `json:"recover"` // until nine tenths of the value are served again after the first skew; -1 for never
+	RecoverySeconds float64   `json:"recover"` // until the first window after the first skew with nine tenths; -1 for never
 }
--- a/internal/planner/assignment/decision.go
+++ b/internal/planner/assignment/decision.go
@@ -29,7 +29,7 @@
 
 // fleetSnapshot is what a decision is based on.
 type fleetSnapshot struct {
-	mix        mixSample
+	sample     mixSample
 	throughput perRole
 	required   perRole
 	serving    perRole
@@ -51,7 +51,7 @@
 	snapshot.required = mix.required(snapshot.throughput)
 	snapshot.serving.prefill, snapshot.incoming.prefill = c.supply(planapi.Prefill)
 	snapshot.serving.decode, snapshot.incoming.decode = c.supply(planapi.Decode)
-	snapshot.mix = sampleMix(mix, snapshot.serving, snapshot.throughput)
+	snapshot.sample = sampleMix(mix, snapshot.serving, snapshot.throughput)
 	decision := Decision{At: c.now, Mix: mix, EdgesReporting: reporting, EdgesKnown: known,
 		RequiredEngines: map[string]float64{}, ServingEngines: snapshot.serving.byName(),
 		IncomingEngines: snapshot.incoming.byName(), Throughput: snapshot.throughput.byName(),
@@ -59,7 +59,7 @@
 	if len(mix) > 0 {
 		decision.RequiredEngines = snapshot.required.byName()
 	}
-	c.mixes.record(c.now, snapshot.mix)
+	c.mixes.record(c.now, snapshot.sample)
 	c.skew.observe(c.now, snapshot.required)
 	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		decision.Evaluations = append(decision.Evaluations, c.evaluate(role, &snapshot))
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -51,7 +51,7 @@
 func (c *Controller) evaluate(to string, s *fleetSnapshot) Evaluation {
 	e := Evaluation{ToRole: to}
 	unserved := s.serving.of(to)+s.incoming.of(to) == 0 && s.serving.of(planapi.OtherRole(to)) > 1
-	demanded := len(s.mix.mix) > 0
+	demanded := len(s.sample.mix) > 0
 	switch {
 	case demanded && s.throughput.prefill != 0 && s.throughput.decode != 0:
 		e.Gain = c.gainNow(to, s)
@@ -87,9 +87,9 @@
 // nothing is lost, nothing can be gained, however busy a role looks. Engines that are changing to the role or
 // came to it lately bring back a part of the loss already.
 func (c *Controller) gainNow(to string, s *fleetSnapshot) float64 {
-	value := func(moved float64) float64 { return s.mix.value(s.expected().moved(to, moved), s.throughput) }
+	value := func(moved float64) float64 { return s.sample.value(s.expected().moved(to, moved), s.throughput) }
 	recovering := max(0, value(0)-value(-c.recentlyAdded(to)))
-	return min(value(1)-value(0), maxGainPerLoss*s.mix.mix.lostValue()-recovering)
+	return min(value(1)-value(0), maxGainPerLoss*s.sample.mix.lostValue()-recovering)
 }
 
 // recentlyAdded is the weight of the engines that are changing to a role, or came to it so lately that the edges
@@ -142,7 +142,7 @@
 
 // changeCost is the value lost while neither role has the engine, and by computing its cached prefixes again.
 func (c *Controller) changeCost(e *Evaluation, s *fleetSnapshot) float64 {
-	mix, from := s.mix.mix, planapi.OtherRole(e.ToRole)
+	mix, from := s.sample.mix, planapi.OtherRole(e.ToRole)
 	served := mix.servedValue(s.serving, s.throughput)
 	cost := max(0, served-mix.servedValue(s.serving.without(from, 1), s.throughput)) * c.changeSeconds()
 	if from != planapi.Prefill || s.required.prefill <= 0 {
@@ -170,7 +170,7 @@
 	gain := e.Gain*max(0, e.RemainingSeconds-duration) +
 		e.ReversalLoss*(duration*(1+c.surplus(e, s)/concurrent)+skewDetectionTime.Seconds())
 	// A gain under the average of the last minutes needs no forecast.
-	if len(c.mixes.samples) >= minMixes && e.MeanGain > noiseShare*s.mix.mix.offeredValue() {
+	if len(c.mixes.samples) >= minMixes && e.MeanGain > noiseShare*s.sample.mix.offeredValue() {
 		gain = max(gain, e.MeanGain*maxSkewForecast.Seconds())
 	}
 	return gain
@@ -184,7 +184,7 @@
 	case unserved && e.GainingSeconds >= minUnservedTime.Seconds():
 	case e.GainingSeconds < minSkewTime.Seconds():
 		return Reason(fmt.Sprintf(reasonTooRecentFormat, e.GainingSeconds))
-	case gain <= gainCostMargin*e.Cost || gain <= noiseShare*s.mix.mix.offeredValue():
+	case gain <= gainCostMargin*e.Cost || gain <= noiseShare*s.sample.mix.offeredValue():
 		return Reason(fmt.Sprintf(reasonCostFormat, gain, e.Cost))
 	}
 	switch {
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -23,6 +23,7 @@
 	Reason Reason
 }
 
+// Error is the text that the operator is sent.
 func (e *IneligibleError) Error() string {
 	return fmt.Sprintf("%s may not change: %s", e.Engine, e.Reason)
 }
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -39,8 +39,9 @@
 func (e *engineRecord) recordSample(report planapi.EngineReport, now int64) {
 	previous := &e.report
 	elapsed := time.Duration(now - e.reportedAt)
-	if e.reportedAt == 0 || previous.Incarnation != report.Incarnation || previous.Role != report.Role || elapsed <= 0 ||
-		report.PrefillTokens < previous.PrefillTokens || report.DecodeTokens < previous.DecodeTokens || report.BusySeconds < previous.BusySeconds {
+	first := e.reportedAt == 0 || previous.Incarnation != report.Incarnation || previous.Role != report.Role
+	if first || elapsed <= 0 || report.PrefillTokens < previous.PrefillTokens ||
+		report.DecodeTokens < previous.DecodeTokens || report.BusySeconds < previous.BusySeconds {
 		return
 	}
 	sample := workSample{takenAt: now, duration: elapsed, tokens: report.DecodeTokens - previous.DecodeTokens,
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -23,23 +23,23 @@
 	Quarantined State = "aside"     // out of the plan: it did not follow its orders or failed its trial
 )
 
-// trigger is what makes the state of an engine's role change.
+// trigger is what makes the state of an engine's role change. Its values only name transitions.
 type trigger string
 
 const (
-	changeChosen      trigger = "chosen"
-	drained           trigger = "empty"     // nothing in flight or reserved, long enough after its drain was published
-	timedOut          trigger = "late"      // the timeout of its state has passed
-	loadConfirmed     trigger = "confirmed" // it reports that it loads under the epoch of the order
-	roleReported      trigger = "came"      // it reports that it serves in the role and epoch of the order
-	trialPassed       trigger = "good"
-	trialFailed       trigger = "bad"
-	warmedUp          trigger = "warm"
-	mismatchReported  trigger = "strange"   // it reports a role or an epoch that was not ordered
-	restarted         trigger = "restarted" // the same role and epoch, another incarnation
-	changesStopped    trigger = "halt"      // an operator stopped all changes
-	readmitted        trigger = "readmitted"
-	quarantineExpired trigger = "rested"
+	changeChosen      trigger = "change chosen"
+	drained           trigger = "drained"        // nothing in flight or reserved, long enough after its drain was published
+	timedOut          trigger = "timed out"      // the timeout of its state has passed
+	loadConfirmed     trigger = "load confirmed" // it reports that it loads under the epoch of the order
+	roleReported      trigger = "role reported"  // it reports that it serves in the role and epoch of the order
+	trialPassed       trigger = "trial passed"
+	trialFailed       trigger = "trial failed"
+	warmedUp          trigger = "warmed up"
+	mismatchReported  trigger = "mismatch reported" // it reports a role or an epoch that was not ordered
+	restarted         trigger = "restarted"         // the same role and epoch, another incarnation
+	changesStopped    trigger = "changes stopped"   // by an operator
+	readmitted        trigger = "readmitted"        // by an operator
+	quarantineExpired trigger = "quarantine expired"
 )
 
 type transition struct {
@@ -74,7 +74,8 @@
 // TransitionNames names the transitions in the order of the bits of Controller.FiredTransitions.
 func TransitionNames() (names []string) {
 	for i, t := range transitions {
-		names = append(names, fmt.Sprintf("roles row %d: %v, %s, next %s", i+1, t.from, t.trigger, t.next))
+		names = append(names, fmt.Sprintf("assignment transition %d: states %v, trigger %s, next %s",
+			i+1, t.from, t.trigger, t.next))
 	}
 	return names
 }
