--- a/internal/emulator/lab_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// The same seed gives the same day to the last count, and another seed another.
+// The same seed gives the same result to the last count, and another seed another.
 func TestSameSeedSameResult(t *testing.T) {
 	d := Defaults()
 	d.RequestRate, d.Length = 11, 20*time.Second
-	d.Faults = []Fault{{Kind: "restart", At: 8 * time.Second, Duration: 3 * time.Second, Fraction: 0.4}}
+	d.Faults = []Fault{{Kind: FaultRestart, At: 8 * time.Second, Duration: 3 * time.Second, Fraction: 0.4}}
 	first, second := Run(d), Run(d)
 	if !reflect.DeepEqual(first, second) {
 		t.Errorf("%+v\n%+v", first, second)
@@ -22,19 +22,19 @@
 	}
 }
 
-// A fleet with room serves everything; whatever breaks, nothing non-retriable runs twice, every try ends once
-// and no state stays.
+// A fleet with capacity serves everything; whatever fails, nothing non-retriable runs twice, every attempt ends once
+// and no reservation stays.
 func TestFaultsLeaveNothingBehind(t *testing.T) {
 	d := Defaults()
 	d.RequestRate, d.Length = 8, 20*time.Second
 	if r := Run(d); r.Share < 0.995 {
-		t.Errorf("a calm day: %+v", r)
+		t.Errorf("without faults: %+v", r)
 	}
 	for _, kind := range FaultKinds {
 		d := Defaults()
 		d.RequestRate, d.Length, d.RetryBudget = 11, 30*time.Second, 0.1
 		d.Faults = []Fault{{Kind: kind, At: 8 * time.Second, Duration: 5 * time.Second, Fraction: 0.5}}
-		if kind == "burst" || kind == "slow" {
+		if kind == FaultBurst || kind == FaultSlow {
 			d.Faults[0].Fraction = 3
 		}
 		r := Run(d)
@@ -43,17 +43,17 @@
 			ended += n
 		}
 		if r.RanTwice > 0 || r.HeldAtEnd > 0 || r.Overloaded > 0 || ended != r.Attempts {
-			t.Errorf("%s: ran twice %d, held %d, pushed over %d, %d of %d tries ended", kind, r.RanTwice,
+			t.Errorf("%s: ran twice %d, held %d, overloaded %d, %d of %d attempts ended", kind, r.RanTwice,
 				r.HeldAtEnd, r.Overloaded, ended, r.Attempts)
 		}
 	}
 }
 
-// A retry storm goes on after its cause where retries have no budget, and ends with it where they have.
+// A retry storm outlasts its cause where retries have no budget, and ends with it where they have.
 func TestRetryBudgetEndsTheStorm(t *testing.T) {
 	d := Defaults()
 	d.RequestRate, d.Length, d.Retries = 12, 70*time.Second, 4
-	d.Faults = []Fault{{Kind: "restart", At: 20 * time.Second, Duration: 10 * time.Second, Fraction: 0.5}}
+	d.Faults = []Fault{{Kind: FaultRestart, At: 20 * time.Second, Duration: 10 * time.Second, Fraction: 0.5}}
 	storm := Run(d)
 	d.RetryBudget = 0.1
 	if held := Run(d); held.Share < storm.Share+0.1 {
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -64,6 +64,7 @@
 	HealthCheckRequest
 )
 
+// String names the kind in events.
 func (k RequestKind) String() string {
 	return [...]string{"none", "prefill", "decode", "release", "health check"}[k]
 }
