--- a/internal/planner/assignment/decision.go
+++ b/internal/planner/assignment/decision.go
@@ -11,7 +11,7 @@
 // Decision is the last decision, for operators. The maps are by role.
 type Decision struct {
 	At              int64              `json:"at"`
-	Mix             trafficMix         `json:"mix"`
+	Mix             TrafficMix         `json:"mix"`
 	EdgesReporting  int                `json:"edges_heard"`
 	EdgesKnown      int                `json:"edges_known"`
 	RequiredEngines map[string]float64 `json:"need"`   // that the mix keeps busy; empty without demand
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -173,7 +173,7 @@
 
 // estimateDemand returns what arrives, and how many edges report of those that are known. Edges that do not
 // report are taken to receive as much as the others do on average.
-func (c *Controller) estimateDemand() (mix trafficMix, reporting, known int) {
+func (c *Controller) estimateDemand() (mix TrafficMix, reporting, known int) {
 	counts := c.demand.collect(c.now)
 	c.updateUncachedRatio(counts)
 	for _, route := range slices.Sorted(maps.Keys(counts.routes)) {
@@ -184,7 +184,7 @@
 		}
 	}
 	// Edges admit the routes of the highest value first.
-	slices.SortStableFunc(mix, func(a, b routeDemand) int {
+	slices.SortStableFunc(mix, func(a, b RouteDemand) int {
 		return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Route, b.Route))
 	})
 	return mix, counts.reporting, counts.known
@@ -204,13 +204,13 @@
 }
 
 // onRoute is the demand on a route, without its value.
-func (d *demandEstimator) onRoute(route string, counts edgeCounts) routeDemand {
+func (d *demandEstimator) onRoute(route string, counts edgeCounts) RouteDemand {
 	total := counts.routes[route]
 	if total.ended > 0 {
 		d.answerTokens[route] = total.answer / total.ended
 	}
 	rate := total.arrivalRate(counts.reporting) * (float64(counts.known) / float64(max(counts.reporting, 1)))
-	return routeDemand{Route: route, Rate: rate,
+	return RouteDemand{Route: route, Rate: rate,
 		PrefillTokens: total.prompt / max(total.arrived, 1) * cmp.Or(d.uncachedRatio, 1),
 		DecodeTokens:  cmp.Or(d.answerTokens[route], defaultAnswerTokens),
 		LostRate:      rate * min(1, total.lost/max(total.arrived, 1))}
--- a/internal/planner/assignment/golden_test.go
+++ b/internal/planner/assignment/golden_test.go
@@ -11,7 +11,7 @@
 
 // The last decision as operators read it, with the demand and the evaluations.
 func TestGoldenExplained(t *testing.T) {
-	last := Decision{At: 5, Mix: trafficMix{{Route: "clip-summary", Rate: 1.5, PrefillTokens: 900, DecodeTokens: 120,
+	last := Decision{At: 5, Mix: TrafficMix{{Route: "clip-summary", Rate: 1.5, PrefillTokens: 900, DecodeTokens: 120,
 		Value: 1, LostRate: 0.25}}, EdgesReporting: 2, EdgesKnown: 3, RequiredEngines: map[string]float64{"read": 1.5},
 		ServingEngines: map[string]float64{"read": 1}, IncomingEngines: map[string]float64{"write": 1},
 		Throughput: map[string]float64{"read": 9000}, Evaluations: []Evaluation{{ToRole: "read", Gain: 1.5,
--- a/internal/planner/assignment/mix.go
+++ b/internal/planner/assignment/mix.go
@@ -11,8 +11,8 @@
 // value was lost yet.
 const usableCapacity = 0.9
 
-// routeDemand is the demand on one model route.
-type routeDemand struct {
+// RouteDemand is the demand on one model route.
+type RouteDemand struct {
 	Route         string  `json:"route"`
 	Rate          float64 `json:"rate"`         // requests per second
 	PrefillTokens float64 `json:"read_tokens"`  // of one request, without the cached ones
@@ -21,8 +21,8 @@
 	LostRate      float64 `json:"lost"`         // requests per second that are shed or miss their latency objective
 }
 
-// trafficMix is the demand on all model routes, those of the highest value first.
-type trafficMix []routeDemand
+// TrafficMix is the demand on all model routes, those of the highest value first.
+type TrafficMix []RouteDemand
 
 // perRole is a figure of each role.
 type perRole struct{ prefill, decode float64 }
@@ -55,7 +55,7 @@
 }
 
 // required is how many engines of each role the mix keeps busy.
-func (m trafficMix) required(throughput perRole) (engines perRole) {
+func (m TrafficMix) required(throughput perRole) (engines perRole) {
 	for _, demand := range m {
 		engines.prefill += demand.Rate * demand.PrefillTokens / max(throughput.prefill, 1)
 		engines.decode += demand.Rate * demand.DecodeTokens / max(throughput.decode, 1)
@@ -65,7 +65,7 @@
 
 // servedValue is the value per second that so many engines bring: routes of the highest value first, each as far
 // as the capacity of both roles lasts.
-func (m trafficMix) servedValue(engines, throughput perRole) (value float64) {
+func (m TrafficMix) servedValue(engines, throughput perRole) (value float64) {
 	prefillCapacity := engines.prefill * throughput.prefill * usableCapacity
 	decodeCapacity := engines.decode * throughput.decode * usableCapacity
 	for _, demand := range m {
@@ -85,7 +85,7 @@
 }
 
 // offeredValue is the value per second of all arrivals.
-func (m trafficMix) offeredValue() (value float64) {
+func (m TrafficMix) offeredValue() (value float64) {
 	for _, demand := range m {
 		value += demand.Rate * demand.Value
 	}
@@ -93,7 +93,7 @@
 }
 
 // lostValue is the value per second of the requests that edges counted as shed or late.
-func (m trafficMix) lostValue() (value float64) {
+func (m TrafficMix) lostValue() (value float64) {
 	for _, demand := range m {
 		value += demand.LostRate * demand.Value
 	}
@@ -109,12 +109,12 @@
 // mixSample is a mix and how much more value was lost under it than estimated: routes do not lose in the order
 // of their value alone, and one with a short latency objective is late first.
 type mixSample struct {
-	mix        trafficMix
+	mix        TrafficMix
 	lossFactor float64
 }
 
 // sampleMix compares what the edges counted as lost with what the engines that serve would lose by estimate.
-func sampleMix(mix trafficMix, serving, throughput perRole) mixSample {
+func sampleMix(mix TrafficMix, serving, throughput perRole) mixSample {
 	offered := mix.offeredValue()
 	estimatedLoss := offered - mix.servedValue(serving, throughput)
 	if estimatedLoss < noiseShare*offered {
