--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -63,8 +63,9 @@
 	if _, ok := conn.Session().(*batchMarker); ok {
 		return
 	}
-	s.reuse.waitForFreshBatch(conn)
 	e := s.edge
+	e.reach(ClientAccepted)
+	s.reuse.waitForFreshBatch(conn)
 	bounds := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
 	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
 	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
--- a/internal/edge/sync_point.go
+++ b/internal/edge/sync_point.go
@@ -6,6 +6,7 @@
 
 // The points.
 const (
+	ClientAccepted     SyncPoint = "a client's connection is accepted, its poller does not know of it"
 	ClientReadable     SyncPoint = "a client's connection is readable, nothing is read"
 	RequestParsed      SyncPoint = "a client's bytes are parsed, the owner is not notified"
 	CloseDecided       SyncPoint = "the owner has decided to close a client's connection, the socket is open"
