--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -2,7 +2,9 @@
 
 import (
 	"errors"
+	"maps"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -25,26 +27,26 @@
 type connectionLimit struct {
 	mu       sync.Mutex
 	released *sync.Cond
-	open     int
+	open     map[*nbio.Conn]struct{}
 	max      int
 	closed   chan struct{}
 }
 
 func newConnectionLimit(max int) *connectionLimit {
-	l := &connectionLimit{max: max, closed: make(chan struct{})}
+	l := &connectionLimit{open: map[*nbio.Conn]struct{}{}, max: max, closed: make(chan struct{})}
 	l.released = sync.NewCond(&l.mu)
 	return l
 }
 
-func (l *connectionLimit) acquire() {
+func (l *connectionLimit) acquire(conn *nbio.Conn) {
 	l.mu.Lock()
-	l.open++
+	l.open[conn] = struct{}{}
 	l.mu.Unlock()
 }
 
-func (l *connectionLimit) release() {
+func (l *connectionLimit) release(conn *nbio.Conn) {
 	l.mu.Lock()
-	l.open--
+	delete(l.open, conn)
 	l.mu.Unlock()
 	l.released.Broadcast()
 }
@@ -52,7 +54,7 @@
 // wait returns once there is capacity, or after close.
 func (l *connectionLimit) wait() {
 	l.mu.Lock()
-	for l.open >= l.max && !l.isClosed() {
+	for len(l.open) >= l.max && !l.isClosed() {
 		l.released.Wait()
 	}
 	l.mu.Unlock()
@@ -76,6 +78,16 @@
 	l.released.Broadcast()
 }
 
+// closeConnections closes all connections that are open.
+func (l *connectionLimit) closeConnections() {
+	l.mu.Lock()
+	open := slices.Collect(maps.Keys(l.open))
+	l.mu.Unlock()
+	for _, conn := range open {
+		conn.Close() // calls release
+	}
+}
+
 // limitedListener accepts while there is capacity.
 type limitedListener struct {
 	net.Listener
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -7,6 +7,7 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"time"
 
 	"github.com/lesismal/nbio"
 
@@ -59,6 +60,24 @@
 	return s.reuse.start(s.edge, s.pollers)
 }
 
+// stop ends the pollers once all connections are closed. The socket library closes those that it knows of as it begins to
+// stop, and then waits for their end; one that is accepted in that moment becomes known to it later.
+func (s *clientSide) stop() {
+	stopped := make(chan struct{})
+	go func() {
+		s.pollers.Stop()
+		close(stopped)
+	}()
+	for {
+		select {
+		case <-stopped:
+			return
+		case <-time.After(closePollInterval):
+			s.limit.closeConnections()
+		}
+	}
+}
+
 func (s *clientSide) opened(conn *nbio.Conn) {
 	if _, ok := conn.Session().(*batchMarker); ok {
 		return
@@ -70,7 +89,7 @@
 	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
 	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
 	conn.SetSession(c)
-	s.limit.acquire()
+	s.limit.acquire(conn)
 	e.sessions.publish()
 	e.inbox.put(0, func() { e.core.ClientOpened(c.state) })
 }
@@ -79,7 +98,7 @@
 	e := s.edge
 	e.sessions.acquire()
 	if c, ok := conn.Session().(*clientConnection); ok {
-		s.limit.release()
+		s.limit.release(conn)
 		e.inbox.put(0, func() { e.core.ClientDisconnected(c.state) })
 	}
 }
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -107,7 +107,7 @@
 		e.gossip.conn.Close()
 	}
 	e.goroutines.Wait()
-	e.clients.pollers.Stop()
+	e.clients.stop()
 	e.engines.pollers.Stop()
 	e.clients.reuse.close()
 	e.engines.reuse.close()
