--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -23,15 +23,15 @@
 	"sandcourse/settings"
 )
 
-// recorder is a core on a simulated clock, with everything that it puts on a wire written down: the time, the connection
-// and the bytes. Engines answer as a test scripts it.
+// recorder is a router on a simulated clock. It records everything that the router writes to connections: the time, the
+// connection and the bytes. Engines answer as a test says.
 type recorder struct {
 	ignoredObserver
 	t             *testing.T
 	core          *router.Router
 	deployment    *config.Deployment
 	protocol      protocol.Codec
-	chat          bool // the chat dialect; else the platform's
+	chat          bool // the open protocol; else the platform's
 	start         int64
 	now           int64
 	out           strings.Builder
@@ -41,10 +41,11 @@
 	requestCounts map[string]int // so far, by kind
 	revision      int64
 	refusing      map[string]bool // engines that refuse connections
-	// answer is an engine's answer to its request; empty for the usual one.
+	// replyFor is how an engine answers a request.
 	replyFor func(kind, engine string, count int) string
 }
 
+// scheduledEvent is one that happens at a time.
 type scheduledEvent struct {
 	at int64
 	do func()
@@ -110,7 +111,7 @@
 func (r *recorder) PolicyPanicked(p any, _ routing.Event, stack []byte) {
 	r.t.Fatalf("%v\n%s", p, stack)
 }
-func (r *recorder) InvariantViolated(v invariant.Violation) { r.t.Errorf("rule broken: %+v", v) }
+func (r *recorder) InvariantViolated(v invariant.Violation) { r.t.Errorf("invariant violated: %+v", v) }
 
 func (r *recorder) SendToPeer(to int, text string) {
 	r.recordBytes(fmt.Sprintf("to peer %d", to), []byte(text))
@@ -139,7 +140,7 @@
 	r.tasks = slices.Insert(r.tasks, i, scheduledEvent{at, do})
 }
 
-// do is one event at the present time.
+// do lets the router handle one event.
 func (r *recorder) do(event func()) {
 	r.core.SetTime(r.now)
 	event()
@@ -195,7 +196,7 @@
 	return nil
 }
 
-// later is one event of the connection, unless it is closed by then.
+// later schedules an event of the connection, unless it is closed by then.
 func (e *goldenEngine) later(d time.Duration, do func()) {
 	e.r.after(d, func() {
 		if !e.closed {
@@ -294,7 +295,7 @@
 	e.later(wait+11*time.Millisecond, func() { core.ResponseComplete(e.conn, nil, true) })
 }
 
-// goldenClient is a connection of a client; its bytes are cut as the program cuts them.
+// goldenClient is a connection of a client; its bytes are framed as the edge frames them.
 type goldenClient struct {
 	r            *recorder
 	core         *router.ClientConnection
@@ -340,7 +341,7 @@
 	c.r.do(func() { c.r.core.ClientDisconnected(c.core) })
 }
 
-// send is what a client puts on its connection.
+// send writes to the connection.
 func (c *goldenClient) send(text string) {
 	core := c.r.core
 	c.r.do(func() {
@@ -366,14 +367,14 @@
 	})
 }
 
-// The model routes: whether a request may be tried again after it may have run.
+// The model routes: whether a request may be retried after it may have run.
 const (
 	retriable    = "retriable"
 	nonRetriable = "non-retriable"
-	deduplicated = "deduplicated" // by engines, for a time; the chat dialect's demo has no such route
+	deduplicated = "deduplicated" // by engines, for a time; the demo settings of the open protocol have no such route
 )
 
-// requestText is the text of an inference.
+// requestText is a request in either protocol.
 func (r *recorder) requestText(name, effect string, stream bool, fields ...string) string {
 	if r.chat {
 		route := map[string]string{retriable: "clip-summary", nonRetriable: "fan-alert"}[effect]
@@ -395,8 +396,8 @@
 	return c
 }
 
-// setEndpoints tells the core of engines: r... are for prefill, w... for decode; with a - behind it one is draining, and with @
-// it is at another address.
+// setEndpoints publishes a list of engines: r... are for prefill, w... for decode; one with a - at the end is draining, and one
+// with an @ has another address.
 func (r *recorder) setEndpoints(words ...string) {
 	r.revision++
 	list := endpoint.List{Revision: r.revision}
@@ -425,7 +426,7 @@
 	r.do(func() { r.core.UpdateEndpoints(list) })
 }
 
-// injectFaults makes the first requests of a kind get answers in order; those behind them get the usual one.
+// injectFaults lists how the first requests of a kind are answered; later ones are answered normally.
 func (r *recorder) injectFaults(kind string, faults ...string) {
 	r.replyFor = func(k, _ string, count int) string {
 		if k == kind && count <= len(faults) {
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/golden"
 )
 
-// goldenSituations are played on both dialects.
+// goldenSituations are run with both protocols.
 var goldenSituations = []struct {
 	name string
 	play func(r *recorder)
@@ -37,7 +37,7 @@
 		c.send(r.requestText("a2", retriable, true))
 		c.send(r.requestText("a3", nonRetriable, true))
 		r.pass(6 * time.Second)
-		r.setEndpoints("r1") // nobody decodes
+		r.setEndpoints("r1") // no decode engine
 		r.sendRequest("a4", nonRetriable, true)
 		r.pass(3 * time.Second)
 	}},
@@ -184,7 +184,7 @@
 	return "platform-" + name
 }
 
-// What the node puts on its wires is what it put there when the golden files were written.
+// What the router writes to connections is what it wrote when the golden files were recorded.
 func TestGoldenWire(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		for _, s := range goldenSituations {
@@ -201,7 +201,7 @@
 	}
 }
 
-// What nodes tell one another.
+// What routers send one another.
 func TestGoldenPeers(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "peers")
@@ -222,10 +222,10 @@
 	}
 }
 
-// badRequests are refused. Each has a connection of its own.
+// badRequests are invalid. Each has a connection of its own.
 func badRequests(r *recorder) []string {
 	good := r.requestText("a1", retriable, true)
-	// One that is left as it was is of the other dialect, and served.
+	// One that is left as it was is of the other protocol, and served.
 	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	body := func(text string) string {
 		head, _, _ := strings.Cut(good, "Content-Length:")
@@ -263,6 +263,7 @@
 	return rows
 }
 
+// What is answered to invalid requests.
 func TestGoldenRefusals(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "refusals")
@@ -292,7 +293,7 @@
 	}
 }
 
-// What is refused as a bound of the node is reached.
+// What is rejected at the limits of the router.
 func TestGoldenLimits(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "limits")
@@ -300,48 +301,68 @@
 			r := newRecorder(t, chat, 1, func(d *config.Deployment) {
 				d.Limits.Connections, d.Limits.OpenRequests, d.Limits.BufferedBytes, d.Limits.RetryShare = 12, 8, 10_000, 0.2
 			})
-			r.record("a request that stops within its head, and one within its body")
-			for _, input := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
-				c := r.newClient()
-				r.do(func() { r.core.ReceivePartial(c.core, input, 10) })
-				r.pass(100 * time.Millisecond) // connections that are closed at one moment are closed in any order
-			}
-			r.pass(20 * time.Second)
-			r.record("more bytes than may be held")
-			c := r.newClient()
-			r.do(func() { r.core.ReceivePartial(c.core, admission.HeaderComplete, 20_000) })
-			r.pass(3 * time.Second)
-			r.record("requests that are sent ahead")
-			r.setEndpoints("r1", "w1")
-			c = r.newClient()
-			var ahead strings.Builder
-			for i := range 8 {
-				ahead.WriteString(r.requestText(fmt.Sprint("a", i), retriable, true))
-			}
-			c.send(ahead.String())
-			r.pass(3 * time.Second)
-			r.record("more connections and requests than may be open")
-			r.setEndpoints()
-			var clients []*goldenClient
-			for i := range 14 {
-				var fields []string
-				if i < 8 {
-					fields = []string{"Authorization: Bearer one\r\n"} // of one party, where the dialect knows parties
-				}
-				clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
-			}
-			r.pass(3 * time.Second)
-			for _, c := range clients {
-				c.disconnect()
-			}
-			r.record("clients that try again and again")
-			for i := range 30 {
-				c := r.sendRequest(fmt.Sprint("c", i), retriable, true, "Client-Retry: 1\r\n", "X-Stainless-Retry-Count: 1\r\n")
-				r.pass(10 * time.Millisecond)
-				c.disconnect()
-			}
-			r.pass(time.Second)
+			r.exceedBytes()
+			r.exceedPipeline()
+			r.exceedConnections()
+			r.exceedRetries()
 			golden.Check(t, name+".golden", r.out.String())
 		})
 	}
 }
+
+// exceedBytes sends partial requests, and one of too many bytes.
+func (r *recorder) exceedBytes() {
+	r.record("a request that stops within its head, and one within its body")
+	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
+		c := r.newClient()
+		r.do(func() { r.core.ReceivePartial(c.core, event, 10) })
+		r.pass(100 * time.Millisecond)
+	}
+	r.pass(20 * time.Second)
+	r.record("more bytes than may be held")
+	c := r.newClient()
+	r.do(func() { r.core.ReceivePartial(c.core, admission.HeaderComplete, 20_000) })
+	r.pass(3 * time.Second)
+}
+
+// exceedPipeline sends more requests ahead than may wait on a connection.
+func (r *recorder) exceedPipeline() {
+	r.record("requests that are sent ahead")
+	r.setEndpoints("r1", "w1")
+	c := r.newClient()
+	var ahead strings.Builder
+	for i := range 8 {
+		ahead.WriteString(r.requestText(fmt.Sprint("a", i), retriable, true))
+	}
+	c.send(ahead.String())
+	r.pass(3 * time.Second)
+}
+
+// exceedConnections opens too many connections and requests, most of them of one caller.
+func (r *recorder) exceedConnections() {
+	r.record("more connections and requests than may be open")
+	r.setEndpoints()
+	var clients []*goldenClient
+	for i := range 14 {
+		var fields []string
+		if i < 8 {
+			fields = []string{"Authorization: Bearer one\r\n"} // where the protocol knows callers
+		}
+		clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
+	}
+	r.pass(3 * time.Second)
+	for _, c := range clients {
+		c.disconnect()
+	}
+}
+
+// exceedRetries sends more retries than the retry budget allows.
+func (r *recorder) exceedRetries() {
+	r.record("clients that try again and again")
+	for i := range 30 {
+		c := r.sendRequest(fmt.Sprint("c", i), retriable, true, "Client-Retry: 1\r\n", "X-Stainless-Retry-Count: 1\r\n")
+		r.pass(10 * time.Millisecond)
+		c.disconnect()
+	}
+	r.pass(time.Second)
+}
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// The slack of the protocol: what is held has 300 ms more than the settings say, an answer half a second.
+// Reservations may be kept for 300 ms longer than the settings say, and answers may be half a second late.
 const (
 	reservationSlack = 300 * time.Millisecond
 	responseSlack    = 500 * time.Millisecond
 )
 
-// checkAttempt is rules 1 to 3 for an attempt that begins.
+// checkAttempt checks the invariants of an attempt that an engine receives: its client waits for it, its engine does not drain,
+// and none before it may have run where it must not run twice.
 func (w *world) checkAttempt(c *simulatedClient, p *postedAttempt) {
 	if c.disconnected || c.respondedAt > 0 {
-		w.t.Fatalf("%s: an attempt after its client had gone (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
+		w.t.Fatalf("%s: an attempt after its client had disconnected (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
 	}
 	if notifiedAt := w.drainNotifiedAt[p.engine]; notifiedAt > 0 && w.now-notifiedAt > int64(w.deployment.Rules.DrainGrace) {
-		w.t.Fatalf("%s: an attempt at %s %v after it was told to drain", c.name, p.engine, time.Duration(w.now-notifiedAt))
+		w.t.Fatalf("%s: an attempt at %s %v after its drain was published", c.name, p.engine, time.Duration(w.now-notifiedAt))
 	}
 	for _, prior := range c.attempts {
 		if prior.inFlight && !prior.cancelled {
-			w.t.Fatalf("%s: a second copy while one is out at %s", c.name, prior.engine)
+			w.t.Fatalf("%s: a second attempt while one is in flight at %s", c.name, prior.engine)
 		}
 		if prior.prefill || prior.neverRan || c.route.Effect == "retriable" {
 			continue
@@ -35,26 +36,26 @@
 			c.route.DedupGroup == "zone" && w.endpoints[p.engine].Zone == w.endpoints[prior.engine].Zone ||
 			c.route.DedupGroup == "cell" && w.endpoints[p.engine].Cell == w.endpoints[prior.engine].Cell)
 		if !known {
-			w.t.Fatalf("%s (%s, %s, %v): sent to %s, and may have run at %s %v before", c.name, c.route.Effect,
+			w.t.Fatalf("%s (%s, %s, %v): an attempt at %s, and one may have run at %s %v before", c.name, c.route.Effect,
 				c.route.DedupGroup, c.route.DedupWindow, p.engine, prior.engine, time.Duration(w.now-prior.receivedAt))
 		}
 	}
 }
 
-// checkReservations looks at what has been answered and at what is held.
+// checkReservations checks the answers so far, and that no reservation is kept for too long.
 func (w *world) checkReservations() {
 	for _, c := range w.clients {
 		w.checkResponse(c)
 	}
 	if !w.anyReachable() {
-		w.reservations = nil // no release could reach anyone: such states are the engines' to drop
+		w.reservations = nil // no release could reach an engine: such reservations are the engines' to drop
 	}
 	for _, h := range w.reservations {
 		if slices.ContainsFunc(h.client.attempts, func(p *postedAttempt) bool { return p.inFlight }) {
 			h.attemptInFlightAt = w.now
 		}
 		if w.now-h.attemptInFlightAt > int64(w.deployment.Rules.ReservationLimit+reservationSlack) {
-			w.t.Fatalf("%s is held at %s for %v", h.client.name, h.engine, time.Duration(w.now-h.attemptInFlightAt))
+			w.t.Fatalf("%s is reserved at %s for %v", h.client.name, h.engine, time.Duration(w.now-h.attemptInFlightAt))
 		}
 	}
 }
@@ -69,13 +70,14 @@
 	return false
 }
 
+// checkResponse checks that a client has an answer in time, and none that says that a retry is safe where it is not.
 func (w *world) checkResponse(c *simulatedClient) {
 	if c.respondedAt > 0 || c.disconnected {
 		return
 	}
 	if c.out.Len() == 0 {
 		if w.now > c.deadline+int64(responseSlack) {
-			w.t.Fatalf("%s: no answer %v after its time", c.name, time.Duration(w.now-c.deadline))
+			w.t.Fatalf("%s: no answer %v after its deadline", c.name, time.Duration(w.now-c.deadline))
 		}
 		return
 	}
@@ -84,15 +86,16 @@
 		w.t.Fatalf("%s: %v: %q", c.name, err, c.out.Bytes())
 	}
 	c.respondedAt = w.now
-	refused := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests
-	harmless := c.route.Effect == "retriable" || c.route.Effect == "deduped" && c.route.DedupGroup == "all"
+	shed := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests
+	repeatable := c.route.Effect == "retriable" || c.route.Effect == "deduped" && c.route.DedupGroup == "all"
 	ran := c.resumed || slices.ContainsFunc(c.attempts, func(p *postedAttempt) bool { return !p.prefill && !p.neverRan })
-	if refused && ran && !harmless {
-		w.t.Fatalf("%s (%s): refused, though it may have run", c.name, c.route.Effect)
+	if shed && ran && !repeatable {
+		w.t.Fatalf("%s (%s): shed, though it may have run", c.name, c.route.Effect)
 	}
 }
 
-// checkFinalState is for a world in which nothing is under way any more: one whole answer for each, and nothing behind it.
+// checkFinalState checks a world in which nothing is in flight any more: each client has one complete answer, and nothing
+// behind it.
 func (w *world) checkFinalState() {
 	for _, c := range w.clients {
 		if c.disconnected {
@@ -105,13 +108,13 @@
 		}
 		_, err = io.ReadAll(r.Body)
 		if err != nil && !c.closed {
-			w.t.Fatalf("%s: a stream without its end, and its connection stays open: %v", c.name, err)
+			w.t.Fatalf("%s: an incomplete stream on a connection that stays open: %v", c.name, err)
 		}
 		if rest, _ := io.ReadAll(in); len(rest) > 0 {
-			w.t.Fatalf("%s: %q behind the answer", c.name, rest)
+			w.t.Fatalf("%s: %q after the answer", c.name, rest)
 		}
 	}
 	if h := w.core.InFlight(); h.Requests > 0 || h.ControlRequests > 0 || len(w.reservations) > 0 {
-		w.t.Fatalf("at the end the node holds %+v, engines %d states", h, len(w.reservations))
+		w.t.Fatalf("at the end the router has %+v in flight, engines have %d reservations", h, len(w.reservations))
 	}
 }
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -18,7 +18,7 @@
 	"sandcourse/internal/router"
 )
 
-// sendRequest is a new client with a request of a random class.
+// sendRequest adds a client with a request of a random class.
 func (w *world) sendRequest() {
 	route := rapid.SampledFrom(w.deployment.Routes).Draw(w.t, "class")
 	wait := time.Duration(rapid.IntRange(100, 4000).Draw(w.t, "wait in ms")) * time.Millisecond
@@ -39,12 +39,13 @@
 	w.do(func() { w.core.ClientOpened(c.client); w.core.ReceiveRequest(c.client, received) })
 }
 
+// disconnect ends the connection of a client.
 func (w *world) disconnect(c *simulatedClient) {
 	c.disconnected = true
 	w.do(func() { w.core.ClientDisconnected(c.client) })
 }
 
-// connect ends a dial.
+// connect ends a dial, with a connection or without.
 func (w *world) connect(i int, ok bool) {
 	conn := w.dialing[i]
 	w.dialing = slices.Delete(w.dialing, i, i+1)
@@ -57,7 +58,7 @@
 	w.do(func() { w.core.EngineConnected(conn, e, nil) })
 }
 
-// The words of an engine.
+// How an engine answers.
 const (
 	answerDone          = "done"
 	answerRejected      = "refused"
@@ -68,26 +69,8 @@
 	answerInvalid       = "nonsense"
 )
 
-// respond is an engine's next word on a connection that has something to answer.
+// respond is an engine's next step on a connection with a request in flight.
 func (w *world) respond(e *simulatedEngine, answer string) {
-	head := func(status int, fields ...string) {
-		h := http.Header{}
-		for i := 0; i+1 < len(fields); i += 2 {
-			h.Set(fields[i], fields[i+1])
-		}
-		if e.method == http.MethodPost && status != http.StatusOK {
-			e.attempt.inFlight = false // the whole answer is on its way
-		}
-		w.core.ResponseHead(e.conn, &http.Response{Status: fmt.Sprint(status), StatusCode: status, Header: h}, nil)
-	}
-	end := func(body string) {
-		if e.method == http.MethodPost {
-			e.attempt.inFlight = false
-		}
-		e.method = ""
-		w.core.ResponseComplete(e.conn, []byte(body), true)
-	}
-	stream := e.method == http.MethodPost && !e.attempt.prefill
 	switch {
 	case answer == answerDisconnect || answer == answerInvalid && e.responding:
 		e.closed = true
@@ -96,36 +79,72 @@
 	case answer == answerInvalid:
 		w.do(func() { w.core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
 	case e.responding && answer == answerDone:
-		w.do(func() { end("") })
+		w.do(func() { e.completeResponse("") })
 	case e.responding:
 		w.do(func() { w.core.StreamEvent(e.conn, []byte(`{"choices":[2]}`)) })
 	case e.method != http.MethodPost:
-		w.do(func() { head(204); end("") })
-	case answer == answerRejected || answer == answerNoReservation && !stream:
+		w.do(func() { e.respondWith(204, "") })
+	default:
+		w.respondToAttempt(e, answer)
+	}
+}
+
+// respondToAttempt is an engine's first step for an attempt.
+func (w *world) respondToAttempt(e *simulatedEngine, answer string) {
+	prefill := e.attempt.prefill
+	switch {
+	case answer == answerRejected || answer == answerNoReservation && prefill:
 		e.attempt.neverRan = true
-		w.do(func() { head(503, platform.HeaderNotStarted, "1"); end("") })
+		w.do(func() { e.respondWith(503, "", platform.HeaderNotStarted, "1") })
 	case answer == answerNoReservation:
 		e.attempt.neverRan = true
-		w.do(func() { head(410, platform.HeaderNotStarted, "1"); end("") })
+		w.do(func() { e.respondWith(410, "", platform.HeaderNotStarted, "1") })
 	case answer == answerError:
-		if e.attempt.prefill {
+		if prefill {
 			w.addReservation(e.client, e.attempt.engine)
 		}
-		w.do(func() { head(500); end("") })
-	case !stream:
+		w.do(func() { e.respondWith(500, "") })
+	case prefill:
 		w.addReservation(e.client, e.attempt.engine)
-		w.do(func() { head(202); end(`{"cached_tokens":0}`) })
+		w.do(func() { e.respondWith(202, `{"cached_tokens":0}`) })
 	default:
 		e.responding, e.attempt.streaming = true, true
 		w.reservations = slices.DeleteFunc(w.reservations, func(h *simulatedReservation) bool { return h.client == e.client })
 		w.do(func() {
-			head(200, "Content-Type", "text/event-stream")
+			e.sendHead(200, "Content-Type", "text/event-stream")
 			w.core.StreamEvent(e.conn, []byte(`{"choices":[1]}`))
 		})
 	}
 }
 
-// publishEndpoints tells the list as it is now.
+// sendHead sends the head of an answer.
+func (e *simulatedEngine) sendHead(status int, fields ...string) {
+	header := http.Header{}
+	for i := 0; i+1 < len(fields); i += 2 {
+		header.Set(fields[i], fields[i+1])
+	}
+	if e.method == http.MethodPost && status != http.StatusOK {
+		e.attempt.inFlight = false // the complete answer is on its way
+	}
+	e.world.core.ResponseHead(e.conn, responseHead(status, header), nil)
+}
+
+// completeResponse sends the body of an answer.
+func (e *simulatedEngine) completeResponse(body string) {
+	if e.method == http.MethodPost {
+		e.attempt.inFlight = false
+	}
+	e.method = ""
+	e.world.core.ResponseComplete(e.conn, []byte(body), true)
+}
+
+// respondWith sends a complete answer.
+func (e *simulatedEngine) respondWith(status int, body string, fields ...string) {
+	e.sendHead(status, fields...)
+	e.completeResponse(body)
+}
+
+// publishEndpoints publishes the list as it is now.
 func (w *world) publishEndpoints() {
 	list := endpoint.List{Revision: w.now}
 	ids := []string{}
@@ -141,7 +160,7 @@
 	w.do(func() { w.core.UpdateEndpoints(list) })
 }
 
-// setState makes an engine drain, go, or be ready again.
+// setState makes an engine drain, leave the list, or be ready again.
 func (w *world) setState(id, state string) {
 	e := w.endpoints[id]
 	e.State = state
@@ -154,7 +173,7 @@
 	w.publishEndpoints()
 }
 
-// randomSettings draws a deployment: names, effects, limits and times of its own.
+// randomSettings draws the settings of a deployment: names, effects, limits and times.
 func randomSettings(t *rapid.T) []byte {
 	ms := func(name string, from, to int) int { return 1000 * rapid.IntRange(from, to).Draw(t, name+" in ms") }
 	var classes []map[string]any
@@ -185,6 +204,7 @@
 	return data
 }
 
+// newWorld makes a world of random settings and engines.
 func newWorld(t *rapid.T) *world {
 	nodeConfig, err := platform.ParseNodeConfig("settings", randomSettings(t))
 	if err != nil {
@@ -206,7 +226,7 @@
 	return w
 }
 
-// busyEngines are the connections on which an engine has something to answer.
+// busyEngines are the connections on which a request waits for its answer.
 func (w *world) busyEngines() (busy []*simulatedEngine) {
 	w.engines = slices.DeleteFunc(w.engines, func(e *simulatedEngine) bool { return e.closed })
 	for _, e := range w.engines {
@@ -240,7 +260,7 @@
 	case kind == 10:
 		id := fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "listed"))
 		w.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(w.t, "state"))
-	case kind == 12 && len(w.unreachable) == 0: // one at a time, so that another can be told to let go
+	case kind == 12 && len(w.unreachable) == 0: // one at a time, so that another handles releases
 		w.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "deaf"))] = true
 	case kind == 12:
 		clear(w.unreachable)
@@ -251,7 +271,7 @@
 	}
 }
 
-// settle lets all that is under way end well.
+// settle lets everything in flight end well.
 func (w *world) settle() {
 	w.core.SetEarliestEventTime(0)
 	for range 400 {
@@ -267,8 +287,8 @@
 	}
 }
 
-// Whatever the settings, and whatever engines, clients and the list do, the rules are kept. Nothing may depend on the
-// names, classes or limits of one deployment.
+// Whatever the settings, and whatever engines, clients and the endpoint list do, the invariants hold. Nothing may depend on
+// the names, classes or limits of one deployment.
 func TestInvariantsOnRandomSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -18,8 +18,8 @@
 	"sandcourse/internal/routing"
 )
 
-// world is a node core among clients and engines that behave at random, and the judge of the rules. It believes only
-// what reached clients and engines.
+// world is a router among clients and engines that behave at random. It checks the invariants by what reached clients and
+// engines alone.
 type world struct {
 	ignoredObserver
 	t               *rapid.T
@@ -30,12 +30,12 @@
 	dialing         []*router.EngineConnection
 	engines         []*simulatedEngine
 	endpoints       map[string]endpoint.Entry
-	drainNotifiedAt map[string]int64 // when an engine was told to drain or to be gone
+	drainNotifiedAt map[string]int64 // since when the list has an engine draining, or without it
 	reservations    []*simulatedReservation
-	// unnoticed are connections that the node has closed, with an attempt on them, and the engine does not know yet.
+	// unnoticedCloses are connections that the router has closed, with an attempt on them, of which the engine does not know.
 	unnoticedCloses []*simulatedEngine
-	unreachable     map[string]bool // engines that nothing reaches; their connections stay open
-	delay           time.Duration   // how long ago what happens now has happened: the process was not run meanwhile
+	unreachable     map[string]bool // partitioned engines; their connections stay open
+	delay           time.Duration   // how late the present event is handled, as the process did not run meanwhile
 }
 
 // simulatedClient is one client with one request.
@@ -47,9 +47,9 @@
 	deadline     int64
 	resumed      bool
 	out          bytes.Buffer
-	respondedAt  int64 // when its answer began or was whole
+	respondedAt  int64 // when its answer began or was complete
 	disconnected bool
-	closed       bool // by the node
+	closed       bool // by the router
 	attempts     []*postedAttempt
 }
 
@@ -59,12 +59,12 @@
 	receivedAt int64
 	prefill    bool
 	inFlight   bool
-	streaming  bool // its stream has
-	cancelled  bool // the node has closed its connection
+	streaming  bool // its first token has come
+	cancelled  bool // the router has closed its connection
 	neverRan   bool
 }
 
-// mayClaim is whether an attempt may still take a state.
+// mayClaim is whether an attempt may still claim a reservation.
 func (p *postedAttempt) mayClaim() bool { return p.inFlight && !p.prefill && !p.streaming }
 
 // simulatedEngine is one connection to an engine and what it has to answer.
@@ -74,20 +74,22 @@
 	closed     bool
 	client     *simulatedClient
 	attempt    *postedAttempt
-	method     string // of the request under way: POST, DELETE or GET; empty for none
+	method     string // of the request in flight: POST, DELETE or GET; empty for none
 	writtenAt  int64  // when it was written
 	responding bool
 }
 
-// simulatedReservation is a state that waits at a reader.
+// simulatedReservation is one that a prefill engine holds.
 type simulatedReservation struct {
 	client            *simulatedClient
 	engine            string
-	attemptInFlightAt int64 // the last time at which an attempt of its request was out
+	attemptInFlightAt int64 // when an attempt at its request was last in flight
 }
 
-func (w *world) Dial(conn *router.EngineConnection)                  { w.dialing = append(w.dialing, conn) }
-func (w *world) InvariantViolated(v invariant.Violation)             { w.t.Fatalf("the monitor: %+v", v) }
+func (w *world) Dial(conn *router.EngineConnection) { w.dialing = append(w.dialing, conn) }
+func (w *world) InvariantViolated(v invariant.Violation) {
+	w.t.Fatalf("reported by the monitor: %+v", v)
+}
 func (w *world) AroundStep(_ routing.Event, step func())             { step() }
 func (w *world) PolicyPanicked(p any, _ routing.Event, stack []byte) { w.t.Fatalf("%v\n%s", p, stack) }
 func (c *simulatedClient) Send(data []byte) error                    { c.out.Write(data); return nil }
@@ -97,7 +99,7 @@
 func (c *simulatedClient) CloseIfIdle() bool                         { c.closed = true; return true }
 func (c *simulatedClient) Close()                                    { c.closed = true }
 
-// Write takes a request of the node and judges it.
+// Write receives a request of the router and checks it.
 func (e *simulatedEngine) Write(request []byte) error {
 	w := e.world
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(request)))
@@ -125,7 +127,7 @@
 
 func (e *simulatedEngine) RequestWritten() bool { return true }
 
-// Close is seen by the engine later than by the node: what the node writes on other connections may arrive before.
+// Close is noticed by the engine later: what the router writes on other connections may arrive before.
 func (e *simulatedEngine) Close() {
 	if e.closed {
 		return
@@ -137,14 +139,14 @@
 	}
 }
 
-// releaseReservations lets go of what is held for a request and no attempt waits for.
+// releaseReservations releases what is reserved for a request, unless an attempt may claim it.
 func (w *world) releaseReservations(name string) {
 	w.reservations = slices.DeleteFunc(w.reservations, func(h *simulatedReservation) bool {
 		return h.client.name == name && !slices.ContainsFunc(h.client.attempts, (*postedAttempt).mayClaim)
 	})
 }
 
-// noticeCloses lets engines see the connections that the node has closed.
+// noticeCloses lets engines notice the connections that the router has closed.
 func (w *world) noticeCloses() {
 	for _, e := range w.unnoticedCloses {
 		e.loseAttempt()
@@ -152,7 +154,7 @@
 	w.unnoticedCloses = nil
 }
 
-// loseAttempt ends the attempt under way in a way that leaves open whether it ran. A read may have ended well just then.
+// loseAttempt ends the attempt in flight; whether it ran stays open. A prefill may have completed just then.
 func (e *simulatedEngine) loseAttempt() {
 	if e.method == http.MethodPost {
 		e.attempt.inFlight = false
@@ -167,7 +169,7 @@
 	w.reservations = append(w.reservations, &simulatedReservation{client: c, engine: engine, attemptInFlightAt: w.now - int64(w.delay)})
 }
 
-// do lets the core handle one event.
+// do lets the router handle one event, and checks the invariants.
 func (w *world) do(event func()) {
 	w.core.SetTime(w.now)
 	event()
@@ -175,7 +177,7 @@
 	w.checkReservations()
 }
 
-// dialTime is how long a dial takes that no other event ends: what is held must be let go of by connections, too.
+// dialTime is how long a dial takes that no other event ends: releases need connections, too.
 const dialTime = 20 * time.Millisecond
 
 func (w *world) pass(d time.Duration) {
