--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -10,11 +10,11 @@
 	"sandcourse/internal/soak"
 )
 
-// Descriptors run out for a moment, just as a client comes: the node has one left, which the accepted connection takes, and
-// none to hand it over. The client waits, and is answered.
+// Descriptors run out for a moment, just as a client connects: the edge has one left, which the accepted connection takes,
+// and none to hand it over. The client waits, and is answered.
 func TestDescriptorsRunOut(t *testing.T) {
-	p, node := startSingleEdge(t, nil)
-	restore, err := soak.LeaveDescriptors(node.Process.Pid, 1)
+	p, edge := startSingleEdge(t, nil)
+	restore, err := soak.LeaveDescriptors(edge.Process.Pid, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	for i := range 5 {
 		all.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			if status := p.call(client, p.nodes[0], fmt.Sprintf("q%d", i), "chat", 4*time.Second); status != http.StatusOK {
+			if status := p.call(client, p.addresses[0], fmt.Sprintf("q%d", i), "chat", 4*time.Second); status != http.StatusOK {
 				t.Errorf("client %d, who came while descriptors had run out, is answered %d", i, status)
 			}
 		})
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -23,33 +23,33 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// The protocol's figures: states are taken or released within a second and 300 ms. The rest of the slack is for a
+// The protocol's limits: reservations are used or released within a second and 300 ms. The rest of the slack is for a
 // machine that runs other tests at the same time.
 const (
 	pinLimit = time.Second
 	pinSlack = 300*time.Millisecond + 700*time.Millisecond
 )
 
-// edgeProcesses is some nodes as they are deployed, each a process of its own, with a fleet of stand-in engines.
+// edgeProcesses is some edges as they are deployed, each a process of its own, with a fleet of fake engines.
 type edgeProcesses struct {
-	t     *testing.T
-	log   *audit.Log
-	fleet *platformengine.Fleet
-	nodes []string // their addresses
-	pids  []int
+	t         *testing.T
+	log       *audit.Log
+	fleet     *platformengine.Fleet
+	addresses []string // their addresses
+	pids      []int
 	// configs are the files of their configurations, agent is the address of discovery in them.
 	configs  []string
 	commands []*exec.Cmd
 	agent    string
 }
 
-func startEdges(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config) *edgeProcesses {
+func startEdges(t *testing.T, edges int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config) *edgeProcesses {
 	t.Helper()
-	return startPreparedEdges(t, nodes, fleet, log, engines, nil)
+	return startPreparedEdges(t, edges, fleet, log, engines, nil)
 }
 
-// startPreparedEdges is startProcesses with something done to each command before it starts.
-func startPreparedEdges(t *testing.T, nodes int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config,
+// startPreparedEdges is startEdges with something done to each command before it starts.
+func startPreparedEdges(t *testing.T, edges int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config,
 	prepare func(*exec.Cmd)) *edgeProcesses {
 	t.Helper()
 	p := &edgeProcesses{t: t, log: log, fleet: fleet}
@@ -65,20 +65,21 @@
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`, strings.Join(entries, ","))
 	p.agent = newDiscoveryAgent(t, list, nil)
 	binary := edgeBinary(t)
-	for i := range nodes {
-		p.startEdge(binary, i, nodes, p.agent, list, prepare)
+	for i := range edges {
+		p.startEdge(binary, i, edges, p.agent, list, prepare)
 	}
-	for _, addr := range p.nodes {
+	for _, addr := range p.addresses {
 		p.awaitReady(addr)
 	}
 	return p
 }
 
-// newDiscoveryAgent starts discovery with a list that never changes, and returns its address. Asked counts its calls.
-func newDiscoveryAgent(t *testing.T, list string, asked *atomic.Int64) string {
+// newDiscoveryAgent starts a discovery agent with a list that never changes, and returns its address. Polls counts its
+// requests.
+func newDiscoveryAgent(t *testing.T, list string, polls *atomic.Int64) string {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked != nil {
-			asked.Add(1)
+		if polls != nil {
+			polls.Add(1)
 		}
 		if r.URL.RawQuery == "" {
 			io.WriteString(w, list)
@@ -94,7 +95,7 @@
 	return strings.TrimPrefix(agent.URL, "http://")
 }
 
-// edgeBinary builds the node once for all tests.
+// edgeBinary builds the edge once for all tests.
 func edgeBinary(t *testing.T) string {
 	t.Helper()
 	path, err := buildOnce()
@@ -112,7 +113,7 @@
 	return binary, nil
 })
 
-// buildFolder holds the built node while the tests run.
+// buildFolder has the built edge while the tests run.
 var buildFolder string
 
 func TestMain(m *testing.M) {
@@ -134,24 +135,24 @@
  "kind_memory_tokens":[1000000,1000000]},"classes":[{"name":"chat","effect":"retryable","worth":1,"objective_us":9000000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":9000000}],"obligations":{"drain_grace_us":250000}}}`
 
-func (p *edgeProcesses) startEdge(binary string, i, nodes int, discovery, list string, prepare func(*exec.Cmd)) {
+func (p *edgeProcesses) startEdge(binary string, i, edges int, discovery, list string, prepare func(*exec.Cmd)) {
 	addr := freeAddress(p.t)
 	config := filepath.Join(p.t.TempDir(), "config.json")
-	text := fmt.Sprintf(nodeConfig, i, addr, discovery, i+1, list, i, nodes)
+	text := fmt.Sprintf(nodeConfig, i, addr, discovery, i+1, list, i, edges)
 	if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 		p.t.Fatal(err)
 	}
-	node := exec.Command(binary, "--config", config)
+	edge := exec.Command(binary, "--config", config)
 	if prepare != nil {
-		prepare(node)
+		prepare(edge)
 	}
-	startCommand(p.t, node)
-	p.nodes, p.pids = append(p.nodes, addr), append(p.pids, node.Process.Pid)
-	p.configs, p.commands = append(p.configs, config), append(p.commands, node)
+	startCommand(p.t, edge)
+	p.addresses, p.pids = append(p.addresses, addr), append(p.pids, edge.Process.Pid)
+	p.configs, p.commands = append(p.configs, config), append(p.commands, edge)
 }
 
 func (p *edgeProcesses) awaitReady(addr string) {
-	client := &http.Client{Timeout: time.Second} // a node that hangs is not ready
+	client := &http.Client{Timeout: time.Second} // an edge that hangs is not ready
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		answer, err := client.Get("http://" + addr + platform.HealthPath)
 		if err != nil {
@@ -162,14 +163,14 @@
 			return
 		}
 	}
-	p.t.Fatalf("%s is never ready", addr)
+	p.t.Fatalf("%s never becomes ready", addr)
 }
 
-// call is one request of a client who waits for a time and then goes. It says how it ended.
-func (p *edgeProcesses) call(client *http.Client, node, name, class string, wait time.Duration) (status int) {
+// call is one request of a client that waits for a time and then disconnects. It returns the status.
+func (p *edgeProcesses) call(client *http.Client, address, name, class string, wait time.Duration) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+platform.CompletionsPath, strings.NewReader(`{"model":"chat"}`))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+platform.CompletionsPath, strings.NewReader(`{"model":"chat"}`))
 	if err != nil {
 		p.t.Error(err)
 		return 0
@@ -187,14 +188,14 @@
 	return answer.StatusCode
 }
 
-// waitForRelease waits until the fleet holds nothing, at most for several limits.
+// waitForRelease waits until the fleet has no reservation, at most for several limits.
 func (p *edgeProcesses) waitForRelease() {
 	for end := time.Now().Add(8 * pinLimit); p.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// checkRules reports the states that were held for too long.
+// checkRules reports the reservations that were held for too long.
 func (p *edgeProcesses) checkRules() {
 	p.t.Helper()
 	for _, b := range p.log.Judge(audit.Rules{ReservationLimit: pinLimit, Tolerance: pinSlack}, time.Now()) {
@@ -204,9 +205,8 @@
 	}
 }
 
-// The operators' fleet broke rule 5 with real processes side by side: nothing orders what two engines get on two
-// connections. Here the engine of an attempt that a node gives up learns of it only after the release for the request
-// has arrived, which then lets go of nothing.
+// Nothing orders what two engines get on two connections. Here the engine of an attempt that an edge abandons learns of it
+// only after the release for the request has arrived, which then releases nothing. Real processes violated rule 5 so.
 func TestReleaseBeforeAttemptEnds(t *testing.T) {
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
@@ -223,11 +223,11 @@
 		{ID: "s-2", Role: platformengine.Decode, Slots: 1, WorkTime: 150 * time.Millisecond, Events: 20},
 	})
 	var all sync.WaitGroup
-	for i, node := range p.nodes {
+	for i, address := range p.addresses {
 		for j := range 4 {
 			all.Go(func() {
 				class := []string{"chat", "alert"}[j%2]
-				p.call(http.DefaultClient, node, fmt.Sprintf("n%dq%d", i, j), class, 400*time.Millisecond)
+				p.call(http.DefaultClient, address, fmt.Sprintf("n%dq%d", i, j), class, 400*time.Millisecond)
 			})
 		}
 	}
@@ -235,20 +235,20 @@
 	p.waitForRelease()
 	p.checkRules()
 	if overtaken.Load() < 4 {
-		t.Errorf("only %d attempts were given up and overtaken by a release", overtaken.Load())
+		t.Errorf("only %d attempts were abandoned and overtaken by a release", overtaken.Load())
 	}
 }
 
-// Nodes that are not run for a while, neighbours that want the cores, engines that take note of what is closed when they
-// come to it, and clients who wait too briefly: no state is held for too long. What happens is drawn by a seed, and its
-// order is the machine's.
+// Edges that are not run for a while, other processes that use the cores, engines that notice closed connections late, and
+// clients with short deadlines: no reservation is held for too long. What happens is drawn by a seed, and its order is
+// the machine's.
 func TestReservationsOfConcurrentEdges(t *testing.T) {
-	const seed, nodes, lasts = 20261202, 3, 3 * time.Second
+	const seed, edges, lasts = 20261202, 3, 3 * time.Second
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
 	random := &lockedRand{rand: rand.New(rand.NewPCG(seed, 1))}
 	fleet.BeforeNotice = func(string, <-chan struct{}) { time.Sleep(random.durationUpTo(60 * time.Millisecond)) }
-	p := startEdges(t, nodes, fleet, log, []platformengine.Config{
+	p := startEdges(t, edges, fleet, log, []platformengine.Config{
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
 		{ID: "s-2", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
 		{ID: "s-3", Role: platformengine.Decode, Slots: 2, WorkTime: 30 * time.Millisecond, Events: 5},
@@ -257,7 +257,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), lasts)
 	defer stop()
 	var all sync.WaitGroup
-	for range max(1, runtime.NumCPU()/4) { // neighbours
+	for range max(1, runtime.NumCPU()/4) { // other processes
 		all.Go(func() {
 			for ctx.Err() == nil {
 			}
@@ -287,14 +287,14 @@
 	}
 }
 
-// callRepeatedly is a client who asks again and again.
-func (p *edgeProcesses) callRepeatedly(ctx context.Context, node, number int, random *lockedRand) {
+// callRepeatedly is a client that sends one request after the other.
+func (p *edgeProcesses) callRepeatedly(ctx context.Context, edge, number int, random *lockedRand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		name := fmt.Sprintf("n%dc%dq%d", node, number, n)
+		name := fmt.Sprintf("n%dc%dq%d", edge, number, n)
 		class := []string{"chat", "alert"}[number%2]
-		p.call(client, p.nodes[node], name, class, 50*time.Millisecond+random.durationUpTo(500*time.Millisecond))
+		p.call(client, p.addresses[edge], name, class, 50*time.Millisecond+random.durationUpTo(500*time.Millisecond))
 	}
 }
 
--- a/cmd/sandcourse-edge/golden_test.go
+++ b/cmd/sandcourse-edge/golden_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// exits runs a command line by line in a folder with these files, and tells what it prints and its exit status.
+// exits runs a command line by line in a folder with these files, and returns what it prints and its exit status.
 func exits(t *testing.T, binary string, files map[string]string, lines []string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -25,7 +25,7 @@
 	}
 	var b strings.Builder
 	for _, line := range lines {
-		// One that is not refused would run on.
+		// A command that is not refused would run on.
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		c := exec.CommandContext(ctx, binary, strings.Fields(line)...)
 		c.Dir = folder
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"runtime"
 	"strconv"
 	"strings"
@@ -26,9 +25,9 @@
 	"sandcourse/settings"
 )
 
-// The benchmarks' engines are as thin as can be, so that what is measured is the edge: a reader that answers at
-// once, and a writer that sends a token at a set pace whose data is the time at which it was sent. Clients parse
-// no more than they must.
+// The benchmarks' engines do as little as can be, so that what is measured is the edge: a prefill engine that responds at
+// once, and a decode engine that sends tokens at a set rate whose data is the time at which they were sent. Clients
+// parse no more than they must.
 
 func startBenchEngine(b *testing.B, writes bool, tokens int, every time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,56 +47,82 @@
 	return l.Addr().String()
 }
 
-func serveBenchConnection(c net.Conn, addr string, writes bool, tokens int, every time.Duration) {
+// benchEngine is what a benchmark's engine sends.
+type benchEngine struct {
+	decodes  bool
+	tokens   int
+	interval time.Duration
+	load     string // the header of a load report
+	prefill  string // the body of a prefill response
+}
+
+func serveBenchConnection(c net.Conn, addr string, decodes bool, tokens int, interval time.Duration) {
 	defer c.Close()
-	in := bufio.NewReaderSize(c, 4096)
-	load := fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemoryShare, engineapi.HeaderWaitingTokens, engineapi.HeaderOpenRequests)
 	host, port, _ := strings.Cut(addr, ":")
-	read := `{"usage":{"prompt_tokens_details":{"cached_tokens":0}},"kv_transfer_params":{"do_remote_prefill":true,` +
-		`"remote_engine_id":"x","remote_host":"` + host + `","remote_port":` + port + `}}`
+	engine := benchEngine{decodes: decodes, tokens: tokens, interval: interval,
+		load: fmt.Sprintf("%s: 0.1\r\n%s: 0\r\n%s: 1\r\n", engineapi.HeaderMemoryShare, engineapi.HeaderWaitingTokens, engineapi.HeaderOpenRequests),
+		prefill: `{"usage":{"prompt_tokens_details":{"cached_tokens":0}},"kv_transfer_params":{"do_remote_prefill":true,` +
+			`"remote_engine_id":"x","remote_host":"` + host + `","remote_port":` + port + `}}`}
+	in := bufio.NewReaderSize(c, 4096)
 	for {
-		length := 0
-		asksChat := false
-		for {
-			line, err := in.ReadString('\n')
-			if err != nil {
+		isChat, err := readBenchRequest(in)
+		switch {
+		case err != nil:
+			return
+		case isChat && decodes:
+			if engine.writeStream(c) != nil {
 				return
 			}
-			line = strings.TrimSpace(line)
-			if line == "" {
-				break
-			}
-			if v, ok := strings.CutPrefix(line, "Content-Length: "); ok {
-				length, _ = strconv.Atoi(v)
-			}
-			asksChat = asksChat || strings.HasPrefix(line, "POST "+engineapi.ChatPath)
+		case isChat:
+			engine.writeBody(c, engine.prefill)
+		default:
+			engine.writeBody(c, "{}")
 		}
-		if _, err := io.CopyN(io.Discard, in, int64(length)); err != nil {
-			return
+	}
+}
+
+// readBenchRequest reads a request and drops its body.
+func readBenchRequest(in *bufio.Reader) (isChat bool, err error) {
+	length := 0
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return false, err
 		}
-		if !writes || !asksChat {
-			body := "{}"
-			if asksChat {
-				body = read
-			}
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s", load, len(body), body)
-			continue
+		line = strings.TrimSpace(line)
+		if line == "" {
+			break
 		}
-		out := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + load + "Transfer-Encoding: chunked\r\n\r\n")
-		for i := range tokens {
-			event := chat.AppendEvent(nil, fmt.Appendf(nil, `{"at":%d}`, time.Now().UnixNano()))
-			out = append(append(fmt.Appendf(out, "%x\r\n", len(event)), event...), "\r\n"...)
-			if _, err := c.Write(out); err != nil {
-				return
-			}
-			out = out[:0]
-			if i < tokens-1 {
-				time.Sleep(every)
-			}
+		if v, ok := strings.CutPrefix(line, "Content-Length: "); ok {
+			length, _ = strconv.Atoi(v)
 		}
-		done := chat.AppendEvent(nil, []byte(chat.Done))
-		fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(done), done)
+		isChat = isChat || strings.HasPrefix(line, "POST "+engineapi.ChatPath)
 	}
+	_, err = io.CopyN(io.Discard, in, int64(length))
+	return isChat, err
+}
+
+func (e benchEngine) writeBody(c net.Conn, body string) {
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n%s", e.load, len(body), body)
+}
+
+// writeStream sends the head with the first token, and the others at their pace.
+func (e benchEngine) writeStream(c net.Conn) error {
+	out := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + e.load + "Transfer-Encoding: chunked\r\n\r\n")
+	for i := range e.tokens {
+		event := chat.AppendEvent(nil, fmt.Appendf(nil, `{"at":%d}`, time.Now().UnixNano()))
+		out = append(append(fmt.Appendf(out, "%x\r\n", len(event)), event...), "\r\n"...)
+		if _, err := c.Write(out); err != nil {
+			return err
+		}
+		out = out[:0]
+		if i < e.tokens-1 {
+			time.Sleep(e.interval)
+		}
+	}
+	done := chat.AppendEvent(nil, []byte(chat.Done))
+	_, err := fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(done), done)
+	return err
 }
 
 func startBenchEdge(b *testing.B, prefillEngines, decodeEngines []string) *edge.Edge {
@@ -107,7 +132,7 @@
 	}
 	d.EndpointFile, d.ChatAddress, d.Connections.PerEngine, d.Connections.ConcurrentDials = "", "127.0.0.1:0", 8000, 8000
 	d.Limits.OpenRequests, d.Limits.Connections = 20000, 20000
-	// The module keeps each writer's memory by the prompts sent there; thousands of streams need engines for them.
+	// The policy tracks each decode engine's memory by the prompts sent there; thousands of streams need engines for them.
 	for i := range d.Kinds {
 		d.Kinds[i].MemoryTokens = 0
 	}
@@ -120,14 +145,14 @@
 	for _, w := range decodeEngines {
 		d.Engines = append(d.Engines, endpoint.Entry{ID: w, Kind: "decode", Weight: 1, State: endpoint.Ready})
 	}
-	n := edge.New(d, zap.NewNop(), nil, 1)
-	if err := n.Start(); err != nil {
+	e := edge.New(d, zap.NewNop(), nil, 1)
+	if err := e.Start(); err != nil {
 		b.Fatal(err)
 	}
-	return n
+	return e
 }
 
-// measureStream makes one call on a connection and notes how old each token is, and when the first came.
+// measureStream sends one request on a connection and records how old each token is, and when the first came.
 func measureStream(c net.Conn, in *bufio.Reader, direct bool, first, each *hdrhistogram.Histogram, mu *sync.Mutex) error {
 	body := `{"model":"clip-summary","stream":true,"messages":[{"role":"user","content":"measure"}]}`
 	if direct {
@@ -165,7 +190,7 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// measureStreams keeps so many streams open for a time, each beginning anew as it ends.
+// measureStreams keeps so many streams open for a time, each followed by another as it ends.
 func measureStreams(addr string, direct bool, streams int, length time.Duration) (first, each *hdrhistogram.Histogram, done int, err error) {
 	first, each = newHistogram(), newHistogram()
 	var mu sync.Mutex
@@ -203,7 +228,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkAddedLatency compares streams through the edge with streams straight from the writer, in one run.
+// BenchmarkAddedLatency compares streams through the edge with streams straight from the decode engine, in one run.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, streams := range []int{100, 1000, 4500} { // four descriptors each, 20,000 to be had
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
@@ -221,9 +246,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				n := startBenchEdge(b, prefillEngines, decodeEngines)
-				through1, through, done, err := measureStreams(n.Addr(), false, streams, length)
-				n.Stop()
+				e := startBenchEdge(b, prefillEngines, decodeEngines)
+				through1, through, done, err := measureStreams(e.Addr(), false, streams, length)
+				e.Stop()
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -232,26 +257,26 @@
 					b.ReportMetric(float64(through1.ValueAtQuantile(q)-direct1.ValueAtQuantile(q))/1000, fmt.Sprintf("first-p%.0f-added-ms", q))
 				}
 				b.ReportMetric(float64(direct.ValueAtQuantile(99))/1000, "event-p99-direct-ms")
-				b.ReportMetric(float64(done), "inferences")
+				b.ReportMetric(float64(done), "requests")
 			}
 		})
 	}
 }
 
-// BenchmarkRequests runs whole inferences of a few tokens as fast as they go.
+// BenchmarkRequests runs complete requests of a few tokens as fast as they go.
 func BenchmarkRequests(b *testing.B) {
 	prefillEngines, decodeEngines := []string{startBenchEngine(b, false, 0, 0)}, []string{startBenchEngine(b, true, 4, 0)}
-	n := startBenchEdge(b, prefillEngines, decodeEngines)
-	defer n.Stop()
+	e := startBenchEdge(b, prefillEngines, decodeEngines)
+	defer e.Stop()
 	for b.Loop() {
 		before, at := cpuTime(), time.Now()
-		_, _, done, err := measureStreams(n.Addr(), false, 64, 4*time.Second)
+		_, _, done, err := measureStreams(e.Addr(), false, 64, 4*time.Second)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(done)/time.Since(at).Seconds(), "inferences/s")
-		b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(done), "cpu-us/inference")
-		b.ReportMetric(n.DecisionSeconds()*1e6/float64(done), "module-us/inference")
+		b.ReportMetric(float64(done)/time.Since(at).Seconds(), "requests/s")
+		b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(done), "cpu-us/request")
+		b.ReportMetric(e.DecisionSeconds()*1e6/float64(done), "policy-us/request")
 	}
 }
 
@@ -260,7 +285,7 @@
 	const streams = 2000
 	prefillEngines, decodeEngines := []string{startBenchEngine(b, false, 0, 0)}, []string{startBenchEngine(b, true, 2, 30*time.Second)}
 	for b.Loop() {
-		n := startBenchEdge(b, prefillEngines, decodeEngines)
+		e := startBenchEdge(b, prefillEngines, decodeEngines)
 		heap := func() uint64 {
 			runtime.GC()
 			var m runtime.MemStats
@@ -268,36 +293,27 @@
 			return m.HeapInuse + m.StackInuse
 		}
 		idleBytes, idleRoutines := heap(), runtime.NumGoroutine()
-		var row []net.Conn
+		var connections []net.Conn
 		for range streams {
-			c, err := net.Dial("tcp", n.Addr())
+			c, err := net.Dial("tcp", e.Addr())
 			if err != nil {
 				b.Fatal(err)
 			}
-			row = append(row, c)
+			connections = append(connections, c)
 			body := `{"model":"clip-summary","stream":true,"messages":[{"role":"user","content":"measure"}]}`
 			fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
-		for _, c := range row { // the first bytes of each answer
+		for _, c := range connections { // the first bytes of each response
 			if _, err := c.Read(make([]byte, 16)); err != nil {
 				b.Fatal(err)
 			}
 		}
-		// The bare writers keep one goroutine and buffers for each stream; those are not the edge's.
+		// The decode engines keep one goroutine and buffers for each stream; those are not the edge's.
 		b.ReportMetric(float64(heap()-idleBytes)/streams, "bytes/stream")
 		b.ReportMetric(float64(runtime.NumGoroutine()-idleRoutines)/streams, "goroutines/stream-with-its-engine")
-		for _, c := range row {
+		for _, c := range connections {
 			c.Close()
 		}
-		n.Stop()
-	}
-}
-
-// TestSoak runs only where SANDCOURSE_SOAK names how long: CI has no time for it.
-func TestSoak(t *testing.T) {
-	length, err := time.ParseDuration(os.Getenv("SANDCOURSE_SOAK"))
-	if err != nil {
-		t.Skip("SANDCOURSE_SOAK names no time")
+		e.Stop()
 	}
-	soak(t, length)
 }
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -19,20 +19,20 @@
 	"sandcourse/internal/golden"
 )
 
-// startGoldenEdge is a node on the platform that shows its metrics.
+// startGoldenEdge starts an edge on the platform that serves its metrics.
 func startGoldenEdge(t *testing.T) *edge.Edge {
 	t.Helper()
 	prefill := newScriptedEngine(t, "127.0.0.21", func(int, *http.Request) (string, bool) { return prefillDone, false })
 	decode := newScriptedEngine(t, "127.0.0.22", func(int, *http.Request) (string, bool) { return completeStream, false })
-	n := startPlatformEdge(t, 1024, func(d *config.Deployment) { d.MetricsAddress = "127.0.0.1:0" }, prefill, decode)
-	t.Cleanup(n.Stop)
-	return n
+	e := startPlatformEdge(t, 1024, func(d *config.Deployment) { d.MetricsAddress = "127.0.0.1:0" }, prefill, decode)
+	t.Cleanup(e.Stop)
+	return e
 }
 
-// fetchPage reads one page of the metrics' address.
-func fetchPage(t *testing.T, n *edge.Edge, path string) (status int, body string) {
+// fetchPage reads one page from the metrics address.
+func fetchPage(t *testing.T, e *edge.Edge, path string) (status int, body string) {
 	t.Helper()
-	r, err := http.Get("http://" + n.MetricsAddr() + path)
+	r, err := http.Get("http://" + e.MetricsAddr() + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,28 +48,28 @@
 
 // Names, label names and help texts of all metrics, also of those that have no value yet.
 func TestGoldenMetricNames(t *testing.T) {
-	n := startGoldenEdge(t)
+	e := startGoldenEdge(t)
 	descs := make(chan *prometheus.Desc, 256)
-	n.MetricsCollector().Describe(descs)
+	e.MetricsCollector().Describe(descs)
 	close(descs)
-	var row []string
+	var descriptions []string
 	for d := range descs {
 		m := metricDescription.FindStringSubmatch(d.String())
 		if m == nil {
-			t.Fatalf("a metric that is described in another way: %s", d)
+			t.Fatalf("unexpected metric description: %s", d)
 		}
-		row = append(row, fmt.Sprintf("%s labels {%s} constant {%s} help %s\n", m[1], m[4], m[3], m[2]))
+		descriptions = append(descriptions, fmt.Sprintf("%s labels {%s} constant {%s} help %s\n", m[1], m[4], m[3], m[2]))
 	}
-	slices.Sort(row)
-	golden.Check(t, "metric-names.golden", strings.Join(row, ""))
+	slices.Sort(descriptions)
+	golden.Check(t, "metric-names.golden", strings.Join(descriptions, ""))
 }
 
-// shownSeries are the series that the page of metrics shows, without their values, and its lines on names and types. Clients'
-// connections that the node closed are left out: whether one shows depends on how long the test took.
-func shownSeries(t *testing.T, n *edge.Edge) string {
+// shownSeries is the series on the metrics page, without their values, and its lines on names and types. Clients'
+// connections that the edge closed are left out: whether one shows depends on how long the test took.
+func shownSeries(t *testing.T, e *edge.Edge) string {
 	t.Helper()
-	_, body := fetchPage(t, n, "/metrics")
-	var row []string
+	_, body := fetchPage(t, e, "/metrics")
+	var series []string
 	for line := range strings.Lines(body) {
 		if strings.Contains(line, "sandcourse_client_closes_total") {
 			continue
@@ -77,28 +77,28 @@
 		if !strings.HasPrefix(line, "#") {
 			line = line[:strings.LastIndexByte(line, ' ')] + "\n"
 		}
-		row = append(row, line)
+		series = append(series, line)
 	}
-	return strings.Join(row, "")
+	return strings.Join(series, "")
 }
 
-// The series that are shown after one request that was served and one that was refused for its name.
+// The series that are shown after one request that was served and one that was rejected for its name.
 func TestGoldenMetricSeries(t *testing.T) {
-	n := startGoldenEdge(t)
+	e := startGoldenEdge(t)
 	for _, name := range []string{"a1", "a1"} {
-		if _, _, err := postChat(t, n, name, "chat"); err != nil {
+		if _, _, err := postChat(t, e, name, "chat"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got string
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		got = shownSeries(t, n)
+		got = shownSeries(t, e)
 		if strings.Contains(got, `sandcourse_holding{what="lines"}`) && strings.Contains(got, "sandcourse_refused_total{") &&
 			strings.Contains(got, `sandcourse_finals_total{final="completed"`) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not shown within 5 s: what is held, refused and answered:\n%s", got)
+			t.Fatalf("not shown within 5 s: what is in use, rejected and answered:\n%s", got)
 		}
 	}
 	golden.Check(t, "metric-series.golden", got)
@@ -107,15 +107,15 @@
 // dateHeader is the one field of a head that is not the same each time.
 var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
-// The pages beside the metrics, and those of the address of clients, to the byte.
+// The pages beside the metrics, and those at the clients' address, to the byte.
 func TestGoldenPages(t *testing.T) {
-	n := startGoldenEdge(t)
+	e := startGoldenEdge(t)
 	var out strings.Builder
 	for _, at := range []struct{ what, address, method, path string }{
-		{"metrics", n.MetricsAddr(), "GET", "/"}, {"metrics", n.MetricsAddr(), "GET", "/healthz"},
-		{"metrics", n.MetricsAddr(), "HEAD", "/metrics/x"},
-		{"clients", n.Addr(), "GET", "/_health"}, {"clients", n.Addr(), "GET", "/"}, {"clients", n.Addr(), "GET", "/metrics"},
-		{"clients", n.Addr(), "PUT", "/_health"}, {"clients", n.Addr(), "GET", "/v1/chat/completions"},
+		{"metrics", e.MetricsAddr(), "GET", "/"}, {"metrics", e.MetricsAddr(), "GET", "/healthz"},
+		{"metrics", e.MetricsAddr(), "HEAD", "/metrics/x"},
+		{"clients", e.Addr(), "GET", "/_health"}, {"clients", e.Addr(), "GET", "/"}, {"clients", e.Addr(), "GET", "/metrics"},
+		{"clients", e.Addr(), "PUT", "/_health"}, {"clients", e.Addr(), "GET", "/v1/chat/completions"},
 	} {
 		c, err := net.Dial("tcp", at.address)
 		if err != nil {
--- a/internal/edge/flat_test.go
+++ b/internal/edge/leak_test.go
@@ -15,10 +15,10 @@
 	"sandcourse/internal/edge"
 )
 
-// callOnce is a client that comes once, with a session, a beginning and a name of its own.
-func callOnce(t *testing.T, n *edge.Edge, i int) {
+// callOnce is a client that sends one request, with a session, a prefix and a name of its own.
+func callOnce(t *testing.T, e *edge.Edge, i int) {
 	t.Helper()
-	r, _ := http.NewRequest(http.MethodPost, "http://"+n.Addr()+"/v1/chat/completions", strings.NewReader("{}"))
+	r, _ := http.NewRequest(http.MethodPost, "http://"+e.Addr()+"/v1/chat/completions", strings.NewReader("{}"))
 	for name, value := range map[string]string{"Request-Id": fmt.Sprint("once", i), "Request-Class": "chat",
 		"Request-Timeout": "9", "Affinity-Key": fmt.Sprint("session", i),
 		"Request-Info": fmt.Sprintf("prefix=%d,prompt_len=900,prefix_len=500,max_out=9", i)} {
@@ -52,30 +52,30 @@
 	return m.HeapAlloc
 }
 
-// Clients, sessions, beginnings and names that are always new leave nothing behind for good: descriptors come back, and
-// what a node remembers has bounds. Names and pairs have the largest, some thousand entries of a hundred bytes or two.
+// Clients, sessions, prefixes and names that are always new leak nothing: descriptors come back, and what an edge caches
+// has bounds. Names and session affinities have the largest, some thousand entries of a hundred bytes or two.
 func TestShortLivedClientsLeakNothing(t *testing.T) {
-	// Connections to engines are kept for a while, more or fewer of them as the machine's load has it: they have to age
+	// Connections to engines stay open for a while, more or fewer of them as the machine's load has it: they have to age
 	// within the test, or their number is taken for a leak.
 	keepsShortly := func(d *config.Deployment) {
 		d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 	}
-	n := startPlatformEdge(t, 1024, keepsShortly, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
-	defer n.Stop()
+	e := startPlatformEdge(t, 1024, keepsShortly, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
+	defer e.Stop()
 	rests := func() bool {
-		h, err := n.Usage(context.Background())
+		h, err := e.Usage(context.Background())
 		return err == nil && h.EngineConnections == 0 && h.Clients == 0
 	}
 	const requests = 500
 	for i := range requests {
-		callOnce(t, n, i)
+		callOnce(t, e, i)
 	}
-	waitFor(t, "the node rests", rests)
+	waitFor(t, "the edge is idle", rests)
 	memory, open := heapInUse(), openDescriptors(t)
 	for i := range requests {
-		callOnce(t, n, requests+i)
+		callOnce(t, e, requests+i)
 	}
-	waitFor(t, "the node rests again", rests)
+	waitFor(t, "the edge is idle again", rests)
 	const perRequest = 1024
 	if grown := int(heapInUse()) - int(memory); grown > requests*perRequest {
 		t.Errorf("%d bytes more after as many requests again", grown)
--- /dev/null
+++ b/internal/edge/scripted_engine_test.go
@@ -0,0 +1,130 @@
+package edge_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// scriptedEngine is an engine of the platform that responds as a test says, byte for byte.
+type scriptedEngine struct {
+	addr        string
+	mu          sync.Mutex
+	requests    []string // method, path and name of each
+	reply       func(n int, r *http.Request) (wire string, hangUp bool)
+	singleUse   bool   // a second request on a connection resets it
+	trailer     string // follows each response to a chat request some milliseconds later
+	closeOnName string // the connection ends without a response at this name's first request
+	connections map[net.Conn]bool
+}
+
+// newScriptedEngine listens at an address of its own: the platform reaches engines at any in 127.0.0.0/8.
+func newScriptedEngine(t *testing.T, at string, reply func(n int, r *http.Request) (string, bool)) *scriptedEngine {
+	l, err := net.Listen("tcp", at+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	e := &scriptedEngine{addr: l.Addr().String(), reply: reply, connections: map[net.Conn]bool{}}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go e.serve(c)
+		}
+	}()
+	return e
+}
+
+func (e *scriptedEngine) serve(c net.Conn) {
+	defer c.Close()
+	e.mu.Lock()
+	e.connections[c] = true
+	e.mu.Unlock()
+	in := bufio.NewReader(c)
+	for nth := 0; ; nth++ {
+		r, err := http.ReadRequest(in)
+		if err != nil || e.singleUse && nth > 0 {
+			return
+		}
+		io.Copy(io.Discard, r.Body)
+		e.mu.Lock()
+		e.requests = append(e.requests, r.Method+" "+r.URL.Path+" "+r.Header.Get("Request-Id"))
+		n := len(e.requests)
+		end := e.closeOnName != "" && e.closeOnName == r.Header.Get("Request-Id")
+		if end {
+			e.closeOnName = ""
+		}
+		e.mu.Unlock()
+		if end {
+			return
+		}
+		wire, hangUp := "HTTP/1.1 204 No Content\r\n\r\n", false
+		if r.Method == http.MethodPost {
+			wire, hangUp = e.reply(n, r)
+		} else if r.Method == http.MethodGet {
+			wire = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nTEXT x0=0.1, x1=0.0\n"
+		}
+		io.WriteString(c, wire)
+		if r.Method == http.MethodPost && e.trailer != "" {
+			time.AfterFunc(3*time.Millisecond, func() { io.WriteString(c, e.trailer) })
+		}
+		if hangUp {
+			return
+		}
+	}
+}
+
+func (e *scriptedEngine) countRequests(prefix string) (count int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, s := range e.requests {
+		if strings.HasPrefix(s, prefix) {
+			count++
+		}
+	}
+	return count
+}
+
+// closeOnRequest makes the connection end without a response at a name's first request.
+func (e *scriptedEngine) closeOnRequest(name string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.closeOnName = name
+}
+
+// closeAll closes all connections.
+func (e *scriptedEngine) closeAll() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for c := range e.connections {
+		c.Close()
+	}
+}
+
+const (
+	prefillDone = "HTTP/1.1 202 Accepted\r\nServer-Load: TEXT x0=0.1, x1=0\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}"
+	streamHead  = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	notStarted  = "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+)
+
+func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+func streamEvent(text string) string { return chunk("data: " + text + "\n\n") }
+
+var completeStream = streamHead + streamEvent(`{"choices":[1]}`) + streamEvent(`{"usage":{}}`) + streamEvent("[DONE]") +
+	chunk(": Server-Load: TEXT x0=0.2, x1=0\n\n") + "0\r\n\r\n"
+
+const streamEvents = "data: {\"choices\":[1]}\n\ndata: {\"usage\":{}}\n\ndata: [DONE]\n\n"
+
+func respondWith(wire string) func(int, *http.Request) (string, bool) {
+	return func(int, *http.Request) (string, bool) { return wire, false }
+}
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -11,9 +11,18 @@
 	"sandcourse/internal/loadgen"
 )
 
+// TestSoak runs only where SANDCOURSE_SOAK gives a length: CI has no time for it.
+func TestSoak(t *testing.T) {
+	length, err := time.ParseDuration(os.Getenv("SANDCOURSE_SOAK"))
+	if err != nil {
+		t.Skip("SANDCOURSE_SOAK names no time")
+	}
+	soak(t, length)
+}
+
 // soak runs steady load with faults that come and go, and looks at memory and descriptors once it is over.
 func soak(t *testing.T, length time.Duration) {
-	r := newFixture(t, nil)
+	f := newFixture(t, nil)
 	descriptors := func() int {
 		row, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -28,30 +37,30 @@
 		return float64(m.HeapInuse) / (1 << 20)
 	}
 	burst := func(length time.Duration, seed uint64) {
-		loadgen.Traffic{Edges: r.edges.Addrs, Rate: 80, Length: length, Seed: seed, Prefixes: 5, PrefixWords: 100, Turns: 3, DisconnectShare: 0.05,
-			Retries: 1, Log: r.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, PriorityWeight: 1, Retriable: true,
+		loadgen.Traffic{Edges: f.edges.Addrs, Rate: 80, Length: length, Seed: seed, Prefixes: 5, PrefixWords: 100, Turns: 3, DisconnectShare: 0.05,
+			Retries: 1, Log: f.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, PriorityWeight: 1, Retriable: true,
 				FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20},
 				{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20}}}.Run(context.Background())
 	}
 	burst(5*time.Second, 1)
 	t.Logf("after 5 s: heap %.1f MiB, %d descriptors, %d goroutines, %d calls", heap(), descriptors(),
-		runtime.NumGoroutine(), len(r.log.ClientRecords()))
+		runtime.NumGoroutine(), len(f.log.ClientRecords()))
 	end := time.Now().Add(length)
 	for i := uint64(2); time.Now().Before(end); i++ {
-		r.fleet.Engines[i%4].SetFaults([]engine.Faults{{Slow: 5}, {Silent: true}, {BreakAfter: 3}, {Lie: true}}[i%4])
+		f.fleet.Engines[i%4].SetFaults([]engine.Faults{{Slow: 5}, {Silent: true}, {BreakAfter: 3}, {Lie: true}}[i%4])
 		burst(min(5*time.Second, time.Until(end)), i)
-		r.fleet.Engines[i%4].SetFaults(engine.Faults{})
+		f.fleet.Engines[i%4].SetFaults(engine.Faults{})
 		if i%12 == 0 {
 			t.Logf("heap %.1f MiB, %d descriptors, %d goroutines, %d calls", heap(), descriptors(),
-				runtime.NumGoroutine(), len(r.log.ClientRecords()))
+				runtime.NumGoroutine(), len(f.log.ClientRecords()))
 		}
 	}
-	r.checkRules()
-	// Kept connections age away in 15 s; what then is left must not be more than before the load.
+	f.checkRules()
+	// Idle connections are closed in 15 s; what then is left must not be more than before the load.
 	time.Sleep(20 * time.Second)
-	h := r.edges.Holding(context.Background())
-	t.Logf("at rest: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
-		runtime.NumGoroutine(), h, len(r.log.EngineRecords()))
+	h := f.edges.Holding(context.Background())
+	t.Logf("idle: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
+		runtime.NumGoroutine(), h, len(f.log.EngineRecords()))
 	if h.Clients+h.Requests+h.EngineConnections+h.Bytes+h.ControlRequests > 0 {
 		t.Error("the edge still holds something")
 	}
