--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -43,19 +43,19 @@
 
 // Faults are what is wrong with an engine now.
 type Faults struct {
-	Silent     bool          // takes what comes and never answers
-	Slow       float64       // times slower; 0 for not
-	StallFirst bool          // stops before the first token
-	StallAfter int           // stops after so many tokens
-	BreakAfter int           // breaks the connection after so many tokens
-	HalfAnswer bool          // a read's answer stops half way
-	Lie        bool          // reports no load at all, whatever there is
-	SlowAccept time.Duration // before the first byte of an answer
-	FailStatus int           // answers sends with this status and no word why
-	NeverBack  bool          // a change of its role never comes to an end
-	FalseRole  bool          // it claims the role that it is asked for, and goes on in the old one
-	DeafOrders bool          // takes no orders of a planner
-	LieWork    float64       // times the work that it reports; 0 for the truth
+	Silent     bool          `json:"Silent"`     // takes what comes and never answers
+	Slow       float64       `json:"Slow"`       // times slower; 0 for not
+	StallFirst bool          `json:"StallFirst"` // stops before the first token
+	StallAfter int           `json:"StallAfter"` // stops after so many tokens
+	BreakAfter int           `json:"BreakAfter"` // breaks the connection after so many tokens
+	HalfAnswer bool          `json:"HalfAnswer"` // a read's answer stops half way
+	Lie        bool          `json:"Lie"`        // reports no load at all, whatever there is
+	SlowAccept time.Duration `json:"SlowAccept"` // before the first byte of an answer
+	FailStatus int           `json:"FailStatus"` // answers sends with this status and no word why
+	NeverBack  bool          `json:"NeverBack"`  // a change of its role never comes to an end
+	FalseRole  bool          `json:"FalseRole"`  // it claims the role that it is asked for, and goes on in the old one
+	DeafOrders bool          `json:"DeafOrders"` // takes no orders of a planner
+	LieWork    float64       `json:"LieWork"`    // times the work that it reports; 0 for the truth
 }
 
 // IdempotencyKeys are the repeat marks known to a group of engines.
