--- a/cmd/sandcourse/load.go
+++ b/cmd/sandcourse/load.go
@@ -36,7 +36,7 @@
 	flags.StringSliceVar(&edges, "edge", []string{"127.0.0.1:8080"}, "edges to send to")
 	flags.StringVar(&route.Name, "model", "clip-summary", "model route")
 	flags.Float64Var(&traffic.Rate, "rate", 20, "requests a second, not counting retries")
-	flags.DurationVar(&traffic.Length, "for", 10*time.Second, "how long")
+	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long")
 	flags.Uint64Var(&traffic.Seed, "seed", 1, "seed of arrivals and texts")
 	flags.IntVar(&traffic.Prefixes, "beginnings", 6, "shared prefixes")
 	flags.IntVar(&traffic.PrefixWords, "words", 200, "words of a shared prefix")
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -129,7 +129,7 @@
 
 func TestDrainRejectsNewAndFinishesOpenRequests(t *testing.T) {
 	f, _, decode := singlePairFixture(t, func(d *config.Deployment) { d.ShutdownTimeout = 400 * time.Millisecond })
-	decode.SetFaults(engine.Faults{Slow: 3})
+	decode.SetFaults(engine.Faults{Slowdown: 3})
 	slow := make(chan audit.ClientRecord)
 	go func() { slow <- f.call(loadgen.Request{Route: "clip-summary", RequestID: "slow"}) }()
 	f.waitFor("it is open", func() bool { return f.edges.Holding(context.Background()).Requests == 1 })
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -32,8 +32,8 @@
 		fault func(prefill, decode *engine.Engine)
 		after time.Duration
 	}{
-		{"before prefill", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Silent: true}) }, 60 * time.Millisecond},
-		{"during prefill", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Slow: 500}) }, 60 * time.Millisecond},
+		{"before prefill", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Unresponsive: true}) }, 60 * time.Millisecond},
+		{"during prefill", func(prefill, _ *engine.Engine) { prefill.SetFaults(engine.Faults{Slowdown: 500}) }, 60 * time.Millisecond},
 		{"between prefill and decode", func(_, decode *engine.Engine) { decode.Drain(true) }, 60 * time.Millisecond},
 		{"before the first token", func(_, decode *engine.Engine) { decode.SetFaults(engine.Faults{StallFirst: true}) },
 			120 * time.Millisecond},
@@ -42,7 +42,7 @@
 		t.Run(c.when, func(t *testing.T) {
 			f, prefill, decode := singlePairFixture(t, nil)
 			c.fault(prefill, decode)
-			if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "leaver", LeaveAfter: c.after}); got.Outcome != "left" {
+			if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "leaver", DisconnectAfter: c.after}); got.Outcome != "left" {
 				t.Errorf("%+v", got)
 			}
 			f.waitFor("nothing is open", func() bool { return f.edges.Holding(context.Background()).Requests == 0 })
@@ -104,7 +104,7 @@
 
 func TestLatePrefillIsReleased(t *testing.T) {
 	f, prefill, _ := singlePairFixture(t, nil)
-	prefill.SetFaults(engine.Faults{Slow: 400})
+	prefill.SetFaults(engine.Faults{Slowdown: 400})
 	if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "late", Timeout: 150 * time.Millisecond}); got.OutcomeCount != 1 {
 		t.Errorf("%+v", got)
 	}
@@ -118,7 +118,7 @@
 	var done = make(chan struct{})
 	go func() {
 		defer close(done)
-		loadgen.Traffic{Edges: f.edges.Addrs, Rate: 150, Length: 1500 * time.Millisecond, Seed: 5, Prefixes: 3, PrefixWords: 30,
+		loadgen.Traffic{Edges: f.edges.Addrs, Rate: 150, Duration: 1500 * time.Millisecond, Seed: 5, Prefixes: 3, PrefixWords: 30,
 			Turns: 2, Log: f.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, PriorityWeight: 1, Retriable: true,
 				FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 10}}}.Run(context.Background())
 	}()
@@ -140,7 +140,7 @@
 func TestUnresponsiveFleetAndEmptyEndpointList(t *testing.T) {
 	f := newFixture(t, nil)
 	for _, e := range f.fleet.Engines {
-		e.SetFaults(engine.Faults{Silent: true})
+		e.SetFaults(engine.Faults{Unresponsive: true})
 	}
 	for _, route := range []string{"clip-summary", "fan-alert"} {
 		got := f.call(loadgen.Request{Route: route, RequestID: "unresponsive " + route, Timeout: 400 * time.Millisecond})
@@ -286,10 +286,10 @@
 
 func TestHalfTheFleetUnresponsive(t *testing.T) {
 	f := newFixture(t, nil)
-	f.fleet.Engines[0].SetFaults(engine.Faults{Silent: true})
-	f.fleet.Engines[2].SetFaults(engine.Faults{Silent: true})
+	f.fleet.Engines[0].SetFaults(engine.Faults{Unresponsive: true})
+	f.fleet.Engines[2].SetFaults(engine.Faults{Unresponsive: true})
 	// Many at once: the policy compares engines by how long their attempts wait.
-	loadgen.Traffic{Edges: f.edges.Addrs, Rate: 60, Length: 2 * time.Second, Seed: 3, Prefixes: 4, PrefixWords: 40, Turns: 2, Log: f.log,
+	loadgen.Traffic{Edges: f.edges.Addrs, Rate: 60, Duration: 2 * time.Second, Seed: 3, Prefixes: 4, PrefixWords: 40, Turns: 2, Log: f.log,
 		Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, PriorityWeight: 1, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5},
 			{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5}}}.Run(context.Background())
 	outcomes := map[string]int{}
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -100,7 +100,7 @@
 	f.waitFor("edge and engines hold nothing", func() bool {
 		usage, held = f.edges.Holding(context.Background()), 0
 		for _, e := range f.fleet.Engines {
-			held += e.Held()
+			held += e.HeldReservations()
 		}
 		return usage.Requests == 0 && usage.ControlRequests == 0 && held == 0
 	})
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -37,7 +37,7 @@
 		return float64(m.HeapInuse) / (1 << 20)
 	}
 	burst := func(length time.Duration, seed uint64) {
-		loadgen.Traffic{Edges: f.edges.Addrs, Rate: 80, Length: length, Seed: seed, Prefixes: 5, PrefixWords: 100, Turns: 3, DisconnectShare: 0.05,
+		loadgen.Traffic{Edges: f.edges.Addrs, Rate: 80, Duration: length, Seed: seed, Prefixes: 5, PrefixWords: 100, Turns: 3, DisconnectShare: 0.05,
 			Retries: 1, Log: f.log, Routes: []loadgen.Route{{Name: "clip-summary", Share: 3, PriorityWeight: 1, Retriable: true,
 				FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20},
 				{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 3 * time.Second, MaxTokens: 20}}}.Run(context.Background())
@@ -47,7 +47,7 @@
 		runtime.NumGoroutine(), len(f.log.ClientRecords()))
 	end := time.Now().Add(length)
 	for i := uint64(2); time.Now().Before(end); i++ {
-		f.fleet.Engines[i%4].SetFaults([]engine.Faults{{Slow: 5}, {Silent: true}, {BreakAfter: 3}, {Lie: true}}[i%4])
+		f.fleet.Engines[i%4].SetFaults([]engine.Faults{{Slowdown: 5}, {Unresponsive: true}, {BreakAfter: 3}, {EmptyLoadReport: true}}[i%4])
 		burst(min(5*time.Second, time.Until(end)), i)
 		f.fleet.Engines[i%4].SetFaults(engine.Faults{})
 		if i%12 == 0 {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -43,19 +43,19 @@
 
 // Faults are what is wrong with an engine now.
 type Faults struct {
-	Silent     bool          `json:"Silent"`     // takes what comes and never answers
-	Slow       float64       `json:"Slow"`       // times slower; 0 for not
-	StallFirst bool          `json:"StallFirst"` // stops before the first token
-	StallAfter int           `json:"StallAfter"` // stops after so many tokens
-	BreakAfter int           `json:"BreakAfter"` // breaks the connection after so many tokens
-	HalfAnswer bool          `json:"HalfAnswer"` // a read's answer stops half way
-	Lie        bool          `json:"Lie"`        // reports no load at all, whatever there is
-	SlowAccept time.Duration `json:"SlowAccept"` // before the first byte of an answer
-	FailStatus int           `json:"FailStatus"` // answers sends with this status and no word why
-	NeverBack  bool          `json:"NeverBack"`  // a change of its role never comes to an end
-	FalseRole  bool          `json:"FalseRole"`  // it claims the role that it is asked for, and goes on in the old one
-	DeafOrders bool          `json:"DeafOrders"` // takes no orders of a planner
-	LieWork    float64       `json:"LieWork"`    // times the work that it reports; 0 for the truth
+	Unresponsive       bool          `json:"Silent"`     // takes what comes and never answers
+	Slowdown           float64       `json:"Slow"`       // times slower; 0 for not
+	StallFirst         bool          `json:"StallFirst"` // stops before the first token
+	StallAfter         int           `json:"StallAfter"` // stops after so many tokens
+	BreakAfter         int           `json:"BreakAfter"` // breaks the connection after so many tokens
+	TruncatePrefill    bool          `json:"HalfAnswer"` // a read's answer stops half way
+	EmptyLoadReport    bool          `json:"Lie"`        // reports no load at all, whatever there is
+	ResponseDelay      time.Duration `json:"SlowAccept"` // before the first byte of an answer
+	FailStatus         int           `json:"FailStatus"` // answers sends with this status and no word why
+	RoleChangeHangs    bool          `json:"NeverBack"`  // a change of its role never comes to an end
+	FalseRole          bool          `json:"FalseRole"`  // it claims the role that it is asked for, and goes on in the old one
+	IgnoreRoleOrders   bool          `json:"DeafOrders"` // takes no orders of a planner
+	ReportedWorkFactor float64       `json:"LieWork"`    // times the work that it reports; 0 for the truth
 }
 
 // IdempotencyKeys are the repeat marks known to a group of engines.
@@ -255,11 +255,11 @@
 // ClearCache forgets all kept texts.
 func (e *Engine) ClearCache() { e.mu.Lock(); e.cached = map[uint64]int{}; e.mu.Unlock() }
 
-// Held is how many states wait here.
-func (e *Engine) Held() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.reservations) }
+// HeldReservations is how many states wait here.
+func (e *Engine) HeldReservations() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.reservations) }
 
-// Fallen is whether it was pushed over while cold.
-func (e *Engine) Fallen() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.overloaded }
+// Overloaded is whether it was pushed over while cold.
+func (e *Engine) Overloaded() bool { e.mu.Lock(); defer e.mu.Unlock(); return e.overloaded }
 
 func (e *Engine) recordRequest(a completionRequest, s audit.EngineRecord) {
 	if !a.trial {
@@ -282,8 +282,8 @@
 			share = e.config.WarmUpShare + (1-e.config.WarmUpShare)*since.Seconds()/e.config.WarmUp.Seconds()
 		}
 	}
-	if e.faults.Slow > 1 {
-		share /= e.faults.Slow
+	if e.faults.Slowdown > 1 {
+		share /= e.faults.Slowdown
 	}
 	return share
 }
@@ -312,7 +312,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	memory, waiting, open := float64(e.usedTokens)/float64(e.config.MemoryTokens), float64(e.queuedPrefillTokens)/1000, e.openRequests+len(e.reservations)
-	if e.faults.Lie {
+	if e.faults.EmptyLoadReport {
 		memory, waiting, open = 0, 0, 0
 	}
 	h := w.Header()
@@ -364,7 +364,7 @@
 	w.Write(chat.ErrorBody("server_error", why, "", "refused: "+why))
 }
 
-func silent(f Faults) bool { return f.Silent }
+func silent(f Faults) bool { return f.Unresponsive }
 
 type completionRequest struct {
 	Model     string            `json:"model"`
@@ -411,7 +411,7 @@
 	full := e.waiting >= e.config.QueueLimit && len(e.slots) == cap(e.slots)
 	e.mu.Unlock()
 	f, _, _ := e.currentFaults()
-	if f.SlowAccept > 0 && !e.sleep(r.Context(), f.SlowAccept) {
+	if f.ResponseDelay > 0 && !e.sleep(r.Context(), f.ResponseDelay) {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -529,7 +529,7 @@
 		e.usedTokens += a.prompt
 		e.record(audit.EngineRecord{Event: audit.Reserved, Inference: a.name, Request: a.request})
 	}
-	half, addr := e.faults.HalfAnswer, e.addr
+	half, addr := e.faults.TruncatePrefill, e.addr
 	e.mu.Unlock()
 	host, port, _ := strings.Cut(addr, ":")
 	number, _ := strconv.Atoi(port)
@@ -588,7 +588,7 @@
 		}
 		e.mu.Unlock()
 	}()
-	if !e.awaitAudible(r.Context(), func(f Faults) bool { return f.Silent || f.StallFirst }) {
+	if !e.awaitAudible(r.Context(), func(f Faults) bool { return f.Unresponsive || f.StallFirst }) {
 		panic(http.ErrAbortHandler)
 	}
 	if e.idempotencyKeys.seenBefore(a.mark) {
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -26,7 +26,7 @@
 	if !e.coldSince.IsZero() {
 		p.UptimeMillis = max(1, time.Since(e.coldSince).Milliseconds())
 	}
-	if lie := e.faults.LieWork; lie > 0 {
+	if lie := e.faults.ReportedWorkFactor; lie > 0 {
 		p.PrefillTokens, p.DecodeTokens = p.PrefillTokens*lie, p.DecodeTokens*lie
 	}
 	for h, tokens := range e.cached {
@@ -59,7 +59,7 @@
 		w.Write(chat.ErrorBody("conflict", "not followed", "", why))
 	}
 	switch {
-	case e.faults.DeafOrders:
+	case e.faults.IgnoreRoleOrders:
 		no("this engine takes no orders")
 	case o.Term < e.term:
 		no("a planner of term " + strconv.FormatInt(e.term, 10) + " is followed")
@@ -87,7 +87,7 @@
 func (e *Engine) switchRole(o planapi.RoleOrder) {
 	e.reportedRole, e.loading = o.Role, true
 	e.cached, e.prefixUses = map[uint64]int{}, map[uint64]int{}
-	if e.faults.NeverBack {
+	if e.faults.RoleChangeHangs {
 		return
 	}
 	life, lie := e.incarnationContext, e.faults.FalseRole
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -24,7 +24,7 @@
 	MaxTokens                 int
 	Timeout                   time.Duration
 	Unary                     bool // one answer, not a stream
-	LeaveAfter                time.Duration
+	DisconnectAfter           time.Duration
 	IdempotencyKey            string
 }
 
@@ -55,8 +55,8 @@
 	record.Deadline = record.Sent.Add(request.Timeout)
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout+60*time.Second)
 	defer cancel()
-	if request.LeaveAfter > 0 {
-		ctx, cancel = context.WithTimeout(ctx, request.LeaveAfter)
+	if request.DisconnectAfter > 0 {
+		ctx, cancel = context.WithTimeout(ctx, request.DisconnectAfter)
 		defer cancel()
 	}
 	body, _ := json.Marshal(map[string]any{"model": request.Route, "messages": request.Messages, "stream": !request.Unary,
@@ -78,7 +78,7 @@
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		record.End, record.Reason = time.Now(), err.Error()
-		if request.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
+		if request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
 			record.Outcome = "left"
 		}
 		return record, 0
@@ -139,7 +139,7 @@
 		}
 		if err != nil {
 			record.Reason = err.Error()
-			if record.OutcomeCount == 0 && request.LeaveAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
+			if record.OutcomeCount == 0 && request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
 				record.Outcome = "left"
 			}
 			break
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -37,7 +37,7 @@
 	Rate            float64                        // first tries a second
 	RateFactor      func(at time.Duration) float64 // of the rate
 	HotPrefixShare  func(at time.Duration) float64 // share of tries that begin with a text not seen before
-	Length          time.Duration
+	Duration        time.Duration
 	Seed            uint64
 	Prefixes        int
 	PrefixWords     int // of a shared beginning
@@ -73,7 +73,7 @@
 		}
 		next += rng.ExpFloat64() / max(rate, 0.01)
 		at := time.Duration(next * 1e9)
-		if at > t.Length {
+		if at > t.Duration {
 			break
 		}
 		draw := rng.Float64() * shares
@@ -108,7 +108,7 @@
 		request := Request{Route: route.Name, Session: s.name, RequestID: fmt.Sprintf("r%d-%d", t.Seed, n), Messages: s.messages,
 			MaxTokens: route.MaxTokens, Timeout: route.Timeout, Unary: rng.Float64() < 0.1}
 		if rng.Float64() < t.DisconnectShare {
-			request.LeaveAfter = time.Duration(rng.Float64() * float64(route.FirstTokenTarget))
+			request.DisconnectAfter = time.Duration(rng.Float64() * float64(route.FirstTokenTarget))
 		}
 		seed := rng.Uint64()
 		select {
--- a/internal/planner/role_change_test.go
+++ b/internal/planner/role_change_test.go
@@ -91,7 +91,7 @@
 
 // An engine that claims a role without having it, or does not come back, is quarantined and never listed in its new role.
 func TestEnginesThatFailTheirChangeAreSetAside(t *testing.T) {
-	for name, faults := range map[string]engine.Faults{"claims a role": {FalseRole: true}, "never back": {NeverBack: true}} {
+	for name, faults := range map[string]engine.Faults{"claims a role": {FalseRole: true}, "never back": {RoleChangeHangs: true}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 2)
 			p := f.startPlanner(nil)
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -127,7 +127,7 @@
 	t.Run("2 two sends at once", func(t *testing.T) {
 		c := newCareless(t)
 		for i := range 2 {
-			c.fleet.Engines[i].SetFaults(standin.Faults{Silent: true})
+			c.fleet.Engines[i].SetFaults(standin.Faults{Unresponsive: true})
 			go c.send(c.fleet.Engines[i], "x-1", "one", nil)
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -251,9 +251,9 @@
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	fleet.Engines[0].SetFaults(standin.Faults{Silent: true})
+	fleet.Engines[0].SetFaults(standin.Faults{Unresponsive: true})
 	loadgen.Traffic{Edges: func() []string { return []string{fleet.Engines[0].Addr()} }, Rate: 200,
-		Length: 500 * time.Millisecond, Seed: 1, Prefixes: 1, PrefixWords: 3, Turns: 1, Log: log,
+		Duration: 500 * time.Millisecond, Seed: 1, Prefixes: 1, PrefixWords: 3, Turns: 1, Log: log,
 		Routes: []loadgen.Route{{Name: "a", Share: 1, Timeout: 100 * time.Millisecond}}}.Run(ctx)
 	if n := len(log.ClientRecords()); n < 50 || n > 200 {
 		t.Errorf("%d tries in %v", n, time.Since(begun))
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -157,7 +157,7 @@
 	all.Go(func() { run.play(ctx, steps) })
 	routes := d.routes()
 	loadgen.Traffic{Edges: edges.Addrs, Routes: routes, Rate: d.RequestRate, RateFactor: rateFactor(d.Faults), HotPrefixShare: hotPrefixShare(d.Faults),
-		Length: d.Duration, Seed: uint64(d.Seed), Prefixes: d.Prefixes, PrefixWords: d.PrefixWords, Turns: d.Turns,
+		Duration: d.Duration, Seed: uint64(d.Seed), Prefixes: d.Prefixes, PrefixWords: d.PrefixWords, Turns: d.Turns,
 		Retries: d.Retries, DisconnectShare: d.DisconnectShare, Log: seen}.Run(ctx)
 	all.Wait()
 	run.recoveries.Wait()
@@ -165,7 +165,7 @@
 	for range 60 {
 		res.HeldAtEnd = 0
 		for _, e := range fleet.Engines {
-			res.HeldAtEnd += e.Held()
+			res.HeldAtEnd += e.HeldReservations()
 		}
 		if h := edges.Holding(ctx); res.HeldAtEnd == 0 && h.Requests == 0 {
 			break
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -213,7 +213,7 @@
 			mine = append(mine, r)
 		}
 		begun := time.Now()
-		loadgen.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.RequestRate, Length: ph.Duration, Seed: t.Seed*100 +
+		loadgen.Traffic{Edges: edges.Addrs, Routes: mine, Rate: ph.RequestRate, Duration: ph.Duration, Seed: t.Seed*100 +
 			uint64(i), Prefixes: 6, PrefixWords: 100,
 			UserWords: ph.UserWords, Turns: 2, Retries: 1, Log: seen}.Run(ctx)
 		var calls, second []audit.ClientRecord
@@ -245,7 +245,7 @@
 	for range 60 {
 		res.HeldAtEnd = 0
 		for _, e := range fleet.Engines {
-			res.HeldAtEnd += e.Held()
+			res.HeldAtEnd += e.HeldReservations()
 		}
 		if h := edges.Holding(context.Background()); res.HeldAtEnd == 0 && h.Requests == 0 {
 			break
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -40,7 +40,7 @@
 			newest = p
 		},
 		Faults: func(ctx context.Context, f *Fleet) {
-			f.Engines[7].SetFaults(engine.Faults{LieWork: 10})
+			f.Engines[7].SetFaults(engine.Faults{ReportedWorkFactor: 10})
 			select {
 			case <-ctx.Done():
 			case <-time.After(9 * time.Second):
@@ -125,7 +125,7 @@
 			Retriable: r.Effect == "retriable", FirstTokenTarget: r.FirstTokenObjective,
 			Timeout: r.Timeout, MaxTokens: 24})
 	}
-	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Length: 8 * time.Second,
+	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Duration: 8 * time.Second,
 		Seed: 5, Prefixes: 4, PrefixWords: 100,
 		Turns: 2, Retries: 1, Log: seen}.Run(context.Background())
 	all.Wait()
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -209,7 +209,7 @@
 		return
 	}
 	e := r.fleet.Engines[s.Engine]
-	if e.Fallen() {
+	if e.Overloaded() {
 		return // it stays down
 	}
 	switch {
@@ -257,15 +257,15 @@
 
 // combineFaults makes one set of faults of those that are on at once.
 func combineFaults(on map[string]float64) (f engine.Faults) {
-	f.Slow = 1
+	f.Slowdown = 1
 	for kind, size := range on {
 		switch kind {
 		case "vanish", "pauses":
-			f.Silent = true
+			f.Unresponsive = true
 		case "slow", "neighbour", "ageing":
-			f.Slow *= max(1, size)
+			f.Slowdown *= max(1, size)
 		case "handshake_slow":
-			f.SlowAccept = time.Duration(size * 1e9)
+			f.ResponseDelay = time.Duration(size * 1e9)
 		case "stall_first":
 			f.StallFirst = true
 		case "stall":
@@ -273,9 +273,9 @@
 		case "break":
 			f.BreakAfter = max(1, int(size))
 		case "half_answer":
-			f.HalfAnswer = true
+			f.TruncatePrefill = true
 		case "lie":
-			f.Lie = true
+			f.EmptyLoadReport = true
 		case "fail":
 			f.FailStatus = min(599, max(400, int(size)))
 		}
