--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -14,13 +14,14 @@
 // depends on it.
 func (p *Policy) Fingerprint(w io.Writer) {
 	fmt.Fprintln(w, p.random.draws, p.rotation, int64(p.now-p.startedAt), p.recentPrefixes,
-		numbers(p.recentLatencyPerWork), p.cache.recentHits, p.samples(p.expectedOverruns), p.samples(p.firstTokenOverruns))
+		numbers(p.recentLatencyPerWork), p.cache.recentHits, p.samples(p.expectedOverruns),
+		p.samples(p.firstTokenOverruns))
 	for _, id := range p.engineIDs {
 		p.fingerprintEngine(w, p.engines[id])
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		req := p.requests[id]
-		fmt.Fprintln(w, id, req.state, int64(p.now-req.arrivedAt), req.prefillEngine, req.decodeEngine,
+		fmt.Fprintln(w, id, uint8(req.state), int64(p.now-req.arrivedAt), req.prefillEngine, req.decodeEngine,
 			int64(p.now-req.idleSince), req.retryScheduled, req.awaitedEngines)
 		for _, att := range req.attempts {
 			att.sentAt = p.now - att.sentAt
@@ -45,7 +46,8 @@
 		removedFor = ago(e.removedAt)
 	}
 	fmt.Fprintln(w, e.Endpoint, p.ages(e.sendTimes), p.ages(e.progressTimes), p.samples(e.latencySamples),
-		numbers(e.latencyPerWork), p.ages(e.faultTimes), e.suspect, ago(e.warmingSince), int64(max(0, e.fullUntil-p.now)),
+		numbers(e.latencyPerWork), p.ages(e.faultTimes), e.suspect, ago(e.warmingSince),
+		int64(max(0, e.fullUntil-p.now)),
 		e.memoryShare, ago(e.reportedAt), e.queuedWork, ago(e.checkedAt), removedFor, ago(e.checkAnsweredAt),
 		ago(e.unresponsiveAt), ago(e.healthyAt))
 }
@@ -90,7 +92,7 @@
 func TransitionNames() []string {
 	names := make([]string, len(transitions))
 	for i, t := range transitions {
-		names[i] = fmt.Sprintf("policy transition %d: states %v, triggers %v, next %d", i+1, t.from, t.triggers, t.next)
+		names[i] = fmt.Sprintf("policy transition %d: states %q, triggers %q, next %q", i+1, t.from, t.triggers, t.next)
 	}
 	return names
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -22,12 +22,12 @@
 	cache      prefixCache
 	affinities affinityTable
 	random     randomSource
-	rotation   int // of round robin; 0 until it has its random start
+	rotation   int // of round robin; 0 until its random start is drawn
 
 	recentPrefixes       []string        // of the last requests
-	recentLatencyPerWork []time.Duration // of the last prefills: latency by reported load, the request itself counted as one
-	expectedOverruns     []sample        // of the last requests: how far their expected latency was over a quarter of the target
-	firstTokenOverruns   []sample        // of the last first tokens: how far over the target they came
+	recentLatencyPerWork []time.Duration // of the last prefills: by the queued work reported before, and themselves as one
+	expectedOverruns     []sample        // of the last requests: expected latency over a quarter of the objective
+	firstTokenOverruns   []sample        // of the last first tokens: latency over the objective
 
 	// countedLoads is what openLoads counted, until an attempt starts, streams or ends, or a report comes.
 	// Counting takes most of a step's time on a node with thousands of open streams.
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -47,6 +47,12 @@
 	ended                     // it is answered, or its client has disconnected
 )
 
+// stateNames are for people.
+var stateNames = [...]string{pending: "pending", checkingLoad: "checking load", prefilling: "prefilling",
+	reserved: "reserved", decoding: "decoding", streaming: "streaming", ended: "ended"}
+
+func (s state) String() string { return stateNames[s] }
+
 var (
 	openStates = []state{pending, checkingLoad, prefilling, reserved, decoding}
 	allStates  = append(openStates[:len(openStates):len(openStates)], streaming, ended)
@@ -82,6 +88,18 @@
 	objectiveMissed               // its objective has passed before it was prefilled
 )
 
+// triggerNames are for people.
+var triggerNames = [...]string{noTrigger: "none", arrived: "arrived", loadKnown: "load known", retryDue: "retry due",
+	deadlineNear: "deadline near", clientDisconnected: "client disconnected", prefillDone: "prefill done",
+	prefillFailed: "prefill failed", decodeNotStarted: "decode not started", reservationLost: "reservation lost",
+	mayHaveRun: "may have run", firstToken: "first token", finished: "finished", prefillChosen: "prefill engine chosen",
+	noPrefillEngine: "no prefill engine", noDecodeEngine: "no decode engine", attemptsExhausted: "attempts exhausted",
+	admitted: "admitted", cannotMeetObjective: "cannot meet objective", responseOverdue: "response overdue",
+	engineUnresponsive: "engine unresponsive", passedByLaterResponse: "passed by later response",
+	objectiveMissed: "objective missed"}
+
+func (t trigger) String() string { return triggerNames[t] }
+
 // inFlight is whether an attempt is in flight.
 func (r *request) inFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
