--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -54,7 +54,9 @@
 	c.Flags().StringVar(&o.settings, "settings", "", "the planner's script")
 	c.Flags().BoolVar(&o.takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
 	c.Flags().BoolVar(&o.check, "check", false, "check the script and end")
-	c.MarkFlagRequired("settings")
+	if err := c.MarkFlagRequired("settings"); err != nil {
+		panic(err) // no such flag
+	}
 	return c
 }
 
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -49,8 +49,11 @@
 		return fmt.Errorf("the kit's site is needed: %w", err)
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*", changesName))
-	if err != nil || len(files) == 0 {
-		return fmt.Errorf("no %s under %s (%v); run it from the repository's root", changesName, folder, err)
+	if err != nil {
+		return fmt.Errorf("look for %s under %s: %w", changesName, folder, err)
+	}
+	if len(files) == 0 {
+		return fmt.Errorf("no %s under %s; run it from the repository's root", changesName, folder)
 	}
 	for _, file := range files {
 		if err := build(string(text), filepath.Dir(site), file); err != nil {
--- a/internal/asynclog/sink.go
+++ b/internal/asynclog/sink.go
@@ -92,5 +92,5 @@
 	if count := s.dropped.Swap(0); count > 0 {
 		fmt.Fprintf(w, droppedLine, count)
 	}
-	w.Write(line)
+	_, _ = w.Write(line) // there is nowhere to report that the log is gone
 }
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -51,7 +51,7 @@
 func (p *Planner) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if status, ok := inEventLoop(p, w, r, p.status); ok {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(status)
+		_ = json.NewEncoder(w).Encode(status) // the client has gone
 	}
 }
 
--- a/internal/planner/planclient/report.go
+++ b/internal/planner/planclient/report.go
@@ -47,5 +47,6 @@
 		return
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
+	// The connection can be used again once the body is read; if that fails, it is not.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"net"
 	"net/http"
 	"sync"
@@ -87,6 +88,13 @@
 // now is Unix nanoseconds that never go back while the planner runs.
 func (p *Planner) now() int64 { return p.started.UnixNano() + int64(time.Since(p.started)) }
 
+// serve answers edges, engines and operators until Stop closes the server.
+func (p *Planner) serve() {
+	if err := p.server.Serve(p.listener); !errors.Is(err, http.ErrServerClosed) {
+		p.log.Error("server failed", zap.Error(err))
+	}
+}
+
 // Start opens the store, takes a new term, and runs until Stop.
 func (p *Planner) Start() error {
 	store, stored, err := openWithRetry(p.settings.Store, p.log)
@@ -110,7 +118,7 @@
 	}
 	p.controller = assignment.New(p.settings.Assignment, p.term, p.now(), stored.Records, stored.Meta)
 	p.server = &http.Server{Handler: p.routes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
-	p.tasks.Go(func() { p.server.Serve(p.listener) })
+	p.tasks.Go(p.serve)
 	p.tasks.Go(p.run)
 	p.tasks.Go(func() { p.poller.run(p.ctx) })
 	p.tasks.Go(p.watchEndpointFile)
--- a/internal/planner/role_order.go
+++ b/internal/planner/role_order.go
@@ -29,7 +29,8 @@
 		return
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
+	// The connection can be used again once the body is read; if that fails, it is not.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
 	p.log.Info("role order sent", zap.String("engine", action.Engine), zap.String("role", action.Order.Role),
 		zap.Int64("epoch", action.Order.Epoch), zap.Bool("drain", action.Order.Drain),
 		zap.Int("status", response.StatusCode))
--- a/internal/planner/stream.go
+++ b/internal/planner/stream.go
@@ -136,7 +136,9 @@
 		line = withUptimeAdded(plan.line, time.Since(plan.madeAt))
 	}
 	connection := http.NewResponseController(w)
-	connection.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
+	if err := connection.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
+		return err
+	}
 	if _, err := w.Write(line); err != nil {
 		return err
 	}
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	// If the release is lost, the engine drops the reservation at its own limit.
-	connection.Write(engineapi.Release(trial.Engine, requestID, 0))
+	_, _ = connection.Write(engineapi.Release(trial.Engine, requestID, 0))
 	return nil
 }
 
