--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -198,9 +198,9 @@
 // checkRules reports the reservations that were held for too long.
 func (p *edgeProcesses) checkRules() {
 	p.t.Helper()
-	for _, b := range p.log.Judge(audit.Rules{ReservationLimit: pinLimit, Tolerance: pinSlack}, time.Now()) {
-		if b.Rule == 5 {
-			p.t.Errorf("%s\n\t%s", b, strings.Join(p.log.Trace(b.Inference), "\n\t"))
+	for _, b := range p.log.Check(audit.Rules{ReservationLimit: pinLimit, Tolerance: pinSlack}, time.Now()) {
+		if b.Rule == audit.RuleReservation {
+			p.t.Errorf("%s\n\t%s", b, strings.Join(p.log.Trace(b.RequestID), "\n\t"))
 		}
 	}
 }
--- /dev/null
+++ b/internal/audit/log.go
@@ -0,0 +1,87 @@
+package audit
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+)
+
+// Log collects records from many goroutines. The zero value is an empty log.
+type Log struct {
+	mu               sync.Mutex
+	engineRecords    []EngineRecord
+	clientRecords    []ClientRecord
+	readinessChanges []ReadinessChange
+	outages          []Outage
+}
+
+// RecordEngine adds an event of an engine.
+func (l *Log) RecordEngine(record EngineRecord) {
+	l.mu.Lock()
+	l.engineRecords = append(l.engineRecords, record)
+	l.mu.Unlock()
+}
+
+// RecordClient adds a request of a client.
+func (l *Log) RecordClient(record ClientRecord) {
+	l.mu.Lock()
+	l.clientRecords = append(l.clientRecords, record)
+	l.mu.Unlock()
+}
+
+// RecordReadiness adds a change of an engine's readiness.
+func (l *Log) RecordReadiness(change ReadinessChange) {
+	l.mu.Lock()
+	l.readinessChanges = append(l.readinessChanges, change)
+	l.mu.Unlock()
+}
+
+// RecordOutage adds a time in which an edge was down.
+func (l *Log) RecordOutage(outage Outage) {
+	l.mu.Lock()
+	l.outages = append(l.outages, outage)
+	l.mu.Unlock()
+}
+
+// ClientRecords returns a copy of the clients' records.
+func (l *Log) ClientRecords() []ClientRecord {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.clientRecords)
+}
+
+// EngineRecords returns a copy of the engines' records.
+func (l *Log) EngineRecords() []EngineRecord {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.engineRecords)
+}
+
+// Trace returns, one line each and in order of time, what engines and clients saw of a request.
+func (l *Log) Trace(requestID string) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	type entry struct {
+		at   time.Time
+		text string
+	}
+	var entries []entry
+	for _, s := range l.engineRecords {
+		if s.RequestID == requestID {
+			entries = append(entries, entry{s.At, fmt.Sprintf("%s %s %s", s.Engine, s.Event, s.Detail)})
+		}
+	}
+	for _, c := range l.clientRecords {
+		if c.RequestID == requestID {
+			entries = append(entries, entry{c.Sent, "client " + c.ClientRequestID + " asks"},
+				entry{c.End, fmt.Sprintf("client %s has %s %s", c.ClientRequestID, c.Outcome, c.Reason)})
+		}
+	}
+	slices.SortStableFunc(entries, func(a, b entry) int { return a.at.Compare(b.at) })
+	lines := make([]string, len(entries))
+	for i, e := range entries {
+		lines[i] = fmt.Sprintf("%8.3fs %s", e.at.Sub(entries[0].at).Seconds(), e.text)
+	}
+	return lines
+}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -20,7 +20,7 @@
 	f := newFixture(t, nil)
 	for _, whole := range []bool{false, true} {
 		got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "one", Unary: whole})
-		if got.Outcome != "completed" || got.Tokens == 0 || got.Inference == "" {
+		if got.Outcome != "completed" || got.Tokens == 0 || got.RequestID == "" {
 			t.Errorf("unary %v: %+v", whole, got)
 		}
 	}
@@ -87,7 +87,7 @@
 			}
 			attempts := 0
 			for _, s := range f.log.EngineRecords() {
-				if s.Request == "once" && s.Event == audit.AttemptStarted && s.Decode {
+				if s.ClientRequestID == "once" && s.Event == audit.AttemptStarted && s.Decode {
 					attempts++
 				}
 			}
@@ -292,7 +292,7 @@
 	loadgen.Traffic{Edges: f.edges.Addrs, Rate: 60, Duration: 2 * time.Second, Seed: 3, Prefixes: 4, PrefixWords: 40, Turns: 2, Log: f.log,
 		Routes: []loadgen.Route{{Name: "clip-summary", Share: 1, PriorityWeight: 1, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5},
 			{Name: "fan-alert", Share: 1, PriorityWeight: 5, FirstTokenTarget: time.Second, Timeout: 1500 * time.Millisecond, MaxTokens: 5}}}.Run(context.Background())
-	outcomes := map[string]int{}
+	outcomes := map[audit.Outcome]int{}
 	for _, c := range f.log.ClientRecords() {
 		outcomes[c.Outcome]++
 	}
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -104,7 +104,7 @@
 		}
 		return usage.Requests == 0 && usage.ControlRequests == 0 && held == 0
 	})
-	for _, b := range f.log.Judge(f.rules, time.Now()) {
+	for _, b := range f.log.Check(f.rules, time.Now()) {
 		f.t.Error(b)
 	}
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -398,8 +398,8 @@
 	writes := a.Transfer.RemotePrefill
 	// A trial is the planner's question for the role, and no send of an edge.
 	a.trial = strings.HasPrefix(a.name, planapi.TrialPrefix)
-	e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptStarted, Inference: a.name, Request: a.request, Decode: writes})
-	defer e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptEnded, Inference: a.name, Request: a.request, Decode: writes})
+	e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptStarted, RequestID: a.name, ClientRequestID: a.request, Decode: writes})
+	defer e.recordRequest(a, audit.EngineRecord{Event: audit.AttemptEnded, RequestID: a.name, ClientRequestID: a.request, Decode: writes})
 	if !e.awaitAudible(r.Context(), silent) {
 		panic(http.ErrAbortHandler)
 	}
@@ -527,7 +527,7 @@
 	if !gone && !a.trial {
 		e.reservations[key] = reservation{a.prompt, time.Now()}
 		e.usedTokens += a.prompt
-		e.record(audit.EngineRecord{Event: audit.Reserved, Inference: a.name, Request: a.request})
+		e.record(audit.EngineRecord{Event: audit.Reserved, RequestID: a.name, ClientRequestID: a.request})
 	}
 	half, addr := e.faults.TruncatePrefill, e.addr
 	e.mu.Unlock()
@@ -558,7 +558,7 @@
 		delete(e.reservations, key)
 		e.usedTokens -= s.tokens
 		name, _, _ := strings.Cut(key, "/")
-		e.record(audit.EngineRecord{Event: audit.Released, Inference: name, Detail: how})
+		e.record(audit.EngineRecord{Event: audit.Released, RequestID: name, Detail: how})
 	}
 	return ok
 }
@@ -592,9 +592,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	if e.idempotencyKeys.seenBefore(a.mark) {
-		e.record(audit.EngineRecord{Event: audit.Deduplicated, Inference: a.name, Request: a.request})
+		e.record(audit.EngineRecord{Event: audit.Deduplicated, RequestID: a.name, ClientRequestID: a.request})
 	} else {
-		e.record(audit.EngineRecord{Event: audit.Executed, Inference: a.name, Request: a.request})
+		e.record(audit.EngineRecord{Event: audit.Executed, RequestID: a.name, ClientRequestID: a.request})
 	}
 	e.setLoadHeaders(w)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -701,7 +701,7 @@
 		return
 	}
 	// A silent engine has the order on its socket and follows it once it goes on, whoever has hung up by then.
-	e.record(audit.EngineRecord{Event: audit.Released, Inference: a.Inference, Detail: "asked for"})
+	e.record(audit.EngineRecord{Event: audit.Released, RequestID: a.Inference, Detail: "asked for"})
 	if !e.awaitAudible(context.Background(), silent) {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -126,8 +126,8 @@
 	return n
 }
 
-func (f *Fleet) record(e *Engine, what, name string) {
-	f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: e.ID, Event: what, Inference: name, Request: name, Decode: e.Role == Decode})
+func (f *Fleet) record(e *Engine, event audit.EngineEvent, name string) {
+	f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: e.ID, Event: event, RequestID: name, ClientRequestID: name, Decode: e.Role == Decode})
 }
 
 // request is the record of a request. The caller holds the lock.
@@ -175,7 +175,7 @@
 func (f *Fleet) over(engine, name string, a *engineAttempt) {
 	if !a.ended {
 		a.ended = true
-		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: engine, Event: audit.AttemptEnded, Inference: name, Request: name})
+		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: engine, Event: audit.AttemptEnded, RequestID: name, ClientRequestID: name})
 	}
 }
 
@@ -251,7 +251,7 @@
 // release lets go of all states of a request. The caller holds the lock.
 func (f *Fleet) release(record *fleetRequest, name, how string) {
 	for _, s := range record.states {
-		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: s.engine, Event: audit.Released, Inference: name, Request: name, Detail: how})
+		f.log.RecordEngine(audit.EngineRecord{At: time.Now(), Engine: s.engine, Event: audit.Released, RequestID: name, ClientRequestID: name, Detail: how})
 	}
 	record.states = nil
 }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -51,7 +51,7 @@
 
 // Do makes one try and tells how it ended. advice is what a shed answer said of coming back.
 func (c *Client) Do(ctx context.Context, edge string, request Request) (record audit.ClientRecord, retryAfter time.Duration) {
-	record = audit.ClientRecord{Request: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(), Outcome: "lost"}
+	record = audit.ClientRecord{ClientRequestID: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(), Outcome: audit.OutcomeLost}
 	record.Deadline = record.Sent.Add(request.Timeout)
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout+60*time.Second)
 	defer cancel()
@@ -79,12 +79,12 @@
 	if err != nil {
 		record.End, record.Reason = time.Now(), err.Error()
 		if request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
-			record.Outcome = "left"
+			record.Outcome = audit.OutcomeAbandoned
 		}
 		return record, 0
 	}
 	defer response.Body.Close()
-	record.Inference = response.Header.Get(chat.HeaderRequestID)
+	record.RequestID = response.Header.Get(chat.HeaderRequestID)
 	if response.StatusCode == http.StatusOK && !request.Unary {
 		c.stream(response.Body, &record, request)
 		return record, 0
@@ -96,14 +96,14 @@
 		return record, 0
 	}
 	record.OutcomeCount = 1
-	record.Outcome = response.Header.Get(chat.HeaderOutcome)
+	record.Outcome = audit.Outcome(response.Header.Get(chat.HeaderOutcome))
 	if response.StatusCode == http.StatusOK {
 		record.FirstToken, record.Tokens = record.End.Sub(record.Sent), bytes.Count(text, []byte(" "))
 	} else {
 		record.Reason = string(text)
 	}
 	if record.Outcome == "" {
-		record.Outcome = "refused " + strconv.Itoa(response.StatusCode)
+		record.Outcome = audit.Outcome("refused " + strconv.Itoa(response.StatusCode))
 	}
 	ms, _ := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
 	return record, time.Duration(ms) * time.Millisecond
@@ -120,10 +120,10 @@
 			switch {
 			case string(data) == chat.Done:
 				record.OutcomeCount++
-				record.Outcome, record.End = "completed", time.Now()
+				record.Outcome, record.End = audit.OutcomeCompleted, time.Now()
 			case json.Unmarshal(data, &failed) == nil && failed.Error != nil:
 				record.OutcomeCount++
-				record.Outcome, record.End, record.Reason = "errored", time.Now(), string(data)
+				record.Outcome, record.End, record.Reason = audit.OutcomeErrored, time.Now(), string(data)
 			default:
 				if record.FirstToken == 0 {
 					record.FirstToken = time.Since(record.Sent)
@@ -140,7 +140,7 @@
 		if err != nil {
 			record.Reason = err.Error()
 			if record.OutcomeCount == 0 && request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
-				record.Outcome = "left"
+				record.Outcome = audit.OutcomeAbandoned
 			}
 			break
 		}
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -132,7 +132,7 @@
 		}
 		record, retryAfter := client.Do(ctx, edges[rng.IntN(len(edges))], request)
 		t.Log.RecordClient(record)
-		retry := record.Outcome == "shed" || route.Retriable && (record.Outcome == "errored" || record.Outcome == "lost")
+		retry := record.Outcome == audit.OutcomeShed || route.Retriable && (record.Outcome == audit.OutcomeErrored || record.Outcome == audit.OutcomeLost)
 		if !retry || i >= t.Retries || ctx.Err() != nil {
 			return
 		}
@@ -161,14 +161,14 @@
 // Summary is what a run came to.
 type Summary struct {
 	Offered, InTime float64 // value: of first tries, and of answers whose first token came in time
-	Outcomes        map[string]int
+	Outcomes        map[audit.Outcome]int
 	FirstTokens     map[string]*hdrhistogram.Histogram // first tokens in microseconds
 	Attempts        int
 }
 
 // Summarize up the calls of a log, a client's tries counted with its first.
 func Summarize(calls []audit.ClientRecord, routes []Route) Summary {
-	s := Summary{Outcomes: map[string]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(calls)}
+	s := Summary{Outcomes: map[audit.Outcome]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(calls)}
 	first, served := map[string]time.Time{}, map[string]bool{}
 	slices.SortStableFunc(calls, func(a, b audit.ClientRecord) int { return a.Sent.Compare(b.Sent) })
 	for _, c := range calls {
@@ -177,8 +177,8 @@
 			continue
 		}
 		r := routes[i]
-		if _, ok := first[c.Request]; !ok {
-			first[c.Request] = c.Sent
+		if _, ok := first[c.ClientRequestID]; !ok {
+			first[c.ClientRequestID] = c.Sent
 			s.Offered += r.PriorityWeight
 		}
 		s.Outcomes[c.Outcome]++
@@ -188,9 +188,9 @@
 			}
 			s.FirstTokens[r.Name].RecordValue(c.FirstToken.Microseconds())
 		}
-		inTime := c.Sent.Sub(first[c.Request])+c.FirstToken <= r.FirstTokenTarget
-		if c.Outcome == "completed" && c.FirstToken > 0 && inTime && !served[c.Request] {
-			served[c.Request] = true
+		inTime := c.Sent.Sub(first[c.ClientRequestID])+c.FirstToken <= r.FirstTokenTarget
+		if c.Outcome == audit.OutcomeCompleted && c.FirstToken > 0 && inTime && !served[c.ClientRequestID] {
+			served[c.ClientRequestID] = true
 			s.InTime += r.PriorityWeight
 		}
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -170,8 +170,8 @@
 	p.clients.Go(func() {
 		record, _ := p.client.Do(ctx, p.node.Addr(), loadgen.Request{Route: string(p.world.Effects[number]), RequestID: fmt.Sprint("p", number),
 			Timeout: p.deployment.Routes[0].Timeout, MaxTokens: maxTokens, Messages: []loadgen.Message{{Role: "user", Content: "x"}}})
-		if ctx.Err() != nil && record.Outcome == "lost" {
-			record.Outcome = "left"
+		if ctx.Err() != nil && record.Outcome == audit.OutcomeLost {
+			record.Outcome = audit.OutcomeAbandoned
 		}
 		p.records[number] = record
 	})
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("%v: %v", path, err)
 			continue
 		}
-		if got[0].Outcome != want[0] || got[0].OutcomeCount != 1 {
+		if string(got[0].Outcome) != want[0] || got[0].OutcomeCount != 1 {
 			lines, _ := modelcheck.Describe(w, path)
 			t.Errorf("on sockets %s (%d answers, %s), want %s: %v", got[0].Outcome, got[0].OutcomeCount, got[0].Reason, want[0], lines)
 		}
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -71,10 +71,10 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	for _, b := range c.log.Judge(AuditRules(d), time.Now()) {
-		rules = append(rules, b.Rule)
-		if b.Inference != "" && len(c.log.Trace(b.Inference)) == 0 {
-			c.t.Errorf("no story of %s", b.Inference)
+	for _, b := range c.log.Check(AuditRules(d), time.Now()) {
+		rules = append(rules, int(b.Rule))
+		if b.RequestID != "" && len(c.log.Trace(b.RequestID)) == 0 {
+			c.t.Errorf("no story of %s", b.RequestID)
 		}
 	}
 	return rules
@@ -91,8 +91,8 @@
 // Each rule's check fails once where the guard is missing, and holds for the same router on its best behaviour.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
-	call := func(c careless, name, request, final string, finals int, end time.Time) {
-		c.log.RecordClient(audit.ClientRecord{Request: request, Inference: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
+	call := func(c careless, name, request string, final audit.Outcome, finals int, end time.Time) {
+		c.log.RecordClient(audit.ClientRecord{ClientRequestID: request, RequestID: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
 			Deadline: now.Add(time.Second), Outcome: final, OutcomeCount: finals})
 	}
 	t.Run("none", func(t *testing.T) {
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -173,10 +173,10 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	res.Restarts = run.restarts
-	res.Violations = seen.Judge(AuditRules(d.Deployment), time.Now())
+	res.Violations = seen.Check(AuditRules(d.Deployment), time.Now())
 	res.Traces = map[string][]string{}
 	for _, b := range res.Violations {
-		res.Traces[b.Inference] = seen.Trace(b.Inference)
+		res.Traces[b.RequestID] = seen.Trace(b.RequestID)
 	}
 	res.EngineRecords = len(seen.EngineRecords())
 	res.Summary = loadgen.Summarize(seen.ClientRecords(), routes)
@@ -219,7 +219,7 @@
 	}
 	for _, b := range r.Violations {
 		fmt.Fprintln(w, "BROKEN", b)
-		for _, line := range r.Traces[b.Inference] {
+		for _, line := range r.Traces[b.RequestID] {
 			fmt.Fprintln(w, "  ", line)
 		}
 	}
--- a/internal/scenario/tilt.go
+++ b/internal/scenario/tilt.go
@@ -92,7 +92,7 @@
 		for _, c := range calls {
 			if at := c.Sent.Sub(begun); c.Route == dear.Name && at >= from && at < from+window {
 				all++
-				if c.Outcome == "completed" && c.FirstToken > 0 && c.FirstToken <= dear.FirstTokenTarget {
+				if c.Outcome == audit.OutcomeCompleted && c.FirstToken > 0 && c.FirstToken <= dear.FirstTokenTarget {
 					in++
 				}
 			}
@@ -256,6 +256,6 @@
 		res.RoleChanges += int(e.Epoch()) - 1
 	}
 	rules := AuditRules(&base)
-	res.Violations = seen.Judge(rules, time.Now())
+	res.Violations = seen.Check(rules, time.Now())
 	return res, nil
 }
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/tilt_test.go
@@ -132,7 +132,7 @@
 	if moved.Role() != "write" {
 		t.Errorf("it is still %s of epoch %d", moved.Role(), moved.Epoch())
 	}
-	for _, b := range seen.Judge(AuditRules(d), time.Now()) {
+	for _, b := range seen.Check(AuditRules(d), time.Now()) {
 		t.Error(b)
 	}
 	sum := loadgen.Summarize(seen.ClientRecords(), routes)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -104,7 +104,7 @@
 // crosses it, it is sent once more on a new one.
 func (c *client) sendRequest(n *routerProcess) {
 	r := c.request(n)
-	call := audit.ClientRecord{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
+	call := audit.ClientRecord{ClientRequestID: r.name, RequestID: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
 	call.Deadline = call.Sent.Add(r.wait)
 	leaves := c.random.IntN(10) == 0
 	for again := false; ; again = true {
@@ -146,7 +146,7 @@
 	call.OutcomeCount = 1
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(answer.Body, first); err != nil && !errors.Is(err, io.EOF) {
-		call.Outcome = "errored"
+		call.Outcome = audit.OutcomeErrored
 		return timeout(err)
 	}
 	if answer.StatusCode == http.StatusOK {
@@ -155,16 +155,16 @@
 	rest, err := io.ReadAll(answer.Body)
 	switch {
 	case answer.StatusCode == http.StatusOK && err == nil && strings.Contains(string(rest), "[DONE]"):
-		call.Outcome = "completed"
+		call.Outcome = audit.OutcomeCompleted
 	case answer.StatusCode == http.StatusOK && err == nil:
-		call.Outcome, call.Reason = "completed", "a stream without its end came with its last chunk"
-		c.run.violate("%s: a stream without its end came with its last chunk: %q", call.Request, rest)
+		call.Outcome, call.Reason = audit.OutcomeCompleted, "a stream without its end came with its last chunk"
+		c.run.violate("%s: a stream without its end came with its last chunk: %q", call.ClientRequestID, rest)
 	case answer.StatusCode == http.StatusOK:
-		call.Outcome = "errored" // the stream broke
+		call.Outcome = audit.OutcomeErrored // the stream broke
 	case answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests:
-		call.Outcome = "shed"
+		call.Outcome = audit.OutcomeShed
 	default:
-		call.Outcome = "errored"
+		call.Outcome = audit.OutcomeErrored
 	}
 	c.run.countResponse(fmt.Sprint(answer.StatusCode))
 	if err != nil {
@@ -190,12 +190,12 @@
 	switch {
 	case call.Outcome != "":
 	case leaves:
-		call.Outcome = "left"
+		call.Outcome = audit.OutcomeAbandoned
 	case n.wasAway(call.Sent, call.End):
-		call.Outcome = "left" // a new connection may be closed unread then; an ending node's are judged by engines' records
+		call.Outcome = audit.OutcomeAbandoned // a new connection may be closed unread then; an ending node's are judged by engines' records
 		c.run.noteUnanswered(n, *call)
 	default:
-		call.Outcome, call.Reason = "lost", fmt.Sprint(err)
+		call.Outcome, call.Reason = audit.OutcomeLost, fmt.Sprint(err)
 	}
 	c.run.log.RecordClient(*call)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -251,7 +251,7 @@
 		r := c.request(n)
 		r.wait = longestDeadline
 		conn.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
-		call := audit.ClientRecord{Request: r.name, Inference: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
+		call := audit.ClientRecord{ClientRequestID: r.name, RequestID: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
 		call.Deadline = call.Sent.Add(r.wait)
 		if _, err = conn.conn.Write([]byte(r.text())); err == nil {
 			err = c.readResponse(conn, &call)
@@ -259,7 +259,7 @@
 		if err != nil {
 			c.closeConnection(n)
 		}
-		if call.Outcome == "completed" {
+		if call.Outcome == audit.OutcomeCompleted {
 			return true
 		}
 	}
@@ -295,10 +295,10 @@
 	out.Violations = append(out.Violations, r.judgeWindows()...)
 	rules := audit.Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 250 * time.Millisecond, ListDelay: notice,
 		ReservationLimit: time.Second, Tolerance: slack}
-	for _, b := range r.log.Judge(rules, time.Now()) {
+	for _, b := range r.log.Check(rules, time.Now()) {
 		out.Violations = append(out.Violations, b.String())
-		if b.Inference != "" {
-			out.Traces = append(out.Traces, b.String()+"\n\t"+strings.Join(r.log.Trace(b.Inference), "\n\t"))
+		if b.RequestID != "" {
+			out.Traces = append(out.Traces, b.String()+"\n\t"+strings.Join(r.log.Trace(b.RequestID), "\n\t"))
 		}
 	}
 	if len(out.Violations) == 0 {
@@ -313,12 +313,12 @@
 	began := map[string]bool{}
 	for _, s := range r.log.EngineRecords() {
 		if s.Event == audit.AttemptStarted {
-			began[s.Inference] = true
+			began[s.RequestID] = true
 		}
 	}
 	for _, c := range r.unanswered {
-		if began[c.Inference] {
-			faults = append(faults, fmt.Sprintf("rule 1: %s was sent on by %s, which was told to end, and has no answer", c.Inference, c.Edge))
+		if began[c.RequestID] {
+			faults = append(faults, fmt.Sprintf("rule 1: %s was sent on by %s, which was told to end, and has no answer", c.RequestID, c.Edge))
 		}
 	}
 	return faults
@@ -328,17 +328,17 @@
 func (r *soakRun) judgeWindows() (faults []string) {
 	class := map[string]string{}
 	for _, c := range r.log.ClientRecords() {
-		class[c.Inference] = c.Route
+		class[c.RequestID] = c.Route
 	}
 	first := map[string]time.Time{}
 	for _, s := range r.log.EngineRecords() {
-		if s.Event != audit.Executed || class[s.Inference] != "label" {
+		if s.Event != audit.Executed || class[s.RequestID] != "label" {
 			continue
 		}
-		if at, ran := first[s.Inference]; ran && s.At.Sub(at) > dedupWindow {
-			faults = append(faults, fmt.Sprintf("rule 2: %s ran again after %v, engines remember for %v", s.Inference, s.At.Sub(at), dedupWindow))
+		if at, ran := first[s.RequestID]; ran && s.At.Sub(at) > dedupWindow {
+			faults = append(faults, fmt.Sprintf("rule 2: %s ran again after %v, engines remember for %v", s.RequestID, s.At.Sub(at), dedupWindow))
 		} else if !ran {
-			first[s.Inference] = s.At
+			first[s.RequestID] = s.At
 		}
 	}
 	return faults
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -143,11 +143,11 @@
 func TestJudgeResponse(t *testing.T) {
 	at := time.Now()
 	r := &soakRun{log: &audit.Log{}, responses: map[string]int{}, startedAt: at}
-	seen := func(what, name string, after time.Duration) {
-		r.log.RecordEngine(audit.EngineRecord{At: at.Add(after), Engine: "e", Event: what, Inference: name, Request: name, Decode: true})
+	seen := func(event audit.EngineEvent, name string, after time.Duration) {
+		r.log.RecordEngine(audit.EngineRecord{At: at.Add(after), Engine: "e", Event: event, RequestID: name, ClientRequestID: name, Decode: true})
 	}
 	for _, name := range []string{"forgotten", "remembered"} {
-		r.log.RecordClient(audit.ClientRecord{Request: name, Inference: name, Route: "label"})
+		r.log.RecordClient(audit.ClientRecord{ClientRequestID: name, RequestID: name, Route: "label"})
 		seen(audit.Executed, name, 0)
 	}
 	seen(audit.Executed, "forgotten", dedupWindow+time.Millisecond)
@@ -156,7 +156,7 @@
 		t.Errorf("windows: %q", row)
 	}
 	seen(audit.AttemptStarted, "sent on", 0)
-	r.unanswered = []audit.ClientRecord{{Inference: "sent on"}, {Inference: "never read"}}
+	r.unanswered = []audit.ClientRecord{{RequestID: "sent on"}, {RequestID: "never read"}}
 	if row := r.judgeUnanswered(); len(row) != 1 || !strings.Contains(row[0], "sent on") {
 		t.Errorf("unanswered: %q", row)
 	}
