--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"math"
 	"time"
 )
 
@@ -42,17 +41,6 @@
 	return admitted
 }
 
-// leastMemoryShare is that of the engines whose load is known.
-func (p *Policy) leastMemoryShare(engines []*engine) (least float64, known bool) {
-	least = math.Inf(1)
-	for _, e := range engines {
-		if p.hasFreshLoad(e) {
-			least = min(least, e.memoryShare)
-		}
-	}
-	return least, !math.IsInf(least, 1)
-}
-
 // expectedLatency is when the first token of a request is expected, in nanoseconds since its arrival.
 // Reservations that wait here for a decode engine say more than any latency.
 func (p *Policy) expectedLatency(req *request, prefill *engine, decoders []*engine,
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -24,14 +24,6 @@
 	return p.config.Gossip && others > 0 && p.config.GossipPrice*others*100/256 < 0.005
 }
 
-// gossipAffinity tells the other nodes where a session was served, as its next request may come to any of
-// them. A lost message costs one full prefill.
-func (p *Policy) gossipAffinity(req *request) {
-	if p.gossipEnabled() {
-		p.act(SendGossip{AllNodes, formatGossip(req)})
-	}
-}
-
 // cachedTokens is how much of the prompt an engine is thought to cache; under a fifth counts as none.
 func (p *Policy) cachedTokens(req *request, e *engine) float64 {
 	// Engines cache until memory runs out, which no node sees; the cached tokens that they report correct the
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 	"time"
 )
@@ -172,3 +173,14 @@
 	}
 	return sum / max(1, n)
 }
+
+// leastMemoryShare is that of the engines whose load is known.
+func (p *Policy) leastMemoryShare(engines []*engine) (least float64, known bool) {
+	least = math.Inf(1)
+	for _, e := range engines {
+		if p.hasFreshLoad(e) {
+			least = min(least, e.memoryShare)
+		}
+	}
+	return least, !math.IsInf(least, 1)
+}
--- a/internal/routing/healthcheck.go
+++ b/internal/routing/healthcheck.go
@@ -45,12 +45,6 @@
 	return time.Duration(p.firstTokenObjective(req) / 2)
 }
 
-// unanswered is whether an attempt is in flight and nothing came from its engine since it was sent.
-func (p *Policy) unanswered(att *attempt) bool {
-	e := p.engines[att.engine]
-	return att.inFlight && !att.streaming && e != nil && max(e.healthyAt, e.reportedAt) < att.sentAt
-}
-
 // checkUnresponsive checks an engine that is overdue. One that is warming up would count that as work.
 func (p *Policy) checkUnresponsive(req *request) trigger {
 	att := req.last()
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -76,3 +76,11 @@
 	p.affinities[session] = affinity{prefillEngine, decodeEngine, p.now}
 	p.cache.entries[cacheKey{true, session, prefillEngine}] = cacheEntry{tokens, p.now}
 }
+
+// gossipAffinity tells the other nodes where a session was served, as its next request may come to any of
+// them. A lost message costs one full prefill.
+func (p *Policy) gossipAffinity(req *request) {
+	if p.gossipEnabled() {
+		p.act(SendGossip{AllNodes, formatGossip(req)})
+	}
+}
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -176,3 +176,9 @@
 	}
 	return p.route(req).PriorityWeight / most
 }
+
+// unanswered is whether an attempt is in flight and nothing came from its engine since it was sent.
+func (p *Policy) unanswered(att *attempt) bool {
+	e := p.engines[att.engine]
+	return att.inFlight && !att.streaming && e != nil && max(e.healthyAt, e.reportedAt) < att.sentAt
+}
