--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// spareConnections are accepted over the settings' bound, so that the core can reject them with a response.
+	// spareConnections are accepted over the settings' bound, so that the router can reject them with a response.
 	spareConnections = 16
 	// acceptRetryInterval is how long the listener rests after a connection could not be accepted, as when descriptors
 	// have run out. Without it the accepting goroutine would spin until some are free.
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/router"
 )
 
-// clientConnection is one connection of a client, and the router.ClientSocket that the core sees. Its poller reads and
+// clientConnection is one connection of a client, and the router.ClientSocket that package router sees. Its poller reads and
 // parses requests; the owner answers them and decides when the connection closes. The two run side by side, so a close
 // and a request may cross: see TryClose.
 type clientConnection struct {
@@ -169,7 +169,7 @@
 		case httpframing.Head:
 			c.request, c.body = piece.Request, c.body[:0:0]
 			if strings.EqualFold(piece.Request.Header.Get("Expect"), "100-continue") {
-				tasks = append(tasks, task{1, func() { c.edge.core.ExpectContinue(c.state) }})
+				tasks = append(tasks, task{1, func() { c.edge.router.ExpectContinue(c.state) }})
 			}
 		case httpframing.Body:
 			c.body = append(c.body, piece.Data...)
@@ -179,7 +179,7 @@
 	}
 	if err != nil {
 		c.discardInput.Store(true)
-		return append(tasks, c.requestTask(0, func() { c.edge.core.RejectMessage(c.state, err) }))
+		return append(tasks, c.requestTask(0, func() { c.edge.router.RejectMessage(c.state, err) }))
 	}
 	if c.parser.AtBoundary() {
 		return tasks
@@ -191,7 +191,7 @@
 func (c *clientConnection) completeRequest() task {
 	request := c.edge.parseRequest(c.request, c.body)
 	c.request, c.body, c.announced = nil, nil, false
-	return c.requestTask(request.Bytes, func() { c.edge.core.ReceiveRequest(c.state, request) })
+	return c.requestTask(request.Bytes, func() { c.edge.router.ReceiveRequest(c.state, request) })
 }
 
 // appendProgress notifies the owner of how far an unfinished request has been read: once for its head, and for each
@@ -206,7 +206,7 @@
 	if headComplete {
 		input = admission.HeaderComplete
 	}
-	return append(tasks, task{1, func() { c.edge.core.ReceivePartial(c.state, input, size) }})
+	return append(tasks, task{1, func() { c.edge.router.ReceivePartial(c.state, input, size) }})
 }
 
 // requestTask is work that answers something the client sent. Until the owner runs it the connection must not be
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -27,7 +27,7 @@
 // ends, the rest gets its error. Then the edge stops. The error says that requests were abandoned.
 func (e *Edge) Drain(ctx context.Context) error {
 	e.log.Info("draining", zap.Duration("linger", e.deployment.ShutdownAcceptTime))
-	e.inbox.put(0, func() { e.core.Shutdown() })
+	e.inbox.put(0, func() { e.router.Shutdown() })
 	ctx, cancel := context.WithTimeout(ctx, e.deployment.ShutdownTimeout)
 	defer cancel()
 	err := e.awaitRequests(ctx)
@@ -61,8 +61,8 @@
 	finished := make(chan struct{})
 	e.inbox.put(0, func() {
 		defer close(finished)
-		e.core.AbandonAll(stoppingText)
-		e.core.RunDue(e.clock())
+		e.router.AbandonAll(stoppingText)
+		e.router.RunDue(e.clock())
 	})
 	select {
 	case <-finished:
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, clientCloseTimeout)
 	defer cancel()
 	for {
-		open, err := queryOwner(ctx, e, func() int { return e.core.CloseIdleClients() })
+		open, err := queryOwner(ctx, e, func() int { return e.router.CloseIdleClients() })
 		if err != nil || open == 0 || sleep(ctx, closePollInterval) != nil {
 			return
 		}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,8 +1,8 @@
 // Package edge runs one router on sockets. Pollers read and parse what clients and engines send, and one goroutine,
-// the owner, applies it to the core of package router, which does no I/O and makes all decisions. Tokens of a stream
+// the owner, applies it to package router, which does no I/O and makes all decisions. Tokens of a stream
 // that is under way go from an engine's poller to the client without the owner.
 //
-// State is owned as follows. The core, the load counters and whatever a task reads or writes belong to the owner;
+// State is owned as follows. The router, the load counters and whatever a task reads or writes belong to the owner;
 // others reach them through the inbox only. A connection's parser belongs to its poller, and to whoever holds the
 // connection's lock where the owner may look at it too. Counters shared by both are atomic.
 package edge
@@ -28,7 +28,7 @@
 // defaultPollers is how many goroutines wait on sockets on each side. It does not grow with connections.
 const defaultPollers = 2
 
-// Edge is one running router: its sockets, its core and the goroutine that owns the core.
+// Edge is one running router: its sockets, its state in package router, and the goroutine that owns that state.
 type Edge struct {
 	deployment  *config.Deployment
 	log         *zap.Logger
@@ -38,7 +38,7 @@
 	incarnation int64 // Unix milliseconds of the start: request names differ between incarnations
 
 	inbox    *inbox         // the way to the owner
-	core     *router.Router // the owner's
+	router   *router.Router // the owner's
 	loads    loadCounters   // the owner's
 	sessions sessionFence
 	metrics  *metrics
@@ -91,7 +91,7 @@
 	if e.endpoints == nil {
 		e.endpoints = e.configuredSource()
 	}
-	e.core = router.New(deployment, protocol, seed, e.incarnation, e.clock(), e, observer{e})
+	e.router = router.New(deployment, protocol, seed, e.incarnation, e.clock(), e, observer{e})
 	return e
 }
 
@@ -125,5 +125,5 @@
 
 // Usage is what the edge holds now: connections, requests, bytes, reservations.
 func (e *Edge) Usage(ctx context.Context) (router.InFlight, error) {
-	return queryOwner(ctx, e, func() router.InFlight { return e.core.InFlight() })
+	return queryOwner(ctx, e, func() router.InFlight { return e.router.InFlight() })
 }
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -23,7 +23,7 @@
 // errResponseTooLarge says that a response that is no stream is over maxCompleteBody. Its text may reach a client.
 var errResponseTooLarge = errors.New("answer is over its bound")
 
-// engineConnection is one connection to an engine, and the router.LineSocket that the core sees. Its poller parses
+// engineConnection is one connection to an engine, and the router.LineSocket that package router sees. Its poller parses
 // responses; the owner writes requests.
 type engineConnection struct {
 	edge  *Edge
@@ -34,7 +34,7 @@
 	parser         *httpframing.Parser
 	streamDecoder  *chat.Decoder // of the stream under way; nil where the response is no stream
 	body           []byte        // of a response that is no stream
-	relay          *relay        // of the stream under way
+	relay          *tokenRelay   // of the stream under way
 	closeAnnounced bool          // by the engine, after this response
 
 	bytesToWrite int64 // the owner's
@@ -53,7 +53,7 @@
 	c.bytesToWrite = int64(len(request))
 	_, err := c.conn.Write(request)
 	if err != nil { // it may have closed before its session was set
-		c.edge.inbox.put(0, func() { c.edge.core.EngineDisconnected(c.state) })
+		c.edge.inbox.put(0, func() { c.edge.router.EngineDisconnected(c.state) })
 	}
 	return err
 }
@@ -100,7 +100,7 @@
 		}
 	}
 	if err != nil {
-		c.edge.inbox.put(1, func() { c.edge.core.ResponseInvalid(c.state, err) })
+		c.edge.inbox.put(1, func() { c.edge.router.ResponseInvalid(c.state, err) })
 	}
 }
 
@@ -110,13 +110,13 @@
 	c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, head.Close
 	var tokens router.Relay // nil, and not a nil *relay, where the response is no stream
 	if chat.IsEventStream(head.Header) {
-		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &relay{frame: e.protocol.StreamEvent}
+		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &tokenRelay{frame: e.protocol.StreamEvent}
 		c.streamDecoder.OnComment = func(text []byte) {
-			e.inbox.put(1+len(text), func() { e.core.StreamComment(c.state, text) })
+			e.inbox.put(1+len(text), func() { e.router.StreamComment(c.state, text) })
 		}
 		tokens = c.relay
 	}
-	e.inbox.put(1, func() { e.core.ResponseHead(c.state, head, tokens) })
+	e.inbox.put(1, func() { e.router.ResponseHead(c.state, head, tokens) })
 }
 
 // handleBody takes a part of a response's body.
@@ -136,7 +136,7 @@
 	if !e.protocol.IsFinalEvent(event) && c.relay.forward(event, e.clock()) {
 		return
 	}
-	e.inbox.put(1+len(event), func() { e.core.StreamEvent(c.state, event) })
+	e.inbox.put(1+len(event), func() { e.router.StreamEvent(c.state, event) })
 }
 
 // handleEnd ends a response. The connection is clean, and can carry a further request, where nothing follows: a complete
@@ -144,5 +144,5 @@
 func (c *engineConnection) handleEnd(lastPiece bool) {
 	body, clean := c.body, lastPiece && c.parser.AtBoundary() && !c.closeAnnounced
 	c.body = nil
-	c.edge.inbox.put(1, func() { c.edge.core.ResponseComplete(c.state, body, clean) })
+	c.edge.inbox.put(1, func() { c.edge.router.ResponseComplete(c.state, body, clean) })
 }
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -47,17 +47,17 @@
 	return nil
 }
 
-// Dial connects to an engine, within the settings' time, and notifies the core of the end. The socket library's own dial
+// Dial connects to an engine, within the settings' time, and notifies the router of the outcome. The socket library's own dial
 // takes an IPv4 address for 0.0.0.0, which reaches nothing but 127.0.0.1, and reports a refused connection as one that
 // is there; so the standard library dials, and the connection is handed over.
 func (e *Edge) Dial(state *router.EngineConnection) {
 	e.goroutines.Go(func() {
 		c, err := e.engines.connect(state)
 		if err != nil {
-			e.inbox.put(0, func() { e.core.EngineConnected(state, nil, err) })
+			e.inbox.put(0, func() { e.router.EngineConnected(state, nil, err) })
 			return
 		}
-		e.inbox.put(0, func() { e.core.EngineConnected(state, c, nil) })
+		e.inbox.put(0, func() { e.router.EngineConnected(state, c, nil) })
 	})
 }
 
@@ -123,7 +123,7 @@
 	e := s.edge
 	e.sessions.acquire()
 	if c, ok := conn.Session().(*engineConnection); ok {
-		e.inbox.put(0, func() { e.core.EngineDisconnected(c.state) })
+		e.inbox.put(0, func() { e.router.EngineDisconnected(c.state) })
 	}
 }
 
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -12,135 +12,148 @@
 	"sandcourse/internal/routing"
 )
 
-// Log messages that mean a fault of the program. Tools that read a node's log look for them.
+// Log messages that mean a fault of the program. Tools that read an edge's log look for them.
 const (
 	LogPolicyPanicked    = "policy panicked"
 	LogInvariantViolated = "invariant violated"
 )
 
-// observer writes what the core reports to the log, the metrics and the load counters. The owner calls it.
+// observer writes what the router reports to the log, the metrics and the load counters. The owner calls it.
 type observer struct{ edge *Edge }
 
-func (o observer) AroundStep(in routing.Event, step func()) {
-	begun := time.Now()
-	defer func() { o.edge.metrics.decisionSeconds.Add(time.Since(begun).Seconds()) }()
+// AroundStep measures how long the policy takes for an event.
+func (o observer) AroundStep(event routing.Event, step func()) {
+	startedAt := time.Now()
+	defer func() { o.edge.metrics.decisionSeconds.Add(time.Since(startedAt).Seconds()) }()
 	if o.edge.decisionHook != nil {
-		o.edge.decisionHook(in)
+		o.edge.decisionHook(event)
 	}
 	step()
 }
 
-func (o observer) PolicyPanicked(p any, in routing.Event, stack []byte) {
+// PolicyPanicked logs a panic of the policy with its stack; all open requests have got their error.
+func (o observer) PolicyPanicked(value any, event routing.Event, stack []byte) {
 	o.edge.metrics.decisionPanics.Inc()
-	o.edge.log.Error(LogPolicyPanicked, zap.Any("panic", p), zap.String("event", fmt.Sprintf("%T", in)),
+	o.edge.log.Error(LogPolicyPanicked, zap.Any("panic", value), zap.String("event", fmt.Sprintf("%T", event)),
 		zap.ByteString("stack", stack))
 }
 
-func (o observer) RequestFinished(f router.RequestSummary) {
-	o.edge.metrics.finalResponses.WithLabelValues(f.Route, string(f.Outcome)).Inc()
-	o.countFinal(f)
+// RequestFinished counts and logs the final response of a request.
+func (o observer) RequestFinished(summary router.RequestSummary) {
+	o.edge.metrics.finalResponses.WithLabelValues(summary.Route, string(summary.Outcome)).Inc()
+	o.countFinished(summary)
 	fields := []zap.Field{
-		zap.String("outcome", string(f.Outcome)),
-		zap.String("request", f.Request),
-		zap.String("route", f.Route),
-		zap.String("session", sessionHash(f.Session)),
-		zap.Strings("attempts", f.Attempts),
-		zap.Duration("duration", f.Duration),
-		zap.Int("prompt_tokens", f.PromptTokens),
+		zap.String("outcome", string(summary.Outcome)),
+		zap.String("request", summary.Request),
+		zap.String("route", summary.Route),
+		zap.String("session", sessionHash(summary.Session)),
+		zap.Strings("attempts", summary.Attempts),
+		zap.Duration("duration", summary.Duration),
+		zap.Int("prompt_tokens", summary.PromptTokens),
 	}
-	if f.TimeToFirstToken > 0 {
-		fields = append(fields, zap.Duration("first_token", f.TimeToFirstToken))
+	if summary.TimeToFirstToken > 0 {
+		fields = append(fields, zap.Duration("first_token", summary.TimeToFirstToken))
 	}
-	if f.Reason != "" {
-		fields = append(fields, zap.String("reason", string(f.Reason)))
+	if summary.Reason != "" {
+		fields = append(fields, zap.String("reason", string(summary.Reason)))
 	}
 	o.edge.log.Info("request finished", fields...)
 }
 
-// countFinal counts the end of a request for the planner.
-func (o observer) countFinal(f router.RequestSummary) {
-	count := o.edge.loads.of(f.Route)
+// countFinished counts the end of a request for the planner.
+func (o observer) countFinished(summary router.RequestSummary) {
+	count := o.edge.loads.of(summary.Route)
 	count.Arrived++
-	count.PromptTokens += float64(f.PromptTokens)
-	if f.TimeToFirstToken > 0 {
+	count.PromptTokens += float64(summary.PromptTokens)
+	if summary.TimeToFirstToken > 0 {
 		count.Completed++
-		count.CompletionTokens += float64(f.OutputTokens)
+		count.CompletionTokens += float64(summary.OutputTokens)
 	}
-	if f.Outcome == router.OutcomeShed {
+	if summary.Outcome == router.OutcomeShed {
 		count.Shed++
 	}
 }
 
-func (o observer) RequestShed(s router.ShedRequest) {
-	o.edge.metrics.finalResponses.WithLabelValues(s.Route, string(router.OutcomeShed)).Inc()
-	count := o.edge.loads.of(s.Route)
+// RequestShed counts and logs a request that was shed before it was admitted.
+func (o observer) RequestShed(shed router.ShedRequest) {
+	o.edge.metrics.finalResponses.WithLabelValues(shed.Route, string(router.OutcomeShed)).Inc()
+	count := o.edge.loads.of(shed.Route)
 	count.Arrived++
-	count.PromptTokens += float64(s.PromptTokens)
+	count.PromptTokens += float64(shed.PromptTokens)
 	count.Shed++
-	o.edge.log.Info("request shed", zap.String("request", s.Request), zap.String("route", s.Route), zap.String("reason", string(s.Reason)))
+	o.edge.log.Info("request shed", zap.String("request", shed.Request), zap.String("route", shed.Route), zap.String("reason", string(shed.Reason)))
 }
 
-func (o observer) FirstToken(route string, after time.Duration, prompt int) {
+// FirstToken notes how long a request waited for its first token.
+func (o observer) FirstToken(route string, after time.Duration, promptTokens int) {
 	o.edge.metrics.firstToken.WithLabelValues(route).Observe(after.Seconds())
 	count := o.edge.loads.of(route)
 	count.Started++
-	count.StartedPromptTokens += float64(prompt)
-	if after <= o.firstTokenObjective(route, prompt) {
+	count.StartedPromptTokens += float64(promptTokens)
+	if after <= o.firstTokenObjective(route, promptTokens) {
 		count.WithinObjective++
 	}
 }
 
 // firstTokenObjective is the latency objective of a first token, which grows with the prompt.
-func (o observer) firstTokenObjective(route string, prompt int) time.Duration {
+func (o observer) firstTokenObjective(route string, promptTokens int) time.Duration {
 	r := o.edge.deployment.Routes[o.edge.deployment.Route(route)]
-	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(prompt)/1000)
+	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(promptTokens)/1000)
 }
 
+// Rejected counts a connection or a request that was rejected before it was admitted.
 func (o observer) Rejected(reason router.RejectReason) {
 	o.edge.metrics.rejected.WithLabelValues(string(reason)).Inc()
 }
 
-func (o observer) AttemptEnded(a router.AttemptSummary) {
-	o.edge.metrics.attempts.WithLabelValues(stageName(a.Decode), a.Verdict).Inc()
-	if a.Reason == "" {
+// AttemptEnded counts the end of an attempt, and logs it if the attempt failed.
+func (o observer) AttemptEnded(summary router.AttemptSummary) {
+	o.edge.metrics.attempts.WithLabelValues(stageName(summary.Decode), summary.Verdict).Inc()
+	if summary.Reason == "" {
 		return // it ended well
 	}
 	o.edge.log.Info("attempt ended",
-		zap.String("request", a.Request),
-		zap.Int("attempt", a.Index),
-		zap.String("engine", a.Engine),
-		zap.String("stage", stageName(a.Decode)),
-		zap.String("verdict", a.Verdict),
-		zap.String("reason", string(a.Reason)),
-		zap.Duration("connecting", a.Connecting),
-		zap.Duration("duration", a.Duration))
+		zap.String("request", summary.Request),
+		zap.Int("attempt", summary.Index),
+		zap.String("engine", summary.Engine),
+		zap.String("stage", stageName(summary.Decode)),
+		zap.String("verdict", summary.Verdict),
+		zap.String("reason", string(summary.Reason)),
+		zap.Duration("connecting", summary.Connecting),
+		zap.Duration("duration", summary.Duration))
 }
 
-func (o observer) AttemptBlocked(request string, why invariant.Reason) {
-	o.edge.metrics.blockedAttempts.WithLabelValues(string(why)).Inc()
-	o.edge.log.Info("attempt blocked", zap.String("request", request), zap.String("reason", string(why)))
+// AttemptBlocked notes an attempt that an invariant forbids.
+func (o observer) AttemptBlocked(request string, reason invariant.Reason) {
+	o.edge.metrics.blockedAttempts.WithLabelValues(string(reason)).Inc()
+	o.edge.log.Info("attempt blocked", zap.String("request", request), zap.String("reason", string(reason)))
 }
 
+// InvariantViolated notes a violation that the edge's own monitor has found.
 func (o observer) InvariantViolated(v invariant.Violation) {
 	o.edge.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
 	o.edge.log.Error(LogInvariantViolated, zap.String("rule", string(v.Rule)), zap.String("request", v.Request),
 		zap.String("detail", v.Detail))
 }
 
-func (o observer) ReservationChanged(how router.ReservationEvent) {
-	o.edge.metrics.releases.WithLabelValues(string(how)).Inc()
+// ReservationChanged counts what became of the release of a reservation.
+func (o observer) ReservationChanged(event router.ReservationEvent) {
+	o.edge.metrics.releases.WithLabelValues(string(event)).Inc()
 }
 
-func (o observer) ClientClosed(client int64, why router.CloseReason) {
-	o.edge.metrics.clientCloses.WithLabelValues(string(why)).Inc()
-	o.edge.log.Debug("client connection closed", zap.Int64("client", client), zap.String("reason", string(why)))
+// ClientClosed notes why a client's connection is closed.
+func (o observer) ClientClosed(client int64, reason router.CloseReason) {
+	o.edge.metrics.clientCloses.WithLabelValues(string(reason)).Inc()
+	o.edge.log.Debug("client connection closed", zap.Int64("client", client), zap.String("reason", string(reason)))
 }
 
-func (o observer) ConnectionChanged(engine string, what router.ConnectionEvent) {
-	o.edge.metrics.engineConnections.WithLabelValues(string(what)).Inc()
-	o.edge.log.Debug("engine connection changed", zap.String("engine", engine), zap.String("event", string(what)))
+// ConnectionChanged notes what became of a connection to an engine.
+func (o observer) ConnectionChanged(engine string, event router.ConnectionEvent) {
+	o.edge.metrics.engineConnections.WithLabelValues(string(event)).Inc()
+	o.edge.log.Debug("engine connection changed", zap.String("engine", engine), zap.String("event", string(event)))
 }
 
+// EndpointsUpdated notes a new endpoint list, and the engines of it that are ignored.
 func (o observer) EndpointsUpdated(revision int64, engines int, unknown []string) {
 	o.edge.metrics.engines.Set(float64(engines))
 	o.edge.log.Info("endpoint list applied", zap.Int64("revision", revision), zap.Int("engines", engines))
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -17,7 +17,7 @@
 	gaugeInterval = int64(100 * time.Millisecond)
 )
 
-// ownerLoop is the state of the goroutine that owns the core.
+// ownerLoop is the state of the goroutine that owns the router.
 type ownerLoop struct {
 	edge  *Edge
 	tasks []func() // of this round; its memory is used again
@@ -27,13 +27,13 @@
 	gaugesSetAt                int64
 }
 
-// runOwner is the one goroutine that owns the core. It ends with Stop.
+// runOwner is the one goroutine that owns the router. It ends with Stop.
 func (e *Edge) runOwner() {
 	l := ownerLoop{edge: e, lastTaken: e.clock(), previouslyTaken: e.clock()}
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
-		wake.Reset(max(0, time.Duration(e.core.NextDue()-e.clock())))
+		wake.Reset(max(0, time.Duration(e.router.NextDue()-e.clock())))
 		select {
 		case <-e.stopped:
 			return
@@ -45,26 +45,26 @@
 	}
 }
 
-// runTasks runs all that waits, and turns the core at least every maxTurnDelay meanwhile.
+// runTasks runs all tasks that wait, and at least every maxTurnDelay what is due in the router.
 func (l *ownerLoop) runTasks() {
 	e := l.edge
 	turnedAt := e.clock()
-	e.core.SetTime(turnedAt)
-	e.core.SetEarliestEventTime(l.previouslyTaken)
+	e.router.SetTime(turnedAt)
+	e.router.SetEarliestEventTime(l.previouslyTaken)
 	l.lastTaken, l.previouslyTaken = turnedAt, l.lastTaken
 	l.tasks = e.inbox.take(l.tasks)
 	for _, run := range l.tasks {
 		now := e.clock()
 		if now-turnedAt >= maxTurnDelay {
-			e.core.RunDue(now)
+			e.router.RunDue(now)
 			turnedAt = now
 		}
-		e.core.SetTime(now)
+		e.router.SetTime(now)
 		e.runUrgent()
 		run()
 	}
 	e.runUrgent()
-	e.core.RunDue(e.clock())
+	e.router.RunDue(e.clock())
 }
 
 // setGauges sets the gauges when gaugeInterval has passed.
@@ -72,7 +72,7 @@
 	now := l.edge.clock()
 	if now-l.gaugesSetAt >= gaugeInterval {
 		l.gaugesSetAt = now
-		l.edge.metrics.setUsage(l.edge.core.InFlight())
+		l.edge.metrics.setUsage(l.edge.router.InFlight())
 	}
 }
 
