--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -1,7 +1,7 @@
 // Package assignment decides which engine changes between the prefill and the decode role, when, and how, so
 // that no request is lost and none is sent to an engine in the wrong role. It does no I/O: load reports,
 // operators' orders and the time go in as events, and what has to be persisted, published and ordered comes
-// out as actions.
+// out as actions. Times are nanoseconds of the planner's clock.
 package assignment
 
 import (
