--- a/cmd/sandcourse/golden_test.go
+++ b/cmd/sandcourse/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -66,32 +65,14 @@
 
 // A script's faults are printed as they are, and the exit status is 2; 0 where there is none, and 1 for other errors.
 func TestGoldenCheckExits(t *testing.T) {
-	folder := t.TempDir()
-	binary := filepath.Join(folder, "sandcourse")
+	binary := filepath.Join(t.TempDir(), "sandcourse")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for name, text := range map[string]string{"empty.star": "", "faults.star": "route(name = 1)\nlimits(colour = \"red\")\n",
+	golden.Check(t, "check.golden", golden.RunCommands(t, binary, map[string]string{
+		"empty.star":  "",
+		"faults.star": "route(name = 1)\nlimits(colour = \"red\")\n",
 		"good.star": "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n" +
-			"route(name = \"r\", effect = \"retriable\")\nroster(file = \"roster.json\")\n"} {
-		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	var b strings.Builder
-	for _, line := range []string{"check good.star", "check empty.star", "check faults.star", "check absent.star", "check", "cheque x"} {
-		c := exec.Command(binary, strings.Fields(line)...)
-		c.Dir = folder
-		var out, errs bytes.Buffer
-		c.Stdout, c.Stderr = &out, &errs
-		status := 0
-		var ended *exec.ExitError
-		if err := c.Run(); errors.As(err, &ended) {
-			status = ended.ExitCode()
-		} else if err != nil {
-			t.Fatal(err)
-		}
-		fmt.Fprintf(&b, "$ sandcourse %s\n%s%sexit %d\n\n", line, out.String(), errs.String(), status)
-	}
-	golden.Check(t, "check.golden", strings.ReplaceAll(b.String(), folder, "FOLDER"))
+			"route(name = \"r\", effect = \"retriable\")\nroster(file = \"roster.json\")\n",
+	}, []string{"check good.star", "check empty.star", "check faults.star", "check absent.star", "check", "cheque x"}))
 }
