--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -19,6 +19,7 @@
 // effectNames are the words of the settings, by effect.
 var effectNames = [...]string{NonRetriable: "non-retriable", Deduped: "deduped", Retriable: "retriable"}
 
+// String is the word of the settings.
 func (e Effect) String() string { return effectNames[e] }
 
 // ParseEffect reads an effect by its word in the settings. The error, if any, is an UnknownWordError.
@@ -41,6 +42,7 @@
 // dedupGroupNames are the words of the settings, by dedup group.
 var dedupGroupNames = [...]string{DedupNone: "", DedupCell: "cell", DedupZone: "zone", DedupAll: "all"}
 
+// String is the word of the settings.
 func (g DedupGroup) String() string { return dedupGroupNames[g] }
 
 // ParseDedupGroup reads a dedup group by its word in the settings. The error, if any, is an UnknownWordError.
@@ -61,6 +63,7 @@
 // roleNames are the words of the settings, by role.
 var roleNames = [...]string{Mixed: "both", PrefillOnly: "read", DecodeOnly: "write"}
 
+// String is the word of the settings.
 func (r Role) String() string { return roleNames[r] }
 
 // ParseRole reads a role by its word in the settings. The error, if any, is an UnknownWordError.
@@ -72,6 +75,7 @@
 	Allowed       []string
 }
 
+// Error names the setting, the word and what is allowed.
 func (e *UnknownWordError) Error() string {
 	return fmt.Sprintf("%s %q is none of %q", e.Setting, e.Word, e.Allowed)
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -27,8 +27,10 @@
 	Err          error // wraps one of the errors above
 }
 
+// Error names the event, the field and what is wrong.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: field %s %v", e.Event, e.Field, e.Err) }
 
+// Unwrap is what is wrong with the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // Event is one event of a batch. Exactly one of Payload, Create and Down is set; an unknown event sets
