--- /dev/null
+++ b/internal/fake/engine/prefixes.go
@@ -0,0 +1,65 @@
+package engine
+
+import (
+	"strconv"
+
+	"sandcourse/internal/planner/planapi"
+)
+
+const (
+	maxCachedPrefixes = 20_000
+	// A prefix that so many requests have used is reported: another may use it.
+	hotPrefixUses          = 3
+	maxReportedHotPrefixes = 16
+)
+
+// prefix is the beginning of a prompt, up to the end of one of its messages.
+type prefix struct {
+	hash   uint64
+	tokens int
+}
+
+// prefixCache is the prompts and prefixes whose KV state is cached, by hash.
+type prefixCache struct {
+	tokens map[uint64]int
+	uses   map[uint64]int // of the shortest prefix of each prompt
+}
+
+func newPrefixCache() prefixCache {
+	return prefixCache{tokens: map[uint64]int{}, uses: map[uint64]int{}}
+}
+
+// clear drops all prefixes; how often they were used stays known.
+func (c *prefixCache) clear() { c.tokens = map[uint64]int{} }
+
+// cachedTokens is how many tokens of a prompt are cached.
+func (c *prefixCache) cachedTokens(prefixes []prefix) (tokens int) {
+	for _, p := range prefixes {
+		if _, ok := c.tokens[p.hash]; ok {
+			tokens = p.tokens
+		}
+	}
+	return tokens
+}
+
+// add caches all prefixes of a prompt. A cache over its limit is emptied.
+func (c *prefixCache) add(prefixes []prefix) {
+	for _, p := range prefixes {
+		c.tokens[p.hash] = p.tokens
+	}
+	if len(prefixes) > 0 {
+		c.uses[prefixes[0].hash]++
+	}
+	if len(c.tokens) > maxCachedPrefixes {
+		clear(c.tokens)
+	}
+}
+
+func (c *prefixCache) addToReport(report *planapi.EngineReport) {
+	for hash, tokens := range c.tokens {
+		report.CachedTokens += float64(tokens)
+		if c.uses[hash] >= hotPrefixUses && len(report.HotPrefixes) < maxReportedHotPrefixes {
+			report.HotPrefixes[strconv.FormatUint(hash, 16)] = float64(tokens)
+		}
+	}
+}
