--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -1,5 +1,5 @@
-// Package load is a client of the chat API that keeps count, and a source of traffic: sessions, shared
-// beginnings, retries and patience. It tells what clients saw, nothing else.
+// Package loadgen is a client of the chat API that records what it sees, and a source of traffic: sessions, shared
+// prefixes, retries and timeouts.
 package loadgen
 
 import (
@@ -17,68 +17,85 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// Request is one try of a client.
+const (
+	dialTimeout     = 2 * time.Second
+	idleTimeout     = 20 * time.Second
+	maxIdlePerEdge  = 4096
+	responseTimeout = 60 * time.Second // past the client's own timeout, so that a late response is seen to be late
+	maxResponse     = 8 << 20
+	maxEvent        = 1 << 20
+	readSize        = 4096
+)
+
+// Request is one attempt of a client.
 type Request struct {
 	Route, Session, RequestID string
 	Messages                  []Message
 	MaxTokens                 int
 	Timeout                   time.Duration
-	Unary                     bool // one answer, not a stream
-	DisconnectAfter           time.Duration
+	Unary                     bool          // one response, not a stream
+	DisconnectAfter           time.Duration // after which the client disconnects; 0 for never
 	IdempotencyKey            string
 }
 
-// Message is one message.
+// Message is one message of a conversation.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// body is the request's body.
+func (r Request) body() ([]byte, error) {
+	return json.Marshal(struct {
+		MaxTokens int       `json:"max_tokens"`
+		Messages  []Message `json:"messages"`
+		Model     string    `json:"model"`
+		Stream    bool      `json:"stream"`
+	}{max(1, r.MaxTokens), r.Messages, r.Route, !r.Unary})
+}
+
+// setHeaders sets the headers that have a value.
+func (r Request) setHeaders(h http.Header) {
+	for name, value := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: r.Session,
+		chat.HeaderClientRequestID: r.RequestID, chat.HeaderIdempotencyKey: r.IdempotencyKey,
+		chat.HeaderFirstTokenTimeout: strconv.FormatInt(r.Timeout.Milliseconds(), 10)} {
+		if value != "" {
+			h.Set(name, value)
+		}
+	}
+}
+
+// hasLeft reports whether an error is of a client that disconnected.
+func (r Request) hasLeft(err error) bool {
+	return r.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded)
+}
+
 // Client keeps connections to edges.
 type Client struct{ http *http.Client }
 
-// NewClient makes one.
+// NewClient makes a client without connections.
 func NewClient() *Client {
-	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext, IdleConnTimeout: 20 * time.Second}}}
+	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerEdge, DisableCompression: true,
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, IdleConnTimeout: idleTimeout}}}
 }
 
-// Close ends its idle connections.
+// Close closes its idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// LateListening is how long past its own patience a client still listens, so that a late answer is seen to be late.
-const LateListening = 2 * time.Second
-
-// Do makes one try and tells how it ended. advice is what a shed answer said of coming back.
+// Do sends one attempt and records how it ended. RetryAfter is what a response that shed the request advises.
 func (c *Client) Do(ctx context.Context, edge string, request Request) (record audit.ClientRecord, retryAfter time.Duration) {
 	record = audit.ClientRecord{ClientRequestID: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(), Outcome: audit.OutcomeLost}
 	record.Deadline = record.Sent.Add(request.Timeout)
-	ctx, cancel := context.WithTimeout(ctx, request.Timeout+60*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout+responseTimeout)
 	defer cancel()
 	if request.DisconnectAfter > 0 {
 		ctx, cancel = context.WithTimeout(ctx, request.DisconnectAfter)
 		defer cancel()
 	}
-	body, _ := json.Marshal(map[string]any{"model": request.Route, "messages": request.Messages, "stream": !request.Unary,
-		"max_tokens": max(1, request.MaxTokens)})
-	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/chat/completions", bytes.NewReader(body))
-	if err != nil {
-		record.Reason, record.End = err.Error(), time.Now()
-		return record, 0
-	}
-	// The client's own transport must not try again by itself: that would be a second try unseen.
-	httpRequest.GetBody = nil
-	for name, v := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: request.Session,
-		chat.HeaderClientRequestID: request.RequestID, chat.HeaderIdempotencyKey: request.IdempotencyKey,
-		chat.HeaderFirstTokenTimeout: strconv.FormatInt(request.Timeout.Milliseconds(), 10)} {
-		if v != "" {
-			httpRequest.Header.Set(name, v)
-		}
-	}
-	response, err := c.http.Do(httpRequest)
+	response, err := c.send(ctx, edge, request)
 	if err != nil {
 		record.End, record.Reason = time.Now(), err.Error()
-		if request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
+		if request.hasLeft(err) {
 			record.Outcome = audit.OutcomeAbandoned
 		}
 		return record, 0
@@ -86,14 +103,35 @@
 	defer response.Body.Close()
 	record.RequestID = response.Header.Get(chat.HeaderRequestID)
 	if response.StatusCode == http.StatusOK && !request.Unary {
-		c.stream(response.Body, &record, request)
+		readStream(response.Body, &record, request)
 		return record, 0
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, 8<<20))
+	readUnary(response, &record)
+	milliseconds, _ := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
+	return record, time.Duration(milliseconds) * time.Millisecond
+}
+
+func (c *Client) send(ctx context.Context, edge string, request Request) (*http.Response, error) {
+	body, err := request.body()
+	if err != nil {
+		return nil, err
+	}
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/chat/completions", bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	r.GetBody = nil // the transport must not retry by itself: the record would miss an attempt
+	request.setHeaders(r.Header)
+	return c.http.Do(r)
+}
+
+// readUnary reads a response that is no stream.
+func readUnary(response *http.Response, record *audit.ClientRecord) {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	record.End = time.Now()
 	if err != nil {
 		record.Reason = err.Error()
-		return record, 0
+		return
 	}
 	record.OutcomeCount = 1
 	record.Outcome = audit.Outcome(response.Header.Get(chat.HeaderOutcome))
@@ -105,47 +143,46 @@
 	if record.Outcome == "" {
 		record.Outcome = audit.Outcome("refused " + strconv.Itoa(response.StatusCode))
 	}
-	ms, _ := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
-	return record, time.Duration(ms) * time.Millisecond
 }
 
-// stream reads events up to the end of the body, whatever came: a second final answer must be seen.
-func (c *Client) stream(body io.Reader, record *audit.ClientRecord, request Request) {
-	events := chat.NewDecoder(1 << 20)
-	buf := make([]byte, 4096)
-	for {
-		n, err := body.Read(buf)
-		feedErr := events.Feed(buf[:n], func(data []byte) {
-			var failed struct{ Error *json.RawMessage }
-			switch {
-			case string(data) == chat.Done:
-				record.OutcomeCount++
-				record.Outcome, record.End = audit.OutcomeCompleted, time.Now()
-			case json.Unmarshal(data, &failed) == nil && failed.Error != nil:
-				record.OutcomeCount++
-				record.Outcome, record.End, record.Reason = audit.OutcomeErrored, time.Now(), string(data)
-			default:
-				if record.FirstToken == 0 {
-					record.FirstToken = time.Since(record.Sent)
-				}
-				record.Tokens++
-			}
-		})
+// readStream reads events up to the end of the body, whatever they are: a second final response must be seen.
+func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
+	events := chat.NewDecoder(maxEvent)
+	buffer := make([]byte, readSize)
+	var err error
+	for err == nil {
+		var n int
+		n, err = body.Read(buffer)
+		feedErr := events.Feed(buffer[:n], func(data []byte) { readEvent(data, record) })
 		if err == nil {
 			err = feedErr
 		}
-		if err == io.EOF {
-			break
-		}
-		if err != nil {
-			record.Reason = err.Error()
-			if record.OutcomeCount == 0 && request.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded) {
-				record.Outcome = audit.OutcomeAbandoned
-			}
-			break
+	}
+	if err != io.EOF {
+		record.Reason = err.Error()
+		if record.OutcomeCount == 0 && request.hasLeft(err) {
+			record.Outcome = audit.OutcomeAbandoned
 		}
 	}
 	if record.End.IsZero() {
 		record.End = time.Now()
 	}
 }
+
+// readEvent records one event of a stream: a token, an error or the end.
+func readEvent(data []byte, record *audit.ClientRecord) {
+	var failed struct{ Error *json.RawMessage }
+	switch {
+	case string(data) == chat.Done:
+		record.OutcomeCount++
+		record.Outcome, record.End = audit.OutcomeCompleted, time.Now()
+	case json.Unmarshal(data, &failed) == nil && failed.Error != nil:
+		record.OutcomeCount++
+		record.Outcome, record.End, record.Reason = audit.OutcomeErrored, time.Now(), string(data)
+	default:
+		if record.FirstToken == 0 {
+			record.FirstToken = time.Since(record.Sent)
+		}
+		record.Tokens++
+	}
+}
--- /dev/null
+++ b/internal/loadgen/summary.go
@@ -0,0 +1,79 @@
+package loadgen
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"sandcourse/internal/audit"
+)
+
+// maxFirstToken is the longest time to a first token that a histogram holds.
+const maxFirstToken = 10 * time.Minute
+
+// Summary is the outcome of a run. Values are in priority weight.
+type Summary struct {
+	Offered, InTime float64 // by first attempts, and by completed requests whose first token came in time
+	Outcomes        map[audit.Outcome]int
+	FirstTokens     map[string]*hdrhistogram.Histogram // in microseconds, by route
+	Attempts        int
+}
+
+// Summarize adds up the records of clients. The attempts of a request count with its first.
+func Summarize(records []audit.ClientRecord, routes []Route) Summary {
+	s := Summary{Outcomes: map[audit.Outcome]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(records)}
+	firstSent, served := map[string]time.Time{}, map[string]bool{}
+	slices.SortStableFunc(records, func(a, b audit.ClientRecord) int { return a.Sent.Compare(b.Sent) })
+	for _, c := range records {
+		i := slices.IndexFunc(routes, func(r Route) bool { return r.Name == c.Route })
+		if i < 0 {
+			continue
+		}
+		route := routes[i]
+		if _, ok := firstSent[c.ClientRequestID]; !ok {
+			firstSent[c.ClientRequestID] = c.Sent
+			s.Offered += route.PriorityWeight
+		}
+		s.Outcomes[c.Outcome]++
+		if c.FirstToken > 0 {
+			s.recordFirstToken(route.Name, c.FirstToken)
+		}
+		inTime := c.Sent.Sub(firstSent[c.ClientRequestID])+c.FirstToken <= route.FirstTokenTarget
+		if c.Outcome == audit.OutcomeCompleted && c.FirstToken > 0 && inTime && !served[c.ClientRequestID] {
+			served[c.ClientRequestID] = true
+			s.InTime += route.PriorityWeight
+		}
+	}
+	return s
+}
+
+func (s Summary) recordFirstToken(route string, after time.Duration) {
+	if s.FirstTokens[route] == nil {
+		s.FirstTokens[route] = hdrhistogram.New(1, maxFirstToken.Microseconds(), 3)
+	}
+	s.FirstTokens[route].RecordValue(after.Microseconds())
+}
+
+// Print writes it as a table.
+func (s Summary) Print(w io.Writer) {
+	fmt.Fprintf(w, "value completed in time: %.1f of %.1f (%.3f), %d attempts\n", s.InTime, s.Offered, s.InTime/cmp.Or(s.Offered, 1),
+		s.Attempts)
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, outcome := range slices.Sorted(maps.Keys(s.Outcomes)) {
+		fmt.Fprintf(t, "%s\t%d\n", outcome, s.Outcomes[outcome])
+	}
+	t.Flush()
+	fmt.Fprintln(t, "model route\tfirst tokens\tp50 ms\tp90 ms\tp99 ms")
+	for _, name := range slices.Sorted(maps.Keys(s.FirstTokens)) {
+		h := s.FirstTokens[name]
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, h.TotalCount(), float64(h.ValueAtQuantile(50))/1000,
+			float64(h.ValueAtQuantile(90))/1000, float64(h.ValueAtQuantile(99))/1000)
+	}
+	t.Flush()
+}
--- /dev/null
+++ b/internal/scenario/faultrunner.go
@@ -0,0 +1,166 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"sync"
+	"time"
+
+	"sandcourse/internal/fake/engine"
+)
+
+// maxRemoveDelay is how late at most the endpoint list learns of a crash.
+const maxRemoveDelay = time.Second
+
+// faultRunner executes steps.
+type faultRunner struct {
+	fleet      *Fleet
+	edges      *Edges
+	out        io.Writer
+	startedAt  time.Time
+	recoveries sync.WaitGroup
+	restarts   int
+	active     map[int]map[FaultKind]float64 // sizes, by engine and kind
+}
+
+func newFaultRunner(fleet *Fleet, edges *Edges, out io.Writer) *faultRunner {
+	return &faultRunner{fleet: fleet, edges: edges, out: out, startedAt: time.Now(), active: map[int]map[FaultKind]float64{}}
+}
+
+// run executes each step at its time.
+func (r *faultRunner) run(ctx context.Context, steps []Step) {
+	for _, s := range steps {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(time.Until(r.startedAt.Add(s.At))):
+		}
+		fmt.Fprintf(r.out, "%6.2fs %s engine %d edge %d over %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine, s.Edge, s.Ends)
+		r.apply(s)
+	}
+}
+
+func (r *faultRunner) apply(s Step) {
+	switch {
+	case s.Edge != noTarget:
+		r.killEdge(s)
+	case s.Kind == FaultStaleList && s.Ends:
+		r.fleet.DelayList(0)
+	case s.Kind == FaultStaleList:
+		r.fleet.DelayList(seconds(s.Size))
+	default:
+		e := r.fleet.Engines[s.Engine]
+		if !e.Overloaded() { // else it stays down
+			r.applyToEngine(s, e)
+		}
+	}
+}
+
+func (r *faultRunner) killEdge(s Step) {
+	r.recoveries.Go(func() {
+		if err := r.edges.Kill(s.Edge, s.Duration); err != nil {
+			fmt.Fprintln(r.out, "edge", s.Edge, "did not restart:", err)
+		}
+	})
+}
+
+func (r *faultRunner) applyToEngine(s Step, e *engine.Engine) {
+	switch s.Kind {
+	case FaultCacheFlush:
+		e.ClearCache()
+	case FaultDrain:
+		r.fleet.Drain(e, !s.Ends)
+	case FaultCrash, FaultMassRestart, FaultPreempt:
+		if s.Ends {
+			r.restart(s, e)
+		} else if s.Kind == FaultPreempt {
+			r.preempt(s, e)
+		} else {
+			r.crash(s, e)
+		}
+	case FaultVanish:
+		if s.Ends {
+			r.restart(s, e)
+			return
+		}
+		r.setFault(s, e)
+	default:
+		r.setFault(s, e)
+	}
+}
+
+// preempt lists an engine as draining, and crashes it after its notice.
+func (r *faultRunner) preempt(s Step, e *engine.Engine) {
+	r.fleet.Drain(e, true)
+	r.recoveries.Go(func() {
+		time.Sleep(seconds(s.Size))
+		e.Crash()
+		r.fleet.Remove(e)
+	})
+}
+
+// crash crashes an engine. The endpoint list learns of it late, if at all.
+func (r *faultRunner) crash(s Step, e *engine.Engine) {
+	e.Crash()
+	r.recoveries.Go(func() {
+		time.Sleep(min(s.Duration/2, maxRemoveDelay))
+		if s.Duration > maxRemoveDelay {
+			r.fleet.Remove(e)
+		}
+	})
+}
+
+// restart restarts an engine without faults.
+func (r *faultRunner) restart(s Step, e *engine.Engine) {
+	delete(r.active, s.Engine)
+	e.SetFaults(engine.Faults{})
+	if err := e.Restart(); err != nil {
+		fmt.Fprintln(r.out, err)
+		return
+	}
+	r.restarts++
+	r.fleet.Restore(e)
+}
+
+// setFault begins or ends a fault that the fake engine itself injects.
+func (r *faultRunner) setFault(s Step, e *engine.Engine) {
+	active := r.active[s.Engine]
+	if active == nil {
+		active = map[FaultKind]float64{}
+		r.active[s.Engine] = active
+	}
+	active[s.Kind] = s.Size
+	if s.Ends {
+		delete(active, s.Kind)
+	}
+	e.SetFaults(combineFaults(active))
+}
+
+// combineFaults makes one set of the faults that are active at once.
+func combineFaults(active map[FaultKind]float64) (f engine.Faults) {
+	f.Slowdown = 1
+	for kind, size := range active {
+		switch kind {
+		case FaultVanish, FaultPauses:
+			f.Unresponsive = true
+		case FaultSlow, FaultNoisyNeighbour, FaultAgeing:
+			f.Slowdown *= max(1, size)
+		case FaultSlowAccept:
+			f.ResponseDelay = seconds(size)
+		case FaultStallFirst:
+			f.StallFirst = true
+		case FaultStall:
+			f.StallAfter = max(1, int(size))
+		case FaultBreak:
+			f.BreakAfter = max(1, int(size))
+		case FaultHalfResponse:
+			f.TruncatePrefill = true
+		case FaultFalseLoad:
+			f.EmptyLoadReport = true
+		case FaultFail:
+			f.FailStatus = min(599, max(400, int(size)))
+		}
+	}
+	return f
+}
--- /dev/null
+++ b/internal/scenario/loadshift.go
@@ -0,0 +1,250 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"sandcourse/internal/audit"
+	"sandcourse/internal/config"
+	"sandcourse/internal/endpoint"
+	"sandcourse/internal/fake/engine"
+	"sandcourse/internal/loadgen"
+	"sandcourse/internal/planner/planapi"
+	"sandcourse/settings"
+)
+
+// What each engine of a load shift does: prompt tokens and output tokens a second.
+const (
+	shiftPrefillRate = 20_000
+	shiftDecodeRate  = 1_600
+	shiftSlowStart   = 2 * time.Second
+)
+
+// Phase is a time with one mix of work.
+type Phase struct {
+	Name                 string
+	Duration             time.Duration
+	RequestRate          float64 // requests a second
+	UserWords, MaxTokens int     // words of a prompt that nobody shares, and the most tokens of an answer
+}
+
+// LoadShift is a scenario whose load shifts between prefill and decode, with a planner that follows it.
+type LoadShift struct {
+	PrefillEngines, DecodeEngines, Edges int
+	Phases                               []Phase
+	FixedRoles                           bool // roles stay as they are: the planner only explains
+	KillPlanner                          bool // the planner is killed now and then
+	Seed                                 uint64
+	Faults                               func(ctx context.Context, f *Fleet) // beside the shift; may be nil
+	OnPlan                               func(planapi.Plan)
+}
+
+// LoadShiftResult is how it went, by phase.
+type LoadShiftResult struct {
+	Phases        []loadgen.Summary
+	SecondHalves  []loadgen.Summary // of each phase: after the planner had time to follow
+	RecoveryTimes []time.Duration   // of each phase: until the route of highest priority is served again; -1 for not within it
+	Violations    []audit.Violation
+	HeldAtEnd     int
+	RoleChanges   int
+	PlannerKills  int
+}
+
+func engineName(i int) string { return fmt.Sprint("e", i) }
+
+// loadShiftEngine is one fake engine.
+func loadShiftEngine(i, prefillCount int, rules config.Rules) engine.Config {
+	c := engine.Config{Name: engineName(i), Role: string(config.RolePrefill), Seed: engineSeed, Slots: 2, OtherRoleSlots: 16, QueueLimit: 64,
+		PrefillRate: shiftPrefillRate, AttemptRate: 30, TokenTime: 10 * time.Millisecond, MemoryTokens: 400_000,
+		WarmUp: rules.SlowStart, WarmUpShare: rules.SlowStartShare, OverloadFactor: rules.OverloadMultiple,
+		OverloadWindow: rules.OverloadWindow, Reload: 300 * time.Millisecond}
+	if i >= prefillCount {
+		c.Role, c.Slots, c.OtherRoleSlots = string(config.RoleDecode), 16, 2
+	}
+	return c
+}
+
+// Planning is the planner's configuration.
+func (t LoadShift) Planning(fleet *Fleet, dir string) *config.Planner {
+	p := config.DefaultPlanner()
+	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
+	p.Kinds = []config.EngineKind{{Name: "prefill", Role: config.RolePrefill}, {Name: "decode", Role: config.RoleDecode}}
+	p.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
+	a := &p.Assignment
+	a.DrainTimeout, a.OrderTimeout, a.LoadTimeout = 4*time.Second, time.Second, 5*time.Second
+	a.TrialTimeout, a.WarmUp, a.Cooldown = 2*time.Second, 2*time.Second, 4*time.Second
+	a.MaxChangingShare, a.MaxSharePerMinute, a.MinServing, a.ExplainOnly = 0.25, 1, 1, t.FixedRoles
+	a.PrefillThroughput, a.DecodeThroughput = shiftPrefillRate, shiftDecodeRate
+	return p
+}
+
+// Run runs the load shift in a folder, and reports its phases to out.
+func (t LoadShift) Run(ctx context.Context, dir string, log *zap.Logger, out io.Writer) (LoadShiftResult, error) {
+	d, err := config.Read("demo.star", []byte(settings.Demo))
+	if err != nil {
+		return LoadShiftResult{}, err
+	}
+	d.Rules.SlowStart = shiftSlowStart
+	r := &shiftRun{LoadShift: t, out: out, records: &audit.Log{}, deployment: *d}
+	var configs []engine.Config
+	for i := range t.PrefillEngines + t.DecodeEngines {
+		configs = append(configs, loadShiftEngine(i, t.PrefillEngines, d.Rules))
+	}
+	if r.fleet, err = StartFleet(dir, configs, r.records); err != nil {
+		return r.result, err
+	}
+	defer r.fleet.Stop()
+	r.planner = &plannerProcess{config: t.Planning(r.fleet, dir), log: log, out: out, onPublish: r.recordPlan}
+	if err := r.planner.start(); err != nil {
+		return r.result, err
+	}
+	defer r.planner.stop()
+	fmt.Fprintf(out, "the planner is at %s: look with sandcourse roles --planner %s show, and explain\n", r.planner.addr(), r.planner.addr())
+	r.deployment.EndpointFile, r.deployment.Engines, r.deployment.PlannerAddress = "", nil, r.planner.addr()
+	if r.edges, err = StartEdges(t.Edges, r.deployment, log, r.records, t.Seed); err != nil {
+		return r.result, err
+	}
+	defer r.edges.Stop()
+	if err := r.edges.awaitReady(ctx); err != nil {
+		return r.result, err
+	}
+	r.runPhases(ctx)
+	r.result.HeldAtEnd = awaitReleased(context.Background(), r.fleet, r.edges)
+	for _, e := range r.fleet.Engines {
+		r.result.RoleChanges += int(e.Epoch()) - 1
+	}
+	r.result.Violations = r.records.Check(AuditRules(&r.deployment), time.Now())
+	return r.result, nil
+}
+
+// shiftRun is one run of a load shift.
+type shiftRun struct {
+	LoadShift
+	out        io.Writer
+	records    *audit.Log
+	deployment config.Deployment
+	fleet      *Fleet
+	planner    *plannerProcess
+	edges      *Edges
+	result     LoadShiftResult
+}
+
+// recordPlan records which engines a published plan lists as ready.
+func (r *shiftRun) recordPlan(p planapi.Plan) {
+	at := time.Now()
+	ready := map[string]bool{}
+	for _, e := range p.Engines {
+		ready[e.Engine] = e.State == endpoint.Ready
+	}
+	for _, e := range r.fleet.Engines {
+		r.records.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.Addr(), Ready: ready[e.Addr()]})
+	}
+	if r.OnPlan != nil {
+		r.OnPlan(p)
+	}
+}
+
+// runPhases runs all phases, with what goes wrong beside them.
+func (r *shiftRun) runPhases(ctx context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	var beside sync.WaitGroup
+	if r.KillPlanner {
+		beside.Go(func() { r.result.PlannerKills = r.planner.killRepeatedly(ctx) })
+	}
+	if r.Faults != nil {
+		beside.Go(func() { r.Faults(ctx, r.fleet) })
+	}
+	for i, phase := range r.Phases {
+		r.runPhase(ctx, i, phase)
+	}
+	cancel()
+	beside.Wait()
+}
+
+func (r *shiftRun) runPhase(ctx context.Context, i int, p Phase) {
+	fmt.Fprintf(r.out, "%s: %.0f requests a second for %v, prompts of %d own words, answers of up to %d tokens\n", p.Name, p.RequestRate,
+		p.Duration, p.UserWords, p.MaxTokens)
+	routes := r.routes(p)
+	startedAt := time.Now()
+	loadgen.Traffic{Edges: r.edges.Addrs, Routes: routes, Rate: p.RequestRate, Duration: p.Duration, Seed: r.Seed*100 + uint64(i),
+		Prefixes: 6, PrefixWords: 100, UserWords: p.UserWords, Turns: 2, Retries: 1, Log: r.records}.Run(ctx)
+	var all, second []audit.ClientRecord
+	for _, c := range r.records.ClientRecords() {
+		if c.Sent.After(startedAt) {
+			all = append(all, c)
+		}
+		if c.Sent.After(startedAt.Add(p.Duration / 2)) {
+			second = append(second, c)
+		}
+	}
+	sum, half := loadgen.Summarize(all, routes), loadgen.Summarize(second, routes)
+	recovery := recoveryTime(all, routes, startedAt, p.Duration)
+	r.result.Phases, r.result.SecondHalves = append(r.result.Phases, sum), append(r.result.SecondHalves, half)
+	r.result.RecoveryTimes = append(r.result.RecoveryTimes, recovery)
+	prefill, decode := r.countRoles()
+	fmt.Fprintf(r.out, "  value in time %.3f, in the second half %.3f; nine tenths of the route of highest priority in time after %v; "+
+		"now %d prefill and %d decode engines\n", sum.InTime/max(sum.Offered, 1), half.InTime/max(half.Offered, 1), recovery, prefill, decode)
+}
+
+// routes are the model routes of a phase, with equal shares.
+func (r *shiftRun) routes(p Phase) (routes []loadgen.Route) {
+	for _, configured := range r.deployment.Routes {
+		route := clientRoute(configured)
+		route.Share, route.MaxTokens = 1, p.MaxTokens
+		routes = append(routes, route)
+	}
+	return routes
+}
+
+func (r *shiftRun) countRoles() (prefill, decode int) {
+	for _, e := range r.fleet.Engines {
+		if config.Role(e.Role()) == config.RolePrefill {
+			prefill++
+		} else {
+			decode++
+		}
+	}
+	return prefill, decode
+}
+
+// recoveryWindow is the length of the windows in which recoveryTime looks.
+const recoveryWindow = 4 * time.Second
+
+// neverRecovered is the recovery time of a phase in which the route did not recover.
+const neverRecovered = time.Duration(-1)
+
+// recoveryTime is how long after the start of a phase nine tenths of the requests of the route of highest priority get
+// their first token in time, for two windows in a row.
+func recoveryTime(records []audit.ClientRecord, routes []loadgen.Route, startedAt time.Time, length time.Duration) time.Duration {
+	highest := routes[0]
+	for _, r := range routes {
+		if r.PriorityWeight > highest.PriorityWeight {
+			highest = r
+		}
+	}
+	recovered := func(from time.Duration) bool {
+		total, inTime := 0, 0
+		for _, c := range records {
+			if at := c.Sent.Sub(startedAt); c.Route != highest.Name || at < from || at >= from+recoveryWindow {
+				continue
+			}
+			total++
+			if c.Outcome == audit.OutcomeCompleted && c.FirstToken > 0 && c.FirstToken <= highest.FirstTokenTarget {
+				inTime++
+			}
+		}
+		return total > 0 && 10*inTime >= 9*total
+	}
+	for from := time.Duration(0); from+2*recoveryWindow <= length; from += time.Second {
+		if recovered(from) && recovered(from+recoveryWindow) {
+			return from
+		}
+	}
+	return neverRecovered
+}
--- a/internal/scenario/tilt_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -71,11 +71,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var makes []engine.Config
+	var configs []engine.Config
 	for i := range 6 {
-		makes = append(makes, loadShiftEngine(i, 3, d.Rules))
+		configs = append(configs, loadShiftEngine(i, 3, d.Rules))
 	}
-	fleet, err := StartFleet(dir, makes, seen)
+	fleet, err := StartFleet(dir, configs, seen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		defer edges.Stop()
-		if err := awaitIdle(context.Background(), edges); err != nil {
+		if err := edges.awaitReady(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		addrs = append(addrs, edges.Addrs()...)
@@ -122,7 +122,7 @@
 	routes := []loadgen.Route{}
 	for _, r := range d.Routes {
 		routes = append(routes, loadgen.Route{Name: r.Name, Share: 1, PriorityWeight: r.PriorityWeight,
-			Retriable: r.Effect == "retriable", FirstTokenTarget: r.FirstTokenObjective,
+			Retriable: r.Effect == config.EffectRetriable, FirstTokenTarget: r.FirstTokenObjective,
 			Timeout: r.Timeout, MaxTokens: 24})
 	}
 	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Duration: 8 * time.Second,
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -15,7 +15,7 @@
 		// What goroutines of a full machine may wait before they see what has happened.
 		Tolerance: 150 * time.Millisecond}
 	for _, t := range d.Routes {
-		r.NonRetriable[t.Name] = t.Effect == "non-retriable"
+		r.NonRetriable[t.Name] = t.Effect == config.EffectNonRetriable
 	}
 	return r
 }
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/scenario_test.go
@@ -66,7 +66,7 @@
 	return got
 }
 
-func (c careless) broken() (rules []int) {
+func (c careless) violatedRules() (rules []int) {
 	d, err := config.Read("demo", []byte(settings.Demo))
 	if err != nil {
 		c.t.Fatal(err)
@@ -74,7 +74,7 @@
 	for _, b := range c.log.Check(AuditRules(d), time.Now()) {
 		rules = append(rules, int(b.Rule))
 		if b.RequestID != "" && len(c.log.Trace(b.RequestID)) == 0 {
-			c.t.Errorf("no story of %s", b.RequestID)
+			c.t.Errorf("no trace of %s", b.RequestID)
 		}
 	}
 	return rules
@@ -82,25 +82,25 @@
 
 func (c careless) want(rule int) {
 	c.t.Helper()
-	got := c.broken()
+	got := c.violatedRules()
 	if len(got) == 0 || got[0] != rule || got[len(got)-1] != rule {
-		c.t.Errorf("broken rules %v, want %d alone", got, rule)
+		c.t.Errorf("violated rules %v, want %d alone", got, rule)
 	}
 }
 
 // Each rule's check fails once where the guard is missing, and holds for the same router on its best behaviour.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
-	call := func(c careless, name, request string, final audit.Outcome, finals int, end time.Time) {
+	call := func(c careless, name, request string, outcome audit.Outcome, outcomes int, end time.Time) {
 		c.log.RecordClient(audit.ClientRecord{ClientRequestID: request, RequestID: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
-			Deadline: now.Add(time.Second), Outcome: final, OutcomeCount: finals})
+			Deadline: now.Add(time.Second), Outcome: outcome, OutcomeCount: outcomes})
 	}
 	t.Run("none", func(t *testing.T) {
 		c := newCareless(t)
 		state := c.send(c.fleet.Engines[0], "x-1", "one", nil)
 		c.send(c.fleet.Engines[1], "x-1", "one", &state)
 		call(c, "x-1", "one", "completed", 1, time.Now())
-		if got := c.broken(); len(got) > 0 {
+		if got := c.violatedRules(); len(got) > 0 {
 			t.Error(got)
 		}
 	})
@@ -111,7 +111,7 @@
 		call(c, "x-3", "three", "shed", 1, now.Add(2*time.Second))
 		call(c, "x-4", "four", "shed", 1, now.Add(-time.Second))
 		c.send(c.fleet.Engines[1], "x-4", "four", &engineapi.KVTransfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
-		if got := c.broken(); !reflect.DeepEqual(got, []int{1, 1, 1, 1}) {
+		if got := c.violatedRules(); !reflect.DeepEqual(got, []int{1, 1, 1, 1}) {
 			t.Error(got)
 		}
 	})
@@ -172,12 +172,12 @@
 		if !reflect.DeepEqual(a, b) {
 			t.Fatal("two plans")
 		}
-		on := map[string]int{}
+		on := map[FaultKind]int{}
 		for _, s := range a {
 			if s.Engine >= 9 || s.Edge >= 3 {
 				t.Fatalf("%+v strikes nothing", s)
 			}
-			if s.Engine >= 0 && s.Kind != "ageing" && s.Kind != "flush" {
+			if s.Engine >= 0 && s.Kind != FaultAgeing && s.Kind != FaultCacheFlush {
 				on[s.Kind] += map[bool]int{true: -1, false: 1}[s.Ends]
 			}
 		}
