--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"sandcourse/internal/router"
 )
 
 const (
@@ -19,8 +21,6 @@
 	drainPollInterval = 20 * time.Millisecond
 	// closePollInterval is how often it looks whether clients' connections are open.
 	closePollInterval = 10 * time.Millisecond
-	// stoppingText reaches clients whose requests are abandoned.
-	stoppingText = "this node is stopping"
 )
 
 // Drain takes no new request and waits until the open ones are answered; past the settings' finish time, or when ctx
@@ -61,7 +61,7 @@
 	finished := make(chan struct{})
 	e.inbox.put(0, func() {
 		defer close(finished)
-		e.router.AbandonAll(stoppingText)
+		e.router.AbandonAll(router.ReasonShuttingDown)
 		e.router.RunDue(e.clock())
 	})
 	select {
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -63,7 +63,7 @@
 
 // connect dials an engine, and hands the connection to a poller.
 func (s *engineSide) connect(state *router.EngineConnection) (*engineConnection, error) {
-	conn, err := s.dialWithRetry(state.Host)
+	conn, err := s.dialWithRetry(state.Address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -49,7 +49,8 @@
 	if req == nil {
 		return
 	}
-	att := &engineAttempt{request: req, index: len(req.attempts), engine: action.Engine, decode: !r.isPrefill(action.Engine, req), startedAt: r.now}
+	att := &engineAttempt{request: req, index: len(req.attempts), engine: action.Engine,
+		decode: !r.isPrefill(action.Engine, req), startedAt: r.now}
 	req.attempts = append(req.attempts, att)
 	if req.client.Socket.Disconnected() {
 		r.ClientDisconnected(req.client)
@@ -72,7 +73,7 @@
 		ClientGone:      req.client.disconnected,
 		Deadline:        req.deadline,
 		DrainNotifiedAt: r.endpoints.drains[att.engine],
-		AddressChanged:  conn != nil && conn.Host != r.endpoints.target(att.engine).Address,
+		AddressChanged:  conn != nil && conn.Address != r.endpoints.target(att.engine).Address,
 		Effect:          r.effect(req.route),
 		DedupWindow:     r.config.Routes[req.route].DedupWindow,
 	}
@@ -162,8 +163,8 @@
 		r.releaseReservations(req)
 	}
 	r.finishAfterAttempt(att)
-	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict, Latency: time.Duration(r.now - att.startedAt),
-		RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
+	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict,
+		Latency: time.Duration(r.now - att.startedAt), RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
 		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.stale})
 	// What was reserved after the request ended is released too: a prefill for which nobody waits.
 	if req.outcome != "" {
@@ -232,7 +233,8 @@
 		r.write(req.client, r.protocol.StreamHead(req.name))
 	}
 	r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
-	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine, Latency: time.Duration(r.now - att.startedAt)})
+	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine,
+		Latency: time.Duration(r.now - att.startedAt)})
 }
 
 // reapStalledStreams ends the attempts whose streams have had no token for too long.
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sandcourse/internal/attempt"
+	"sandcourse/internal/config"
 	"sandcourse/internal/connpool"
 	"sandcourse/internal/endpoint"
 	"sandcourse/internal/protocol"
@@ -141,7 +142,7 @@
 		if conn == nil {
 			continue
 		}
-		if address, listed := addresses[conn.Engine]; listed && address != conn.Host && r.connections.State(id) == connpool.Idle {
+		if address, listed := addresses[conn.Engine]; listed && address != conn.Address && r.connections.State(id) == connpool.Idle {
 			r.connections.Handle(id, connpool.IdleExpired, r.now)
 			r.closeConnection(id)
 		}
@@ -152,9 +153,9 @@
 // to be asked for the prefill first, by whether the request has no reservation yet.
 func (r *Router) isPrefill(engine string, req *request) bool {
 	switch r.config.Role(r.endpoints.find(engine).Kind) {
-	case "read":
+	case config.RolePrefill:
 		return true
-	case "write":
+	case config.RoleDecode:
 		return false
 	}
 	return req.transfer == nil && !r.protocol.MixedEnginePrefillsOnDecode()
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -44,7 +44,7 @@
 		t.Error("a request went to the old address on a connection that was dialed before")
 	}
 	b.pass(200 * time.Millisecond) // the policy waits a little before a retry
-	if len(b.dials) == 0 || b.dials[0].Host != "127.0.0.1:2" {
+	if len(b.dials) == 0 || b.dials[0].Address != "127.0.0.1:2" {
 		t.Error("the request is not forwarded to the new address")
 	}
 }
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -24,9 +24,9 @@
 
 // EngineConnection is one connection to an engine.
 type EngineConnection struct {
-	ID     int64
-	Engine string
-	Host   string // the address that is dialed
+	ID      int64
+	Engine  string
+	Address string // the address that is dialed
 
 	socket        EngineSocket    // nil while it is dialed
 	attempt       *engineAttempt  // that it carries
@@ -86,7 +86,7 @@
 	}
 	conn := r.connections.byID[lease.ID]
 	if !lease.Reused {
-		conn = &EngineConnection{ID: lease.ID, Engine: engine, Host: r.endpoints.target(engine).Address, dialedAt: r.now}
+		conn = &EngineConnection{ID: lease.ID, Engine: engine, Address: r.endpoints.target(engine).Address, dialedAt: r.now}
 		r.connections.byID[conn.ID] = conn
 	}
 	conn.attempt, conn.control, conn.reused = att, control, lease.Reused
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -19,7 +19,8 @@
 		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.transfer, r.now-req.arrivedAt,
 			max(0, req.abandonedUntil-r.now))
 		for _, att := range req.attempts {
-			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict, att.responseHeads, r.now-att.lastTokenAt)
+			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict,
+				att.responseHeads, r.now-att.lastTokenAt)
 		}
 	}
 	lines := r.fingerprintConnections()
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -120,7 +120,7 @@
 func (r *recorder) Dial(conn *router.EngineConnection) {
 	r.connections++
 	number := r.connections
-	r.record("dial %s at %s: connection %d", conn.Engine, conn.Host, number)
+	r.record("dial %s at %s: connection %d", conn.Engine, conn.Address, number)
 	r.after(time.Millisecond, func() {
 		if r.refusing[conn.Engine] {
 			r.record("connection %d is refused", number)
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -239,7 +239,8 @@
 
 // step is one random event.
 func (w *world) step() {
-	answers := []string{answerDone, answerDone, answerDone, answerToken, answerRejected, answerNoReservation, answerError, answerDisconnect, answerInvalid}
+	answers := []string{answerDone, answerDone, answerDone, answerToken, answerRejected, answerNoReservation,
+		answerError, answerDisconnect, answerInvalid}
 	switch kind := rapid.IntRange(0, 12).Draw(w.t, "event"); {
 	case kind <= 1 && len(w.clients) < 12:
 		w.sendRequest()
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -1,6 +1,9 @@
 package router
 
-import "sandcourse/internal/routing"
+import (
+	"sandcourse/internal/invariant"
+	"sandcourse/internal/routing"
+)
 
 // RequestOutcome is how a request has ended. The values are labels of metrics.
 type RequestOutcome string
@@ -21,7 +24,7 @@
 	reasonDeadlineExceeded FailureReason = "time is up"
 	reasonNoAnswer         FailureReason = "the answer could not be given"
 	reasonPolicyFailed     FailureReason = "the router failed inside"
-	reasonShuttingDown     FailureReason = "this node is stopping"
+	ReasonShuttingDown     FailureReason = FailureReason(invariant.ShuttingDown)
 	reasonStreamShed       FailureReason = "the stream was given up"
 
 	// reasonStreamBroken comes before the reason of the attempt whose stream broke.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -110,10 +110,12 @@
 // InFlight counts what a router has open.
 type InFlight struct {
 	Clients, Requests, Bytes, EngineConnections int
-	ControlRequests                             int           // health checks and releases in flight, and reservations that are not released yet
-	Reservations                                int           // reservations that engines hold, or may hold
-	OldestReservation                           time.Duration // how long the oldest of these has been known
-	Lingering                                   bool          // it is shutting down, and still accepts requests
+
+	// ControlRequests counts health checks and releases in flight, and reservations that are not released yet.
+	ControlRequests   int
+	Reservations      int           // that engines hold, or may hold
+	OldestReservation time.Duration // how long the oldest of these has been known
+	Lingering         bool          // it is shutting down, and still accepts requests
 }
 
 // InFlight counts what the router has open now.
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -65,7 +65,7 @@
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
 		if req.arrivedAt-r.shutdown.requestedAt >= int64(r.config.ShutdownAcceptTime) && req.outcome == "" {
-			r.abortRequest(req, reasonShuttingDown)
+			r.abortRequest(req, ReasonShuttingDown)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func (r *Router) notReadyReason() string {
 	switch {
 	case r.shutdown.requested:
-		return "this node is stopping"
+		return string(ReasonShuttingDown)
 	case r.endpoints.current == nil:
 		return "no list of engines has come yet"
 	case len(r.endpoints.current.Entries) == 0:
