--- /dev/null
+++ b/internal/fake/platformengine/fleet_test.go
@@ -0,0 +1,115 @@
+package platformengine
+
+import (
+	"context"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"sandcourse/internal/audit"
+	"sandcourse/internal/protocol/platform"
+)
+
+func TestReleaseIsForAllEngines(t *testing.T) {
+	fleet := NewFleet(&audit.Log{})
+	prefill, decode := startPair(t, fleet)
+	for range 2 {
+		send(t, prefill, http.MethodPost, platform.CompletionsPath, "n-1")
+	}
+	if held := fleet.HeldReservations(); held != 2 {
+		t.Errorf("%d reservations after two prefills", held)
+	}
+	send(t, decode, http.MethodDelete, platform.ReservationsPath+"n-1", "")
+	if held, releases := fleet.HeldReservations(), fleet.Releases(); held != 0 || releases != 1 {
+		t.Errorf("%d reservations after %d releases", held, releases)
+	}
+}
+
+func TestReleaseLeavesWhatAnAttemptWaitsFor(t *testing.T) {
+	fleet := NewFleet(&audit.Log{})
+	prefill, decode := startPair(t, fleet)
+	decode.slots <- struct{}{} // the attempt below waits for a slot
+	send(t, prefill, http.MethodPost, platform.CompletionsPath, "n-1")
+	response := make(chan string, 1)
+	go func() { response <- send(t, decode, http.MethodPost, platform.CompletionsPath, "n-1") }()
+	waitFor(t, fleet.hasAttempt("n-1"))
+	send(t, prefill, http.MethodDelete, platform.ReservationsPath+"n-1", "")
+	if held := fleet.HeldReservations(); held != 1 {
+		t.Errorf("%d reservations, an attempt waits for one", held)
+	}
+	<-decode.slots
+	if got := <-response; !strings.Contains(got, "[DONE]") {
+		t.Errorf("response of the attempt: %s", got)
+	}
+}
+
+func TestRouterClosedEndsItsAttemptsOnce(t *testing.T) {
+	log := &audit.Log{}
+	fleet := NewFleet(log)
+	_, decode := startPair(t, fleet)
+	attempt := &engineAttempt{engineID: decode.ID, routerAddr: "router:1"}
+	fleet.startAttempt(decode, "n-1", attempt)
+	fleet.RouterClosed(decode.ID, "router:2")
+	if attempt.ended {
+		t.Error("an attempt has ended with another connection")
+	}
+	fleet.RouterClosed(decode.ID, "router:1")
+	fleet.endAttempt("n-1", attempt)
+	ends := 0
+	for _, record := range log.EngineRecords() {
+		if record.Event == audit.AttemptEnded {
+			ends++
+		}
+	}
+	if ends != 1 {
+		t.Errorf("%d ends of one attempt", ends)
+	}
+}
+
+func TestBeforeNoticeRunsForADisconnectedAttempt(t *testing.T) {
+	fleet := NewFleet(&audit.Log{})
+	noticed := make(chan string, 1)
+	fleet.BeforeNotice = func(requestID string, released <-chan struct{}) {
+		<-released
+		noticed <- requestID
+	}
+	_, decode := startPair(t, fleet)
+	decode.slots <- struct{}{}
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() {
+		defer cancel()
+		waitFor(t, fleet.hasAttempt("n-1"))
+	}()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+decode.Addr+platform.CompletionsPath, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request.Header.Set(platform.HeaderRequestID, "n-1")
+	if response, err := http.DefaultClient.Do(request); err == nil {
+		response.Body.Close()
+		t.Fatal("an attempt without a slot has a response")
+	}
+	send(t, decode, http.MethodDelete, platform.ReservationsPath+"n-1", "")
+	if got := <-noticed; got != "n-1" {
+		t.Errorf("noticed %q", got)
+	}
+}
+
+func (f *Fleet) hasAttempt(requestID string) func() bool {
+	return func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.request(requestID).attempts) > 0
+	}
+}
+
+func waitFor(t *testing.T, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Error("waited in vain")
+			return
+		}
+	}
+}
