--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -9,7 +9,8 @@
 	"sandcourse/internal/config"
 )
 
-func tell(t *testing.T, r Result) {
+// reportViolations fails a test with the path to a violation.
+func reportViolations(t *testing.T, r Result) {
 	t.Helper()
 	if len(r.Violations) > 0 {
 		lines, _ := Describe(r.World, r.Path)
@@ -17,29 +18,30 @@
 	}
 }
 
-// The small worlds whole, with the verdict and the count of states that they always have.
+// The small worlds hold all properties, explored exhaustively, and large ones on random walks; together they cover the
+// transitions of the state machines.
 func TestSmallWorldsHold(t *testing.T) {
-	var took Coverage
+	var coverage Coverage
 	for _, name := range []string{"one", "two", "limit", "nodes-two", "roles", "roles-last", "roles-edges"} {
 		w, _ := FindWorld(name)
 		r := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
-		tell(t, r)
+		reportViolations(t, r)
 		if !r.Complete || r.Ends == 0 {
-			t.Errorf("%s: not whole: %+v", name, r)
+			t.Errorf("%s: not complete: %+v", name, r)
 		}
-		took.Add(r.Coverage)
+		coverage.Add(r.Coverage)
 	}
 	for _, w := range LargeWorlds {
 		r := RandomWalks(w, 7, 300, 4, nil)
-		tell(t, r)
-		took.Add(r.Coverage)
+		reportViolations(t, r)
+		coverage.Add(r.Coverage)
 	}
-	if taken, of := took.Fired(); taken < of-4 {
-		t.Errorf("only %d of %d rows taken; never: %v", taken, of, took.Unfired())
+	if fired, total := coverage.Fired(); fired < total-4 {
+		t.Errorf("only %d of %d transitions fired; never: %v", fired, total, coverage.Unfired())
 	}
 }
 
-// The verdict, the counterexample and the counts do not hang on the number of workers, nor on a stop half way.
+// The verdict, the counterexample and the counts depend neither on the number of workers nor on an interruption.
 func TestResultIndependentOfWorkersAndInterruption(t *testing.T) {
 	w, _ := FindWorld("one")
 	w.Faults = 1
@@ -53,7 +55,7 @@
 	}
 }
 
-// A copy of a state must go on as the state itself would: the search by copies agrees with the one that plays every
+// A copy of a state must go on as the state itself would: the search by copies agrees with the one that replays every
 // path from the start, in every count and in every end.
 func TestCopiedStatesMatchReplayedPaths(t *testing.T) {
 	for _, name := range []string{"single", "limit", "nodes-two", "roles-one"} {
@@ -66,15 +68,15 @@
 	}
 }
 
-// Events of different nodes commute: taking them in one order leaves out no end, and no break.
+// Events of different routers commute: trying them in one order leaves out no end, and no violation.
 func TestRouterOrderReductionIsComplete(t *testing.T) {
 	for _, kinds := range [][]FaultKind{{FaultDrain}, {FaultRestart, FaultReset}, {FaultLeave, FaultFull, FaultLate}} {
 		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2, FaultKinds: kinds}
 		ordered := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		w.AllOrders = true
 		plain := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
-		tell(t, ordered)
-		tell(t, plain)
+		reportViolations(t, ordered)
+		reportViolations(t, plain)
 		if ordered.EndsChecksum != plain.EndsChecksum || ordered.Ends != plain.Ends || !plain.Complete || plain.Ends < 5 ||
 			ordered.Transitions >= plain.Transitions {
 			t.Errorf("%v: %+v\n%+v", kinds, ordered, plain)
@@ -82,17 +84,17 @@
 	}
 }
 
-// What 3 to 300 nodes decide on their own stays under the budget of a cold engine, and is not nothing.
+// What 1 to 300 routers decide on their own stays within the budget of a warming engine, and is not nothing.
 func TestCrowdsStayWithinWarmUpBudget(t *testing.T) {
 	for _, w := range CrowdWorlds {
 		r := SimulateCrowd(w, 7, nil)
 		if len(r.Violations) > 0 || r.MaxColdAttempts < 5 {
-			t.Errorf("%s: %v, at most %d sends in a window", w.Name, r.Violations, r.MaxColdAttempts)
+			t.Errorf("%s: %v, at most %d attempts in a window", w.Name, r.Violations, r.MaxColdAttempts)
 		}
 	}
 }
 
-// Opening states that are alike once must lose nothing: without merging, every way of a small world ends alike.
+// Expanding equal states once must lose nothing: without merging, every path of a small world has the same ends.
 func TestMergingStatesIsComplete(t *testing.T) {
 	w := World{Name: "tiny", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
 		FaultKinds: []FaultKind{FaultReset, FaultFull, FaultLeave, FaultConnect}}
@@ -122,7 +124,7 @@
 	}
 }
 
-// A break is found by a shortest path, and its story tells it again.
+// A path is described step by step, and one that does not fit is reported.
 func TestCounterexample(t *testing.T) {
 	w, _ := FindWorld("one")
 	r := Result{World: w, Path: Path{0, 0}}
@@ -135,7 +137,7 @@
 	}
 }
 
-// The traces of what was found, on the text as it is now. Each names what it once broke.
+// The paths of violations that were found and fixed. Each names what it once violated.
 func TestPastCounterexamples(t *testing.T) {
 	for name, events := range map[string][]string{
 		"P5, P3: canceled as never written after the kernel had taken the rest": {"client 0 sends a request (non-retriable)", "connection to 127.0.0.1:1001 is established and accepts part of the request",
@@ -157,10 +159,10 @@
 					}
 				}
 				if !found {
-					t.Fatalf("%q cannot happen after %v", want, s.trace)
+					t.Fatalf("%q is not enabled after %v", want, s.trace)
 				}
 			}
-			// From here the first event is taken each time, which is never a fault: the wire is kind from now on.
+			// From here the first event is applied each time, which is never a fault.
 			for range 300 {
 				list := s.enabledEvents()
 				if len(list) == 0 {
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -55,7 +55,7 @@
 		DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable, config.EffectNonRetriable, config.EffectRetriable, config.EffectDeduped, config.EffectRetriable}, Faults: 8, ConnectionsPerEngine: 2},
 }
 
-// CrowdWorlds are many nodes, for what they do together.
+// CrowdWorlds are many routers, for what they do together.
 var CrowdWorlds = []World{
 	{Name: "crowd-300", About: "300 routers, steady arrivals, engines restart and warm up: the budget of all together", PrefillEngines: 4,
 		DecodeEngines: 4, Effects: []config.Effect{}, Routers: 300, Crowd: true},
--- a/internal/scenario/loadshift_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -22,9 +22,9 @@
 	"sandcourse/settings"
 )
 
-// Load tilts to reading and to writing, the planner is killed every nine seconds, an engine crashes and
-// another lies of its work: engines follow the load, the five rules hold, nothing is stranded, and all nodes
-// and engines are of one mind at the end.
+// Load shifts to prefill and to decode, the planner is killed every nine seconds, an engine crashes and another reports
+// false work: engines follow the load, the five rules hold, no reservation stays, and all edges and engines agree at the
+// end.
 func TestLoadShiftKeepsTheRules(t *testing.T) {
 	var mu sync.Mutex
 	var newest planapi.Plan
@@ -61,9 +61,8 @@
 	}
 }
 
-// One edge follows the planner, the other a list that never changes again. An engine changes its role under
-// both: what the second sends it by its old list is refused as surely not run, goes elsewhere, and no rule
-// breaks.
+// One edge follows the planner, the other a list that never changes again. An engine changes its role under both: what
+// the second sends it by its old list is rejected as certainly not run, is retried elsewhere, and no rule is violated.
 func TestEdgesOnDifferentPlans(t *testing.T) {
 	dir := t.TempDir()
 	seen := &audit.Log{}
@@ -112,7 +111,7 @@
 	moved := fleet.Engines[0]
 	var all sync.WaitGroup
 	all.Go(func() {
-		time.Sleep(2 * time.Second) // of a day of eight
+		time.Sleep(2 * time.Second) // of eight
 		answer, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 			strings.NewReader(`{"op":"move","engine":"`+moved.Addr()+`","who":"test","why":"test"}`))
 		if err != nil || answer.StatusCode != http.StatusOK {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -16,33 +16,33 @@
 
 	"sandcourse/internal/audit"
 	"sandcourse/internal/config"
-	standin "sandcourse/internal/fake/engine"
+	"sandcourse/internal/fake/engine"
 	"sandcourse/internal/loadgen"
 	"sandcourse/internal/protocol/chat"
 	"sandcourse/internal/protocol/engineapi"
 	"sandcourse/settings"
 )
 
-// careless is a router without any guard: it does to stand-ins what the edge never must.
-type careless struct {
+// uncheckedRouter is a router without any invariant: it does to fake engines what the edge never must.
+type uncheckedRouter struct {
 	t     *testing.T
 	log   *audit.Log
 	fleet *Fleet
 }
 
-func newCareless(t *testing.T) careless {
+func newUncheckedRouter(t *testing.T) uncheckedRouter {
 	t.Helper()
 	log := &audit.Log{}
-	fleet, err := StartFleet(t.TempDir(), []standin.Config{{Name: "r", Role: "read", AttemptRate: 2},
+	fleet, err := StartFleet(t.TempDir(), []engine.Config{{Name: "r", Role: "read", AttemptRate: 2},
 		{Name: "w", Role: "write"}, {Name: "v", Role: "write"}}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Stop)
-	return careless{t, log, fleet}
+	return uncheckedRouter{t, log, fleet}
 }
 
-func (c careless) send(to *standin.Engine, name, request string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
+func (c uncheckedRouter) send(to *engine.Engine, name, request string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
 	call, err := chat.ParseRequest([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil { // it may be called in a goroutine of its own, where Fatal must not be
 		c.t.Error(err)
@@ -66,7 +66,7 @@
 	return got
 }
 
-func (c careless) violatedRules() (rules []int) {
+func (c uncheckedRouter) violatedRules() (rules []int) {
 	d, err := config.Read("demo", []byte(settings.Demo))
 	if err != nil {
 		c.t.Fatal(err)
@@ -80,7 +80,7 @@
 	return rules
 }
 
-func (c careless) want(rule int) {
+func (c uncheckedRouter) want(rule int) {
 	c.t.Helper()
 	got := c.violatedRules()
 	if len(got) == 0 || got[0] != rule || got[len(got)-1] != rule {
@@ -88,15 +88,15 @@
 	}
 }
 
-// Each rule's check fails once where the guard is missing, and holds for the same router on its best behaviour.
+// Each rule's check fails where a router violates it, and holds for the same router where it does not.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
-	call := func(c careless, name, request string, outcome audit.Outcome, outcomes int, end time.Time) {
+	call := func(c uncheckedRouter, name, request string, outcome audit.Outcome, outcomes int, end time.Time) {
 		c.log.RecordClient(audit.ClientRecord{ClientRequestID: request, RequestID: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
 			Deadline: now.Add(time.Second), Outcome: outcome, OutcomeCount: outcomes})
 	}
 	t.Run("none", func(t *testing.T) {
-		c := newCareless(t)
+		c := newUncheckedRouter(t)
 		state := c.send(c.fleet.Engines[0], "x-1", "one", nil)
 		c.send(c.fleet.Engines[1], "x-1", "one", &state)
 		call(c, "x-1", "one", "completed", 1, time.Now())
@@ -104,8 +104,8 @@
 			t.Error(got)
 		}
 	})
-	t.Run("1 two answers, none, late, and a send after", func(t *testing.T) {
-		c := newCareless(t)
+	t.Run("1 two responses, none, a late one, and an attempt after the end", func(t *testing.T) {
+		c := newUncheckedRouter(t)
 		call(c, "x-1", "one", "completed", 2, now)
 		call(c, "x-2", "two", "lost", 0, now)
 		call(c, "x-3", "three", "shed", 1, now.Add(2*time.Second))
@@ -116,7 +116,7 @@
 		}
 	})
 	t.Run("2 an alert runs twice", func(t *testing.T) {
-		c := newCareless(t)
+		c := newUncheckedRouter(t)
 		call(c, "x-1", "one", "completed", 1, time.Now().Add(time.Second))
 		for i := range 2 {
 			state := c.send(c.fleet.Engines[0], "x-1", "one", nil)
@@ -124,27 +124,27 @@
 		}
 		c.want(2)
 	})
-	t.Run("2 two sends at once", func(t *testing.T) {
-		c := newCareless(t)
+	t.Run("2 two attempts at once", func(t *testing.T) {
+		c := newUncheckedRouter(t)
 		for i := range 2 {
-			c.fleet.Engines[i].SetFaults(standin.Faults{Unresponsive: true})
+			c.fleet.Engines[i].SetFaults(engine.Faults{Unresponsive: true})
 			go c.send(c.fleet.Engines[i], "x-1", "one", nil)
 		}
 		time.Sleep(300 * time.Millisecond)
 		c.want(2)
 		for i := range 2 {
-			c.fleet.Engines[i].SetFaults(standin.Faults{})
+			c.fleet.Engines[i].SetFaults(engine.Faults{})
 		}
 	})
-	t.Run("3 a send to a drained engine", func(t *testing.T) {
-		c := newCareless(t)
+	t.Run("3 an attempt at a draining engine", func(t *testing.T) {
+		c := newUncheckedRouter(t)
 		c.fleet.Drain(c.fleet.Engines[1], true)
 		time.Sleep(600 * time.Millisecond)
 		c.send(c.fleet.Engines[1], "x-1", "one", &engineapi.KVTransfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
 		c.want(3)
 	})
-	t.Run("4 a cold engine is pushed over", func(t *testing.T) {
-		c := newCareless(t)
+	t.Run("4 a warming engine is overloaded", func(t *testing.T) {
+		c := newUncheckedRouter(t)
 		if err := c.fleet.Engines[0].Restart(); err != nil {
 			t.Fatal(err)
 		}
@@ -154,8 +154,8 @@
 		}
 		c.want(4)
 	})
-	t.Run("5 a state is left", func(t *testing.T) {
-		c := newCareless(t)
+	t.Run("5 a reservation is not released", func(t *testing.T) {
+		c := newUncheckedRouter(t)
 		c.send(c.fleet.Engines[0], "x-1", "one", nil)
 		time.Sleep(1300 * time.Millisecond)
 		c.want(5)
@@ -227,14 +227,14 @@
 		}
 	}
 	if _, err := Import([]byte(`{"v":1}`), 1); err == nil {
-		t.Error("a day without readers is taken")
+		t.Error("a scenario without prefill engines is accepted")
 	}
 	if _, err := Import([]byte(benchDay), 0.5); err != nil {
 		t.Error(err)
 	}
 }
 
-// benchDay has the shape of a drawn day, with figures of our own.
+// benchDay has the shape of a scenario of the bench, with figures of our own.
 const benchDay = `{"family":"twostage","kind":"trouble","noise":12,"length":2000000,"drain_grace":250000,"fall_for":1000000,
 "traffic":{"load":0.5},"clients":{"retries":1},"classes":[{"name":"a","share":1,"aim":1000000,"deadline":2000000,"worth":1,
 "effect":"safe"}],"servers":[{"kind":0},{"kind":1}],"balancers":[{}],"troubles":[{"kind":"vanish","at":500000,"len":400000,
@@ -246,12 +246,12 @@
 	log := &audit.Log{}
 	ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer cancel()
-	fleet, err := StartFleet(t.TempDir(), []standin.Config{{Role: "write"}}, log)
+	fleet, err := StartFleet(t.TempDir(), []engine.Config{{Role: "write"}}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	fleet.Engines[0].SetFaults(standin.Faults{Unresponsive: true})
+	fleet.Engines[0].SetFaults(engine.Faults{Unresponsive: true})
 	loadgen.Traffic{Edges: func() []string { return []string{fleet.Engines[0].Addr()} }, Rate: 200,
 		Duration: 500 * time.Millisecond, Seed: 1, Prefixes: 1, PrefixWords: 3, Turns: 1, Log: log,
 		Routes: []loadgen.Route{{Name: "a", Share: 1, Timeout: 100 * time.Millisecond}}}.Run(ctx)
