--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -25,17 +25,23 @@
 	maxResponse     = 8 << 20
 	maxEvent        = 1 << 20
 	readSize        = 4096
+
+	completionsPath = "/v1/chat/completions"
+	// headerRetryAfterMillis is Retry-After with the exact time.
+	headerRetryAfterMillis = "Retry-After-Ms"
 )
 
-// Request is one attempt of a client.
+// Request is one request of a client.
 type Request struct {
-	Route, Session, RequestID string
-	Messages                  []Message
-	MaxTokens                 int
-	Timeout                   time.Duration
-	Unary                     bool          // one response, not a stream
-	DisconnectAfter           time.Duration // after which the client disconnects; 0 for never
-	IdempotencyKey            string
+	Route           string // sent as the model
+	Session         string
+	RequestID       string // the client's own, the same for all attempts
+	Messages        []Message
+	MaxTokens       int
+	Timeout         time.Duration // how long the client waits for a first token, as it tells the edge
+	Unary           bool          // one response, not a stream
+	DisconnectAfter time.Duration // after which the client disconnects; 0 for never
+	IdempotencyKey  string
 }
 
 // Message is one message of a conversation.
@@ -44,14 +50,16 @@
 	Content string `json:"content"`
 }
 
-// body is the request's body.
+// requestBody is the body of a request, its fields in the order in which they are sent.
+type requestBody struct {
+	MaxTokens int       `json:"max_tokens"`
+	Messages  []Message `json:"messages"`
+	Model     string    `json:"model"`
+	Stream    bool      `json:"stream"`
+}
+
 func (r Request) body() ([]byte, error) {
-	return json.Marshal(struct {
-		MaxTokens int       `json:"max_tokens"`
-		Messages  []Message `json:"messages"`
-		Model     string    `json:"model"`
-		Stream    bool      `json:"stream"`
-	}{max(1, r.MaxTokens), r.Messages, r.Route, !r.Unary})
+	return json.Marshal(requestBody{MaxTokens: max(1, r.MaxTokens), Messages: r.Messages, Model: r.Route, Stream: !r.Unary})
 }
 
 // setHeaders sets the headers that have a value.
@@ -65,8 +73,8 @@
 	}
 }
 
-// hasLeft reports whether an error is of a client that disconnected.
-func (r Request) hasLeft(err error) bool {
+// disconnected is whether an error is that of a client that disconnects early.
+func (r Request) disconnected(err error) bool {
 	return r.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded)
 }
 
@@ -84,7 +92,8 @@
 
 // Do sends one attempt and records how it ended. RetryAfter is what a response that shed the request advises.
 func (c *Client) Do(ctx context.Context, edge string, request Request) (record audit.ClientRecord, retryAfter time.Duration) {
-	record = audit.ClientRecord{ClientRequestID: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(), Outcome: audit.OutcomeLost}
+	record = audit.ClientRecord{ClientRequestID: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(),
+		Outcome: audit.OutcomeLost}
 	record.Deadline = record.Sent.Add(request.Timeout)
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout+responseTimeout)
 	defer cancel()
@@ -95,7 +104,7 @@
 	response, err := c.send(ctx, edge, request)
 	if err != nil {
 		record.End, record.Reason = time.Now(), err.Error()
-		if request.hasLeft(err) {
+		if request.disconnected(err) {
 			record.Outcome = audit.OutcomeAbandoned
 		}
 		return record, 0
@@ -107,7 +116,7 @@
 		return record, 0
 	}
 	readUnary(response, &record)
-	milliseconds, _ := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
+	milliseconds, _ := strconv.Atoi(response.Header.Get(headerRetryAfterMillis))
 	return record, time.Duration(milliseconds) * time.Millisecond
 }
 
@@ -116,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/chat/completions", bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+completionsPath, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -158,9 +167,9 @@
 			err = feedErr
 		}
 	}
-	if err != io.EOF {
+	if !errors.Is(err, io.EOF) {
 		record.Reason = err.Error()
-		if record.OutcomeCount == 0 && request.hasLeft(err) {
+		if record.OutcomeCount == 0 && request.disconnected(err) {
 			record.Outcome = audit.OutcomeAbandoned
 		}
 	}
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -14,15 +14,16 @@
 	"sandcourse/internal/audit"
 )
 
-// maxFirstToken is the longest time to a first token that a histogram holds.
+// maxFirstToken is the longest time to a first token that a histogram is sure to hold.
 const maxFirstToken = 10 * time.Minute
 
 // Summary is the outcome of a run. Values are in priority weight.
 type Summary struct {
-	Offered, InTime float64 // by first attempts, and by completed requests whose first token came in time
-	Outcomes        map[audit.Outcome]int
-	FirstTokens     map[string]*hdrhistogram.Histogram // in microseconds, by route
-	Attempts        int
+	Offered     float64 // value of all requests
+	InTime      float64 // value of the completed requests whose first token came in time
+	Outcomes    map[audit.Outcome]int
+	FirstTokens map[string]*hdrhistogram.Histogram // in microseconds, by route
+	Attempts    int
 }
 
 // Summarize adds up the records of clients. The attempts of a request count with its first.
@@ -30,23 +31,23 @@
 	s := Summary{Outcomes: map[audit.Outcome]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(records)}
 	firstSent, served := map[string]time.Time{}, map[string]bool{}
 	slices.SortStableFunc(records, func(a, b audit.ClientRecord) int { return a.Sent.Compare(b.Sent) })
-	for _, c := range records {
-		i := slices.IndexFunc(routes, func(r Route) bool { return r.Name == c.Route })
+	for _, record := range records {
+		i := slices.IndexFunc(routes, func(r Route) bool { return r.Name == record.Route })
 		if i < 0 {
 			continue
 		}
 		route := routes[i]
-		if _, ok := firstSent[c.ClientRequestID]; !ok {
-			firstSent[c.ClientRequestID] = c.Sent
+		if _, ok := firstSent[record.ClientRequestID]; !ok {
+			firstSent[record.ClientRequestID] = record.Sent
 			s.Offered += route.PriorityWeight
 		}
-		s.Outcomes[c.Outcome]++
-		if c.FirstToken > 0 {
-			s.recordFirstToken(route.Name, c.FirstToken)
+		s.Outcomes[record.Outcome]++
+		if record.FirstToken > 0 {
+			s.recordFirstToken(route.Name, record.FirstToken)
 		}
-		inTime := c.Sent.Sub(firstSent[c.ClientRequestID])+c.FirstToken <= route.FirstTokenTarget
-		if c.Outcome == audit.OutcomeCompleted && c.FirstToken > 0 && inTime && !served[c.ClientRequestID] {
-			served[c.ClientRequestID] = true
+		inTime := record.Sent.Sub(firstSent[record.ClientRequestID])+record.FirstToken <= route.FirstTokenTarget
+		if record.Outcome == audit.OutcomeCompleted && record.FirstToken > 0 && inTime && !served[record.ClientRequestID] {
+			served[record.ClientRequestID] = true
 			s.InTime += route.PriorityWeight
 		}
 	}
@@ -57,7 +58,7 @@
 	if s.FirstTokens[route] == nil {
 		s.FirstTokens[route] = hdrhistogram.New(1, maxFirstToken.Microseconds(), 3)
 	}
-	s.FirstTokens[route].RecordValue(after.Microseconds())
+	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails on what is too long to hold, which is left out
 }
 
 // Print writes it as a table.
@@ -71,9 +72,13 @@
 	t.Flush()
 	fmt.Fprintln(t, "model route\tfirst tokens\tp50 ms\tp90 ms\tp99 ms")
 	for _, name := range slices.Sorted(maps.Keys(s.FirstTokens)) {
-		h := s.FirstTokens[name]
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, h.TotalCount(), float64(h.ValueAtQuantile(50))/1000,
-			float64(h.ValueAtQuantile(90))/1000, float64(h.ValueAtQuantile(99))/1000)
+		histogram := s.FirstTokens[name]
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\n", name, histogram.TotalCount(), quantileMillis(histogram, 50),
+			quantileMillis(histogram, 90), quantileMillis(histogram, 99))
 	}
 	t.Flush()
 }
+
+func quantileMillis(microseconds *hdrhistogram.Histogram, quantile float64) float64 {
+	return float64(microseconds.ValueAtQuantile(quantile)) / 1000
+}
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -13,14 +13,21 @@
 	"sandcourse/internal/audit"
 )
 
+// Streams of random numbers: the second half of a generator's seed.
+const (
+	trafficStream = 0x5eed
+	clientStream  = 1
+	textStream    = 7
+)
+
 const (
 	minRate           = 0.01 // requests a second
 	sessionReuseShare = 0.6  // of the requests that continue a session
 	unaryShare        = 0.1  // of the requests that ask for one response
 	minUserWords      = 20
 	userWordsRange    = 60
-	minRetryPause     = 100 * time.Millisecond
-	retryJitter       = 100 // milliseconds
+	minBackoff        = 100 * time.Millisecond
+	backoffJitter     = 100 // milliseconds
 	hotPrefixSeconds  = 10  // for which a hot prefix stays the same
 	firstHotPrefix    = 1_000_000
 	firstUserText     = 2_000_000
@@ -28,12 +35,13 @@
 
 // Route is one model route as clients use it.
 type Route struct {
-	Name                  string
-	Share, PriorityWeight float64
-	Retriable             bool
-	FirstTokenTarget      time.Duration // within which the first token is wanted
-	Timeout               time.Duration
-	MaxTokens             int
+	Name             string
+	Share            float64       // of the requests, in proportion to the other routes
+	PriorityWeight   float64       // value of a request
+	Retriable        bool          // clients retry whatever failed, not only what was shed
+	FirstTokenTarget time.Duration // latency objective of the first token
+	Timeout          time.Duration
+	MaxTokens        int
 }
 
 // Traffic is an open loop: requests start at their times, however long others take, so that a slow fleet does not
@@ -59,7 +67,7 @@
 func (t Traffic) Run(ctx context.Context) {
 	client := NewClient()
 	defer client.Close()
-	g := &generator{Traffic: t, random: rand.New(rand.NewPCG(t.Seed, 0x5eed))}
+	g := &generator{Traffic: t, random: rand.New(rand.NewPCG(t.Seed, trafficStream))}
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	startedAt := time.Now()
@@ -156,9 +164,15 @@
 	return s
 }
 
-// sendWithRetries is one client. It retries any failure of what is retriable, else only what was shed.
+// retries is whether a client retries after this outcome.
+func (r Route) retries(outcome audit.Outcome) bool {
+	failed := outcome == audit.OutcomeErrored || outcome == audit.OutcomeLost
+	return outcome == audit.OutcomeShed || r.Retriable && failed
+}
+
+// sendWithRetries is one client with its retries.
 func (t Traffic) sendWithRetries(ctx context.Context, client *Client, request Request, route Route, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, clientStream))
 	for attempt := 0; ; attempt++ {
 		edges := t.Edges()
 		if len(edges) == 0 {
@@ -166,14 +180,13 @@
 		}
 		record, retryAfter := client.Do(ctx, edges[random.IntN(len(edges))], request)
 		t.Log.RecordClient(record)
-		harmless := record.Outcome == audit.OutcomeShed || route.Retriable && (record.Outcome == audit.OutcomeErrored || record.Outcome == audit.OutcomeLost)
-		if !harmless || attempt >= t.Retries || ctx.Err() != nil {
+		if !route.retries(record.Outcome) || attempt >= t.Retries || ctx.Err() != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(retryAfter, minRetryPause) + time.Duration(random.IntN(retryJitter))*time.Millisecond):
+		case <-time.After(max(retryAfter, minBackoff) + time.Duration(random.IntN(backoffJitter))*time.Millisecond):
 		}
 	}
 }
@@ -183,7 +196,7 @@
 
 // generateText is the same for the same number.
 func generateText(number, words int) string {
-	random := rand.New(rand.NewPCG(uint64(number), 7))
+	random := rand.New(rand.NewPCG(uint64(number), textStream))
 	var b strings.Builder
 	for range words {
 		b.WriteString(vocabulary[random.IntN(len(vocabulary))])
