--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -68,19 +68,19 @@
 	}
 	log := process.NewLogger()
 	defer log.Sync()
-	node := edge.New(deployment, log, nil, uint64(time.Now().UnixNano()))
-	if err := node.Start(); err != nil {
+	e := edge.New(deployment, log, nil, uint64(time.Now().UnixNano()))
+	if err := e.Start(); err != nil {
 		return err
 	}
 	signals.AwaitStop(log)
 	signal.Reset(syscall.SIGTERM, os.Interrupt)
-	drain(node, log)
+	drain(e, log)
 	return nil
 }
 
 // drain ends an edge gracefully.
-func drain(node *edge.Edge, log *zap.Logger) {
-	if err := node.Drain(context.Background()); err != nil {
+func drain(e *edge.Edge, log *zap.Logger) {
+	if err := e.Drain(context.Background()); err != nil {
 		log.Warn("drain incomplete, requests abandoned", zap.Error(err))
 	}
 }
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -37,17 +37,17 @@
 	discoveryAddress := make(chan string, 1)
 	discoveryAddress <- configuration.DiscoveryAddress
 	agent := discovery.Client{Addresses: discoveryAddress, Cached: configuration.CachedEndpoints}
-	node := edge.NewWithProtocol(deployment, log, agent, configuration.SeedValue(), platform.NewCodec(configuration.LoadReportFields()))
-	if err := node.ListenForPeers(configuration.PeerListenAddress, configuration.Peers, configuration.PeerBroadcastAddress); err != nil {
+	e := edge.NewWithProtocol(deployment, log, agent, configuration.SeedValue(), platform.NewCodec(configuration.LoadReportFields()))
+	if err := e.ListenForPeers(configuration.PeerListenAddress, configuration.Peers, configuration.PeerBroadcastAddress); err != nil {
 		return err
 	}
-	if err := node.Start(); err != nil {
+	if err := e.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go (&reloader{file: file, hangups: signals.Reload, discoveryAddress: discoveryAddress, log: log}).run(ctx)
 	<-signals.Stop
-	drain(node, log)
+	drain(e, log)
 	return nil
 }
--- a/cmd/sandcourse/demo.go
+++ b/cmd/sandcourse/demo.go
@@ -81,13 +81,13 @@
 	if err != nil {
 		return err
 	}
-	node := edge.New(deployment, log, nil, uint64(time.Now().UnixNano()))
-	if err := node.Start(); err != nil {
+	e := edge.New(deployment, log, nil, uint64(time.Now().UnixNano()))
+	if err := e.Start(); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), demoText, o.prefill, o.decode, node.Addr(), fleet.Path)
+	fmt.Fprintf(c.OutOrStdout(), demoText, o.prefill, o.decode, e.Addr(), fleet.Path)
 	ctx, stop := untilStopped(context.Background())
 	<-ctx.Done()
 	stop()
-	return node.Drain(context.Background())
+	return e.Drain(context.Background())
 }
--- a/cmd/sandcourse/golden_test.go
+++ b/cmd/sandcourse/golden_test.go
@@ -9,10 +9,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"sandcourse/internal/golden"
 	"strings"
 	"testing"
 	"time"
+
+	"sandcourse/internal/golden"
 )
 
 // What operators' commands ask of a planner, to the byte, and what they print of its answers.
