--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -48,17 +48,23 @@
 // engine's answer, or a reason of package invariant.
 type AttemptReason string
 
-// The reasons of the router itself.
+// The reasons of the router itself that are only logged.
 const (
-	reasonCanceled           AttemptReason = "withdrawn"
-	reasonClientDisconnected AttemptReason = "its client left"
-	reasonConnectionLimit    AttemptReason = "no line to it may be opened"
-	reasonConnectionLost     AttemptReason = "the connection is gone"
-	reasonSecondHead         AttemptReason = "a second head"
-
-	// These come before an error or a duration.
-	reasonDialFailed AttemptReason = "no connection: "
-	reasonStalled    AttemptReason = "no token for "
+	reasonClientDisconnected AttemptReason = "client disconnected"
+	reasonConnectionLimit    AttemptReason = "connection limit reached"
+
+	// reasonDialFailed comes before an error.
+	reasonDialFailed AttemptReason = "dial failed: "
+)
+
+// The reasons of the router itself that end streams, and so are part of answers to clients.
+const (
+	reasonCanceled       AttemptReason = "withdrawn"
+	reasonConnectionLost AttemptReason = "the connection is gone"
+	reasonSecondHead     AttemptReason = "a second head"
+
+	// reasonStalled comes before a duration.
+	reasonStalled AttemptReason = "no token for "
 )
 
 // RejectReason is why a message or a connection of a client was rejected. The values are labels of metrics.
