--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -22,7 +22,7 @@
 	errUnknownRequest = errors.New("emulator: an attempt of a request that no client sent")
 )
 
-// limits of the requests that a router writes.
+// requestLimits bound the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
 // remotePrefill marks the body of a decode request.
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -77,7 +77,7 @@
 		s.violated.add("P11 %s is completed, and no decode engine has sent its last event", c.requestID)
 	}
 	cannotHaveRun := c.possibleRuns == 0 && s.attemptsInFlight(c.requestID) == 0 && c.effect == config.EffectNonRetriable
-	early := c.overdue() < -timeoutMarginTick*tick
+	early := c.overdue() < -timeoutMarginTicks*tick
 	if c.outcome == outcomeErrored && early && cannotHaveRun && !c.isStreaming() {
 		s.violated.add("P11 %s is errored before its timeout, and cannot have run", c.requestID)
 	}
--- a/internal/modelcheck/connection.go
+++ b/internal/modelcheck/connection.go
@@ -46,7 +46,7 @@
 	request       *engineRequest
 }
 
-// limits of the requests that a router writes.
+// requestLimits bound the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
 // remotePrefill marks the body of a decode request.
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -72,17 +72,17 @@
 // The times of all worlds are short, so that few timers lie between a request and its end. Their order is that of the
 // defaults: tick below drain grace below reservation limit below client timeout.
 const (
-	clientTimeout     = 300 * time.Millisecond
-	firstTokenTarget  = 100 * time.Millisecond
-	tick              = 5 * time.Millisecond
-	drainGrace        = 50 * time.Millisecond
-	reservationLimit  = 200 * time.Millisecond
-	stallTimeout      = 100 * time.Millisecond
-	idleTimeout       = 150 * time.Millisecond
-	dialTimeout       = 100 * time.Millisecond
-	dedupWindow       = time.Second
-	defaultPerEngine  = 4 // connections
-	timeoutMarginTick = 4 // ticks before a client's timeout at which a response may give up on it
+	clientTimeout      = 300 * time.Millisecond
+	firstTokenTarget   = 100 * time.Millisecond
+	tick               = 5 * time.Millisecond
+	drainGrace         = 50 * time.Millisecond
+	reservationLimit   = 200 * time.Millisecond
+	stallTimeout       = 100 * time.Millisecond
+	idleTimeout        = 150 * time.Millisecond
+	dialTimeout        = 100 * time.Millisecond
+	dedupWindow        = time.Second
+	defaultPerEngine   = 4 // connections
+	timeoutMarginTicks = 4 // ticks before a client's timeout at which a response may give up on it
 	// timerDelay is how late a loaded machine may run a timer: more than a tick, less than the margin before a
 	// client's timeout, which is three ticks.
 	timerDelay = 12 * time.Millisecond
