--- a/cmd/sandcourse/soak.go
+++ b/cmd/sandcourse/soak.go
@@ -34,7 +34,7 @@
 	flags.StringVar(&config.Binary, "edge", edgeBinary(), "the edge's binary")
 	flags.Uint64Var(&config.Seed, "seed", 1, "the first seed; it draws the faults")
 	flags.IntVar(&seeds, "seeds", 1, "how many seeds are run, one after the other")
-	flags.IntVar(&config.Routers, "nodes", 24, "how many edges, each a process")
+	flags.IntVar(&config.Edges, "nodes", 24, "how many edges, each a process")
 	flags.IntVar(&config.Engines, "engines", 6, "how many fake engines of each role")
 	flags.IntVar(&config.Clients, "clients", 60, "how many clients send requests at the same time")
 	flags.IntVar(&config.ConcurrentFaults, "overlap", 3, "how many faults run at the same time")
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -7,278 +7,191 @@
 	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
-	"strings"
 	"time"
 
 	"sandcourse/internal/audit"
 	"sandcourse/internal/protocol/platform"
 )
 
-// longestDeadline is the longest time that a client waits for its first event.
-const longestDeadline = 3 * time.Second
+const (
+	// longestDeadline is the longest time that a client waits for its first event.
+	longestDeadline = 3 * time.Second
+	// longestClientPause is the longest time between two requests of a client.
+	longestClientPause = 120 * time.Millisecond
+	// responseTimeout is how long after the deadline a client still waits for a response, which is late then.
+	responseTimeout = 5 * time.Second
+	// connectTimeout is how long a client waits for its connection.
+	connectTimeout = time.Second
+)
 
-// incompleteRequestLimit is within what a client that sends no whole request is owed an error or a close, with what a loaded machine adds.
-const incompleteRequestLimit = 3*time.Second + time.Second
+// requestClasses lists the classes to draw from. The seed determines requests through the order of this list.
+var requestClasses = []requestClass{classChat, classChat, classLabel, classAlert}
 
-// client asks one node after the other, as a front hands it over, and keeps a connection to each.
+// client sends requests to one edge after the other, as a load balancer in front of them distributes them, and keeps a connection
+// to each.
 type client struct {
-	run          *soakRun
+	soak         *soakRun
 	number       int
 	random       *rand.Rand
-	conns        map[*routerProcess]*clientConnection
+	connections  map[*edgeProcess]*clientConnection
 	requestCount int
 }
 
-type clientConnection struct {
-	conn net.Conn
-	in   *bufio.Reader
-	used bool
+func newClient(r *soakRun, number, stream int) *client {
+	return &client{soak: r, number: number, random: r.randomStream(stream), connections: map[*edgeProcess]*clientConnection{}}
 }
 
-var classes = []string{"chat", "chat", "label", "alert"}
-
-// work asks until the run ends.
-func (c *client) work(end time.Time) {
+// run sends requests until the run ends.
+func (c *client) run(end time.Time) {
 	defer c.closeAll()
 	for time.Now().Before(end) {
-		n := c.run.routers[c.random.IntN(len(c.run.routers))]
+		p := c.soak.edges[c.random.IntN(len(c.soak.edges))]
 		switch c.random.IntN(20) {
 		case 0:
-			c.incompleteRequest(n)
+			c.sendPartialRequest(p)
 		case 1:
-			c.pipelinedRequests(n)
+			c.sendPipelinedRequests(p)
 		default:
-			c.sendRequest(n)
+			c.sendRequest(p)
 		}
-		time.Sleep(time.Duration(c.random.Int64N(int64(120 * time.Millisecond))))
+		time.Sleep(time.Duration(c.random.Int64N(int64(longestClientPause))))
 	}
 }
 
-func (c *client) closeAll() {
-	for _, conn := range c.conns {
-		conn.conn.Close()
-	}
+// clientConnection is a connection of a client to an edge.
+type clientConnection struct {
+	conn net.Conn
+	in   *bufio.Reader
+	used bool
 }
 
-func (c *client) connect(n *routerProcess) (*clientConnection, error) {
-	if conn := c.conns[n]; conn != nil {
-		return conn, nil
+// connect returns the client's connection to an edge, which it opens where there is none.
+func (c *client) connect(p *edgeProcess) (*clientConnection, error) {
+	if connection := c.connections[p]; connection != nil {
+		return connection, nil
 	}
-	conn, err := net.DialTimeout("tcp", n.addr, time.Second)
+	conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c.conns[n] = &clientConnection{conn: conn, in: bufio.NewReader(conn)}
-	return c.conns[n], nil
+	c.connections[p] = &clientConnection{conn: conn, in: bufio.NewReader(conn)}
+	return c.connections[p], nil
 }
 
-func (c *client) closeConnection(n *routerProcess) {
-	if conn := c.conns[n]; conn != nil {
-		conn.conn.Close()
-		delete(c.conns, n)
+func (c *client) closeConnection(p *edgeProcess) {
+	if connection := c.connections[p]; connection != nil {
+		connection.conn.Close()
+		delete(c.connections, p)
+	}
+}
+
+func (c *client) closeAll() {
+	for _, connection := range c.connections {
+		connection.conn.Close()
 	}
 }
 
 // request is one request in the platform's form.
 type request struct {
-	name, class string
-	wait        time.Duration
+	id      string
+	class   requestClass
+	timeout time.Duration // for the first event
 }
 
-func (c *client) request(n *routerProcess) request {
+// newRequest draws a request to an edge.
+func (c *client) newRequest(p *edgeProcess) request {
 	c.requestCount++
-	class := classes[c.random.IntN(len(classes))]
-	return request{name: fmt.Sprintf("%s-c%dq%d", n.name(), c.number, c.requestCount), class: class,
-		wait: longestDeadline/3 + time.Duration(c.random.Int64N(int64(longestDeadline*2/3)))}
+	class := requestClasses[c.random.IntN(len(requestClasses))]
+	return request{id: fmt.Sprintf("%s-c%dq%d", p.name(), c.number, c.requestCount), class: class,
+		timeout: longestDeadline/3 + time.Duration(c.random.Int64N(int64(longestDeadline*2/3)))}
 }
 
+// text encodes the request.
 func (r request) text() string {
-	body := `{"model":"chat","messages":[]}`
+	const body = `{"model":"chat","messages":[]}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\n%s: s%s\r\n%s: %.3f\r\nContent-Length: %d\r\n\r\n%s",
-		platform.CompletionsPath, platform.HeaderRequestID, r.name, platform.HeaderRequestClass, r.class, platform.HeaderAffinityKey, r.name[len(r.name)-2:],
-		platform.HeaderTimeout, r.wait.Seconds(), len(body), body)
+		platform.CompletionsPath, platform.HeaderRequestID, r.id, platform.HeaderRequestClass, r.class, platform.HeaderAffinityKey, r.id[len(r.id)-2:],
+		platform.HeaderTimeout, r.timeout.Seconds(), len(body), body)
+}
+
+// record begins the audit's record of the request, which is sent now.
+func (r request) record(p *edgeProcess) audit.ClientRecord {
+	now := time.Now()
+	return audit.ClientRecord{ClientRequestID: r.id, RequestID: r.id, Route: string(r.class), Edge: p.name(), Sent: now, Deadline: now.Add(r.timeout)}
 }
 
-// sendRequest sends one request and judges its answer. One in ten clients leaves early. Where the close of a resting connection
-// crosses it, it is sent once more on a new one.
-func (c *client) sendRequest(n *routerProcess) {
-	r := c.request(n)
-	call := audit.ClientRecord{ClientRequestID: r.name, RequestID: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
-	call.Deadline = call.Sent.Add(r.wait)
-	leaves := c.random.IntN(10) == 0
-	for again := false; ; again = true {
-		conn, err := c.connect(n)
+// sendRequest sends one request and records its outcome. One in ten clients disconnects early. A request on a reused connection
+// that the edge closes as idle at the same moment is sent once more on a new one.
+func (c *client) sendRequest(p *edgeProcess) {
+	r := c.newRequest(p)
+	record := r.record(p)
+	disconnects := c.random.IntN(10) == 0
+	for retry := false; ; retry = true {
+		connection, err := c.connect(p)
 		if err != nil {
-			return // it was never taken
+			return // the edge has not accepted it
 		}
-		reused := conn.used
-		conn.used = true
-		conn.conn.SetDeadline(call.Deadline.Add(5 * time.Second))
-		if leaves {
-			conn.conn.SetDeadline(call.Sent.Add(time.Duration(c.random.Int64N(int64(r.wait)))))
+		reused := connection.used
+		connection.used = true
+		connection.conn.SetDeadline(record.Deadline.Add(responseTimeout))
+		if disconnects {
+			connection.conn.SetDeadline(record.Sent.Add(time.Duration(c.random.Int64N(int64(r.timeout)))))
 		}
-		_, err = io.WriteString(conn.conn, r.text())
-		if err == nil {
-			err = c.readResponse(conn, &call)
-		}
-		call.End = time.Now()
+		err = c.exchange(connection, r, &record)
+		record.End = time.Now()
 		if err != nil {
-			c.closeConnection(n)
+			c.closeConnection(p)
 		}
-		if call.Outcome == "" && reused && !again && !errors.Is(err, errTimeout) {
-			continue // the close of a resting connection has crossed it
+		if record.Outcome == "" && reused && !retry && !errors.Is(err, errDeadlineExceeded) {
+			continue // the edge's close of an idle connection has crossed it
 		}
-		c.judgeResponse(n, &call, leaves, err)
+		c.recordOutcome(p, &record, disconnects, err)
 		return
 	}
 }
 
-var errTimeout = errors.New("the client's time is over")
-
-// readResponse reads one answer; an error says that the connection serves no further use.
-func (c *client) readResponse(conn *clientConnection, call *audit.ClientRecord) error {
-	answer, err := http.ReadResponse(conn.in, nil)
-	if err != nil {
-		return timeout(err)
-	}
-	defer answer.Body.Close()
-	call.OutcomeCount = 1
-	first := make([]byte, 1)
-	if _, err := io.ReadFull(answer.Body, first); err != nil && !errors.Is(err, io.EOF) {
-		call.Outcome = audit.OutcomeErrored
-		return timeout(err)
-	}
-	if answer.StatusCode == http.StatusOK {
-		call.FirstToken = time.Since(call.Sent)
-	}
-	rest, err := io.ReadAll(answer.Body)
-	switch {
-	case answer.StatusCode == http.StatusOK && err == nil && strings.Contains(string(rest), "[DONE]"):
-		call.Outcome = audit.OutcomeCompleted
-	case answer.StatusCode == http.StatusOK && err == nil:
-		call.Outcome, call.Reason = audit.OutcomeCompleted, "a stream without its end came with its last chunk"
-		c.run.violate("%s: a stream without its end came with its last chunk: %q", call.ClientRequestID, rest)
-	case answer.StatusCode == http.StatusOK:
-		call.Outcome = audit.OutcomeErrored // the stream broke
-	case answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests:
-		call.Outcome = audit.OutcomeShed
-	default:
-		call.Outcome = audit.OutcomeErrored
-	}
-	c.run.countResponse(fmt.Sprint(answer.StatusCode))
-	if err != nil {
-		return timeout(err)
-	}
-	if answer.Close {
-		return errors.New("the node closes")
-	}
-	return nil
-}
-
-func timeout(err error) error {
-	var netErr net.Error
-	if errors.As(err, &netErr) && netErr.Timeout() {
-		return errTimeout
+// exchange sends a request and reads its response. An error says that the connection can't be used any more.
+func (c *client) exchange(connection *clientConnection, r request, record *audit.ClientRecord) error {
+	if _, err := io.WriteString(connection.conn, r.text()); err != nil {
+		return err
 	}
-	return err
+	return c.readResponse(connection, record)
 }
 
-// judgeResponse notes how a call ended. A connection that broke without an answer has lost what was taken on it, unless its node
-// was ending or not there.
-func (c *client) judgeResponse(n *routerProcess, call *audit.ClientRecord, leaves bool, err error) {
+// recordOutcome records how a request ended. One without a response whose connection broke is lost, unless its edge was
+// shutting down or not running.
+func (c *client) recordOutcome(p *edgeProcess, record *audit.ClientRecord, disconnects bool, err error) {
 	switch {
-	case call.Outcome != "":
-	case leaves:
-		call.Outcome = audit.OutcomeAbandoned
-	case n.wasAway(call.Sent, call.End):
-		call.Outcome = audit.OutcomeAbandoned // a new connection may be closed unread then; an ending node's are judged by engines' records
-		c.run.noteUnanswered(n, *call)
+	case record.Outcome != "":
+	case disconnects:
+		record.Outcome = audit.OutcomeAbandoned
+	case p.wasDown(record.Sent, record.End):
+		// A new connection may be closed unread then. Whether the request was read, the engines' records tell.
+		record.Outcome = audit.OutcomeAbandoned
+		c.soak.noteUnanswered(p, *record)
 	default:
-		call.Outcome, call.Reason = audit.OutcomeLost, fmt.Sprint(err)
-	}
-	c.run.log.RecordClient(*call)
-}
-
-// noteUnanswered keeps a call without an answer for the judge, unless its node was killed.
-func (r *soakRun) noteUnanswered(n *routerProcess, call audit.ClientRecord) {
-	if n.wasKilled(call.Sent, call.End) {
-		return
+		record.Outcome, record.Reason = audit.OutcomeLost, fmt.Sprint(err)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.unanswered = append(r.unanswered, call)
+	c.soak.log.RecordClient(*record)
 }
 
-// incompleteRequest sends a part of a request and stays: an error or a close is owed to it.
-func (c *client) incompleteRequest(n *routerProcess) {
-	conn, err := net.DialTimeout("tcp", n.addr, time.Second)
-	if err != nil {
-		return
-	}
-	r := c.request(n)
-	text := r.text()
-	cut := 1 + c.random.IntN(len(text)-1)
-	before := ""
-	if c.random.IntN(2) == 0 { // behind a request that is served
-		before = c.request(n).text()
-	}
-	c.run.auxiliary.Go(func() {
-		defer conn.Close()
-		if _, err := io.WriteString(conn, before+text[:cut]); err != nil {
-			return
+// awaitServed sends requests to an edge until one is completed; false where none is in time.
+func (c *client) awaitServed(p *edgeProcess, timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		connection, err := c.connect(p)
+		if err != nil {
+			continue
 		}
-		begun := time.Now()
-		owed := incompleteRequestLimit
-		if before != "" {
-			owed += longestDeadline + time.Second // until the one before is served
+		r := c.newRequest(p)
+		r.timeout = longestDeadline
+		connection.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
+		record := r.record(p)
+		if err := c.exchange(connection, r, &record); err != nil {
+			c.closeConnection(p)
 		}
-		conn.SetDeadline(begun.Add(owed))
-		answers, err := io.ReadAll(conn)
-		if errors.Is(timeout(err), errTimeout) && !n.wasAway(begun, time.Now()) {
-			c.run.violate("%s: half a request (%d bytes, behind another: %v) has no error and no close after %v; got %q",
-				n.name(), cut, before != "", owed, answers)
+		if record.Outcome == audit.OutcomeCompleted {
+			return true
 		}
-		c.run.countResponse("half")
-	})
-}
-
-// pipelinedRequests sends some requests at once; all are answered, in order.
-func (c *client) pipelinedRequests(n *routerProcess) {
-	conn, err := net.DialTimeout("tcp", n.addr, time.Second)
-	if err != nil {
-		return
 	}
-	var row []request
-	text := ""
-	for range 2 + c.random.IntN(4) {
-		r := c.request(n)
-		r.wait = longestDeadline
-		row = append(row, r)
-		text += r.text()
-	}
-	c.run.auxiliary.Go(func() {
-		defer conn.Close()
-		in := bufio.NewReader(conn)
-		begun := time.Now()
-		conn.SetDeadline(begun.Add(time.Duration(len(row)) * 2 * longestDeadline))
-		if _, err := io.WriteString(conn, text); err != nil {
-			return
-		}
-		for i, r := range row {
-			answer, err := http.ReadResponse(in, nil)
-			if err != nil {
-				if !n.wasAway(begun, time.Now()) {
-					c.run.violate("%s: %d of %d requests sent at once have no answer: %v", r.name, len(row)-i, len(row), err)
-				}
-				return
-			}
-			_, err = io.Copy(io.Discard, answer.Body)
-			answer.Body.Close()
-			if err != nil || answer.Close {
-				return // a stream broke: its connection ends with those that wait behind it
-			}
-		}
-		c.run.countResponse("pipelined")
-	})
+	return false
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net"
 	"net/http"
 	"slices"
@@ -10,178 +11,196 @@
 	"time"
 )
 
-// The states of an instance in discovery.
+// instanceState is the state of an instance in discovery, as it is on the wire.
+type instanceState string
+
+const (
+	serving  instanceState = "SERVING"
+	draining instanceState = "DRAINING"
+	deleted  instanceState = "DELETED"
+)
+
 const (
-	serving  = "SERVING"
-	draining = "DRAINING"
-	deleted  = "DELETED"
+	// watchInterval is how often agents look for watches whose time is over.
+	watchInterval = 50 * time.Millisecond
+	// agentOverlap is how long an agent that has moved still serves its old address.
+	agentOverlap = 1500 * time.Millisecond
+	// slowChunks is into how many chunks a slow agent splits a list.
+	slowChunks = 10
 )
 
-// instance is one engine as discovery lists it. Hosts has its address for each group of nodes.
+// instance is one engine in discovery.
 type instance struct {
-	id, kind, state string
-	started         int64 // Unix milliseconds
-	hosts           []string
-	changed         int64 // the generation of its last change
+	id, kind   string
+	state      instanceState
+	started    int64    // Unix milliseconds
+	hosts      []string // its address for each group of edges
+	generation int64    // of its last change
 }
 
-// discovery is the state of discovery, and the agents that tell it, one for each group of nodes.
+// discovery is the state of discovery and its agents, one for each group of edges.
 type discovery struct {
 	mu         sync.Mutex
-	changed    *sync.Cond
+	updated    *sync.Cond
 	generation int64
 	instances  []*instance
 	agents     []*discoveryAgent
 }
 
-// discoveryAgent tells one group of nodes. It may be silent, and it may move to another address.
+// discoveryAgent serves the list to one group of edges. It may be unresponsive or slow, and it may move to another address.
 type discoveryAgent struct {
-	discovery *discovery
-	group     int
-	server    *http.Server
-	addr      string
-	silent    bool
-	pause     time.Duration // between two pieces of a whole list; 0 for at once
-	calls     int
+	discovery    *discovery
+	group        int
+	server       *http.Server
+	addr         string
+	unresponsive bool
+	chunkDelay   time.Duration // after each chunk of a list; 0 for a list in one piece
 }
 
+// newDiscovery starts an agent for each group.
 func newDiscovery(groups int) (*discovery, error) {
 	d := &discovery{generation: 1}
-	d.changed = sync.NewCond(&d.mu)
-	for g := range groups {
-		a := &discoveryAgent{discovery: d, group: g}
+	d.updated = sync.NewCond(&d.mu)
+	for group := range groups {
+		a := &discoveryAgent{discovery: d, group: group}
 		d.agents = append(d.agents, a)
 		if err := a.listen(); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("discovery agent of group %d: %w", group, err)
 		}
 	}
-	go d.tick()
+	go d.wakeWatches()
 	return d, nil
 }
 
-// tick wakes watches whose time is over.
-func (d *discovery) tick() {
-	for range time.Tick(50 * time.Millisecond) {
+// wakeWatches wakes watches whose time is over.
+func (d *discovery) wakeWatches() {
+	for range time.Tick(watchInterval) {
 		d.mu.Lock()
-		d.changed.Broadcast()
+		d.updated.Broadcast()
 		d.mu.Unlock()
 	}
 }
 
+// listen starts serving at a new address.
 func (a *discoveryAgent) listen() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", a.serve)
-	a.server, a.addr = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}, listener.Addr().String()
-	go a.server.Serve(listener)
+	mux.HandleFunc("GET /catalog/members", a.serveList)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
+	a.server, a.addr = server, listener.Addr().String()
+	go func() { _ = server.Serve(listener) }() // returns an error in any case, once it is closed
 	return nil
 }
 
-// oldAgentTime is how long an agent that has moved leaves its open connections.
-const oldAgentTime = 1500 * time.Millisecond
+// agentAddr returns the address of a group's agent.
+func (d *discovery) agentAddr(group int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.agents[group].addr
+}
 
-// moveAgent gives the agent of a group another address, and returns it.
-func (d *discovery) moveAgent(group int) (string, error) {
+// moveAgent gives the agent of a group another address.
+func (d *discovery) moveAgent(group int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.agents[group]
 	old := a.server
-	time.AfterFunc(oldAgentTime, func() { old.Close() })
-	if err := a.listen(); err != nil {
-		return "", err
-	}
-	return a.addr, nil
+	time.AfterFunc(agentOverlap, func() { old.Close() })
+	return a.listen()
 }
 
-func (d *discovery) setSilent(group int, silent bool) {
+func (d *discovery) setUnresponsive(group int, unresponsive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.agents[group].silent = silent
-	d.changed.Broadcast()
+	d.agents[group].unresponsive = unresponsive
+	d.updated.Broadcast()
 }
 
-func (d *discovery) setSlow(group int, pause time.Duration) {
+func (d *discovery) setChunkDelay(group int, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.agents[group].pause = pause
+	d.agents[group].chunkDelay = delay
 }
 
-// put adds an instance, or changes the state of one.
-func (d *discovery) put(i *instance) {
+// update adds an instance, or replaces the one with its ID.
+func (d *discovery) update(i *instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	i.changed = d.generation
-	if at := slices.IndexFunc(d.instances, func(o *instance) bool { return o.id == i.id }); at >= 0 {
+	i.generation = d.generation
+	if at := slices.IndexFunc(d.instances, func(other *instance) bool { return other.id == i.id }); at >= 0 {
 		d.instances[at] = i
 	} else {
 		d.instances = append(d.instances, i)
 	}
-	d.changed.Broadcast()
+	d.updated.Broadcast()
 }
 
+// wireInstance is an instance as agents send it.
 type wireInstance struct {
-	ID      string  `json:"instanceId"`
-	Host    string  `json:"hostPort"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"machineType"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"lifecycle"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"startedAtMs"`
+	ID      string        `json:"instanceId"`
+	Host    string        `json:"hostPort"`
+	Zone    string        `json:"zone"`
+	Kind    string        `json:"machineType"`
+	Cell    int           `json:"cell"`
+	State   instanceState `json:"lifecycle"`
+	Weight  float64       `json:"weight"`
+	Started int64         `json:"startedAtMs"`
 }
 
+// wireList is an agent's response.
 type wireList struct {
 	Generation int64          `json:"generation"`
-	Whole      bool           `json:"reset"`
+	Reset      bool           `json:"reset"` // the list is complete, not a change
 	Instances  []wireInstance `json:"instances"`
 }
 
-// list is what a group is told that knows a generation; 0 for the whole list. The caller holds mu.
+// list encodes what a group that knows a generation has to be sent; the complete list where it knows none. The caller holds mu.
 func (d *discovery) list(group int, since int64) []byte {
-	out := wireList{Generation: d.generation, Whole: since == 0, Instances: []wireInstance{}}
+	out := wireList{Generation: d.generation, Reset: since == 0, Instances: []wireInstance{}}
 	for _, i := range d.instances {
-		if i.changed > since && (since > 0 || i.state != deleted) {
+		if i.generation > since && (since > 0 || i.state != deleted) {
 			out.Instances = append(out.Instances, wireInstance{ID: i.id, Host: i.hosts[group], Zone: "a", Kind: i.kind, State: i.state,
 				Weight: 1, Started: i.started})
 		}
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // of numbers and strings
+		panic(err) // can't happen: it has numbers and strings alone
 	}
 	return data
 }
 
-// snapshot is the list for a node that starts.
+// snapshot returns the complete list for an edge that starts.
 func (d *discovery) snapshot(group int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list(group, 0)
 }
 
-func (a *discoveryAgent) serve(w http.ResponseWriter, r *http.Request) {
-	index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
+// serveList responds to a watch: at once where the list has changed since the generation of the request, else when it
+// changes or when the time of the request is over.
+func (a *discoveryAgent) serveList(w http.ResponseWriter, r *http.Request) {
+	known, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	d := a.discovery
 	d.mu.Lock()
-	a.calls++
-	for r.Context().Err() == nil && (a.silent || index > 0 && d.generation <= index && time.Now().Before(end)) {
-		d.changed.Wait()
+	for r.Context().Err() == nil && (a.unresponsive || known > 0 && d.generation <= known && time.Now().Before(end)) {
+		d.updated.Wait()
 	}
-	answer, pause := d.list(a.group, index), a.pause
+	list, delay := d.list(a.group, known), a.chunkDelay
 	d.mu.Unlock()
-	if pause == 0 {
-		w.Write(answer)
+	if delay == 0 {
+		w.Write(list)
 		return
 	}
-	for piece := range slices.Chunk(answer, 1+len(answer)/10) {
-		w.Write(piece)
+	for chunk := range slices.Chunk(list, 1+len(list)/slowChunks) {
+		w.Write(chunk)
 		w.(http.Flusher).Flush()
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
--- /dev/null
+++ b/internal/soak/edge_faults.go
@@ -0,0 +1,117 @@
+package soak
+
+import (
+	"context"
+	"math/rand/v2"
+	"syscall"
+	"time"
+
+	"sandcourse/internal/audit"
+)
+
+const (
+	pickAttempts     = 10  // to find an edge that no other injector has
+	interruptSignals = 100 // of one fault
+)
+
+// onEdge plays a fault on a random edge that no other injector has; none where all that were drawn are taken.
+func (r *soakRun) onEdge(fault func(context.Context, *rand.Rand, *edgeProcess)) injector {
+	return func(ctx context.Context, random *rand.Rand) {
+		p := r.pickEdge(random)
+		if p == nil {
+			return
+		}
+		defer p.releaseFromFault()
+		fault(ctx, random, p)
+	}
+}
+
+func (r *soakRun) pickEdge(random *rand.Rand) *edgeProcess {
+	for range pickAttempts {
+		p := r.edges[random.IntN(len(r.edges))]
+		p.mu.Lock()
+		free := !p.faulty
+		p.faulty = true
+		p.mu.Unlock()
+		if free {
+			return p
+		}
+	}
+	return nil
+}
+
+func (p *edgeProcess) releaseFromFault() {
+	p.mu.Lock()
+	p.faulty = false
+	p.mu.Unlock()
+}
+
+// restart ends an edge by SIGTERM and starts it again. Reloads and further SIGTERMs may come while it shuts down and while it
+// starts.
+func (r *soakRun) restart(_ context.Context, random *rand.Rand, p *edgeProcess) {
+	r.noteFault("%s is terminated", p.name())
+	p.end(false, func() {
+		if random.IntN(2) == 0 {
+			time.Sleep(between(random, 0, 300*time.Millisecond))
+			p.signal(syscall.SIGHUP)
+		}
+		if random.IntN(3) == 0 {
+			p.signal(syscall.SIGTERM)
+		}
+	})
+	r.startAgain(p, random)
+}
+
+// startAgain starts an edge that has ended.
+func (r *soakRun) startAgain(p *edgeProcess, random *rand.Rand) {
+	if err := p.start(); err != nil {
+		r.violate("%s: %v", p.name(), err)
+		return
+	}
+	if random.IntN(2) == 0 { // a reload that coincides with the start
+		time.Sleep(between(random, 5*time.Millisecond, 60*time.Millisecond))
+		p.signal(syscall.SIGHUP)
+	}
+	if err := p.awaitReady(readyTimeout); err != nil {
+		r.violate("%v", err)
+	}
+	p.recovered()
+}
+
+// kill ends an edge by SIGKILL and starts it again.
+func (r *soakRun) kill(_ context.Context, random *rand.Rand, p *edgeProcess) {
+	r.noteFault("%s is killed", p.name())
+	from := time.Now()
+	p.end(true, nil)
+	time.Sleep(between(random, 0, time.Second))
+	r.startAgain(p, random)
+	r.log.RecordOutage(audit.Outage{Edge: p.name(), From: from, To: time.Now()})
+}
+
+// pauseEdge keeps an edge from being scheduled, again and again.
+func (r *soakRun) pauseEdge(ctx context.Context, random *rand.Rand, p *edgeProcess) {
+	r.noteFault("%s is paused", p.name())
+	for range 1 + random.IntN(6) {
+		p.signal(syscall.SIGSTOP)
+		time.Sleep(between(random, 10*time.Millisecond, 150*time.Millisecond))
+		p.signal(syscall.SIGCONT)
+		sleep(ctx, between(random, 10*time.Millisecond, 200*time.Millisecond))
+	}
+}
+
+// exhaustDescriptors lets an edge's accept, socket and dup calls fail with EMFILE for a moment.
+func (r *soakRun) exhaustDescriptors(_ context.Context, random *rand.Rand, p *edgeProcess) {
+	r.noteFault("%s has few descriptors left", p.name())
+	if err := p.limitDescriptors(random.IntN(4), between(random, 100*time.Millisecond, 800*time.Millisecond)); err != nil {
+		r.violate("limit of descriptors: %v", err)
+	}
+}
+
+// interruptSystemCalls sends signals that do nothing but interrupt system calls.
+func (r *soakRun) interruptSystemCalls(ctx context.Context, random *rand.Rand, p *edgeProcess) {
+	r.noteFault("system calls of %s are interrupted", p.name())
+	for range interruptSignals {
+		p.signal(syscall.SIGWINCH)
+		sleep(ctx, between(random, time.Millisecond, 5*time.Millisecond))
+	}
+}
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,90 +10,104 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is what a proxy does to the connections that go through it.
-type Fault uint8
+// proxyFault is what a proxy does to the connections that go through it.
+type proxyFault uint8
 
-// The faults.
 const (
-	Pass   Fault = iota
-	Silent       // nothing passes, no connection ends, new ones come up and stay silent
-	Refuse       // new connections are reset at once, open ones pass
-	Cut          // an answer is cut in its middle, and its connection reset
-	Spoil        // noise comes in place of an answer, and the connection stays open
-	Late         // what nodes send comes some time later
+	noFault            proxyFault = iota
+	unresponsive                  // nothing passes, no connection ends, new ones are accepted and get nothing
+	connectionsRefused            // new connections are reset at once, open ones pass
+	responsesCut                  // a response is cut in its middle, and its connection reset
+	responsesGarbled              // noise comes in place of a response, and the connection stays open
+	requestsDelayed               // what edges send arrives requestDelay later
 )
 
-// lateDelay is how much later what nodes send arrives on a late way.
-const lateDelay = 200 * time.Millisecond
+func (f proxyFault) String() string {
+	return [...]string{"no fault", "unresponsive", "refused", "responses cut", "responses garbled", "requests delayed"}[f]
+}
 
-// garbage is what comes in place of an answer on a spoilt way.
-const garbage = "\x00\x01noise\r\n\r\nHTTP/1.1 200"
+const (
+	requestDelay = 200 * time.Millisecond
+	// garbage is what comes in place of a response.
+	garbage = "\x00\x01noise\r\n\r\nHTTP/1.1 200"
+	// pollInterval is how often an unresponsive connection is checked for its end.
+	pollInterval = 5 * time.Millisecond
+	// proxyBufferSize is how many bytes of a connection are forwarded at once.
+	proxyBufferSize = 16 << 10
+)
 
-// Proxy stands between the nodes of one group and one address. Both sides believe that they talk to each other.
-type Proxy struct {
+// proxy stands between the edges of one group and one engine, and is noticed by neither.
+type proxy struct {
 	listener net.Listener
 	target   string
-	// onNodeClosed is told when the node's side of a connection has ended, with the address by which the target knows it.
-	onNodeClosed func(address string)
+	// onEdgeClosed is called when the edge's side of a connection has ended, with the address by which the engine knows it.
+	onEdgeClosed func(address string)
 
-	mu     sync.Mutex
-	fault  Fault
-	links  map[*proxyLink]bool
-	closed bool
+	mu          sync.Mutex
+	fault       proxyFault
+	connections map[*proxiedConnection]bool
+	closed      bool
 }
 
-type proxyLink struct{ node, target net.Conn }
+// proxiedConnection is the two connections that the proxy joins.
+type proxiedConnection struct{ edge, target net.Conn }
+
+func (c *proxiedConnection) reset() {
+	resetConnection(c.edge)
+	resetConnection(c.target)
+}
 
-// NewProxy listens on a port of its own.
-func NewProxy(target string, onNodeClosed func(address string)) (*Proxy, error) {
+// newProxy starts a proxy that listens on a port of its own.
+func newProxy(target string, onEdgeClosed func(address string)) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, target: target, onNodeClosed: onNodeClosed, links: map[*proxyLink]bool{}}
-	go p.run()
+	p := &proxy{listener: listener, target: target, onEdgeClosed: onEdgeClosed, connections: map[*proxiedConnection]bool{}}
+	go p.accept()
 	return p, nil
 }
 
-// Addr is where nodes connect.
-func (p *Proxy) Addr() string { return p.listener.Addr().String() }
+// addr returns the address to which edges connect.
+func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-// Set begins a fault, or ends it by Pass.
-func (p *Proxy) Set(f Fault) {
+// setFault begins a fault, or ends it by noFault.
+func (p *proxy) setFault(f proxyFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// ResetAll resets all open connections on both sides.
-func (p *Proxy) ResetAll() {
+// resetAll resets all open connections on both sides.
+func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
-		reset(l.node)
-		reset(l.target)
+	for c := range p.connections {
+		c.reset()
 	}
 }
 
-// Close ends it and its connections.
-func (p *Proxy) Close() {
+// close closes the listener and resets all connections.
+func (p *proxy) close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.listener.Close()
-	p.ResetAll()
+	p.resetAll()
 }
 
-func reset(conn net.Conn) {
+// resetConnection closes a connection by RST.
+func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // fails on a closed connection alone
 	}
 	conn.Close()
 }
 
-func (p *Proxy) run() {
+// accept serves connections until the listener is closed.
+func (p *proxy) accept() {
 	for {
-		node, err := p.listener.Accept()
+		edge, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -101,112 +115,75 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		go p.serve(node)
+		go p.serve(edge)
 	}
 }
 
-// pollInterval is how often a silent connection is looked at for its end.
-const pollInterval = 5 * time.Millisecond
-
-// wait returns once bytes may pass that came from one side; false where they never will, as the proxy has been closed or
-// that side has ended its connection meanwhile: what had not arrived by then is lost with it.
-func (p *Proxy) wait(from net.Conn) bool {
-	for {
-		fault, closed := p.current()
-		if closed || fault != Silent {
-			return !closed
-		}
-		if isClosed(from) {
-			return false
-		}
-		time.Sleep(pollInterval)
-	}
-}
-
-func (p *Proxy) current() (fault Fault, closed bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.fault, p.closed
-}
-
-// isClosed is whether the other side has ended a connection, though there may be bytes to read before that.
-func isClosed(conn net.Conn) (ended bool) {
-	raw, err := conn.(*net.TCPConn).SyscallConn()
-	if err != nil {
-		return true
-	}
-	err = raw.Control(func(fd uintptr) {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		ready, err := unix.Poll(ask, 0)
-		ended = err == nil && ready > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	})
-	return ended || err != nil
-}
-
-func (p *Proxy) serve(node net.Conn) {
-	if fault, _ := p.current(); fault == Refuse {
-		reset(node)
+// serve joins an edge's connection to a new one to the engine until both have ended.
+func (p *proxy) serve(edge net.Conn) {
+	if fault, _ := p.state(); fault == connectionsRefused {
+		resetConnection(edge)
 		return
 	}
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(node)
+		resetConnection(edge)
 		return
 	}
-	link := &proxyLink{node, target}
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
-		reset(node)
-		reset(target)
+	c := &proxiedConnection{edge, target}
+	if !p.register(c) {
+		c.reset()
 		return
 	}
-	p.links[link] = true
-	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(target, node, true, target.LocalAddr().String()) })
-	both.Go(func() { p.forward(node, target, false, "") })
+	both.Go(func() { p.forward(target, edge, true, target.LocalAddr().String()) })
+	both.Go(func() { p.forward(edge, target, false, "") })
 	both.Wait()
-	p.mu.Lock()
-	delete(p.links, link)
-	p.mu.Unlock()
-	node.Close()
+	p.unregister(c)
+	edge.Close()
 	target.Close()
 }
 
-// relay writes bytes to the other side, as the fault of the moment has them. False where the connection is to be reset.
-func (p *Proxy) relay(to net.Conn, data []byte, fromNode bool) bool {
-	fault, _ := p.current()
-	switch {
-	case fault == Late && fromNode:
-		time.Sleep(lateDelay)
-	case fault == Cut && !fromNode:
-		to.Write(data[:len(data)/2])
+// register adds a connection to those that resetAll resets; false where the proxy has been closed.
+func (p *proxy) register(c *proxiedConnection) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return false
-	case fault == Spoil && !fromNode:
-		data = []byte(garbage)
 	}
-	_, err := to.Write(data)
-	return err == nil
+	p.connections[c] = true
+	return true
+}
+
+func (p *proxy) unregister(c *proxiedConnection) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.connections, c)
 }
 
-// forward passes bytes on. The end of the node's side is told at once, and passed on when bytes may pass.
-func (p *Proxy) forward(to, from net.Conn, fromNode bool, address string) {
-	buffer := make([]byte, 16<<10)
+func (p *proxy) state() (fault proxyFault, closed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.fault, p.closed
+}
+
+// forward passes bytes on in one direction. The end of the edge's side is notified at once, and passed on when bytes may pass.
+func (p *proxy) forward(to, from net.Conn, fromEdge bool, address string) {
+	buffer := make([]byte, proxyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		passes := p.wait(from)
-		if (err != nil || !passes) && fromNode && p.onNodeClosed != nil {
-			p.onNodeClosed(address)
+		passes := p.awaitPassing(from)
+		if (err != nil || !passes) && fromEdge && p.onEdgeClosed != nil {
+			p.onEdgeClosed(address)
 		}
 		if !passes {
-			reset(to)
-			reset(from)
+			resetConnection(to)
+			resetConnection(from)
 			return
 		}
-		if n > 0 && !p.relay(to, buffer[:n], fromNode) {
-			reset(from)
-			reset(to)
+		if n > 0 && !p.write(to, buffer[:n], fromEdge) {
+			resetConnection(from)
+			resetConnection(to)
 			return
 		}
 		switch {
@@ -215,8 +192,53 @@
 			from.Close()
 			return
 		case err != nil:
-			reset(to)
+			resetConnection(to)
 			return
 		}
 	}
 }
+
+// awaitPassing returns once bytes may pass that came from one side; false where they never will, as the proxy has been closed
+// or that side has ended its connection meanwhile: what had not arrived by then is lost with it.
+func (p *proxy) awaitPassing(from net.Conn) bool {
+	for {
+		fault, closed := p.state()
+		if closed || fault != unresponsive {
+			return !closed
+		}
+		if peerClosed(from) {
+			return false
+		}
+		time.Sleep(pollInterval)
+	}
+}
+
+// write writes bytes to the other side, changed by the current fault. False where the connection is to be reset.
+func (p *proxy) write(to net.Conn, data []byte, fromEdge bool) bool {
+	fault, _ := p.state()
+	switch {
+	case fault == requestsDelayed && fromEdge:
+		time.Sleep(requestDelay)
+	case fault == responsesCut && !fromEdge:
+		_, _ = to.Write(data[:len(data)/2]) // the connection is reset in any case
+		return false
+	case fault == responsesGarbled && !fromEdge:
+		data = []byte(garbage)
+	}
+	_, err := to.Write(data)
+	return err == nil
+}
+
+// peerClosed is whether the other side has ended a connection, though there may be unread bytes before that.
+func peerClosed(conn net.Conn) (closed bool) {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		return true
+	}
+	err = raw.Control(func(fd uintptr) {
+		events := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		ready, err := unix.Poll(events, 0)
+		closed = err == nil && ready > 0 && events[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	})
+	return closed || err != nil
+}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,16 +1,13 @@
-// Package soak plays a few dozen real nodes, each a process of its own, against stand-in engines, proxies, agents of
-// discovery and clients on loopback, while troubles that a seed draws overlap in time. It judges by what engines and clients
-// saw, by the nodes' own monitors, and by whether all nodes serve again once the troubles are over.
+// Package soak runs a few dozen real edges, each a process of its own, against fake engines, proxies, discovery agents and
+// clients on loopback, while faults that a seed draws overlap in time. It checks what engines and clients saw, what the
+// edges' own monitors report, and whether all edges serve again once the faults are over.
 package soak
 
 import (
 	"context"
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"os"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,33 +15,37 @@
 	"sandcourse/internal/fake/platformengine"
 )
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
-	Binary           string        // the node's binary
-	Seed             uint64        // draws all troubles
-	Routers          int           // processes
+	Binary           string        // of the edge
+	Seed             uint64        // draws all faults
+	Edges            int           // processes
 	Engines          int           // of each role
-	Clients          int           // that ask at the same time
-	ConcurrentFaults int           // troubles at the same time
-	Duration         time.Duration // of the troubles
-	Folder           string        // for configurations and logs; made anew, and removed where nothing was found
+	Clients          int           // that send requests at the same time
+	ConcurrentFaults int           // injected at the same time
+	Duration         time.Duration // of the injection
+	Folder           string        // for configurations and logs; created anew, and removed where nothing was found
 }
 
-// Report is what came of a run.
-type Report struct {
-	Seed           uint64
-	Violations     []string       // rules broken, crashes, nodes that do not serve again
-	Traces         []string       // of the requests concerned
-	Responses      map[string]int // by status, and of the other clients by kind
-	InjectedFaults []string       // what was played, with its time
-	Requests       int
-	// Unanswered are the calls without an answer at nodes that were ending or killed, which are no fault by themselves.
-	Unanswered int
-	Folder     string // of the logs, where something was found
-}
+const (
+	// groupCount is how many groups of edges there are, each with its own discovery agent and proxies to engines.
+	groupCount = 3
+	// readyTimeout is within what an edge has to be ready.
+	readyTimeout = 10 * time.Second
+	// recoveryTimeout is within what all edges have to serve again after the last fault.
+	recoveryTimeout = 8 * time.Second
+	// resumeSeeds: every so manyth seed lets clients resume a broken stream, which changes how edges shut down.
+	resumeSeeds = 3
+)
 
-// groupCount is how many groups of nodes there are, each with an agent of discovery and ways to engines of its own.
-const groupCount = 3
+// Streams of random numbers that the seed is split into. The run itself, each injector, each client and each recovery check
+// have their own.
+const (
+	runStream       = 1
+	injectorStreams = 10
+	clientStreams   = 100
+	recoveryStreams = 1000
+)
 
 // soakRun is the state of one run.
 type soakRun struct {
@@ -53,7 +54,7 @@
 	log       *audit.Log
 	fleet     *platformengine.Fleet
 	discovery *discovery
-	routers   []*routerProcess
+	edges     []*edgeProcess
 	random    *rand.Rand
 	startedAt time.Time
 
@@ -63,213 +64,113 @@
 	injectedFaults []string
 	responses      map[string]int
 	lastEngine     int
-	unanswered     []audit.ClientRecord // at nodes that were ending and were not killed
+	unanswered     []audit.ClientRecord // of edges that were shutting down and were not killed
 	auxiliary      sync.WaitGroup
 }
 
-// listedEngine is a stand-in with its ways from each group of nodes.
-type listedEngine struct {
-	*platformengine.Engine
-	proxies []*Proxy
-	listed  *instance
-}
-
-func (r *soakRun) violate(format string, args ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.violations = append(r.violations, fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds())+fmt.Sprintf(format, args...))
-}
-
-func (r *soakRun) noteFault(format string, args ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.injectedFaults = append(r.injectedFaults, fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds())+fmt.Sprintf(format, args...))
-}
-
-func (r *soakRun) countResponse(what string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.responses[what]++
-}
-
-// addEngine starts an engine and lists it.
-func (r *soakRun) addEngine(role platformengine.Role) (*listedEngine, error) {
-	r.mu.Lock()
-	r.lastEngine++
-	id := fmt.Sprintf("s-%d", r.lastEngine)
-	r.mu.Unlock()
-	config := platformengine.Config{ID: id, Role: role, Slots: 16, WorkTime: 10 * time.Millisecond, Events: 5, IdleTime: r.idleTime()}
-	e, err := r.fleet.Start(config)
-	if err != nil {
-		return nil, err
-	}
-	l := &listedEngine{Engine: e, listed: &instance{id: id, kind: string(role), state: serving}}
-	for range groupCount {
-		p, err := NewProxy(e.Addr, func(address string) { r.fleet.RouterClosed(id, address) })
-		if err != nil {
-			return nil, err
-		}
-		l.proxies = append(l.proxies, p)
-		l.listed.hosts = append(l.listed.hosts, p.Addr())
-	}
-	r.mu.Lock()
-	r.engines = append(r.engines, l)
-	r.mu.Unlock()
-	r.discovery.put(l.listed)
-	return l, nil
-}
-
-// idleTime is after what an engine closes idle connections: any time up to the settings' own.
-func (r *soakRun) idleTime() time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return between(r.random, 500*time.Millisecond, connIdle)
-}
-
-// setState lists an engine in another state.
-func (r *soakRun) setState(l *listedEngine, state string) {
-	changed := *l.listed
-	changed.state = state
-	l.listed = &changed
-	r.discovery.put(&changed)
-}
-
-func (l *listedEngine) close() {
-	l.Stop()
-	for _, p := range l.proxies {
-		p.Close()
-	}
-}
-
 // Run plays one seed.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if err := os.MkdirAll(config.Folder, 0o755); err != nil {
-		return Report{}, err
+		return Report{}, fmt.Errorf("soak: create folder: %w", err)
 	}
 	folder, err := os.MkdirTemp(config.Folder, fmt.Sprintf("seed-%d-", config.Seed))
 	if err != nil {
-		return Report{}, err
+		return Report{}, fmt.Errorf("soak: create folder: %w", err)
 	}
-	r := &soakRun{config: config, folder: folder, log: &audit.Log{}, random: rand.New(rand.NewPCG(config.Seed, 1)), startedAt: time.Now(),
-		responses: map[string]int{}}
+	r := &soakRun{config: config, folder: folder, log: &audit.Log{}, startedAt: time.Now(), responses: map[string]int{}}
+	r.random = r.randomStream(runStream)
 	r.fleet = platformengine.NewFleet(r.log)
 	if err := r.start(); err != nil {
-		r.finish()
+		r.stop()
 		return Report{}, err
 	}
 	r.inject(ctx)
-	r.awaitSettled()
-	r.finish()
+	r.awaitRecovery()
+	r.stop()
 	return r.report(), nil
 }
 
+func (r *soakRun) randomStream(stream int) *rand.Rand {
+	return rand.New(rand.NewPCG(r.config.Seed, uint64(stream)))
+}
+
+// start starts discovery, engines and edges, and waits until the edges are ready.
 func (r *soakRun) start() (err error) {
 	if r.discovery, err = newDiscovery(groupCount); err != nil {
 		return err
 	}
 	for range r.config.Engines {
 		for _, role := range []platformengine.Role{platformengine.Prefill, platformengine.Decode} {
-			if _, err := r.addEngine(role); err != nil {
+			if err := r.addEngine(role); err != nil {
 				return err
 			}
 		}
 	}
-	for i := range r.config.Routers {
-		r.routers = append(r.routers, &routerProcess{number: i, group: i % groupCount, addr: address(i, clientPort), peerAddr: address(i, peerPort),
-			config: fmt.Sprintf("%s/n%d.json", r.folder, i), run: r})
+	for i := range r.config.Edges {
+		r.edges = append(r.edges, newEdgeProcess(r, i))
 	}
-	for _, n := range r.routers {
-		if err := n.start(); err != nil {
+	for _, p := range r.edges {
+		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	for _, n := range r.routers {
-		if err := n.awaitReady(readyTime); err != nil {
+	for _, p := range r.edges {
+		if err := p.awaitReady(readyTimeout); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// resumes is whether clients of this run ask for the rest of a stream that broke, which changes how nodes end.
-func (r *soakRun) resumes() bool { return r.config.Seed%3 == 0 }
-
-// readyTime is within what a node has to be ready.
-const readyTime = 10 * time.Second
+// resumes is whether clients of this run may resume a broken stream.
+func (r *soakRun) resumes() bool { return r.config.Seed%resumeSeeds == 0 }
 
-// inject runs clients and troubles side by side.
+// inject runs clients and fault injectors side by side, for the duration of the run.
 func (r *soakRun) inject(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Duration)
 	defer cancel()
 	end := time.Now().Add(r.config.Duration)
 	var all sync.WaitGroup
 	for i := range r.config.Clients {
-		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(100+i))), conns: map[*routerProcess]*clientConnection{}}
-		all.Go(func() { c.work(end) })
+		c := newClient(r, i, clientStreams+i)
+		all.Go(func() { c.run(end) })
 	}
 	for i := range r.config.ConcurrentFaults {
-		random := rand.New(rand.NewPCG(r.config.Seed, uint64(10+i)))
+		random := r.randomStream(injectorStreams + i)
 		all.Go(func() { r.injectFaults(ctx, random) })
 	}
 	all.Wait()
 	r.auxiliary.Wait()
 }
 
-// awaitSettled waits until all troubles are over, and looks whether every node serves.
-func (r *soakRun) awaitSettled() {
-	for _, n := range r.routers {
-		if err := n.awaitReady(readyTime); err != nil {
+// awaitRecovery checks that all edges are ready and serve, and waits until no engine holds a reservation.
+func (r *soakRun) awaitRecovery() {
+	for _, p := range r.edges {
+		if err := p.awaitReady(readyTimeout); err != nil {
 			r.violate("at the end: %v", err)
 		}
 	}
-	for end := time.Now().Add(settleTime); r.fleet.HeldReservations() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(recoveryTimeout); r.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	var all sync.WaitGroup
-	for i, n := range r.routers {
-		c := &client{run: r, number: 1000 + i, random: rand.New(rand.NewPCG(r.config.Seed, uint64(1000+i))), conns: map[*routerProcess]*clientConnection{}}
+	for i, p := range r.edges {
+		c := newClient(r, recoveryStreams+i, recoveryStreams+i)
 		all.Go(func() {
 			defer c.closeAll()
-			if !c.servedWithin(n, settleTime) {
-				r.violate("at the end: %s serves nothing in %v", n.name(), settleTime)
+			if !c.awaitServed(p, recoveryTimeout) {
+				r.violate("at the end: %s serves nothing in %v", p.name(), recoveryTimeout)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// settleTime is how long after the troubles all has to be well again.
-const settleTime = 8 * time.Second
-
-// servedWithin asks a node until it serves.
-func (c *client) servedWithin(n *routerProcess, most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		conn, err := c.connect(n)
-		if err != nil {
-			continue
-		}
-		r := c.request(n)
-		r.wait = longestDeadline
-		conn.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
-		call := audit.ClientRecord{ClientRequestID: r.name, RequestID: r.name, Route: r.class, Edge: n.name(), Sent: time.Now()}
-		call.Deadline = call.Sent.Add(r.wait)
-		if _, err = conn.conn.Write([]byte(r.text())); err == nil {
-			err = c.readResponse(conn, &call)
-		}
-		if err != nil {
-			c.closeConnection(n)
-		}
-		if call.Outcome == audit.OutcomeCompleted {
-			return true
-		}
-	}
-	return false
-}
-
-func (r *soakRun) finish() {
-	for _, n := range r.routers {
-		if n.process != nil {
-			n.stop(true, nil)
+// stop kills the edges and closes everything else.
+func (r *soakRun) stop() {
+	for _, p := range r.edges {
+		if p.command != nil {
+			p.end(true, nil)
 		}
 	}
 	for _, e := range r.engines {
@@ -282,88 +183,37 @@
 	}
 }
 
-// Slack is what the protocol and a machine that runs dozens of processes add to the times of the rules.
-const (
-	slack  = 700 * time.Millisecond
-	notice = 300 * time.Millisecond
-)
+// violate notes a violation with its time.
+func (r *soakRun) violate(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, r.stamp(format, args...))
+}
 
-func (r *soakRun) report() Report {
-	out := Report{Seed: r.config.Seed, Violations: r.violations, Responses: r.responses, InjectedFaults: r.injectedFaults, Requests: len(r.log.ClientRecords()),
-		Unanswered: len(r.unanswered), Folder: r.folder}
-	out.Violations = append(out.Violations, r.judgeUnanswered()...)
-	out.Violations = append(out.Violations, r.judgeWindows()...)
-	rules := audit.Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 250 * time.Millisecond, ListDelay: notice,
-		ReservationLimit: time.Second, Tolerance: slack}
-	for _, b := range r.log.Check(rules, time.Now()) {
-		out.Violations = append(out.Violations, b.String())
-		if b.RequestID != "" {
-			out.Traces = append(out.Traces, b.String()+"\n\t"+strings.Join(r.log.Trace(b.RequestID), "\n\t"))
-		}
-	}
-	if len(out.Violations) == 0 {
-		os.RemoveAll(r.folder)
-		out.Folder = ""
-	}
-	return out
+// noteFault notes an injected fault with its time.
+func (r *soakRun) noteFault(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.injectedFaults = append(r.injectedFaults, r.stamp(format, args...))
 }
 
-// judgeUnanswered looks for calls that a node sent on before it ended, and never answered.
-func (r *soakRun) judgeUnanswered() (faults []string) {
-	began := map[string]bool{}
-	for _, s := range r.log.EngineRecords() {
-		if s.Event == audit.AttemptStarted {
-			began[s.RequestID] = true
-		}
-	}
-	for _, c := range r.unanswered {
-		if began[c.RequestID] {
-			faults = append(faults, fmt.Sprintf("rule 1: %s was sent on by %s, which was told to end, and has no answer", c.RequestID, c.Edge))
-		}
-	}
-	return faults
+func (r *soakRun) stamp(format string, args ...any) string {
+	return fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds()) + fmt.Sprintf(format, args...)
 }
 
-// judgeWindows looks for deduplicated requests that ran again when engines had forgotten the first run.
-func (r *soakRun) judgeWindows() (faults []string) {
-	class := map[string]string{}
-	for _, c := range r.log.ClientRecords() {
-		class[c.RequestID] = c.Route
-	}
-	first := map[string]time.Time{}
-	for _, s := range r.log.EngineRecords() {
-		if s.Event != audit.Executed || class[s.RequestID] != "label" {
-			continue
-		}
-		if at, ran := first[s.RequestID]; ran && s.At.Sub(at) > dedupWindow {
-			faults = append(faults, fmt.Sprintf("rule 2: %s ran again after %v, engines remember for %v", s.RequestID, s.At.Sub(at), dedupWindow))
-		} else if !ran {
-			first[s.RequestID] = s.At
-		}
-	}
-	return faults
+// countResponse counts a response of an edge, by status or by kind of client.
+func (r *soakRun) countResponse(kind string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.responses[kind]++
 }
 
-// String is the report as text.
-func (r Report) String() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d calls, %d troubles, %d faults, %d calls without an answer at nodes that ended;", r.Seed, r.Requests,
-		len(r.InjectedFaults), len(r.Violations), r.Unanswered)
-	for _, what := range slices.Sorted(maps.Keys(r.Responses)) {
-		fmt.Fprintf(&b, " %s: %d", what, r.Responses[what])
-	}
-	b.WriteString("\n")
-	for _, f := range r.Violations {
-		fmt.Fprintf(&b, "  FAULT %s\n", f)
-	}
-	for _, s := range r.Traces {
-		fmt.Fprintf(&b, "  %s\n", s)
+// noteUnanswered keeps a request without a response for checkUnanswered, unless its edge was killed.
+func (r *soakRun) noteUnanswered(p *edgeProcess, record audit.ClientRecord) {
+	if p.wasKilled(record.Sent, record.End) {
+		return
 	}
-	if len(r.Violations) > 0 {
-		for _, t := range r.InjectedFaults {
-			fmt.Fprintf(&b, "  trouble %s\n", t)
-		}
-		fmt.Fprintf(&b, "  logs in %s\n", r.Folder)
-	}
-	return b.String()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unanswered = append(r.unanswered, record)
 }
