--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -108,7 +108,7 @@
 
 // AttemptEnded counts the end of an attempt, and logs it if the attempt failed.
 func (o observer) AttemptEnded(summary router.AttemptSummary) {
-	o.edge.metrics.attempts.WithLabelValues(stageName(summary.Decode), summary.Verdict).Inc()
+	o.edge.metrics.attempts.WithLabelValues(stageName(summary.Decode), string(summary.Verdict)).Inc()
 	if summary.Reason == "" {
 		return // it ended well
 	}
@@ -117,7 +117,7 @@
 		zap.Int("attempt", summary.Index),
 		zap.String("engine", summary.Engine),
 		zap.String("stage", stageName(summary.Decode)),
-		zap.String("verdict", summary.Verdict),
+		zap.String("verdict", string(summary.Verdict)),
 		zap.String("reason", string(summary.Reason)),
 		zap.Duration("connecting", summary.Connecting),
 		zap.Duration("duration", summary.Duration))
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -4,20 +4,12 @@
 	"time"
 
 	"sandcourse/internal/config"
-)
-
-// Verdicts of attempts, as the router reports them.
-const (
-	verdictEngineError    = "engine error"
-	verdictConnectionLost = "connection lost"
-	verdictFull           = "full"
-	verdictNotConnected   = "not connected"
-	verdictNotSent        = "not sent"
+	"sandcourse/internal/router"
 )
 
 // provesNotRun reports whether a verdict says that the attempt did not run.
-func provesNotRun(verdict string) bool {
-	return verdict == verdictFull || verdict == verdictNotConnected || verdict == verdictNotSent
+func provesNotRun(verdict router.Verdict) bool {
+	return verdict == router.VerdictFull || verdict == router.VerdictNotConnected || verdict == router.VerdictNotSent
 }
 
 // horizon is when everything must have ended: the client's timeout, a stall, six releases, and as much again.
@@ -130,7 +122,7 @@
 		if c == nil || !open.Ended || !open.Decode {
 			continue
 		}
-		if (open.Verdict == verdictEngineError || open.Verdict == verdictConnectionLost) && c.possibleRuns == 0 {
+		if (open.Verdict == router.VerdictEngineError || open.Verdict == router.VerdictConnectionLost) && c.possibleRuns == 0 {
 			s.violated.add("P11 %s: %s at %s, yet it cannot have run", open.Request, open.Verdict, open.Engine)
 		}
 		if provesNotRun(open.Verdict) && c.possibleRuns > 0 && s.attemptsThatMayHaveRun(open.Request) == 0 {
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -63,7 +63,7 @@
 	for _, open := range s.core.OpenAttempts() {
 		state := attemptStateNames[open.State]
 		if open.Ended {
-			state = open.Verdict
+			state = string(open.Verdict)
 		}
 		lines = append(lines, fmt.Sprintf("attempt of %s at %s: %s", open.Request, open.Engine, state))
 	}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -204,7 +204,7 @@
 func (r *Router) reportAttempt(att *engineAttempt) {
 	r.monitor.AttemptEnded(att.request.id, att.index, attempt.NeverRan(att.verdict))
 	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode,
-		Verdict: verdictNames[att.verdict], Reason: att.reason, Duration: time.Duration(r.now - att.startedAt)}
+		Verdict: verdicts[att.verdict], Reason: att.reason, Duration: time.Duration(r.now - att.startedAt)}
 	if att.writtenAt > 0 {
 		summary.Connecting = time.Duration(att.writtenAt - att.startedAt)
 	}
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -89,7 +89,7 @@
 	Request, Engine string
 	Decode, Ended   bool
 	State           attempt.State
-	Verdict         string
+	Verdict         Verdict
 }
 
 // OpenAttempts lists the attempts of all open requests, by request.
@@ -98,7 +98,7 @@
 		req := r.requests.byID[id]
 		for _, att := range req.attempts {
 			attempts = append(attempts, OpenAttempt{Request: req.name, Engine: att.engine, Decode: att.decode, Ended: att.ended,
-				State: att.machine.State, Verdict: verdictNames[att.verdict]})
+				State: att.machine.State, Verdict: verdicts[att.verdict]})
 		}
 	}
 	return attempts
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -59,7 +59,7 @@
 	Request, Engine string
 	Index           int
 	Decode          bool
-	Verdict         string
+	Verdict         Verdict
 	Reason          AttemptReason // empty where it succeeded
 	Connecting      time.Duration // until its request was written; 0 where it was not
 	Duration        time.Duration
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -120,15 +120,30 @@
 	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are known: this one is not released
 )
 
-// verdictNames are labels of metrics.
-var verdictNames = [...]string{
-	routing.Completed:      "completed",
-	routing.EngineError:    "engine error",
-	routing.Full:           "full",
-	routing.TimedOut:       "timed out",
-	routing.NotConnected:   "not connected",
-	routing.ConnectionLost: "connection lost",
-	routing.Canceled:       "withdrawn",
-	routing.NotSent:        "not sent",
-	routing.PrefillDone:    "read",
+// Verdict is how an attempt ended. The values are labels of metrics.
+type Verdict string
+
+// The verdicts of attempts, as package routing defines them.
+const (
+	VerdictCompleted      Verdict = "completed"
+	VerdictEngineError    Verdict = "engine error"
+	VerdictFull           Verdict = "full"
+	VerdictTimedOut       Verdict = "timed out"
+	VerdictNotConnected   Verdict = "not connected"
+	VerdictConnectionLost Verdict = "connection lost"
+	VerdictCanceled       Verdict = "withdrawn"
+	VerdictNotSent        Verdict = "not sent"
+	VerdictPrefillDone    Verdict = "read"
+)
+
+var verdicts = [...]Verdict{
+	routing.Completed:      VerdictCompleted,
+	routing.EngineError:    VerdictEngineError,
+	routing.Full:           VerdictFull,
+	routing.TimedOut:       VerdictTimedOut,
+	routing.NotConnected:   VerdictNotConnected,
+	routing.ConnectionLost: VerdictConnectionLost,
+	routing.Canceled:       VerdictCanceled,
+	routing.NotSent:        VerdictNotSent,
+	routing.PrefillDone:    VerdictPrefillDone,
 }
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -107,7 +107,7 @@
 	for _, att := range req.attempts {
 		verdict := "out"
 		if att.ended {
-			verdict = verdictNames[att.verdict]
+			verdict = string(verdicts[att.verdict])
 		}
 		summary.Attempts = append(summary.Attempts, att.engine+" "+verdict)
 		if att.relay != nil {
