--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -35,10 +35,10 @@
 	nodes := fleet{}
 	for lineNumber := 1; ; lineNumber++ {
 		line, err := input.ReadBytes('\n')
-		if err == io.EOF && len(line) == 0 {
+		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		reply, unknown, err := nodes.handleBatch(line)
