--- a/cmd/sandcourse-edge/golden_test.go
+++ b/cmd/sandcourse-edge/golden_test.go
@@ -1,8 +1,9 @@
 package main_test
 
 import (
-	"sandcourse/internal/golden"
 	"testing"
+
+	"sandcourse/internal/golden"
 )
 
 // Faults of a script or of a configuration are printed as they are, and the exit status is 2; it is 1 for other errors.
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -23,7 +23,7 @@
 // errResponseTooLarge says that a response that is no stream is over maxCompleteBody. Its text may reach a client.
 var errResponseTooLarge = errors.New("answer is over its bound")
 
-// engineConnection is one connection to an engine, and the router.LineSocket that package router sees. Its poller parses
+// engineConnection is one connection to an engine, and the router.EngineSocket that package router sees. Its poller parses
 // responses; the owner writes requests.
 type engineConnection struct {
 	edge  *Edge
