--- a/internal/fake/engine/wire_test.go
+++ b/internal/fake/engine/wire_test.go
@@ -17,7 +17,10 @@
 // updateGolden, set in the environment, rewrites the golden file.
 const updateGolden = "UPDATE_GOLDEN"
 
-const wireGolden = "testdata/wire.golden"
+const (
+	wireGolden = "testdata/wire.golden"
+	chatPath   = "/v1/chat/completions"
+)
 
 // varying are the parts of responses that differ between runs: ports, times, and the length of a load report with times.
 var varying = regexp.MustCompile(`"remote_port":\d+|Date: [^\r]*\r\n|"busy_seconds":[^,]+|"up_for_ms":[^,]+`)
@@ -83,7 +86,6 @@
 	log := &audit.Log{}
 	prefill, decode := startPair(t, log)
 	r := &wireRecorder{t: t}
-	const chatPath = "/v1/chat/completions"
 	prefillBody := `{` + prompt + `,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}}`
 	headers := func(id string) []string {
 		return []string{"X-Sandcourse-Inference", id, "X-Request-Id", "client-" + id, "X-Sandcourse-Send", "1", "Idempotency-Key", "k"}
@@ -117,7 +119,6 @@
 }
 
 func sendFaults(r *wireRecorder, e *Engine, body string, headers func(string) []string) {
-	const chatPath = "/v1/chat/completions"
 	for i, faults := range []string{`{"HalfAnswer":true}`, `{"FailStatus":503}`, `{"Lie":true,"LieWork":3}`, `{"DeafOrders":true}`,
 		`{"Silent":false,"Slow":1.5,"StallFirst":true,"StallAfter":1,"BreakAfter":2,"SlowAccept":1000,"NeverBack":true,"FalseRole":true}`,
 		`{"Slow":"x"}`, `{}`} {
