--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"sandcourse/internal/protocol/chat"
 )
 
 // Result is the outcome of a run. Values are in priority weight.
@@ -29,9 +31,9 @@
 
 // The outcomes of an attempt of a client, in the words of the chat API; a client that gave up has left.
 const (
-	outcomeCompleted = "completed"
-	outcomeErrored   = "errored"
-	outcomeShed      = "shed"
+	outcomeCompleted = chat.OutcomeCompleted
+	outcomeErrored   = chat.OutcomeErrored
+	outcomeShed      = chat.OutcomeShed
 	outcomeLeft      = "left"
 )
 
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -14,9 +14,9 @@
 // The outcomes of a client's request, in the words of the chat API; a client that disconnected has left, and one whose
 // router was killed has lost its request.
 const (
-	outcomeCompleted = "completed"
-	outcomeErrored   = "errored"
-	outcomeShed      = "shed"
+	outcomeCompleted = chat.OutcomeCompleted
+	outcomeErrored   = chat.OutcomeErrored
+	outcomeShed      = chat.OutcomeShed
 	outcomeLeft      = "left"
 	outcomeLost      = "lost"
 )
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -132,9 +133,12 @@
 	if len(broken) > 0 || len(lines) < 4 || !strings.Contains(lines[1], "client 0 sends") {
 		t.Errorf("%v %v", lines, broken)
 	}
-	if lines, _ := Describe(w, Path{200}); !strings.Contains(lines[len(lines)-1], "does not fit") {
+	if lines, _ := Describe(w, Path{200}); lines[len(lines)-1] != ErrPathMismatch.Error() {
 		t.Error(lines)
 	}
+	if _, _, err := TraceSteps(w, Path{200}); !errors.Is(err, ErrPathMismatch) {
+		t.Error(err)
+	}
 }
 
 // The paths of violations that were found and fixed. Each names what it once violated.
@@ -198,4 +202,11 @@
 	if _, err := DecodeSnapshot(strings.NewReader("x")); err == nil {
 		t.Error("what is no snapshot is decoded")
 	}
+	file.Reset()
+	if err := (&Snapshot{World: w, Visited: map[uint64]struct{}{1: {}}}).Encode(&file); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := DecodeSnapshot(&file); !errors.Is(err, ErrNoFrontier) {
+		t.Errorf("without a frontier: %v", err)
+	}
 }
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"slices"
 	"time"
-
-	"sandcourse/internal/attempt"
 )
 
 // ErrPathMismatch is of a path that was found by another version of the code, or in another world.
@@ -49,10 +47,6 @@
 	return lines, x.violations()
 }
 
-var attemptStateNames = map[attempt.State]string{attempt.Dialing: "dialing", attempt.Writing: "writing",
-	attempt.AwaitingResponse: "awaiting its response", attempt.Responding: "responding", attempt.Streaming: "streaming",
-	attempt.Ended: "ended"}
-
 func (s *simulation) describe() (lines []string) {
 	for _, c := range s.clients {
 		if c.requested {
@@ -61,7 +55,7 @@
 		}
 	}
 	for _, open := range s.core.OpenAttempts() {
-		state := attemptStateNames[open.State]
+		state := open.State.String()
 		if open.Ended {
 			state = string(open.Verdict)
 		}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -1,6 +1,7 @@
 package replay
 
 import (
+	"errors"
 	"testing"
 
 	"sandcourse/internal/config"
@@ -28,3 +29,24 @@
 		}
 	}
 }
+
+// A world or a path that cannot be replayed is refused with a sentinel error.
+func TestPlayRefuses(t *testing.T) {
+	w := modelcheck.World{Name: "small", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
+		FaultKinds: []modelcheck.FaultKind{modelcheck.FaultConnect}}
+	larger := w
+	larger.DecodeEngines = 2
+	for _, c := range []struct {
+		world modelcheck.World
+		path  modelcheck.Path
+		want  error
+	}{
+		{larger, nil, ErrWorld},
+		{w, modelcheck.Path{200}, modelcheck.ErrPathMismatch},
+		{w, modelcheck.Path{0, 0}, ErrAction}, // the connection hangs
+	} {
+		if _, _, err := Play(c.world, c.path); !errors.Is(err, c.want) {
+			t.Errorf("path %v: %v, want %v", c.path, err, c.want)
+		}
+	}
+}
