--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -44,6 +44,13 @@
 	l.mu.Unlock()
 }
 
+// ReadinessChanges returns a copy of the changes of engines' readiness.
+func (l *Log) ReadinessChanges() []ReadinessChange {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.readinessChanges)
+}
+
 // ClientRecords returns a copy of the clients' records.
 func (l *Log) ClientRecords() []ClientRecord {
 	l.mu.Lock()
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -32,11 +32,12 @@
 	endpoints endpoint.List
 	listDelay time.Duration // how late changes are published
 	delayed   sync.WaitGroup
+	writeList func(path string, list endpoint.List) error
 }
 
 // StartFleet starts engines and writes the first endpoint list into a folder.
 func StartFleet(dir string, configs []engine.Config, log *audit.Log) (*Fleet, error) {
-	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFile)}
+	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFile), writeList: endpoint.WriteFile}
 	keys := &engine.IdempotencyKeys{}
 	for i, c := range configs {
 		e, err := engine.Start(c, log, keys)
@@ -88,7 +89,7 @@
 	defer f.mu.Unlock()
 	list := f.endpoints
 	list.Entries = slices.Clone(list.Entries)
-	if err := endpoint.WriteFile(f.Path, list); err != nil {
+	if err := f.writeList(f.Path, list); err != nil {
 		fmt.Fprintln(os.Stderr, "scenario: write the endpoint list:", err)
 		return
 	}
