--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -83,25 +83,29 @@
 	f.delayed.Go(func() { time.Sleep(delay); f.publish() })
 }
 
-// publish writes the endpoint list and records what it says of each engine.
+// publish writes the endpoint list and records what it says of each engine. Edges may read it from some moment within the
+// write on: what is listed as ready counts from before that moment, what is not from after it.
 func (f *Fleet) publish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.endpoints
 	list.Entries = slices.Clone(list.Entries)
+	before := time.Now()
 	if err := f.writeList(f.Path, list); err != nil {
 		fmt.Fprintln(os.Stderr, "scenario: write the endpoint list:", err)
 		return
 	}
-	at, listed := time.Now(), map[string]bool{}
+	after := time.Now()
+	ready := map[string]bool{}
 	for _, e := range list.Entries {
-		listed[e.ID] = true
-		f.Log.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.ID, Ready: e.State == endpoint.Ready})
+		ready[e.ID] = e.State == endpoint.Ready
 	}
 	for _, e := range f.Engines {
-		if !listed[e.Addr()] {
-			f.Log.RecordReadiness(audit.ReadinessChange{At: at, Engine: e.Addr(), Ready: false})
+		change := audit.ReadinessChange{At: after, Engine: e.Addr(), Ready: ready[e.Addr()]}
+		if change.Ready {
+			change.At = before
 		}
+		f.Log.RecordReadiness(change)
 	}
 }
 
