--- a/internal/fake/engine/wire_test.go
+++ b/internal/fake/engine/wire_test.go
@@ -5,21 +5,17 @@
 	"fmt"
 	"net/http"
 	"net/http/httputil"
-	"os"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"sandcourse/internal/audit"
+	"sandcourse/internal/golden"
 )
 
-// updateGolden, set in the environment, rewrites the golden file.
-const updateGolden = "UPDATE_GOLDEN"
-
 const (
-	wireGolden = "testdata/wire.golden"
-	chatPath   = "/v1/chat/completions"
+	chatPath = "/v1/chat/completions"
 )
 
 // varying are the parts of responses that differ between runs: ports, times, and the length of a load report with times.
@@ -145,22 +141,5 @@
 
 func compareGolden(t *testing.T, got []byte) {
 	t.Helper()
-	if os.Getenv(updateGolden) != "" {
-		if err := os.WriteFile(wireGolden, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(wireGolden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("line %d of %s:\n got %q\nwant %q", i+1, wireGolden, gotLines[i], wantLines[i])
-		}
-	}
-	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines, %s has %d", len(gotLines), wireGolden, len(wantLines))
-	}
+	golden.Check(t, "wire.golden", string(got))
 }
--- a/internal/fake/platformengine/wire_test.go
+++ b/internal/fake/platformengine/wire_test.go
@@ -5,20 +5,15 @@
 	"fmt"
 	"net/http"
 	"net/http/httputil"
-	"os"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"sandcourse/internal/audit"
+	"sandcourse/internal/golden"
 )
 
-// updateGolden, set in the environment, rewrites the golden file.
-const updateGolden = "UPDATE_GOLDEN"
-
-const wireGolden = "testdata/wire.golden"
-
 // varying are the parts of responses that differ between runs.
 var varying = regexp.MustCompile(`127\.0\.0\.1:\d+|Date: [^\r]*\r\n`)
 
@@ -82,16 +77,5 @@
 	}
 	fmt.Fprintf(&output, "== list entries\n%s\n%s\n", prefill.Entry(), decode.Entry())
 	got := varying.ReplaceAll(output.Bytes(), []byte("VARYING"))
-	if os.Getenv(updateGolden) != "" {
-		if err := os.WriteFile(wireGolden, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(wireGolden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("got:\n%s\nwant:\n%s", got, want)
-	}
+	golden.Check(t, "wire.golden", string(got))
 }
--- a/internal/loadgen/traffic_test.go
+++ b/internal/loadgen/traffic_test.go
@@ -1,7 +1,6 @@
 package loadgen
 
 import (
-	"bytes"
 	"context"
 	"crypto/sha256"
 	"encoding/json"
@@ -9,7 +8,6 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -17,13 +15,9 @@
 	"time"
 
 	"sandcourse/internal/audit"
+	"sandcourse/internal/golden"
 )
 
-// updateGolden, set in the environment, rewrites the golden file.
-const updateGolden = "UPDATE_GOLDEN"
-
-const trafficGolden = "testdata/traffic.golden"
-
 // edgeRecorder is some edges that keep a line of each request that they get.
 type edgeRecorder struct {
 	mu       sync.Mutex
@@ -92,16 +86,5 @@
 	if len(log.ClientRecords()) != len(edges.lines) {
 		t.Errorf("%d records of %d attempts", len(log.ClientRecords()), len(edges.lines))
 	}
-	if os.Getenv(updateGolden) != "" {
-		if err := os.WriteFile(trafficGolden, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(trafficGolden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("got:\n%s\nwant:\n%s", got, want)
-	}
+	golden.Check(t, "traffic.golden", string(got))
 }
