--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// longestDeadline is the longest time that a client waits for its first event.
+	// longestDeadline is the longest timeout of a request for its first event.
 	longestDeadline = 3 * time.Second
-	// longestClientPause is the longest time between two requests of a client.
+	// longestClientPause is the longest pause of a client between two requests.
 	longestClientPause = 120 * time.Millisecond
-	// responseTimeout is how long after the deadline a client still waits for a response, which is late then.
+	// responseTimeout is how long a client waits past the deadline, so that a late response is recorded as late.
 	responseTimeout = 5 * time.Second
-	// connectTimeout is how long a client waits for its connection.
+	// connectTimeout bounds the dial of a connection to an edge.
 	connectTimeout = time.Second
 )
 
-// requestClasses lists the classes to draw from. The seed determines requests through the order of this list.
+// requestClasses lists the classes to draw from, chat twice as often as the others. The order of the list determines which
+// requests a seed draws.
 var requestClasses = []requestClass{classChat, classChat, classLabel, classAlert}
 
-// client sends requests to one edge after the other, as a load balancer in front of them distributes them, and keeps a connection
-// to each.
+// client sends each request to a random edge, as a load balancer in front of the edges would, and keeps one connection to each
+// edge.
 type client struct {
 	soak         *soakRun
 	number       int
@@ -41,7 +42,7 @@
 	return &client{soak: r, number: number, random: r.randomStream(stream), connections: map[*edgeProcess]*clientConnection{}}
 }
 
-// run sends requests until the run ends.
+// run sends requests until end.
 func (c *client) run(end time.Time) {
 	defer c.closeAll()
 	for time.Now().Before(end) {
@@ -60,12 +61,12 @@
 
 // clientConnection is a connection of a client to an edge.
 type clientConnection struct {
-	conn net.Conn
-	in   *bufio.Reader
-	used bool
+	conn   net.Conn
+	reader *bufio.Reader
+	used   bool
 }
 
-// connect returns the client's connection to an edge, which it opens where there is none.
+// connect returns the client's connection to an edge and opens one if there is none.
 func (c *client) connect(p *edgeProcess) (*clientConnection, error) {
 	if connection := c.connections[p]; connection != nil {
 		return connection, nil
@@ -74,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.connections[p] = &clientConnection{conn: conn, in: bufio.NewReader(conn)}
+	c.connections[p] = &clientConnection{conn: conn, reader: bufio.NewReader(conn)}
 	return c.connections[p], nil
 }
 
@@ -91,14 +92,14 @@
 	}
 }
 
-// request is one request in the platform's form.
+// request is one request of the platform protocol.
 type request struct {
 	id      string
 	class   requestClass
-	timeout time.Duration // for the first event
+	timeout time.Duration // until the first event
 }
 
-// newRequest draws a request to an edge.
+// newRequest returns a request to an edge with a random class and timeout.
 func (c *client) newRequest(p *edgeProcess) request {
 	c.requestCount++
 	class := requestClasses[c.random.IntN(len(requestClasses))]
@@ -106,30 +107,30 @@
 		timeout: longestDeadline/3 + time.Duration(c.random.Int64N(int64(longestDeadline*2/3)))}
 }
 
-// text encodes the request.
-func (r request) text() string {
+// encode returns the bytes of the HTTP request.
+func (r request) encode() string {
 	const body = `{"model":"chat","messages":[]}`
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\n%s: s%s\r\n%s: %.3f\r\nContent-Length: %d\r\n\r\n%s",
 		platform.CompletionsPath, platform.HeaderRequestID, r.id, platform.HeaderRequestClass, r.class, platform.HeaderAffinityKey, r.id[len(r.id)-2:],
 		platform.HeaderTimeout, r.timeout.Seconds(), len(body), body)
 }
 
-// record begins the audit's record of the request, which is sent now.
-func (r request) record(p *edgeProcess) audit.ClientRecord {
+// newRecord returns the audit record of the request with the present time as its send time.
+func (r request) newRecord(p *edgeProcess) audit.ClientRecord {
 	now := time.Now()
 	return audit.ClientRecord{ClientRequestID: r.id, RequestID: r.id, Route: string(r.class), Edge: p.name(), Sent: now, Deadline: now.Add(r.timeout)}
 }
 
-// sendRequest sends one request and records its outcome. One in ten clients disconnects early. A request on a reused connection
-// that the edge closes as idle at the same moment is sent once more on a new one.
+// sendRequest sends one request and records its outcome. For one request in ten, the client disconnects early. A request on a
+// reused connection that the edge closes as idle at the same moment is sent once more on a new connection.
 func (c *client) sendRequest(p *edgeProcess) {
 	r := c.newRequest(p)
-	record := r.record(p)
+	record := r.newRecord(p)
 	disconnects := c.random.IntN(10) == 0
 	for retry := false; ; retry = true {
 		connection, err := c.connect(p)
 		if err != nil {
-			return // the edge has not accepted it
+			return // the edge has not accepted the connection, so there is no request to record
 		}
 		reused := connection.used
 		connection.used = true
@@ -143,22 +144,22 @@
 			c.closeConnection(p)
 		}
 		if record.Outcome == "" && reused && !retry && !errors.Is(err, errDeadlineExceeded) {
-			continue // the edge's close of an idle connection has crossed it
+			continue // the request crossed the edge's close of the idle connection
 		}
 		c.recordOutcome(p, &record, disconnects, err)
 		return
 	}
 }
 
-// exchange sends a request and reads its response. An error says that the connection can't be used any more.
+// exchange sends a request and reads its response. After an error the connection must not be reused.
 func (c *client) exchange(connection *clientConnection, r request, record *audit.ClientRecord) error {
-	if _, err := io.WriteString(connection.conn, r.text()); err != nil {
+	if _, err := io.WriteString(connection.conn, r.encode()); err != nil {
 		return err
 	}
 	return c.readResponse(connection, record)
 }
 
-// recordOutcome records how a request ended. One without a response whose connection broke is lost, unless its edge was
+// recordOutcome records how a request ended. A request without a response whose connection broke is lost, unless the edge was
 // shutting down or not running.
 func (c *client) recordOutcome(p *edgeProcess, record *audit.ClientRecord, disconnects bool, err error) {
 	switch {
@@ -166,17 +167,18 @@
 	case disconnects:
 		record.Outcome = audit.OutcomeAbandoned
 	case p.wasDown(record.Sent, record.End):
-		// A new connection may be closed unread then. Whether the request was read, the engines' records tell.
+		// An edge that shuts down may close a new connection unread. checkUnanswered compares with the engines' records to
+		// find requests that were read.
 		record.Outcome = audit.OutcomeAbandoned
-		c.soak.noteUnanswered(p, *record)
+		c.soak.recordUnanswered(p, *record)
 	default:
 		record.Outcome, record.Reason = audit.OutcomeLost, fmt.Sprint(err)
 	}
 	c.soak.log.RecordClient(*record)
 }
 
-// awaitServed sends requests to an edge until one is completed; false where none is in time.
-func (c *client) awaitServed(p *edgeProcess, timeout time.Duration) bool {
+// awaitCompletion sends requests to an edge until one is completed and reports whether that happened within the timeout.
+func (c *client) awaitCompletion(p *edgeProcess, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		connection, err := c.connect(p)
 		if err != nil {
@@ -185,7 +187,7 @@
 		r := c.newRequest(p)
 		r.timeout = longestDeadline
 		connection.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
-		record := r.record(p)
+		record := r.newRecord(p)
 		if err := c.exchange(connection, r, &record); err != nil {
 			c.closeConnection(p)
 		}
--- a/internal/soak/crowd.go
+++ b/internal/soak/crowd.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	// crowdSeeds: every so manyth seed has crowds.
-	crowdSeeds = 3
-	// crowdClients come to one edge at once, each with some requests on a connection of its own.
-	crowdClients  = 100
-	crowdRequests = 3
-	// crowdIdle connections are opened beside them and send nothing.
-	crowdIdle = 60
+	// burstSeedInterval selects the seeds with client bursts: one in three.
+	burstSeedInterval = 3
+	// burstClients is the number of clients that connect to one edge at once. Each sends burstRequests requests on its own
+	// connection.
+	burstClients  = 100
+	burstRequests = 3
+	// burstIdleConnections is the number of connections without requests that are open during a burst.
+	burstIdleConnections = 60
 )
 
-// hasCrowds is whether crowds of clients come in this run.
-func (r *soakRun) hasCrowds() bool { return r.config.Seed%crowdSeeds == 1 }
+// hasClientBursts reports whether client bursts are among the faults of this run.
+func (r *soakRun) hasClientBursts() bool { return r.config.Seed%burstSeedInterval == 1 }
 
-// crowd is many clients that come to one edge at once.
-func (r *soakRun) crowd(ctx context.Context, random *rand.Rand) {
-	if !r.hasCrowds() {
+// sendClientBurst lets many clients send requests to one edge at once.
+func (r *soakRun) sendClientBurst(ctx context.Context, random *rand.Rand) {
+	if !r.hasClientBursts() {
 		return
 	}
 	p := r.edges[random.IntN(len(r.edges))]
-	r.noteFault("a crowd comes to %s", p.name())
-	idle := openIdle(p)
+	r.recordFault("burst of clients at %s", p.name())
+	idle := openIdleConnections(p)
 	defer closeConnections(idle)
-	var all sync.WaitGroup
-	for range crowdClients {
-		c := r.newCrowdClient()
-		all.Go(func() {
+	var clients sync.WaitGroup
+	for range burstClients {
+		c := r.newBurstClient()
+		clients.Go(func() {
 			defer c.closeAll()
-			for range crowdRequests {
+			for range burstRequests {
 				c.sendRequest(p)
 			}
 		})
 	}
-	all.Wait()
-	sleep(ctx, between(random, 0, time.Second))
+	clients.Wait()
+	sleep(ctx, drawDuration(random, 0, time.Second))
 }
 
-// newCrowdClient is a client with a stream of random numbers of its own.
-func (r *soakRun) newCrowdClient() *client {
+// newBurstClient returns a client with its own stream of random numbers.
+func (r *soakRun) newBurstClient() *client {
 	r.mu.Lock()
-	r.lastInCrowd++
-	number := crowdStreams + r.lastInCrowd
+	r.lastBurstClient++
+	number := burstClientStreams + r.lastBurstClient
 	r.mu.Unlock()
 	return newClient(r, number, number)
 }
 
-// openIdle opens connections that send nothing; fewer where the edge does not accept them.
-func openIdle(p *edgeProcess) (connections []net.Conn) {
-	for range crowdIdle {
+// openIdleConnections opens connections that send nothing. It stops at the first that the edge does not accept.
+func openIdleConnections(p *edgeProcess) (connections []net.Conn) {
+	for range burstIdleConnections {
 		conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
 		if err != nil {
 			break
--- a/internal/soak/descriptors.go
+++ b/internal/soak/descriptors.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// LeaveDescriptors lowers a process's limit so that it can open so many more descriptors, until restore is called.
-func LeaveDescriptors(pid, more int) (restore func() error, err error) {
+// LeaveDescriptors lowers the descriptor limit of a process, so that the process can open only spare more descriptors until
+// restore is called.
+func LeaveDescriptors(pid, spare int) (restore func() error, err error) {
 	var before unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
 		return nil, fmt.Errorf("get descriptor limit of process %d: %w", pid, err)
@@ -19,9 +20,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// The limit is on the numbers of descriptors, not on their count: unused numbers below it can be opened.
+	// RLIMIT_NOFILE bounds the numbers of descriptors, not their count: unused numbers below the limit can still be opened.
 	limit := 0
-	for free := 0; free <= more; limit++ {
+	for free := 0; free <= spare; limit++ {
 		if !open[strconv.Itoa(limit)] {
 			free++
 		}
@@ -33,7 +34,7 @@
 	return func() error { return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) }, nil
 }
 
-// openDescriptors returns the set of a process's descriptors, by their numbers as text.
+// openDescriptors returns the set of open descriptors of a process, keyed by descriptor number as text.
 func openDescriptors(pid int) (map[string]bool, error) {
 	folder, err := os.Open(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -48,18 +49,18 @@
 	for _, name := range names {
 		open[name] = true
 	}
-	if pid == os.Getpid() { // the descriptor of this folder
+	if pid == os.Getpid() { // the listing contains the descriptor of the opened folder itself
 		delete(open, strconv.Itoa(int(folder.Fd())))
 	}
 	return open, nil
 }
 
-// limitDescriptors leaves the process a few descriptors more than it has open, for a time.
-func (p *edgeProcess) limitDescriptors(more int, duration time.Duration) error {
+// limitDescriptors lets the process open only spare more descriptors for the given duration.
+func (p *edgeProcess) limitDescriptors(spare int, duration time.Duration) error {
 	p.mu.Lock()
 	pid := p.command.Process.Pid
 	p.mu.Unlock()
-	restore, err := LeaveDescriptors(pid, more)
+	restore, err := LeaveDescriptors(pid, spare)
 	if err != nil {
 		return err
 	}
--- a/internal/soak/descriptors_test.go
+++ b/internal/soak/descriptors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestLeaveDescriptors(t *testing.T) {
+func TestProcessOpensNoMoreDescriptorsThanLeft(t *testing.T) {
 	restore, err := LeaveDescriptors(os.Getpid(), 2)
 	if err != nil {
 		t.Fatal(err)
@@ -25,6 +25,6 @@
 		f.Close()
 	}
 	if len(open) > 2 {
-		t.Errorf("%d descriptors could be had, 2 were left", len(open))
+		t.Errorf("opened %d descriptors, want at most 2", len(open))
 	}
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -11,34 +11,34 @@
 	"time"
 )
 
-// instanceState is the state of an instance in discovery, as it is on the wire.
+// instanceState is the lifecycle state of an instance in discovery, with the values of the wire format.
 type instanceState string
 
 const (
-	serving  instanceState = "SERVING"
-	draining instanceState = "DRAINING"
-	deleted  instanceState = "DELETED"
+	instanceServing  instanceState = "SERVING"
+	instanceDraining instanceState = "DRAINING"
+	instanceDeleted  instanceState = "DELETED"
 )
 
 const (
-	// watchInterval is how often agents look for watches whose time is over.
-	watchInterval = 50 * time.Millisecond
-	// agentOverlap is how long an agent that has moved still serves its old address.
+	// watchCheckInterval is how often agents check for watches that have timed out.
+	watchCheckInterval = 50 * time.Millisecond
+	// agentOverlap is how long an agent that has moved still serves at its previous address.
 	agentOverlap = 1500 * time.Millisecond
-	// slowChunks is into how many chunks a slow agent splits a list.
-	slowChunks = 10
+	// slowListChunks is the number of chunks into which a slow agent splits a list.
+	slowListChunks = 10
 )
 
 // instance is one engine in discovery.
 type instance struct {
-	id, kind   string
-	state      instanceState
-	started    int64    // Unix milliseconds
-	hosts      []string // its address for each group of edges
-	generation int64    // of its last change
+	id, kind        string
+	state           instanceState
+	startedAtMillis int64    // Unix milliseconds
+	hosts           []string // address of the engine's proxy for each group of edges
+	generation      int64    // of the last change of the instance
 }
 
-// discovery is the state of discovery and its agents, one for each group of edges.
+// discovery is a fake discovery service with one agent for each group of edges.
 type discovery struct {
 	mu         sync.Mutex
 	updated    *sync.Cond
@@ -47,17 +47,18 @@
 	agents     []*discoveryAgent
 }
 
-// discoveryAgent serves the list to one group of edges. It may be unresponsive or slow, and it may move to another address.
+// discoveryAgent serves the endpoint list to one group of edges. An agent may be unresponsive or slow, and may move to another
+// address.
 type discoveryAgent struct {
 	discovery    *discovery
 	group        int
 	server       *http.Server
 	addr         string
 	unresponsive bool
-	chunkDelay   time.Duration // after each chunk of a list; 0 for a list in one piece
+	chunkDelay   time.Duration // delay after each chunk of a list; 0 to send the list at once
 }
 
-// newDiscovery starts an agent for each group.
+// newDiscovery returns a discovery service with a running agent for each group.
 func newDiscovery(groups int) (*discovery, error) {
 	d := &discovery{generation: 1}
 	d.updated = sync.NewCond(&d.mu)
@@ -68,20 +69,20 @@
 			return nil, fmt.Errorf("discovery agent of group %d: %w", group, err)
 		}
 	}
-	go d.wakeWatches()
+	go d.wakeWatchesPeriodically()
 	return d, nil
 }
 
-// wakeWatches wakes watches whose time is over.
-func (d *discovery) wakeWatches() {
-	for range time.Tick(watchInterval) {
+// wakeWatchesPeriodically wakes all watches at intervals, so that those that have timed out return.
+func (d *discovery) wakeWatchesPeriodically() {
+	for range time.Tick(watchCheckInterval) {
 		d.mu.Lock()
 		d.updated.Broadcast()
 		d.mu.Unlock()
 	}
 }
 
-// listen starts serving at a new address.
+// listen starts to serve at a new address.
 func (a *discoveryAgent) listen() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +92,7 @@
 	mux.HandleFunc("GET /catalog/members", a.serveList)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	a.server, a.addr = server, listener.Addr().String()
-	go func() { _ = server.Serve(listener) }() // returns an error in any case, once it is closed
+	go func() { _ = server.Serve(listener) }() // always returns an error once the server is closed
 	return nil
 }
 
@@ -102,7 +103,7 @@
 	return d.agents[group].addr
 }
 
-// moveAgent gives the agent of a group another address.
+// moveAgent moves the agent of a group to another address. The previous address is served for agentOverlap more.
 func (d *discovery) moveAgent(group int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,7 +126,7 @@
 	d.agents[group].chunkDelay = delay
 }
 
-// update adds an instance, or replaces the one with its ID.
+// update adds an instance or replaces the instance with the same ID.
 func (d *discovery) update(i *instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +140,7 @@
 	d.updated.Broadcast()
 }
 
-// wireInstance is an instance as agents send it.
+// wireInstance is the wire format of an instance.
 type wireInstance struct {
 	ID      string        `json:"instanceId"`
 	Host    string        `json:"hostPort"`
@@ -154,35 +155,36 @@
 // wireList is an agent's response.
 type wireList struct {
 	Generation int64          `json:"generation"`
-	Reset      bool           `json:"reset"` // the list is complete, not a change
+	Reset      bool           `json:"reset"` // whether the list is complete, not only the changes
 	Instances  []wireInstance `json:"instances"`
 }
 
-// list encodes what a group that knows a generation has to be sent; the complete list where it knows none. The caller holds mu.
-func (d *discovery) list(group int, since int64) []byte {
+// encodeList encodes the response for an edge of a group: the changes since a generation, or the complete list for generation
+// 0. The caller holds mu.
+func (d *discovery) encodeList(group int, since int64) []byte {
 	out := wireList{Generation: d.generation, Reset: since == 0, Instances: []wireInstance{}}
 	for _, i := range d.instances {
-		if i.generation > since && (since > 0 || i.state != deleted) {
+		if i.generation > since && (since > 0 || i.state != instanceDeleted) {
 			out.Instances = append(out.Instances, wireInstance{ID: i.id, Host: i.hosts[group], Zone: "a", Kind: i.kind, State: i.state,
-				Weight: 1, Started: i.started})
+				Weight: 1, Started: i.startedAtMillis})
 		}
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // can't happen: it has numbers and strings alone
+		panic(err) // cannot happen: the list holds only numbers, booleans and strings
 	}
 	return data
 }
 
-// snapshot returns the complete list for an edge that starts.
+// snapshot returns the complete list, which a starting edge has in its configuration.
 func (d *discovery) snapshot(group int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(group, 0)
+	return d.encodeList(group, 0)
 }
 
-// serveList responds to a watch: at once where the list has changed since the generation of the request, else when it
-// changes or when the time of the request is over.
+// serveList responds to a watch: at once if the list has changed since the generation in the request, otherwise when the list
+// changes or the wait time of the request has passed.
 func (a *discoveryAgent) serveList(w http.ResponseWriter, r *http.Request) {
 	known, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
@@ -192,13 +194,13 @@
 	for r.Context().Err() == nil && (a.unresponsive || known > 0 && d.generation <= known && time.Now().Before(end)) {
 		d.updated.Wait()
 	}
-	list, delay := d.list(a.group, known), a.chunkDelay
+	list, delay := d.encodeList(a.group, known), a.chunkDelay
 	d.mu.Unlock()
 	if delay == 0 {
 		w.Write(list)
 		return
 	}
-	for chunk := range slices.Chunk(list, 1+len(list)/slowChunks) {
+	for chunk := range slices.Chunk(list, 1+len(list)/slowListChunks) {
 		w.Write(chunk)
 		w.(http.Flusher).Flush()
 		time.Sleep(delay)
--- a/internal/soak/discovery_test.go
+++ b/internal/soak/discovery_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-func TestDiscoveryReportsChanges(t *testing.T) {
+func TestWatchReturnsOnlyChanges(t *testing.T) {
 	d, err := newDiscovery(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b"} {
-		d.update(&instance{id: id, state: serving, hosts: []string{"127.0.0.1:1"}})
+		d.update(&instance{id: id, state: instanceServing, hosts: []string{"127.0.0.1:1"}})
 	}
 	known := d.generation
-	d.update(&instance{id: "b", state: deleted, hosts: []string{"127.0.0.1:1"}})
+	d.update(&instance{id: "b", state: instanceDeleted, hosts: []string{"127.0.0.1:1"}})
 	states := func(since int64) string {
 		var l wireList
-		if err := json.Unmarshal(d.list(0, since), &l); err != nil {
+		if err := json.Unmarshal(d.encodeList(0, since), &l); err != nil {
 			t.Fatal(err)
 		}
 		var entries []string
--- a/internal/soak/edge_config.go
+++ b/internal/soak/edge_config.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Durations of edgeConfigText that engines and checks keep to as well.
+// Durations in edgeConfigFormat that the fake engines and the checks use, too.
 const (
 	connectionIdleTime  = 5 * time.Second
 	deduplicationWindow = time.Second
@@ -16,17 +16,17 @@
 	reservationLimit    = time.Second
 )
 
-// requestClass is a class of edgeConfigText, which is the audit's route.
+// requestClass is a request class in edgeConfigFormat. The audit records it as the route of a request.
 type requestClass string
 
 const (
-	classChat  requestClass = "chat"  // may be retried
-	classLabel requestClass = "label" // may be retried, engines deduplicate
-	classAlert requestClass = "alert" // must not be executed twice
+	classChat  requestClass = "chat"  // retriable
+	classLabel requestClass = "label" // retriable within the deduplication window of the engines
+	classAlert requestClass = "alert" // non-retriable: must not be executed twice
 )
 
-// edgeConfigText is a configuration in the platform's form.
-const edgeConfigText = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"memory_mb":128,"sockets":512},"known":%s,
+// edgeConfigFormat is the format string of an edge's configuration in the platform's JSON format.
+const edgeConfigFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x","limits":{"memory_mb":128,"sockets":512},"known":%s,
  "peer_listen":%q,"peers":[%s],"settings":{"areas":["a"],"zone":0,"index":%d,"peers_total":%d,"tick_us":4000,"flavors":["read","write"],"ceilings":{
  "try_limit":5,"cancel":true,"probes":true,"peers":true,"retry_after":true,"max_retry_after_us":1000000,"dial_timeout_us":250000,
  "conn_idle_us":5000000},"report":{"how":"inline","fields":["x0","x1"]},"family_info":{"stage_of_kind":["read","write"],
@@ -35,14 +35,15 @@
  {"name":"label","effect":"dedup","dedup_scope":"all","memory_span_us":1000000,"worth":1,"objective_us":900000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":900000}],"obligations":{"drain_grace_us":250000}}}`
 
-// configure writes the edge's configuration as it is now. A truncated one lacks its second half, as while an editor writes it.
-func (p *edgeProcess) configure(truncated bool) error {
+// writeConfig writes the edge's current configuration file. A truncated configuration lacks the second half, like a file that
+// an editor is still writing.
+func (p *edgeProcess) writeConfig(truncated bool) error {
 	var peers []string
 	for _, other := range p.soak.edges {
 		peers = append(peers, strconv.Quote(other.peerAddr))
 	}
-	text := fmt.Sprintf(edgeConfigText, p.number, p.addr, p.soak.discovery.agentAddr(p.group), p.incarnation+1,
-		p.soak.discovery.snapshot(p.group), p.peerAddr, strings.Join(peers, ","), p.number, len(p.soak.edges), p.soak.resumes())
+	text := fmt.Sprintf(edgeConfigFormat, p.number, p.addr, p.soak.discovery.agentAddr(p.group), p.incarnation+1,
+		p.soak.discovery.snapshot(p.group), p.peerAddr, strings.Join(peers, ","), p.number, len(p.soak.edges), p.soak.allowsResume())
 	if truncated {
 		text = text[:len(text)/2]
 	}
--- a/internal/soak/edge_faults.go
+++ b/internal/soak/edge_faults.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	pickAttempts     = 10  // to find an edge that no other injector has
-	interruptSignals = 100 // of one fault
+	claimAttempts    = 10  // random picks to find an edge that no other injector has claimed
+	interruptSignals = 100 // signals that one interruptSystemCalls fault sends
 )
 
-// onEdge plays a fault on a random edge that no other injector has; none where all that were drawn are taken.
-func (r *soakRun) onEdge(fault func(context.Context, *rand.Rand, *edgeProcess)) injector {
+// onRandomEdge returns an injector that runs a fault on a random edge that no other injector has claimed. The injector does
+// nothing if every drawn edge is claimed.
+func (r *soakRun) onRandomEdge(fault func(context.Context, *rand.Rand, *edgeProcess)) injector {
 	return func(ctx context.Context, random *rand.Rand) {
-		p := r.pickEdge(random)
+		p := r.claimEdge(random)
 		if p == nil {
 			return
 		}
-		defer p.releaseFromFault()
+		defer p.releaseClaim()
 		fault(ctx, random, p)
 	}
 }
 
-func (r *soakRun) pickEdge(random *rand.Rand) *edgeProcess {
-	for range pickAttempts {
+// claimEdge claims a random edge for one injector. It returns nil if every drawn edge is claimed.
+func (r *soakRun) claimEdge(random *rand.Rand) *edgeProcess {
+	for range claimAttempts {
 		p := r.edges[random.IntN(len(r.edges))]
 		p.mu.Lock()
-		free := !p.faulty
-		p.faulty = true
+		free := !p.claimed
+		p.claimed = true
 		p.mu.Unlock()
 		if free {
 			return p
@@ -40,85 +42,85 @@
 	return nil
 }
 
-func (p *edgeProcess) releaseFromFault() {
+func (p *edgeProcess) releaseClaim() {
 	p.mu.Lock()
-	p.faulty = false
+	p.claimed = false
 	p.mu.Unlock()
 }
 
-// restart ends an edge by SIGTERM and starts it again. Reloads and further SIGTERMs may come while it shuts down and while it
-// starts.
-func (r *soakRun) restart(_ context.Context, random *rand.Rand, p *edgeProcess) {
-	r.noteFault("%s is terminated", p.name())
-	p.end(false, func() { p.signalSeries(random) })
-	r.startAgain(p, random)
+// restartEdge terminates an edge by SIGTERM and starts it again. The edge may receive SIGHUP (reload) and further SIGTERMs while
+// it shuts down, and SIGHUP while it starts.
+func (r *soakRun) restartEdge(_ context.Context, random *rand.Rand, p *edgeProcess) {
+	r.recordFault("%s is terminated", p.name())
+	p.terminate(false, func() { p.sendSignals(random) })
+	r.startAfterExit(p, random)
 }
 
-// signalSeries sends up to three signals to an edge that is shutting down, some at once and some apart.
-func (p *edgeProcess) signalSeries(random *rand.Rand) {
+// sendSignals sends up to three signals to an edge that is shutting down, each with or without a delay before it.
+func (p *edgeProcess) sendSignals(random *rand.Rand) {
 	for range random.IntN(4) {
 		if random.IntN(2) == 0 {
-			time.Sleep(between(random, 0, 300*time.Millisecond))
+			time.Sleep(drawDuration(random, 0, 300*time.Millisecond))
 		}
 		p.signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[random.IntN(2)])
 	}
 }
 
-// startAgain starts an edge that has ended.
-func (r *soakRun) startAgain(p *edgeProcess, random *rand.Rand) {
+// startAfterExit starts an edge whose process has exited, and waits until the edge is ready.
+func (r *soakRun) startAfterExit(p *edgeProcess, random *rand.Rand) {
 	if err := p.start(); err != nil {
-		r.violate("%s: %v", p.name(), err)
+		r.recordViolation("%s: %v", p.name(), err)
 		return
 	}
-	if random.IntN(2) == 0 { // a reload that coincides with the start
-		time.Sleep(between(random, 5*time.Millisecond, 60*time.Millisecond))
+	if random.IntN(2) == 0 { // a reload during the start
+		time.Sleep(drawDuration(random, 5*time.Millisecond, 60*time.Millisecond))
 		p.signal(syscall.SIGHUP)
 	}
 	if err := p.awaitReady(readyTimeout); err != nil {
-		r.violate("%v", err)
+		r.recordViolation("%v", err)
 	}
-	p.recovered()
+	p.recordRecovery()
 }
 
-// kill ends an edge by SIGKILL and starts it again.
-func (r *soakRun) kill(_ context.Context, random *rand.Rand, p *edgeProcess) {
-	r.noteFault("%s is killed", p.name())
+// killEdge terminates an edge by SIGKILL and starts it again.
+func (r *soakRun) killEdge(_ context.Context, random *rand.Rand, p *edgeProcess) {
+	r.recordFault("%s is killed", p.name())
 	from := time.Now()
-	p.end(true, nil)
-	time.Sleep(between(random, 0, time.Second))
-	r.startAgain(p, random)
+	p.terminate(true, nil)
+	time.Sleep(drawDuration(random, 0, time.Second))
+	r.startAfterExit(p, random)
 	r.log.RecordOutage(audit.Outage{Edge: p.name(), From: from, To: time.Now()})
 }
 
-// pauseEdge keeps an edge from being scheduled, again and again.
+// pauseEdge stops and continues an edge's process a few times.
 func (r *soakRun) pauseEdge(ctx context.Context, random *rand.Rand, p *edgeProcess) {
-	r.noteFault("%s is paused", p.name())
+	r.recordFault("%s is paused", p.name())
 	for range 1 + random.IntN(6) {
 		p.signal(syscall.SIGSTOP)
-		time.Sleep(between(random, 10*time.Millisecond, 150*time.Millisecond))
+		time.Sleep(drawDuration(random, 10*time.Millisecond, 150*time.Millisecond))
 		p.signal(syscall.SIGCONT)
-		sleep(ctx, between(random, 10*time.Millisecond, 200*time.Millisecond))
+		sleep(ctx, drawDuration(random, 10*time.Millisecond, 200*time.Millisecond))
 	}
 }
 
-// throttleEdge gives an edge a share of a core for a while.
+// throttleEdge limits an edge to a share of a core for a random time.
 func (r *soakRun) throttleEdge(ctx context.Context, random *rand.Rand, p *edgeProcess) {
-	const leastShare, mostShare = 0.1, 0.4 // the most is what the operators' deployment allows
-	share := leastShare + (mostShare-leastShare)*random.Float64()
-	ctx, cancel := context.WithTimeout(ctx, between(random, 500*time.Millisecond, 3*time.Second))
+	const minShare, maxShare = 0.1, 0.4 // maxShare is the CPU limit of the operators' deployment
+	share := minShare + (maxShare-minShare)*random.Float64()
+	ctx, cancel := context.WithTimeout(ctx, drawDuration(random, 500*time.Millisecond, 3*time.Second))
 	defer cancel()
-	r.noteFault("%s has %.2f of a core", p.name(), share)
+	r.recordFault("%s is limited to %.2f of a core", p.name(), share)
 	p.mu.Lock()
 	pid := p.command.Process.Pid
 	p.mu.Unlock()
 	Throttle(ctx, pid, share)
 }
 
-// throttlePeriod is how often a process with a share of a core runs.
+// throttlePeriod is the time in which a throttled process runs once and is stopped once.
 const throttlePeriod = 40 * time.Millisecond
 
-// Throttle gives a process a share of a core until ctx ends, by stopping it for the rest of each period. It ends early where
-// the process has ended.
+// Throttle limits a process to a share of a core until ctx ends, by stopping the process for the rest of each period. It returns
+// early if the process has exited.
 func Throttle(ctx context.Context, pid int, share float64) {
 	running := time.Duration(share * float64(throttlePeriod))
 	for ctx.Err() == nil {
@@ -126,24 +128,24 @@
 			return
 		}
 		time.Sleep(throttlePeriod - running)
-		_ = syscall.Kill(pid, syscall.SIGCONT) // fails where it has been killed meanwhile
+		_ = syscall.Kill(pid, syscall.SIGCONT) // fails if the process has been killed meanwhile
 		time.Sleep(running)
 	}
 }
 
-// exhaustDescriptors lets an edge's accept, socket and dup calls fail with EMFILE for a moment.
+// exhaustDescriptors makes an edge's accept, socket and dup calls fail with EMFILE for a short time.
 func (r *soakRun) exhaustDescriptors(_ context.Context, random *rand.Rand, p *edgeProcess) {
-	r.noteFault("%s has few descriptors left", p.name())
-	if err := p.limitDescriptors(random.IntN(4), between(random, 100*time.Millisecond, 800*time.Millisecond)); err != nil {
-		r.violate("limit of descriptors: %v", err)
+	r.recordFault("%s has few free descriptors", p.name())
+	if err := p.limitDescriptors(random.IntN(4), drawDuration(random, 100*time.Millisecond, 800*time.Millisecond)); err != nil {
+		r.recordViolation("limit descriptors: %v", err)
 	}
 }
 
-// interruptSystemCalls sends signals that do nothing but interrupt system calls.
+// interruptSystemCalls sends SIGWINCH signals, which have no effect but to interrupt system calls.
 func (r *soakRun) interruptSystemCalls(ctx context.Context, random *rand.Rand, p *edgeProcess) {
-	r.noteFault("system calls of %s are interrupted", p.name())
+	r.recordFault("system calls of %s are interrupted", p.name())
 	for range interruptSignals {
 		p.signal(syscall.SIGWINCH)
-		sleep(ctx, between(random, time.Millisecond, 5*time.Millisecond))
+		sleep(ctx, drawDuration(random, time.Millisecond, 5*time.Millisecond))
 	}
 }
--- a/internal/soak/edge_log_test.go
+++ b/internal/soak/edge_log_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An edge's log counts: a violation that its monitor found, and a crash.
-func TestReadLog(t *testing.T) {
+// Both an invariant violation and a crash in an edge's log are violations of the run.
+func TestReadLogRecordsViolationsAndCrashes(t *testing.T) {
 	r := &soakRun{folder: t.TempDir(), responses: map[string]int{}, startedAt: time.Now()}
 	r.readLog("n1", 1, strings.NewReader(`{"level":"info","msg":"request finished"}
 {"level":"error","msg":"invariant violated","rule":"two attempts out","request":"a","detail":"attempts 0 and 1"}
--- a/internal/soak/edge_process.go
+++ b/internal/soak/edge_process.go
@@ -14,44 +14,46 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// killAfter is how long a planned restart waits before SIGKILL, as on the platform: 0.7 s more than the longest deadline.
-const killAfter = longestDeadline + 700*time.Millisecond
+// killDelay is the time between SIGTERM and SIGKILL in a planned restart, as on the platform: 0.7 s more than the longest
+// deadline.
+const killDelay = longestDeadline + 700*time.Millisecond
 
-// edgeProcess is one edge under test: its addresses, its configuration, and the process that runs now.
+// edgeProcess is one edge under test: addresses, configuration file and current process.
 type edgeProcess struct {
 	soak       *soakRun
 	number     int
 	group      int
 	addr       string
-	peerAddr   string // for gossip, by UDP
+	peerAddr   string // UDP address for gossip
 	configPath string
 
 	mu          sync.Mutex
 	command     *exec.Cmd
 	exited      chan struct{}
-	stopping    bool // it has been signaled to shut down, or killed
-	faulty      bool // an injector has it
+	stopping    bool // the process has been sent SIGTERM or SIGKILL
+	claimed     bool // an injector is running a fault on the edge
 	incarnation int
-	// outages are the times in which the process was shutting down or not running: clients may then find nobody.
+	// outages are the intervals in which the process was shutting down or not running, so that clients may get no response.
 	outages []outage
 }
 
-// outage is a time; to is zero while it lasts.
+// outage is an interval without service. A zero to means that the outage has not ended.
 type outage struct {
 	from, to time.Time
 	killed   bool
 }
 
-// runLine starts an edge as the deploy file does: a reload in its first moment does not end it.
-const runLine = `trap "" HUP; exec "$0" --config "$1"`
+// startScript starts an edge as the deploy file does. The trap keeps a SIGHUP before the edge has set its handler from ending
+// the process.
+const startScript = `trap "" HUP; exec "$0" --config "$1"`
 
-// shellTime is how long the shell may take that starts an edge.
-const shellTime = 2 * time.Second
+// execTimeout bounds the wait for the shell of startScript to execute the edge.
+const execTimeout = 2 * time.Second
 
-// awaitExec waits until a process runs the edge and not the shell that starts it: signals are for the edge.
+// awaitExec waits until the shell of startScript has executed the edge, so that signals reach the edge and not the shell.
 func awaitExec(pid int) {
 	exe := fmt.Sprintf("/proc/%d/exe", pid)
-	for end := time.Now().Add(shellTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(execTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if target, err := os.Readlink(exe); err == nil && filepath.Base(target) == "sandcourse-edge" {
 			return
 		}
@@ -63,14 +65,15 @@
 		peerAddr: edgeAddress(number, peerPort), configPath: fmt.Sprintf("%s/n%d.json", r.folder, number)}
 }
 
-// Ports of edges. Each edge has an address of its own, so that no outgoing connection of another process can occupy one of
-// these ports: it would keep a starting edge from listening.
+// Ports of edges. Each edge has its own loopback address, so that no outgoing connection of another process can occupy one of
+// these ports and keep a starting edge from listening.
 const (
 	clientPort = 8000
 	peerPort   = 8001
 )
 
-// edgeAddress returns an address of an edge in 127.0.0.0/8. It differs between runs side by side.
+// edgeAddress returns an address of an edge in 127.0.0.0/8. The process ID is part of the address, because runs may be
+// concurrent.
 func edgeAddress(number, port int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8&63, pid&255, number+1, port)
@@ -78,12 +81,12 @@
 
 func (p *edgeProcess) name() string { return fmt.Sprintf("n%d", p.number) }
 
-// start begins the next incarnation of the edge.
+// start starts the next incarnation of the edge.
 func (p *edgeProcess) start() error {
-	if err := p.configure(false); err != nil {
+	if err := p.writeConfig(false); err != nil {
 		return err
 	}
-	command := exec.Command("/bin/sh", "-c", runLine, p.soak.config.Binary, p.configPath)
+	command := exec.Command("/bin/sh", "-c", startScript, p.soak.config.Binary, p.configPath)
 	output, err := command.StderrPipe()
 	if err != nil {
 		return err
@@ -105,50 +108,50 @@
 		stopping := p.stopping
 		p.mu.Unlock()
 		if !stopping {
-			p.soak.violate("%s life %d ended by itself: %v", p.name(), incarnation, err)
+			p.soak.recordViolation("%s incarnation %d exited unexpectedly: %v", p.name(), incarnation, err)
 		}
 		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that runs now, if there is one.
+// signal sends a signal to the current process, if any.
 func (p *edgeProcess) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		_ = p.command.Process.Signal(s) // fails where it has exited already
+		_ = p.command.Process.Signal(s) // fails if the process has exited already
 	}
 }
 
-// end ends an incarnation: by SIGTERM and, where the process has not exited after killAfter, SIGKILL; or by SIGKILL at once.
-// Between SIGTERM and the wait, meanwhile is called.
-func (p *edgeProcess) end(kill bool, meanwhile func()) {
+// terminate ends an incarnation: by SIGTERM and, if the process has not exited after killDelay, SIGKILL; or by SIGKILL at once if
+// kill is set. duringShutdown, unless nil, is called between SIGTERM and the wait.
+func (p *edgeProcess) terminate(kill bool, duringShutdown func()) {
 	p.mu.Lock()
 	p.stopping = true
 	process, exited := p.command.Process, p.exited
 	p.outages = append(p.outages, outage{from: time.Now()})
 	p.mu.Unlock()
 	if !kill {
-		_ = process.Signal(syscall.SIGTERM) // fails where it has exited already
-		if meanwhile != nil {
-			meanwhile()
+		_ = process.Signal(syscall.SIGTERM) // fails if the process has exited already
+		if duringShutdown != nil {
+			duringShutdown()
 		}
 		select {
 		case <-exited:
 			return
-		case <-time.After(killAfter):
+		case <-time.After(killDelay):
 		}
 	}
 	p.mu.Lock()
 	p.outages[len(p.outages)-1].killed = true
 	p.mu.Unlock()
-	_ = process.Signal(syscall.SIGKILL) // fails where it has exited already
+	_ = process.Signal(syscall.SIGKILL) // fails if the process has exited already
 	<-exited
 }
 
-// recovered notes that the edge serves again.
-func (p *edgeProcess) recovered() {
+// recordRecovery ends the current outage of the edge.
+func (p *edgeProcess) recordRecovery() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if last := len(p.outages) - 1; last >= 0 && p.outages[last].to.IsZero() {
@@ -156,17 +159,17 @@
 	}
 }
 
-// wasDown is whether the edge was shutting down or not running at any moment between from and to.
+// wasDown reports whether the edge was shutting down or not running at any time between from and to.
 func (p *edgeProcess) wasDown(from, to time.Time) bool {
-	return p.hadOutage(from, to, func(outage) bool { return true })
+	return p.hasOutage(from, to, func(outage) bool { return true })
 }
 
-// wasKilled is whether it was down then because it was killed.
+// wasKilled reports whether the edge was down at any time between from and to because of a SIGKILL.
 func (p *edgeProcess) wasKilled(from, to time.Time) bool {
-	return p.hadOutage(from, to, func(o outage) bool { return o.killed })
+	return p.hasOutage(from, to, func(o outage) bool { return o.killed })
 }
 
-func (p *edgeProcess) hadOutage(from, to time.Time, matches func(outage) bool) bool {
+func (p *edgeProcess) hasOutage(from, to time.Time, matches func(outage) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.outages, func(o outage) bool {
@@ -174,13 +177,15 @@
 	})
 }
 
-// notReadyError says that an edge did not become ready in time.
+// notReadyError reports that an edge did not become ready in time.
 type notReadyError struct {
 	edge    string
 	timeout time.Duration
 }
 
-func (e *notReadyError) Error() string { return e.edge + " is not ready in " + e.timeout.String() }
+func (e *notReadyError) Error() string {
+	return e.edge + " did not become ready within " + e.timeout.String()
+}
 
 // awaitReady waits until the edge's health check succeeds.
 func (p *edgeProcess) awaitReady(timeout time.Duration) error {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// longestFaultPause is the longest time between two faults of one injector.
+// longestFaultPause is the longest pause between two faults of one injector.
 const longestFaultPause = 400 * time.Millisecond
 
-// injector plays one fault from its begin to its end, or to the end of ctx.
+// injector injects one fault and returns when the fault is over or ctx is done.
 type injector func(ctx context.Context, random *rand.Rand)
 
-// injectors lists the faults to draw from. A fault listed twice is drawn twice as often. The seed determines the sequence of
-// faults through the order of this list.
+// injectors returns the faults to draw from. A fault listed twice is drawn twice as often. The order of the list determines which
+// sequence of faults a seed draws.
 func (r *soakRun) injectors() []injector {
 	return []injector{
-		r.onEdge(r.restart), r.onEdge(r.restart), r.onEdge(r.kill),
-		r.reload, r.reload, r.unresponsiveAgent, r.slowAgent,
-		r.unresponsiveEngine, r.resetEngine, r.refusingEngine, r.faultyConnections, r.faultyConnections,
+		r.onRandomEdge(r.restartEdge), r.onRandomEdge(r.restartEdge), r.onRandomEdge(r.killEdge),
+		r.reloadGroup, r.reloadGroup, r.stallAgent, r.slowDownAgent,
+		r.stallEngine, r.resetEngineConnections, r.refuseEngineConnections, r.disturbEngineConnections, r.disturbEngineConnections,
 		r.replaceEngine, r.replaceEngine,
-		r.onEdge(r.pauseEdge), r.onEdge(r.exhaustDescriptors), r.onEdge(r.interruptSystemCalls),
-		r.onEdge(r.throttleEdge), r.replaceManyEngines, r.crowd,
+		r.onRandomEdge(r.pauseEdge), r.onRandomEdge(r.exhaustDescriptors), r.onRandomEdge(r.interruptSystemCalls),
+		r.onRandomEdge(r.throttleEdge), r.replaceManyEngines, r.sendClientBurst,
 	}
 }
 
-// injectFaults plays one fault after the other until ctx ends.
+// injectFaults injects random faults, one at a time, until ctx is done.
 func (r *soakRun) injectFaults(ctx context.Context, random *rand.Rand) {
 	injectors := r.injectors()
 	for ctx.Err() == nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -42,7 +42,7 @@
 	}
 }
 
-// between draws a duration.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+// drawDuration returns a random duration of at least shortest and less than longest.
+func drawDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 }
--- a/internal/soak/irregular_client.go
+++ b/internal/soak/irregular_client.go
@@ -10,48 +10,49 @@
 	"time"
 )
 
-// partialRequestTimeout is within what an edge has to answer or close a partial request: 3 s, and what a loaded machine adds.
+// partialRequestTimeout is the time limit for an edge to respond to a partial request or to close the connection: 3 s, and 1 s for
+// a loaded machine.
 const partialRequestTimeout = 3*time.Second + time.Second
 
-// The kinds under which the report counts the responses to these clients.
+// Kinds under which the report counts the responses to partial and to pipelined requests.
 const (
 	kindPartial   = "half"
 	kindPipelined = "pipelined"
 )
 
-// sendPartialRequest sends a part of a request and stays connected: the edge has to respond with an error or to close.
+// sendPartialRequest sends a part of a request and stays connected. The edge must respond with an error or close the connection.
 func (c *client) sendPartialRequest(p *edgeProcess) {
 	conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
 	if err != nil {
 		return
 	}
-	text := c.newRequest(p).text()
+	text := c.newRequest(p).encode()
 	length := 1 + c.random.IntN(len(text)-1)
-	before := ""
-	if c.random.IntN(2) == 0 { // behind a request that is served
-		before = c.newRequest(p).text()
+	preceding := ""
+	if c.random.IntN(2) == 0 { // a complete request in front of the partial one
+		preceding = c.newRequest(p).encode()
 	}
-	c.soak.auxiliary.Go(func() {
+	c.soak.irregularRequests.Go(func() {
 		defer conn.Close()
-		if _, err := io.WriteString(conn, before+text[:length]); err != nil {
+		if _, err := io.WriteString(conn, preceding+text[:length]); err != nil {
 			return
 		}
 		sent := time.Now()
 		timeout := partialRequestTimeout
-		if before != "" {
-			timeout += longestDeadline + time.Second // until the one before it is served
+		if preceding != "" {
+			timeout += longestDeadline + time.Second // for the response to the preceding request
 		}
 		conn.SetDeadline(sent.Add(timeout))
 		responses, err := io.ReadAll(conn)
 		if errors.Is(asDeadlineExceeded(err), errDeadlineExceeded) && !p.wasDown(sent, time.Now()) {
-			c.soak.violate("%s: half a request (%d bytes, behind another: %v) has no error and no close after %v; got %q",
-				p.name(), length, before != "", timeout, responses)
+			c.soak.recordViolation("%s: partial request (%d bytes, after a complete one: %v) got neither an error nor a close within %v; got %q",
+				p.name(), length, preceding != "", timeout, responses)
 		}
 		c.soak.countResponse(kindPartial)
 	})
 }
 
-// sendPipelinedRequests sends some requests at once. The edge has to answer all, in their order.
+// sendPipelinedRequests sends two to five requests at once. The edge must respond to all of them in order.
 func (c *client) sendPipelinedRequests(p *edgeProcess) {
 	conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
 	if err != nil {
@@ -63,9 +64,9 @@
 		r := c.newRequest(p)
 		r.timeout = longestDeadline
 		requests = append(requests, r)
-		text.WriteString(r.text())
+		text.WriteString(r.encode())
 	}
-	c.soak.auxiliary.Go(func() {
+	c.soak.irregularRequests.Go(func() {
 		defer conn.Close()
 		sent := time.Now()
 		conn.SetDeadline(sent.Add(time.Duration(len(requests)) * 2 * longestDeadline))
@@ -76,21 +77,21 @@
 	})
 }
 
-// readPipelinedResponses reads the responses to requests that were sent at once, up to one that ends the connection.
+// readPipelinedResponses reads the responses to pipelined requests, up to a response that ends the connection.
 func (c *client) readPipelinedResponses(p *edgeProcess, conn net.Conn, requests []request, sent time.Time) {
 	in := bufio.NewReader(conn)
 	for i, r := range requests {
 		response, err := http.ReadResponse(in, nil)
 		if err != nil {
 			if !p.wasDown(sent, time.Now()) {
-				c.soak.violate("%s: %d of %d requests sent at once have no answer: %v", r.id, len(requests)-i, len(requests), err)
+				c.soak.recordViolation("%s: %d of %d pipelined requests have no response: %v", r.id, len(requests)-i, len(requests), err)
 			}
 			return
 		}
 		_, err = io.Copy(io.Discard, response.Body)
 		response.Body.Close()
 		if err != nil || response.Close {
-			return // a stream broke: its connection ends with the requests that wait behind it
+			return // a broken stream ends the connection, and the requests queued behind it get no response
 		}
 	}
 	c.soak.countResponse(kindPipelined)
--- a/internal/soak/listed_engine.go
+++ b/internal/soak/listed_engine.go
@@ -11,18 +11,18 @@
 const (
 	engineSlots       = 16
 	engineWorkTime    = 10 * time.Millisecond
-	engineEvents      = 5 // of each stream
+	engineEvents      = 5 // events of each stream
 	engineMinIdleTime = 500 * time.Millisecond
 )
 
-// listedEngine is a fake engine with a proxy for each group of edges and its entry in discovery.
+// listedEngine is a fake engine with its discovery entry and a proxy for each group of edges.
 type listedEngine struct {
 	*platformengine.Engine
 	proxies []*proxy
-	listed  *instance
+	entry   *instance
 }
 
-// addEngine starts an engine with its proxies and lists it.
+// addEngine starts an engine and its proxies and adds the engine to discovery.
 func (r *soakRun) addEngine(role platformengine.Role) error {
 	r.mu.Lock()
 	r.lastEngine++
@@ -33,34 +33,34 @@
 	if err != nil {
 		return err
 	}
-	l := &listedEngine{Engine: engine, listed: &instance{id: id, kind: string(role), state: serving}}
+	l := &listedEngine{Engine: engine, entry: &instance{id: id, kind: string(role), state: instanceServing}}
 	for range groupCount {
 		p, err := newProxy(engine.Addr, func(address string) { r.fleet.RouterClosed(id, address) })
 		if err != nil {
 			return fmt.Errorf("proxy of engine %s: %w", id, err)
 		}
 		l.proxies = append(l.proxies, p)
-		l.listed.hosts = append(l.listed.hosts, p.addr())
+		l.entry.hosts = append(l.entry.hosts, p.addr())
 	}
 	r.mu.Lock()
 	r.engines = append(r.engines, l)
 	r.mu.Unlock()
-	r.discovery.update(l.listed)
+	r.discovery.update(l.entry)
 	return nil
 }
 
-// engineIdleTime draws after what an engine closes idle connections: any time up to the edges' own.
+// engineIdleTime returns a random idle timeout for the connections of an engine, at most the idle timeout of the edges.
 func (r *soakRun) engineIdleTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return between(r.random, engineMinIdleTime, connectionIdleTime)
+	return drawDuration(r.random, engineMinIdleTime, connectionIdleTime)
 }
 
-// setState lists an engine in another state.
-func (r *soakRun) setState(l *listedEngine, state instanceState) {
-	changed := *l.listed
+// setInstanceState changes the state of an engine in discovery.
+func (r *soakRun) setInstanceState(l *listedEngine, state instanceState) {
+	changed := *l.entry
 	changed.state = state
-	l.listed = &changed
+	l.entry = &changed
 	r.discovery.update(&changed)
 }
 
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -10,16 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// proxyFault is what a proxy does to the connections that go through it.
+// proxyFault is the fault that a proxy injects into the connections through it.
 type proxyFault uint8
 
 const (
 	noFault            proxyFault = iota
-	unresponsive                  // nothing passes, no connection ends, new ones are accepted and get nothing
-	connectionsRefused            // new connections are reset at once, open ones pass
-	responsesCut                  // a response is cut in its middle, and its connection reset
-	responsesGarbled              // noise comes in place of a response, and the connection stays open
-	requestsDelayed               // what edges send arrives requestDelay later
+	connectionsStalled            // no bytes and no closes are forwarded; new connections are accepted and stall, too
+	connectionsRefused            // new connections are reset at once; open ones are not affected
+	responsesCut                  // the first half of the next bytes of a response is forwarded, then the connection is reset
+	responsesGarbled              // the bytes of a response are replaced by garbage, and the connection stays open
+	requestsDelayed               // bytes from an edge are forwarded after requestDelay
 )
 
 func (f proxyFault) String() string {
@@ -28,19 +28,19 @@
 
 const (
 	requestDelay = 200 * time.Millisecond
-	// garbage is what comes in place of a response.
+	// garbage replaces the bytes of a garbled response.
 	garbage = "\x00\x01noise\r\n\r\nHTTP/1.1 200"
-	// pollInterval is how often an unresponsive connection is checked for its end.
+	// pollInterval is how often a stalled connection is checked for a close by its sender.
 	pollInterval = 5 * time.Millisecond
-	// proxyBufferSize is how many bytes of a connection are forwarded at once.
+	// proxyBufferSize is the maximum number of bytes that are forwarded at once.
 	proxyBufferSize = 16 << 10
 )
 
-// proxy stands between the edges of one group and one engine, and is noticed by neither.
+// proxy forwards the connections of one group of edges to one engine, transparently for both sides.
 type proxy struct {
 	listener net.Listener
 	target   string
-	// onEdgeClosed is called when the edge's side of a connection has ended, with the address by which the engine knows it.
+	// onEdgeClosed, unless nil, is called when an edge has closed a connection, with the remote address that the engine sees.
 	onEdgeClosed func(address string)
 
 	mu          sync.Mutex
@@ -49,7 +49,7 @@
 	closed      bool
 }
 
-// proxiedConnection is the two connections that the proxy joins.
+// proxiedConnection is a connection from an edge and the proxy's connection to the engine.
 type proxiedConnection struct{ edge, target net.Conn }
 
 func (c *proxiedConnection) reset() {
@@ -57,7 +57,7 @@
 	resetConnection(c.target)
 }
 
-// newProxy starts a proxy that listens on a port of its own.
+// newProxy starts a proxy on an unused loopback port.
 func newProxy(target string, onEdgeClosed func(address string)) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 // addr returns the address to which edges connect.
 func (p *proxy) addr() string { return p.listener.Addr().String() }
 
-// setFault begins a fault, or ends it by noFault.
+// setFault replaces the current fault.
 func (p *proxy) setFault(f proxyFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,10 +96,10 @@
 	p.resetAll()
 }
 
-// resetConnection closes a connection by RST.
+// resetConnection closes a connection with RST.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection alone
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	conn.Close()
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// serve joins an edge's connection to a new one to the engine until both have ended.
+// serve connects to the engine and forwards bytes between it and an edge until both directions have ended.
 func (p *proxy) serve(edge net.Conn) {
 	if fault, _ := p.state(); fault == connectionsRefused {
 		resetConnection(edge)
@@ -135,16 +135,16 @@
 		c.reset()
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.forward(target, edge, true, target.LocalAddr().String()) })
-	both.Go(func() { p.forward(edge, target, false, "") })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(target, edge, true, target.LocalAddr().String()) })
+	directions.Go(func() { p.forward(edge, target, false, "") })
+	directions.Wait()
 	p.unregister(c)
 	edge.Close()
 	target.Close()
 }
 
-// register adds a connection to those that resetAll resets; false where the proxy has been closed.
+// register adds a connection to those that resetAll resets. It returns false if the proxy has been closed.
 func (p *proxy) register(c *proxiedConnection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,16 +167,17 @@
 	return p.fault, p.closed
 }
 
-// forward passes bytes on in one direction. The end of the edge's side is notified at once, and passed on when bytes may pass.
+// forward forwards the bytes of one direction. A close by the edge is reported to onEdgeClosed at once and forwarded once the
+// connection is not stalled.
 func (p *proxy) forward(to, from net.Conn, fromEdge bool, address string) {
 	buffer := make([]byte, proxyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		passes := p.awaitPassing(from)
-		if (err != nil || !passes) && fromEdge && p.onEdgeClosed != nil {
+		canForward := p.awaitForwarding(from)
+		if (err != nil || !canForward) && fromEdge && p.onEdgeClosed != nil {
 			p.onEdgeClosed(address)
 		}
-		if !passes {
+		if !canForward {
 			resetConnection(to)
 			resetConnection(from)
 			return
@@ -198,12 +199,13 @@
 	}
 }
 
-// awaitPassing returns once bytes may pass that came from one side; false where they never will, as the proxy has been closed
-// or that side has ended its connection meanwhile: what had not arrived by then is lost with it.
-func (p *proxy) awaitPassing(from net.Conn) bool {
+// awaitForwarding waits while connections are stalled and reports whether bytes from one side are to be forwarded. It returns
+// false if the proxy has been closed or if that side has closed the connection during the stall: bytes that the other side has not
+// received by then are lost.
+func (p *proxy) awaitForwarding(from net.Conn) bool {
 	for {
 		fault, closed := p.state()
-		if closed || fault != unresponsive {
+		if closed || fault != connectionsStalled {
 			return !closed
 		}
 		if peerClosed(from) {
@@ -213,14 +215,14 @@
 	}
 }
 
-// write writes bytes to the other side, changed by the current fault. False where the connection is to be reset.
+// write applies the current fault to bytes and writes them to the other side. It returns false if the connection must be reset.
 func (p *proxy) write(to net.Conn, data []byte, fromEdge bool) bool {
 	fault, _ := p.state()
 	switch {
 	case fault == requestsDelayed && fromEdge:
 		time.Sleep(requestDelay)
 	case fault == responsesCut && !fromEdge:
-		_, _ = to.Write(data[:len(data)/2]) // the connection is reset in any case
+		_, _ = to.Write(data[:len(data)/2]) // the connection is reset whether or not the write fails
 		return false
 	case fault == responsesGarbled && !fromEdge:
 		data = []byte(garbage)
@@ -229,7 +231,7 @@
 	return err == nil
 }
 
-// peerClosed is whether the other side has ended a connection, though there may be unread bytes before that.
+// peerClosed reports whether the peer has closed a connection, even if unread bytes are still buffered.
 func peerClosed(conn net.Conn) (closed bool) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -33,7 +33,7 @@
 	return listener
 }
 
-// exchange sends a text through a proxy and returns what comes back, with the error that ended it.
+// exchange sends a text through a proxy and returns the bytes received in return, with any error.
 func exchange(t *testing.T, p *proxy, text string) (string, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.addr())
@@ -50,7 +50,7 @@
 	return string(got[:n]), err
 }
 
-func TestProxyFaults(t *testing.T) {
+func TestProxyAppliesFaults(t *testing.T) {
 	p, err := newProxy(startEchoServer(t).Addr().String(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 		ok    bool
 	}{
 		{noFault, "some words", true},
-		{unresponsive, "", false},
+		{connectionsStalled, "", false},
 		{connectionsRefused, "", false},
 		{responsesCut, "some ", false},
 		{requestsDelayed, "some words", true},
@@ -80,7 +80,8 @@
 	}
 }
 
-// What an edge wrote to an unresponsive engine before it closed the connection is lost, and the close is notified.
+// If an edge closes a connection during a stall, the bytes that it wrote before must not reach the engine, and the close must be
+// reported.
 func TestProxyReportsAbandonedConnection(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer p.close()
-	p.setFault(unresponsive)
+	p.setFault(connectionsStalled)
 	edge, err := net.Dial("tcp", p.addr())
 	if err != nil {
 		t.Fatal(err)
@@ -105,11 +106,11 @@
 	io.WriteString(edge, "a request")
 	edge.Close()
 	if address := <-closed; address != engine.RemoteAddr().String() {
-		t.Errorf("notified of %s, the engine knows it as %s", address, engine.RemoteAddr())
+		t.Errorf("close of %s reported, want %s", address, engine.RemoteAddr())
 	}
 	p.setFault(noFault)
 	engine.SetDeadline(time.Now().Add(5 * time.Second))
 	if got, err := io.ReadAll(engine); len(got) > 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%q %v arrived of the abandoned request", got, err)
+		t.Errorf("engine read %q and error %v from the abandoned connection", got, err)
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -14,24 +14,24 @@
 // Report is the result of a run.
 type Report struct {
 	Seed           uint64
-	Violations     []string       // broken rules, crashes, edges that do not serve again
-	Traces         []string       // of the requests concerned
-	Responses      map[string]int // by status, and of the other clients by kind
-	InjectedFaults []string       // each with its time
+	Violations     []string       // broken rules, crashes and edges that did not recover
+	Traces         []string       // traces of the requests that broke a rule
+	Responses      map[string]int // counts by status or, for partial and pipelined requests, by kind
+	InjectedFaults []string       // each with the time of its start
 	Requests       int
-	// Unanswered is the number of requests without a response at edges that were shutting down, which are no violation by
-	// themselves.
+	// Unanswered is the number of requests without a response from an edge that was shutting down. Such a request is a violation
+	// only if the edge had forwarded it.
 	Unanswered int
-	Folder     string // of the logs, where a violation was found
+	Folder     string // folder of the logs; empty without violations
 }
 
-// What the protocol and a machine that runs dozens of processes may add to the durations of the rules.
+// Additions to the durations of the rules for delays of the protocol and of a machine that runs dozens of processes.
 const (
 	tolerance     = 700 * time.Millisecond
 	listTolerance = 300 * time.Millisecond
 )
 
-// report checks the records of the run, and removes its folder where there is no violation.
+// report checks the records of the run and removes the run's folder if there is no violation.
 func (r *soakRun) report() Report {
 	out := Report{Seed: r.config.Seed, Violations: r.violations, Responses: r.responses, InjectedFaults: r.injectedFaults,
 		Requests: len(r.log.ClientRecords()), Unanswered: len(r.unanswered), Folder: r.folder}
@@ -52,7 +52,7 @@
 	return out
 }
 
-// checkUnanswered looks for requests that an edge forwarded before it shut down, and never answered.
+// checkUnanswered returns a violation for each request that an edge forwarded before it shut down and did not respond to.
 func (r *soakRun) checkUnanswered() (violations []string) {
 	forwarded := map[string]bool{}
 	for _, s := range r.log.EngineRecords() {
@@ -62,28 +62,28 @@
 	}
 	for _, c := range r.unanswered {
 		if forwarded[c.RequestID] {
-			violations = append(violations, fmt.Sprintf("rule 1: %s was sent on by %s, which was told to end, and has no answer", c.RequestID, c.Edge))
+			violations = append(violations, fmt.Sprintf("rule 1: %s was forwarded by %s, which then shut down, and has no response", c.RequestID, c.Edge))
 		}
 	}
 	return violations
 }
 
-// checkDeduplication looks for idempotent requests that were executed again after the deduplication window of the first.
+// checkDeduplication returns a violation for each execution of a deduplicated request after the dedup window of the first.
 func (r *soakRun) checkDeduplication() (violations []string) {
-	class := map[string]requestClass{}
+	classes := map[string]requestClass{}
 	for _, c := range r.log.ClientRecords() {
-		class[c.RequestID] = requestClass(c.Route)
+		classes[c.RequestID] = requestClass(c.Route)
 	}
-	first := map[string]time.Time{}
+	firstExecutions := map[string]time.Time{}
 	for _, s := range r.log.EngineRecords() {
-		if s.Event != audit.Executed || class[s.RequestID] != classLabel {
+		if s.Event != audit.Executed || classes[s.RequestID] != classLabel {
 			continue
 		}
-		if at, ran := first[s.RequestID]; ran && s.At.Sub(at) > deduplicationWindow {
-			violations = append(violations, fmt.Sprintf("rule 2: %s ran again after %v, engines remember for %v",
-				s.RequestID, s.At.Sub(at), deduplicationWindow))
-		} else if !ran {
-			first[s.RequestID] = s.At
+		if firstAt, executed := firstExecutions[s.RequestID]; executed && s.At.Sub(firstAt) > deduplicationWindow {
+			violations = append(violations, fmt.Sprintf("rule 2: %s was executed again after %v, the dedup window is %v",
+				s.RequestID, s.At.Sub(firstAt), deduplicationWindow))
+		} else if !executed {
+			firstExecutions[s.RequestID] = s.At
 		}
 	}
 	return violations
@@ -92,21 +92,21 @@
 // String returns the report as text.
 func (r Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d calls, %d troubles, %d faults, %d calls without an answer at nodes that ended;", r.Seed, r.Requests,
+	fmt.Fprintf(&b, "seed %d: %d requests, %d injected faults, %d violations, %d requests without a response at edges that shut down;", r.Seed, r.Requests,
 		len(r.InjectedFaults), len(r.Violations), r.Unanswered)
 	for _, kind := range slices.Sorted(maps.Keys(r.Responses)) {
 		fmt.Fprintf(&b, " %s: %d", kind, r.Responses[kind])
 	}
 	b.WriteString("\n")
 	for _, v := range r.Violations {
-		fmt.Fprintf(&b, "  FAULT %s\n", v)
+		fmt.Fprintf(&b, "  VIOLATION %s\n", v)
 	}
 	for _, trace := range r.Traces {
 		fmt.Fprintf(&b, "  %s\n", trace)
 	}
 	if len(r.Violations) > 0 {
 		for _, fault := range r.InjectedFaults {
-			fmt.Fprintf(&b, "  trouble %s\n", fault)
+			fmt.Fprintf(&b, "  injected fault %s\n", fault)
 		}
 		fmt.Fprintf(&b, "  logs in %s\n", r.Folder)
 	}
--- a/internal/soak/response.go
+++ b/internal/soak/response.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	// errDeadlineExceeded: the client's deadline passed while it waited for the edge.
-	errDeadlineExceeded = errors.New("the client's time is over")
-	// errConnectionCloses: the edge has announced that it closes the connection after this response.
-	errConnectionCloses = errors.New("the edge closes the connection")
+	// errDeadlineExceeded reports that the deadline of the client's connection passed before the response ended.
+	errDeadlineExceeded = errors.New("client deadline exceeded")
+	// errConnectionCloses reports that the edge has announced the close of the connection after the response.
+	errConnectionCloses = errors.New("edge closes the connection")
 )
 
-// asDeadlineExceeded replaces a timeout of the network by errDeadlineExceeded.
+// asDeadlineExceeded returns errDeadlineExceeded for a network timeout and any other error unchanged.
 func asDeadlineExceeded(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -28,9 +28,9 @@
 	return err
 }
 
-// readResponse reads one response into the request's record. An error says that the connection can't be used any more.
+// readResponse reads one response into the request's record. After an error the connection must not be reused.
 func (c *client) readResponse(connection *clientConnection, record *audit.ClientRecord) error {
-	response, err := http.ReadResponse(connection.in, nil)
+	response, err := http.ReadResponse(connection.reader, nil)
 	if err != nil {
 		return asDeadlineExceeded(err)
 	}
@@ -47,8 +47,8 @@
 	rest, err := io.ReadAll(response.Body)
 	record.Outcome = responseOutcome(response.StatusCode, err)
 	if record.Outcome == audit.OutcomeCompleted && !strings.Contains(string(rest), "[DONE]") {
-		record.Reason = "a stream without its end came with its last chunk"
-		c.soak.violate("%s: a stream without its end came with its last chunk: %q", record.ClientRequestID, rest)
+		record.Reason = "response body ended without the final stream event"
+		c.soak.recordViolation("%s: response body ended without the final stream event: %q", record.ClientRequestID, rest)
 	}
 	c.soak.countResponse(strconv.Itoa(response.StatusCode))
 	if err != nil {
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// responseOutcome returns the outcome of a response by its status and by the error of reading its body.
+// responseOutcome returns the outcome of a response with a status and an error of reading the body.
 func responseOutcome(status int, readErr error) audit.Outcome {
 	switch {
 	case status == http.StatusOK && readErr == nil:
 		return audit.OutcomeCompleted
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		return audit.OutcomeShed
-	default: // among them a stream that broke
+	default: // includes a broken stream
 		return audit.OutcomeErrored
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs a few dozen real edges, each a process of its own, against fake engines, proxies, discovery agents and
-// clients on loopback, while faults that a seed draws overlap in time. It checks what engines and clients saw, what the
-// edges' own monitors report, and whether all edges serve again once the faults are over.
+// Package soak runs a few dozen edge processes against fake engines, proxies, discovery agents and clients on loopback, while
+// several random faults, determined by a seed, overlap in time. It checks the records of engines and clients, the violations that
+// the edges' own monitors log, and that all edges serve requests again after the last fault.
 package soak
 
 import (
@@ -17,35 +17,36 @@
 
 // Config describes one run.
 type Config struct {
-	Binary           string        // of the edge
-	Seed             uint64        // draws all faults
-	Edges            int           // processes
-	Engines          int           // of each role
-	Clients          int           // that send requests at the same time
-	ConcurrentFaults int           // injected at the same time
-	Duration         time.Duration // of the injection
-	Folder           string        // for configurations and logs; created anew, and removed where nothing was found
+	Binary           string        // path of the edge's binary
+	Seed             uint64        // seed of all random numbers
+	Edges            int           // number of edge processes
+	Engines          int           // number of engines of each role
+	Clients          int           // number of concurrent clients
+	ConcurrentFaults int           // number of faults injected at the same time
+	Duration         time.Duration // how long faults are injected
+	Folder           string        // parent of the run's folder of configurations and logs, which is removed without violations
 }
 
 const (
-	// groupCount is how many groups of edges there are, each with its own discovery agent and proxies to engines.
+	// groupCount is the number of groups of edges. Each group has its own discovery agent and proxies to engines.
 	groupCount = 3
-	// readyTimeout is within what an edge has to be ready.
+	// readyTimeout is the time limit for a started edge to become ready.
 	readyTimeout = 10 * time.Second
-	// recoveryTimeout is within what all edges have to serve again after the last fault.
+	// recoveryTimeout is the time limit for all edges to serve requests again after the last fault.
 	recoveryTimeout = 8 * time.Second
-	// resumeSeeds: every so manyth seed lets clients resume a broken stream, which changes how edges shut down.
-	resumeSeeds = 3
+	// resumeSeedInterval selects the seeds, one in three, whose clients may resume a broken stream, which changes how edges
+	// shut down.
+	resumeSeedInterval = 3
 )
 
-// Streams of random numbers that the seed is split into. The run itself, each injector, each client and each recovery check
-// have their own.
+// Numbers of the random streams into which the seed is split. The run itself, each injector, each client and each recovery check
+// have their own stream.
 const (
-	runStream       = 1
-	injectorStreams = 10
-	clientStreams   = 100
-	recoveryStreams = 1000
-	crowdStreams    = 10_000
+	runStream          = 1
+	injectorStreams    = 10
+	clientStreams      = 100
+	recoveryStreams    = 1000
+	burstClientStreams = 10_000
 )
 
 // soakRun is the state of one run.
@@ -59,18 +60,18 @@
 	random    *rand.Rand
 	startedAt time.Time
 
-	mu             sync.Mutex
-	engines        []*listedEngine
-	violations     []string
-	injectedFaults []string
-	responses      map[string]int
-	lastEngine     int
-	lastInCrowd    int                  // the number of the last client of a crowd
-	unanswered     []audit.ClientRecord // of edges that were shutting down and were not killed
-	auxiliary      sync.WaitGroup
+	mu                sync.Mutex
+	engines           []*listedEngine
+	violations        []string
+	injectedFaults    []string
+	responses         map[string]int
+	lastEngine        int
+	lastBurstClient   int                  // number of the latest burst client
+	unanswered        []audit.ClientRecord // requests without a response from an edge that was shutting down and was not killed
+	irregularRequests sync.WaitGroup
 }
 
-// Run plays one seed.
+// Run executes one run and returns its report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if err := os.MkdirAll(config.Folder, 0o755); err != nil {
 		return Report{}, fmt.Errorf("soak: create folder: %w", err)
@@ -86,7 +87,7 @@
 		r.stop()
 		return Report{}, err
 	}
-	r.inject(ctx)
+	r.runClientsAndFaults(ctx)
 	r.awaitRecovery()
 	r.stop()
 	return r.report(), nil
@@ -96,7 +97,7 @@
 	return rand.New(rand.NewPCG(r.config.Seed, uint64(stream)))
 }
 
-// start starts discovery, engines and edges, and waits until the edges are ready.
+// start starts discovery, engines and edges, and waits until all edges are ready.
 func (r *soakRun) start() (err error) {
 	if r.discovery, err = newDiscovery(groupCount); err != nil {
 		return err
@@ -124,55 +125,56 @@
 	return nil
 }
 
-// resumes is whether clients of this run may resume a broken stream.
-func (r *soakRun) resumes() bool { return r.config.Seed%resumeSeeds == 0 }
+// allowsResume reports whether clients of this run may resume a broken stream.
+func (r *soakRun) allowsResume() bool { return r.config.Seed%resumeSeedInterval == 0 }
 
-// inject runs clients and fault injectors side by side, for the duration of the run.
-func (r *soakRun) inject(ctx context.Context) {
+// runClientsAndFaults runs clients and fault injectors concurrently for the configured duration.
+func (r *soakRun) runClientsAndFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Duration)
 	defer cancel()
 	end := time.Now().Add(r.config.Duration)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range r.config.Clients {
 		c := newClient(r, i, clientStreams+i)
-		all.Go(func() { c.run(end) })
+		workers.Go(func() { c.run(end) })
 	}
 	for i := range r.config.ConcurrentFaults {
 		random := r.randomStream(injectorStreams + i)
-		all.Go(func() { r.injectFaults(ctx, random) })
+		workers.Go(func() { r.injectFaults(ctx, random) })
 	}
-	all.Wait()
-	r.auxiliary.Wait()
+	workers.Wait()
+	r.irregularRequests.Wait()
 }
 
-// awaitRecovery checks that all edges are ready and serve, and waits until no engine holds a reservation.
+// awaitRecovery checks that all edges are ready, waits until no engine holds a reservation, and checks that all edges serve
+// requests.
 func (r *soakRun) awaitRecovery() {
 	for _, p := range r.edges {
 		if err := p.awaitReady(readyTimeout); err != nil {
-			r.violate("at the end: %v", err)
+			r.recordViolation("at the end: %v", err)
 		}
 	}
 	for end := time.Now().Add(recoveryTimeout); r.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	var all sync.WaitGroup
+	var checks sync.WaitGroup
 	for i, p := range r.edges {
 		c := newClient(r, recoveryStreams+i, recoveryStreams+i)
-		all.Go(func() {
+		checks.Go(func() {
 			defer c.closeAll()
-			if !c.awaitServed(p, recoveryTimeout) {
-				r.violate("at the end: %s serves nothing in %v", p.name(), recoveryTimeout)
+			if !c.awaitCompletion(p, recoveryTimeout) {
+				r.recordViolation("at the end: %s completed no request within %v", p.name(), recoveryTimeout)
 			}
 		})
 	}
-	all.Wait()
+	checks.Wait()
 }
 
-// stop kills the edges and closes everything else.
+// stop kills the edges and closes engines, proxies and discovery agents.
 func (r *soakRun) stop() {
 	for _, p := range r.edges {
 		if p.command != nil {
-			p.end(true, nil)
+			p.terminate(true, nil)
 		}
 	}
 	for _, e := range r.engines {
@@ -185,33 +187,33 @@
 	}
 }
 
-// violate notes a violation with its time.
-func (r *soakRun) violate(format string, args ...any) {
+// recordViolation records a violation with the time since the start of the run.
+func (r *soakRun) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.violations = append(r.violations, r.stamp(format, args...))
+	r.violations = append(r.violations, r.formatWithTime(format, args...))
 }
 
-// noteFault notes an injected fault with its time.
-func (r *soakRun) noteFault(format string, args ...any) {
+// recordFault records an injected fault with the time since the start of the run.
+func (r *soakRun) recordFault(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.injectedFaults = append(r.injectedFaults, r.stamp(format, args...))
+	r.injectedFaults = append(r.injectedFaults, r.formatWithTime(format, args...))
 }
 
-func (r *soakRun) stamp(format string, args ...any) string {
+func (r *soakRun) formatWithTime(format string, args ...any) string {
 	return fmt.Sprintf("%6.2fs ", time.Since(r.startedAt).Seconds()) + fmt.Sprintf(format, args...)
 }
 
-// countResponse counts a response of an edge, by status or by kind of client.
+// countResponse counts a response of an edge under its status or, for partial and pipelined requests, the kind.
 func (r *soakRun) countResponse(kind string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.responses[kind]++
 }
 
-// noteUnanswered keeps a request without a response for checkUnanswered, unless its edge was killed.
-func (r *soakRun) noteUnanswered(p *edgeProcess, record audit.ClientRecord) {
+// recordUnanswered stores a request without a response for checkUnanswered, unless the edge was killed.
+func (r *soakRun) recordUnanswered(p *edgeProcess, record audit.ClientRecord) {
 	if p.wasKilled(record.Sent, record.End) {
 		return
 	}
