--- a/internal/fake/discoveryagent/agent.go
+++ b/internal/fake/discoveryagent/agent.go
@@ -66,34 +66,34 @@
 }
 
 // listSince is what the agent answers to who knows a generation, whether that has changed, and what is closed when it does.
-func (a *Agent) listSince(known int) (text string, changed bool, updated <-chan struct{}) {
+func (a *Agent) listSince(knownGeneration int) (text string, changed bool, updated <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var instances []string
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
-		if entry := a.entries[id]; entry.generation > known {
+		if entry := a.entries[id]; entry.generation > knownGeneration {
 			instances = append(instances, entry.text)
 		}
 	}
-	text = fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, a.generation, known == 0, strings.Join(instances, ","))
-	return text, known == 0 || a.generation > known, a.updated
+	text = fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, a.generation, knownGeneration == 0, strings.Join(instances, ","))
+	return text, knownGeneration == 0 || a.generation > knownGeneration, a.updated
 }
 
 // serveList answers a request for the complete list at once, and a watch when the list changes or its time is over.
 func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
-	known, _ := strconv.Atoi(r.URL.Query().Get("index"))
+	knownGeneration, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	end := time.After(time.Duration(wait) * time.Millisecond)
-	for isOver := false; ; {
-		text, changed, updated := a.listSince(known)
-		if changed || isOver {
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	for timedOut := false; ; {
+		text, changed, updated := a.listSince(knownGeneration)
+		if changed || timedOut {
 			fmt.Fprint(w, text)
 			return
 		}
 		select {
 		case <-updated:
-		case <-end:
-			isOver = true
+		case <-timeout:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/fake/engine/completions.go
+++ b/internal/fake/engine/completions.go
@@ -18,11 +18,11 @@
 
 const (
 	maxRequestBytes = 64 << 20
-	// messageOverheadTokens are the tokens of a message beside its content.
+	// messageOverheadTokens is the number of tokens of a message in addition to its content.
 	messageOverheadTokens = 4
 )
 
-// completionBody is what an engine reads of the body of a chat request.
+// completionBody holds the fields of a chat request's body that an engine uses.
 type completionBody struct {
 	Model     string                `json:"model"`
 	Messages  []chat.Message        `json:"messages"`
@@ -30,25 +30,25 @@
 	Transfer  *engineapi.KVTransfer `json:"kv_transfer_params"`
 }
 
-// completionRequest is an attempt that has arrived.
+// completionRequest is an attempt that an engine has received.
 type completionRequest struct {
 	completionBody
 	requestID       string
 	clientRequestID string
 	attemptIndex    string
 	idempotencyKey  string
-	roleEpoch       int64 // of the engine, as the router knows it; 0 for unknown
+	roleEpoch       int64 // epoch of the engine's role according to the router; 0 if unknown
 	promptTokens    int
-	trial           bool // the planner tests the engine's role; no router sent it
+	isTrial         bool // sent by the planner, not a router, to test the engine's role
 }
 
-func (r *completionRequest) decode() bool { return r.Transfer.RemotePrefill }
+func (r *completionRequest) isDecode() bool { return r.Transfer.RemotePrefill }
 
 func (r *completionRequest) reservationKey() string {
 	return reservationKey(r.requestID, r.attemptIndex)
 }
 
-// prefixes are the prefixes of the prompt up to the end of each message.
+// prefixes returns the prefixes of the prompt that end with each message.
 func (r *completionRequest) prefixes() []prefix {
 	hash, tokens := fnv.New64a(), 0
 	var prefixes []prefix
@@ -61,7 +61,8 @@
 	return prefixes
 }
 
-// readCompletionRequest responds with an error itself where it is false.
+// readCompletionRequest parses a request. It returns false if that fails, after an error response unless the body could not be
+// read.
 func readCompletionRequest(w http.ResponseWriter, r *http.Request) (*completionRequest, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
@@ -74,34 +75,34 @@
 		idempotencyKey:  r.Header.Get(chat.HeaderIdempotencyKey),
 	}
 	if err := json.Unmarshal(body, &request.completionBody); err != nil || request.Transfer == nil {
-		http.Error(w, "no call with kv_transfer_params", http.StatusBadRequest)
+		http.Error(w, "request is not JSON with kv_transfer_params", http.StatusBadRequest)
 		return nil, false
 	}
 	request.roleEpoch, _ = strconv.ParseInt(r.Header.Get(engineapi.HeaderRoleEpoch), 10, 64)
 	for _, m := range request.Messages {
 		request.promptTokens += chat.EstimateTokens(m.Content) + messageOverheadTokens
 	}
-	request.trial = strings.HasPrefix(request.requestID, planapi.TrialPrefix)
+	request.isTrial = strings.HasPrefix(request.requestID, planapi.TrialPrefix)
 	return request, true
 }
 
-// recordRequest records an event of a request. Trials are not recorded.
+// recordRequest records an event of a request, unless the request is a trial.
 func (e *Engine) recordRequest(request *completionRequest, event audit.EngineEvent) {
-	if request.trial {
+	if request.isTrial {
 		return
 	}
 	e.record(audit.EngineRecord{Event: event, RequestID: request.requestID, ClientRequestID: request.clientRequestID,
-		Decode: request.decode()})
+		Decode: request.isDecode()})
 }
 
-// arrivalState is what decides, at the arrival of a request, whether it is accepted.
+// arrivalState is the part of the engine's state that decides whether an arriving request is accepted.
 type arrivalState struct {
 	role                       string
 	staleEpoch, draining, full bool
 }
 
-// arrive counts an attempt and returns the state that it finds.
-func (e *Engine) arrive(request *completionRequest) arrivalState {
+// recordArrival counts an attempt and returns the state at its arrival.
+func (e *Engine) recordArrival(request *completionRequest) arrivalState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.countAttempt()
@@ -123,30 +124,30 @@
 	if !e.awaitResponsive(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
-	arrival := e.arrive(request)
+	state := e.recordArrival(request)
 	faults, _, _ := e.currentFaults()
 	if faults.ResponseDelay > 0 && !e.sleep(r.Context(), faults.ResponseDelay) {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
-	case arrival.staleEpoch:
+	case state.staleEpoch:
 		e.reject(w, http.StatusConflict, engineapi.RejectedRoleEpoch)
 	case faults.FailStatus > 0:
 		http.Error(w, "failed", faults.FailStatus)
-	case arrival.draining:
+	case state.draining:
 		e.reject(w, http.StatusServiceUnavailable, engineapi.RejectedDraining)
-	case arrival.full:
+	case state.full:
 		e.reject(w, http.StatusTooManyRequests, engineapi.RejectedFull)
-	case request.decode() != (arrival.role == planapi.Decode):
+	case request.isDecode() != (state.role == planapi.Decode):
 		e.reject(w, http.StatusConflict, engineapi.RejectedRole)
-	case request.decode():
+	case request.isDecode():
 		e.decode(w, r, request)
 	default:
 		e.prefill(w, r, request)
 	}
 }
 
-// reject responds that nothing was started, and why.
+// reject responds with the reason for which the engine has not started the request.
 func (e *Engine) reject(w http.ResponseWriter, status int, reason string) {
 	e.setLoadHeaders(w)
 	w.Header().Set(engineapi.HeaderRejected, reason)
@@ -155,7 +156,8 @@
 	w.Write(chat.ErrorBody("server_error", reason, "", "refused: "+reason))
 }
 
-// acquireSlot waits for a slot. The caller calls release when the request has ended.
+// acquireSlot waits for a slot. It returns false if the client disconnects or the engine crashes first. The caller must call
+// release when the request has ended.
 func (e *Engine) acquireSlot(ctx context.Context, prefillTokens int) (release func(), ok bool) {
 	e.mu.Lock()
 	slots, incarnation := e.slots, e.incarnation.ctx
@@ -169,16 +171,16 @@
 	case <-ctx.Done():
 	case <-incarnation.Done():
 	}
-	e.ifCurrent(incarnation, func() { e.occupancy.waiting-- })
-	leave := func() {
-		e.ifCurrent(incarnation, func() {
+	e.updateIfCurrent(incarnation, func() { e.occupancy.waiting-- })
+	endRequest := func() {
+		e.updateIfCurrent(incarnation, func() {
 			e.occupancy.openRequests--
 			e.occupancy.queuedPrefillTokens -= prefillTokens
 		})
 	}
 	if !ok {
-		leave()
+		endRequest()
 		return nil, false
 	}
-	return func() { <-slots; leave() }, true
+	return func() { <-slots; endRequest() }, true
 }
--- a/internal/fake/engine/decode.go
+++ b/internal/fake/engine/decode.go
@@ -12,8 +12,8 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// completionChunk is the data of a streamed event. The fields of this and the following are in the order in which they
-// are sent.
+// completionChunk is the data of a streamed event. The fields of completionChunk, chunkChoice and chunkDelta are in the order in
+// which they are sent.
 type completionChunk struct {
 	Choices []chunkChoice `json:"choices"`
 	ID      string        `json:"id"`
@@ -28,7 +28,7 @@
 }
 
 type chunkDelta struct {
-	Content string `json:"content,omitempty"` // missing in the last chunk
+	Content string `json:"content,omitempty"` // absent in the last chunk
 }
 
 // decode fetches the KV state of a prompt and streams the response.
@@ -45,8 +45,8 @@
 		e.reject(w, http.StatusConflict, engineapi.RejectedNoReservation)
 		return
 	}
-	defer e.useMemory(request.promptTokens)()
-	if !e.awaitFaults(r.Context(), func(f Faults) bool { return f.Unresponsive || f.StallFirst }) {
+	defer e.acquireMemory(request.promptTokens)()
+	if !e.awaitUnblocked(r.Context(), func(f Faults) bool { return f.Unresponsive || f.StallFirst }) {
 		panic(http.ErrAbortHandler)
 	}
 	e.recordExecution(request)
@@ -68,35 +68,35 @@
 	w.Write(chat.AppendEvent(nil, []byte(chat.Done)))
 }
 
-// useMemory takes KV memory until release is called.
-func (e *Engine) useMemory(tokens int) (release func()) {
+// acquireMemory occupies KV memory until release is called.
+func (e *Engine) acquireMemory(tokens int) (release func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	incarnation := e.incarnation.ctx
 	e.occupancy.usedTokens += tokens
-	return func() { e.ifCurrent(incarnation, func() { e.occupancy.usedTokens -= tokens }) }
+	return func() { e.updateIfCurrent(incarnation, func() { e.occupancy.usedTokens -= tokens }) }
 }
 
-// recordExecution records that a request has its effect, unless its idempotency key is known.
+// recordExecution records that a request takes effect or, if its idempotency key is known, that it is deduplicated.
 func (e *Engine) recordExecution(request *completionRequest) {
 	event := audit.Executed
-	if e.idempotencyKeys.seenBefore(request.idempotencyKey) {
+	if e.idempotencyKeys.checkAndRecord(request.idempotencyKey) {
 		event = audit.Deduplicated
 	}
 	e.record(audit.EngineRecord{Event: event, RequestID: request.requestID, ClientRequestID: request.clientRequestID})
 }
 
-// awaitToken waits until the faults allow the token with this index. It is false when the connection is to be broken.
+// awaitToken waits until the faults allow the token with this index. It returns false if the connection must be broken.
 func (e *Engine) awaitToken(ctx context.Context, index int) bool {
 	faults, _, incarnation := e.currentFaults()
 	if faults.BreakAfter > 0 && index >= faults.BreakAfter || incarnation.Err() != nil {
 		return false
 	}
 	stalled := func(f Faults) bool { return f.StallAfter > 0 && index >= f.StallAfter }
-	return e.awaitFaults(ctx, stalled) && e.awaitResponsive(ctx)
+	return e.awaitUnblocked(ctx, stalled) && e.awaitResponsive(ctx)
 }
 
-// countToken counts a token and returns how long it takes.
+// countToken counts a token and returns the time to generate it.
 func (e *Engine) countToken() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,7 +107,7 @@
 }
 
 func encodeChunk(request *completionRequest, content string, finishReason *string) []byte {
-	data, _ := json.Marshal(completionChunk{ // has no value that JSON lacks
+	data, _ := json.Marshal(completionChunk{ // cannot fail: all values can be represented in JSON
 		Choices: []chunkChoice{{Delta: chunkDelta{Content: content}, FinishReason: finishReason}},
 		ID:      completionID(request),
 		Model:   request.Model,
@@ -122,17 +122,17 @@
 const (
 	minResponseWords   = 8
 	responseWordsRange = 25
-	// A request for more tokens than longRequestTokens gets at least half of them. The router asks for unsetMaxTokens where
-	// its client does not say.
+	// A response to a request for more than longRequestTokens tokens has at least half of them. The router sends unsetMaxTokens
+	// for a client request without max_tokens.
 	longRequestTokens = 64
 	unsetMaxTokens    = 512
 
-	// Multiplier and increment of the generator of words, a 64-bit linear congruential one.
+	// Multiplier and increment of the 64-bit linear congruential generator of words.
 	wordMultiplier = 6364136223846793005
 	wordIncrement  = 1442695040888963407
 )
 
-// responseWords are the tokens of a response, the same for the same seed and prompt.
+// responseWords returns the tokens of a response, which are the same for the same seed, prompt and max_tokens.
 func (e *Engine) responseWords(request *completionRequest) []string {
 	state := e.config.Seed
 	if prefixes := request.prefixes(); len(prefixes) > 0 {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a fake engine for tests, demos and fault scenarios: a prefill or decode engine on a loopback socket
-// that speaks the protocol of docs/engine-protocol.md. It has slots, a queue, KV memory, a prefix cache, warm-up after a
-// cold start, and faults on demand. Its default figures are invented.
+// Package engine implements a fake engine for tests, demos and fault scenarios: a prefill or decode engine on a loopback socket
+// that implements the protocol of docs/engine-protocol.md. The engine has slots, a queue, KV memory, a prefix cache, warm-up
+// after a cold start, and faults that can be set at run time. The default capacities and durations are not those of real engines.
 package engine
 
 import (
@@ -13,29 +13,29 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Config is what an engine can do. Start replaces zero values by defaults.
+// Config configures an engine. Start replaces zero values by defaults.
 type Config struct {
 	Name           string
 	Role           string        // planapi.Prefill or planapi.Decode
-	Addr           string        // to listen on; its port may be 0
-	Seed           uint64        // of the texts that it generates
-	Slots          int           // requests that it works on at once
-	QueueLimit     int           // requests that may wait for a slot
-	OtherRoleSlots int           // Slots once it has changed its role
+	Addr           string        // listen address; port 0 for any free port
+	Seed           uint64        // seed of the generated texts
+	Slots          int           // number of requests processed concurrently
+	QueueLimit     int           // maximum number of requests that wait for a slot
+	OtherRoleSlots int           // value of Slots after a role change
 	MemoryTokens   int           // KV memory, in tokens
-	PrefillRate    float64       // prompt tokens a second, over all slots
-	TokenTime      time.Duration // of one output token
-	// AttemptRate is how many attempts a second a warm engine handles. A cold one that gets OverloadFactor times its share
-	// of it within OverloadWindow crashes.
+	PrefillRate    float64       // prompt tokens per second, over all slots
+	TokenTime      time.Duration // time to generate one output token
+	// AttemptRate is the number of attempts per second that a warm engine handles. A cold engine handles a share of that rate and
+	// crashes if it gets more than OverloadFactor times that share within OverloadWindow.
 	AttemptRate    float64
 	OverloadFactor float64
 	OverloadWindow time.Duration
-	WarmUp         time.Duration // from a cold start to full speed
-	WarmUpShare    float64       // of full speed at a cold start
-	Reload         time.Duration // between the end of one role and the start of the other
+	WarmUp         time.Duration // time from a cold start to full speed
+	WarmUpShare    float64       // share of full speed at a cold start
+	Reload         time.Duration // duration of a role change, in which the engine serves no role
 }
 
-// capacity is the part of a configuration whose defaults depend on the role.
+// capacity holds the defaults of a configuration that depend on the role.
 type capacity struct{ slots, queueLimit, otherRoleSlots, memoryTokens int }
 
 var (
@@ -64,7 +64,7 @@
 	return c
 }
 
-// Engine is one fake engine. Methods whose comment says so need its lock; the parts below have no locks of their own.
+// Engine is one fake engine. mu guards all fields below it, which have no locks of their own.
 type Engine struct {
 	config          Config
 	log             *audit.Log
@@ -76,9 +76,9 @@
 	running        bool
 	overloaded     bool
 	draining       bool
-	coldSince      time.Time // zero if this incarnation started warm
+	coldSince      time.Time // time of a cold start; zero if the incarnation started warm
 	faults         Faults
-	faultsChanged  chan struct{} // closed when faults change
+	faultsChanged  chan struct{} // closed and replaced when faults change
 	slots          chan struct{}
 	occupancy      occupancy
 	prefixes       prefixCache
@@ -89,18 +89,18 @@
 	work           workCounters
 }
 
-// occupancy is what requests in flight take up.
+// occupancy counts the resources that requests in flight occupy.
 type occupancy struct {
 	openRequests        int
 	waiting             int // open requests without a slot
-	queuedPrefillTokens int // prompt tokens of open requests that are not cached
-	usedTokens          int // of KV memory
+	queuedPrefillTokens int // uncached prompt tokens of open requests
+	usedTokens          int // occupied KV memory
 }
 
-// workCounters count the work of one incarnation.
+// workCounters holds the totals of the work of one incarnation.
 type workCounters struct{ prefilledTokens, decodedTokens, busySeconds float64 }
 
-// Start starts a warm engine. The log and the idempotency keys, which engines may share, may be nil.
+// Start starts a warm engine. The log and the idempotency keys may be shared by engines, and may be nil.
 func Start(config Config, log *audit.Log, keys *IdempotencyKeys) (*Engine, error) {
 	config = config.withDefaults()
 	e := &Engine{
@@ -111,52 +111,52 @@
 		role:            roleState{serving: config.Role, reported: config.Role, epoch: 1},
 		faultsChanged:   make(chan struct{}),
 	}
-	return e, e.listen(false)
+	return e, e.startIncarnation(false)
 }
 
-// Addr is the address that it listens on, the same over restarts.
+// Addr returns the address on which the engine listens, which is the same after a restart.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr
 }
 
-// Role is the role that it serves in: planapi.Prefill or planapi.Decode.
+// Role returns the role that the engine serves: planapi.Prefill or planapi.Decode.
 func (e *Engine) Role() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.role.serving
 }
 
-// Epoch is the epoch of its role.
+// Epoch returns the epoch of the engine's role.
 func (e *Engine) Epoch() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.role.epoch
 }
 
-// Drain makes it reject new requests, or accept them again.
+// Drain makes the engine reject new requests (on) or accept them again.
 func (e *Engine) Drain(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = on
 }
 
-// ClearCache empties its prefix cache.
+// ClearCache empties the prefix cache.
 func (e *Engine) ClearCache() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.prefixes.clear()
 }
 
-// HeldReservations is how many reservations it holds.
+// HeldReservations returns the number of reservations that the engine holds.
 func (e *Engine) HeldReservations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.reservations.held)
 }
 
-// Overloaded is whether too many attempts crashed it while it was cold.
+// Overloaded reports whether too many attempts have crashed the engine while it was cold.
 func (e *Engine) Overloaded() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/engine_test.go
+++ b/internal/fake/engine/engine_test.go
@@ -17,25 +17,25 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-func TestDefaultsDependOnTheRole(t *testing.T) {
+func TestConfigDefaultsDependOnRole(t *testing.T) {
 	prefill, decode := Config{Role: planapi.Prefill}.withDefaults(), Config{Role: planapi.Decode, Slots: 3}.withDefaults()
 	if prefill.Slots != 8 || prefill.OtherRoleSlots != 64 || decode.Slots != 3 || decode.OtherRoleSlots != 8 {
 		t.Errorf("prefill %+v, decode %+v", prefill, decode)
 	}
 }
 
-func TestStartFailsOnAPortInUse(t *testing.T) {
+func TestStartFailsOnPortInUse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
 	if _, err := Start(Config{Name: "e", Addr: listener.Addr().String()}, nil, nil); err == nil {
-		t.Error("a second listener on one port")
+		t.Error("engine started on a port in use")
 	}
 }
 
-func TestRestartIsAColdIncarnation(t *testing.T) {
+func TestRestartBeginsColdIncarnationWithoutState(t *testing.T) {
 	prefill, _ := startPair(t, nil)
 	prefill.mu.Lock()
 	prefill.prefixes.add([]prefix{{hash: 1, tokens: 5}})
@@ -45,32 +45,32 @@
 	if err := prefill.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	report := prefill.report()
+	report := prefill.loadReport()
 	if report.Incarnation != 2 || report.CachedTokens != 0 || report.Reservations != 0 || report.UptimeMillis == 0 || prefill.Addr() != addr {
 		t.Errorf("after the restart: %+v at %s, was %s", report, prefill.Addr(), addr)
 	}
 }
 
-func TestIdempotencyKeyIsRememberedWithinTheWindow(t *testing.T) {
-	var none *IdempotencyKeys
+func TestIdempotencyKeyIsKnownWithinItsWindow(t *testing.T) {
+	var nilKeys *IdempotencyKeys
 	keys := &IdempotencyKeys{}
-	if none.seenBefore("k") || keys.seenBefore("") || keys.seenBefore("") || keys.seenBefore("k") || !keys.seenBefore("k") {
-		t.Error("a key counts as seen that was not, or the reverse")
+	if nilKeys.checkAndRecord("k") || keys.checkAndRecord("") || keys.checkAndRecord("") || keys.checkAndRecord("k") || !keys.checkAndRecord("k") {
+		t.Error("a new key is reported as known, or a known key as new")
 	}
 	keys.seen["k"] = time.Now().Add(-idempotencyWindow)
-	if keys.seenBefore("k") {
-		t.Error("a key is remembered past its window")
+	if keys.checkAndRecord("k") {
+		t.Error("a key is known after its window")
 	}
 }
 
-func TestReservationsExpire(t *testing.T) {
+func TestReservationsAndEarlyReleasesExpire(t *testing.T) {
 	now := time.Now()
 	table := newReservationTable()
-	table.held["old/1"] = reservation{at: now.Add(-reservationTimeout - 1)}
-	table.held["new/1"] = reservation{at: now.Add(-reservationTimeout)}
+	table.held["old/1"] = reservation{createdAt: now.Add(-reservationTimeout - 1)}
+	table.held["new/1"] = reservation{createdAt: now.Add(-reservationTimeout)}
 	table.releasedEarly["old/2"] = now.Add(-earlyReleaseTimeout - 1)
 	table.releasedEarly["new/2"] = now.Add(-earlyReleaseTimeout)
-	if keys := table.expired(now); !slices.Equal(keys, []string{"old/1"}) {
+	if keys := table.expire(now); !slices.Equal(keys, []string{"old/1"}) {
 		t.Errorf("expired: %q", keys)
 	}
 	if _, ok := table.releasedEarly["new/2"]; !ok || len(table.releasedEarly) != 1 {
@@ -78,14 +78,14 @@
 	}
 }
 
-func TestPrefixCache(t *testing.T) {
+func TestPrefixCacheReportsHotPrefixesAndKeepsItsLimit(t *testing.T) {
 	cache := newPrefixCache()
 	prompt := []prefix{{hash: 1, tokens: 5}, {hash: 2, tokens: 9}}
 	for range hotPrefixUses {
 		cache.add(prompt)
 	}
 	if got := cache.cachedTokens([]prefix{{hash: 1, tokens: 5}, {hash: 3, tokens: 8}}); got != 5 {
-		t.Errorf("%d tokens of another prompt are cached, want 5", got)
+		t.Errorf("%d tokens cached of a prompt with the same first prefix, want 5", got)
 	}
 	report := planapi.EngineReport{HotPrefixes: map[string]float64{}}
 	cache.addToReport(&report)
@@ -107,18 +107,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Stop)
-	arrive := func() {
+	sendAttempts := func() {
 		for range 6 {
-			e.arrive(&completionRequest{})
+			e.recordArrival(&completionRequest{})
 		}
 	}
-	if arrive(); e.Overloaded() {
+	if sendAttempts(); e.Overloaded() {
 		t.Error("a warm engine is overloaded")
 	}
 	if err := e.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if arrive(); !e.Overloaded() {
+	if sendAttempts(); !e.Overloaded() {
 		t.Error("a cold engine is not overloaded")
 	}
 	if !slices.ContainsFunc(log.EngineRecords(), func(r audit.EngineRecord) bool { return r.Event == audit.Overloaded }) {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestUnresponsiveEngineHandlesARequestOnceItIsNot(t *testing.T) {
+func TestUnresponsiveEngineHandlesRequestOnceResponsive(t *testing.T) {
 	prefill, _ := startPair(t, nil)
 	prefill.SetFaults(Faults{Unresponsive: true})
 	responded := make(chan error, 1)
@@ -148,21 +148,20 @@
 	}
 }
 
-func TestSleepEndsWithTheIncarnation(t *testing.T) {
+func TestSleepEndsWithIncarnation(t *testing.T) {
 	prefill, _ := startPair(t, nil)
 	time.AfterFunc(10*time.Millisecond, prefill.Crash)
 	if prefill.sleep(context.Background(), time.Minute) {
-		t.Error("slept a minute")
+		t.Error("sleep continued after the crash")
 	}
 }
 
-// TestMessagesHaveSortedKeys checks that messages are of the same bytes as the maps of the JSON package, whose keys
-// are sorted.
+// TestMessagesHaveSortedKeys checks that messages are encoded like Go maps, whose keys encoding/json sorts.
 func TestMessagesHaveSortedKeys(t *testing.T) {
 	request := &completionRequest{completionBody: completionBody{Model: "<m>"}, requestID: "n&1", attemptIndex: "2", promptTokens: 7}
 	stop := "stop"
 	for name, body := range map[string][]byte{
-		"prefill": prefillResponse(request, "127.0.0.1:80", 3),
+		"prefill": encodePrefillResponse(request, "127.0.0.1:80", 3),
 		"chunk":   encodeChunk(request, "a \u2028", nil),
 		"last":    encodeChunk(request, "", &stop),
 	} {
@@ -172,7 +171,7 @@
 			t.Fatal(err)
 		}
 		if transfer, ok := raw["kv_transfer_params"]; ok {
-			decoded["kv_transfer_params"] = transfer // a message of the protocol, in an order of its own
+			decoded["kv_transfer_params"] = transfer // has the field order of engineapi.KVTransfer
 		}
 		if sorted, err := json.Marshal(decoded); err != nil || !bytes.Equal(body, sorted) {
 			t.Errorf("%s: %s, want %s", name, body, sorted)
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -10,24 +10,24 @@
 
 const maxFaultsBytes = 1 << 12
 
-// Faults are an engine's present faults.
+// Faults is the set of faults of an engine.
 type Faults struct {
-	Unresponsive       bool          `json:"Silent"`     // it accepts requests and never responds
-	Slowdown           float64       `json:"Slow"`       // times slower; 0 for none
-	StallFirst         bool          `json:"StallFirst"` // it stalls before the first token
-	StallAfter         int           `json:"StallAfter"` // it stalls after so many tokens; 0 for never
-	BreakAfter         int           `json:"BreakAfter"` // it breaks the connection after so many tokens; 0 for never
-	TruncatePrefill    bool          `json:"HalfAnswer"` // the response of a prefill ends half way
-	EmptyLoadReport    bool          `json:"Lie"`        // its load report says that it is idle
-	ResponseDelay      time.Duration `json:"SlowAccept"` // before the first byte of a response
-	FailStatus         int           `json:"FailStatus"` // status of all responses to attempts, without a reason; 0 for none
-	RoleChangeHangs    bool          `json:"NeverBack"`  // a change of its role never ends
-	FalseRole          bool          `json:"FalseRole"`  // it reports the role of the order and goes on in the old one
-	IgnoreRoleOrders   bool          `json:"DeafOrders"` // it rejects the planner's orders
-	ReportedWorkFactor float64       `json:"LieWork"`    // times the work that it reports; 0 for the truth
+	Unresponsive       bool          `json:"Silent"`     // accepts requests and does not respond
+	Slowdown           float64       `json:"Slow"`       // factor by which work is slower; 0 for none
+	StallFirst         bool          `json:"StallFirst"` // stalls before the first token
+	StallAfter         int           `json:"StallAfter"` // number of tokens after which a response stalls; 0 for never
+	BreakAfter         int           `json:"BreakAfter"` // number of tokens after which the connection is broken; 0 for never
+	TruncatePrefill    bool          `json:"HalfAnswer"` // sends only half of a prefill's response body
+	EmptyLoadReport    bool          `json:"Lie"`        // reports an idle engine in the load headers
+	ResponseDelay      time.Duration `json:"SlowAccept"` // delay before the first byte of a response
+	FailStatus         int           `json:"FailStatus"` // status of all responses to attempts, without a rejection reason; 0 for none
+	RoleChangeHangs    bool          `json:"NeverBack"`  // role changes never complete
+	FalseRole          bool          `json:"FalseRole"`  // reports the ordered role but keeps serving the previous one
+	IgnoreRoleOrders   bool          `json:"DeafOrders"` // rejects the planner's orders
+	ReportedWorkFactor float64       `json:"LieWork"`    // factor of the reported work; 0 for none
 }
 
-// SetFaults replaces its faults.
+// SetFaults replaces the engine's faults.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,7 +36,7 @@
 	e.faultsChanged = make(chan struct{})
 }
 
-// serveFaults handles a request, with faults as JSON, to replace the faults of an engine in another process.
+// serveFaults replaces the faults by those in the JSON body, for tests of engines in another process.
 func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxFaultsBytes)).Decode(&faults); err != nil {
@@ -52,9 +52,9 @@
 	return e.faults, e.faultsChanged, e.incarnation.ctx
 }
 
-// awaitFaults waits until the faults do not block any more. It is false when the client has disconnected or the engine has
+// awaitUnblocked waits until the faults do not block any more. It returns false if the client has disconnected or the engine has
 // crashed.
-func (e *Engine) awaitFaults(ctx context.Context, blocked func(Faults) bool) bool {
+func (e *Engine) awaitUnblocked(ctx context.Context, blocked func(Faults) bool) bool {
 	for {
 		faults, changed, incarnation := e.currentFaults()
 		if !blocked(faults) {
@@ -70,12 +70,12 @@
 	}
 }
 
-// awaitResponsive waits while the engine is unresponsive.
+// awaitResponsive waits while the engine is unresponsive, with the result of awaitUnblocked.
 func (e *Engine) awaitResponsive(ctx context.Context) bool {
-	return e.awaitFaults(ctx, func(f Faults) bool { return f.Unresponsive })
+	return e.awaitUnblocked(ctx, func(f Faults) bool { return f.Unresponsive })
 }
 
-// sleep is false when the client has disconnected or the engine has crashed.
+// sleep waits for the duration. It returns false early if the client disconnects or the engine crashes.
 func (e *Engine) sleep(ctx context.Context, duration time.Duration) bool {
 	_, _, incarnation := e.currentFaults()
 	timer := time.NewTimer(duration)
--- a/internal/fake/engine/idempotency.go
+++ b/internal/fake/engine/idempotency.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// idempotencyWindow is how long a key is remembered.
+// idempotencyWindow is how long an idempotency key is deduplicated after its last use.
 const idempotencyWindow = 30 * time.Second
 
-// IdempotencyKeys are the idempotency keys that a group of engines has seen.
+// IdempotencyKeys is the set of idempotency keys that a group of engines has seen.
 type IdempotencyKeys struct {
 	mu   sync.Mutex
 	seen map[string]time.Time
 }
 
-// seenBefore is whether a request with this key has run within the window. It remembers the key.
-func (k *IdempotencyKeys) seenBefore(key string) bool {
+// checkAndRecord reports whether the key was recorded within the window, and records it. A nil set and an empty key are never
+// recorded.
+func (k *IdempotencyKeys) checkAndRecord(key string) bool {
 	if k == nil || key == "" {
 		return false
 	}
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// fetchPath is where a decode engine fetches a reservation from a prefill engine. The routers do not know it.
+	// fetchPath is the path at which a decode engine fetches a reservation from a prefill engine. It is not part of the protocol
+	// with routers.
 	fetchPath = "/sandcourse/fetch"
-	// faultsPath is where tests set the faults of an engine in another process.
+	// faultsPath is the path at which tests set the faults of an engine in another process.
 	faultsPath = "/admin/faults"
 
 	readHeaderTimeout = 10 * time.Second
@@ -24,15 +25,15 @@
 	listenRetryDelay = 20 * time.Millisecond
 )
 
-// incarnation is the time from a start to a crash. Whatever a request changes must be of the incarnation that it began in.
+// incarnation is the time from a start to a crash. A request may change only the state of the incarnation in which it began.
 type incarnation struct {
 	number int64
-	ctx    context.Context // done after the crash
+	ctx    context.Context // canceled by the crash
 	cancel context.CancelFunc
 }
 
-// listen begins an incarnation.
-func (e *Engine) listen(cold bool) error {
+// startIncarnation resets the engine's state and starts to serve.
+func (e *Engine) startIncarnation(cold bool) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	listener, err := e.openListener(cold)
@@ -40,7 +41,7 @@
 		return fmt.Errorf("fake engine %s: %w", e.config.Name, err)
 	}
 	e.addr, e.running = listener.Addr().String(), true
-	e.reset(cold)
+	e.resetState(cold)
 	server := &http.Server{Handler: e.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	e.server = server
 	go func() { _ = server.Serve(listener) }() // ends with http.ErrServerClosed
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// openListener opens the engine's port. After a crash the port may for a moment be that of an outgoing connection.
+// openListener listens on the engine's address. It retries after a crash, because an outgoing connection may briefly occupy the
+// port.
 func (e *Engine) openListener(cold bool) (net.Listener, error) {
 	listener, err := net.Listen("tcp", e.addr)
 	for attempt := 0; err != nil && cold && attempt < listenAttempts; attempt++ {
@@ -59,8 +61,8 @@
 	return listener, err
 }
 
-// reset drops the state of the last incarnation. Term, epoch and role survive it. The caller holds the lock.
-func (e *Engine) reset(cold bool) {
+// resetState drops the state of the previous incarnation except term, epoch and role. The caller holds the lock.
+func (e *Engine) resetState(cold bool) {
 	e.overloaded, e.coldSince = false, time.Time{}
 	if cold {
 		e.coldSince = time.Now()
@@ -68,9 +70,9 @@
 	e.occupancy, e.work, e.recentAttempts = occupancy{}, workCounters{}, nil
 	e.prefixes, e.reservations = newPrefixCache(), newReservationTable()
 	e.role.loading, e.role.draining = false, false
-	// If it crashed while it loaded for its next role, it starts in that one.
+	// An engine that crashed during a role change restarts in the new role.
 	if e.role.serving != e.role.reported && !e.faults.FalseRole {
-		e.serveAs(e.role.reported)
+		e.switchRole(e.role.reported)
 	}
 	e.slots = make(chan struct{}, e.config.Slots)
 	e.incarnation.number++
@@ -88,7 +90,7 @@
 	return mux
 }
 
-// Crash ends its incarnation: all state is lost and every connection is reset.
+// Crash ends the incarnation: all state is lost and all connections are closed.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	if !e.running {
@@ -103,17 +105,17 @@
 	server.Close()
 }
 
-// Restart crashes it, if it runs, and starts it cold.
+// Restart crashes the engine if it is running, and starts it cold.
 func (e *Engine) Restart() error {
 	e.Crash()
-	return e.listen(true)
+	return e.startIncarnation(true)
 }
 
-// Stop ends it for good.
+// Stop stops the engine at the end of a test.
 func (e *Engine) Stop() { e.Crash() }
 
-// ifCurrent runs an update with the lock held, if the incarnation has not ended by a restart.
-func (e *Engine) ifCurrent(incarnation context.Context, update func()) bool {
+// updateIfCurrent runs an update with the lock held and returns true, unless a restart has ended the incarnation.
+func (e *Engine) updateIfCurrent(incarnation context.Context, update func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.incarnation.ctx != incarnation {
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -10,12 +10,12 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// setLoadHeaders sets the load report for routers, which is on all responses.
+// setLoadHeaders sets the headers of the load report for routers.
 func (e *Engine) setLoadHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	memoryShare := float64(e.occupancy.usedTokens) / float64(e.config.MemoryTokens)
-	waitingTokens := float64(e.occupancy.queuedPrefillTokens) / 1000 // the header is in thousands
+	waitingTokens := float64(e.occupancy.queuedPrefillTokens) / 1000 // the unit of the header is 1000 tokens
 	openRequests := e.occupancy.openRequests + len(e.reservations.held)
 	if e.faults.EmptyLoadReport {
 		memoryShare, waitingTokens, openRequests = 0, 0, 0
@@ -26,16 +26,17 @@
 	header.Set(engineapi.HeaderOpenRequests, strconv.Itoa(openRequests))
 }
 
-// serveLoad responds with the load report: the headers for routers, the body for planners.
+// serveLoad responds with the load report: headers for routers, a body for planners.
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
 	if !e.awaitResponsive(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	e.setLoadHeaders(w)
-	_ = json.NewEncoder(w).Encode(e.report()) // fails where the client has disconnected
+	_ = json.NewEncoder(w).Encode(e.loadReport()) // fails only if the client has disconnected
 }
 
-func (e *Engine) report() planapi.EngineReport {
+// loadReport returns the load report for planners.
+func (e *Engine) loadReport() planapi.EngineReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	report := planapi.EngineReport{
--- a/internal/fake/engine/overload.go
+++ b/internal/fake/engine/overload.go
@@ -7,10 +7,11 @@
 	"sandcourse/internal/audit"
 )
 
-// burstAttempts are the attempts within a window that a cold engine handles beyond its rate: few attempts come unevenly.
-const burstAttempts = 2
+// attemptBurst is the number of attempts within a window that a cold engine handles beyond its rate, because small numbers of
+// attempts arrive unevenly.
+const attemptBurst = 2
 
-// speed is the share of full speed at which it works now. The caller holds the lock.
+// speed returns the current speed of the engine as a share of full speed. The caller holds the lock.
 func (e *Engine) speed() float64 {
 	share := 1.0
 	if !e.coldSince.IsZero() {
@@ -24,7 +25,7 @@
 	return share
 }
 
-// countAttempt counts an attempt. Too many within a window crash a cold engine. The caller holds the lock.
+// countAttempt counts an attempt and crashes a cold engine that gets too many within a window. The caller holds the lock.
 func (e *Engine) countAttempt() {
 	now := time.Now()
 	e.recentAttempts = append(e.recentAttempts, now)
@@ -34,7 +35,7 @@
 	if e.coldSince.IsZero() || now.Sub(e.coldSince) >= e.config.WarmUp || e.overloaded {
 		return
 	}
-	limit := e.config.OverloadFactor*e.config.AttemptRate*e.speed()*e.config.OverloadWindow.Seconds() + burstAttempts
+	limit := e.config.OverloadFactor*e.config.AttemptRate*e.speed()*e.config.OverloadWindow.Seconds() + attemptBurst
 	if float64(len(e.recentAttempts)) > limit {
 		e.overloaded = true
 		e.record(audit.EngineRecord{Event: audit.Overloaded,
--- a/internal/fake/engine/prefill.go
+++ b/internal/fake/engine/prefill.go
@@ -11,11 +11,11 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// minPrefillTime is the time of a prefill whose prompt is cached.
+// minPrefillTime is the time of a prefill whose prompt is completely cached.
 const minPrefillTime = time.Millisecond
 
-// completionResponse is the body of a prefill's response. The fields of this and the following are in the order in which
-// they are sent.
+// completionResponse is the body of a prefill's response. The fields of completionResponse and the types it contains are in the
+// order in which they are sent.
 type completionResponse struct {
 	Choices  []completionChoice   `json:"choices"`
 	ID       string               `json:"id"`
@@ -47,7 +47,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// prefill processes the prompt, holds its KV state as a reservation, and responds with where it is.
+// prefill processes the prompt, holds its KV state as a reservation, and responds with the reservation's address.
 func (e *Engine) prefill(w http.ResponseWriter, r *http.Request, request *completionRequest) {
 	prefixes := request.prefixes()
 	e.mu.Lock()
@@ -66,7 +66,7 @@
 	}
 	var truncate bool
 	var addr string
-	if !e.ifCurrent(incarnation, func() {
+	if !e.updateIfCurrent(incarnation, func() {
 		e.prefixes.add(prefixes)
 		e.work.prefilledTokens += float64(newTokens)
 		e.work.busySeconds += time.Since(startedAt).Seconds() / float64(e.config.Slots)
@@ -75,10 +75,10 @@
 	}) {
 		panic(http.ErrAbortHandler)
 	}
-	e.writePrefillResponse(w, prefillResponse(request, addr, cachedTokens), truncate)
+	e.writePrefillResponse(w, encodePrefillResponse(request, addr, cachedTokens), truncate)
 }
 
-// prefillTime is how long one slot works on so many tokens now.
+// prefillTime returns the time that one slot needs for the tokens at the current speed.
 func (e *Engine) prefillTime(tokens int) (duration time.Duration, incarnation context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,11 +86,11 @@
 	return time.Duration(float64(tokens)/slotRate*1e9) + minPrefillTime, e.incarnation.ctx
 }
 
-// prefillResponse is the body of the response of the engine at an address.
-func prefillResponse(request *completionRequest, addr string, cachedTokens int) []byte {
+// encodePrefillResponse returns the response body of the engine at an address.
+func encodePrefillResponse(request *completionRequest, addr string, cachedTokens int) []byte {
 	host, portText, _ := strings.Cut(addr, ":")
 	port, _ := strconv.Atoi(portText)
-	body, _ := json.Marshal(completionResponse{ // has no value that JSON lacks
+	body, _ := json.Marshal(completionResponse{ // cannot fail: all values can be represented in JSON
 		Choices: []completionChoice{{FinishReason: "length", Message: completionMessage{Role: "assistant"}}},
 		ID:      completionID(request),
 		Transfer: engineapi.KVTransfer{RemotePrefill: true, Engine: request.reservationKey(), Host: host, Port: port,
--- a/internal/fake/engine/prefixes.go
+++ b/internal/fake/engine/prefixes.go
@@ -8,7 +8,7 @@
 
 const (
 	maxCachedPrefixes = 20_000
-	// A prefix that so many requests have used is reported: another may use it.
+	// hotPrefixUses is the number of uses from which a prefix is in the load report, because other requests are likely to use it.
 	hotPrefixUses          = 3
 	maxReportedHotPrefixes = 16
 )
@@ -19,20 +19,20 @@
 	tokens int
 }
 
-// prefixCache is the prompts and prefixes whose KV state is cached, by hash.
+// prefixCache records the prefixes whose KV state is cached, by hash. A whole prompt counts as a prefix.
 type prefixCache struct {
 	tokens map[uint64]int
-	uses   map[uint64]int // of the shortest prefix of each prompt
+	uses   map[uint64]int // number of prompts by the hash of their shortest prefix
 }
 
 func newPrefixCache() prefixCache {
 	return prefixCache{tokens: map[uint64]int{}, uses: map[uint64]int{}}
 }
 
-// clear drops all prefixes; how often they were used stays known.
+// clear drops all prefixes but keeps their use counts.
 func (c *prefixCache) clear() { c.tokens = map[uint64]int{} }
 
-// cachedTokens is how many tokens of a prompt are cached.
+// cachedTokens returns the number of tokens of a prompt that are cached.
 func (c *prefixCache) cachedTokens(prefixes []prefix) (tokens int) {
 	for _, p := range prefixes {
 		if _, ok := c.tokens[p.hash]; ok {
@@ -42,7 +42,7 @@
 	return tokens
 }
 
-// add caches all prefixes of a prompt. A cache over its limit is emptied.
+// add caches all prefixes of a prompt. A cache that exceeds maxCachedPrefixes is emptied.
 func (c *prefixCache) add(prefixes []prefix) {
 	for _, p := range prefixes {
 		c.tokens[p.hash] = p.tokens
--- a/internal/fake/engine/reservations.go
+++ b/internal/fake/engine/reservations.go
@@ -24,22 +24,22 @@
 
 // Details of audit.Released records.
 const (
-	releaseRequested = "asked for"
+	releaseRequested = "release requested"
 	releaseDone      = "released"
 	releaseFetched   = "fetched"
-	releaseExpired   = "dropped by the engine"
+	releaseExpired   = "expired at the engine"
 )
 
-// reservation is the KV state of a prompt that waits for its decode.
+// reservation is the KV state of a prompt, held until a decode engine fetches it.
 type reservation struct {
-	tokens int
-	at     time.Time
+	tokens    int
+	createdAt time.Time
 }
 
-// reservationTable is an engine's reservations by key.
+// reservationTable holds an engine's reservations by key.
 type reservationTable struct {
 	held map[string]reservation
-	// releasedEarly are the reservations released before their prefill ended, with the time of the release.
+	// releasedEarly holds the keys of reservations that were released before the prefill ended, with the time of the release.
 	releasedEarly map[string]time.Time
 }
 
@@ -47,13 +47,14 @@
 	return reservationTable{held: map[string]reservation{}, releasedEarly: map[string]time.Time{}}
 }
 
-// reservationKey identifies the reservation of one attempt.
+// reservationKey returns the key of the reservation of one attempt.
 func reservationKey(requestID, attemptIndex string) string { return requestID + "/" + attemptIndex }
 
-// expired are the keys of the reservations that have waited too long. Early releases that have are forgotten.
-func (t *reservationTable) expired(now time.Time) (keys []string) {
+// expire returns the keys of the reservations older than reservationTimeout, and deletes early releases older than
+// earlyReleaseTimeout.
+func (t *reservationTable) expire(now time.Time) (keys []string) {
 	for key, held := range t.held {
-		if now.Sub(held.at) > reservationTimeout {
+		if now.Sub(held.createdAt) > reservationTimeout {
 			keys = append(keys, key)
 		}
 	}
@@ -65,7 +66,8 @@
 	return keys
 }
 
-// expireReservations releases, until the incarnation ends, the reservations that nobody fetches: routers may crash.
+// expireReservations releases expired reservations until the incarnation ends. A router that crashed neither fetches nor releases
+// its reservations.
 func (e *Engine) expireReservations(incarnation context.Context) {
 	ticker := time.NewTicker(reservationExpiryInterval)
 	defer ticker.Stop()
@@ -76,25 +78,25 @@
 		case <-ticker.C:
 		}
 		e.mu.Lock()
-		for _, key := range e.reservations.expired(time.Now()) {
+		for _, key := range e.reservations.expire(time.Now()) {
 			e.release(key, releaseExpired)
 		}
 		e.mu.Unlock()
 	}
 }
 
-// reserve holds the KV state of a request, unless it was released before. The caller holds the lock.
+// reserve holds the KV state of a request, unless it was released early or the request is a trial. The caller holds the lock.
 func (e *Engine) reserve(request *completionRequest) {
 	key := request.reservationKey()
-	if _, released := e.reservations.releasedEarly[key]; released || request.trial {
+	if _, released := e.reservations.releasedEarly[key]; released || request.isTrial {
 		return
 	}
-	e.reservations.held[key] = reservation{tokens: request.promptTokens, at: time.Now()}
+	e.reservations.held[key] = reservation{tokens: request.promptTokens, createdAt: time.Now()}
 	e.occupancy.usedTokens += request.promptTokens
 	e.recordRequest(request, audit.Reserved)
 }
 
-// release releases a reservation and is whether there was one. The caller holds the lock.
+// release releases a reservation and reports whether it existed. The caller holds the lock.
 func (e *Engine) release(key, detail string) bool {
 	held, ok := e.reservations.held[key]
 	if ok {
@@ -106,7 +108,7 @@
 	return ok
 }
 
-// fetchReservation fetches KV state from its prefill engine, which releases it.
+// fetchReservation fetches KV state from its prefill engine, which then releases the reservation, and reports success.
 func (e *Engine) fetchReservation(ctx context.Context, transfer *engineapi.KVTransfer) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -120,7 +122,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // only keeps the connection reusable
+	_, _ = io.Copy(io.Discard, response.Body) // a connection is reusable only after the body has been read
 	return response.StatusCode == http.StatusOK
 }
 
@@ -133,7 +135,7 @@
 	ok := e.release(string(key), releaseFetched)
 	e.mu.Unlock()
 	if !ok {
-		http.Error(w, "no such state", http.StatusNotFound)
+		http.Error(w, "reservation not found", http.StatusNotFound)
 	}
 }
 
@@ -146,11 +148,11 @@
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var request releaseRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxReleaseBytes)).Decode(&request); err != nil {
-		http.Error(w, "no inference is named", http.StatusBadRequest)
+		http.Error(w, "release request is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	e.record(audit.EngineRecord{Event: audit.Released, RequestID: request.RequestID, Detail: releaseRequested})
-	// An unresponsive engine has received the request and handles it once it goes on, though the router may have
+	// An unresponsive engine has received the request and handles it once it is responsive again, even if the router has
 	// disconnected by then.
 	if !e.awaitResponsive(context.Background()) {
 		panic(http.ErrAbortHandler)
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -13,17 +13,17 @@
 
 const maxRoleOrderBytes = 1 << 13
 
-// roleState is an engine's role and what it knows of the planner.
+// roleState is the state of an engine's role and of the planner's orders.
 type roleState struct {
 	serving  string
-	reported string // differs from serving while it loads for its next role, or has the fault FalseRole
+	reported string // differs from serving during a role change and under the fault FalseRole
 	epoch    int64
-	term     int64 // the latest of a planner that it has followed
-	loading  bool  // for its next role; it serves nothing
-	draining bool  // by a planner's order
+	term     int64 // term of the latest order that was followed
+	loading  bool  // a role change is in progress and the engine rejects requests
+	draining bool  // the planner has ordered a drain
 }
 
-// serveRole handles a planner's order: under the present epoch a drain or its end, under a later one a change of role.
+// serveRole handles a planner's order: with the current epoch a drain or the end of a drain, with a later epoch a role change.
 func (e *Engine) serveRole(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRoleOrderBytes))
 	if err != nil || !e.awaitResponsive(r.Context()) {
@@ -36,7 +36,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reason := e.rejectionOf(order); reason != "" {
+	if reason := e.rejectionReason(order); reason != "" {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusConflict)
 		w.Write(chat.ErrorBody("conflict", "not followed", "", reason))
@@ -45,27 +45,27 @@
 	if order.Epoch > e.role.epoch {
 		w.WriteHeader(http.StatusAccepted)
 	}
-	e.follow(order)
+	e.applyOrder(order)
 	w.Write([]byte("{}"))
 }
 
-// rejectionOf is why an order is not followed, or empty. The caller holds the lock.
-func (e *Engine) rejectionOf(order planapi.RoleOrder) string {
+// rejectionReason returns why an order is rejected, or an empty string if it is followed. The caller holds the lock.
+func (e *Engine) rejectionReason(order planapi.RoleOrder) string {
 	switch {
 	case e.faults.IgnoreRoleOrders:
-		return "this engine takes no orders"
+		return "engine ignores role orders"
 	case order.Term < e.role.term:
-		return fmt.Sprintf("a planner of term %d is followed", e.role.term)
+		return fmt.Sprintf("engine follows a planner of term %d", e.role.term)
 	case order.Epoch < e.role.epoch:
-		return fmt.Sprintf("its role has epoch %d", e.role.epoch)
+		return fmt.Sprintf("engine role has epoch %d", e.role.epoch)
 	case order.Epoch > e.role.epoch && (e.occupancy.openRequests > 0 || len(e.reservations.held) > 0):
-		return "something is open here still"
+		return "engine has open requests or reservations"
 	}
 	return ""
 }
 
-// follow carries out an order that is not rejected. The caller holds the lock.
-func (e *Engine) follow(order planapi.RoleOrder) {
+// applyOrder executes an order that is not rejected. The caller holds the lock.
+func (e *Engine) applyOrder(order planapi.RoleOrder) {
 	e.role.term = order.Term
 	if order.Epoch == e.role.epoch {
 		if !e.role.loading && order.Role == e.role.reported {
@@ -79,7 +79,7 @@
 	}
 }
 
-// changeRole begins to load for a role, in which the engine starts cold. The caller holds the lock.
+// changeRole starts a change to the role of an order, after which the engine is cold. The caller holds the lock.
 func (e *Engine) changeRole(order planapi.RoleOrder) {
 	e.role.reported, e.role.loading = order.Role, true
 	e.prefixes = newPrefixCache()
@@ -88,13 +88,13 @@
 	}
 	incarnation, falseRole := e.incarnation.ctx, e.faults.FalseRole
 	time.AfterFunc(e.config.Reload, func() {
-		e.ifCurrent(incarnation, func() {
+		e.updateIfCurrent(incarnation, func() {
 			if e.role.epoch != order.Epoch {
-				return // a later order has begun another change
+				return // superseded by the role change of a later order
 			}
 			e.role.loading, e.coldSince, e.recentAttempts = false, time.Now(), nil
 			if !falseRole && e.role.serving != order.Role {
-				e.serveAs(order.Role)
+				e.switchRole(order.Role)
 				e.slots = make(chan struct{}, e.config.Slots)
 			}
 			e.record(audit.EngineRecord{Event: audit.Started, Detail: "as " + e.role.serving})
@@ -102,8 +102,8 @@
 	})
 }
 
-// serveAs swaps the capacities of the two roles. The caller holds the lock.
-func (e *Engine) serveAs(role string) {
+// switchRole sets the role that the engine serves and swaps the slots of the two roles. The caller holds the lock.
+func (e *Engine) switchRole(role string) {
 	e.role.serving = role
 	e.config.Slots, e.config.OtherRoleSlots = e.config.OtherRoleSlots, e.config.Slots
 }
--- a/internal/fake/engine/wire_test.go
+++ b/internal/fake/engine/wire_test.go
@@ -18,12 +18,13 @@
 	chatPath = "/v1/chat/completions"
 )
 
-// varying are the parts of responses that differ between runs: ports, times, and the length of a load report with times.
-var varying = regexp.MustCompile(`"remote_port":\d+|Date: [^\r]*\r\n|"busy_seconds":[^,]+|"up_for_ms":[^,]+`)
+// varyingPattern matches the parts of responses that differ between runs: ports and times.
+var varyingPattern = regexp.MustCompile(`"remote_port":\d+|Date: [^\r]*\r\n|"busy_seconds":[^,]+|"up_for_ms":[^,]+`)
 
-var contentLength = regexp.MustCompile(`Content-Length: \d+`)
+// contentLengthPattern matches the length of a load report, which varies with the times in it.
+var contentLengthPattern = regexp.MustCompile(`Content-Length: \d+`)
 
-// wireRecorder sends requests to engines and keeps requests and responses as text.
+// wireRecorder sends requests to engines and records requests and responses as text.
 type wireRecorder struct {
 	t      *testing.T
 	output bytes.Buffer
@@ -47,13 +48,13 @@
 	defer response.Body.Close()
 	dump, err := httputil.DumpResponse(response, true)
 	if err != nil {
-		fmt.Fprintf(&r.output, "%s\nbroken off\n", response.Status)
+		fmt.Fprintf(&r.output, "%s\nresponse body cut off\n", response.Status)
 		return ""
 	}
 	if path == "/sandcourse/load" {
-		dump = contentLength.ReplaceAll(dump, []byte("Content-Length: VARYING"))
+		dump = contentLengthPattern.ReplaceAll(dump, []byte("Content-Length: VARYING"))
 	}
-	fmt.Fprintf(&r.output, "%s\n", varying.ReplaceAll(dump, []byte("VARYING")))
+	fmt.Fprintf(&r.output, "%s\n", varyingPattern.ReplaceAll(dump, []byte("VARYING")))
 	_, responseBody, _ := strings.Cut(string(dump), "\r\n\r\n")
 	return responseBody
 }
@@ -76,7 +77,7 @@
 
 const prompt = `"model":"fan-alert","messages":[{"role":"system","content":"You caption clips."},{"role":"user","content":"The <goal> & more."}],"max_tokens":9`
 
-var transferOf = regexp.MustCompile(`"kv_transfer_params":\{[^}]*\}`)
+var transferPattern = regexp.MustCompile(`"kv_transfer_params":\{[^}]*\}`)
 
 func TestGoldenWire(t *testing.T) {
 	log := &audit.Log{}
@@ -88,7 +89,7 @@
 	}
 	transfer := func(id string) string {
 		response := r.send("prefill", prefill, "POST", chatPath, prefillBody, headers(id)...)
-		return `{` + prompt + `,"stream":true,` + transferOf.FindString(response) + `}`
+		return `{` + prompt + `,"stream":true,` + transferPattern.FindString(response) + `}`
 	}
 	decodeBody := transfer("n1")
 	r.send("decode", decode, "POST", chatPath, decodeBody, headers("n1")...)
@@ -100,8 +101,8 @@
 	r.send("release", prefill, "POST", "/sandcourse/release", `{"inference":"n3","send":1}`)
 	r.send("release before the prefill", prefill, "POST", "/sandcourse/release", `{"inference":"n4","send":1}`)
 	transfer("n4")
-	r.send("release of nothing", prefill, "POST", "/sandcourse/release", `x`)
-	r.send("fetch of nothing", prefill, "POST", "/sandcourse/fetch", `n9/1`)
+	r.send("release that is not JSON", prefill, "POST", "/sandcourse/release", `x`)
+	r.send("fetch of an unknown reservation", prefill, "POST", "/sandcourse/fetch", `n9/1`)
 	r.send("trial", prefill, "POST", chatPath, prefillBody, headers("trial-1")...)
 	r.send("load report", prefill, "GET", "/sandcourse/load", "")
 	r.send("load report", decode, "GET", "/sandcourse/load", "")
@@ -120,9 +121,9 @@
 		`{"Slow":"x"}`, `{}`} {
 		id := fmt.Sprint("f", i)
 		r.send("faults "+faults, e, "POST", "/admin/faults", faults)
-		r.send("prefill with them", e, "POST", chatPath, body, headers(id)...)
-		r.send("load report with them", e, "GET", "/sandcourse/load", "")
-		r.send("role order with them", e, "POST", "/sandcourse/role", `{"term":1,"epoch":1,"role":"read"}`)
+		r.send("prefill with these faults", e, "POST", chatPath, body, headers(id)...)
+		r.send("load report with these faults", e, "GET", "/sandcourse/load", "")
+		r.send("role order with these faults", e, "POST", "/sandcourse/role", `{"term":1,"epoch":1,"role":"read"}`)
 		r.send("release", e, "POST", "/sandcourse/release", `{"inference":"`+id+`","send":1}`)
 	}
 }
--- a/internal/fake/platformclient/client.go
+++ b/internal/fake/platformclient/client.go
@@ -18,9 +18,9 @@
 
 const (
 	// idleConnections are kept to one router.
-	idleConnections = 200
+	maxIdleConnections = 200
 	// patience is how long after a deadline a client still waits for the answer, which is late then.
-	patience = 5 * time.Second
+	lateResponseTimeout = 5 * time.Second
 )
 
 // Client sends requests of one class to one router.
@@ -32,25 +32,25 @@
 
 // SendAtRate sends requests at a rate for a time, whatever becomes of those before, and waits for all answers. Their IDs are
 // the name and a number. It returns how many were sent.
-func (c Client) SendAtRate(name string, perSecond int, length, deadline time.Duration) (sent int) {
-	connections := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}
-	defer connections.CloseIdleConnections()
-	var all sync.WaitGroup
+func (c Client) SendAtRate(name string, perSecond int, duration, deadline time.Duration) (sent int) {
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
+	defer httpClient.CloseIdleConnections()
+	var requests sync.WaitGroup
 	interval := time.Second / time.Duration(perSecond)
 	start := time.Now()
-	for at := time.Duration(0); at < length; at += interval {
-		time.Sleep(time.Until(start.Add(at)))
+	for offset := time.Duration(0); offset < duration; offset += interval {
+		time.Sleep(time.Until(start.Add(offset)))
 		id := fmt.Sprint(name, sent)
 		sent++
-		all.Go(func() { c.Log.RecordClient(c.send(connections, id, deadline)) })
+		requests.Go(func() { c.Log.RecordClient(c.send(httpClient, id, deadline)) })
 	}
-	all.Wait()
+	requests.Wait()
 	return sent
 }
 
 // send sends one request and reads its answer to the end.
-func (c Client) send(connections *http.Client, id string, deadline time.Duration) (record audit.ClientRecord) {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+patience)
+func (c Client) send(httpClient *http.Client, id string, deadline time.Duration) (record audit.ClientRecord) {
+	ctx, cancel := context.WithTimeout(context.Background(), deadline+lateResponseTimeout)
 	defer cancel()
 	now := time.Now()
 	record = audit.ClientRecord{ClientRequestID: id, RequestID: id, Route: c.Class, Edge: c.Address, Sent: now, Deadline: now.Add(deadline)}
@@ -60,13 +60,13 @@
 		record.Outcome, record.Reason = audit.OutcomeLost, err.Error()
 		return record
 	}
-	answer, err := connections.Do(r)
+	response, err := httpClient.Do(r)
 	if err != nil {
 		record.Outcome, record.Reason = audit.OutcomeLost, err.Error()
 		return record
 	}
-	defer answer.Body.Close()
-	readAnswer(answer, &record)
+	defer response.Body.Close()
+	readResponse(response, &record)
 	return record
 }
 
@@ -85,14 +85,14 @@
 }
 
 // readAnswer reads an answer to its end.
-func readAnswer(answer *http.Response, record *audit.ClientRecord) {
+func readResponse(response *http.Response, record *audit.ClientRecord) {
 	record.OutcomeCount, record.Outcome = 1, audit.OutcomeErrored
-	if answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests {
+	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
 		record.Outcome = audit.OutcomeShed
 	}
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		if answer.StatusCode != http.StatusOK {
+		if response.StatusCode != http.StatusOK {
 			continue
 		}
 		if record.FirstToken == 0 {
--- a/internal/fake/platformengine/attempts.go
+++ b/internal/fake/platformengine/attempts.go
@@ -36,7 +36,7 @@
 		return // an attempt counts once its last byte has arrived
 	}
 	requestID := r.Header.Get(platform.HeaderRequestID)
-	attempt := &engineAttempt{engineID: e.ID, routerAddr: r.RemoteAddr, awaitsReservation: e.decodes()}
+	attempt := &engineAttempt{engineID: e.ID, routerAddr: r.RemoteAddr, awaitsReservation: e.isDecode()}
 	e.fleet.startAttempt(e, requestID, attempt)
 	defer e.fleet.endAttempt(requestID, attempt)
 	if e.Role == Prefill {
@@ -53,7 +53,7 @@
 	<-e.slots
 	e.fleet.reserve(e, requestID)
 	if r.Context().Err() != nil {
-		e.fleet.noticeDisconnect(requestID)
+		e.fleet.callBeforeNotice(requestID)
 		return
 	}
 	w.Header().Set(platform.HeaderLoadReport, loadReport)
@@ -68,7 +68,7 @@
 	case e.slots <- struct{}{}:
 		defer func() { <-e.slots }()
 	case <-r.Context().Done():
-		e.fleet.noticeDisconnect(requestID)
+		e.fleet.callBeforeNotice(requestID)
 		return
 	}
 	if !e.fleet.fetchReservation(e, requestID, attempt) {
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -62,14 +62,14 @@
 	mux.HandleFunc("GET "+platform.LoadReportPath, e.serveLoad)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: c.IdleTime}
 	go func() { _ = e.server.Serve(listener) }() // ends with http.ErrServerClosed
-	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Started, Decode: e.decodes()})
+	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Started, Decode: e.isDecode()})
 	return e, nil
 }
 
 // Stop ends it; its connections are closed.
 func (e *Engine) Stop() { e.server.Close() }
 
-func (e *Engine) decodes() bool { return e.Role == Decode }
+func (e *Engine) isDecode() bool { return e.Role == Decode }
 
 // listEntry is an engine as the discovery service lists it.
 type listEntry struct {
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -77,7 +77,7 @@
 }
 
 // request is the account of a request. The caller holds the lock.
-func (f *Fleet) request(requestID string) *fleetRequest {
+func (f *Fleet) requestState(requestID string) *fleetRequest {
 	request := f.requests[requestID]
 	if request == nil {
 		request = &fleetRequest{released: make(chan struct{})}
@@ -89,15 +89,15 @@
 func (f *Fleet) startAttempt(e *Engine, requestID string, attempt *engineAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	request := f.request(requestID)
+	request := f.requestState(requestID)
 	request.attempts = append(request.attempts, attempt)
-	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.AttemptStarted, RequestID: requestID, Decode: e.decodes()})
+	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.AttemptStarted, RequestID: requestID, Decode: e.isDecode()})
 }
 
 func (f *Fleet) endAttempt(requestID string, attempt *engineAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	request := f.request(requestID)
+	request := f.requestState(requestID)
 	request.attempts = slices.DeleteFunc(request.attempts, func(other *engineAttempt) bool { return other == attempt })
 	f.recordEnd(requestID, attempt)
 }
@@ -125,12 +125,12 @@
 }
 
 // noticeDisconnect runs when an engine is about to notice that the router has closed an attempt's connection.
-func (f *Fleet) noticeDisconnect(requestID string) {
+func (f *Fleet) callBeforeNotice(requestID string) {
 	if f.BeforeNotice == nil {
 		return
 	}
 	f.mu.Lock()
-	released := f.request(requestID).released
+	released := f.requestState(requestID).released
 	f.mu.Unlock()
 	f.BeforeNotice(requestID, released)
 }
@@ -138,20 +138,20 @@
 func (f *Fleet) reserve(e *Engine, requestID string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	request := f.request(requestID)
+	request := f.requestState(requestID)
 	request.reservations = append(request.reservations, reservation{engineID: e.ID})
-	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Reserved, RequestID: requestID, Decode: e.decodes()})
+	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Reserved, RequestID: requestID, Decode: e.isDecode()})
 }
 
 // fetchReservation gives one reservation of a request to an attempt, releases all, and is whether there was one.
 func (f *Fleet) fetchReservation(e *Engine, requestID string, attempt *engineAttempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	request := f.request(requestID)
+	request := f.requestState(requestID)
 	attempt.awaitsReservation = false
 	fetched := len(request.reservations) > 0
 	if fetched {
-		f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Executed, RequestID: requestID, Decode: e.decodes()})
+		f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Executed, RequestID: requestID, Decode: e.isDecode()})
 	}
 	f.release(request, requestID, releaseFetched)
 	return fetched
@@ -170,7 +170,7 @@
 	f, requestID := e.fleet, strings.TrimPrefix(r.URL.Path, platform.ReservationsPath)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	request := f.request(requestID)
+	request := f.requestState(requestID)
 	if request.releases++; request.releases == 1 {
 		close(request.released)
 	}
--- a/internal/fake/platformengine/fleet_test.go
+++ b/internal/fake/platformengine/fleet_test.go
@@ -100,7 +100,7 @@
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.request(requestID).attempts) > 0
+		return len(f.requestState(requestID).attempts) > 0
 	}
 }
 
--- a/internal/fake/platformengine/wire_test.go
+++ b/internal/fake/platformengine/wire_test.go
@@ -15,7 +15,7 @@
 )
 
 // varying are the parts of responses that differ between runs.
-var varying = regexp.MustCompile(`127\.0\.0\.1:\d+|Date: [^\r]*\r\n`)
+var varyingPattern = regexp.MustCompile(`127\.0\.0\.1:\d+|Date: [^\r]*\r\n`)
 
 func startPair(t *testing.T, fleet *Fleet) (prefill, decode *Engine) {
 	t.Helper()
@@ -76,6 +76,6 @@
 		fmt.Fprintf(&output, "== %s: %s %s\n%s\n", c.title, c.method, c.path, send(t, c.engine, c.method, c.path, c.requestID))
 	}
 	fmt.Fprintf(&output, "== list entries\n%s\n%s\n", prefill.Entry(), decode.Entry())
-	got := varying.ReplaceAll(output.Bytes(), []byte("VARYING"))
+	got := varyingPattern.ReplaceAll(output.Bytes(), []byte("VARYING"))
 	golden.Check(t, "wire.golden", string(got))
 }
--- a/internal/golden/command.go
+++ b/internal/golden/command.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	directory := t.TempDir()
 	for name, text := range files {
-		write(t, filepath.Join(directory, name), text)
+		writeFile(t, filepath.Join(directory, name), text)
 	}
 	var b strings.Builder
 	for _, line := range lines {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
-		write(t, path, got)
+		writeFile(t, path, got)
 		return
 	}
 	data, err := os.ReadFile(path)
@@ -30,7 +30,7 @@
 	}
 }
 
-func write(t testing.TB, path, text string) {
+func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 
 // firstDifference shows the lines around the first difference: those of the golden file with -, those seen with +.
 func firstDifference(want, got string) string {
-	const before, most = 3, 12
+	const contextLines, maxLines = 3, 12
 	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
 	first := 0
 	for first < len(w) && first < len(g) && w[first] == g[first] {
@@ -50,9 +50,9 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "line %d\n", first+1)
-	writeLines(&out, ' ', w[max(0, first-before):first])
-	writeLines(&out, '-', w[first:min(len(w), first+most)])
-	writeLines(&out, '+', g[first:min(len(g), first+most)])
+	writeLines(&out, ' ', w[max(0, first-contextLines):first])
+	writeLines(&out, '-', w[first:min(len(w), first+maxLines)])
+	writeLines(&out, '+', g[first:min(len(g), first+maxLines)])
 	return out.String()
 }
 
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -24,7 +24,7 @@
 	responseTimeout = 60 * time.Second // past the client's own timeout, so that a late response is seen to be late
 	maxResponse     = 8 << 20
 	maxEvent        = 1 << 20
-	readSize        = 4096
+	readBufferSize  = 4096
 
 	completionsPath = "/v1/chat/completions"
 	// headerRetryAfterMillis is Retry-After with the exact time.
@@ -74,7 +74,7 @@
 }
 
 // disconnected is whether an error is that of a client that disconnects early.
-func (r Request) disconnected(err error) bool {
+func (r Request) isDisconnect(err error) bool {
 	return r.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded)
 }
 
@@ -104,7 +104,7 @@
 	response, err := c.send(ctx, edge, request)
 	if err != nil {
 		record.End, record.Reason = time.Now(), err.Error()
-		if request.disconnected(err) {
+		if request.isDisconnect(err) {
 			record.Outcome = audit.OutcomeAbandoned
 		}
 		return record, 0
@@ -157,7 +157,7 @@
 // readStream reads events up to the end of the body, whatever they are: a second final response must be seen.
 func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
 	events := chat.NewDecoder(maxEvent)
-	buffer := make([]byte, readSize)
+	buffer := make([]byte, readBufferSize)
 	var err error
 	for err == nil {
 		var n int
@@ -169,7 +169,7 @@
 	}
 	if !errors.Is(err, io.EOF) {
 		record.Reason = err.Error()
-		if record.OutcomeCount == 0 && request.disconnected(err) {
+		if record.OutcomeCount == 0 && request.isDisconnect(err) {
 			record.Outcome = audit.OutcomeAbandoned
 		}
 	}
--- a/internal/loadgen/client_test.go
+++ b/internal/loadgen/client_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	unary, leaver := Request{Unary: true}, Request{DisconnectAfter: 30 * time.Millisecond}
+	unary, disconnecting := Request{Unary: true}, Request{DisconnectAfter: 30 * time.Millisecond}
 	for name, c := range map[string]struct {
 		request    Request
 		serve      func(w http.ResponseWriter, r *http.Request)
@@ -61,10 +61,10 @@
 			io.WriteString(w, "x")
 			breakConnection(w)
 		}, outcome: audit.OutcomeLost, reason: "unexpected EOF"},
-		"abandoned before the head": {request: leaver, serve: func(_ http.ResponseWriter, r *http.Request) {
+		"abandoned before the head": {request: disconnecting, serve: func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, outcome: audit.OutcomeAbandoned, reason: "deadline exceeded"},
-		"abandoned in the stream": {request: leaver, serve: func(w http.ResponseWriter, r *http.Request) {
+		"abandoned in the stream": {request: disconnecting, serve: func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, ": comment\n\n")
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
@@ -117,7 +117,7 @@
 		{audit.OutcomeCompleted, false, false},
 		{audit.OutcomeAbandoned, false, false},
 	} {
-		if (Route{}).retries(c.outcome) != c.plain || (Route{Retriable: true}).retries(c.outcome) != c.retriable {
+		if (Route{}).shouldRetry(c.outcome) != c.plain || (Route{Retriable: true}).shouldRetry(c.outcome) != c.retriable {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	minRate           = 0.01 // requests a second
-	sessionReuseShare = 0.6  // of the requests that continue a session
-	unaryShare        = 0.1  // of the requests that ask for one response
-	minUserWords      = 20
-	userWordsRange    = 60
-	minBackoff        = 100 * time.Millisecond
-	backoffJitter     = 100 // milliseconds
-	hotPrefixSeconds  = 10  // for which a hot prefix stays the same
-	firstHotPrefix    = 1_000_000
-	firstUserText     = 2_000_000
+	minRate              = 0.01 // requests a second
+	sessionReuseShare    = 0.6  // of the requests that continue a session
+	unaryShare           = 0.1  // of the requests that ask for one response
+	minUserWords         = 20
+	userWordsRange       = 60
+	minBackoff           = 100 * time.Millisecond
+	backoffJitter        = 100 // milliseconds
+	hotPrefixSeconds     = 10  // for which a hot prefix stays the same
+	firstHotPrefixNumber = 1_000_000
+	firstUserTextNumber  = 2_000_000
 )
 
 // Route is one model route as clients use it.
@@ -77,7 +77,7 @@
 			return
 		}
 		route := g.drawRoute()
-		request := g.request(number, at, route)
+		request := g.drawRequest(number, at, route)
 		seed := g.random.Uint64()
 		select {
 		case <-ctx.Done():
@@ -91,9 +91,9 @@
 // generator draws the requests of a traffic, by its seed.
 type generator struct {
 	Traffic
-	random   *rand.Rand
-	seconds  float64 // of the last arrival
-	sessions []*session
+	random             *rand.Rand
+	lastArrivalSeconds float64 // of the last arrival
+	sessions           []*session
 }
 
 // session is a conversation that may go on.
@@ -107,19 +107,19 @@
 func (g *generator) nextArrival() time.Duration {
 	rate := g.Rate
 	if g.RateFactor != nil {
-		rate *= g.RateFactor(time.Duration(g.seconds * 1e9))
+		rate *= g.RateFactor(time.Duration(g.lastArrivalSeconds * 1e9))
 	}
-	g.seconds += g.random.ExpFloat64() / max(rate, minRate)
-	return time.Duration(g.seconds * 1e9)
+	g.lastArrivalSeconds += g.random.ExpFloat64() / max(rate, minRate)
+	return time.Duration(g.lastArrivalSeconds * 1e9)
 }
 
 // drawRoute draws a route in proportion to its share.
 func (g *generator) drawRoute() Route {
-	shares := 0.0
+	totalShare := 0.0
 	for _, r := range g.Routes {
-		shares += r.Share
+		totalShare += r.Share
 	}
-	draw := g.random.Float64() * shares
+	draw := g.random.Float64() * totalShare
 	for _, r := range g.Routes {
 		if draw -= r.Share; draw < 0 {
 			return r
@@ -129,13 +129,13 @@
 }
 
 // request draws the request of a number.
-func (g *generator) request(number int, at time.Duration, route Route) Request {
+func (g *generator) drawRequest(number int, at time.Duration, route Route) Request {
 	s := g.drawSession(number, at)
 	userWords := g.UserWords
 	if userWords == 0 {
 		userWords = minUserWords + g.random.IntN(userWordsRange)
 	}
-	s.messages = append(slices.Clip(s.messages), Message{"user", generateText(firstUserText+number, userWords)})
+	s.messages = append(slices.Clip(s.messages), Message{"user", generateText(firstUserTextNumber+number, userWords)})
 	r := Request{Route: route.Name, Session: s.name, RequestID: fmt.Sprintf("r%d-%d", g.Seed, number), Messages: s.messages,
 		MaxTokens: route.MaxTokens, Timeout: route.Timeout, Unary: g.random.Float64() < unaryShare}
 	if g.random.Float64() < g.DisconnectShare {
@@ -156,7 +156,7 @@
 	}
 	prefix := int(float64(g.Prefixes) * math.Pow(g.random.Float64(), 2)) // some much more used than others
 	if g.HotPrefixShare != nil && g.random.Float64() < g.HotPrefixShare(at) {
-		prefix = firstHotPrefix + int(at/time.Second)/hotPrefixSeconds
+		prefix = firstHotPrefixNumber + int(at/time.Second)/hotPrefixSeconds
 	}
 	s := &session{name: fmt.Sprintf("s%d-%d", g.Seed, number), turnsLeft: max(1, g.Turns-1),
 		messages: []Message{{"system", generateText(prefix, g.PrefixWords)}}}
@@ -165,7 +165,7 @@
 }
 
 // retries is whether a client retries after this outcome.
-func (r Route) retries(outcome audit.Outcome) bool {
+func (r Route) shouldRetry(outcome audit.Outcome) bool {
 	failed := outcome == audit.OutcomeErrored || outcome == audit.OutcomeLost
 	return outcome == audit.OutcomeShed || r.Retriable && failed
 }
@@ -180,7 +180,7 @@
 		}
 		record, retryAfter := client.Do(ctx, edges[random.IntN(len(edges))], request)
 		t.Log.RecordClient(record)
-		if !route.retries(record.Outcome) || attempt >= t.Retries || ctx.Err() != nil {
+		if !route.shouldRetry(record.Outcome) || attempt >= t.Retries || ctx.Err() != nil {
 			return
 		}
 		select {
