--- a/internal/fake/discoveryagent/agent.go
+++ b/internal/fake/discoveryagent/agent.go
@@ -1,4 +1,5 @@
-// Package discoveryagent is a fake of the operators' discovery agent on a loopback socket, whose list a test changes.
+// Package discoveryagent implements a fake of the operators' discovery agent on a loopback socket, whose endpoint list a test
+// updates.
 package discoveryagent
 
 import (
@@ -15,21 +16,21 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// Agent serves an endpoint list and the changes of it.
+// Agent serves an endpoint list and its changes.
 type Agent struct {
 	Address string
 
 	server     *http.Server
 	mu         sync.Mutex
 	generation int
-	entries    map[string]entry // by ID
-	updated    chan struct{}    // closed at the next change
+	entries    map[string]entry // by instance ID
+	updated    chan struct{}    // closed and replaced at the next change
 }
 
-// entry is an instance of the list.
+// entry is an instance in the list.
 type entry struct {
-	text       string // in the form of discovery
-	generation int    // of its last change
+	text       string // JSON of the instance
+	generation int    // generation of the last change of the instance
 }
 
 // Start starts an agent with an empty list.
@@ -44,10 +45,10 @@
 	return a, nil
 }
 
-// Stop ends it; its connections are closed.
+// Stop stops the agent and closes its connections.
 func (a *Agent) Stop() { a.server.Close() }
 
-// Update publishes instances, in the form of discovery, by ID.
+// Update adds or replaces instances, given as JSON by ID.
 func (a *Agent) Update(instances map[string]string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,13 +60,14 @@
 	a.updated = make(chan struct{})
 }
 
-// Snapshot is the complete list.
+// Snapshot returns the complete list as JSON.
 func (a *Agent) Snapshot() string {
 	text, _, _ := a.listSince(0)
 	return text
 }
 
-// listSince is what the agent answers to who knows a generation, whether that has changed, and what is closed when it does.
+// listSince returns the response for a watch from a known generation, whether the list has changed since, and a channel that is
+// closed at the next change. For generation 0 the response is the complete list, which counts as a change.
 func (a *Agent) listSince(knownGeneration int) (text string, changed bool, updated <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,7 +81,7 @@
 	return text, knownGeneration == 0 || a.generation > knownGeneration, a.updated
 }
 
-// serveList answers a request for the complete list at once, and a watch when the list changes or its time is over.
+// serveList responds to a request for the complete list at once, and to a watch when the list changes or the wait time has passed.
 func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	knownGeneration, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
--- a/internal/fake/platformclient/client.go
+++ b/internal/fake/platformclient/client.go
@@ -1,5 +1,5 @@
-// Package platformclient is a fake client of the operators' platform, which sends requests at a rate and records what it sees
-// of their answers for package audit.
+// Package platformclient implements a fake client of the operators' platform, which sends requests at a fixed rate and records the
+// responses for package audit.
 package platformclient
 
 import (
@@ -17,21 +17,21 @@
 )
 
 const (
-	// idleConnections are kept to one router.
+	// maxIdleConnections is the number of idle connections kept to one router.
 	maxIdleConnections = 200
-	// patience is how long after a deadline a client still waits for the answer, which is late then.
+	// lateResponseTimeout is how long a client waits past the deadline, so that a late response is recorded as late.
 	lateResponseTimeout = 5 * time.Second
 )
 
 // Client sends requests of one class to one router.
 type Client struct {
-	Address string // of the router
-	Class   string
+	Address string // address of the router
+	Class   string // request class
 	Log     *audit.Log
 }
 
-// SendAtRate sends requests at a rate for a time, whatever becomes of those before, and waits for all answers. Their IDs are
-// the name and a number. It returns how many were sent.
+// SendAtRate sends requests at a rate for a duration, without waiting for responses in between, and then waits for all responses.
+// The ID of a request is the name and a number. SendAtRate returns the number of requests sent.
 func (c Client) SendAtRate(name string, perSecond int, duration, deadline time.Duration) (sent int) {
 	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 	defer httpClient.CloseIdleConnections()
@@ -48,7 +48,7 @@
 	return sent
 }
 
-// send sends one request and reads its answer to the end.
+// send sends one request and reads its response to the end.
 func (c Client) send(httpClient *http.Client, id string, deadline time.Duration) (record audit.ClientRecord) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline+lateResponseTimeout)
 	defer cancel()
@@ -80,11 +80,11 @@
 	r.Header.Set(platform.HeaderRequestClass, c.Class)
 	r.Header.Set(platform.HeaderAffinityKey, "s"+id)
 	r.Header.Set(platform.HeaderTimeout, fmt.Sprintf("%.3f", deadline.Seconds()))
-	r.Header["X-Idempotency-Key"] = nil // not sent: net/http sends a request once more that crosses the close of an idle connection
+	r.Header["X-Idempotency-Key"] = nil // not sent, but makes net/http retry a request that crosses the close of an idle connection
 	return r, nil
 }
 
-// readAnswer reads an answer to its end.
+// readResponse reads a response to its end and records the outcome.
 func readResponse(response *http.Response, record *audit.ClientRecord) {
 	record.OutcomeCount, record.Outcome = 1, audit.OutcomeErrored
 	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
--- a/internal/fake/platformengine/attempts.go
+++ b/internal/fake/platformengine/attempts.go
@@ -12,11 +12,11 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// prefillResponse is the body of a prefill's response: no token was cached.
+// prefillResponse is the body of a prefill's response, which reports no cached tokens.
 const prefillResponse = `{"cached_tokens":0}`
 
-// completionChunk is the data of a streamed event. The fields of this and the following are in the order in which they
-// are sent.
+// completionChunk is the data of a streamed event. The fields of completionChunk, chunkChoice and chunkDelta are in the order in
+// which they are sent.
 type completionChunk struct {
 	Choices []chunkChoice `json:"choices"`
 }
@@ -33,7 +33,7 @@
 
 func (e *Engine) serveAttempt(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // an attempt counts once its last byte has arrived
+		return // an attempt counts only after its last byte has arrived
 	}
 	requestID := r.Header.Get(platform.HeaderRequestID)
 	attempt := &engineAttempt{engineID: e.ID, routerAddr: r.RemoteAddr, awaitsReservation: e.isDecode()}
@@ -46,7 +46,7 @@
 	}
 }
 
-// prefill processes a prompt to its end and holds its KV state, also where the router has disconnected.
+// prefill processes a prompt to its end and holds its KV state, even if the router has disconnected.
 func (e *Engine) prefill(w http.ResponseWriter, r *http.Request, requestID string) {
 	e.slots <- struct{}{}
 	time.Sleep(e.WorkTime)
@@ -61,8 +61,8 @@
 	writeString(w, prefillResponse)
 }
 
-// decode waits for a slot, fetches the reservation and streams. An attempt whose router has disconnected is in flight
-// until the engine notices it.
+// decode waits for a slot, fetches the reservation and streams the response. An attempt whose router has disconnected stays in
+// flight until the engine notices the disconnect.
 func (e *Engine) decode(w http.ResponseWriter, r *http.Request, requestID string, attempt *engineAttempt) {
 	select {
 	case e.slots <- struct{}{}:
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -1,6 +1,7 @@
-// Package platformengine is a fake of the prefill and decode engines of the operators' platform on loopback sockets,
-// written from the published protocol, for tests. The engines of a fleet share one account of the reservations and
-// attempts of each request, from what reached them and never from what a router believes. Its figures are invented.
+// Package platformengine implements, for tests, a fake of the prefill and decode engines of the operators' platform on loopback
+// sockets, based on the published protocol. The engines of a fleet share the state of the reservations and attempts of each
+// request, derived only from the messages that reached them, never from a router's state. Load reports and durations are not those
+// of real engines.
 package platformengine
 
 import (
@@ -15,7 +16,7 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// Role is what an engine does.
+// Role is the role of an engine.
 type Role string
 
 // The roles of an engine.
@@ -26,17 +27,17 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// loadReport is the report of an idle engine: no router sheds load for it.
+// loadReport is the load report of an idle engine, so that routers do not shed requests.
 const loadReport = "TEXT x0=0.1, x1=0.0"
 
-// Config is what an engine can do.
+// Config configures an engine.
 type Config struct {
 	ID       string
 	Role     Role
-	Slots    int           // attempts that it works on at once; others wait
-	WorkTime time.Duration // of a prefill, and between the events of a response
-	Events   int           // of a response
-	IdleTime time.Duration // after which it closes an idle connection; 0 for never
+	Slots    int           // number of attempts processed concurrently; others wait
+	WorkTime time.Duration // duration of a prefill, and of the pause between the events of a response
+	Events   int           // number of events of a response
+	IdleTime time.Duration // time after which an idle connection is closed; 0 for never
 }
 
 // Engine is one fake engine.
@@ -49,7 +50,7 @@
 	slots  chan struct{}
 }
 
-// Start starts an engine of the fleet on a port of its own.
+// Start adds an engine to the fleet and starts it on an unused port.
 func (f *Fleet) Start(c Config) (*Engine, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,12 +67,12 @@
 	return e, nil
 }
 
-// Stop ends it; its connections are closed.
+// Stop stops the engine and closes its connections.
 func (e *Engine) Stop() { e.server.Close() }
 
 func (e *Engine) isDecode() bool { return e.Role == Decode }
 
-// listEntry is an engine as the discovery service lists it.
+// listEntry is the discovery service's entry of an engine.
 type listEntry struct {
 	ID              string      `json:"instanceId"`
 	Addr            string      `json:"hostPort"`
@@ -79,7 +80,7 @@
 	Role            Role        `json:"machineType"`
 	Cell            int         `json:"cell"`
 	Lifecycle       Lifecycle   `json:"lifecycle"`
-	Weight          json.Number `json:"weight"` // as the service writes it, with a fraction
+	Weight          json.Number `json:"weight"` // encoded with a fraction, as by the service
 	StartedAtMillis int64       `json:"startedAtMs"`
 }
 
@@ -93,16 +94,16 @@
 	Deleted  Lifecycle = "DELETED"
 )
 
-// Entry is the engine as the discovery service lists it, in JSON: it serves, and has run for long.
+// Entry returns the JSON of the discovery service's entry of the engine, as serving since long ago.
 func (e *Engine) Entry() string { return e.EntryIn(Serving, time.Time{}) }
 
-// EntryIn is the engine as the discovery service lists it in a state; the zero time stands for a start long ago.
+// EntryIn returns the JSON of the discovery service's entry of the engine in a state. A zero startedAt is a start long ago.
 func (e *Engine) EntryIn(lifecycle Lifecycle, startedAt time.Time) string {
 	listed := listEntry{ID: e.ID, Addr: e.Addr, Zone: "a", Role: e.Role, Lifecycle: lifecycle, Weight: "1.0"}
 	if !startedAt.IsZero() {
 		listed.StartedAtMillis = startedAt.UnixMilli()
 	}
-	entry, _ := json.Marshal(listed) // has no value that JSON lacks
+	entry, _ := json.Marshal(listed) // cannot fail: all values can be represented in JSON
 	return string(entry)
 }
 
@@ -111,5 +112,5 @@
 	writeString(w, loadReport+"\n")
 }
 
-// writeString fails only where the client has disconnected; the handler ends either way.
+// writeString writes a response text. The error is ignored, because the client has disconnected then and the handler ends anyway.
 func writeString(w http.ResponseWriter, text string) { _, _ = io.WriteString(w, text) }
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -17,18 +17,18 @@
 	releaseFetched = "taken"
 )
 
-// Fleet is a group of engines and their account of requests.
+// Fleet is a group of engines with common records of the requests that have reached them.
 type Fleet struct {
-	// BeforeNotice, if set, runs before an engine notices that a router has closed a connection with an attempt on it. The
-	// channel is closed once a release of the request has reached any engine. Set it before Start.
+	// BeforeNotice, if set, is called before an engine notices that a router has closed the connection of an attempt. The channel is
+	// closed once a release of the request has reached any engine. BeforeNotice must be set before Start.
 	BeforeNotice func(request string, released <-chan struct{})
 
 	log      *audit.Log
 	mu       sync.Mutex
-	requests map[string]*fleetRequest // by the router's request ID
+	requests map[string]*fleetRequest // by request ID of the router
 }
 
-// fleetRequest is what the engines of a fleet know of one request.
+// fleetRequest is the state of one request at the engines of a fleet.
 type fleetRequest struct {
 	attempts     []*engineAttempt
 	reservations []reservation
@@ -36,10 +36,10 @@
 	released     chan struct{} // closed at the first release
 }
 
-// engineAttempt is one attempt that has reached an engine in full.
+// engineAttempt is an attempt that an engine has received completely.
 type engineAttempt struct {
 	engineID          string
-	routerAddr        string // the router's end of the connection
+	routerAddr        string // address of the router's side of the connection
 	awaitsReservation bool
 	ended             bool
 }
@@ -47,10 +47,10 @@
 // reservation is the KV state that an engine holds for a request.
 type reservation struct{ engineID string }
 
-// NewFleet makes a fleet without engines. They record what they see in the log.
+// NewFleet returns a fleet without engines, which will record their events in the log.
 func NewFleet(log *audit.Log) *Fleet { return &Fleet{log: log, requests: map[string]*fleetRequest{}} }
 
-// HeldReservations is how many reservations the fleet holds.
+// HeldReservations returns the number of reservations that the fleet holds.
 func (f *Fleet) HeldReservations() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +60,7 @@
 	return count
 }
 
-// Releases is how many releases have arrived, over all requests.
+// Releases returns the number of releases that have arrived for all requests.
 func (f *Fleet) Releases() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,13 +70,13 @@
 	return count
 }
 
-// record records an event of an engine. The platform's clients and routers share one request ID.
+// record records an event of an engine. On the platform, client and router use the same request ID.
 func (f *Fleet) record(record audit.EngineRecord) {
 	record.At, record.ClientRequestID = time.Now(), record.RequestID
 	f.log.RecordEngine(record)
 }
 
-// request is the account of a request. The caller holds the lock.
+// requestState returns the state of a request, which it creates if necessary. The caller holds the lock.
 func (f *Fleet) requestState(requestID string) *fleetRequest {
 	request := f.requests[requestID]
 	if request == nil {
@@ -102,7 +102,7 @@
 	f.recordEnd(requestID, attempt)
 }
 
-// recordEnd records, once, that an attempt is not in flight any more. The caller holds the lock.
+// recordEnd records the end of an attempt at its first call. The caller holds the lock.
 func (f *Fleet) recordEnd(requestID string, attempt *engineAttempt) {
 	if !attempt.ended {
 		attempt.ended = true
@@ -110,8 +110,8 @@
 	}
 }
 
-// RouterClosed reports that a router has closed its connection from this address to an engine, which may not have noticed
-// it yet: no attempt on it is in flight any more.
+// RouterClosed records that a router has closed the connection from this address to an engine, which may not have noticed the
+// close yet. No attempt on the connection is in flight any more.
 func (f *Fleet) RouterClosed(engineID, routerAddr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// noticeDisconnect runs when an engine is about to notice that the router has closed an attempt's connection.
+// callBeforeNotice calls BeforeNotice for a request. An engine calls it when the router has closed an attempt's connection.
 func (f *Fleet) callBeforeNotice(requestID string) {
 	if f.BeforeNotice == nil {
 		return
@@ -143,7 +143,8 @@
 	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Reserved, RequestID: requestID, Decode: e.isDecode()})
 }
 
-// fetchReservation gives one reservation of a request to an attempt, releases all, and is whether there was one.
+// fetchReservation lets an attempt fetch a reservation of its request. It releases all reservations of the request and reports
+// whether there was one.
 func (f *Fleet) fetchReservation(e *Engine, requestID string, attempt *engineAttempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,7 +166,7 @@
 	request.reservations = nil
 }
 
-// serveRelease releases a request's reservations at all engines, unless an attempt of the request waits for one.
+// serveRelease releases a request's reservations at all engines, unless an attempt of the request awaits one.
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request) {
 	f, requestID := e.fleet, strings.TrimPrefix(r.URL.Path, platform.ReservationsPath)
 	f.mu.Lock()
--- a/internal/fake/platformengine/fleet_test.go
+++ b/internal/fake/platformengine/fleet_test.go
@@ -11,7 +11,7 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-func TestReleaseIsForAllEngines(t *testing.T) {
+func TestReleaseAppliesToAllEngines(t *testing.T) {
 	fleet := NewFleet(&audit.Log{})
 	prefill, decode := startPair(t, fleet)
 	for range 2 {
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestReleaseLeavesWhatAnAttemptWaitsFor(t *testing.T) {
+func TestReleaseKeepsReservationThatAnAttemptAwaits(t *testing.T) {
 	fleet := NewFleet(&audit.Log{})
 	prefill, decode := startPair(t, fleet)
 	decode.slots <- struct{}{} // the attempt below waits for a slot
@@ -36,7 +36,7 @@
 	waitFor(t, fleet.hasAttempt("n-1"))
 	send(t, prefill, http.MethodDelete, platform.ReservationsPath+"n-1", "")
 	if held := fleet.HeldReservations(); held != 1 {
-		t.Errorf("%d reservations, an attempt waits for one", held)
+		t.Errorf("%d reservations while an attempt awaits one, want 1", held)
 	}
 	<-decode.slots
 	if got := <-response; !strings.Contains(got, "[DONE]") {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestRouterClosedEndsItsAttemptsOnce(t *testing.T) {
+func TestRouterClosedRecordsEndOfAttemptOnce(t *testing.T) {
 	log := &audit.Log{}
 	fleet := NewFleet(log)
 	_, decode := startPair(t, fleet)
@@ -52,7 +52,7 @@
 	fleet.startAttempt(decode, "n-1", attempt)
 	fleet.RouterClosed(decode.ID, "router:2")
 	if attempt.ended {
-		t.Error("an attempt has ended with another connection")
+		t.Error("attempt ended by the close of another connection")
 	}
 	fleet.RouterClosed(decode.ID, "router:1")
 	fleet.endAttempt("n-1", attempt)
@@ -63,11 +63,11 @@
 		}
 	}
 	if ends != 1 {
-		t.Errorf("%d ends of one attempt", ends)
+		t.Errorf("end of one attempt recorded %d times, want once", ends)
 	}
 }
 
-func TestBeforeNoticeRunsForADisconnectedAttempt(t *testing.T) {
+func TestBeforeNoticeIsCalledForDisconnectedAttempt(t *testing.T) {
 	fleet := NewFleet(&audit.Log{})
 	noticed := make(chan string, 1)
 	fleet.BeforeNotice = func(requestID string, released <-chan struct{}) {
@@ -88,11 +88,11 @@
 	request.Header.Set(platform.HeaderRequestID, "n-1")
 	if response, err := http.DefaultClient.Do(request); err == nil {
 		response.Body.Close()
-		t.Fatal("an attempt without a slot has a response")
+		t.Fatal("attempt without a slot got a response")
 	}
 	send(t, decode, http.MethodDelete, platform.ReservationsPath+"n-1", "")
 	if got := <-noticed; got != "n-1" {
-		t.Errorf("noticed %q", got)
+		t.Errorf("BeforeNotice called for %q, want n-1", got)
 	}
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Error("waited in vain")
+			t.Error("condition not met within 10 s")
 			return
 		}
 	}
--- a/internal/fake/platformengine/wire_test.go
+++ b/internal/fake/platformengine/wire_test.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/golden"
 )
 
-// varying are the parts of responses that differ between runs.
+// varyingPattern matches the parts of responses that differ between runs.
 var varyingPattern = regexp.MustCompile(`127\.0\.0\.1:\d+|Date: [^\r]*\r\n`)
 
 func startPair(t *testing.T, fleet *Fleet) (prefill, decode *Engine) {
@@ -31,7 +31,7 @@
 		start(Config{ID: "s-2", Role: Decode, Slots: 1, WorkTime: time.Millisecond, Events: 3})
 }
 
-// send returns the response as text.
+// send sends a request to an engine and returns the response as text.
 func send(t *testing.T, e *Engine, method, path, requestID string) string {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+e.Addr+path, strings.NewReader("{}"))
--- a/internal/golden/command.go
+++ b/internal/golden/command.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// commandTimeout ends a command that should have refused its arguments and runs on.
+// commandTimeout bounds the run of a command, in case it does not reject invalid arguments and keeps running.
 const commandTimeout = 10 * time.Second
 
-// RunCommands runs a program once for each line of arguments, in a directory with these files, and returns what it prints and
-// its exit codes. The directory reads FOLDER.
+// RunCommands runs a program once for each line of arguments, in a temporary directory with the given files, and returns the
+// output and exit codes. The path of the directory is replaced by FOLDER.
 func RunCommands(t testing.TB, binary string, files map[string]string, lines []string) string {
 	t.Helper()
 	directory := t.TempDir()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test has seen with a file in the testdata folder of its package. It is used by tests alone;
-// "go test ./package -update" writes the files anew.
+// Package golden compares the output of a test with a golden file in the testdata folder of the test's package. Only tests use
+// it; "go test ./package -update" rewrites the files.
 package golden
 
 import (
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the tests see")
+var update = flag.Bool("update", false, "rewrite the golden files from the output of the tests")
 
-// Check fails the test where got differs, in any byte, from the file of that name in testdata.
+// Check fails the test if got differs in any byte from the file of that name in testdata.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if want := string(data); got != want {
-		t.Errorf("%s differs from what the test saw:\n%s", path, firstDifference(want, got))
+		t.Errorf("%s differs from the output of the test:\n%s", path, firstDifference(want, got))
 	}
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// firstDifference shows the lines around the first difference: those of the golden file with -, those seen with +.
+// firstDifference returns the lines around the first difference: those of the golden file marked -, those of the test marked +.
 func firstDifference(want, got string) string {
 	const contextLines, maxLines = 3, 12
 	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
--- a/internal/golden/routing.go
+++ b/internal/golden/routing.go
@@ -8,8 +8,7 @@
 	"sandcourse/internal/routing"
 )
 
-// RoutingSettings are all values of a routing configuration as text, each by the dotted name of the setting that it
-// comes from.
+// RoutingSettings returns all values of a routing configuration as text, keyed by the dotted name of the setting.
 func RoutingSettings(c routing.Config) map[string]string {
 	formatNumber := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 	formatDuration := func(d time.Duration) string { return formatNumber(float64(d)) }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -1,5 +1,5 @@
-// Package loadgen is a client of the chat API that records what it sees, and a source of traffic: sessions, shared
-// prefixes, retries and timeouts.
+// Package loadgen implements a client of the chat API that records the outcome of each attempt, and a generator of traffic with
+// sessions, shared prefixes, retries and timeouts.
 package loadgen
 
 import (
@@ -21,13 +21,13 @@
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 20 * time.Second
 	maxIdlePerEdge  = 4096
-	responseTimeout = 60 * time.Second // past the client's own timeout, so that a late response is seen to be late
+	responseTimeout = 60 * time.Second // past the client's own timeout, so that a late response is recorded as late
 	maxResponse     = 8 << 20
 	maxEvent        = 1 << 20
 	readBufferSize  = 4096
 
 	completionsPath = "/v1/chat/completions"
-	// headerRetryAfterMillis is Retry-After with the exact time.
+	// headerRetryAfterMillis is Retry-After in milliseconds.
 	headerRetryAfterMillis = "Retry-After-Ms"
 )
 
@@ -35,12 +35,12 @@
 type Request struct {
 	Route           string // sent as the model
 	Session         string
-	RequestID       string // the client's own, the same for all attempts
+	RequestID       string // chosen by the client, the same for all attempts
 	Messages        []Message
 	MaxTokens       int
-	Timeout         time.Duration // how long the client waits for a first token, as it tells the edge
-	Unary           bool          // one response, not a stream
-	DisconnectAfter time.Duration // after which the client disconnects; 0 for never
+	Timeout         time.Duration // limit on the time to the first token, sent to the edge
+	Unary           bool          // requests one response instead of a stream
+	DisconnectAfter time.Duration // time after which the client disconnects; 0 for never
 	IdempotencyKey  string
 }
 
@@ -50,7 +50,7 @@
 	Content string `json:"content"`
 }
 
-// requestBody is the body of a request, its fields in the order in which they are sent.
+// requestBody is the body of a request. The fields are in the order in which they are sent.
 type requestBody struct {
 	MaxTokens int       `json:"max_tokens"`
 	Messages  []Message `json:"messages"`
@@ -62,7 +62,7 @@
 	return json.Marshal(requestBody{MaxTokens: max(1, r.MaxTokens), Messages: r.Messages, Model: r.Route, Stream: !r.Unary})
 }
 
-// setHeaders sets the headers that have a value.
+// setHeaders sets the headers whose value is not empty.
 func (r Request) setHeaders(h http.Header) {
 	for name, value := range map[string]string{"Content-Type": "application/json", chat.HeaderSession: r.Session,
 		chat.HeaderClientRequestID: r.RequestID, chat.HeaderIdempotencyKey: r.IdempotencyKey,
@@ -73,24 +73,24 @@
 	}
 }
 
-// disconnected is whether an error is that of a client that disconnects early.
+// isDisconnect reports whether an error is due to the client's early disconnect.
 func (r Request) isDisconnect(err error) bool {
 	return r.DisconnectAfter > 0 && errors.Is(err, context.DeadlineExceeded)
 }
 
-// Client keeps connections to edges.
+// Client is a chat API client that reuses connections to edges.
 type Client struct{ http *http.Client }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerEdge, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, IdleConnTimeout: idleTimeout}}}
 }
 
-// Close closes its idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends one attempt and records how it ended. RetryAfter is what a response that shed the request advises.
+// Do sends one attempt and returns the record of its outcome. retryAfter is the delay that a response suggests for a retry.
 func (c *Client) Do(ctx context.Context, edge string, request Request) (record audit.ClientRecord, retryAfter time.Duration) {
 	record = audit.ClientRecord{ClientRequestID: request.RequestID, Route: request.Route, Edge: edge, Sent: time.Now(),
 		Outcome: audit.OutcomeLost}
@@ -129,12 +129,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r.GetBody = nil // the transport must not retry by itself: the record would miss an attempt
+	r.GetBody = nil // keeps the transport from retrying, which would be an attempt without a record
 	request.setHeaders(r.Header)
 	return c.http.Do(r)
 }
 
-// readUnary reads a response that is no stream.
+// readUnary reads a response that is not a stream.
 func readUnary(response *http.Response, record *audit.ClientRecord) {
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	record.End = time.Now()
@@ -154,7 +154,7 @@
 	}
 }
 
-// readStream reads events up to the end of the body, whatever they are: a second final response must be seen.
+// readStream reads all events up to the end of the body, also after a final event, so that a second final event is recorded.
 func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
 	events := chat.NewDecoder(maxEvent)
 	buffer := make([]byte, readBufferSize)
@@ -178,7 +178,7 @@
 	}
 }
 
-// readEvent records one event of a stream: a token, an error or the end.
+// readEvent records one event of a stream: a token, an error or the completion.
 func readEvent(data []byte, record *audit.ClientRecord) {
 	var failed struct{ Error *json.RawMessage }
 	switch {
--- a/internal/loadgen/client_test.go
+++ b/internal/loadgen/client_test.go
@@ -20,7 +20,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestClientRecordsOutcome(t *testing.T) {
 	unary, disconnecting := Request{Unary: true}, Request{DisconnectAfter: 30 * time.Millisecond}
 	for name, c := range map[string]struct {
 		request    Request
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // the server sees a disconnect once it has read the body
+				_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after it has read the body
 				w.Header().Set("X-Sandcourse-Inference", "n-1")
 				c.serve(w, r)
 			}))
@@ -89,13 +89,13 @@
 				t.Errorf("%+v", record)
 			}
 			if (record.FirstToken > 0) != (c.tokens > 0) {
-				t.Errorf("first token after %v of %d", record.FirstToken, c.tokens)
+				t.Errorf("first token after %v in a response of %d tokens", record.FirstToken, c.tokens)
 			}
 		})
 	}
 }
 
-func TestNoEdgeListens(t *testing.T) {
+func TestRequestIsLostIfNoEdgeListens(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	addr := server.Listener.Addr().String()
 	server.Close()
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRetries(t *testing.T) {
+func TestRetriesDependOnOutcomeAndRoute(t *testing.T) {
 	for _, c := range []struct {
 		outcome          audit.Outcome
 		plain, retriable bool
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestSummary(t *testing.T) {
+func TestSummaryCountsRequestsInTime(t *testing.T) {
 	start := time.Now()
 	record := func(id string, sent, firstToken time.Duration, outcome audit.Outcome) audit.ClientRecord {
 		return audit.ClientRecord{ClientRequestID: id, Route: "a", Sent: start.Add(sent), FirstToken: firstToken, Outcome: outcome}
@@ -133,7 +133,7 @@
 		record("late with its retry", 0, 0, audit.OutcomeShed),
 		record("in time", 0, time.Second, audit.OutcomeCompleted),
 		record("in time", time.Millisecond, time.Millisecond, audit.OutcomeCompleted),
-		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // over what the histogram holds
+		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // above the range of the histogram
 		{Route: "unknown", Outcome: audit.OutcomeErrored},
 	}, []Route{{Name: "a", PriorityWeight: 2.5, FirstTokenTarget: time.Second}})
 	var output strings.Builder
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -14,19 +14,19 @@
 	"sandcourse/internal/audit"
 )
 
-// maxFirstToken is the longest time to a first token that a histogram is sure to hold.
+// maxFirstToken is the longest time to a first token that a histogram is guaranteed to hold.
 const maxFirstToken = 10 * time.Minute
 
-// Summary is the outcome of a run. Values are in priority weight.
+// Summary is the result of a run. Values are sums of priority weights.
 type Summary struct {
 	Offered     float64 // value of all requests
-	InTime      float64 // value of the completed requests whose first token came in time
+	InTime      float64 // value of the completed requests whose first token arrived within the objective
 	Outcomes    map[audit.Outcome]int
 	FirstTokens map[string]*hdrhistogram.Histogram // in microseconds, by route
 	Attempts    int
 }
 
-// Summarize adds up the records of clients. The attempts of a request count with its first.
+// Summarize aggregates the records of clients. The time to the first token of a retried request starts at the first attempt.
 func Summarize(records []audit.ClientRecord, routes []Route) Summary {
 	s := Summary{Outcomes: map[audit.Outcome]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(records)}
 	firstSent, served := map[string]time.Time{}, map[string]bool{}
@@ -58,10 +58,10 @@
 	if s.FirstTokens[route] == nil {
 		s.FirstTokens[route] = hdrhistogram.New(1, maxFirstToken.Microseconds(), 3)
 	}
-	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails on what is too long to hold, which is left out
+	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails on values beyond the range of the histogram, which are not counted
 }
 
-// Print writes it as a table.
+// Print writes the summary as a table.
 func (s Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "value completed in time: %.1f of %.1f (%.3f), %d attempts\n", s.InTime, s.Offered, s.InTime/cmp.Or(s.Offered, 1),
 		s.Attempts)
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/audit"
 )
 
-// Streams of random numbers: the second half of a generator's seed.
+// Numbers of the random streams, each the second half of the seed of a PCG generator.
 const (
 	trafficStream = 0x5eed
 	clientStream  = 1
@@ -21,49 +21,49 @@
 )
 
 const (
-	minRate              = 0.01 // requests a second
-	sessionReuseShare    = 0.6  // of the requests that continue a session
-	unaryShare           = 0.1  // of the requests that ask for one response
+	minRate              = 0.01 // requests per second
+	sessionReuseShare    = 0.6  // share of requests that continue a session
+	unaryShare           = 0.1  // share of requests for one response instead of a stream
 	minUserWords         = 20
 	userWordsRange       = 60
 	minBackoff           = 100 * time.Millisecond
 	backoffJitter        = 100 // milliseconds
-	hotPrefixSeconds     = 10  // for which a hot prefix stays the same
+	hotPrefixSeconds     = 10  // time after which the hot prefix changes
 	firstHotPrefixNumber = 1_000_000
 	firstUserTextNumber  = 2_000_000
 )
 
-// Route is one model route as clients use it.
+// Route is a model route with the behavior of its clients.
 type Route struct {
 	Name             string
-	Share            float64       // of the requests, in proportion to the other routes
+	Share            float64       // share of the requests, relative to the other routes
 	PriorityWeight   float64       // value of a request
-	Retriable        bool          // clients retry whatever failed, not only what was shed
+	Retriable        bool          // clients retry failed requests, not only shed ones
 	FirstTokenTarget time.Duration // latency objective of the first token
 	Timeout          time.Duration
 	MaxTokens        int
 }
 
-// Traffic is an open loop: requests start at their times, however long others take, so that a slow fleet does not
-// reduce its own load.
+// Traffic is an open-loop load generator: requests start at scheduled times regardless of the duration of others, so that a slow
+// fleet does not reduce the load.
 type Traffic struct {
-	Edges           func() []string // those that a load balancer would pick from now
+	Edges           func() []string // edges from which a load balancer would currently pick
 	Routes          []Route
-	Rate            float64                        // first attempts a second
-	RateFactor      func(at time.Duration) float64 // of the rate; nil for none
-	HotPrefixShare  func(at time.Duration) float64 // share of new sessions that begin with a hot prefix; nil for none
+	Rate            float64                        // new requests per second
+	RateFactor      func(at time.Duration) float64 // factor of Rate at a time since the start; nil for 1
+	HotPrefixShare  func(at time.Duration) float64 // share of new sessions that begin with the hot prefix; nil for 0
 	Duration        time.Duration
 	Seed            uint64
-	Prefixes        int
-	PrefixWords     int // of a shared prefix
-	UserWords       int // of what a user adds; 0 for 20 to 80
-	Turns           int // of a session
-	Retries         int
+	Prefixes        int     // number of shared prefixes
+	PrefixWords     int     // length of a shared prefix
+	UserWords       int     // length of a user message; 0 for a random length of 20 to 79
+	Turns           int     // number of turns of a session
+	Retries         int     // maximum number of retries of a request
 	DisconnectShare float64 // share of requests whose client disconnects early
 	Log             *audit.Log
 }
 
-// Run sends all requests and waits for the last response.
+// Run sends all requests and waits for all responses.
 func (t Traffic) Run(ctx context.Context) {
 	client := NewClient()
 	defer client.Close()
@@ -88,22 +88,22 @@
 	}
 }
 
-// generator draws the requests of a traffic, by its seed.
+// generator draws the requests of a Traffic from random numbers determined by the seed.
 type generator struct {
 	Traffic
 	random             *rand.Rand
-	lastArrivalSeconds float64 // of the last arrival
+	lastArrivalSeconds float64 // time of the last arrival since the start
 	sessions           []*session
 }
 
-// session is a conversation that may go on.
+// session is a conversation that may be continued.
 type session struct {
 	name      string
 	messages  []Message
 	turnsLeft int
 }
 
-// nextArrival draws when the next request starts, by a Poisson process.
+// nextArrival returns the start time of the next request, drawn from a Poisson process.
 func (g *generator) nextArrival() time.Duration {
 	rate := g.Rate
 	if g.RateFactor != nil {
@@ -113,7 +113,7 @@
 	return time.Duration(g.lastArrivalSeconds * 1e9)
 }
 
-// drawRoute draws a route in proportion to its share.
+// drawRoute returns a random route with a probability proportional to its share.
 func (g *generator) drawRoute() Route {
 	totalShare := 0.0
 	for _, r := range g.Routes {
@@ -128,7 +128,7 @@
 	return g.Routes[len(g.Routes)-1]
 }
 
-// request draws the request of a number.
+// drawRequest returns a random request. The number identifies the request and determines the text of the user message.
 func (g *generator) drawRequest(number int, at time.Duration, route Route) Request {
 	s := g.drawSession(number, at)
 	userWords := g.UserWords
@@ -144,7 +144,7 @@
 	return r
 }
 
-// drawSession continues a session or starts one.
+// drawSession returns a random open session or a new one.
 func (g *generator) drawSession(number int, at time.Duration) *session {
 	if len(g.sessions) > 0 && g.random.Float64() < sessionReuseShare {
 		i := g.random.IntN(len(g.sessions))
@@ -154,7 +154,7 @@
 		}
 		return s
 	}
-	prefix := int(float64(g.Prefixes) * math.Pow(g.random.Float64(), 2)) // some much more used than others
+	prefix := int(float64(g.Prefixes) * math.Pow(g.random.Float64(), 2)) // low numbers are much more frequent than high ones
 	if g.HotPrefixShare != nil && g.random.Float64() < g.HotPrefixShare(at) {
 		prefix = firstHotPrefixNumber + int(at/time.Second)/hotPrefixSeconds
 	}
@@ -164,13 +164,13 @@
 	return s
 }
 
-// retries is whether a client retries after this outcome.
+// shouldRetry reports whether a client of the route retries after an outcome.
 func (r Route) shouldRetry(outcome audit.Outcome) bool {
 	failed := outcome == audit.OutcomeErrored || outcome == audit.OutcomeLost
 	return outcome == audit.OutcomeShed || r.Retriable && failed
 }
 
-// sendWithRetries is one client with its retries.
+// sendWithRetries sends a request and its retries, each to a random edge.
 func (t Traffic) sendWithRetries(ctx context.Context, client *Client, request Request, route Route, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, clientStream))
 	for attempt := 0; ; attempt++ {
@@ -194,7 +194,7 @@
 var vocabulary = strings.Fields("highlight clip goal keeper corner desk caption alert member match wing left right " +
 	"cross replay second half summary score minute national team camera angle crowd whistle")
 
-// generateText is the same for the same number.
+// generateText returns a text that depends only on the number and the word count.
 func generateText(number, words int) string {
 	random := rand.New(rand.NewPCG(uint64(number), textStream))
 	var b strings.Builder
--- a/internal/loadgen/traffic_test.go
+++ b/internal/loadgen/traffic_test.go
@@ -18,7 +18,7 @@
 	"sandcourse/internal/golden"
 )
 
-// edgeRecorder is some edges that keep a line of each request that they get.
+// edgeRecorder implements fake edges that record a line for each attempt.
 type edgeRecorder struct {
 	mu       sync.Mutex
 	attempts map[string]int // by request ID
@@ -35,7 +35,7 @@
 	return addrs
 }
 
-// serve sheds the first attempt of each request, and answers the second with an error.
+// serve sheds the first attempt of each request and responds to later attempts with an error.
 func (e *edgeRecorder) serve(edge int, w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	var decoded struct{ Messages []Message }
@@ -58,7 +58,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// TestGoldenTraffic pins the requests that a seed draws, and the order of the draws.
+// TestGoldenTraffic guards against changes of the requests that a seed draws and of the order of the draws.
 func TestGoldenTraffic(t *testing.T) {
 	edges := &edgeRecorder{}
 	addrs := edges.start(t, 3)
