--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -135,7 +135,7 @@
 	return e.role.epoch
 }
 
-// Drain makes the engine reject new requests (on) or accept them again.
+// Drain makes the engine reject new requests if draining is set, and accept them again otherwise.
 func (e *Engine) Drain(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/idempotency.go
+++ b/internal/fake/engine/idempotency.go
@@ -14,8 +14,8 @@
 	seen map[string]time.Time
 }
 
-// checkAndRecord reports whether the key was recorded within the window, and records it. A nil set and an empty key are never
-// recorded.
+// checkAndRecord reports whether the key was recorded within the window, and records it. A nil set records no keys, and an empty
+// key is never recorded.
 func (k *IdempotencyKeys) checkAndRecord(key string) bool {
 	if k == nil || key == "" {
 		return false
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// setLoadHeaders sets the headers of the load report for routers.
+// setLoadHeaders sets the headers of the load report, which responses to routers carry.
 func (e *Engine) setLoadHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -94,10 +94,10 @@
 	Deleted  Lifecycle = "DELETED"
 )
 
-// Entry returns the JSON of the discovery service's entry of the engine, as serving since long ago.
+// Entry returns the JSON of the engine's entry in the discovery service, in state Serving and with a start long ago.
 func (e *Engine) Entry() string { return e.EntryIn(Serving, time.Time{}) }
 
-// EntryIn returns the JSON of the discovery service's entry of the engine in a state. A zero startedAt is a start long ago.
+// EntryIn returns the JSON of the engine's entry in the discovery service in a state. A zero startedAt stands for a start long ago.
 func (e *Engine) EntryIn(lifecycle Lifecycle, startedAt time.Time) string {
 	listed := listEntry{ID: e.ID, Addr: e.Addr, Zone: "a", Role: e.Role, Lifecycle: lifecycle, Weight: "1.0"}
 	if !startedAt.IsZero() {
@@ -112,5 +112,5 @@
 	writeString(w, loadReport+"\n")
 }
 
-// writeString writes a response text. The error is ignored, because the client has disconnected then and the handler ends anyway.
+// writeString writes a response text. An error is ignored: the client has disconnected, and the handler ends in either case.
 func writeString(w http.ResponseWriter, text string) { _, _ = io.WriteString(w, text) }
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -102,7 +102,7 @@
 	f.recordEnd(requestID, attempt)
 }
 
-// recordEnd records the end of an attempt at its first call. The caller holds the lock.
+// recordEnd records, once per attempt, that the attempt is not in flight any more. The caller holds the lock.
 func (f *Fleet) recordEnd(requestID string, attempt *engineAttempt) {
 	if !attempt.ended {
 		attempt.ended = true
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.GetBody = nil // keeps the transport from retrying, which would be an attempt without a record
+	r.GetBody = nil // keeps the transport from retrying: such an attempt would not be recorded
 	request.setHeaders(r.Header)
 	return c.http.Do(r)
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -96,7 +96,7 @@
 type request struct {
 	id      string
 	class   requestClass
-	timeout time.Duration // until the first event
+	timeout time.Duration // limit on the time to the first event
 }
 
 // newRequest returns a request to an edge with a random class and timeout.
@@ -167,8 +167,8 @@
 	case disconnects:
 		record.Outcome = audit.OutcomeAbandoned
 	case p.wasDown(record.Sent, record.End):
-		// An edge that shuts down may close a new connection unread. checkUnanswered compares with the engines' records to
-		// find requests that were read.
+		// An edge that shuts down may close a new connection without reading from it. Whether the edge has read the request
+		// follows from the engines' records, see checkUnanswered.
 		record.Outcome = audit.OutcomeAbandoned
 		c.soak.recordUnanswered(p, *record)
 	default:
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -35,7 +35,7 @@
 	state           instanceState
 	startedAtMillis int64    // Unix milliseconds
 	hosts           []string // address of the engine's proxy for each group of edges
-	generation      int64    // of the last change of the instance
+	generation      int64    // generation of the last change of the instance
 }
 
 // discovery is a fake discovery service with one agent for each group of edges.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -24,7 +24,7 @@
 	Clients          int           // number of concurrent clients
 	ConcurrentFaults int           // number of faults injected at the same time
 	Duration         time.Duration // how long faults are injected
-	Folder           string        // parent of the run's folder of configurations and logs, which is removed without violations
+	Folder           string        // parent of the run's folder for configurations and logs, which is removed if there is no violation
 }
 
 const (
