--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -136,10 +136,10 @@
 }
 
 // Drain makes the engine reject new requests if draining is set, and accept them again otherwise.
-func (e *Engine) Drain(on bool) {
+func (e *Engine) Drain(draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.draining = on
+	e.draining = draining
 }
 
 // ClearCache empties the prefix cache.
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -180,12 +180,12 @@
 
 // readEvent records one event of a stream: a token, an error or the completion.
 func readEvent(data []byte, record *audit.ClientRecord) {
-	var failed struct{ Error *json.RawMessage }
+	var errorEvent struct{ Error *json.RawMessage }
 	switch {
 	case string(data) == chat.Done:
 		record.OutcomeCount++
 		record.Outcome, record.End = audit.OutcomeCompleted, time.Now()
-	case json.Unmarshal(data, &failed) == nil && failed.Error != nil:
+	case json.Unmarshal(data, &errorEvent) == nil && errorEvent.Error != nil:
 		record.OutcomeCount++
 		record.Outcome, record.End, record.Reason = audit.OutcomeErrored, time.Now(), string(data)
 	default:
--- a/internal/loadgen/client_test.go
+++ b/internal/loadgen/client_test.go
@@ -108,8 +108,8 @@
 
 func TestRetriesDependOnOutcomeAndRoute(t *testing.T) {
 	for _, c := range []struct {
-		outcome          audit.Outcome
-		plain, retriable bool
+		outcome                 audit.Outcome
+		nonRetriable, retriable bool
 	}{
 		{audit.OutcomeShed, true, true},
 		{audit.OutcomeErrored, false, true},
@@ -117,7 +117,7 @@
 		{audit.OutcomeCompleted, false, false},
 		{audit.OutcomeAbandoned, false, false},
 	} {
-		if (Route{}).shouldRetry(c.outcome) != c.plain || (Route{Retriable: true}).shouldRetry(c.outcome) != c.retriable {
+		if (Route{}).shouldRetry(c.outcome) != c.nonRetriable || (Route{Retriable: true}).shouldRetry(c.outcome) != c.retriable {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/soak/descriptors.go
+++ b/internal/soak/descriptors.go
@@ -12,8 +12,8 @@
 // LeaveDescriptors lowers the descriptor limit of a process, so that the process can open only spare more descriptors until
 // restore is called.
 func LeaveDescriptors(pid, spare int) (restore func() error, err error) {
-	var before unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
+	var original unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		return nil, fmt.Errorf("get descriptor limit of process %d: %w", pid, err)
 	}
 	open, err := openDescriptors(pid)
@@ -27,11 +27,11 @@
 			free++
 		}
 	}
-	lowered := unix.Rlimit{Cur: uint64(limit - 1), Max: before.Max}
+	lowered := unix.Rlimit{Cur: uint64(limit - 1), Max: original.Max}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return nil, fmt.Errorf("set descriptor limit of process %d: %w", pid, err)
 	}
-	return func() error { return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) }, nil
+	return func() error { return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil) }, nil
 }
 
 // openDescriptors returns the set of open descriptors of a process, keyed by descriptor number as text.
