--- a/internal/fake/platformclient/client.go
+++ b/internal/fake/platformclient/client.go
@@ -1,5 +1,5 @@
-// Package platformclient is a fake client of the operators' platform, which sends requests at a rate and records what it sees
-// of their answers for package audit.
+// Package platformclient implements a fake client of the operators' platform, which sends requests at a fixed rate and records the
+// responses for package audit.
 package platformclient
 
 import (
@@ -17,40 +17,40 @@
 )
 
 const (
-	// idleConnections are kept to one router.
-	idleConnections = 200
-	// patience is how long after a deadline a client still waits for the answer, which is late then.
-	patience = 5 * time.Second
+	// maxIdleConnections is the number of idle connections kept to one router.
+	maxIdleConnections = 200
+	// lateResponseTimeout is how long a client waits past the deadline, so that a late response is recorded as late.
+	lateResponseTimeout = 5 * time.Second
 )
 
 // Client sends requests of one class to one router.
 type Client struct {
-	Address string // of the router
-	Class   string
+	Address string // address of the router
+	Class   string // request class
 	Log     *audit.Log
 }
 
-// SendAtRate sends requests at a rate for a time, whatever becomes of those before, and waits for all answers. Their IDs are
-// the name and a number. It returns how many were sent.
-func (c Client) SendAtRate(name string, perSecond int, length, deadline time.Duration) (sent int) {
-	connections := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}
-	defer connections.CloseIdleConnections()
-	var all sync.WaitGroup
+// SendAtRate sends requests at a rate for a duration, without waiting for responses in between, and then waits for all responses.
+// The ID of a request is the name and a number. SendAtRate returns the number of requests sent.
+func (c Client) SendAtRate(name string, perSecond int, duration, deadline time.Duration) (sent int) {
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
+	defer httpClient.CloseIdleConnections()
+	var requests sync.WaitGroup
 	interval := time.Second / time.Duration(perSecond)
 	start := time.Now()
-	for at := time.Duration(0); at < length; at += interval {
-		time.Sleep(time.Until(start.Add(at)))
+	for offset := time.Duration(0); offset < duration; offset += interval {
+		time.Sleep(time.Until(start.Add(offset)))
 		id := fmt.Sprint(name, sent)
 		sent++
-		all.Go(func() { c.Log.RecordClient(c.send(connections, id, deadline)) })
+		requests.Go(func() { c.Log.RecordClient(c.send(httpClient, id, deadline)) })
 	}
-	all.Wait()
+	requests.Wait()
 	return sent
 }
 
-// send sends one request and reads its answer to the end.
-func (c Client) send(connections *http.Client, id string, deadline time.Duration) (record audit.ClientRecord) {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+patience)
+// send sends one request and reads its response to the end.
+func (c Client) send(httpClient *http.Client, id string, deadline time.Duration) (record audit.ClientRecord) {
+	ctx, cancel := context.WithTimeout(context.Background(), deadline+lateResponseTimeout)
 	defer cancel()
 	now := time.Now()
 	record = audit.ClientRecord{ClientRequestID: id, RequestID: id, Route: c.Class, Edge: c.Address, Sent: now, Deadline: now.Add(deadline)}
@@ -60,13 +60,13 @@
 		record.Outcome, record.Reason = audit.OutcomeLost, err.Error()
 		return record
 	}
-	answer, err := connections.Do(r)
+	response, err := httpClient.Do(r)
 	if err != nil {
 		record.Outcome, record.Reason = audit.OutcomeLost, err.Error()
 		return record
 	}
-	defer answer.Body.Close()
-	readAnswer(answer, &record)
+	defer response.Body.Close()
+	readResponse(response, &record)
 	return record
 }
 
@@ -80,19 +80,19 @@
 	r.Header.Set(platform.HeaderRequestClass, c.Class)
 	r.Header.Set(platform.HeaderAffinityKey, "s"+id)
 	r.Header.Set(platform.HeaderTimeout, fmt.Sprintf("%.3f", deadline.Seconds()))
-	r.Header["X-Idempotency-Key"] = nil // not sent: net/http sends a request once more that crosses the close of an idle connection
+	r.Header["X-Idempotency-Key"] = nil // not sent, but makes net/http retry a request that crosses the close of an idle connection
 	return r, nil
 }
 
-// readAnswer reads an answer to its end.
-func readAnswer(answer *http.Response, record *audit.ClientRecord) {
+// readResponse reads a response to its end and records the outcome.
+func readResponse(response *http.Response, record *audit.ClientRecord) {
 	record.OutcomeCount, record.Outcome = 1, audit.OutcomeErrored
-	if answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests {
+	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
 		record.Outcome = audit.OutcomeShed
 	}
-	lines := bufio.NewScanner(answer.Body)
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		if answer.StatusCode != http.StatusOK {
+		if response.StatusCode != http.StatusOK {
 			continue
 		}
 		if record.FirstToken == 0 {
--- a/internal/golden/command.go
+++ b/internal/golden/command.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// commandTimeout ends a command that should have refused its arguments and runs on.
+// commandTimeout bounds the run of a command, in case it does not reject invalid arguments and keeps running.
 const commandTimeout = 10 * time.Second
 
-// RunCommands runs a program once for each line of arguments, in a directory with these files, and returns what it prints and
-// its exit codes. The directory reads FOLDER.
+// RunCommands runs a program once for each line of arguments, in a temporary directory with the given files, and returns the
+// output and exit codes. The path of the directory is replaced by FOLDER.
 func RunCommands(t testing.TB, binary string, files map[string]string, lines []string) string {
 	t.Helper()
 	directory := t.TempDir()
 	for name, text := range files {
-		write(t, filepath.Join(directory, name), text)
+		writeFile(t, filepath.Join(directory, name), text)
 	}
 	var b strings.Builder
 	for _, line := range lines {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test has seen with a file in the testdata folder of its package. It is used by tests alone;
-// "go test ./package -update" writes the files anew.
+// Package golden compares the output of a test with a golden file in the testdata folder of the test's package. Only tests use
+// it; "go test ./package -update" rewrites the files.
 package golden
 
 import (
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the tests see")
+var update = flag.Bool("update", false, "rewrite the golden files from the output of the tests")
 
-// Check fails the test where got differs, in any byte, from the file of that name in testdata.
+// Check fails the test if got differs in any byte from the file of that name in testdata.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
-		write(t, path, got)
+		writeFile(t, path, got)
 		return
 	}
 	data, err := os.ReadFile(path)
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	if want := string(data); got != want {
-		t.Errorf("%s differs from what the test saw:\n%s", path, firstDifference(want, got))
+		t.Errorf("%s differs from the output of the test:\n%s", path, firstDifference(want, got))
 	}
 }
 
-func write(t testing.TB, path, text string) {
+func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 	}
 }
 
-// firstDifference shows the lines around the first difference: those of the golden file with -, those seen with +.
+// firstDifference returns the lines around the first difference: those of the golden file marked -, those of the test marked +.
 func firstDifference(want, got string) string {
-	const before, most = 3, 12
+	const contextLines, maxLines = 3, 12
 	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
 	first := 0
 	for first < len(w) && first < len(g) && w[first] == g[first] {
@@ -50,9 +50,9 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "line %d\n", first+1)
-	writeLines(&out, ' ', w[max(0, first-before):first])
-	writeLines(&out, '-', w[first:min(len(w), first+most)])
-	writeLines(&out, '+', g[first:min(len(g), first+most)])
+	writeLines(&out, ' ', w[max(0, first-contextLines):first])
+	writeLines(&out, '-', w[first:min(len(w), first+maxLines)])
+	writeLines(&out, '+', g[first:min(len(g), first+maxLines)])
 	return out.String()
 }
 
--- a/internal/loadgen/client_test.go
+++ b/internal/loadgen/client_test.go
@@ -20,8 +20,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-func TestOutcomes(t *testing.T) {
-	unary, leaver := Request{Unary: true}, Request{DisconnectAfter: 30 * time.Millisecond}
+func TestClientRecordsOutcome(t *testing.T) {
+	unary, disconnecting := Request{Unary: true}, Request{DisconnectAfter: 30 * time.Millisecond}
 	for name, c := range map[string]struct {
 		request    Request
 		serve      func(w http.ResponseWriter, r *http.Request)
@@ -61,10 +61,10 @@
 			io.WriteString(w, "x")
 			breakConnection(w)
 		}, outcome: audit.OutcomeLost, reason: "unexpected EOF"},
-		"abandoned before the head": {request: leaver, serve: func(_ http.ResponseWriter, r *http.Request) {
+		"abandoned before the head": {request: disconnecting, serve: func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, outcome: audit.OutcomeAbandoned, reason: "deadline exceeded"},
-		"abandoned in the stream": {request: leaver, serve: func(w http.ResponseWriter, r *http.Request) {
+		"abandoned in the stream": {request: disconnecting, serve: func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, ": comment\n\n")
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // the server sees a disconnect once it has read the body
+				_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after it has read the body
 				w.Header().Set("X-Sandcourse-Inference", "n-1")
 				c.serve(w, r)
 			}))
@@ -89,13 +89,13 @@
 				t.Errorf("%+v", record)
 			}
 			if (record.FirstToken > 0) != (c.tokens > 0) {
-				t.Errorf("first token after %v of %d", record.FirstToken, c.tokens)
+				t.Errorf("first token after %v in a response of %d tokens", record.FirstToken, c.tokens)
 			}
 		})
 	}
 }
 
-func TestNoEdgeListens(t *testing.T) {
+func TestRequestIsLostIfNoEdgeListens(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	addr := server.Listener.Addr().String()
 	server.Close()
@@ -106,10 +106,10 @@
 	}
 }
 
-func TestRetries(t *testing.T) {
+func TestRetriesDependOnOutcomeAndRoute(t *testing.T) {
 	for _, c := range []struct {
-		outcome          audit.Outcome
-		plain, retriable bool
+		outcome                 audit.Outcome
+		nonRetriable, retriable bool
 	}{
 		{audit.OutcomeShed, true, true},
 		{audit.OutcomeErrored, false, true},
@@ -117,13 +117,13 @@
 		{audit.OutcomeCompleted, false, false},
 		{audit.OutcomeAbandoned, false, false},
 	} {
-		if (Route{}).retries(c.outcome) != c.plain || (Route{Retriable: true}).retries(c.outcome) != c.retriable {
+		if (Route{}).shouldRetry(c.outcome) != c.nonRetriable || (Route{Retriable: true}).shouldRetry(c.outcome) != c.retriable {
 			t.Errorf("%+v", c)
 		}
 	}
 }
 
-func TestSummary(t *testing.T) {
+func TestSummaryCountsRequestsInTime(t *testing.T) {
 	start := time.Now()
 	record := func(id string, sent, firstToken time.Duration, outcome audit.Outcome) audit.ClientRecord {
 		return audit.ClientRecord{ClientRequestID: id, Route: "a", Sent: start.Add(sent), FirstToken: firstToken, Outcome: outcome}
@@ -133,7 +133,7 @@
 		record("late with its retry", 0, 0, audit.OutcomeShed),
 		record("in time", 0, time.Second, audit.OutcomeCompleted),
 		record("in time", time.Millisecond, time.Millisecond, audit.OutcomeCompleted),
-		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // over what the histogram holds
+		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // above the range of the histogram
 		{Route: "unknown", Outcome: audit.OutcomeErrored},
 	}, []Route{{Name: "a", PriorityWeight: 2.5, FirstTokenTarget: time.Second}})
 	var output strings.Builder
