--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -32,11 +32,11 @@
 )
 
 // Admit counts a request of a client as open, or returns why it is rejected.
-func (ct *Controller) Admit(id int64, client string) Rejection {
-	c, open := ct.connections[id], ct.openByClient[client]
-	clients := len(ct.openByClient)
+func (ct *Controller) Admit(id int64, tenant string) Rejection {
+	c, open := ct.connections[id], ct.openByTenant[tenant]
+	tenants := len(ct.openByTenant)
 	if open == 0 {
-		clients++
+		tenants++
 	}
 	common := commonQuarters * ct.limits.OpenRequests
 	switch {
@@ -44,23 +44,23 @@
 		return CapacityExceeded
 	case ct.bufferedBytes > ct.limits.BufferedBytes:
 		return BufferFull
-	case quarters*ct.openRequests >= common && open >= max(1, common/(quarters*clients)):
+	case quarters*ct.openRequests >= common && open >= max(1, common/(quarters*tenants)):
 		return QuotaExceeded
 	}
 	c.openRequests++
 	ct.openRequests++
-	ct.openByClient[client]++
+	ct.openByTenant[tenant]++
 	return Admitted
 }
 
 // Release ends a request that Admit has admitted.
-func (ct *Controller) Release(id int64, client string) {
+func (ct *Controller) Release(id int64, tenant string) {
 	if c := ct.connections[id]; c != nil {
 		c.openRequests--
 	}
 	ct.openRequests--
-	if ct.openByClient[client]--; ct.openByClient[client] <= 0 {
-		delete(ct.openByClient, client)
+	if ct.openByTenant[tenant]--; ct.openByTenant[tenant] <= 0 {
+		delete(ct.openByTenant, tenant)
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 	var largest *connection
 	for _, c := range ct.connections {
-		unfinished := c.state == ReadingHeader || c.state == ReadingBody
-		if unfinished && (largest == nil || largerThan(c, largest)) {
+		incomplete := c.state == ReadingHeader || c.state == ReadingBody
+		if incomplete && (largest == nil || largerThan(c, largest)) {
 			largest = c
 		}
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -36,14 +36,14 @@
 type Controller struct {
 	limits        Limits
 	connections   map[int64]*connection
-	openByClient  map[string]int // number of open requests
+	openByTenant  map[string]int // number of open requests
 	openRequests  int
 	bufferedBytes int
 }
 
 // New returns a controller without connections.
 func New(limits Limits) *Controller {
-	return &Controller{limits: limits, connections: map[int64]*connection{}, openByClient: map[string]int{}}
+	return &Controller{limits: limits, connections: map[int64]*connection{}, openByTenant: map[string]int{}}
 }
 
 // AcceptConnection adds a new connection, or reports false. At the limit, the connection that has been idle longest is
@@ -106,10 +106,10 @@
 }
 
 // AddBytes records that a connection buffers more bytes, or fewer.
-func (ct *Controller) AddBytes(id int64, more int) {
+func (ct *Controller) AddBytes(id int64, delta int) {
 	if c := ct.connections[id]; c != nil {
-		c.bufferedBytes += more
-		ct.bufferedBytes += more
+		c.bufferedBytes += delta
+		ct.bufferedBytes += delta
 	}
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -15,7 +15,7 @@
 
 // Whatever happens to a controller: no limit is exceeded, what is released is free again, and a client without open requests
 // is rejected only where the router is full.
-func TestController(t *testing.T) {
+func TestControllerLimitsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits(rapid.IntRange(1, 6).Draw(t, "connections"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
 		m := &model{controller: New(limits), bytes: map[int64]int{}, arriving: map[int64]bool{}}
@@ -30,7 +30,7 @@
 
 type admittedRequest struct {
 	connection int64
-	client     string
+	tenant     string
 }
 
 // model is what a controller has to know.
@@ -76,8 +76,8 @@
 		return
 	}
 	request := admittedRequest{id, rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "client")}
-	hasOpen := slices.ContainsFunc(m.open, func(other admittedRequest) bool { return other.client == request.client })
-	switch m.controller.Admit(id, request.client) {
+	hasOpen := slices.ContainsFunc(m.open, func(other admittedRequest) bool { return other.tenant == request.tenant })
+	switch m.controller.Admit(id, request.tenant) {
 	case Admitted:
 		m.open = append(m.open, request)
 	case QuotaExceeded:
@@ -89,16 +89,16 @@
 
 func (m *model) release(*rapid.T, int64) {
 	if len(m.open) > 0 {
-		m.controller.Release(m.open[0].connection, m.open[0].client)
+		m.controller.Release(m.open[0].connection, m.open[0].tenant)
 		m.open = m.open[1:]
 	}
 }
 
 func (m *model) addBytes(t *rapid.T, _ int64) {
 	if id := m.connection(t); id != 0 {
-		more := rapid.IntRange(0, 60).Draw(t, "bytes")
-		m.controller.AddBytes(id, more)
-		m.bytes[id] += more
+		delta := rapid.IntRange(0, 60).Draw(t, "bytes")
+		m.controller.AddBytes(id, delta)
+		m.bytes[id] += delta
 	}
 }
 
@@ -122,8 +122,8 @@
 
 func TestFloodingClientLeavesCapacityForOthers(t *testing.T) {
 	ct := New(testLimits(10, 100, 1))
-	ct.AcceptConnection(1, 0, yield)
-	ct.AcceptConnection(2, 0, yield)
+	ct.AcceptConnection(1, 0, allowClose)
+	ct.AcceptConnection(2, 0, allowClose)
 	flood := 0
 	for ct.Admit(1, "flood") == Admitted {
 		flood++
@@ -144,8 +144,8 @@
 
 func TestTimeoutsAndBufferedBytes(t *testing.T) {
 	ct := New(testLimits(2, 1, 100))
-	ct.AcceptConnection(1, 0, yield)
-	ct.AcceptConnection(2, 0, yield)
+	ct.AcceptConnection(1, 0, allowClose)
+	ct.AcceptConnection(2, 0, allowClose)
 	ct.Handle(1, HeaderStarted, 1)
 	for now := int64(2); now < 11; now++ {
 		ct.Handle(1, HeaderStarted, now) // a slow header does not extend its timeout
@@ -168,11 +168,11 @@
 // A connection whose first request arrives slowly, or not at all, has one timeout for all of it; after a complete request each
 // further one has its own.
 func TestFirstRequestHasOneTimeout(t *testing.T) {
-	bounds := testLimits(9, 9, 100)
-	bounds.FirstRequestTimeout = 12
-	ct := New(bounds)
+	limits := testLimits(9, 9, 100)
+	limits.FirstRequestTimeout = 12
+	ct := New(limits)
 	for id := int64(1); id <= 3; id++ {
-		ct.AcceptConnection(id, 1, yield)
+		ct.AcceptConnection(id, 1, allowClose)
 	}
 	ct.Handle(2, HeaderStarted, 9) // starts late, and is slow then
 	ct.Handle(3, RequestComplete, 2)
@@ -186,4 +186,4 @@
 }
 
 // yield lets any idle connection be closed.
-func yield(int64) bool { return true }
+func allowClose(int64) bool { return true }
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -22,17 +22,17 @@
 // Spare connections are granted beyond the limits to what must not wait behind attempts: releases of reservations.
 func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
-	if c := usage.youngestSettled; c != nil && p.reusable(c, now, maxIdle) {
+	if c := usage.shortestIdle; c != nil && p.withinIdleLimit(c, now, maxIdle) {
 		p.Handle(c.id, Acquired, now)
 		return Lease{ID: c.id, Reused: true, OK: true}
 	}
 	if usage.dialing >= p.limits.ConcurrentDials+spare {
 		return Lease{}
 	}
-	evict := usage.oldestIdle
+	evict := usage.longestIdle
 	totalReached := p.limits.Total > 0 && len(p.connections) >= p.limits.Total+spare
 	if totalReached {
-		evict = p.oldestIdle()
+		evict = p.longestIdle()
 	}
 	var lease Lease
 	if totalReached || len(p.byEngine[engine]) >= p.limits.PerEngine+spare {
@@ -48,8 +48,8 @@
 
 // engineUsage is what the connections to one engine are used for.
 type engineUsage struct {
-	dialing                     int
-	youngestSettled, oldestIdle *connection // nil for none
+	dialing                   int
+	shortestIdle, longestIdle *connection // nil for none
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
@@ -59,11 +59,11 @@
 			usage.dialing++
 		case c.state != Idle:
 		default:
-			if now >= c.settledAt && (usage.youngestSettled == nil || c.stateSince > usage.youngestSettled.stateSince) {
-				usage.youngestSettled = c
+			if now >= c.reusableAt && (usage.shortestIdle == nil || c.stateSince > usage.shortestIdle.stateSince) {
+				usage.shortestIdle = c
 			}
-			if usage.oldestIdle == nil || c.stateSince < usage.oldestIdle.stateSince {
-				usage.oldestIdle = c
+			if usage.longestIdle == nil || c.stateSince < usage.longestIdle.stateSince {
+				usage.longestIdle = c
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // oldestIdle is the connection to any engine that has been idle longest; nil for none.
-func (p *Pool) oldestIdle() (oldest *connection) {
+func (p *Pool) longestIdle() (oldest *connection) {
 	for _, c := range p.connections {
 		older := oldest == nil || cmp.Or(cmp.Compare(c.stateSince, oldest.stateSince), cmp.Compare(c.id, oldest.id)) < 0
 		if c.state == Idle && older {
@@ -104,11 +104,11 @@
 // HasReusable reports whether Acquire would reuse a connection to an engine.
 func (p *Pool) HasReusable(engine string, now int64, maxIdle time.Duration) bool {
 	return slices.ContainsFunc(p.byEngine[engine], func(c *connection) bool {
-		return c.state == Idle && now >= c.settledAt && p.reusable(c, now, maxIdle)
+		return c.state == Idle && now >= c.reusableAt && p.withinIdleLimit(c, now, maxIdle)
 	})
 }
 
 // reusable reports whether an idle connection has not been idle for too long to be reused.
-func (p *Pool) reusable(c *connection, now int64, maxIdle time.Duration) bool {
+func (p *Pool) withinIdleLimit(c *connection, now int64, maxIdle time.Duration) bool {
 	return time.Duration(now-c.stateSince) < min(maxIdle, p.limits.IdleTimeout)
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -21,7 +21,7 @@
 	engine     string
 	state      State
 	stateSince int64
-	settledAt  int64 // until when it is not reused
+	reusableAt int64 // until when it is not reused
 }
 
 // Pool is the state of all connections of one router to engines. Points in time are in nanoseconds since the start.
@@ -50,12 +50,12 @@
 	if i < 0 {
 		return NoAction
 	}
-	if event == Broken && c.state == Idle && time.Duration(now-c.stateSince) < earlyCloseAge {
-		p.NoteEarlyClose(c.engine, now)
+	if event == Broken && c.state == Idle && time.Duration(now-c.stateSince) < earlyCloseMaxIdle {
+		p.RecordEarlyClose(c.engine, now)
 	}
 	c.state, c.stateSince = transitions[i].next, now
 	if event == ReleasedAfterStream {
-		c.settledAt = now + int64(p.limits.SettleTime)
+		c.reusableAt = now + int64(p.limits.SettleTime)
 	}
 	p.firedTransitions |= 1 << i
 	if c.state == Closed {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -9,7 +9,7 @@
 
 // Whatever happens to a pool: its limits hold, a connection carries one thing at a time and is reused only after a clean
 // end, and no connection is left behind.
-func TestPool(t *testing.T) {
+func TestPoolLimitsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{PerEngine: rapid.IntRange(1, 4).Draw(t, "per engine"), ConcurrentDials: rapid.IntRange(1, 3).Draw(t, "dials"),
 			IdleTimeout: 100}
@@ -106,7 +106,7 @@
 }
 
 // At the total limit, the connection that has been idle longest at any engine is evicted, and a busy one never is.
-func TestTotalLimit(t *testing.T) {
+func TestTotalLimitEvictsLongestIdleConnection(t *testing.T) {
 	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, Total: 2, IdleTimeout: 1000})
 	a, b := p.Acquire("a", 1, 1000, 0), p.Acquire("b", 2, 1000, 0)
 	p.Handle(a.ID, Dialed, 3)
@@ -125,7 +125,7 @@
 
 // After an idle connection was closed early, none of that engine is reused for a while, and none of any engine for what must
 // not run twice. A close after a longer idle time does not count.
-func TestEarlyCloses(t *testing.T) {
+func TestEarlyClosePreventsReuse(t *testing.T) {
 	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, IdleTimeout: 15 * time.Second})
 	idle := func(engine string, now int64) int64 {
 		lease := p.Acquire(engine, now, 0, 0)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -17,25 +17,25 @@
 
 // engineAttempt is one attempt at a request.
 type engineAttempt struct {
-	request       *request
-	index         int // among the attempts of its request
-	engine        string
-	decode        bool // else a prefill
-	startedAt     int64
-	writtenAt     int64 // when it was written; 0 while it is not
-	machine       attempt.Attempt
-	connection    *EngineConnection
-	responseHeads int
-	token         []byte // the event that is handled now
-	lastTokenAt   int64
-	relay         Relay // of its stream, if it has one
-	cachedTokens  float64
-	transfer      protocol.ReservationHandle
-	loadReport    *routing.LoadReport
-	verdict       routing.Verdict
-	ended         bool
-	stale         bool // its connection had been closed by the engine before it was written
-	reason        AttemptReason
+	request         *request
+	index           int // among the attempts of its request
+	engine          string
+	decode          bool // else a prefill
+	startedAt       int64
+	writtenAt       int64 // when it was written; 0 while it is not
+	machine         attempt.Attempt
+	connection      *EngineConnection
+	responseHeads   int
+	token           []byte // the event that is handled now
+	lastTokenAt     int64
+	relay           Relay // of its stream, if it has one
+	cachedTokens    float64
+	transfer        protocol.ReservationHandle
+	loadReport      *routing.LoadReport
+	verdict         routing.Verdict
+	ended           bool
+	staleConnection bool // its connection had been closed by the engine before it was written
+	reason          AttemptReason
 }
 
 // ownsConnection is whether its connection still carries it.
@@ -124,7 +124,7 @@
 	if att.ended {
 		return
 	}
-	r.noteWritten(att, event)
+	r.detectRequestWritten(att, event)
 	result := r.transition(att, event)
 	if event == attempt.TokenReceived && att.machine.State == attempt.Streaming {
 		r.forwardToken(att, result.FirstToken)
@@ -137,7 +137,7 @@
 
 // noteWritten looks whether the kernel has taken the rest of a request since the last event: an attempt that is cancelled or
 // breaks then may have run, though its state machine still expects a part of it to be here.
-func (r *Router) noteWritten(att *engineAttempt, event attempt.Event) {
+func (r *Router) detectRequestWritten(att *engineAttempt, event attempt.Event) {
 	if conn := att.connection; att.ownsConnection() && conn.socket != nil && att.machine.State == attempt.Writing {
 		if event == attempt.Canceled {
 			conn.socket.Close() // before the look: nothing more can leave after it
@@ -165,12 +165,12 @@
 	r.finishAfterAttempt(att)
 	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict,
 		Latency: r.attemptLatency(att), RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
-		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.stale})
+		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.staleConnection})
 	// What was reserved after the request ended is released too: a prefill for which nobody waits.
 	if req.outcome != "" {
 		r.releaseReservations(req)
 	}
-	r.forgetRequest(req)
+	r.forgetIfFinished(req)
 }
 
 // releaseConnection gives the connection of an attempt back, or closes it.
@@ -186,7 +186,7 @@
 	case event == attempt.EngineUnavailable:
 		r.connections.Handle(conn.ID, connpool.Released, r.now)
 	default:
-		conn.drainingSince = r.now
+		conn.drainingResponseSince = r.now
 	}
 }
 
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -15,24 +15,24 @@
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
 	b.request("a1", "chat")
-	expect := func(what string, s *fakeEngineSocket, left time.Duration) {
+	expect := func(situation string, s *fakeEngineSocket, left time.Duration) {
 		t.Helper()
 		timeouts := advertisedTimeouts(t, s)
 		if n := len(timeouts); n == 0 || timeouts[n-1] > left+10*time.Millisecond || timeouts[n-1] < left-100*time.Millisecond {
-			t.Errorf("%s: told %v, %v left", what, timeouts, left)
+			t.Errorf("%s: told %v, %v left", situation, timeouts, left)
 		}
 	}
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	prefill := b.connect()
 	expect("a connection that came up late", prefill, 2800*time.Millisecond)
-	b.pass(300 * time.Millisecond)
+	b.advance(300 * time.Millisecond)
 	b.answerPrefill(prefill)
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	decode := b.connect()
 	expect("a decode after its prefill", decode, 2400*time.Millisecond)
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.answerFull(decode)
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	expect("a retry", b.connect(), 2100*time.Millisecond)
 }
 
@@ -44,8 +44,8 @@
 		client, _ := b.request("a1", route)
 		b.core.ClientDisconnected(client)
 		b.connect()
-		b.pass(3 * time.Second)
-		if n := b.countPosts(); n != 0 {
+		b.advance(3 * time.Second)
+		if n := b.countAttempts(); n != 0 {
 			t.Errorf("%s: %d attempts for a client that disconnected during the dial", route, n)
 		}
 
@@ -54,8 +54,8 @@
 		s := b.connect()
 		b.core.ClientDisconnected(client)
 		b.answerPrefill(s)
-		b.pass(3 * time.Second)
-		if n := b.countPosts(); n != 1 {
+		b.advance(3 * time.Second)
+		if n := b.countAttempts(); n != 1 {
 			t.Errorf("%s: %d attempts, the prefill among them, for a client that disconnected during the prefill", route, n)
 		}
 
@@ -64,18 +64,18 @@
 		client, _ = b.request("a3", route)
 		s = b.connect()
 		b.answerPrefill(s)
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		b.core.ClientDisconnected(client)
 		b.setEndpoints("r", "w")
-		b.pass(3 * time.Second)
+		b.advance(3 * time.Second)
 		released := false
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		for _, s := range b.engines {
+		for _, s := range b.engineSockets {
 			released = released || strings.Contains(s.written.String(), "DELETE /v1/holds/a3")
 		}
-		if n := b.countPosts(); n != 1 || !released {
+		if n := b.countAttempts(); n != 1 || !released {
 			t.Errorf("%s: %d attempts, released: %v, for a client that disconnected while its request waited", route, n, released)
 		}
 	}
@@ -96,7 +96,7 @@
 func TestDedupWindowExpiresWhileDialing(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
-		b.pass(after)
+		b.advance(after)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
@@ -104,19 +104,19 @@
 		if after > 300*time.Millisecond {
 			want = 2
 		}
-		if n := b.countPosts(); n != want {
+		if n := b.countAttempts(); n != want {
 			t.Errorf("after %v: %d attempts, not %d", after, n, want)
 		}
 	}
 }
 
 // A process that did not run for a while finds requests that have waited for it: their timeouts began when they came.
-func TestDeadlineCountsTimeWaitedForTheProcess(t *testing.T) {
+func TestDeadlineIncludesTimeTheProcessDidNotRun(t *testing.T) {
 	b := newTestbed(t)
-	lastLook := b.now
+	lastClockRead := b.now
 	b.now += int64(600 * time.Millisecond)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(lastLook)
+	b.core.SetEarliestEventTime(lastClockRead)
 	b.request("a1", "chat")
 	if timeouts := advertisedTimeouts(t, b.connect()); len(timeouts) != 1 || timeouts[0] > 2400*time.Millisecond {
 		t.Errorf("an engine is told %v of 3 s, of which 0.6 s may have passed", timeouts)
@@ -128,30 +128,30 @@
 func TestDedupWindowAllowsForADelayedRouter(t *testing.T) {
 	for _, delay := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
-		b.pass(delay)
+		b.advance(delay)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		if n := b.countPosts(); n != 2 {
+		if n := b.countAttempts(); n != 2 {
 			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, delay)
 		}
 	}
 }
 
 // A process that did not run for longer than a client waits answers at once, and forwards nothing.
-func TestRequestThatOutwaitedItsClient(t *testing.T) {
+func TestRequestReadAfterItsDeadlineIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
 	b.expectedViolation = invariant.LateAnswer // by the process that did not run
-	lastLook := b.now
+	lastClockRead := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(lastLook)
+	b.core.SetEarliestEventTime(lastClockRead)
 	_, out := b.request("a1", "alert")
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	if statuses := responseStatuses(t, out); len(statuses) != 1 || b.countPosts() != 0 {
-		t.Errorf("answers %v, %d attempts, for a request whose deadline had passed when it was read", statuses, b.countPosts())
+	if statuses := responseStatuses(t, out); len(statuses) != 1 || b.countAttempts() != 0 {
+		t.Errorf("answers %v, %d attempts, for a request whose deadline had passed when it was read", statuses, b.countAttempts())
 	}
 }
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -11,7 +11,7 @@
 )
 
 // hangUpTime is how long a client has to close the connection itself after its last answer.
-const hangUpTime = int64(500 * time.Millisecond)
+const clientCloseTimeout = int64(500 * time.Millisecond)
 
 // ClientConnection is one connection of a client.
 type ClientConnection struct {
@@ -27,16 +27,16 @@
 	aborted        bool // its answer broke off, so that it is closed without waiting for the client
 
 	partial         bool            // a request has come in part
-	partialState    admission.Event // how much of it: HeaderStarted or HeaderComplete
+	partialEvent    admission.Event // how much of it: HeaderStarted or HeaderComplete
 	partialBytes    int
 	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 
-	output []byte // not handed to the socket yet
-	queued bool   // it is in the list of those to flush
+	output      []byte // not handed to the socket yet
+	flushQueued bool   // it is in the list of those to flush
 }
 
 // unanswered is how many requests wait for their answer.
-func (c *ClientConnection) unanswered() int {
+func (c *ClientConnection) unansweredCount() int {
 	count := 0
 	for _, received := range c.waiting {
 		if !received.terminal {
@@ -54,7 +54,7 @@
 	return invariant.Connection{
 		ClientGone:     c.disconnected || c.Socket.Disconnected(),
 		ResponseBroken: c.aborted,
-		Unanswered:     c.unanswered(),
+		Unanswered:     c.unansweredCount(),
 		UnreadRequest:  c.partial,
 	}
 }
@@ -165,7 +165,7 @@
 			continue
 		}
 		flushed := client.Socket.Flushed()
-		if flushed && (client.aborted || r.now-since > hangUpTime) || r.now-since > int64(r.config.Limits.DrainTimeout) {
+		if flushed && (client.aborted || r.now-since > clientCloseTimeout) || r.now-since > int64(r.config.Limits.DrainTimeout) {
 			delete(r.clients.closingSince, id)
 			r.closeClient(client, client.closeReason(flushed))
 		}
@@ -198,8 +198,8 @@
 		return
 	}
 	client.output = append(client.output, data...)
-	if !client.queued {
-		client.queued = true
+	if !client.flushQueued {
+		client.flushQueued = true
 		r.clients.unflushed = append(r.clients.unflushed, client)
 	}
 }
@@ -221,7 +221,7 @@
 
 func (r *Router) flushClients() {
 	for _, client := range r.clients.unflushed {
-		client.queued = false
+		client.flushQueued = false
 		r.flush(client)
 		r.closeDrainingClient(client)
 	}
--- a/internal/router/client_connections_test.go
+++ b/internal/router/client_connections_test.go
@@ -24,7 +24,7 @@
 		b.core.RejectMessage(client, io.ErrUnexpectedEOF)
 		want = append(want, id)
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	if !slices.Equal(b.closedClients, want) {
 		t.Errorf("closed in the order %v, want %v", b.closedClients, want)
 	}
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -26,21 +26,21 @@
 	Bytes     int                // its size
 	Rejection *protocol.Response // the answer to an invalid request
 
-	excess   bool // too many wait before it
-	terminal bool // nothing behind it can be read
+	exceedsPipeline bool // too many wait before it
+	terminal        bool // nothing behind it can be read
 }
 
 // ReceivePartial handles a part of a request, of which so many bytes are buffered now.
-func (r *Router) ReceivePartial(client *ClientConnection, event admission.Event, bytes int) {
+func (r *Router) ReceivePartial(client *ClientConnection, event admission.Event, buffered int) {
 	if client.disconnected || client.closing {
 		return // what comes on a connection that is closing is dropped
 	}
-	client.partialState, client.partial = event, true
+	client.partialEvent, client.partial = event, true
 	if !client.serving {
 		r.admission.Handle(client.ID, event, r.now)
 	}
-	r.admission.AddBytes(client.ID, bytes-client.partialBytes)
-	client.partialBytes = bytes
+	r.admission.AddBytes(client.ID, buffered-client.partialBytes)
+	client.partialBytes = buffered
 	if id := r.admission.LargestUnfinished(); id != 0 {
 		r.observer.Rejected(RejectBytes)
 		r.reply(r.clients.byID[id], nil, r.shedResponse("", shedCapacity))
@@ -69,7 +69,7 @@
 	r.admission.AddBytes(client.ID, received.Bytes-client.partialBytes)
 	client.partialBytes, client.partial, client.expectsContinue = 0, false, false
 	r.admission.Handle(client.ID, admission.RequestComplete, r.now)
-	received.excess = len(client.waiting) >= maxPipelined
+	received.exceedsPipeline = len(client.waiting) >= maxPipelined
 	client.waiting = append(client.waiting, received)
 	if len(client.waiting) == maxReadAhead {
 		client.Socket.StopReading()
@@ -109,20 +109,20 @@
 		r.serve(client, received)
 	}
 	if !client.serving && !client.disconnected && len(client.waiting) == 0 {
-		r.allAnswered(client)
+		r.handleAllAnswered(client)
 	}
 }
 
 // allAnswered handles that all requests read on a connection are answered. The timeout of a request that has come in part
 // meanwhile begins now.
-func (r *Router) allAnswered(client *ClientConnection) {
+func (r *Router) handleAllAnswered(client *ClientConnection) {
 	r.admission.Handle(client.ID, admission.AllAnswered, r.now)
 	switch {
 	case client.closing:
 	case client.readingStopped:
 		r.closeAfterFlush(client)
 	case client.partial:
-		r.admission.Handle(client.ID, client.partialState, r.now)
+		r.admission.Handle(client.ID, client.partialEvent, r.now)
 		r.sendContinue(client)
 	}
 }
--- a/internal/router/client_requests_test.go
+++ b/internal/router/client_requests_test.go
@@ -21,7 +21,7 @@
 			b.requestOn(client, fmt.Sprint("a", i), "chat")
 		}
 		b.do(func() { b.core.RejectMessage(client, io.ErrUnexpectedEOF) })
-		b.pass(20 * time.Second) // no connection to an engine comes up, and each request gets its error in time
+		b.advance(20 * time.Second) // no connection to an engine comes up, and each request gets its error in time
 		statuses := responseStatuses(t, out)
 		if len(statuses) != count+1 || statuses[count] != http.StatusBadRequest || !out.closed {
 			t.Errorf("%d requests and an invalid message: %v, closed %v", count, statuses, out.closed)
@@ -37,10 +37,10 @@
 		client, out := b.request("a1", "chat")
 		b.core.SetTime(b.now)
 		b.core.ReceivePartial(client, event, 10)
-		out.reading = true
+		out.hasUnhandledRequest = true
 		b.core.RunDue(b.now)
-		b.untilAnswered(out)
-		b.pass(3 * time.Second)
+		b.waitForAnswer(out)
+		b.advance(3 * time.Second)
 		statuses := responseStatuses(t, out)
 		if len(statuses) != 2 || statuses[1] != http.StatusRequestTimeout || !out.closed {
 			t.Errorf("event %d: answers %v, closed %v; the partial request needs an error within 3 s", event, statuses, out.closed)
@@ -79,8 +79,8 @@
 	b := newTestbed(t)
 	client, out := b.request("a1", "chat", "Connection: close\r\n")
 	b.requestOn(client, "a2", "chat")
-	b.untilAnswered(out)
-	b.pass(2 * time.Second)
+	b.waitForAnswer(out)
+	b.advance(2 * time.Second)
 	if statuses := responseStatuses(t, out); len(statuses) != 1 || !out.closed {
 		t.Errorf("answers %v, closed %v", statuses, out.closed)
 	}
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -73,11 +73,11 @@
 	return read
 }
 
-func (c *clock) nextReap() int64 { return c.reapedAt + reapInterval }
+func (c *clock) nextReapAt() int64 { return c.reapedAt + reapInterval }
 
 // reapDue is whether it is time to reap, which then counts as done.
-func (c *clock) reapDue() bool {
-	if c.now < c.nextReap() {
+func (c *clock) startReapIfDue() bool {
+	if c.now < c.nextReapAt() {
 		return false
 	}
 	c.reapedAt = c.now
--- a/internal/router/control_requests.go
+++ b/internal/router/control_requests.go
@@ -55,7 +55,7 @@
 
 // controlNotSent ends a control request for which this machine could make no connection. A release is sent again when its
 // reservation is due.
-func (r *Router) controlNotSent(control *controlRequest) {
+func (r *Router) handleControlNotSent(control *controlRequest) {
 	if r.controlRequests.remove(control) && control.reservation == nil {
 		r.reportHealthCheck(control, routing.NotSent, nil)
 	}
@@ -70,7 +70,7 @@
 	switch {
 	case control.reservation != nil:
 		if ok {
-			r.releaseAcknowledged(control)
+			r.handleReleaseAcknowledged(control)
 		}
 	case ok:
 		r.reportHealthCheck(control, routing.Completed, r.protocol.ParseLoadReport(head, body))
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -29,8 +29,8 @@
 	history        listHistory
 	starts         engineStarts
 	drains         attempt.UnavailableSince
-	lists          uint64            // how many have come
-	listedIn       map[string]uint64 // the last list that had an engine; of all that are listed, or were not long ago
+	listCount      uint64            // how many have come
+	lastListedIn   map[string]uint64 // the last list that had an engine; of all that are listed, or were not long ago
 	lastResponseAt map[string]int64  // when an engine's last answer began
 }
 
@@ -38,11 +38,11 @@
 type listHistory struct {
 	newestRevision int64
 	latest         endpoint.List // as it came last, whatever its revision
-	recheckAt      int64         // when latest has to be applied again; 0 for never
+	reapplyAt      int64         // when latest has to be applied again; 0 for never
 }
 
 func newEndpointState() endpointState {
-	return endpointState{positions: map[string]int{}, drains: attempt.UnavailableSince{}, listedIn: map[string]uint64{},
+	return endpointState{positions: map[string]int{}, drains: attempt.UnavailableSince{}, lastListedIn: map[string]uint64{},
 		lastResponseAt: map[string]int64{}}
 }
 
@@ -81,8 +81,8 @@
 
 // accept notes the latest list. Engines that were drained, or had left, not long ago stay so in a list that is older than the
 // one that said so, as when discovery has moved to an agent that lags.
-func (e *endpointState) accept(list endpoint.List, now int64) endpoint.List {
-	e.history.latest, e.history.recheckAt = list, 0
+func (e *endpointState) acceptList(list endpoint.List, now int64) endpoint.List {
+	e.history.latest, e.history.reapplyAt = list, 0
 	if list.Revision < e.history.newestRevision {
 		list.Entries = e.keepDrains(list.Entries, now)
 	}
@@ -100,56 +100,56 @@
 			continue
 		}
 		entry.State = endpoint.Draining
-		e.history.recheckAt = max(e.history.recheckAt, drainedAt+drainRetention)
+		e.history.reapplyAt = max(e.history.reapplyAt, drainedAt+drainRetention)
 	}
 	return entries
 }
 
 // noteEngines updates what is known of engines from those that are listed now, and forgets those that left long ago.
-func (e *endpointState) noteEngines(listed []routing.Endpoint, now int64) {
-	e.lists++
+func (e *endpointState) recordEngines(listed []routing.Endpoint, now int64) {
+	e.listCount++
 	for i := range listed {
 		engine := &listed[i]
-		e.listedIn[engine.Engine] = e.lists
+		e.lastListedIn[engine.Engine] = e.listCount
 		e.drains.Note(engine.Engine, engine.Ready, now)
 	}
-	for engine, list := range e.listedIn {
-		if list == e.lists {
+	for engine, list := range e.lastListedIn {
+		if list == e.listCount {
 			continue
 		}
 		e.drains.Note(engine, false, now)
 		if now-e.drains[engine] > departedRetention {
-			delete(e.listedIn, engine)
+			delete(e.lastListedIn, engine)
 			delete(e.drains, engine)
 		}
 	}
 	maps.DeleteFunc(e.lastResponseAt, func(engine string, at int64) bool {
-		return e.listedIn[engine] != e.lists && now-at > departedRetention
+		return e.lastListedIn[engine] != e.listCount && now-at > departedRetention
 	})
 }
 
 // UpdateEndpoints handles a new endpoint list.
 func (r *Router) UpdateEndpoints(list endpoint.List) {
-	list = r.endpoints.accept(list, r.now)
+	list = r.endpoints.acceptList(list, r.now)
 	list.Entries = r.endpoints.starts.normalize(list.Entries, r.now)
 	update, unknown := r.config.EndpointUpdate(list)
-	r.endpoints.noteEngines(update.Engines, r.earliestEventTime()) // drains count from when they were told
+	r.endpoints.recordEngines(update.Engines, r.earliestEventTime()) // drains count from when they were told
 	r.endpoints.setCurrent(&list)
-	r.closeMovedConnections()
+	r.closeIdleToOldAddresses()
 	r.observer.EndpointsUpdated(list.Revision, len(update.Engines), unknown)
 	r.notifyPolicy(update)
 }
 
 // reapplyEndpoints applies the latest list again once drains do not hold against it any more.
 func (r *Router) reapplyEndpoints() {
-	if recheckAt := r.endpoints.history.recheckAt; recheckAt > 0 && r.now >= recheckAt {
+	if recheckAt := r.endpoints.history.reapplyAt; recheckAt > 0 && r.now >= recheckAt {
 		r.UpdateEndpoints(r.endpoints.history.latest)
 	}
 }
 
 // closeMovedConnections closes the idle connections to addresses that their engines have left: another engine may listen
 // there by now. Those that carry something are closed after it.
-func (r *Router) closeMovedConnections() {
+func (r *Router) closeIdleToOldAddresses() {
 	for _, id := range r.connections.IDs() {
 		conn := r.connections.byID[id]
 		if conn == nil || !r.endpoints.isListed(conn.Engine) {
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -20,7 +20,7 @@
 const staleConnectionWindow = int64(20 * time.Millisecond)
 
 // drainTime is how long the rest of an answer that is over may take: it is an end of chunks or a short body.
-const drainTime = int64(time.Second)
+const responseDrainTimeout = int64(time.Second)
 
 // EngineConnection is one connection to an engine.
 type EngineConnection struct {
@@ -28,14 +28,14 @@
 	Engine  string
 	Address string // the address that is dialed
 
-	socket        EngineSocket    // nil while it is dialed
-	attempt       *engineAttempt  // that it carries
-	control       *controlRequest // or that
-	reused        bool            // it has carried another request before this
-	streamed      bool            // its last answer is a stream, as those to decodes
-	writtenAt     int64           // when its last request was written
-	dialedAt      int64
-	drainingSince int64 // since when it waits for the rest of an answer that is over; 0 where it does not
+	socket                EngineSocket    // nil while it is dialed
+	attempt               *engineAttempt  // that it carries
+	control               *controlRequest // or that
+	reused                bool            // it has carried another request before this
+	streamed              bool            // its last answer is a stream, as those to decodes
+	writtenAt             int64           // when its last request was written
+	dialedAt              int64
+	drainingResponseSince int64 // since when it waits for the rest of an answer that is over; 0 where it does not
 }
 
 // engineConnections are the connections to engines; the pool decides on their use.
@@ -111,7 +111,7 @@
 		return
 	}
 	if err != nil {
-		r.dialFailed(conn, err)
+		r.handleDialFailure(conn, err)
 		return
 	}
 	r.observer.ConnectionChanged(conn.Engine, ConnectionDialed)
@@ -125,21 +125,21 @@
 }
 
 // dialFailed ends a connection that did not come up. Where the cause is local, that says nothing of the engine.
-func (r *Router) dialFailed(conn *EngineConnection, err error) {
+func (r *Router) handleDialFailure(conn *EngineConnection, err error) {
 	r.connections.Handle(conn.ID, connpool.DialFailed, r.now)
 	delete(r.connections.byID, conn.ID)
 	reason := reasonDialFailed + AttemptReason(err.Error())
 	if !errors.Is(err, ErrLocal) {
 		r.observer.ConnectionChanged(conn.Engine, DialFailed)
-		r.failCarried(conn, attempt.ConnectFailed, reason)
+		r.failAssigned(conn, attempt.ConnectFailed, reason)
 		return
 	}
 	r.observer.ConnectionChanged(conn.Engine, DialFailedLocally)
 	if control := conn.control; control != nil {
 		conn.control = nil
-		r.controlNotSent(control)
+		r.handleControlNotSent(control)
 	}
-	r.failCarried(conn, attempt.EngineUnavailable, reason)
+	r.failAssigned(conn, attempt.EngineUnavailable, reason)
 }
 
 // writeRequest writes the first byte of an attempt, so invariants are checked here once more: a drain may have been
@@ -155,7 +155,7 @@
 		return
 	}
 	if att != nil {
-		r.attemptConnected(att)
+		r.handleAttemptConnected(att)
 	}
 	conn.writtenAt = r.now
 	if err := conn.socket.Write(request); err != nil {
@@ -184,7 +184,7 @@
 	return false
 }
 
-func (r *Router) attemptConnected(att *engineAttempt) {
+func (r *Router) handleAttemptConnected(att *engineAttempt) {
 	r.transition(att, attempt.Connected)
 	att.writtenAt = r.now
 	r.monitor.AttemptWritten(att.request.id, invariant.WrittenAttempt{Index: att.index, Decode: att.decode, WrittenAt: r.now,
@@ -201,7 +201,7 @@
 		delete(r.connections.byID, conn.ID)
 		r.observer.ConnectionChanged(conn.Engine, ConnectionBroken)
 	}
-	r.failCarried(conn, attempt.ConnectionReset, reasonConnectionLost)
+	r.failAssigned(conn, attempt.ConnectionReset, reasonConnectionLost)
 }
 
 // discardConnection closes a connection on which the rest of an answer may still come.
@@ -211,7 +211,7 @@
 	}
 	r.connections.Handle(conn.ID, connpool.ReleasedDirty, r.now)
 	r.closeConnection(conn.ID)
-	r.failCarried(conn, attempt.ConnectionReset, reasonConnectionLost)
+	r.failAssigned(conn, attempt.ConnectionReset, reasonConnectionLost)
 }
 
 func (r *Router) closeConnection(id int64) {
@@ -225,11 +225,11 @@
 }
 
 // failCarried ends what a connection carried when it was lost.
-func (r *Router) failCarried(conn *EngineConnection, event attempt.Event, reason AttemptReason) {
+func (r *Router) failAssigned(conn *EngineConnection, event attempt.Event, reason AttemptReason) {
 	if att := conn.attempt; att != nil {
 		if event == attempt.ConnectionReset && conn.reused && att.responseHeads == 0 && r.eventTime()-conn.writtenAt < staleConnectionWindow {
-			att.stale = true
-			r.connections.NoteEarlyClose(conn.Engine, r.now)
+			att.staleConnection = true
+			r.connections.RecordEarlyClose(conn.Engine, r.now)
 		}
 		r.handleAttemptEvent(att, event, reason)
 	}
@@ -251,7 +251,7 @@
 		if conn == nil {
 			continue
 		}
-		if conn.drainingSince > 0 && observed-conn.drainingSince > drainTime ||
+		if conn.drainingResponseSince > 0 && observed-conn.drainingResponseSince > responseDrainTimeout ||
 			conn.control != nil && observed-conn.control.startedAt > r.controlTimeout() ||
 			conn.socket == nil && observed-conn.dialedAt > 2*int64(r.config.Connections.DialTimeout) {
 			r.discardConnection(conn)
--- a/internal/router/engine_responses.go
+++ b/internal/router/engine_responses.go
@@ -23,7 +23,7 @@
 		r.handleAttemptEvent(att, r.protocol.ClassifyResponse(head, att.decode), AttemptReason(head.Status))
 	case conn.control != nil:
 		conn.control.head = head
-	case conn.drainingSince == 0:
+	case conn.drainingResponseSince == 0:
 		r.discardConnection(conn)
 	}
 }
@@ -64,17 +64,17 @@
 // ResponseComplete handles the end of an answer; clean is false where more bytes followed.
 func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
 	if att := conn.attempt; att != nil {
-		r.attemptResponseComplete(att, body)
+		r.handleAttemptResponse(att, body)
 	}
 	if control := conn.control; control != nil {
 		conn.control = nil
-		conn.drainingSince = r.now
+		conn.drainingResponseSince = r.now
 		r.finishControlRequest(control, control.head, body)
 	}
 	if r.connections.byID[conn.ID] != conn || conn.socket == nil {
 		return
 	}
-	conn.drainingSince = 0
+	conn.drainingResponseSince = 0
 	if !clean {
 		r.discardConnection(conn)
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *Router) attemptResponseComplete(att *engineAttempt, body []byte) {
+func (r *Router) handleAttemptResponse(att *engineAttempt, body []byte) {
 	if att.decode {
 		event, reason := r.protocol.ClassifyStreamEnd(att.machine.FirstTokenReceived)
 		r.handleAttemptEvent(att, event, AttemptReason(reason))
--- a/internal/router/engine_starts_test.go
+++ b/internal/router/engine_starts_test.go
@@ -38,8 +38,8 @@
 			t.Errorf("%s: the same start moves by %d ms", name, again[0].StartedAtMs-entries[0].StartedAtMs)
 		}
 		// It restarts, stamped by a clock that was set back meanwhile.
-		anew := s.normalize([]endpoint.Entry{{ID: "e", StartedAtMs: c.reportedMs - hour}}, now+2*int64(time.Minute))
-		if anew[0].StartedAtMs <= entries[0].StartedAtMs {
+		restarted := s.normalize([]endpoint.Entry{{ID: "e", StartedAtMs: c.reportedMs - hour}}, now+2*int64(time.Minute))
+		if restarted[0].StartedAtMs <= entries[0].StartedAtMs {
 			t.Errorf("%s: a restart stamped by a clock that was set back is not seen", name)
 		}
 	}
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -8,9 +8,11 @@
 // AddNames remembers so many names of requests.
 func (r *Router) AddNames(n int) {
 	for i := range n {
-		r.requests.names.add(fmt.Sprint("flood", i))
+		r.requests.recentNames.add(fmt.Sprint("flood", i))
 	}
 }
 
 // KnownEngines is how many engines the router remembers.
-func (r *Router) KnownEngines() int { return max(len(r.endpoints.listedIn), len(r.endpoints.drains)) }
+func (r *Router) KnownEngines() int {
+	return max(len(r.endpoints.lastListedIn), len(r.endpoints.drains))
+}
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -17,7 +17,7 @@
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
 		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.transfer, r.now-req.arrivedAt,
-			max(0, req.abandonedUntil-r.now))
+			max(0, req.mayStillRunUntil-r.now))
 		for _, att := range req.attempts {
 			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict,
 				att.responseHeads, r.now-att.lastTokenAt)
@@ -60,7 +60,7 @@
 		} else if conn.control != nil {
 			carries = "control " + conn.control.describe()
 		}
-		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingSince > 0, conn.socket != nil,
+		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingResponseSince > 0, conn.socket != nil,
 			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
 	return lines
@@ -73,7 +73,7 @@
 	for _, engine := range slices.Sorted(maps.Keys(e.starts.byEngine)) {
 		fmt.Fprintln(w, "start", engine, now-e.starts.byEngine[engine].at)
 	}
-	fmt.Fprintln(w, "list", e.history.newestRevision-e.history.latest.Revision, max(0, e.history.recheckAt-now))
+	fmt.Fprintln(w, "list", e.history.newestRevision-e.history.latest.Revision, max(0, e.history.reapplyAt-now))
 }
 
 // describe tells control requests apart.
@@ -113,7 +113,7 @@
 // BusyConnections is how many connections to engines carry something, wait for the rest of an answer, or are dialed.
 func (r *Router) BusyConnections() (count int) {
 	for _, conn := range r.connections.byID {
-		if conn.attempt != nil || conn.control != nil || conn.drainingSince > 0 || conn.socket == nil {
+		if conn.attempt != nil || conn.control != nil || conn.drainingResponseSince > 0 || conn.socket == nil {
 			count++
 		}
 	}
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -26,7 +26,7 @@
 // recorder is a router on a simulated clock. It records everything that the router writes to connections: the time, the
 // connection and the bytes. Engines answer as a test says.
 type recorder struct {
-	ignoredObserver
+	noopObserver
 	t             *testing.T
 	core          *router.Router
 	deployment    *config.Deployment
@@ -34,8 +34,8 @@
 	chat          bool // the open protocol; else the platform's
 	start         int64
 	now           int64
-	out           strings.Builder
-	tasks         []scheduledEvent
+	transcript    strings.Builder
+	scheduled     []scheduledEvent
 	connections   int
 	clients       int64
 	requestCounts map[string]int // so far, by kind
@@ -47,8 +47,8 @@
 
 // scheduledEvent is one that happens at a time.
 type scheduledEvent struct {
-	at int64
-	do func()
+	at  int64
+	run func()
 }
 
 // The answers of engines.
@@ -64,7 +64,7 @@
 	replySlow          = "slow"
 )
 
-func newRecorder(t *testing.T, chat bool, nodes int, alter ...func(*config.Deployment)) *recorder {
+func newRecorder(t *testing.T, chat bool, nodes int, adjust ...func(*config.Deployment)) *recorder {
 	t.Helper()
 	r := &recorder{t: t, chat: chat, start: 1e15, now: 1e15, requestCounts: map[string]int{}, refusing: map[string]bool{},
 		replyFor: func(string, string, int) string { return replyNormal }}
@@ -87,7 +87,7 @@
 		}
 		r.protocol = platform.NewCodec(nodeConfig.LoadReportFields())
 	}
-	for _, f := range alter {
+	for _, f := range adjust {
 		f(r.deployment)
 	}
 	r.core = router.New(r.deployment, r.protocol, 1, 1, r.now, r, r)
@@ -95,14 +95,14 @@
 }
 
 func (r *recorder) record(format string, args ...any) {
-	fmt.Fprintf(&r.out, "%.3f ms %s\n", float64(r.now-r.start)/1e6, fmt.Sprintf(format, args...))
+	fmt.Fprintf(&r.transcript, "%.3f ms %s\n", float64(r.now-r.start)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) recordBytes(what string, data []byte) {
-	r.record("%s, %d bytes", what, len(data))
+func (r *recorder) recordBytes(description string, data []byte) {
+	r.record("%s, %d bytes", description, len(data))
 	for line := range strings.SplitAfterSeq(string(data), "\n") {
 		if line != "" {
-			fmt.Fprintf(&r.out, "    %q\n", line)
+			fmt.Fprintf(&r.transcript, "    %q\n", line)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	r.connections++
 	number := r.connections
 	r.record("dial %s at %s: connection %d", conn.Engine, conn.Address, number)
-	r.after(time.Millisecond, func() {
+	r.schedule(time.Millisecond, func() {
 		if r.refusing[conn.Engine] {
 			r.record("connection %d is refused", number)
 			r.core.EngineConnected(conn, nil, syscall.ECONNREFUSED)
@@ -131,13 +131,13 @@
 	})
 }
 
-func (r *recorder) after(d time.Duration, do func()) {
+func (r *recorder) schedule(d time.Duration, event func()) {
 	at := r.now + int64(d)
-	i := slices.IndexFunc(r.tasks, func(t scheduledEvent) bool { return t.at > at })
+	i := slices.IndexFunc(r.scheduled, func(t scheduledEvent) bool { return t.at > at })
 	if i < 0 {
-		i = len(r.tasks)
+		i = len(r.scheduled)
 	}
-	r.tasks = slices.Insert(r.tasks, i, scheduledEvent{at, do})
+	r.scheduled = slices.Insert(r.scheduled, i, scheduledEvent{at, event})
 }
 
 // do lets the router handle one event.
@@ -148,17 +148,17 @@
 }
 
 // pass lets time pass, with all that falls due meanwhile.
-func (r *recorder) pass(d time.Duration) {
+func (r *recorder) advance(d time.Duration) {
 	for end := r.now + int64(d); r.now < end; {
 		next := r.core.NextDue()
-		if len(r.tasks) > 0 {
-			next = min(next, r.tasks[0].at)
+		if len(r.scheduled) > 0 {
+			next = min(next, r.scheduled[0].at)
 		}
 		r.now = min(end, max(r.now+1, next))
-		for len(r.tasks) > 0 && r.tasks[0].at <= r.now {
-			task := r.tasks[0]
-			r.tasks = r.tasks[1:]
-			r.do(task.do)
+		for len(r.scheduled) > 0 && r.scheduled[0].at <= r.now {
+			task := r.scheduled[0]
+			r.scheduled = r.scheduled[1:]
+			r.do(task.run)
 		}
 		r.core.RunDue(r.now)
 	}
@@ -197,10 +197,10 @@
 }
 
 // later schedules an event of the connection, unless it is closed by then.
-func (e *goldenEngine) later(d time.Duration, do func()) {
-	e.r.after(d, func() {
+func (e *goldenEngine) schedule(d time.Duration, event func()) {
+	e.r.schedule(d, func() {
 		if !e.closed {
-			do()
+			event()
 		}
 	})
 }
@@ -218,9 +218,9 @@
 	e.r.core.ResponseComplete(e.conn, []byte(body), true)
 }
 
-func (e *goldenEngine) reject(word string, status int) {
+func (e *goldenEngine) reject(reason string, status int) {
 	if e.r.chat {
-		e.respond(status, `{"error":{}}`, "X-Sandcourse-Refused", word)
+		e.respond(status, `{"error":{}}`, "X-Sandcourse-Refused", reason)
 		return
 	}
 	e.respond(status, "", "Not-Started", "1")
@@ -234,28 +234,28 @@
 	case replySlow:
 		wait = 400 * time.Millisecond
 	case replyFull:
-		e.later(wait, func() { e.reject("full", 503) })
+		e.schedule(wait, func() { e.reject("full", 503) })
 		return
 	case replyNoState:
-		e.later(wait, func() { e.reject("no-state", 410) })
+		e.schedule(wait, func() { e.reject("no-state", 410) })
 		return
 	case replyError:
-		e.later(wait, func() { e.respond(500, `{"error":{}}`) })
+		e.schedule(wait, func() { e.respond(500, `{"error":{}}`) })
 		return
 	case replyDisconnect:
-		e.later(wait, func() { e.closed = true; core.EngineDisconnected(e.conn) })
+		e.schedule(wait, func() { e.closed = true; core.EngineDisconnected(e.conn) })
 		return
 	case replyInvalid:
-		e.later(wait, func() { core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
+		e.schedule(wait, func() { core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
 		return
 	}
 	switch kind {
 	case "probe":
-		e.later(wait, func() { e.respondHealthCheck() })
+		e.schedule(wait, func() { e.respondHealthCheck() })
 	case "release":
-		e.later(wait, func() { e.respond(204, "") })
+		e.schedule(wait, func() { e.respond(204, "") })
 	case "prefill":
-		e.later(wait, func() { e.respondPrefill() })
+		e.schedule(wait, func() { e.respondPrefill() })
 	default:
 		e.respondStream(wait, answer == replyPartialStream)
 	}
@@ -279,27 +279,27 @@
 	e.respond(202, `{"cached_tokens":0}`, "Server-Load", "x0=1,x1=2")
 }
 
-func (e *goldenEngine) respondStream(wait time.Duration, half bool) {
+func (e *goldenEngine) respondStream(wait time.Duration, partial bool) {
 	core := e.r.core
 	event := func(text string) func() { return func() { core.StreamEvent(e.conn, []byte(text)) } }
-	e.later(wait, func() { e.respondHead(200, "Content-Type", "text/event-stream") })
-	e.later(wait, event(`{"id":"e1","choices":[{"index":0,"delta":{"role":"assistant","content":"Go"}}]}`))
-	if half {
-		e.later(wait+5*time.Millisecond, func() { e.closed = true; core.EngineDisconnected(e.conn) })
+	e.schedule(wait, func() { e.respondHead(200, "Content-Type", "text/event-stream") })
+	e.schedule(wait, event(`{"id":"e1","choices":[{"index":0,"delta":{"role":"assistant","content":"Go"}}]}`))
+	if partial {
+		e.schedule(wait+5*time.Millisecond, func() { e.closed = true; core.EngineDisconnected(e.conn) })
 		return
 	}
-	e.later(wait+5*time.Millisecond, event(`{"id":"e1","choices":[{"index":0,"delta":{"content":"al"}}]}`))
-	e.later(wait+10*time.Millisecond, event(`{"id":"e1","choices":[{"index":0,"delta":{},"finish_reason":"stop"}],`+
+	e.schedule(wait+5*time.Millisecond, event(`{"id":"e1","choices":[{"index":0,"delta":{"content":"al"}}]}`))
+	e.schedule(wait+10*time.Millisecond, event(`{"id":"e1","choices":[{"index":0,"delta":{},"finish_reason":"stop"}],`+
 		`"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11}}`))
-	e.later(wait+10*time.Millisecond, event("[DONE]"))
-	e.later(wait+11*time.Millisecond, func() { core.ResponseComplete(e.conn, nil, true) })
+	e.schedule(wait+10*time.Millisecond, event("[DONE]"))
+	e.schedule(wait+11*time.Millisecond, func() { core.ResponseComplete(e.conn, nil, true) })
 }
 
 // goldenClient is a connection of a client; its bytes are framed as the edge frames them.
 type goldenClient struct {
 	r            *recorder
-	core         *router.ClientConnection
-	cutter       *httpframing.Parser
+	connection   *router.ClientConnection
+	parser       *httpframing.Parser
 	head         *http.Request
 	body         []byte
 	disconnected bool
@@ -310,7 +310,7 @@
 	if c.closed {
 		return io.ErrClosedPipe
 	}
-	c.r.recordBytes(fmt.Sprintf("to client %d", c.core.ID), data)
+	c.r.recordBytes(fmt.Sprintf("to client %d", c.connection.ID), data)
 	return nil
 }
 
@@ -322,47 +322,47 @@
 func (c *goldenClient) Close() {
 	if !c.closed {
 		c.closed = true
-		c.r.record("client %d closed by the node", c.core.ID)
+		c.r.record("client %d closed by the node", c.connection.ID)
 	}
 }
 
 func (r *recorder) newClient() *goldenClient {
 	r.clients++
-	c := &goldenClient{r: r, cutter: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 2048, BodyBytes: 4096})}
-	c.core = &router.ClientConnection{ID: r.clients, Socket: c}
-	r.do(func() { r.core.ClientOpened(c.core) })
+	c := &goldenClient{r: r, parser: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 2048, BodyBytes: 4096})}
+	c.connection = &router.ClientConnection{ID: r.clients, Socket: c}
+	r.do(func() { r.core.ClientOpened(c.connection) })
 	return c
 }
 
 // disconnect ends the client's connection.
 func (c *goldenClient) disconnect() {
-	c.r.record("client %d leaves", c.core.ID)
+	c.r.record("client %d leaves", c.connection.ID)
 	c.disconnected = true
-	c.r.do(func() { c.r.core.ClientDisconnected(c.core) })
+	c.r.do(func() { c.r.core.ClientDisconnected(c.connection) })
 }
 
 // send writes to the connection.
 func (c *goldenClient) send(text string) {
 	core := c.r.core
 	c.r.do(func() {
-		pieces, err := c.cutter.Feed([]byte(text))
+		pieces, err := c.parser.Feed([]byte(text))
 		for _, p := range pieces {
 			switch p.Kind {
 			case httpframing.Head:
 				c.head, c.body = p.Request, nil
 				if strings.EqualFold(p.Request.Header.Get("Expect"), "100-continue") {
-					core.ExpectContinue(c.core)
+					core.ExpectContinue(c.connection)
 				}
 			case httpframing.Body:
 				c.body = append(c.body, p.Data...)
 			case httpframing.End:
-				a := &router.ClientRequest{Request: c.head, Bytes: len(c.body)}
-				a.Call, a.Caller, a.Rejection = c.r.protocol.ParseRequest(c.head, c.body)
-				core.ReceiveRequest(c.core, a)
+				received := &router.ClientRequest{Request: c.head, Bytes: len(c.body)}
+				received.Call, received.Caller, received.Rejection = c.r.protocol.ParseRequest(c.head, c.body)
+				core.ReceiveRequest(c.connection, received)
 			}
 		}
 		if err != nil {
-			core.RejectMessage(c.core, err)
+			core.RejectMessage(c.connection, err)
 		}
 	})
 }
@@ -398,13 +398,13 @@
 
 // setEndpoints publishes a list of engines: r... are for prefill, w... for decode; one with a - at the end is draining, and one
 // with an @ has another address.
-func (r *recorder) setEndpoints(words ...string) {
+func (r *recorder) setEndpoints(specs ...string) {
 	r.revision++
 	list := endpoint.List{Revision: r.revision}
-	for _, word := range words {
-		id, host, moved := strings.Cut(word, "@")
-		id, drains := strings.CutSuffix(id, "-")
-		if !moved {
+	for _, spec := range specs {
+		id, host, hasAddress := strings.Cut(spec, "@")
+		id, isDraining := strings.CutSuffix(id, "-")
+		if !hasAddress {
 			host = fmt.Sprintf("127.0.0.1:%d", 3000+int(id[len(id)-1]-'0')+100*int(id[0]-'a'))
 		}
 		kind := 0
@@ -416,13 +416,13 @@
 			zone = "ktm-dc1"
 		}
 		state := endpoint.Ready
-		if drains {
+		if isDraining {
 			state = endpoint.Draining
 		}
 		list.Entries = append(list.Entries, endpoint.Entry{ID: id, Address: host, Kind: r.deployment.Kinds[kind].Name, Zone: zone,
 			Weight: 1, State: state})
 	}
-	r.record("engines listed: %s", strings.Join(words, " "))
+	r.record("engines listed: %s", strings.Join(specs, " "))
 	r.do(func() { r.core.UpdateEndpoints(list) })
 }
 
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -13,39 +13,39 @@
 )
 
 // goldenSituations are run with both protocols.
-var goldenSituations = []struct {
+var goldenScenarios = []struct {
 	name string
-	play func(r *recorder)
+	run  func(r *recorder)
 }{
 	{"stream", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		c := r.sendRequest("a1", retriable, true)
-		r.pass(time.Second)
+		r.advance(time.Second)
 		c.send(r.requestText("a2", nonRetriable, true))
-		r.pass(time.Second)
+		r.advance(time.Second)
 	}},
 	{"whole", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		c := r.sendRequest("a1", retriable, false)
 		c.send(r.requestText("a2", nonRetriable, false, "Connection: close\r\n"))
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 	}},
 	{"shed", func(r *recorder) {
 		c := r.sendRequest("a1", retriable, true) // no list has come
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 		r.setEndpoints()
 		c.send(r.requestText("a2", retriable, true))
 		c.send(r.requestText("a3", nonRetriable, true))
-		r.pass(6 * time.Second)
+		r.advance(6 * time.Second)
 		r.setEndpoints("r1") // no decode engine
 		r.sendRequest("a4", nonRetriable, true)
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 	}},
 	{"engines-refuse-connections", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		r.refusing["r1"] = true
 		r.sendRequest("a1", retriable, true)
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 	}},
 	{"prefill-retry", func(r *recorder) {
 		for i, answer := range []string{replyFull, replyError, replyDisconnect, replyInvalid} {
@@ -53,7 +53,7 @@
 			r.requestCounts = map[string]int{}
 			r.injectFaults("prefill", answer)
 			r.sendRequest(fmt.Sprint("a", i), retriable, true)
-			r.pass(3 * time.Second)
+			r.advance(3 * time.Second)
 		}
 	}},
 	{"decode-retry", func(r *recorder) {
@@ -62,7 +62,7 @@
 			r.requestCounts = map[string]int{}
 			r.injectFaults("decode", answer)
 			r.sendRequest(fmt.Sprint("a", i), retriable, true)
-			r.pass(3 * time.Second)
+			r.advance(3 * time.Second)
 		}
 	}},
 	{"decode-failure-non-retriable", func(r *recorder) {
@@ -71,7 +71,7 @@
 			r.requestCounts = map[string]int{}
 			r.injectFaults("decode", answer)
 			r.sendRequest(fmt.Sprint("a", i), nonRetriable, i%2 == 0)
-			r.pass(3 * time.Second)
+			r.advance(3 * time.Second)
 		}
 	}},
 	{"deduplicated", func(r *recorder) {
@@ -80,69 +80,69 @@
 			r.requestCounts = map[string]int{}
 			r.injectFaults("decode", answer)
 			r.sendRequest(fmt.Sprint("a", i), deduplicated, true, "Client-Retry: 1\r\n")
-			r.pass(3 * time.Second)
+			r.advance(3 * time.Second)
 		}
 	}},
 	{"timeout", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		r.injectFaults("prefill", replyNone, replyNone, replyNone, replyNone)
 		r.sendRequest("a1", retriable, true)
-		r.pass(4 * time.Second)
+		r.advance(4 * time.Second)
 		r.requestCounts = map[string]int{}
 		r.injectFaults("decode", replyNone)
 		r.sendRequest("a2", nonRetriable, true)
-		r.pass(4 * time.Second)
+		r.advance(4 * time.Second)
 	}},
 	{"release", func(r *recorder) {
 		r.setEndpoints("r1", "w1", "w2")
 		r.injectFaults("decode", replyNone)
 		c := r.sendRequest("a1", retriable, true)
-		r.pass(200 * time.Millisecond)
+		r.advance(200 * time.Millisecond)
 		c.disconnect()
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 	}},
 	{"client-gone", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		r.sendRequest("a1", retriable, true).disconnect()
-		r.pass(time.Second)
+		r.advance(time.Second)
 		c := r.sendRequest("a2", nonRetriable, true)
-		r.pass(5 * time.Millisecond)
+		r.advance(5 * time.Millisecond)
 		c.disconnect()
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 		c = r.sendRequest("a3", retriable, true)
-		r.pass(26 * time.Millisecond)
+		r.advance(26 * time.Millisecond)
 		c.disconnect()
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 	}},
 	{"probes", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		for _, engine := range []string{"r1", "w1"} {
 			r.do(func() { r.core.HealthCheck(engine) })
 		}
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 		r.replyFor = func(string, string, int) string { return replyNone }
 		r.do(func() { r.core.HealthCheck("r1") })
-		r.pass(time.Second)
+		r.advance(time.Second)
 	}},
 	{"stopping", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
 		idle := r.newClient()
 		idle.send(r.requestText("a0", retriable, true))
-		r.pass(time.Second)
+		r.advance(time.Second)
 		r.injectFaults("decode", replyNormal, replySlow)
 		busy := r.sendRequest("a1", retriable, true)
-		r.pass(50 * time.Millisecond)
+		r.advance(50 * time.Millisecond)
 		r.record("the node is told to stop")
 		r.do(r.core.Shutdown)
 		r.sendRequest("a2", retriable, true)
 		late := r.sendRequest("a3", nonRetriable, true)
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 		late.send(r.requestText("a4", retriable, true))
 		busy.send(r.requestText("a5", nonRetriable, true))
 		r.sendRequest("a6", retriable, true)
-		r.pass(time.Second)
+		r.advance(time.Second)
 		r.do(func() { r.core.CloseIdleClients() })
-		r.pass(time.Second)
+		r.advance(time.Second)
 	}},
 	{"abandon", func(r *recorder) {
 		r.setEndpoints("r1", "w1")
@@ -153,26 +153,26 @@
 			return replySlow
 		}
 		r.sendRequest("a1", retriable, true)
-		r.pass(100 * time.Millisecond)
+		r.advance(100 * time.Millisecond)
 		r.record("the node abandons what is open")
 		r.do(func() { r.core.AbandonAll("this node is stopping") })
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 	}},
 	{"reload-with-drain", func(r *recorder) {
 		r.setEndpoints("r1", "r2", "w1", "w2")
 		for i := range 4 {
 			r.sendRequest(fmt.Sprint("a", i), retriable, true)
-			r.pass(300 * time.Millisecond)
+			r.advance(300 * time.Millisecond)
 		}
 		r.setEndpoints("r1-", "r2", "w1-", "w2")
 		for i := range 4 {
 			r.sendRequest(fmt.Sprint("b", i), nonRetriable, true)
-			r.pass(300 * time.Millisecond)
+			r.advance(300 * time.Millisecond)
 		}
 		r.setEndpoints("r2@127.0.0.9:9", "r3", "w2", "w3")
 		for i := range 4 {
 			r.sendRequest(fmt.Sprint("c", i), retriable, true)
-			r.pass(300 * time.Millisecond)
+			r.advance(300 * time.Millisecond)
 		}
 	}},
 }
@@ -187,22 +187,22 @@
 // What the router writes to connections is what it wrote when the golden files were recorded.
 func TestGoldenWire(t *testing.T) {
 	for _, chat := range []bool{true, false} {
-		for _, s := range goldenSituations {
-			name := goldenName(chat, s.name)
-			if chat && s.name == "deduplicated" {
+		for _, scenario := range goldenScenarios {
+			name := goldenName(chat, scenario.name)
+			if chat && scenario.name == "deduplicated" {
 				continue
 			}
 			t.Run(name, func(t *testing.T) {
 				r := newRecorder(t, chat, 1)
-				s.play(r)
-				golden.Check(t, name+".golden", r.out.String())
+				scenario.run(r)
+				golden.Check(t, name+".golden", r.transcript.String())
 			})
 		}
 	}
 }
 
 // What routers send one another.
-func TestGoldenPeers(t *testing.T) {
+func TestGoldenPeerMessages(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "peers")
 		t.Run(name, func(t *testing.T) {
@@ -210,14 +210,14 @@
 			r.setEndpoints("r1", "r2", "w1", "w2")
 			for i := range 3 {
 				r.sendRequest(fmt.Sprint("a", i), retriable, true)
-				r.pass(700 * time.Millisecond)
+				r.advance(700 * time.Millisecond)
 			}
 			const text = `kept "kb0" "r2" "w2" 120`
 			r.record("peer 1 says %q", text)
 			r.do(func() { r.core.ReceivePeerMessage(1, text) })
 			r.sendRequest("b0", retriable, true)
-			r.pass(700 * time.Millisecond)
-			golden.Check(t, name+".golden", r.out.String())
+			r.advance(700 * time.Millisecond)
+			golden.Check(t, name+".golden", r.transcript.String())
 		})
 	}
 }
@@ -226,31 +226,31 @@
 func badRequests(r *recorder) []string {
 	good := r.requestText("a1", retriable, true)
 	// One that is left as it was is of the other protocol, and served.
-	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
-	body := func(text string) string {
+	replaced := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
+	withBody := func(text string) string {
 		head, _, _ := strings.Cut(good, "Content-Length:")
 		return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	}
 	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-	rows := []string{
+	requests := []string{
 		"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", "GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n",
 		"GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n",
 		"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n",
 		"POST /_health HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
 		"POST /readyz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
-		with("HTTP/1.1", "HTTP/1.0"), with("HTTP/1.1", "HTTP/3.7"), with("clip-summary", "unknown"),
-		with("Request-Class: chat", "Request-Class: unknown"), with("Request-Class: chat\r\n", ""),
-		with("Request-Id: a1\r\n", "Request-Id: ../x\r\n"), with("X-Request-Id: a1\r\n", "X-Request-Id: "+strings.Repeat("a", 300)+"\r\n"),
-		with("Request-Timeout: 2.0", "Request-Timeout: soon"), with("Request-Timeout: 2.0\r\n", ""),
-		with("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: soon"), with("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: -1"),
-		with("prompt_len=120", "prompt_len=-1"), with("Affinity-Key: ka1", "Affinity-Key: "+strings.Repeat("k", 200)),
-		with("Host: x\r\n", "Host: x\r\nRequest-Class: chat\r\n"),
-		with("Host: x\r\n", "Host: x\r\nX-Stainless-Retry-Count: many\r\n"),
-		body(""), body("[]"), body("{"), body("null"), body("{}"), body(`{"model":3}`), body(`{"model":"clip-summary","messages":[]}`),
-		body(`{"model":"clip-summary","messages":[{"role":"x","content":"a"}]}`),
-		body(`{"model":"clip-summary","n":2,"messages":[{"role":"user","content":"a"}]}`),
-		body(`{"model":"clip-summary","max_tokens":0,"messages":[{"role":"user","content":"a"}]}`),
-		body(`{"model":"clip-summary","stream":"yes","messages":[{"role":"user","content":"a"}]}`),
+		replaced("HTTP/1.1", "HTTP/1.0"), replaced("HTTP/1.1", "HTTP/3.7"), replaced("clip-summary", "unknown"),
+		replaced("Request-Class: chat", "Request-Class: unknown"), replaced("Request-Class: chat\r\n", ""),
+		replaced("Request-Id: a1\r\n", "Request-Id: ../x\r\n"), replaced("X-Request-Id: a1\r\n", "X-Request-Id: "+strings.Repeat("a", 300)+"\r\n"),
+		replaced("Request-Timeout: 2.0", "Request-Timeout: soon"), replaced("Request-Timeout: 2.0\r\n", ""),
+		replaced("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: soon"), replaced("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: -1"),
+		replaced("prompt_len=120", "prompt_len=-1"), replaced("Affinity-Key: ka1", "Affinity-Key: "+strings.Repeat("k", 200)),
+		replaced("Host: x\r\n", "Host: x\r\nRequest-Class: chat\r\n"),
+		replaced("Host: x\r\n", "Host: x\r\nX-Stainless-Retry-Count: many\r\n"),
+		withBody(""), withBody("[]"), withBody("{"), withBody("null"), withBody("{}"), withBody(`{"model":3}`), withBody(`{"model":"clip-summary","messages":[]}`),
+		withBody(`{"model":"clip-summary","messages":[{"role":"x","content":"a"}]}`),
+		withBody(`{"model":"clip-summary","n":2,"messages":[{"role":"user","content":"a"}]}`),
+		withBody(`{"model":"clip-summary","max_tokens":0,"messages":[{"role":"user","content":"a"}]}`),
+		withBody(`{"model":"clip-summary","stream":"yes","messages":[{"role":"user","content":"a"}]}`),
 		post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n",
 		post + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
 		post + "Transfer-Encoding: gzip, chunked\r\n\r\n", post + "Content-Length: +1\r\n\r\n",
@@ -260,11 +260,11 @@
 		"nonsense\r\n\r\n", "GET / HTTP/1.1\r\n\r\n",
 		post + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n",
 	}
-	return rows
+	return requests
 }
 
 // What is answered to invalid requests.
-func TestGoldenRefusals(t *testing.T) {
+func TestGoldenInvalidRequests(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "refusals")
 		t.Run(name, func(t *testing.T) {
@@ -274,21 +274,21 @@
 			}
 			r.setEndpoints("r1", "w1")
 			r.sendRequest("again", retriable, true)
-			r.pass(time.Second)
+			r.advance(time.Second)
 			r.sendRequest("again", retriable, true) // a name that is known
-			r.pass(time.Second)
+			r.advance(time.Second)
 			for i, text := range badRequests(r) {
 				text = strings.Replace(text, "Request-Id: a1\r\n", fmt.Sprintf("Request-Id: a%d\r\n", i), 1)
 				r.recordBytes("a client sends", []byte(text))
 				c := r.newClient()
 				c.send(text)
-				r.pass(700 * time.Millisecond)
+				r.advance(700 * time.Millisecond)
 			}
 			r.record("a message that cannot be read for another reason")
 			c := r.newClient()
-			r.do(func() { r.core.RejectMessage(c.core, errors.New("cut short")) })
-			r.pass(time.Second)
-			golden.Check(t, name+".golden", r.out.String())
+			r.do(func() { r.core.RejectMessage(c.connection, errors.New("cut short")) })
+			r.advance(time.Second)
+			golden.Check(t, name+".golden", r.transcript.String())
 		})
 	}
 }
@@ -305,7 +305,7 @@
 			r.exceedPipeline()
 			r.exceedConnections()
 			r.exceedRetries()
-			golden.Check(t, name+".golden", r.out.String())
+			golden.Check(t, name+".golden", r.transcript.String())
 		})
 	}
 }
@@ -315,14 +315,14 @@
 	r.record("a request that stops within its head, and one within its body")
 	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 		c := r.newClient()
-		r.do(func() { r.core.ReceivePartial(c.core, event, 10) })
-		r.pass(100 * time.Millisecond)
+		r.do(func() { r.core.ReceivePartial(c.connection, event, 10) })
+		r.advance(100 * time.Millisecond)
 	}
-	r.pass(20 * time.Second)
+	r.advance(20 * time.Second)
 	r.record("more bytes than may be held")
 	c := r.newClient()
-	r.do(func() { r.core.ReceivePartial(c.core, admission.HeaderComplete, 20_000) })
-	r.pass(3 * time.Second)
+	r.do(func() { r.core.ReceivePartial(c.connection, admission.HeaderComplete, 20_000) })
+	r.advance(3 * time.Second)
 }
 
 // exceedPipeline sends more requests ahead than may wait on a connection.
@@ -330,12 +330,12 @@
 	r.record("requests that are sent ahead")
 	r.setEndpoints("r1", "w1")
 	c := r.newClient()
-	var ahead strings.Builder
+	var pipelined strings.Builder
 	for i := range 8 {
-		ahead.WriteString(r.requestText(fmt.Sprint("a", i), retriable, true))
+		pipelined.WriteString(r.requestText(fmt.Sprint("a", i), retriable, true))
 	}
-	c.send(ahead.String())
-	r.pass(3 * time.Second)
+	c.send(pipelined.String())
+	r.advance(3 * time.Second)
 }
 
 // exceedConnections opens too many connections and requests, most of them of one caller.
@@ -350,7 +350,7 @@
 		}
 		clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
 	}
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	for _, c := range clients {
 		c.disconnect()
 	}
@@ -361,8 +361,8 @@
 	r.record("clients that try again and again")
 	for i := range 30 {
 		c := r.sendRequest(fmt.Sprint("c", i), retriable, true, "Client-Retry: 1\r\n", "X-Stainless-Retry-Count: 1\r\n")
-		r.pass(10 * time.Millisecond)
+		r.advance(10 * time.Millisecond)
 		c.disconnect()
 	}
-	r.pass(time.Second)
+	r.advance(time.Second)
 }
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -16,7 +16,7 @@
 }
 
 // peerIsFresh is whether a peer was heard lately.
-func (g *gossipState) peerIsFresh(now int64) bool { return now-g.heardAt <= peerFreshness }
+func (g *gossipState) heardRecently(now int64) bool { return now-g.heardAt <= peerFreshness }
 
 // ReceivePeerMessage handles a message of another router.
 func (r *Router) ReceivePeerMessage(from int, text string) {
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -51,7 +51,7 @@
 		}
 		// Not before all actions are performed: a release comes after the answer.
 		for _, req := range r.requests.justFinished {
-			r.forgetRequest(req)
+			r.forgetIfFinished(req)
 		}
 		r.requests.justFinished = r.requests.justFinished[:0]
 	}
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -19,43 +19,43 @@
 )
 
 // sendRequest adds a client with a request of a random class.
-func (w *world) sendRequest() {
-	route := rapid.SampledFrom(w.deployment.Routes).Draw(w.t, "class")
-	wait := time.Duration(rapid.IntRange(100, 4000).Draw(w.t, "wait in ms")) * time.Millisecond
-	c := &simulatedClient{world: w, name: fmt.Sprintf("q%d", len(w.clients)), route: route, deadline: w.now + int64(wait)}
-	c.client = &router.ClientConnection{ID: int64(len(w.clients) + 1), Socket: c}
-	retry := rapid.SampledFrom([]string{"", "", "Client-Retry: 1\r\n", "Client-Retry: again\r\n"}).Draw(w.t, "retry")
+func (s *simulation) sendRequest() {
+	route := rapid.SampledFrom(s.deployment.Routes).Draw(s.t, "class")
+	wait := time.Duration(rapid.IntRange(100, 4000).Draw(s.t, "wait in ms")) * time.Millisecond
+	c := &simulatedClient{simulation: s, name: fmt.Sprintf("q%d", len(s.clients)), route: route, deadline: s.now + int64(wait)}
+	c.client = &router.ClientConnection{ID: int64(len(s.clients) + 1), Socket: c}
+	retry := rapid.SampledFrom([]string{"", "", "Client-Retry: 1\r\n", "Client-Retry: again\r\n"}).Draw(s.t, "retry")
 	c.resumed = strings.Contains(retry, "again")
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nAffinity-Key: k%d\r\n"+
-		"Request-Timeout: %.3f\r\n%sContent-Length: 2\r\n\r\n{}", platform.CompletionsPath, c.name, route.Name, len(w.clients)%3,
+		"Request-Timeout: %.3f\r\n%sContent-Length: 2\r\n\r\n{}", platform.CompletionsPath, c.name, route.Name, len(s.clients)%3,
 		wait.Seconds(), retry)
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	received := &router.ClientRequest{Request: r, Bytes: 2}
 	received.Call, received.Caller, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
-	w.clients = append(w.clients, c)
-	w.do(func() { w.core.ClientOpened(c.client); w.core.ReceiveRequest(c.client, received) })
+	s.clients = append(s.clients, c)
+	s.do(func() { s.core.ClientOpened(c.client); s.core.ReceiveRequest(c.client, received) })
 }
 
 // disconnect ends the connection of a client.
-func (w *world) disconnect(c *simulatedClient) {
+func (s *simulation) disconnect(c *simulatedClient) {
 	c.disconnected = true
-	w.do(func() { w.core.ClientDisconnected(c.client) })
+	s.do(func() { s.core.ClientDisconnected(c.client) })
 }
 
 // connect ends a dial, with a connection or without.
-func (w *world) connect(i int, ok bool) {
-	conn := w.dialing[i]
-	w.dialing = slices.Delete(w.dialing, i, i+1)
+func (s *simulation) connect(i int, ok bool) {
+	conn := s.dialing[i]
+	s.dialing = slices.Delete(s.dialing, i, i+1)
 	if !ok {
-		w.do(func() { w.core.EngineConnected(conn, nil, io.ErrUnexpectedEOF) })
+		s.do(func() { s.core.EngineConnected(conn, nil, io.ErrUnexpectedEOF) })
 		return
 	}
-	e := &simulatedEngine{world: w, conn: conn}
-	w.engines = append(w.engines, e)
-	w.do(func() { w.core.EngineConnected(conn, e, nil) })
+	e := &simulatedConnection{simulation: s, conn: conn}
+	s.connections = append(s.connections, e)
+	s.do(func() { s.core.EngineConnected(conn, e, nil) })
 }
 
 // How an engine answers.
@@ -70,55 +70,55 @@
 )
 
 // respond is an engine's next step on a connection with a request in flight.
-func (w *world) respond(e *simulatedEngine, answer string) {
+func (s *simulation) respond(e *simulatedConnection, answer string) {
 	switch {
 	case answer == answerDisconnect || answer == answerInvalid && e.responding:
 		e.closed = true
 		e.loseAttempt()
-		w.do(func() { w.core.EngineDisconnected(e.conn) })
+		s.do(func() { s.core.EngineDisconnected(e.conn) })
 	case answer == answerInvalid:
-		w.do(func() { w.core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
+		s.do(func() { s.core.ResponseInvalid(e.conn, io.ErrUnexpectedEOF) })
 	case e.responding && answer == answerDone:
-		w.do(func() { e.completeResponse("") })
+		s.do(func() { e.completeResponse("") })
 	case e.responding:
-		w.do(func() { w.core.StreamEvent(e.conn, []byte(`{"choices":[2]}`)) })
+		s.do(func() { s.core.StreamEvent(e.conn, []byte(`{"choices":[2]}`)) })
 	case e.method != http.MethodPost:
-		w.do(func() { e.respondWith(204, "") })
+		s.do(func() { e.respondWith(204, "") })
 	default:
-		w.respondToAttempt(e, answer)
+		s.respondToAttempt(e, answer)
 	}
 }
 
 // respondToAttempt is an engine's first step for an attempt.
-func (w *world) respondToAttempt(e *simulatedEngine, answer string) {
+func (s *simulation) respondToAttempt(e *simulatedConnection, answer string) {
 	prefill := e.attempt.prefill
 	switch {
 	case answer == answerRejected || answer == answerNoReservation && prefill:
 		e.attempt.neverRan = true
-		w.do(func() { e.respondWith(503, "", platform.HeaderNotStarted, "1") })
+		s.do(func() { e.respondWith(503, "", platform.HeaderNotStarted, "1") })
 	case answer == answerNoReservation:
 		e.attempt.neverRan = true
-		w.do(func() { e.respondWith(410, "", platform.HeaderNotStarted, "1") })
+		s.do(func() { e.respondWith(410, "", platform.HeaderNotStarted, "1") })
 	case answer == answerError:
 		if prefill {
-			w.addReservation(e.client, e.attempt.engine)
+			s.addReservation(e.client, e.attempt.engine)
 		}
-		w.do(func() { e.respondWith(500, "") })
+		s.do(func() { e.respondWith(500, "") })
 	case prefill:
-		w.addReservation(e.client, e.attempt.engine)
-		w.do(func() { e.respondWith(202, `{"cached_tokens":0}`) })
+		s.addReservation(e.client, e.attempt.engine)
+		s.do(func() { e.respondWith(202, `{"cached_tokens":0}`) })
 	default:
 		e.responding, e.attempt.streaming = true, true
-		w.reservations = slices.DeleteFunc(w.reservations, func(h *simulatedReservation) bool { return h.client == e.client })
-		w.do(func() {
+		s.reservations = slices.DeleteFunc(s.reservations, func(h *simulatedReservation) bool { return h.client == e.client })
+		s.do(func() {
 			e.sendHead(200, "Content-Type", "text/event-stream")
-			w.core.StreamEvent(e.conn, []byte(`{"choices":[1]}`))
+			s.core.StreamEvent(e.conn, []byte(`{"choices":[1]}`))
 		})
 	}
 }
 
 // sendHead sends the head of an answer.
-func (e *simulatedEngine) sendHead(status int, fields ...string) {
+func (e *simulatedConnection) sendHead(status int, fields ...string) {
 	header := http.Header{}
 	for i := 0; i+1 < len(fields); i += 2 {
 		header.Set(fields[i], fields[i+1])
@@ -126,51 +126,51 @@
 	if e.method == http.MethodPost && status != http.StatusOK {
 		e.attempt.inFlight = false // the complete answer is on its way
 	}
-	e.world.core.ResponseHead(e.conn, responseHead(status, header), nil)
+	e.simulation.core.ResponseHead(e.conn, responseHead(status, header), nil)
 }
 
 // completeResponse sends the body of an answer.
-func (e *simulatedEngine) completeResponse(body string) {
+func (e *simulatedConnection) completeResponse(body string) {
 	if e.method == http.MethodPost {
 		e.attempt.inFlight = false
 	}
 	e.method = ""
-	e.world.core.ResponseComplete(e.conn, []byte(body), true)
+	e.simulation.core.ResponseComplete(e.conn, []byte(body), true)
 }
 
 // respondWith sends a complete answer.
-func (e *simulatedEngine) respondWith(status int, body string, fields ...string) {
+func (e *simulatedConnection) respondWith(status int, body string, fields ...string) {
 	e.sendHead(status, fields...)
 	e.completeResponse(body)
 }
 
 // publishEndpoints publishes the list as it is now.
-func (w *world) publishEndpoints() {
-	list := endpoint.List{Revision: w.now}
+func (s *simulation) publishEndpoints() {
+	list := endpoint.List{Revision: s.now}
 	ids := []string{}
-	for id := range w.endpoints {
+	for id := range s.endpoints {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if w.endpoints[id].State != "" {
-			list.Entries = append(list.Entries, w.endpoints[id])
+		if s.endpoints[id].State != "" {
+			list.Entries = append(list.Entries, s.endpoints[id])
 		}
 	}
-	w.do(func() { w.core.UpdateEndpoints(list) })
+	s.do(func() { s.core.UpdateEndpoints(list) })
 }
 
 // setState makes an engine drain, leave the list, or be ready again.
-func (w *world) setState(id, state string) {
-	e := w.endpoints[id]
+func (s *simulation) setState(id, state string) {
+	e := s.endpoints[id]
 	e.State = state
-	w.endpoints[id] = e
+	s.endpoints[id] = e
 	if state == endpoint.Ready {
-		delete(w.drainNotifiedAt, id)
-	} else if w.drainNotifiedAt[id] == 0 {
-		w.drainNotifiedAt[id] = w.now
+		delete(s.drainNotifiedAt, id)
+	} else if s.drainNotifiedAt[id] == 0 {
+		s.drainNotifiedAt[id] = s.now
 	}
-	w.publishEndpoints()
+	s.publishEndpoints()
 }
 
 // randomSettings draws the settings of a deployment: names, effects, limits and times.
@@ -205,32 +205,32 @@
 }
 
 // newWorld makes a world of random settings and engines.
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	nodeConfig, err := platform.ParseNodeConfig("settings", randomSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, now: 1e15, endpoints: map[string]endpoint.Entry{}, drainNotifiedAt: map[string]int64{},
+	s := &simulation{t: t, now: 1e15, endpoints: map[string]endpoint.Entry{}, drainNotifiedAt: map[string]int64{},
 		unreachable: map[string]bool{}}
-	if w.deployment, err = nodeConfig.Deployment("settings"); err != nil {
+	if s.deployment, err = nodeConfig.Deployment("settings"); err != nil {
 		t.Fatal(err)
 	}
-	w.core = router.New(w.deployment, platform.NewCodec(nodeConfig.LoadReportFields()), 1, 1, w.now, w, w)
+	s.core = router.New(s.deployment, platform.NewCodec(nodeConfig.LoadReportFields()), 1, 1, s.now, s, s)
 	for i, kind := range []string{"p", "p", "d", "d", "m"}[:rapid.IntRange(3, 5).Draw(t, "engines")] {
 		id := fmt.Sprint("s", i)
-		w.endpoints[id] = endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
+		s.endpoints[id] = endpoint.Entry{ID: id, Address: "127.0.0.1:1", Kind: kind, Zone: []string{"a", "b"}[i%2], Weight: 1,
 			Cell:  fmt.Sprint(i % 3),
 			State: endpoint.Ready}
 	}
-	w.publishEndpoints()
-	return w
+	s.publishEndpoints()
+	return s
 }
 
 // busyEngines are the connections on which a request waits for its answer.
-func (w *world) busyEngines() (busy []*simulatedEngine) {
-	w.engines = slices.DeleteFunc(w.engines, func(e *simulatedEngine) bool { return e.closed })
-	for _, e := range w.engines {
-		if e.method != "" && !w.unreachable[e.conn.Engine] {
+func (s *simulation) busyConnections() (busy []*simulatedConnection) {
+	s.connections = slices.DeleteFunc(s.connections, func(e *simulatedConnection) bool { return e.closed })
+	for _, e := range s.connections {
+		if e.method != "" && !s.unreachable[e.conn.Engine] {
 			busy = append(busy, e)
 		}
 	}
@@ -238,53 +238,53 @@
 }
 
 // step is one random event.
-func (w *world) step() {
+func (s *simulation) step() {
 	answers := []string{answerDone, answerDone, answerDone, answerToken, answerRejected, answerNoReservation,
 		answerError, answerDisconnect, answerInvalid}
-	switch kind := rapid.IntRange(0, 12).Draw(w.t, "event"); {
-	case kind <= 1 && len(w.clients) < 12:
-		w.sendRequest()
-	case kind <= 4 && len(w.dialing) > 0:
-		w.connect(rapid.IntRange(0, len(w.dialing)-1).Draw(w.t, "dial"), rapid.IntRange(0, 4).Draw(w.t, "comes up") > 0)
-	case kind <= 8 && len(w.busyEngines()) > 0:
-		engine, answer := rapid.SampledFrom(w.busyEngines()).Draw(w.t, "engine"), rapid.SampledFrom(answers).Draw(w.t, "word")
-		w.delay = min(time.Duration(rapid.SampledFrom([]int{0, 0, 0, 50, 200}).Draw(w.t, "late in ms"))*time.Millisecond,
-			time.Duration(w.now-engine.writtenAt))
-		w.core.SetEarliestEventTime(w.now - int64(w.delay))
-		w.respond(engine, answer)
-		w.delay = 0
-		w.core.SetEarliestEventTime(0)
-	case kind == 9 && len(w.clients) > 0:
-		if c := rapid.SampledFrom(w.clients).Draw(w.t, "client"); !c.disconnected && c.respondedAt == 0 {
-			w.disconnect(c)
+	switch kind := rapid.IntRange(0, 12).Draw(s.t, "event"); {
+	case kind <= 1 && len(s.clients) < 12:
+		s.sendRequest()
+	case kind <= 4 && len(s.dialing) > 0:
+		s.connect(rapid.IntRange(0, len(s.dialing)-1).Draw(s.t, "dial"), rapid.IntRange(0, 4).Draw(s.t, "comes up") > 0)
+	case kind <= 8 && len(s.busyConnections()) > 0:
+		engine, answer := rapid.SampledFrom(s.busyConnections()).Draw(s.t, "engine"), rapid.SampledFrom(answers).Draw(s.t, "word")
+		s.delay = min(time.Duration(rapid.SampledFrom([]int{0, 0, 0, 50, 200}).Draw(s.t, "late in ms"))*time.Millisecond,
+			time.Duration(s.now-engine.writtenAt))
+		s.core.SetEarliestEventTime(s.now - int64(s.delay))
+		s.respond(engine, answer)
+		s.delay = 0
+		s.core.SetEarliestEventTime(0)
+	case kind == 9 && len(s.clients) > 0:
+		if c := rapid.SampledFrom(s.clients).Draw(s.t, "client"); !c.disconnected && c.respondedAt == 0 {
+			s.disconnect(c)
 		}
 	case kind == 10:
-		id := fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "listed"))
-		w.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(w.t, "state"))
-	case kind == 12 && len(w.unreachable) == 0: // one at a time, so that another handles releases
-		w.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(w.endpoints)-1).Draw(w.t, "deaf"))] = true
+		id := fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "listed"))
+		s.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(s.t, "state"))
+	case kind == 12 && len(s.unreachable) == 0: // one at a time, so that another handles releases
+		s.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "deaf"))] = true
 	case kind == 12:
-		clear(w.unreachable)
-	case kind == 11 && rapid.IntRange(0, 5).Draw(w.t, "stops") == 0:
-		w.do(w.core.Shutdown)
+		clear(s.unreachable)
+	case kind == 11 && rapid.IntRange(0, 5).Draw(s.t, "stops") == 0:
+		s.do(s.core.Shutdown)
 	default:
-		w.pass(time.Duration(rapid.IntRange(1, 400).Draw(w.t, "time in ms")) * time.Millisecond)
+		s.advance(time.Duration(rapid.IntRange(1, 400).Draw(s.t, "time in ms")) * time.Millisecond)
 	}
 }
 
 // settle lets everything in flight end well.
-func (w *world) settle() {
-	w.core.SetEarliestEventTime(0)
+func (s *simulation) settle() {
+	s.core.SetEarliestEventTime(0)
 	for range 400 {
-		for len(w.dialing) > 0 {
-			w.connect(0, true)
+		for len(s.dialing) > 0 {
+			s.connect(0, true)
 		}
-		for _, e := range w.busyEngines() {
+		for _, e := range s.busyConnections() {
 			if !e.closed && e.method != "" {
-				w.respond(e, answerDone)
+				s.respond(e, answerDone)
 			}
 		}
-		w.pass(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 	}
 }
 
@@ -292,11 +292,11 @@
 // the names, classes or limits of one deployment.
 func TestInvariantsOnRandomSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		for range rapid.IntRange(5, 80).Draw(t, "events") {
-			w.step()
+			s.step()
 		}
-		w.settle()
-		w.checkFinalState()
+		s.settle()
+		s.checkFinalState()
 	})
 }
--- a/internal/router/reference_test.go
+++ b/internal/router/reference_test.go
@@ -20,22 +20,22 @@
 // What follows computes by a look at everything what the router finds by its indexes, and compares the two.
 
 // fleetWorld is a router's view of a fleet that changes at random.
-type fleetWorld struct {
+type fleetSimulation struct {
 	router *Router
 	now    int64
 }
 
-func newFleetWorld(t *rapid.T) *fleetWorld {
-	w := &fleetWorld{router: &Router{environment: environment{config: config.Defaults()}, endpoints: newEndpointState(),
+func newFleetSimulation(t *rapid.T) *fleetSimulation {
+	s := &fleetSimulation{router: &Router{environment: environment{config: config.Defaults()}, endpoints: newEndpointState(),
 		connections: newEngineConnections(config.Defaults().Connections)}, now: int64(time.Hour)}
-	w.update(t)
-	return w
+	s.publishRandomList(t)
+	return s
 }
 
-func fleetEngine(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "engine")) }
+func randomEngine(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "engine")) }
 
 // update publishes a list.
-func (w *fleetWorld) update(t *rapid.T) {
+func (s *fleetSimulation) publishRandomList(t *rapid.T) {
 	list := &endpoint.List{}
 	var listed []routing.Endpoint
 	for i := range 21 {
@@ -46,36 +46,36 @@
 		}
 	}
 	slices.SortFunc(list.Entries, func(a, b endpoint.Entry) int { return cmp.Compare(a.ID, b.ID) })
-	w.router.endpoints.noteEngines(listed, w.now)
-	w.router.endpoints.setCurrent(list)
+	s.router.endpoints.recordEngines(listed, s.now)
+	s.router.endpoints.setCurrent(list)
 }
 
 // change lets time pass and something happen.
-func (w *fleetWorld) change(t *rapid.T) {
-	w.now += rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "later")
-	w.router.now = w.now
+func (s *fleetSimulation) applyRandomEvent(t *rapid.T) {
+	s.now += rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "later")
+	s.router.now = s.now
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0:
-		w.update(t)
+		s.publishRandomList(t)
 	case 1:
-		w.router.endpoints.lastResponseAt[fleetEngine(t)] = w.now - rapid.Int64Range(0, 3).Draw(t, "ago")
+		s.router.endpoints.lastResponseAt[randomEngine(t)] = s.now - rapid.Int64Range(0, 3).Draw(t, "ago")
 	default:
-		if lease := w.router.connections.Acquire(fleetEngine(t), w.now, 0, 0); lease.OK && rapid.Bool().Draw(t, "idle") {
-			w.router.connections.Handle(lease.ID, connpool.Dialed, w.now)
-			w.router.connections.Handle(lease.ID, connpool.Released, w.now)
+		if lease := s.router.connections.Acquire(randomEngine(t), s.now, 0, 0); lease.OK && rapid.Bool().Draw(t, "idle") {
+			s.router.connections.Handle(lease.ID, connpool.Dialed, s.now)
+			s.router.connections.Handle(lease.ID, connpool.Released, s.now)
 		}
 	}
 }
 
 // scanReleaseCandidates are all that a release may go to, in order.
-func (w *fleetWorld) scanReleaseCandidates(reserved *reservation.Reservation) (engines []string) {
-	for _, entry := range w.router.endpoints.current.Entries {
+func (s *fleetSimulation) scanReleaseCandidates(reserved *reservation.Reservation) (engines []string) {
+	for _, entry := range s.router.endpoints.current.Entries {
 		if !slices.Contains(reserved.ReleaseTargets, entry.ID) {
 			engines = append(engines, entry.ID)
 		}
 	}
-	at := w.router.endpoints.lastResponseAt
-	slices.SortStableFunc(engines, func(a, b string) int { return cmp.Compare(at[b], at[a]) })
+	lastResponseAt := s.router.endpoints.lastResponseAt
+	slices.SortStableFunc(engines, func(a, b string) int { return cmp.Compare(lastResponseAt[b], lastResponseAt[a]) })
 	if i := slices.Index(engines, reserved.Engine); i >= 0 {
 		engines = slices.Insert(slices.Delete(engines, i, i+1), 0, reserved.Engine)
 	}
@@ -83,10 +83,10 @@
 }
 
 // scanFirstTargets are those of the first release.
-func (w *fleetWorld) scanFirstTargets(reserved *reservation.Reservation) []string {
-	engines := w.scanReleaseCandidates(reserved)
+func (s *fleetSimulation) scanFirstTargets(reserved *reservation.Reservation) []string {
+	engines := s.scanReleaseCandidates(reserved)
 	connected := slices.IndexFunc(engines, func(engine string) bool {
-		return engine != reserved.Engine && w.router.connections.HasReusable(engine, w.now, w.router.config.Connections.IdleTimeout)
+		return engine != reserved.Engine && s.router.connections.HasReusable(engine, s.now, s.router.config.Connections.IdleTimeout)
 	})
 	switch {
 	case connected < 0:
@@ -97,22 +97,22 @@
 	return []string{reserved.Engine, engines[connected]}
 }
 
-func TestReleaseTargetsAgreeWithAScan(t *testing.T) {
+func TestReleaseTargetsMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFleetWorld(t)
+		s := newFleetSimulation(t)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			w.change(t)
+			s.applyRandomEvent(t)
 		}
-		reserved := &reservation.Reservation{Engine: fleetEngine(t)}
-		if got, want := w.router.anyEngineTargets(reserved, true), w.scanFirstTargets(reserved); !slices.Equal(got, want) {
+		reserved := &reservation.Reservation{Engine: randomEngine(t)}
+		if got, want := s.router.targetsAmongAllEngines(reserved, true), s.scanFirstTargets(reserved); !slices.Equal(got, want) {
 			t.Fatalf("the first release goes to %v, want %v", got, want)
 		}
 		for range 12 {
-			if len(reserved.ReleaseTargets) >= len(w.router.endpoints.current.Entries) {
+			if len(reserved.ReleaseTargets) >= len(s.router.endpoints.current.Entries) {
 				reserved.ReleaseTargets = nil
 			}
-			want := w.scanReleaseCandidates(reserved)
-			got := w.router.anyEngineTargets(reserved, false)
+			want := s.scanReleaseCandidates(reserved)
+			got := s.router.targetsAmongAllEngines(reserved, false)
 			if want = want[:min(parallelReleases, len(want))]; !slices.Equal(got, want) {
 				t.Fatalf("a release goes to %v, want %v", got, want)
 			}
@@ -121,31 +121,31 @@
 	})
 }
 
-func TestListedEnginesAgreeWithAScan(t *testing.T) {
+func TestEndpointLookupMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFleetWorld(t)
+		s := newFleetSimulation(t)
 		since := map[string]int64{} // not ready since
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			w.change(t)
+			s.applyRandomEvent(t)
 			for i := range 21 {
 				id := fmt.Sprint("s", i)
-				at := slices.IndexFunc(w.router.endpoints.current.Entries, func(e endpoint.Entry) bool { return e.ID == id })
+				position := slices.IndexFunc(s.router.endpoints.current.Entries, func(e endpoint.Entry) bool { return e.ID == id })
 				var want endpoint.Entry
-				if at >= 0 {
-					want = w.router.endpoints.current.Entries[at]
+				if position >= 0 {
+					want = s.router.endpoints.current.Entries[position]
 				}
-				if got := w.router.endpoints.find(id); got != want || w.router.endpoints.isListed(id) != (at >= 0) {
+				if got := s.router.endpoints.find(id); got != want || s.router.endpoints.isListed(id) != (position >= 0) {
 					t.Fatalf("%s is found as %+v, want %+v", id, got, want)
 				}
-				checkDrain(t, w, id, want, since)
+				checkDrain(t, s, id, want, since)
 			}
 		}
 	})
 }
 
 // checkDrain compares since when an engine is not ready with the test's own account. Engines that left are forgotten.
-func checkDrain(t *rapid.T, w *fleetWorld, id string, entry endpoint.Entry, since map[string]int64) {
-	drainedAt := w.router.endpoints.drains[id]
+func checkDrain(t *rapid.T, s *fleetSimulation, id string, entry endpoint.Entry, since map[string]int64) {
+	drainedAt := s.router.endpoints.drains[id]
 	switch {
 	case entry.State == endpoint.Ready:
 		delete(since, id)
@@ -156,7 +156,7 @@
 	if drainedAt != since[id] && !forgotten {
 		t.Fatalf("%s, %q, is not ready since %d, want %d", id, entry.State, drainedAt, since[id])
 	}
-	if entry.State == endpoint.Draining && drainedAt == 0 || entry.ID == "" && drainedAt == 0 && since[id] != 0 && w.now-since[id] <= departedRetention {
+	if entry.State == endpoint.Draining && drainedAt == 0 || entry.ID == "" && drainedAt == 0 && since[id] != 0 && s.now-since[id] <= departedRetention {
 		t.Fatalf("%s, %q, counts as ready", id, entry.State)
 	}
 	if forgotten {
@@ -170,7 +170,7 @@
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			deployment := config.Defaults()
 			deployment.Kinds = []config.EngineKind{{Name: "m1", Role: config.RolePrefill}, {Name: "m2", Role: config.RoleDecode}}
-			w := &fleetWorld{router: New(deployment, chatapi.NewCodec(nil), 1, 1, 1, nil, ignoredLists{})}
+			s := &fleetSimulation{router: New(deployment, chatapi.NewCodec(nil), 1, 1, 1, nil, listOnlyObserver{})}
 			list := endpoint.List{}
 			for i := range engines {
 				list.Entries = append(list.Entries, endpoint.Entry{ID: fmt.Sprintf("s-%04d", i), Kind: fmt.Sprint("m", 1+i%2),
@@ -180,14 +180,14 @@
 				list.Revision++
 				list.Entries = slices.Clone(list.Entries)
 				list.Entries[0].State = []string{endpoint.Ready, endpoint.Draining}[list.Revision%2]
-				w.router.UpdateEndpoints(list)
+				s.router.UpdateEndpoints(list)
 			}
 		})
 	}
 }
 
 // ignoredLists is an observer of a router that gets nothing but lists.
-type ignoredLists struct{ Observer }
+type listOnlyObserver struct{ Observer }
 
-func (ignoredLists) AroundStep(_ routing.Event, step func()) { step() }
-func (ignoredLists) EndpointsUpdated(int64, int, []string)   {}
+func (listOnlyObserver) AroundStep(_ routing.Event, step func()) { step() }
+func (listOnlyObserver) EndpointsUpdated(int64, int, []string)   {}
--- a/internal/router/request_admission.go
+++ b/internal/router/request_admission.go
@@ -15,7 +15,7 @@
 // admitRequest hands a request to the policy, or answers it before the policy hears of it.
 func (r *Router) admitRequest(client *ClientConnection, received *ClientRequest) {
 	route := r.config.Route(received.Call.Route)
-	if !r.isValid(client, received, route) || !r.isAllowed(client, received) || !r.hasCapacity(client, received) {
+	if !r.validateRequest(client, received, route) || !r.checkAcceptance(client, received) || !r.acquireCapacity(client, received) {
 		return
 	}
 	req := r.newRequest(client, received, route)
@@ -23,12 +23,12 @@
 	r.requests.add(req)
 	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: r.effect(route),
 		DedupWindow: r.config.Routes[route].DedupWindow, Deadline: req.deadline})
-	r.notifyPolicy(r.arrivalOf(req))
-	r.forgetRequest(req)
+	r.notifyPolicy(r.arrivalEvent(req))
+	r.forgetIfFinished(req)
 }
 
 // isValid is whether a request can be served at all. If not, it is answered.
-func (r *Router) isValid(client *ClientConnection, received *ClientRequest, route int) bool {
+func (r *Router) validateRequest(client *ClientConnection, received *ClientRequest, route int) bool {
 	if route < 0 {
 		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
 			fmt.Sprintf("there is no model route %q", received.Call.Route)))
@@ -43,13 +43,13 @@
 }
 
 // isAllowed is whether the invariants let a request start. If not, it is answered. Its name is taken from now on.
-func (r *Router) isAllowed(client *ClientConnection, received *ClientRequest) bool {
+func (r *Router) checkAcceptance(client *ClientConnection, received *ClientRequest) bool {
 	name := received.Call.ID
 	arrival := invariant.Arrival{DuplicateID: r.requests.isKnown(name), Accepting: r.acceptsRequests()}
 	switch reason := invariant.MayAccept(arrival); reason {
 	case invariant.Allowed:
 		if name != "" {
-			r.requests.names.add(name)
+			r.requests.recentNames.add(name)
 		}
 		return true
 	case invariant.DuplicateRequestID:
@@ -62,9 +62,9 @@
 }
 
 // hasCapacity is whether the limits of this router leave capacity for a request. If not, it is shed.
-func (r *Router) hasCapacity(client *ClientConnection, received *ClientRequest) bool {
+func (r *Router) acquireCapacity(client *ClientConnection, received *ClientRequest) bool {
 	status, reason := http.StatusServiceUnavailable, ShedReason("")
-	if received.excess {
+	if received.exceedsPipeline {
 		r.observer.Rejected(RejectPipelined)
 		reason = shedPipelined
 	} else if !r.admission.retries.Allow(r.now, received.Call.Retried) {
@@ -104,7 +104,7 @@
 
 // arrivalOf is what the policy is told of a new request. A request without a session is one of its own: the policy must not
 // take strangers for one session.
-func (r *Router) arrivalOf(req *request) routing.RequestArrived {
+func (r *Router) arrivalEvent(req *request) routing.RequestArrived {
 	call := req.received.Call
 	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(call.Session, req.name), Prefix: call.Prefix,
 		Waited: time.Duration(r.now - req.arrivedAt), Deadline: time.Duration(req.deadline),
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -18,7 +18,7 @@
 		b := newTestbed(t)
 		b.core.SetTime(b.now)
 		b.core.Shutdown()
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		_, out := b.request("a1", at.route, at.retry)
 		if got := out.String(); !strings.HasPrefix(got, "HTTP/1.1 "+at.status) {
 			t.Errorf("%s %q: %q", at.route, at.retry, got)
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -85,9 +85,9 @@
 	}
 	r.releaseReservations(req)
 	if !req.wasSent() {
-		r.requests.names.remove(req.name)
+		r.requests.recentNames.remove(req.name)
 	}
-	r.forgetRequest(req)
+	r.forgetIfFinished(req)
 }
 
 // abortRequest answers a request with an error and cancels what is in flight of it.
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -11,22 +11,22 @@
 // request is one request of a client that engines are to serve, from its arrival until it is answered and none of its
 // attempts is in flight.
 type request struct {
-	id             int64
-	name           string // as engines know it
-	client         *ClientConnection
-	received       *ClientRequest
-	route          int
-	arrivedAt      int64
-	deadline       int64
-	attempts       []*engineAttempt
-	transfer       protocol.ReservationHandle // what the prefill engine reserved; nil before
-	collector      protocol.Collector         // where the client wants one complete answer; nil for a stream
-	streaming      bool                       // its first token has come
-	firstTokenAt   int64
-	abandonedUntil int64          // until when a cancelled attempt may still act at its engine; 0 where there is none
-	tokens         int            // forwarded by the router; relays count theirs
-	outcome        RequestOutcome // empty until it has one
-	cause          string         // what made the policy end it; empty where it did not
+	id               int64
+	name             string // as engines know it
+	client           *ClientConnection
+	received         *ClientRequest
+	route            int
+	arrivedAt        int64
+	deadline         int64
+	attempts         []*engineAttempt
+	transfer         protocol.ReservationHandle // what the prefill engine reserved; nil before
+	collector        protocol.Collector         // where the client wants one complete answer; nil for a stream
+	streaming        bool                       // its first token has come
+	firstTokenAt     int64
+	mayStillRunUntil int64          // until when a cancelled attempt may still act at its engine; 0 where there is none
+	tokens           int            // forwarded by the router; relays count theirs
+	outcome          RequestOutcome // empty until it has one
+	cause            string         // what made the policy end it; empty where it did not
 }
 
 // forwardsTokens is whether tokens are forwarded to the client as they come.
@@ -44,10 +44,10 @@
 
 // requestTable are the open requests.
 type requestTable struct {
-	byID   map[int64]*request
-	byName map[string]*request
-	names  recentNames // that clients have given
-	lastID int64
+	byID        map[int64]*request
+	byName      map[string]*request
+	recentNames recentNames // that clients have given
+	lastID      int64
 	// justFinished are those that were answered while the present event of the policy is handled.
 	justFinished       []*request
 	attemptTransitions uint64 // transitions of the attempt state machine that have fired, a bit each, from bit 1
@@ -66,7 +66,7 @@
 
 // isKnown is whether a request has this name: an open one, or one of the last few thousand.
 func (t *requestTable) isKnown(name string) bool {
-	return t.byName[name] != nil || t.names.contains(name)
+	return t.byName[name] != nil || t.recentNames.contains(name)
 }
 
 func (t *requestTable) add(req *request) { t.byID[req.id], t.byName[req.name] = req, req }
@@ -90,7 +90,7 @@
 }
 
 // forgetRequest drops a request that is answered and has no attempt in flight.
-func (r *Router) forgetRequest(req *request) {
+func (r *Router) forgetIfFinished(req *request) {
 	if req.outcome != "" && !req.inFlight() {
 		r.removeRequest(req)
 	}
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -29,11 +29,11 @@
 	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without an answer of the engine
 	if cancelled && r.config.ReleaseRepeatTime > 0 {
 		// Engines know the timeout of a request, and need some time to notice that it has passed.
-		req.abandonedUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
+		req.mayStillRunUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
 	}
 	switch {
 	case att.decode:
-		r.updateReservations(req, claimResult(result.Verdict, cancelled))
+		r.updateReservations(req, claimEvent(result.Verdict, cancelled))
 	case result.Verdict == routing.PrefillDone:
 		r.addReservation(att, reservation.PrefillDone)
 	case result.MayLeaveReservation:
@@ -44,16 +44,16 @@
 func (r *Router) addReservation(att *engineAttempt, event reservation.Event) {
 	id := reservation.ID{Request: att.request.name, Attempt: att.index}
 	reserved := r.reservations.Add(id, att.engine, event, reservation.EventTimes{Now: r.now,
-		Since: max(att.writtenAt, r.earliestEventTime()), Horizon: att.request.abandonedUntil})
+		Since: max(att.writtenAt, r.earliestEventTime()), Horizon: att.request.mayStillRunUntil})
 	if reserved == nil {
 		r.observer.ReservationChanged(ReleaseTableFull)
 		return
 	}
-	r.runReservation(reserved)
+	r.advanceReservation(reserved)
 }
 
 // claimResult is what the verdict of a decode says of the reservation that it may have claimed.
-func claimResult(verdict routing.Verdict, cancelled bool) reservation.Event {
+func claimEvent(verdict routing.Verdict, cancelled bool) reservation.Event {
 	switch {
 	case verdict == routing.Completed:
 		return reservation.Consumed
@@ -69,14 +69,14 @@
 func (r *Router) releaseReservations(req *request) { r.updateReservations(req, reservation.Unneeded) }
 
 func (r *Router) updateReservations(req *request, event reservation.Event) {
-	times := reservation.EventTimes{Now: r.now, Since: r.earliestEventTime(), Horizon: req.abandonedUntil}
+	times := reservation.EventTimes{Now: r.now, Since: r.earliestEventTime(), Horizon: req.mayStillRunUntil}
 	for _, reserved := range r.reservations.HandleAttempt(req.name, event, times) {
-		r.runReservation(reserved)
+		r.advanceReservation(reserved)
 	}
 }
 
 // runReservation does what is due for a reservation.
-func (r *Router) runReservation(reserved *reservation.Reservation) {
+func (r *Router) advanceReservation(reserved *reservation.Reservation) {
 	action, expiredState := r.reservations.HandleDue(reserved, r.now)
 	switch expiredState {
 	case reservation.Reserved:
@@ -93,11 +93,11 @@
 }
 
 func (r *Router) sendReleases(reserved *reservation.Reservation) {
-	first := len(reserved.ReleaseTargets) == 0
-	if first {
+	isFirst := len(reserved.ReleaseTargets) == 0
+	if isFirst {
 		r.observer.ReservationChanged(ReleaseSent)
 	}
-	for _, engine := range r.releaseTargets(reserved, first) {
+	for _, engine := range r.releaseTargets(reserved, isFirst) {
 		// Where only one engine can handle it, every second release is on a connection of its own.
 		newConnection := !r.protocol.ReleaseReachesAllEngines() && len(reserved.ReleaseTargets)%2 == 1
 		reserved.ReleaseTargets = append(reserved.ReleaseTargets, engine)
@@ -107,34 +107,34 @@
 
 // releaseTargets are the engines that a release goes to now. Where any engine handles releases, that is the one that holds the
 // reservation, and with the first release one that there is an idle connection to; with later ones, those that answered last.
-func (r *Router) releaseTargets(reserved *reservation.Reservation, first bool) []string {
+func (r *Router) releaseTargets(reserved *reservation.Reservation, isFirst bool) []string {
 	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints.current == nil {
 		return []string{reserved.Engine}
 	}
-	return r.anyEngineTargets(reserved, first)
+	return r.targetsAmongAllEngines(reserved, isFirst)
 }
 
 // anyEngineTargets are those of a release that any engine handles.
-func (r *Router) anyEngineTargets(reserved *reservation.Reservation, first bool) []string {
-	if !first {
+func (r *Router) targetsAmongAllEngines(reserved *reservation.Reservation, isFirst bool) []string {
+	if !isFirst {
 		return r.releaseCandidates(reserved, parallelReleases)
 	}
 	// A new connection for each release would cost too much.
-	candidates, connected := r.releaseCandidates(reserved, 1), r.lastAnsweringConnected(reserved.Engine)
+	candidates, connectedEngine := r.releaseCandidates(reserved, 1), r.latestConnectedResponder(reserved.Engine)
 	switch {
-	case connected == "":
+	case connectedEngine == "":
 		return candidates
 	case !r.endpoints.isListed(reserved.Engine):
-		return []string{connected}
+		return []string{connectedEngine}
 	}
-	return []string{reserved.Engine, connected}
+	return []string{reserved.Engine, connectedEngine}
 }
 
 // lastAnsweringConnected is the engine, of those other than one that an idle connection is open to, that answered last; empty
 // where there is none.
-func (r *Router) lastAnsweringConnected(except string) (last string) {
+func (r *Router) latestConnectedResponder(except string) (last string) {
 	for _, engine := range r.connections.ReusableEngines(r.now, r.config.Connections.IdleTimeout) {
-		if engine != except && r.endpoints.isListed(engine) && (last == "" || r.endpoints.answeredLater(engine, last)) {
+		if engine != except && r.endpoints.isListed(engine) && (last == "" || r.endpoints.respondedLater(engine, last)) {
 			last = engine
 		}
 	}
@@ -143,7 +143,7 @@
 
 // answeredLater is whether an engine answered later than another. Of two that answered at once, or never, the first by ID
 // counts as later.
-func (e *endpointState) answeredLater(engine, other string) bool {
+func (e *endpointState) respondedLater(engine, other string) bool {
 	return cmp.Or(cmp.Compare(e.lastResponseAt[other], e.lastResponseAt[engine]), cmp.Compare(engine, other)) < 0
 }
 
@@ -153,29 +153,29 @@
 	if len(reserved.ReleaseTargets) >= len(r.endpoints.current.Entries) {
 		reserved.ReleaseTargets = reserved.ReleaseTargets[:0]
 	}
-	passed := map[string]bool{} // that the release has gone to, or that are candidates already
+	excluded := map[string]bool{} // that the release has gone to, or that are candidates already
 	for _, engine := range reserved.ReleaseTargets {
-		passed[engine] = true
+		excluded[engine] = true
 	}
 	for len(candidates) < count {
-		next := r.nextReleaseCandidate(reserved.Engine, passed)
+		next := r.nextReleaseCandidate(reserved.Engine, excluded)
 		if next == "" {
 			break
 		}
-		passed[next] = true
+		excluded[next] = true
 		candidates = append(candidates, next)
 	}
 	return candidates
 }
 
 // nextReleaseCandidate is the first listed engine that is not passed; empty where there is none.
-func (r *Router) nextReleaseCandidate(holder string, passed map[string]bool) (next string) {
-	isCandidate := func(engine string) bool { return !passed[engine] && r.endpoints.isListed(engine) }
+func (r *Router) nextReleaseCandidate(holder string, excluded map[string]bool) (next string) {
+	isCandidate := func(engine string) bool { return !excluded[engine] && r.endpoints.isListed(engine) }
 	if isCandidate(holder) {
 		return holder
 	}
 	for engine := range r.endpoints.lastResponseAt {
-		if isCandidate(engine) && (next == "" || r.endpoints.answeredLater(engine, next)) {
+		if isCandidate(engine) && (next == "" || r.endpoints.respondedLater(engine, next)) {
 			next = engine
 		}
 	}
@@ -183,7 +183,7 @@
 		return next
 	}
 	for _, entry := range r.endpoints.current.Entries { // those that never answered
-		if !passed[entry.ID] {
+		if !excluded[entry.ID] {
 			return entry.ID
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 // releaseAcknowledged handles an engine's acknowledgement of a release.
-func (r *Router) releaseAcknowledged(control *controlRequest) {
+func (r *Router) handleReleaseAcknowledged(control *controlRequest) {
 	r.observer.ReservationChanged(ReleaseAcknowledged)
 	r.reservations.Acknowledge(control.reservation, control.round, r.now)
 }
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -21,13 +21,13 @@
 	b.answerFull(b.connect())
 	b.do(func() { b.core.ClientDisconnected(client) })
 	for range 700 { // well under the reservation limit of a second
-		b.pass(time.Millisecond)
+		b.advance(time.Millisecond)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
 	}
 	releases := map[string]int{}
-	for _, s := range b.engines {
+	for _, s := range b.engineSockets {
 		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if releases["r"] == 0 || releases["w"] == 0 || releases["w2"] == 0 {
@@ -51,11 +51,11 @@
 }
 
 // releases counts the releases that were written for a request, to any engine. All dials succeed.
-func (b *testbed) releases(name string) (n int) {
+func (b *testbed) countReleases(name string) (n int) {
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	for _, s := range b.engines {
+	for _, s := range b.engineSockets {
 		n += strings.Count(s.written.String(), "DELETE /v1/holds/"+name+" ")
 	}
 	return n
@@ -75,21 +75,21 @@
 	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.do(func() { b.core.ClientDisconnected(client) })
 	for range 20 { // each answered
-		b.releases("a1")
-		for _, s := range b.engines {
+		b.countReleases("a1")
+		for _, s := range b.engineSockets {
 			if strings.Contains(s.written.String(), "DELETE") && !s.closed {
 				b.respond(s, 204, nil, "")
 			}
 		}
-		b.pass(5 * time.Millisecond)
+		b.advance(5 * time.Millisecond)
 	}
-	early := b.releases("a1")
-	b.pass(600 * time.Millisecond)
-	if again := b.releases("a1"); early == 0 || again <= early {
+	early := b.countReleases("a1")
+	b.advance(600 * time.Millisecond)
+	if again := b.countReleases("a1"); early == 0 || again <= early {
 		t.Errorf("%d releases at first, %d after 0.7 s", early, again)
 	}
-	if h := b.core.InFlight(); h.Reservations != 1 || h.OldestReservation < 600*time.Millisecond {
-		t.Errorf("in flight: %+v", h)
+	if inFlight := b.core.InFlight(); inFlight.Reservations != 1 || inFlight.OldestReservation < 600*time.Millisecond {
+		t.Errorf("in flight: %+v", inFlight)
 	}
 }
 
@@ -97,14 +97,14 @@
 // released in time all the same, and once more if the attempt is rejected later without having claimed it.
 func TestReservationBehindAnUndeliveredAttemptIsReleased(t *testing.T) {
 	b, _, decode := testbedWithDecodeInFlight(t, "alert")
-	b.pass(time.Second)
-	early := b.releases("a1")
+	b.advance(time.Second)
+	early := b.countReleases("a1")
 	if early == 0 {
 		t.Error("no release within the limit")
 	}
 	b.answerFull(decode)
-	b.pass(10 * time.Millisecond)
-	if again := b.releases("a1"); again <= early {
+	b.advance(10 * time.Millisecond)
+	if again := b.countReleases("a1"); again <= early {
 		t.Errorf("%d releases before the decode engine rejects, %d after", early, again)
 	}
 }
@@ -115,11 +115,11 @@
 	b.setEndpoints("r") // no decode engine is there
 	b.request("a1", "alert")
 	s := b.connect()
-	b.pass(700 * time.Millisecond)
+	b.advance(700 * time.Millisecond)
 	b.core.SetEarliestEventTime(b.now - int64(600*time.Millisecond))
 	b.answerPrefill(s)
-	b.pass(200 * time.Millisecond)
-	if b.releases("a1") == 0 {
+	b.advance(200 * time.Millisecond)
+	if b.countReleases("a1") == 0 {
 		t.Error("a reservation of 0.8 s is not released")
 	}
 }
@@ -142,8 +142,8 @@
 		}
 		b.panicNext = true
 		b.setEndpoints("r", "w")
-		b.pass(600 * time.Millisecond)
-		if n := b.releases("a1"); n == 0 || b.core.InFlight().Requests != 0 {
+		b.advance(600 * time.Millisecond)
+		if n := b.countReleases("a1"); n == 0 || b.core.InFlight().Requests != 0 {
 			t.Errorf("%s: %d releases, %+v", at, n, b.core.InFlight())
 		}
 	}
@@ -172,17 +172,17 @@
 		b.do(func() { b.core.ClientDisconnected(client) })
 		answered, engines := map[*fakeEngineSocket]int{}, map[string]bool{}
 		for range 3000 { // 15 seconds
-			b.releases("a1")
-			for _, s := range b.engines {
+			b.countReleases("a1")
+			for _, s := range b.engineSockets {
 				if n := strings.Count(s.written.String(), "DELETE"); n > answered[s] && !s.closed {
 					answered[s] = n
 					engines[s.conn.Engine] = true
 					answer(b, s)
 				}
 			}
-			b.pass(5 * time.Millisecond)
+			b.advance(5 * time.Millisecond)
 		}
-		if n := b.releases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.InFlight().Reservations != 0 {
+		if n := b.countReleases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.InFlight().Reservations != 0 {
 			t.Errorf("%s: %d releases to %d engines, %+v", name, n, len(engines), b.core.InFlight())
 		}
 	}
@@ -192,10 +192,10 @@
 func TestReleaseGoesToTwoEnginesInParallel(t *testing.T) {
 	b, client, decode := testbedWithDecodeInFlight(t, "chat")
 	b.answerFull(decode)
-	b.pass(25 * time.Millisecond) // its connection is idle now, as that of the prefill engine is
+	b.advance(25 * time.Millisecond) // its connection is idle now, as that of the prefill engine is
 	b.do(func() { b.core.ClientDisconnected(client) })
 	releases := map[string]int{}
-	for _, s := range b.engines {
+	for _, s := range b.engineSockets {
 		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if releases["r"] != 1 || releases["w"] != 1 {
@@ -209,19 +209,19 @@
 	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.expectedViolation = invariant.ReservedTooLong
 	b.do(func() { b.core.ClientDisconnected(client) })
-	for outageEnd := b.now + int64(8*time.Second); b.now < outageEnd; b.pass(5 * time.Millisecond) {
+	for outageEnd := b.now + int64(8*time.Second); b.now < outageEnd; b.advance(5 * time.Millisecond) {
 		for len(b.dials) > 0 {
 			conn := b.dials[0]
 			b.dials = b.dials[1:]
 			b.do(func() { b.core.EngineConnected(conn, nil, errors.New("unreachable")) })
 		}
 	}
-	before := b.releases("a1")
-	b.pass(time.Second)
+	before := b.countReleases("a1")
+	b.advance(time.Second)
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	if b.releases("a1") == before {
+	if b.countReleases("a1") == before {
 		t.Error("no release is sent when connections come up again after 8 s")
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -72,10 +72,10 @@
 func (r *Router) RunDue(now int64) {
 	r.SetTime(now)
 	for _, reserved := range r.reservations.DueBy(now) {
-		r.runReservation(reserved)
+		r.advanceReservation(reserved)
 	}
 	r.fireTimers()
-	if r.reapDue() {
+	if r.startReapIfDue() {
 		r.reap()
 	}
 	r.reportViolations()
@@ -84,7 +84,7 @@
 
 // NextDue is when RunDue is next needed if nothing happens before.
 func (r *Router) NextDue() int64 {
-	return min(r.nextReap(), r.reservations.NextDue(), r.policy.timers.next())
+	return min(r.nextReapAt(), r.reservations.NextDue(), r.policy.timers.next())
 }
 
 // reap ends what has waited too long and has no timer of its own: stalled streams, slow clients, idle connections.
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -37,9 +37,9 @@
 // until a peer is heard: rolling restarts follow one another, and if the router before is not back yet, clients find
 // nobody. Where peers serve and are not heard, the wait only delays the drain.
 func (r *Router) drainClients() {
-	stays := r.config.ShutdownAcceptTime > 0 && r.now-r.shutdown.requestedAt < int64(r.config.ShutdownStayTime) &&
-		!r.gossip.peerIsFresh(r.now)
-	if !r.shutdown.requested || !r.shutdown.clientsDrained && stays {
+	waitsForPeer := r.config.ShutdownAcceptTime > 0 && r.now-r.shutdown.requestedAt < int64(r.config.ShutdownStayTime) &&
+		!r.gossip.heardRecently(r.now)
+	if !r.shutdown.requested || !r.shutdown.clientsDrained && waitsForPeer {
 		return
 	}
 	r.shutdown.clientsDrained = true
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -20,13 +20,13 @@
 
 // testbed is a router whose sockets are the test's: it sees each byte that is written, and when.
 type testbed struct {
-	ignoredObserver
-	t       *testing.T
-	core    *router.Router
-	now     int64
-	dials   []*router.EngineConnection
-	engines []*fakeEngineSocket
-	events  []routing.Event
+	noopObserver
+	t             *testing.T
+	core          *router.Router
+	now           int64
+	dials         []*router.EngineConnection
+	engineSockets []*fakeEngineSocket
+	events        []routing.Event
 
 	panicNext, mayPanic bool           // the policy, at its next event; and whether the test expects that
 	expectedViolation   invariant.Rule // the one that the test violates, as where no engine acknowledges a release
@@ -54,20 +54,20 @@
 }
 
 // ignoredObserver ignores what a router reports and no test here looks at.
-type ignoredObserver struct{}
-
-func (ignoredObserver) CatchUp()                                         {}
-func (ignoredObserver) SendToPeer(int, string)                           {}
-func (ignoredObserver) RequestFinished(router.RequestSummary)            {}
-func (ignoredObserver) RequestShed(router.ShedRequest)                   {}
-func (ignoredObserver) AttemptEnded(router.AttemptSummary)               {}
-func (ignoredObserver) AttemptBlocked(string, invariant.Reason)          {}
-func (ignoredObserver) ClientClosed(int64, router.CloseReason)           {}
-func (ignoredObserver) ConnectionChanged(string, router.ConnectionEvent) {}
-func (ignoredObserver) FirstToken(string, time.Duration, int)            {}
-func (ignoredObserver) Rejected(router.RejectReason)                     {}
-func (ignoredObserver) ReservationChanged(router.ReservationEvent)       {}
-func (ignoredObserver) EndpointsUpdated(int64, int, []string)            {}
+type noopObserver struct{}
+
+func (noopObserver) CatchUp()                                         {}
+func (noopObserver) SendToPeer(int, string)                           {}
+func (noopObserver) RequestFinished(router.RequestSummary)            {}
+func (noopObserver) RequestShed(router.ShedRequest)                   {}
+func (noopObserver) AttemptEnded(router.AttemptSummary)               {}
+func (noopObserver) AttemptBlocked(string, invariant.Reason)          {}
+func (noopObserver) ClientClosed(int64, router.CloseReason)           {}
+func (noopObserver) ConnectionChanged(string, router.ConnectionEvent) {}
+func (noopObserver) FirstToken(string, time.Duration, int)            {}
+func (noopObserver) Rejected(router.RejectReason)                     {}
+func (noopObserver) ReservationChanged(router.ReservationEvent)       {}
+func (noopObserver) EndpointsUpdated(int64, int, []string)            {}
 
 // ClientClosed records a close of a client's connection.
 func (b *testbed) ClientClosed(client int64, _ router.CloseReason) {
@@ -95,9 +95,9 @@
 // fakeClientSocket is a connection of a client.
 type fakeClientSocket struct {
 	bytes.Buffer
-	reading      bool // a request has been read and not been handed over
-	disconnected bool // it has ended, and the router has not been notified
-	closed       bool
+	hasUnhandledRequest bool // a request has been read and not been handed over
+	disconnected        bool // it has ended, and the router has not been notified
+	closed              bool
 }
 
 func (s *fakeClientSocket) Send(data []byte) error {
@@ -112,7 +112,10 @@
 func (s *fakeClientSocket) StopReading()       {}
 func (s *fakeClientSocket) Close()             { s.closed = true }
 func (s *fakeClientSocket) Disconnected() bool { return s.disconnected }
-func (s *fakeClientSocket) CloseIfIdle() bool  { s.closed = s.closed || !s.reading; return s.closed }
+func (s *fakeClientSocket) CloseIfIdle() bool {
+	s.closed = s.closed || !s.hasUnhandledRequest
+	return s.closed
+}
 
 // testSettings has one class of each effect: chat may run twice, label is deduplicated, alert must not run twice.
 const testSettings = `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":1024},
@@ -168,7 +171,7 @@
 }
 
 // pass lets time pass, with all that falls due meanwhile.
-func (b *testbed) pass(d time.Duration) {
+func (b *testbed) advance(d time.Duration) {
 	for end := b.now + int64(d); b.now < end; {
 		b.now = min(end, max(b.now+1, b.core.NextDue()))
 		b.core.RunDue(b.now)
@@ -176,16 +179,16 @@
 }
 
 // lastClient is the ID of the last client of any test.
-var lastClient int64
+var lastClientID int64
 
 // request sends a request on a new connection; it waits for a connection to a prefill engine then.
-func (b *testbed) request(name, route string, more ...string) (*router.ClientConnection, *fakeClientSocket) {
-	lastClient++
+func (b *testbed) request(name, route string, headers ...string) (*router.ClientConnection, *fakeClientSocket) {
+	lastClientID++
 	out := &fakeClientSocket{}
-	client := &router.ClientConnection{ID: lastClient, Socket: out}
+	client := &router.ClientConnection{ID: lastClientID, Socket: out}
 	b.core.SetTime(b.now)
 	b.core.ClientOpened(client)
-	b.requestOn(client, name, route, more...)
+	b.requestOn(client, name, route, headers...)
 	return client, out
 }
 
@@ -202,7 +205,7 @@
 	}
 	s := &fakeEngineSocket{conn: b.dials[0]}
 	b.dials = b.dials[1:]
-	b.engines = append(b.engines, s)
+	b.engineSockets = append(b.engineSockets, s)
 	b.do(func() { b.core.EngineConnected(s.conn, s, nil) })
 	return s
 }
@@ -232,8 +235,8 @@
 }
 
 // countPosts counts the attempts that were written to engines so far.
-func (b *testbed) countPosts() (n int) {
-	for _, s := range b.engines {
+func (b *testbed) countAttempts() (n int) {
+	for _, s := range b.engineSockets {
 		n += strings.Count(s.written.String(), "POST ")
 	}
 	return n
@@ -252,19 +255,19 @@
 		if r.Method != http.MethodPost {
 			continue
 		}
-		left, err := strconv.ParseFloat(r.Header.Get(platform.HeaderTimeout), 64)
+		seconds, err := strconv.ParseFloat(r.Header.Get(platform.HeaderTimeout), 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		timeouts = append(timeouts, time.Duration(left*float64(time.Second)))
+		timeouts = append(timeouts, time.Duration(seconds*float64(time.Second)))
 	}
 }
 
 // requestOn sends one more request on a client's connection.
-func (b *testbed) requestOn(client *router.ClientConnection, name, route string, more ...string) {
+func (b *testbed) requestOn(client *router.ClientConnection, name, route string, headers ...string) {
 	b.t.Helper()
 	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
-		"Affinity-Key: k%s\r\nRequest-Timeout: 3.0\r\n%sContent-Length: 2\r\n\r\n{}", name, route, name, strings.Join(more, ""))
+		"Affinity-Key: k%s\r\nRequest-Timeout: 3.0\r\n%sContent-Length: 2\r\n\r\n{}", name, route, name, strings.Join(headers, ""))
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		b.t.Fatal(err)
@@ -289,13 +292,13 @@
 }
 
 // untilAnswered lets time pass until a client has an answer.
-func (b *testbed) untilAnswered(out *fakeClientSocket) {
+func (b *testbed) waitForAnswer(out *fakeClientSocket) {
 	b.t.Helper()
 	for range 100 {
 		if len(responseStatuses(b.t, out)) > 0 {
 			return
 		}
-		b.pass(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
 	b.t.Fatal("never answered")
 }
