--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -2,15 +2,15 @@
 
 import "cmp"
 
-// Rejection states why a request is not admitted.
+// Rejection is the reason why a request is not admitted.
 type Rejection uint8
 
 // The rejections.
 const (
 	Admitted         Rejection = iota
-	QuotaExceeded              // the client has its fair share open already, and there is no more to give
-	CapacityExceeded           // the router has as many open requests as it may
-	BufferFull                 // the router buffers as many bytes as it may
+	QuotaExceeded              // the tenant has its fair share of requests open, and no spare capacity is left
+	CapacityExceeded           // the router has reached its limit of open requests
+	BufferFull                 // the router has exceeded its limit of buffered bytes
 )
 
 var rejectionNames = [...]string{
@@ -23,15 +23,15 @@
 // String returns the rejection's name.
 func (r Rejection) String() string { return rejectionNames[r] }
 
-// Of the limit of open requests, three quarters are open to every client. The last one is for clients that have less than
-// their equal share of the first three, so that a client that floods the router, even while it is alone, cannot keep out
-// those that come later.
+// Three quarters of the limit of open requests are available to every tenant. The last quarter is for tenants that have less
+// than their equal share of the first three, so that a tenant that floods the router, even while it is alone, cannot lock
+// out tenants that arrive later.
 const (
 	quarters       = 4
 	commonQuarters = 3
 )
 
-// Admit counts a request of a client as open, or returns why it is rejected.
+// Admit counts a request of a tenant as open, or returns why it is rejected.
 func (ct *Controller) Admit(id int64, tenant string) Rejection {
 	c, open := ct.connections[id], ct.openByTenant[tenant]
 	tenants := len(ct.openByTenant)
@@ -64,8 +64,9 @@
 	}
 }
 
-// LargestUnfinished is the connection with the most bytes of an incomplete request while too many bytes are buffered; 0 for
-// none. It is closed first, as a client that sends much and slowly holds up all others.
+// LargestUnfinished returns the connection with the most buffered bytes of an incomplete request while the limit of
+// buffered bytes is exceeded; 0 for none. That connection is closed first, as a client that slowly sends a large request
+// holds up all others.
 func (ct *Controller) LargestUnfinished() int64 {
 	if ct.bufferedBytes <= ct.limits.BufferedBytes {
 		return 0
@@ -83,7 +84,8 @@
 	return largest.id
 }
 
-// largerThan orders by buffered bytes; of equal connections the older one counts as larger.
+// largerThan reports whether a buffers more bytes than b; of two connections with equally many the older one counts as
+// larger.
 func largerThan(a, b *connection) bool {
 	return cmp.Or(cmp.Compare(a.bufferedBytes, b.bufferedBytes), cmp.Compare(b.id, a.id)) > 0
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
-// Package admission decides what one router takes from its clients: how many connections, open requests and bytes, how
+// Package admission decides what one router accepts from its clients: how many connections, open requests and bytes, how
 // long a header and a body may take, and what is rejected first when a limit is reached. It does no I/O.
 //
-// Limits are shared fairly: a client that uses less than an equal share is rejected last.
+// Limits are shared fairly: a tenant that uses less than an equal share is rejected last.
 package admission
 
 import (
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Limits bound what one router takes from its clients.
+// Limits bounds what one router accepts from its clients.
 type Limits struct {
 	Connections         int
 	OpenRequests        int // admitted and not answered yet
-	BufferedBytes       int // of request bodies, complete and in part
+	BufferedBytes       int // of request bodies, complete and partial
 	HeaderTimeout       time.Duration
 	BodyTimeout         time.Duration
 	IdleTimeout         time.Duration // between two requests on one connection
-	FirstRequestTimeout time.Duration // from the start of a connection to its first complete request; 0 for no limit
-	RetryShare          float64       // of requests that may be retries; 0 for no limit
+	FirstRequestTimeout time.Duration // from the opening of a connection to its first complete request; 0 for no limit
+	RetryShare          float64       // share of requests that may be retries; 0 for no limit
 	DrainTimeout        time.Duration // for a client to read the rest of a response before its connection is closed
 }
 
@@ -29,14 +29,14 @@
 	stateSince        int64
 	bufferedBytes     int
 	openRequests      int
-	firstRequestSince int64 // when the connection was opened; 0 once a request has been complete
+	firstRequestSince int64 // when the connection was opened; 0 after its first complete request
 }
 
-// Controller tracks the connections and open requests of one router's clients.
+// Controller tracks the connections of one router's clients and the open requests of its tenants.
 type Controller struct {
 	limits        Limits
 	connections   map[int64]*connection
-	openByTenant  map[string]int // number of open requests
+	openByTenant  map[string]int // number of open requests, by tenant
 	openRequests  int
 	bufferedBytes int
 }
@@ -46,9 +46,9 @@
 	return &Controller{limits: limits, connections: map[int64]*connection{}, openByTenant: map[string]int{}}
 }
 
-// AcceptConnection adds a new connection, or reports false. At the limit, the connection that has been idle longest is
-// closed for it; where none is idle, the new one is rejected. TryClose closes an idle connection, or reports false because
-// a request is about to arrive on it.
+// AcceptConnection adds a new connection, and reports whether it is accepted. At the limit, the connection that has been
+// idle longest is closed to make room; if none is idle, the new one is rejected. The function tryClose closes an idle
+// connection, or returns false if a request is about to arrive on it.
 func (ct *Controller) AcceptConnection(id, now int64, tryClose func(id int64) bool) bool {
 	if len(ct.connections) >= ct.limits.Connections && !ct.evictIdle(now, tryClose) {
 		return false
@@ -76,7 +76,7 @@
 	return false
 }
 
-// Handle applies an event to one connection. An event that no transition takes changes nothing.
+// Handle applies an event to one connection. An event without a transition from the current state has no effect.
 func (ct *Controller) Handle(id int64, event Event, now int64) {
 	c := ct.connections[id]
 	if c == nil {
@@ -105,7 +105,7 @@
 	return c != nil && c.state == Idle && c.firstRequestSince == 0
 }
 
-// AddBytes records that a connection buffers more bytes, or fewer.
+// AddBytes adds delta, which may be negative, to the bytes that a connection buffers.
 func (ct *Controller) AddBytes(id int64, delta int) {
 	if c := ct.connections[id]; c != nil {
 		c.bufferedBytes += delta
@@ -113,7 +113,7 @@
 	}
 }
 
-// Usage is the number of connections, open requests and buffered bytes.
+// Usage returns the number of connections, open requests and buffered bytes.
 func (ct *Controller) Usage() (connections, openRequests, bufferedBytes int) {
 	return len(ct.connections), ct.openRequests, ct.bufferedBytes
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -13,8 +13,8 @@
 		IdleTimeout: 50, DrainTimeout: 5}
 }
 
-// Whatever happens to a controller: no limit is exceeded, what is released is free again, and a client without open requests
-// is rejected only where the router is full.
+// For any sequence of events no limit is exceeded, released capacity is available again, and a tenant without open requests
+// is rejected only if the router is full.
 func TestControllerLimitsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits(rapid.IntRange(1, 6).Draw(t, "connections"), rapid.IntRange(1, 8).Draw(t, "open"), 100)
@@ -33,16 +33,16 @@
 	tenant     string
 }
 
-// model is what a controller has to know.
+// model is the expected state of a controller.
 type model struct {
 	controller *Controller
 	now        int64
-	bytes      map[int64]int  // buffered by each connection
-	arriving   map[int64]bool // connections on which a request is about to arrive, so that they may not be closed
+	bytes      map[int64]int  // buffered bytes by connection
+	arriving   map[int64]bool // connections on which a request is about to arrive, so that they must not be closed
 	open       []admittedRequest
 }
 
-// connection draws one of the connections; 0 where there is none.
+// connection draws one of the connections; 0 if there is none.
 func (m *model) connection(t *rapid.T) int64 {
 	if len(m.bytes) == 0 {
 		return 0
@@ -82,7 +82,7 @@
 		m.open = append(m.open, request)
 	case QuotaExceeded:
 		if !hasOpen {
-			t.Fatal("a client without open requests has exceeded its quota")
+			t.Fatal("a tenant without open requests is rejected for its quota")
 		}
 	}
 }
@@ -131,14 +131,14 @@
 	for ct.Admit(2, "other") == Admitted {
 	}
 	if _, open, _ := ct.Usage(); flood < 75 || flood > 100 || open != 100 {
-		t.Errorf("the flooding client has %d of %d", flood, open)
+		t.Errorf("the flooding tenant has %d of %d open requests", flood, open)
 	}
 	ct.Release(1, "flood")
 	if got := ct.Admit(1, "flood"); got != QuotaExceeded {
-		t.Errorf("a full router admits the flooding client again: %v", got)
+		t.Errorf("next request of the flooding tenant: %v, want quota exceeded", got)
 	}
 	if got := ct.Admit(2, "other"); got != Admitted {
-		t.Errorf("and not the other client: %v", got)
+		t.Errorf("next request of the other tenant: %v, want admitted", got)
 	}
 }
 
@@ -151,22 +151,22 @@
 		ct.Handle(1, HeaderStarted, now) // a slow header does not extend its timeout
 	}
 	if expired := ct.Expired(12); len(expired) != 1 || expired[0] != (ExpiredConnection{1, ReadingHeader}) {
-		t.Errorf("%v", expired)
+		t.Errorf("expired connections: %v", expired)
 	}
 	ct.Handle(2, HeaderComplete, 12)
 	ct.AddBytes(1, 40)
 	ct.AddBytes(2, 70)
 	if got := ct.LargestUnfinished(); got != 2 {
-		t.Errorf("the largest unfinished connection is %d", got)
+		t.Errorf("largest unfinished connection is %d, want 2", got)
 	}
 	ct.Handle(2, ConnectionClosed, 13)
 	if got := ct.LargestUnfinished(); got != 0 {
-		t.Errorf("the bytes of a closed connection still count: %d", got)
+		t.Errorf("largest unfinished connection is %d after connection 2 was closed, want 0", got)
 	}
 }
 
-// A connection whose first request arrives slowly, or not at all, has one timeout for all of it; after a complete request each
-// further one has its own.
+// The first request on a connection has a single timeout from the opening of the connection, even if it arrives slowly or
+// not at all; each later request has a timeout of its own.
 func TestFirstRequestHasOneTimeout(t *testing.T) {
 	limits := testLimits(9, 9, 100)
 	limits.FirstRequestTimeout = 12
@@ -174,16 +174,16 @@
 	for id := int64(1); id <= 3; id++ {
 		ct.AcceptConnection(id, 1, allowClose)
 	}
-	ct.Handle(2, HeaderStarted, 9) // starts late, and is slow then
+	ct.Handle(2, HeaderStarted, 9) // starts late, and then arrives slowly
 	ct.Handle(3, RequestComplete, 2)
 	ct.Handle(3, AllAnswered, 3)
 	if !ct.ServedAndIdle(3) || ct.ServedAndIdle(1) {
-		t.Error("a connection that was served, and only that, is served and idle")
+		t.Error("ServedAndIdle must be true for the served connection 3 and false for the unserved connection 1")
 	}
 	if expired := ct.Expired(14); len(expired) != 2 || expired[0].ID != 1 || expired[1].ID != 2 {
-		t.Errorf("%+v", expired)
+		t.Errorf("expired connections: %+v", expired)
 	}
 }
 
-// yield lets any idle connection be closed.
+// allowClose is a tryClose function that closes any idle connection.
 func allowClose(int64) bool { return true }
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// RetryBudget limits the share of retries among the requests of the last ten seconds. When something breaks, every client
-// whose request failed comes back, and a fleet near its limits then serves retries of what has failed instead of what
-// could be in time; this outlasts its cause. A retry over the budget is rejected at once, before any routing decision,
-// which costs nothing.
+// RetryBudget limits the share of retries among the requests of the last ten seconds. After a fault every client whose
+// request failed retries, and a fleet near its limits then serves retries of failed requests instead of requests that could
+// be answered in time; this overload outlasts the fault. A retry over the budget is rejected at once, before any routing
+// decision, which costs nothing.
 //
-// Exceptions: the first three retries of any ten seconds are allowed, as an idle router must not reject the only one; and
-// a retry that its client does not declare is counted as a first try.
+// There are two exceptions. The first three retries of any ten seconds are allowed, since an idle router must not reject
+// the only one. A retry that the client does not declare counts as a first try.
 type RetryBudget struct {
 	share  float64 // 0 for no limit
 	window [windowSeconds]secondCount
@@ -20,16 +20,16 @@
 }
 
 const (
-	// windowSeconds is longer than clients wait before a retry, and shorter than most faults.
+	// windowSeconds exceeds the time that clients wait before a retry, and is shorter than most faults.
 	windowSeconds = 10
-	// minRetries are allowed in any window.
+	// minRetries is how many retries are allowed in any window, whatever the share.
 	minRetries = 3
 )
 
-// NewRetryBudget returns a budget; a share of 0 sets no limit.
+// NewRetryBudget returns a budget with the given share of retries; a share of 0 sets no limit.
 func NewRetryBudget(share float64) *RetryBudget { return &RetryBudget{share: share} }
 
-// Allow counts a request and reports whether it is within the budget. Now is in nanoseconds.
+// Allow counts a request and reports whether it is within the budget. The time now is in nanoseconds.
 func (b *RetryBudget) Allow(now int64, isRetry bool) bool {
 	if b.share <= 0 {
 		return true
@@ -50,7 +50,7 @@
 	return true
 }
 
-// countsAt sums up the window that ends with a second.
+// countsAt returns the number of requests and retries in the window that ends with the given second.
 func (b *RetryBudget) countsAt(second int64) (requests, retries float64) {
 	for _, counted := range b.window {
 		if counted.second > second-windowSeconds && counted.second <= second {
--- a/internal/admission/retrybudget_test.go
+++ b/internal/admission/retrybudget_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// In any window no more retries are allowed than their share of the requests, or the minimum; first tries always are.
+// In any window the allowed retries do not exceed their share of the requests, or the minimum; first tries are always
+// allowed.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.5).Draw(t, "share")
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -9,9 +9,9 @@
 const (
 	Idle          State = iota
 	ReadingHeader       // the first bytes of a header have arrived
-	ReadingBody         // the header is complete, its body is not
+	ReadingBody         // the header is complete, the body is not
 	Serving             // a request is complete and not answered yet
-	Closing             // its last response is written, it will be closed
+	Closing             // the last response is written, the connection will be closed
 	Terminated
 )
 
@@ -27,7 +27,7 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Event is what happens to a client's connection.
+// Event is an event on a client's connection.
 type Event uint8
 
 // The events of a client's connection.
@@ -35,8 +35,8 @@
 	HeaderStarted Event = iota
 	HeaderComplete
 	RequestComplete
-	AllAnswered    // no request on it waits for its answer any more
-	CloseRequested // no further request is accepted on it
+	AllAnswered    // all requests on the connection are answered
+	CloseRequested // no further request is accepted on the connection
 	ConnectionClosed
 )
 
@@ -68,7 +68,7 @@
 	{[]State{Idle, ReadingHeader, ReadingBody, Serving, Closing}, ConnectionClosed, Terminated},
 }
 
-// findTransition returns the transition that an event causes in a state; nil where it causes none.
+// findTransition returns the transition of an event in a state; nil if there is none.
 func findTransition(from State, event Event) *transition {
 	i := slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 	if i < 0 {
--- a/internal/admission/timeouts.go
+++ b/internal/admission/timeouts.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// ExpiredConnection is a connection whose time is up, and the state in which it was too slow.
+// ExpiredConnection is a connection that has exceeded a timeout, and the state that it was in.
 type ExpiredConnection struct {
 	ID    int64
 	State State
 }
 
-// Expired lists, by ID, the connections whose time in their state is up.
+// Expired returns the connections that have exceeded the timeout of their state, ordered by ID.
 func (ct *Controller) Expired(now int64) []ExpiredConnection {
 	var expired []ExpiredConnection
 	for id, c := range ct.connections {
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Lease is the connection that Acquire found. Evict is a connection that must be closed to make room for it, 0 for none.
+// Lease is the connection that Acquire returns. Evict is a connection that must be closed to make room for it, 0 for none.
 type Lease struct {
 	ID     int64
-	Reused bool // otherwise it has to be dialed
+	Reused bool // false if the connection must be dialed
 	Evict  int64
-	OK     bool // false where a limit is reached
+	OK     bool // false if a limit is reached
 }
 
-// Acquire finds a connection for an attempt. An idle one is reused only if it has been idle for less than maxIdle: the
-// longer it has been idle, the likelier the other side closes it just as it is written to, and then the attempt may have
-// run. The youngest is reused first, so that the others can expire. One that has just carried a stream settles first:
-// a second response that comes late behind the first would otherwise be taken for that of the next request.
+// Acquire finds a connection for an attempt or a control request. An idle one is reused only if it has been idle for less
+// than maxIdle: the longer it has been idle, the more likely the other side closes it just as the request is written, and
+// then the attempt may have run. The connection with the shortest idle time is reused first, so that the others can expire.
+// After a stream a connection settles first: a late second response to the stream's request would otherwise be taken for
+// the response to the next request.
 //
-// Spare connections are granted beyond the limits to what must not wait behind attempts: releases of reservations.
+// Spare connections are granted beyond the limits to requests that must not wait behind attempts: releases of reservations.
 func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
 	if c := usage.shortestIdle; c != nil && p.withinIdleLimit(c, now, maxIdle) {
@@ -46,10 +47,10 @@
 	return lease
 }
 
-// engineUsage is what the connections to one engine are used for.
+// engineUsage summarizes the connections to one engine.
 type engineUsage struct {
 	dialing                   int
-	shortestIdle, longestIdle *connection // nil for none
+	shortestIdle, longestIdle *connection // nil for none; shortestIdle is one that has settled
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
@@ -70,7 +71,7 @@
 	return usage
 }
 
-// oldestIdle is the connection to any engine that has been idle longest; nil for none.
+// longestIdle returns the connection to any engine that has been idle longest; nil for none.
 func (p *Pool) longestIdle() (oldest *connection) {
 	for _, c := range p.connections {
 		older := oldest == nil || cmp.Or(cmp.Compare(c.stateSince, oldest.stateSince), cmp.Compare(c.id, oldest.id)) < 0
@@ -91,7 +92,7 @@
 	return c.id
 }
 
-// ReusableEngines lists, in no order, the engines to which Acquire would reuse a connection.
+// ReusableEngines returns, in no particular order, the engines to which Acquire would reuse a connection.
 func (p *Pool) ReusableEngines(now int64, maxIdle time.Duration) (engines []string) {
 	for engine := range p.byEngine {
 		if p.HasReusable(engine, now, maxIdle) {
@@ -108,7 +109,7 @@
 	})
 }
 
-// reusable reports whether an idle connection has not been idle for too long to be reused.
+// withinIdleLimit reports whether the idle time of an idle connection is short enough for reuse.
 func (p *Pool) withinIdleLimit(c *connection, now int64, maxIdle time.Duration) bool {
 	return time.Duration(now-c.stateSince) < min(maxIdle, p.limits.IdleTimeout)
 }
--- a/internal/connpool/earlyclose.go
+++ b/internal/connpool/earlyclose.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// earlyCloseMemory is how long early closes are remembered. Faults on the network last for some ten seconds, and a
+	// earlyCloseRetention is how long early closes are remembered. Network faults last for some ten seconds, and a new
 	// connection for each attempt costs an engine a millisecond of work.
 	earlyCloseRetention = 10 * time.Second
-	// earlyCloseAge is the idle time from which on the close of an idle connection is normal: engines keep them for seconds.
+	// earlyCloseMaxIdle is the idle time from which the close of an idle connection is normal: engines keep idle connections
+	// for seconds.
 	earlyCloseMaxIdle = time.Second
 )
 
-// earlyCloses remembers when idle connections were last closed too early by the other side.
+// earlyCloses records when the other side last closed idle connections too early.
 type earlyCloses struct {
 	byEngine map[string]int64
-	last     int64 // of any engine; 0 for none
+	last     int64 // last early close of any engine; 0 for none
 }
 
 func (e *earlyCloses) record(engine string, now int64) { e.byEngine[engine], e.last = now, now }
@@ -35,14 +36,14 @@
 	maps.DeleteFunc(e.byEngine, func(_ string, at int64) bool { return time.Duration(now-at) >= earlyCloseRetention })
 }
 
-// NoteEarlyClose records that the other side closed a connection too early: as it was written to, or hardly idle. This
-// guards against whatever closes connections behind a response, engine or network, as what is written to such a connection
-// may have run. It is harmful where an engine restarts often, as each of its first attempts then needs a connection of its
-// own.
+// RecordEarlyClose records that the other side closed a connection too early: just as a request was written, or after a
+// very short idle time. The record guards against engines and networks that close connections after a response, as a
+// request written to such a connection may have run. It is harmful where an engine restarts often, since each of the first
+// attempts at the engine then needs a new connection.
 func (p *Pool) RecordEarlyClose(engine string, now int64) { p.earlyCloses.record(engine, now) }
 
-// MaxReuseIdle is for how long a connection to an engine may have been idle to be reused: maxIdle where nothing speaks
-// against it. For an attempt that must not run twice, an early close of any engine counts against all.
+// MaxReuseIdle returns how long a connection to an engine may have been idle to be reused: maxIdle, or 0 after a recent
+// early close. For an attempt that must not run twice, an early close by any engine counts.
 func (p *Pool) MaxReuseIdle(engine string, now int64, maxIdle time.Duration, mayRunTwice bool) time.Duration {
 	if p.earlyCloses.isRecentFor(engine, now) || !mayRunTwice && p.earlyCloses.isRecentForAny(now) {
 		return 0
@@ -50,8 +51,8 @@
 	return maxIdle
 }
 
-// EarlyCloseFingerprint describes the early closes that still count, by engine and relative to now; the empty name stands
-// for any engine.
+// EarlyCloseFingerprint describes the early closes that still count, by engine and age; the empty name stands for any
+// engine.
 func (p *Pool) EarlyCloseFingerprint(now int64) string {
 	ages := map[string]int64{} // nanoseconds
 	for engine, at := range p.earlyCloses.byEngine {
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,4 +1,4 @@
-// Package connpool decides about the connections to engines: when one is dialed, which one is reused, and when one is
+// Package connpool decides on the connections to engines: when a connection is dialed, which one is reused, and when one is
 // closed. It does no I/O.
 package connpool
 
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Limits bound the connections of one router.
+// Limits bounds the connections of one router.
 type Limits struct {
 	PerEngine       int           // connections to one engine
-	ConcurrentDials int           // dials in progress to one engine: many handshakes at once are work for it
+	ConcurrentDials int           // dials in progress to one engine, which costs work for each handshake
 	Total           int           // connections to all engines together; 0 for no limit
 	IdleTimeout     time.Duration // an idle connection is closed after this
 	SettleTime      time.Duration // a connection that carried a stream is not reused for this long
@@ -21,10 +21,10 @@
 	engine     string
 	state      State
 	stateSince int64
-	reusableAt int64 // until when it is not reused
+	reusableAt int64 // earliest time of the next reuse
 }
 
-// Pool is the state of all connections of one router to engines. Points in time are in nanoseconds since the start.
+// Pool holds the state of all connections of one router to engines. Times are in nanoseconds since the start of the clock.
 type Pool struct {
 	limits           Limits
 	connections      map[int64]*connection
@@ -40,7 +40,8 @@
 		earlyCloses: earlyCloses{byEngine: map[string]int64{}}}
 }
 
-// Handle applies an event to one connection. An event that no transition takes changes nothing and needs no action.
+// Handle applies an event to one connection. An event without a transition from the current state has no effect and needs
+// no action.
 func (p *Pool) Handle(id int64, event Event, now int64) Action {
 	c := p.connections[id]
 	if c == nil {
@@ -73,7 +74,8 @@
 	}
 }
 
-// IdleExpired lists, by ID, the connections that have been idle for too long; each is closed by Handle with IdleExpired.
+// IdleExpired returns the connections that have been idle for too long, ordered by ID. The caller closes each by passing
+// the event IdleExpired to Handle.
 func (p *Pool) IdleExpired(now int64) []int64 {
 	var ids []int64
 	for id, c := range p.connections {
@@ -85,14 +87,13 @@
 	return ids
 }
 
-// State is the state of a connection; Closed for one that is not known any more.
+// State returns the state of a connection; Closed for an unknown one.
 func (p *Pool) State(id int64) State {
 	state, _ := p.StateSince(id)
 	return state
 }
 
-// StateSince is the state of a connection and since when it has been in it; Closed and 0 for one that is not known any
-// more.
+// StateSince returns the state of a connection and when the state began; Closed and 0 for an unknown connection.
 func (p *Pool) StateSince(id int64) (state State, since int64) {
 	if c := p.connections[id]; c != nil {
 		return c.state, c.stateSince
@@ -100,13 +101,13 @@
 	return Closed, 0
 }
 
-// FiredTransitions has a bit set for each transition that has fired so far.
+// FiredTransitions returns a bit set of the transitions that have fired so far.
 func (p *Pool) FiredTransitions() uint64 { return p.firedTransitions }
 
-// Count is the number of connections to one engine, in any state.
+// Count returns the number of connections to one engine, in any state.
 func (p *Pool) Count(engine string) int { return len(p.byEngine[engine]) }
 
-// IDs lists the IDs of all connections in order.
+// IDs returns the IDs of all connections in ascending order.
 func (p *Pool) IDs() []int64 {
 	ids := make([]int64, 0, len(p.connections))
 	for id := range p.connections {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens to a pool: its limits hold, a connection carries one thing at a time and is reused only after a clean
-// end, and no connection is left behind.
+// For any sequence of events the limits of a pool hold, a connection carries one request at a time and is reused only after
+// a clean end, and no connection is leaked.
 func TestPoolLimitsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{PerEngine: rapid.IntRange(1, 4).Draw(t, "per engine"), ConcurrentDials: rapid.IntRange(1, 3).Draw(t, "dials"),
@@ -32,12 +32,12 @@
 			m.pool.Handle(id, Broken, m.now)
 		}
 		if len(m.pool.IDs()) != 0 || m.pool.Count("a")+m.pool.Count("b") != 0 {
-			t.Fatal("connections left behind")
+			t.Fatal("connections remain after all were broken")
 		}
 	})
 }
 
-// model is what a pool has to know of its connections.
+// model is the expected state of a pool's connections.
 type model struct {
 	pool        *Pool
 	now         int64
@@ -66,11 +66,11 @@
 	before := m.pool.State(id)
 	action := m.pool.Handle(id, event, m.now)
 	if action == Close && m.pool.State(id) != Closed {
-		t.Fatal("a connection that is to be closed lives on")
+		t.Fatal("a connection with the action Close is not closed")
 	}
 	cleanEnd := event == Released || event == ReleasedAfterStream
 	if before != Idle && m.pool.State(id) == Idle && !cleanEnd {
-		t.Fatalf("idle by %v", event)
+		t.Fatalf("connection is idle after event %v", event)
 	}
 	if cleanEnd && m.pool.State(id) == Idle {
 		m.busy[id] = false
@@ -84,12 +84,12 @@
 	p.Handle(first.ID, Dialed, 0)
 	p.Handle(first.ID, Released, 0)
 	if lease := p.Acquire("a", 500, 100, 0); !lease.OK || lease.Reused || lease.Evict != first.ID {
-		t.Errorf("%+v", lease)
+		t.Errorf("lease after the idle time: %+v", lease)
 	}
 }
 
-// A connection that carried a stream is not reused until it has settled, even if another has to be dialed instead; one that
-// carried anything else is.
+// A connection that carried a stream is not reused until it has settled, even if another one must be dialed instead. After
+// any other response a connection is reused at once.
 func TestConnectionSettlesAfterStream(t *testing.T) {
 	for _, event := range []Event{Released, ReleasedAfterStream} {
 		p := New(Limits{PerEngine: 3, ConcurrentDials: 3, IdleTimeout: 1000, SettleTime: 20})
@@ -100,31 +100,32 @@
 			t.Errorf("event %v: %+v", event, lease)
 		}
 		if lease := p.Acquire("a", 25, 1000, 0); event == ReleasedAfterStream && lease.ID != first.ID {
-			t.Errorf("settled, and not reused: %+v", lease)
+			t.Errorf("settled connection is not reused: %+v", lease)
 		}
 	}
 }
 
-// At the total limit, the connection that has been idle longest at any engine is evicted, and a busy one never is.
+// At the total limit, the connection to any engine that has been idle longest is evicted; a busy connection is never
+// evicted.
 func TestTotalLimitEvictsLongestIdleConnection(t *testing.T) {
 	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, Total: 2, IdleTimeout: 1000})
 	a, b := p.Acquire("a", 1, 1000, 0), p.Acquire("b", 2, 1000, 0)
 	p.Handle(a.ID, Dialed, 3)
 	p.Handle(b.ID, Dialed, 3)
 	if p.Acquire("c", 4, 1000, 0).OK {
-		t.Fatal("a third connection while both are busy")
+		t.Fatal("a third connection is granted while both are busy")
 	}
 	p.Handle(a.ID, Released, 5)
 	if c := p.Acquire("c", 6, 1000, 0); !c.OK || c.Evict != a.ID || p.State(a.ID) != Closed {
-		t.Fatalf("%+v", c)
+		t.Fatalf("lease at the total limit: %+v", c)
 	}
 	if !p.Acquire("d", 7, 1000, 1).OK {
-		t.Fatal("no spare connection")
+		t.Fatal("no spare connection is granted")
 	}
 }
 
-// After an idle connection was closed early, none of that engine is reused for a while, and none of any engine for what must
-// not run twice. A close after a longer idle time does not count.
+// After an early close of an idle connection, no connection to the same engine is reused for a while, and no connection at
+// all for attempts that must not run twice. A close after a longer idle time does not count.
 func TestEarlyClosePreventsReuse(t *testing.T) {
 	p := New(Limits{PerEngine: 9, ConcurrentDials: 9, IdleTimeout: 15 * time.Second})
 	idle := func(engine string, now int64) int64 {
@@ -146,7 +147,7 @@
 		want        time.Duration
 	}{{"a", s, true, 0}, {"a", s, false, 0}, {"b", s, true, 9}, {"b", s, false, 0}, {"a", 11 * s, false, 9}} {
 		if got := p.MaxReuseIdle(c.engine, now+s/100+c.after, 9, c.mayRunTwice); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+			t.Errorf("%+v: maximum idle time is %d", c, got)
 		}
 	}
 }
--- a/internal/connpool/state.go
+++ b/internal/connpool/state.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// State is the state of a connection. There is none for a half-closed one: the socket library ends a connection
-// completely when the other side closes its half. That is the safe interpretation, as nothing more can be read from it.
+// State is the state of a connection. Half-closed connections have no state of their own: the socket library closes a
+// connection completely when the other side closes its half. That is the safe interpretation, as no more data can be read
+// from such a connection.
 type State uint8
 
 // The states of a connection.
@@ -23,20 +24,20 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Event is what happens to a connection.
+// Event is an event on a connection.
 type Event uint8
 
 // The events of a connection.
 const (
-	Requested           Event = iota // it is needed, and no idle one is usable
-	Dialed                           // it is open, and carries what it was requested for
-	DialFailed                       // it could not be opened
-	Acquired                         // it was idle, and carries something now
+	Requested           Event = iota // a connection is needed, and no idle one is usable
+	Dialed                           // the connection is open, and carries the request that it was dialed for
+	DialFailed                       // the connection could not be opened
+	Acquired                         // the connection was idle, and carries a request now
 	Released                         // the response has been read completely, no unread bytes remain
-	ReleasedAfterStream              // the same, and the response was a stream
-	ReleasedDirty                    // what it carried ended in any other way
-	Broken                           // it is gone
-	IdleExpired                      // it has been idle for longer than is allowed
+	ReleasedAfterStream              // like Released, and the response was a stream
+	ReleasedDirty                    // the request on the connection ended in any other way
+	Broken                           // the connection is lost
+	IdleExpired                      // the connection has been idle for longer than is allowed
 )
 
 var eventNames = [...]string{
@@ -54,7 +55,7 @@
 // String returns the event's name.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what is to be done with a connection's socket.
+// Action is what must be done with the socket of a connection.
 type Action uint8
 
 // The actions.
@@ -86,17 +87,17 @@
 	{[]State{Busy}, ReleasedAfterStream, Idle, NoAction},
 	{[]State{Idle}, IdleExpired, Closed, Close},
 	{[]State{Dialing, Busy}, ReleasedDirty, Closed, Close},
-	// A byte on an idle connection belongs to no request: an unread rest.
+	// A byte received on an idle connection belongs to no request: it is the rest of an earlier response.
 	{[]State{Idle}, ReleasedDirty, Closed, Close},
 	{[]State{Dialing, Idle, Busy}, Broken, Closed, Close},
 }
 
-// findTransition returns the index of the transition that an event causes in a state; -1 where it causes none.
+// findTransition returns the index of the transition of an event in a state; -1 if there is none.
 func findTransition(from State, event Event) int {
 	return slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 }
 
-// TransitionNames names the transitions in the order of the bits of Pool.FiredTransitions.
+// TransitionNames returns the names of the transitions in the order of the bits of Pool.FiredTransitions.
 func TransitionNames() []string {
 	names := make([]string, len(transitions))
 	for i, t := range transitions {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -11,39 +11,40 @@
 	"sandcourse/internal/routing"
 )
 
-// deadlineMargin is by how much the timeout that an engine is told is shorter than the time that is left, so that a router
-// that is delayed between its look at the clock and the write does not tell too much. Of a very short time it is a quarter.
+// deadlineMargin is subtracted from the remaining time of a request to get the timeout that is sent to an engine. It covers
+// the delay between reading the clock and writing the request, so that an engine is never given more time than remains. If
+// little time remains, the margin is a quarter of it.
 const deadlineMargin = 50 * time.Millisecond
 
-// engineAttempt is one attempt at a request.
+// engineAttempt is one attempt to have an engine serve a request.
 type engineAttempt struct {
 	request         *request
-	index           int // among the attempts of its request
+	index           int // position among the attempts of its request
 	engine          string
-	decode          bool // else a prefill
+	decode          bool // false for a prefill
 	startedAt       int64
-	writtenAt       int64 // when it was written; 0 while it is not
+	writtenAt       int64 // when the request was written; 0 if it was not written yet
 	machine         attempt.Attempt
 	connection      *EngineConnection
 	responseHeads   int
-	token           []byte // the event that is handled now
+	token           []byte // the stream event that is being handled
 	lastTokenAt     int64
-	relay           Relay // of its stream, if it has one
+	relay           Relay // relay of the attempt's stream; nil if there is none
 	cachedTokens    float64
 	transfer        protocol.ReservationHandle
 	loadReport      *routing.LoadReport
 	verdict         routing.Verdict
 	ended           bool
-	staleConnection bool // its connection had been closed by the engine before it was written
+	staleConnection bool // the engine had closed the connection before the request was written
 	reason          AttemptReason
 }
 
-// ownsConnection is whether its connection still carries it.
+// ownsConnection reports whether the attempt's connection still carries the attempt.
 func (a *engineAttempt) ownsConnection() bool {
 	return a.connection != nil && a.connection.attempt == a
 }
 
-// startAttempt sends a request to an engine.
+// startAttempt starts an attempt to have an engine serve a request.
 func (r *Router) startAttempt(action routing.Send) {
 	req := r.requests.byID[action.RequestID]
 	if req == nil {
@@ -60,12 +61,13 @@
 		return
 	}
 	if !r.dispatch(action.Engine, att, nil) {
-		// The router's own limit says nothing of the engine.
+		// The connection limit is the router's own and says nothing about the engine.
 		r.handleAttemptEvent(att, attempt.EngineUnavailable, reasonConnectionLimit)
 	}
 }
 
-// checkAttempt is whether the invariants allow an attempt, on its connection or, where conn is nil, before it has one.
+// checkAttempt returns why the invariants forbid an attempt, or Allowed. It is called before the attempt has a connection,
+// with conn nil, and again on the connection.
 func (r *Router) checkAttempt(att *engineAttempt, conn *EngineConnection) invariant.Reason {
 	req := att.request
 	candidate := invariant.Attempt{
@@ -90,8 +92,8 @@
 	return reason
 }
 
-// encodeRequest is what a connection is to carry. It is encoded when it is written: the timeout that the engine is told must
-// not include the time that the connection took to come up.
+// encodeRequest encodes the request that a connection is to carry. A request is encoded when it is written, because the
+// timeout that is sent to the engine must not include the time of the dial.
 func (r *Router) encodeRequest(conn *EngineConnection) ([]byte, error) {
 	target := r.endpoints.target(conn.Engine)
 	if conn.control != nil {
@@ -105,21 +107,21 @@
 	return r.protocol.PrefillRequest(req.received.Call, req.name, target, att.index, timeout)
 }
 
-// advertisedTimeout is the timeout that an engine is told.
+// advertisedTimeout returns the timeout that is sent to an engine.
 func (r *Router) advertisedTimeout(req *request) time.Duration {
 	left := time.Duration(req.deadline - r.now)
 	return left - min(deadlineMargin, max(0, left/4))
 }
 
-// transition feeds an event to the state machine of an attempt.
+// transition applies an event to the state machine of an attempt.
 func (r *Router) transition(att *engineAttempt, event attempt.Event) attempt.Result {
 	result := att.machine.Handle(event)
 	r.requests.attemptTransitions |= 1 << result.Transition
 	return result
 }
 
-// handleAttemptEvent handles whatever happens to an attempt: its state machine decides what that means, and the policy is
-// told of the outcome, if there is one.
+// handleAttemptEvent applies an event to the state machine of an attempt and handles the result: it forwards a token, or
+// ends the attempt and notifies the policy of the outcome.
 func (r *Router) handleAttemptEvent(att *engineAttempt, event attempt.Event, reason AttemptReason) {
 	if att.ended {
 		return
@@ -135,12 +137,13 @@
 	}
 }
 
-// noteWritten looks whether the kernel has taken the rest of a request since the last event: an attempt that is cancelled or
-// breaks then may have run, though its state machine still expects a part of it to be here.
+// detectRequestWritten checks whether the kernel has accepted the rest of a request since the last event. If so, an attempt
+// that is cancelled or broken now may have run, although its state machine still assumes that part of the request was not
+// sent.
 func (r *Router) detectRequestWritten(att *engineAttempt, event attempt.Event) {
 	if conn := att.connection; att.ownsConnection() && conn.socket != nil && att.machine.State == attempt.Writing {
 		if event == attempt.Canceled {
-			conn.socket.Close() // before the look: nothing more can leave after it
+			conn.socket.Close() // before the check, so that no more bytes can be sent after it
 		}
 		if conn.socket.RequestWritten() {
 			r.transition(att, attempt.RequestWritten)
@@ -148,7 +151,7 @@
 	}
 }
 
-// endAttempt handles the end of an attempt.
+// endAttempt handles the end of an attempt: it releases the connection, records the reservation and notifies the policy.
 func (r *Router) endAttempt(att *engineAttempt, event attempt.Event, result attempt.Result, reason AttemptReason) {
 	req := att.request
 	att.ended, att.verdict, att.reason = true, result.Verdict, reason
@@ -159,21 +162,21 @@
 	}
 	r.recordReservation(att, event, result)
 	if result.ReservationMissing {
-		// The decode engine could not fetch it. The prefill engine may still hold it, and nobody will claim it.
+		// The decode engine could not fetch the reservation. The prefill engine may still hold it, and no attempt will claim it.
 		r.releaseReservations(req)
 	}
 	r.finishAfterAttempt(att)
 	r.notifyPolicy(routing.Outcome{RequestID: req.id, Attempt: att.index, Engine: att.engine, Verdict: result.Verdict,
 		Latency: r.attemptLatency(att), RequestEnded: req.outcome != "", CachedTokens: att.cachedTokens,
 		ReservationLost: result.ReservationMissing, Report: att.loadReport, StaleConnection: att.staleConnection})
-	// What was reserved after the request ended is released too: a prefill for which nobody waits.
+	// A prefill that completes after its request has ended leaves a reservation that no attempt will claim.
 	if req.outcome != "" {
 		r.releaseReservations(req)
 	}
 	r.forgetIfFinished(req)
 }
 
-// releaseConnection gives the connection of an attempt back, or closes it.
+// releaseConnection returns the connection of an attempt to the pool, closes it, or lets it drain the rest of the response.
 func (r *Router) releaseConnection(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	if !att.ownsConnection() {
 		return
@@ -190,7 +193,7 @@
 	}
 }
 
-// finishAfterAttempt answers a request whose decode is completed, or broke after its first token.
+// finishAfterAttempt answers a request whose decode has completed, or has broken after its first token.
 func (r *Router) finishAfterAttempt(att *engineAttempt) {
 	switch {
 	case att.verdict == routing.Completed:
@@ -200,7 +203,7 @@
 	}
 }
 
-// reportAttempt reports an attempt that has ended.
+// reportAttempt reports the end of an attempt to the monitor and the observer.
 func (r *Router) reportAttempt(att *engineAttempt) {
 	r.monitor.AttemptEnded(att.request.id, att.index, attempt.NeverRan(att.verdict))
 	summary := AttemptSummary{Request: att.request.name, Engine: att.engine, Index: att.index, Decode: att.decode,
@@ -211,7 +214,7 @@
 	r.observer.AttemptEnded(summary)
 }
 
-// forwardToken forwards a token to the client, and notifies the policy of the first.
+// forwardToken forwards a token to the client, and notifies the policy of the first one.
 func (r *Router) forwardToken(att *engineAttempt, first bool) {
 	req := att.request
 	if first {
@@ -237,12 +240,13 @@
 		Latency: r.attemptLatency(att)})
 }
 
-// attemptLatency is how long an engine took until the present event, without the time that the event waited here.
+// attemptLatency returns the time from the start of an attempt to the current event, without the time that the event waited
+// in this router.
 func (r *Router) attemptLatency(att *engineAttempt) time.Duration {
 	return time.Duration(max(0, r.eventTime()-att.startedAt))
 }
 
-// reapStalledStreams ends the attempts whose streams have had no token for too long.
+// reapStalledStreams ends the attempts whose streams have had no token for longer than the stall timeout.
 func (r *Router) reapStalledStreams() {
 	observed := r.enginesObserved()
 	for _, id := range r.requests.ids() {
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -10,32 +10,32 @@
 	"sandcourse/internal/invariant"
 )
 
-// hangUpTime is how long a client has to close the connection itself after its last answer.
+// clientCloseTimeout is how long a client has to close the connection itself after the last answer on it.
 const clientCloseTimeout = int64(500 * time.Millisecond)
 
-// ClientConnection is one connection of a client.
+// ClientConnection is a connection of a client.
 type ClientConnection struct {
 	ID     int64
 	Socket ClientSocket
 
-	waiting        []*ClientRequest // requests behind the one that is served
+	waiting        []*ClientRequest // requests that wait behind the one being served
 	serving        bool
-	current        *request // that is served, where it goes to engines
+	current        *request // the request being served, if it is forwarded to engines
 	disconnected   bool
-	readingStopped bool // nothing more is read, and the connection is closed after the answers to what was read
-	closing        bool // to be closed once all is written
-	aborted        bool // its answer broke off, so that it is closed without waiting for the client
+	readingStopped bool // no more requests are read; the connection is closed after the answers to those that were read
+	closing        bool // the connection is closed once all output is written
+	aborted        bool // an answer was cut off, so the connection is closed without waiting for the client
 
-	partial         bool            // a request has come in part
-	partialEvent    admission.Event // how much of it: HeaderStarted or HeaderComplete
+	partial         bool            // part of a request has been received
+	partialEvent    admission.Event // how much of it was received: HeaderStarted or HeaderComplete
 	partialBytes    int
 	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 
-	output      []byte // not handed to the socket yet
-	flushQueued bool   // it is in the list of those to flush
+	output      []byte // not passed to the socket yet
+	flushQueued bool   // the connection is in clientConnections.unflushed
 }
 
-// unanswered is how many requests wait for their answer.
+// unansweredCount returns the number of requests that wait for their answer.
 func (c *ClientConnection) unansweredCount() int {
 	count := 0
 	for _, received := range c.waiting {
@@ -49,7 +49,7 @@
 	return count
 }
 
-// closeState is what the invariant of closed connections looks at.
+// closeState returns the state that the invariant on closed connections is checked against.
 func (c *ClientConnection) closeState() invariant.Connection {
 	return invariant.Connection{
 		ClientGone:     c.disconnected || c.Socket.Disconnected(),
@@ -59,7 +59,7 @@
 	}
 }
 
-// closeReason is why a connection is closed whose last answer is flushed, or was not read in time.
+// closeReason returns why a connection is closed whose last answer was flushed, or was not read in time.
 func (c *ClientConnection) closeReason(flushed bool) CloseReason {
 	switch {
 	case c.aborted:
@@ -70,11 +70,11 @@
 	return CloseUnread
 }
 
-// clientConnections are the open connections of clients.
+// clientConnections holds the open connections of clients.
 type clientConnections struct {
 	byID         map[int64]*ClientConnection
-	closingSince map[int64]int64     // connections that are closed once all is written, by ID
-	unflushed    []*ClientConnection // with output for their sockets
+	closingSince map[int64]int64     // when connections began to close, by ID; they are closed once all output is written
+	unflushed    []*ClientConnection // connections with output that was not passed to the socket yet
 }
 
 func newClientConnections() clientConnections {
@@ -88,7 +88,7 @@
 	ok := r.admission.AcceptConnection(client.ID, r.now, func(id int64) bool { return r.closeIfIdle(r.clients.byID[id], CloseEvicted) })
 	r.clients.byID[client.ID] = client
 	if !ok {
-		// A request may be on its way on the connection already, and needs an answer.
+		// A request may already be in transit on the connection, and needs an answer.
 		r.observer.Rejected(RejectConnections)
 		r.reply(client, nil, r.shedResponse("", shedConnections))
 	}
@@ -108,7 +108,8 @@
 	}
 }
 
-// CloseIdleClients closes each connection without a request in flight, and returns how many others there are.
+// CloseIdleClients closes each connection without a request in flight, and returns the number of connections that stay
+// busy.
 func (r *Router) CloseIdleClients() (busy int) {
 	for _, id := range r.clients.ids() {
 		client := r.clients.byID[id]
@@ -124,7 +125,8 @@
 	return busy
 }
 
-// closeIfIdle closes a connection between two requests, once its last answer is with the kernel.
+// closeIfIdle closes a connection between two requests if the kernel has accepted the last answer, and reports whether the
+// connection is closed.
 func (r *Router) closeIfIdle(client *ClientConnection, reason CloseReason) bool {
 	if client == nil || client.disconnected {
 		return true
@@ -137,15 +139,16 @@
 	return true
 }
 
-// closeClient closes a connection at once, whatever is in flight on it. The monitor counts it if that breaks an invariant.
+// closeClient closes a connection at once, even with requests in flight. The monitor records a violation if the close
+// breaks an invariant.
 func (r *Router) closeClient(client *ClientConnection, reason CloseReason) {
 	r.monitor.ConnectionClosing(client.closeState(), string(reason))
 	r.observer.ClientClosed(client.ID, reason)
 	client.Socket.Close()
 }
 
-// closeAfterFlush closes a connection once all is written. What still comes in is read and dropped: to close with bytes
-// unread would reset the connection, and the client might lose its answer.
+// closeAfterFlush closes a connection once all output is written. Input that still arrives is read and dropped: closing a
+// socket with unread bytes would reset the connection, and the client might lose its answer.
 func (r *Router) closeAfterFlush(client *ClientConnection) {
 	client.closing = true
 	client.Socket.StopReading()
@@ -156,7 +159,8 @@
 	r.flush(client)
 }
 
-// closeFlushed closes the connections that have written all, and those whose clients do not read in time, by ID.
+// closeFlushed closes, in the order of their IDs, the closing connections whose output is written and those whose clients
+// do not read it in time.
 func (r *Router) closeFlushed() {
 	for _, id := range slices.Sorted(maps.Keys(r.clients.closingSince)) {
 		client, since := r.clients.byID[id], r.clients.closingSince[id]
@@ -172,12 +176,12 @@
 	}
 }
 
-// expireClient ends a connection that was for too long in its state.
+// expireClient ends a connection that has exceeded the timeout of its state.
 func (r *Router) expireClient(client *ClientConnection, state admission.State) {
 	switch state {
 	case admission.Idle:
 		if !r.closeIfIdle(client, CloseIdle) {
-			return // a request has come in this moment
+			return // a request has just arrived
 		}
 	case admission.ReadingHeader, admission.ReadingBody:
 		r.reply(client, nil, r.protocol.InvalidRequestResponse(http.StatusRequestTimeout, "too_slow", "",
@@ -204,7 +208,8 @@
 	}
 }
 
-// flush hands the output of a client to its socket. Where the client does not read and the socket is full, it is closed.
+// flush passes the output of a client to its socket. If the client does not read and the socket's buffer is full, the
+// connection is closed.
 func (r *Router) flush(client *ClientConnection) {
 	if len(client.output) == 0 || client.disconnected {
 		client.output = nil
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -10,30 +10,30 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// maxPipelined is how many requests of one connection wait for their turn. Those behind them are shed when their turn
-// comes: to close the connection would leave all that was read without an answer.
+// maxPipelined is how many requests may wait on one connection. Further requests are shed when their turn comes: closing
+// the connection instead would leave the requests that were read without an answer.
 const maxPipelined = 4
 
-// maxReadAhead is how many requests of one connection are read before their turn. The connection is closed after their
-// answers.
+// maxReadAhead is how many requests of one connection are read before their turn. No more are read after that many, and the
+// connection is closed once they are answered.
 const maxReadAhead = 64
 
 // ClientRequest is one complete HTTP request of a client.
 type ClientRequest struct {
 	Request   *http.Request
-	Call      *protocol.Request  // what engines are to do; nil where the request is for the router itself
-	Caller    string             // whose quota it counts for; empty for the connection's own
-	Bytes     int                // its size
+	Call      *protocol.Request  // the decoded request; nil if the router itself answers it
+	Caller    string             // tenant whose quota the request counts against; empty if the connection has its own quota
+	Bytes     int                // size of the request
 	Rejection *protocol.Response // the answer to an invalid request
 
-	exceedsPipeline bool // too many wait before it
-	terminal        bool // nothing behind it can be read
+	exceedsPipeline bool // too many requests wait before this one
+	terminal        bool // no later request on the connection can be read
 }
 
-// ReceivePartial handles a part of a request, of which so many bytes are buffered now.
+// ReceivePartial handles a part of a request; buffered is how many bytes of the request are buffered now.
 func (r *Router) ReceivePartial(client *ClientConnection, event admission.Event, buffered int) {
 	if client.disconnected || client.closing {
-		return // what comes on a connection that is closing is dropped
+		return // input on a closing connection is dropped
 	}
 	client.partialEvent, client.partial = event, true
 	if !client.serving {
@@ -47,7 +47,8 @@
 	}
 }
 
-// RejectMessage answers what is no valid HTTP message. Nothing more is read, as it is not known where the message ends.
+// RejectMessage answers input that is not a valid HTTP message. No more input is read, as the end of the message is
+// unknown.
 func (r *Router) RejectMessage(client *ClientConnection, err error) {
 	status := http.StatusBadRequest
 	var message *httpframing.MessageError
@@ -55,7 +56,7 @@
 		status = message.Status
 	}
 	r.observer.Rejected(RejectMessage)
-	// Requests before it get their answers first.
+	// Earlier requests on the connection are answered first.
 	rejection := r.protocol.InvalidRequestResponse(status, "bad_message", "", err.Error())
 	client.waiting = append(client.waiting, &ClientRequest{Rejection: &rejection, terminal: true})
 	r.serveNext(client)
@@ -78,8 +79,8 @@
 	r.serveNext(client)
 }
 
-// ExpectContinue handles a request whose client waits for "100 Continue" before it sends the body. It is sent once all
-// requests before are answered, as it must not come in the middle of an answer.
+// ExpectContinue handles a request whose client waits for "100 Continue" before it sends the body. The interim response is
+// sent once all earlier requests are answered, as it must not be sent in the middle of an answer.
 func (r *Router) ExpectContinue(client *ClientConnection) {
 	if client.disconnected || client.closing {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// serveNext serves the requests of a connection, one after the other.
+// serveNext serves the waiting requests of a connection, one after the other.
 func (r *Router) serveNext(client *ClientConnection) {
 	for !client.serving && !client.disconnected && !client.closing && len(client.waiting) > 0 {
 		received := client.waiting[0]
@@ -113,8 +114,8 @@
 	}
 }
 
-// allAnswered handles that all requests read on a connection are answered. The timeout of a request that has come in part
-// meanwhile begins now.
+// handleAllAnswered is called when all requests that were read on a connection are answered. The timeout of a request that
+// was received in part in the meantime begins now.
 func (r *Router) handleAllAnswered(client *ClientConnection) {
 	r.admission.Handle(client.ID, admission.AllAnswered, r.now)
 	switch {
@@ -140,7 +141,8 @@
 	}
 }
 
-// reply writes a complete answer and ends the request; the connection is closed after an answer to no request.
+// reply writes a complete answer and ends the request. An answer to no particular request, with received nil, also closes
+// the connection.
 func (r *Router) reply(client *ClientConnection, received *ClientRequest, answer protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
 		answer.Status, http.StatusText(answer.Status), answer.ContentType, len(answer.Body))
@@ -155,14 +157,14 @@
 	r.finishReply(client, received, keepAlive)
 }
 
-// finishReply ends a request of a client and goes on with the next.
+// finishReply ends a request of a client and serves the next one.
 func (r *Router) finishReply(client *ClientConnection, received *ClientRequest, keepAlive bool) {
 	if received != nil {
 		r.admission.AddBytes(client.ID, -received.Bytes)
 	}
 	client.serving, client.current = false, nil
 	if !keepAlive || client.closing {
-		// Its client has said that this was the last request, or nothing behind it can be read: what follows gets no answer.
+		// The client declared this request the last one, or no later request can be read: later requests get no answer.
 		client.waiting = nil
 		r.closeAfterFlush(client)
 		return
@@ -170,14 +172,15 @@
 	r.serveNext(client)
 }
 
-// abortResponse closes a connection whose answer broke off, so that the client does not take what it has for complete.
+// abortResponse closes a connection whose answer was cut off, so that the client does not take a partial answer for a
+// complete one.
 func (r *Router) abortResponse(client *ClientConnection) {
 	client.serving, client.current = false, nil
 	client.aborted = true
 	r.closeAfterFlush(client)
 }
 
-// shedResponse is the answer to what is shed for lack of capacity.
+// shedResponse returns the answer to a request or connection that is shed for lack of capacity.
 func (r *Router) shedResponse(name string, reason ShedReason) protocol.Response {
 	return r.protocol.ShedResponse(http.StatusServiceUnavailable, name, string(reason), r.config.MaxRetryAfter)
 }
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// reapInterval is how often the router looks for what has no timer of its own and has waited too long.
+// reapInterval is how often the router checks the time limits that have no timer of their own.
 const reapInterval = int64(25 * time.Millisecond)
 
-// delayThreshold is how late an event may be handled before its request counts from when it happened. Below it the delay is
-// that of a router with little to do.
+// delayThreshold is how late an event may be handled before the timeout of its request counts from the earliest time at
+// which the event may have happened. Shorter delays are those of a router under little load.
 const delayThreshold = 4 * reapInterval
 
-// clock is the time as the router was last given it, in nanoseconds.
+// clock holds the time that was last passed to the router, in nanoseconds.
 type clock struct {
 	now           int64
-	earliestEvent int64 // events that are handled now happened after this; 0 where that is not known
-	readAt        int64 // when the event that is handled now was read from its socket; 0 where that is not known
+	earliestEvent int64 // the current events happened after this time; 0 if it is unknown
+	readAt        int64 // when the current event was read from its socket; 0 if that is unknown
 	observed      ObservedTimes
 	reapedAt      int64
 }
 
-// ObservedTimes are up to when all that the others sent has been handed over. What has not come by then has not been sent;
-// until then it may wait to be read. 0 stands for the present.
+// ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Input that is
+// missing by then was not sent; later input may still be unread. 0 stands for the current time.
 type ObservedTimes struct{ Engines, Clients int64 }
 
-// SetTime sets the time of the events that are handed over next.
+// SetTime sets the time of the events that follow.
 func (c *clock) SetTime(now int64) { c.now, c.readAt = now, 0 }
 
-// SetReadTime says when the events that are handed over next were read, until the next SetTime.
+// SetReadTime sets when the events that follow were read from their sockets. It holds until the next SetTime.
 func (c *clock) SetReadTime(at int64) { c.readAt = at }
 
-// SetObserved says what has been handed over.
+// SetObserved sets the times up to which all input was passed to the router.
 func (c *clock) SetObserved(times ObservedTimes) { c.observed = times }
 
-// eventTime is when the present event was read.
+// eventTime returns when the current event was read.
 func (c *clock) eventTime() int64 {
 	if c.readAt == 0 {
 		return c.now
@@ -39,10 +39,11 @@
 	return min(c.now, c.readAt)
 }
 
-// enginesObserved is up to when all that engines sent is known. Whoever is silent is judged by it.
+// enginesObserved returns the time up to which all input from engines is known. The timeouts of silent engines are checked
+// against it.
 func (c *clock) enginesObserved() int64 { return observedOr(c.observed.Engines, c.now) }
 
-// clientsObserved is up to when all that clients sent is known.
+// clientsObserved returns the time up to which all input from clients is known.
 func (c *clock) clientsObserved() int64 { return observedOr(c.observed.Clients, c.now) }
 
 func observedOr(observed, now int64) int64 {
@@ -52,10 +53,10 @@
 	return min(now, observed)
 }
 
-// SetEarliestEventTime says that the events that are handed over next happened after a time, however late they are handled.
+// SetEarliestEventTime sets a time after which the events that follow happened, however late they are handled.
 func (c *clock) SetEarliestEventTime(at int64) { c.earliestEvent = at }
 
-// earliestEventTime is the earliest time at which the present event may have happened.
+// earliestEventTime returns the earliest time at which the current event may have happened.
 func (c *clock) earliestEventTime() int64 {
 	if c.earliestEvent == 0 {
 		return c.now
@@ -63,8 +64,8 @@
 	return min(c.now, c.earliestEvent)
 }
 
-// arrivalTime is when the timeout of a request that is handled now began: when it was read or, where the process did not run
-// for a while before that, as early as it may have come.
+// arrivalTime returns when the timeout of the request that is handled now began: when the request was read or, if the
+// process did not run for a while before that, the earliest time at which the request may have arrived.
 func (c *clock) arrivalTime() int64 {
 	read := c.eventTime()
 	if since := c.earliestEventTime(); read-since > delayThreshold {
@@ -75,7 +76,7 @@
 
 func (c *clock) nextReapAt() int64 { return c.reapedAt + reapInterval }
 
-// reapDue is whether it is time to reap, which then counts as done.
+// startReapIfDue reports whether reap is due, and if so records that it runs now.
 func (c *clock) startReapIfDue() bool {
 	if c.now < c.nextReapAt() {
 		return false
--- a/internal/router/control_requests.go
+++ b/internal/router/control_requests.go
@@ -9,30 +9,30 @@
 	"sandcourse/internal/routing"
 )
 
-// maxControlTimeout bounds how long a control request may take.
+// maxControlTimeout is the upper limit of the timeout of control requests.
 const maxControlTimeout = 250 * time.Millisecond
 
-// controlRequest is a request to an engine that is no attempt: a health check, or the release of a reservation.
+// controlRequest is a request to an engine that is not an attempt: a health check, or the release of a reservation.
 type controlRequest struct {
 	engine        string
-	reservation   *reservation.Reservation // to be released; nil for a health check
-	round         int                      // of the reservation's releases
-	newConnection bool                     // it is to go on a connection of its own
+	reservation   *reservation.Reservation // the reservation to release; nil for a health check
+	round         int                      // release round of the reservation
+	newConnection bool                     // the request must be sent on a new connection
 	startedAt     int64
-	head          *http.Response // of the answer; nil before
+	head          *http.Response // head of the response; nil until it is received
 }
 
-// controlRequests are those in flight.
+// controlRequests is the set of control requests in flight.
 type controlRequests map[*controlRequest]struct{}
 
-// remove drops a control request; it returns false where it has ended already.
+// remove removes a control request; it returns false if the request has already ended.
 func (c controlRequests) remove(control *controlRequest) bool {
 	_, ok := c[control]
 	delete(c, control)
 	return ok
 }
 
-// controlTimeout is how long a control request may take.
+// controlTimeout returns the timeout of control requests.
 func (r *Router) controlTimeout() int64 {
 	return int64(min(maxControlTimeout, r.config.Rules.ReservationLimit/4))
 }
@@ -53,15 +53,15 @@
 	return r.protocol.HealthCheckRequest(target)
 }
 
-// controlNotSent ends a control request for which this machine could make no connection. A release is sent again when its
-// reservation is due.
+// handleControlNotSent ends a control request for which no connection could be made for a local reason. A release is sent
+// again when its reservation is due.
 func (r *Router) handleControlNotSent(control *controlRequest) {
 	if r.controlRequests.remove(control) && control.reservation == nil {
 		r.reportHealthCheck(control, routing.NotSent, nil)
 	}
 }
 
-// finishControlRequest handles the answer to a control request; the head is nil where there is none.
+// finishControlRequest handles the end of a control request; head is nil if there was no response.
 func (r *Router) finishControlRequest(control *controlRequest, head *http.Response, body []byte) {
 	if !r.controlRequests.remove(control) {
 		return
@@ -74,7 +74,7 @@
 		}
 	case ok:
 		r.reportHealthCheck(control, routing.Completed, r.protocol.ParseLoadReport(head, body))
-	case head != nil: // it runs, and cannot answer now
+	case head != nil: // the engine runs, but cannot serve now
 		r.reportHealthCheck(control, routing.Full, nil)
 	default:
 		r.reportHealthCheck(control, routing.TimedOut, nil)
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -14,31 +14,31 @@
 	"sandcourse/internal/routing"
 )
 
-// departedRetention is for how long an engine is remembered that has left the endpoint list. A minute is several times what
-// a connection may need to come up, after which nothing is written to it.
+// departedRetention is how long the router remembers an engine that has left the endpoint list. A minute is several times
+// the time that a dial may take; no request is written to the engine after its dial.
 const departedRetention = int64(time.Minute)
 
-// drainRetention is for how long a drain holds against a list of an older revision. Agents of discovery lag by seconds; an
-// older list that stays for longer is that of a store that was restored.
+// drainRetention is how long a drain takes precedence over an endpoint list of an older revision. Discovery agents lag by
+// seconds; an older list that stays for longer comes from a store that was restored.
 const drainRetention = int64(10 * time.Second)
 
-// endpointState is the endpoint list, and what is known of the engines that are or were in it.
+// endpointState holds the endpoint list, and the state of the engines that are or were in it.
 type endpointState struct {
-	current        *endpoint.List // nil until the first one comes
-	positions      map[string]int // in the entries of current, by engine
+	current        *endpoint.List // nil until the first list is received
+	positions      map[string]int // index into the entries of current, by engine
 	history        listHistory
 	starts         engineStarts
 	drains         attempt.UnavailableSince
-	listCount      uint64            // how many have come
-	lastListedIn   map[string]uint64 // the last list that had an engine; of all that are listed, or were not long ago
-	lastResponseAt map[string]int64  // when an engine's last answer began
+	listCount      uint64            // number of lists received
+	lastListedIn   map[string]uint64 // number of the last list that had an engine; kept while it is listed and for departedRetention
+	lastResponseAt map[string]int64  // when an engine's last response began
 }
 
-// listHistory finds lists that are older than one that came before.
+// listHistory detects lists that are older than one received before.
 type listHistory struct {
 	newestRevision int64
-	latest         endpoint.List // as it came last, whatever its revision
-	reapplyAt      int64         // when latest has to be applied again; 0 for never
+	latest         endpoint.List // the list received last, whatever its revision
+	reapplyAt      int64         // when latest must be applied again; 0 for never
 }
 
 func newEndpointState() endpointState {
@@ -46,7 +46,7 @@
 		lastResponseAt: map[string]int64{}}
 }
 
-// setCurrent makes a list the present one.
+// setCurrent makes a list the current one.
 func (e *endpointState) setCurrent(list *endpoint.List) {
 	sameEngines := e.current != nil && slices.EqualFunc(e.current.Entries, list.Entries, func(a, b endpoint.Entry) bool { return a.ID == b.ID })
 	e.current = list
@@ -54,18 +54,18 @@
 		return
 	}
 	clear(e.positions)
-	for i := len(list.Entries) - 1; i >= 0; i-- { // of two entries of one engine the first counts
+	for i := len(list.Entries) - 1; i >= 0; i-- { // if an engine has two entries, the first one counts
 		e.positions[list.Entries[i].ID] = i
 	}
 }
 
-// isListed is whether an engine is in the present list.
+// isListed reports whether an engine is in the current list.
 func (e *endpointState) isListed(engine string) bool {
 	_, listed := e.positions[engine]
 	return listed
 }
 
-// find is what the list says of an engine; the zero entry for one that is not in it.
+// find returns the entry of an engine in the current list, or the zero entry if the engine is not listed.
 func (e *endpointState) find(engine string) endpoint.Entry {
 	if i, listed := e.positions[engine]; listed {
 		return e.current.Entries[i]
@@ -73,14 +73,15 @@
 	return endpoint.Entry{}
 }
 
-// target is where an engine is reached from this router: its ID is its address, unless the list has another.
+// target returns the address of an engine as seen from this router. The address is the engine's ID unless the list has
+// another one.
 func (e *endpointState) target(engine string) protocol.Target {
 	entry := e.find(engine)
 	return protocol.Target{Address: cmp.Or(entry.Address, engine), RoleEpoch: entry.RoleEpoch}
 }
 
-// accept notes the latest list. Engines that were drained, or had left, not long ago stay so in a list that is older than the
-// one that said so, as when discovery has moved to an agent that lags.
+// acceptList records the latest list and returns the entries to use. In a list that is older than one received before, as
+// when discovery has moved to an agent that lags, engines that were drained or removed recently are returned as draining.
 func (e *endpointState) acceptList(list endpoint.List, now int64) endpoint.List {
 	e.history.latest, e.history.reapplyAt = list, 0
 	if list.Revision < e.history.newestRevision {
@@ -90,7 +91,7 @@
 	return list
 }
 
-// keepDrains returns the entries of an older list, with those draining that were drained or gone not long ago.
+// keepDrains returns the entries of an older list, with those engines draining that were drained or removed recently.
 func (e *endpointState) keepDrains(entries []endpoint.Entry, now int64) []endpoint.Entry {
 	entries = slices.Clone(entries)
 	for i := range entries {
@@ -105,7 +106,7 @@
 	return entries
 }
 
-// noteEngines updates what is known of engines from those that are listed now, and forgets those that left long ago.
+// recordEngines updates the state of engines from those that are listed now, and forgets engines that left long ago.
 func (e *endpointState) recordEngines(listed []routing.Endpoint, now int64) {
 	e.listCount++
 	for i := range listed {
@@ -133,22 +134,22 @@
 	list = r.endpoints.acceptList(list, r.now)
 	list.Entries = r.endpoints.starts.normalize(list.Entries, r.now)
 	update, unknown := r.config.EndpointUpdate(list)
-	r.endpoints.recordEngines(update.Engines, r.earliestEventTime()) // drains count from when they were told
+	r.endpoints.recordEngines(update.Engines, r.earliestEventTime()) // a drain counts from when it may have been announced
 	r.endpoints.setCurrent(&list)
 	r.closeIdleToOldAddresses()
 	r.observer.EndpointsUpdated(list.Revision, len(update.Engines), unknown)
 	r.notifyPolicy(update)
 }
 
-// reapplyEndpoints applies the latest list again once drains do not hold against it any more.
+// reapplyEndpoints applies the latest list again once recent drains no longer take precedence over it.
 func (r *Router) reapplyEndpoints() {
 	if recheckAt := r.endpoints.history.reapplyAt; recheckAt > 0 && r.now >= recheckAt {
 		r.UpdateEndpoints(r.endpoints.history.latest)
 	}
 }
 
-// closeMovedConnections closes the idle connections to addresses that their engines have left: another engine may listen
-// there by now. Those that carry something are closed after it.
+// closeIdleToOldAddresses closes the idle connections to addresses that their engines no longer have: another engine may
+// listen there now. Busy connections are closed after their request.
 func (r *Router) closeIdleToOldAddresses() {
 	for _, id := range r.connections.IDs() {
 		conn := r.connections.byID[id]
@@ -162,8 +163,8 @@
 	}
 }
 
-// isPrefill is whether an attempt at an engine asks for a prefill: by the engine's role, or, where an engine of both roles has
-// to be asked for the prefill first, by whether the request has no reservation yet.
+// isPrefill reports whether an attempt at an engine requests a prefill. The engine's role decides. An engine of both roles
+// that needs a separate prefill request gets one if the request has no reservation yet.
 func (r *Router) isPrefill(engine string, req *request) bool {
 	switch r.config.Role(r.endpoints.find(engine).Kind) {
 	case config.RolePrefill:
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -11,15 +11,16 @@
 	"sandcourse/internal/reservation"
 )
 
-// spareConnections are for control requests alone, at each engine: reservations must be released even while all other
-// connections carry prefills.
+// spareConnections is how many connections to each engine are reserved for control requests: reservations must be released
+// even while all other connections carry prefills.
 const spareConnections = 2
 
-// staleConnectionWindow is how soon a connection breaks that the engine had closed before a request was written to it: a
-// round trip.
+// staleConnectionWindow is how soon after a write a reused connection breaks if the engine had closed it before the write:
+// one round trip.
 const staleConnectionWindow = int64(20 * time.Millisecond)
 
-// drainTime is how long the rest of an answer that is over may take: it is an end of chunks or a short body.
+// responseDrainTimeout is how long the rest of a response may take after its attempt has ended. The rest is the end of a
+// chunked body, or a short body.
 const responseDrainTimeout = int64(time.Second)
 
 // EngineConnection is one connection to an engine.
@@ -28,17 +29,17 @@
 	Engine  string
 	Address string // the address that is dialed
 
-	socket                EngineSocket    // nil while it is dialed
-	attempt               *engineAttempt  // that it carries
-	control               *controlRequest // or that
-	reused                bool            // it has carried another request before this
-	streamed              bool            // its last answer is a stream, as those to decodes
-	writtenAt             int64           // when its last request was written
+	socket                EngineSocket    // nil while the connection is dialed
+	attempt               *engineAttempt  // the attempt that the connection carries
+	control               *controlRequest // the control request that the connection carries
+	reused                bool            // the connection carried another request before the current one
+	streamed              bool            // the last response is a stream, as all responses to decodes are
+	writtenAt             int64           // when the last request was written
 	dialedAt              int64
-	drainingResponseSince int64 // since when it waits for the rest of an answer that is over; 0 where it does not
+	drainingResponseSince int64 // since when the rest of a response is awaited that nothing uses; 0 if none is
 }
 
-// engineConnections are the connections to engines; the pool decides on their use.
+// engineConnections holds the connections to engines; the pool decides on their use.
 type engineConnections struct {
 	*connpool.Pool
 	byID map[int64]*EngineConnection
@@ -52,9 +53,9 @@
 	}
 }
 
-// maxIdle is how long a connection may have been idle to carry an attempt or a control request. Control requests use any
-// kept connection, whatever became of others: a release may be sent twice, and what is written to an open connection
-// reaches an engine that is paused, while a new connection does not come up.
+// maxIdle returns how long a connection may have been idle to carry an attempt or a control request. Control requests use
+// any open connection, even after early closes of others: a release may be sent twice, and a request on an open connection
+// reaches an engine that is paused, while a new connection to it cannot be established.
 func (r *Router) maxIdle(engine string, att *engineAttempt, control *controlRequest) time.Duration {
 	idle := r.config.Connections.IdleTimeout
 	switch {
@@ -70,8 +71,8 @@
 	return idle
 }
 
-// dispatch finds a connection for an attempt or a control request and writes to it, now or once it is connected. It
-// returns false where no connection may be opened.
+// dispatch finds a connection for an attempt or a control request and writes the request to it, now or once it is
+// connected. It returns false if no connection may be opened.
 func (r *Router) dispatch(engine string, att *engineAttempt, control *controlRequest) bool {
 	spare := 0
 	if control != nil {
@@ -102,9 +103,9 @@
 	return true
 }
 
-// EngineConnected handles the end of a dial: the socket of the connection, or why there is none.
+// EngineConnected handles the end of a dial, with the socket of the connection or the error.
 func (r *Router) EngineConnected(conn *EngineConnection, socket EngineSocket, err error) {
-	if r.connections.byID[conn.ID] != conn { // closed while it was dialed
+	if r.connections.byID[conn.ID] != conn { // the connection was closed while it was dialed
 		if socket != nil {
 			socket.Close()
 		}
@@ -124,7 +125,7 @@
 	r.writeRequest(conn)
 }
 
-// dialFailed ends a connection that did not come up. Where the cause is local, that says nothing of the engine.
+// handleDialFailure ends a connection whose dial failed. A local cause says nothing about the engine.
 func (r *Router) handleDialFailure(conn *EngineConnection, err error) {
 	r.connections.Handle(conn.ID, connpool.DialFailed, r.now)
 	delete(r.connections.byID, conn.ID)
@@ -142,8 +143,8 @@
 	r.failAssigned(conn, attempt.EngineUnavailable, reason)
 }
 
-// writeRequest writes the first byte of an attempt, so invariants are checked here once more: a drain may have been
-// notified while the connection was dialed.
+// writeRequest writes the request that a connection carries. The invariants of an attempt are checked once more before the
+// first byte is written: a drain may have been announced while the connection was dialed.
 func (r *Router) writeRequest(conn *EngineConnection) {
 	att := conn.attempt
 	if att != nil && !r.mayWrite(att, conn) {
@@ -159,14 +160,14 @@
 	}
 	conn.writtenAt = r.now
 	if err := conn.socket.Write(request); err != nil {
-		return // EngineDisconnected follows, and is judged by how much was written
+		return // EngineDisconnected follows; its outcome depends on how much was written
 	}
 	if conn.attempt != nil && conn.socket.RequestWritten() {
 		r.transition(conn.attempt, attempt.RequestWritten)
 	}
 }
 
-// mayWrite is whether an attempt may be written to its connection. If not, the attempt has ended.
+// mayWrite reports whether an attempt may be written to its connection. If not, the attempt has ended.
 func (r *Router) mayWrite(att *engineAttempt, conn *EngineConnection) bool {
 	if att.request.client.Socket.Disconnected() {
 		r.ClientDisconnected(att.request.client)
@@ -176,7 +177,7 @@
 	if reason == invariant.Allowed {
 		return true
 	}
-	if reason == invariant.EngineAddressChanged { // first, so that the next attempt does not find this connection again
+	if reason == invariant.EngineAddressChanged { // discard the connection first, so that the next attempt does not reuse it
 		att.connection, conn.attempt = nil, nil
 		r.discardConnection(conn)
 	}
@@ -204,7 +205,7 @@
 	r.failAssigned(conn, attempt.ConnectionReset, reasonConnectionLost)
 }
 
-// discardConnection closes a connection on which the rest of an answer may still come.
+// discardConnection closes a connection on which the rest of a response may still arrive.
 func (r *Router) discardConnection(conn *EngineConnection) {
 	if r.connections.byID[conn.ID] != conn {
 		return
@@ -224,7 +225,7 @@
 	}
 }
 
-// failCarried ends what a connection carried when it was lost.
+// failAssigned ends the attempt or control request that a connection carried when it was lost.
 func (r *Router) failAssigned(conn *EngineConnection, event attempt.Event, reason AttemptReason) {
 	if att := conn.attempt; att != nil {
 		if event == attempt.ConnectionReset && conn.reused && att.responseHeads == 0 && r.eventTime()-conn.writtenAt < staleConnectionWindow {
@@ -239,7 +240,8 @@
 	}
 }
 
-// reapConnections closes idle connections whose time is up, and those that wait too long for what they carry.
+// reapConnections closes connections that have been idle for too long, and those that wait too long for a dial or a
+// response.
 func (r *Router) reapConnections() {
 	for _, id := range r.connections.IdleExpired(r.now) {
 		r.connections.Handle(id, connpool.IdleExpired, r.now)
--- a/internal/router/engine_responses.go
+++ b/internal/router/engine_responses.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/connpool"
 )
 
-// ResponseHead handles the head of an engine's answer, with the relay of its stream if it is one.
+// ResponseHead handles the head of an engine's response. The relay is that of the response's stream, or nil.
 func (r *Router) ResponseHead(conn *EngineConnection, head *http.Response, relay Relay) {
 	conn.streamed = conn.attempt != nil && conn.attempt.decode
 	r.endpoints.lastResponseAt[conn.Engine] = r.now
@@ -54,14 +54,14 @@
 	}
 }
 
-// StreamComment handles a comment of a stream, which may be the engine's load report.
+// StreamComment handles a comment in a stream, which may contain the engine's load report.
 func (r *Router) StreamComment(conn *EngineConnection, text []byte) {
 	if report := r.protocol.ParseLoadComment(text); report != nil && conn.attempt != nil {
 		conn.attempt.loadReport = report
 	}
 }
 
-// ResponseComplete handles the end of an answer; clean is false where more bytes followed.
+// ResponseComplete handles the end of a response; clean is false if more bytes followed it.
 func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
 	if att := conn.attempt; att != nil {
 		r.handleAttemptResponse(att, body)
@@ -103,7 +103,7 @@
 	r.handleAttemptEvent(att, attempt.PrefillCompleted, "")
 }
 
-// ResponseInvalid handles bytes that are no valid answer.
+// ResponseInvalid handles bytes that are not a valid response.
 func (r *Router) ResponseInvalid(conn *EngineConnection, err error) {
 	if conn.attempt != nil {
 		r.handleAttemptEvent(conn.attempt, attempt.MalformedResponse, AttemptReason(err.Error()))
--- a/internal/router/engine_starts.go
+++ b/internal/router/engine_starts.go
@@ -8,30 +8,30 @@
 	"sandcourse/internal/endpoint"
 )
 
-// maxReportedAge is how old the start of an engine may be that is first reported while this router runs: lists come seconds
+// maxReportedAge is the maximum age of an engine start that is first reported while this router runs: lists arrive seconds
 // late, and discovery may be down for longer. A start that seems older was stamped by a clock that differs from this
-// router's, and counts from when it was first reported, so that the engine counts as one that is warming up.
+// router's. It counts from when it was first reported, so that the engine counts as warming up.
 const maxReportedAge = 30 * time.Second
 
-// nanosPerMilli converts between the unit of endpoint lists and that of the router.
+// nanosPerMilli converts between the time units of endpoint lists and of the router.
 const nanosPerMilli = int64(time.Millisecond)
 
-// engineStart is when an engine started.
+// engineStart records when an engine started.
 type engineStart struct {
-	reported int64 // as the list says, in milliseconds
+	reported int64 // as in the endpoint list, in milliseconds
 	at       int64 // by the router's clock, in nanoseconds
 	listedAt int64 // when the engine was last listed
 }
 
-// engineStarts converts the start times of endpoint lists into times of the router's clock. Machines stamp them with their
-// wall clocks, which may be stepped, while the router's clock is monotonic. So a start is compared with the clock once, when it
-// is first reported; from then on it is only compared with what was reported before.
+// engineStarts converts the start times in endpoint lists into times of the router's clock. Machines stamp starts with
+// their wall clocks, which may be stepped, while the router's clock is monotonic. A start is therefore compared with the
+// clock only once, when it is first reported; later it is only compared with the start that was reported before.
 type engineStarts struct {
 	byEngine    map[string]engineStart
-	initialized bool // a list has come: starts that are new since happened while this router ran
+	initialized bool // a list was received: starts that are first reported after it happened while this router ran
 }
 
-// normalize returns the entries with their starts by the router's clock, and forgets engines that left long ago.
+// normalize returns the entries with start times of the router's clock, and forgets engines that left long ago.
 func (s *engineStarts) normalize(entries []endpoint.Entry, now int64) []endpoint.Entry {
 	if s.byEngine == nil {
 		s.byEngine = make(map[string]engineStart, len(entries))
@@ -51,7 +51,7 @@
 	return normalized
 }
 
-// isRestart is whether an entry reports a start of its engine that was not reported before.
+// isRestart reports whether an entry has a start of its engine that was not reported before.
 func (s *engineStarts) isRestart(entry endpoint.Entry) bool {
 	return entry.StartedAtMs > 0 && s.byEngine[entry.ID].reported != entry.StartedAtMs
 }
@@ -65,6 +65,6 @@
 	if at > now || s.initialized && now-at > int64(maxReportedAge) {
 		at = now
 	}
-	// A new start is never before the last one, whatever the clocks say.
+	// A new start is always later than the previous one, whatever the wall clocks say.
 	return engineStart{reported: entry.StartedAtMs, at: max(at, previous.at+nanosPerMilli)}
 }
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -10,8 +10,8 @@
 	"sandcourse/internal/attempt"
 )
 
-// Fingerprint writes everything that later events may depend on: the state of the policy, what is open, connections by what
-// they carry and not by their IDs, timers by what they are for. It is for model checkers and decides nothing.
+// Fingerprint writes all state that later events may depend on. It identifies connections by what they carry and timers by
+// their purpose, not by their IDs. Model checkers use it; no decision depends on it.
 func (r *Router) Fingerprint(w io.Writer) {
 	r.policy.Fingerprint(w)
 	for _, id := range r.requests.ids() {
@@ -76,7 +76,7 @@
 	fmt.Fprintln(w, "list", e.history.newestRevision-e.history.latest.Revision, max(0, e.history.reapplyAt-now))
 }
 
-// describe tells control requests apart.
+// describe returns a text that distinguishes control requests.
 func (c *controlRequest) describe() string {
 	if c.reservation == nil {
 		return "health check"
@@ -84,7 +84,7 @@
 	return fmt.Sprint("release ", c.reservation.ID, " ", c.reservation.Round-c.round)
 }
 
-// OpenAttempt is one attempt of an open request, for model checkers.
+// OpenAttempt describes one attempt of an open request, for model checkers.
 type OpenAttempt struct {
 	Request, Engine string
 	Decode, Ended   bool
@@ -92,7 +92,7 @@
 	Verdict         Verdict
 }
 
-// OpenAttempts lists the attempts of all open requests, by request.
+// OpenAttempts returns the attempts of all open requests, ordered by request.
 func (r *Router) OpenAttempts() (attempts []OpenAttempt) {
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
@@ -104,13 +104,14 @@
 	return attempts
 }
 
-// FiredTransitions is which transitions of the state machines of routing, attempts and connections have fired so far, a bit
-// each from bit 0.
+// FiredTransitions returns which transitions of the state machines of routing, attempts and connections have fired so far,
+// as bit sets that start at bit 0.
 func (r *Router) FiredTransitions() (policy, attempts, connections uint64) {
 	return r.policy.FiredTransitions(), r.requests.attemptTransitions >> 1, r.connections.FiredTransitions()
 }
 
-// BusyConnections is how many connections to engines carry something, wait for the rest of an answer, or are dialed.
+// BusyConnections returns the number of connections to engines that carry a request, wait for the rest of a response, or
+// are dialed.
 func (r *Router) BusyConnections() (count int) {
 	for _, conn := range r.connections.byID {
 		if conn.attempt != nil || conn.control != nil || conn.drainingResponseSince > 0 || conn.socket == nil {
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -6,19 +6,19 @@
 	"sandcourse/internal/routing"
 )
 
-// peerFreshness is how lately a peer must have been heard for clients to find it: routers send gossip about each request
-// that they serve.
+// peerFreshness is the maximum age of the last message from a peer for which clients can be expected to reach the peer:
+// routers send gossip about each request that they serve.
 const peerFreshness = int64(time.Second)
 
-// gossipState is what the router itself keeps of gossip; the policy keeps the rest.
+// gossipState is the part of the gossip state that the router itself keeps; the policy keeps the rest.
 type gossipState struct {
-	heardAt int64 // when a peer was last heard
+	heardAt int64 // when the last message from a peer was received
 }
 
-// peerIsFresh is whether a peer was heard lately.
+// heardRecently reports whether a message from a peer was received recently.
 func (g *gossipState) heardRecently(now int64) bool { return now-g.heardAt <= peerFreshness }
 
-// ReceivePeerMessage handles a message of another router.
+// ReceivePeerMessage handles a message from another router.
 func (r *Router) ReceivePeerMessage(from int, text string) {
 	r.gossip.heardAt = r.now
 	r.notifyPolicy(routing.GossipReceived{From: from, Text: text})
--- a/internal/router/interfaces.go
+++ b/internal/router/interfaces.go
@@ -2,56 +2,58 @@
 
 import "errors"
 
-// Transport is what a router needs of the network. Its methods must not call back into the router, but for CatchUp.
+// Transport is the network interface of a router. Its methods, except CatchUp, must not call back into the router.
 type Transport interface {
-	// CatchUp is called after each decision of the policy, which may have taken a while, and before it is carried out. It may
-	// call SetTime, and UpdateEndpoints with lists that have come meanwhile.
+	// CatchUp is called after each decision of the policy, which may have taken a while, and before the decision is
+	// performed. CatchUp may call SetTime, and UpdateEndpoints with lists that arrived in the meantime.
 	CatchUp()
-	// Dial connects to an engine; Router.EngineConnected follows, in a later event.
+	// Dial connects to an engine. Router.EngineConnected is called in a later event.
 	Dial(conn *EngineConnection)
-	// SendToPeer sends a short text to one router, or to all others where to is negative.
+	// SendToPeer sends a short text to one router, or to all others if to is negative.
 	SendToPeer(to int, text string)
 }
 
 // ClientSocket is the socket of a client's connection.
 type ClientSocket interface {
-	// Send queues data for the client. It fails where too much is queued already.
+	// Send queues data for the client. It returns an error if too much data is queued already.
 	Send(data []byte) error
-	// Flushed is whether all that was sent is with the kernel.
+	// Flushed reports whether the kernel has accepted all data that was sent.
 	Flushed() bool
-	// StopReading drops what the client still sends.
+	// StopReading drops all further input from the client.
 	StopReading()
-	// Disconnected is whether the connection has ended, though the router may not have been told yet.
+	// Disconnected reports whether the connection has ended, even if the router was not notified yet.
 	Disconnected() bool
-	// CloseIfIdle closes the connection unless a request has been read, in whole or in part, that is not answered yet.
+	// CloseIfIdle closes the connection unless a request was read, in whole or in part, that is not answered yet. It
+	// reports whether the connection is closed.
 	CloseIfIdle() bool
-	// Close closes the connection at once.
+	// Close closes the connection immediately.
 	Close()
 }
 
 // EngineSocket is the socket of a connection to an engine.
 type EngineSocket interface {
-	// Write sends a request. After an error Router.EngineDisconnected follows, in a later event.
+	// Write sends a request. After an error Router.EngineDisconnected is called in a later event.
 	Write(request []byte) error
-	// RequestWritten is whether the last byte of the last request is with the kernel.
+	// RequestWritten reports whether the kernel has accepted the last byte of the last request.
 	RequestWritten() bool
-	// Close closes the connection at once.
+	// Close closes the connection immediately.
 	Close()
 }
 
-// Relay passes the tokens of a stream from an engine to a client without the router, once the router has forwarded those
-// that came before.
+// Relay forwards the tokens of a stream from an engine to a client without the router, once the router has forwarded the
+// earlier ones.
 type Relay interface {
-	// Forwarded says that the router has forwarded one token. The relay may call flush before it sends to the client itself.
+	// Forwarded records that the router has forwarded one token. The relay may call flush before it sends to the client
+	// itself.
 	Forwarded(to ClientSocket, flush func())
-	// Close stops the relay: no token passes after it returns.
+	// Close stops the relay: no token is forwarded after it returns.
 	Close()
-	// LastTokenAt is when a token last passed, by the router's clock.
+	// LastTokenAt returns when the relay last forwarded a token, by the router's clock.
 	LastTokenAt() int64
-	// Tokens is how many tokens have passed.
+	// Tokens returns the number of tokens that the relay has forwarded.
 	Tokens() int
 }
 
-// ErrLocal marks a failed dial that says nothing of the engine: this machine has no descriptors or ports left, or the
+// ErrLocal marks a failed dial that says nothing about the engine: this machine has no descriptors or ports left, or the
 // router is shutting down.
 var ErrLocal = errors.New("the connection could not be made on this machine")
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/invariant"
 )
 
-// reservationCheckInterval is how often reservations are checked: a violation is not reported sooner for more checks.
+// reservationCheckInterval is how often reservations are checked. More frequent checks would not report a violation sooner.
 const reservationCheckInterval = int64(200 * time.Millisecond)
 
 // invariantMonitor checks the invariants at run time.
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkReservations looks for reservations that are kept for too long while no attempt is in flight that may claim them.
+// checkReservations reports reservations that are kept for too long while no attempt is in flight that may claim them.
 func (r *Router) checkReservations() {
 	for _, reserved := range r.reservations.All() {
 		unclaimed := time.Duration(r.now - reserved.UnclaimedSince())
@@ -39,7 +39,7 @@
 	}
 }
 
-// mayBeClaimed is whether an attempt is in flight that may claim the reservation of a request.
+// mayBeClaimed reports whether an attempt is in flight that may claim the reservation of a request.
 func (r *Router) mayBeClaimed(request string) bool {
 	req := r.requests.byName[request]
 	return req != nil && slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool {
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/routing"
 )
 
-// Observer is told what happens, for logs and metrics. No decision depends on it.
+// Observer receives notifications for logs and metrics. No decision of the router depends on them.
 type Observer interface {
 	// AroundStep runs one step of the routing policy.
 	AroundStep(event routing.Event, step func())
@@ -19,7 +19,8 @@
 	RequestShed(shed ShedRequest)
 	// FirstToken reports the first token of a request.
 	FirstToken(route string, after time.Duration, promptTokens int)
-	// Rejected reports a message or connection that was rejected, or closed as its client was slow.
+	// Rejected reports a message or connection that was rejected, or a connection that was closed because its client was
+	// slow.
 	Rejected(reason RejectReason)
 	// AttemptEnded reports the end of an attempt.
 	AttemptEnded(summary AttemptSummary)
@@ -33,7 +34,7 @@
 	ConnectionChanged(engine string, event ConnectionEvent)
 	// ReservationChanged reports a change of a reservation that no attempt has consumed.
 	ReservationChanged(event ReservationEvent)
-	// EndpointsUpdated reports a new endpoint list, and the engines in it that are left out as their kind is unknown.
+	// EndpointsUpdated reports a new endpoint list, and the engines in it that are ignored because their kind is unknown.
 	EndpointsUpdated(revision int64, engines int, unknown []string)
 }
 
@@ -41,10 +42,10 @@
 type RequestSummary struct {
 	Request, Route, Session    string
 	Outcome                    RequestOutcome
-	Reason                     FailureReason // why it has failed; empty for other outcomes
-	Cause                      string        // what made the policy shed or fail it; empty where it did not
-	Attempts                   []string      // the engine and the verdict of each
-	Duration, TimeToFirstToken time.Duration // the latter is 0 where no token came
+	Reason                     FailureReason // why the request failed; empty for other outcomes
+	Cause                      string        // why the policy shed or failed the request; empty if it did not
+	Attempts                   []string      // engine and verdict of each attempt
+	Duration, TimeToFirstToken time.Duration // TimeToFirstToken is 0 if there was no token
 	PromptTokens, OutputTokens int
 }
 
@@ -61,7 +62,7 @@
 	Index           int
 	Decode          bool
 	Verdict         Verdict
-	Reason          AttemptReason // empty where it succeeded
-	Connecting      time.Duration // until its request was written; 0 where it was not
+	Reason          AttemptReason // empty if the attempt succeeded
+	Connecting      time.Duration // until the request was written; 0 if it was not written
 	Duration        time.Duration
 }
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -9,13 +9,13 @@
 	"sandcourse/internal/routing"
 )
 
-// policyRunner runs the routing policy: it queues events while one is handled, and keeps the policy's timers.
+// policyRunner runs the routing policy: it queues events while another one is handled, and keeps the policy's timers.
 type policyRunner struct {
 	*routing.Policy
 	seed     uint64
-	restarts uint64          // a panic of the policy starts a new one
-	pending  []routing.Event // not handled yet
-	running  bool            // events are being handled
+	restarts uint64          // how often the policy was replaced by a new one after a panic
+	pending  []routing.Event // events that are not handled yet
+	running  bool            // whether an event is being handled
 	timers   timerQueue
 }
 
@@ -28,8 +28,8 @@
 	p.Policy = routing.New(p.seed+p.restarts, cfg.RoutingConfig())
 }
 
-// notifyPolicy hands an event to the routing policy and performs the actions that it decides on. Actions may cause further
-// events, which wait for their turn.
+// notifyPolicy passes an event to the routing policy and performs the resulting actions. Actions may cause further events,
+// which are queued.
 func (r *Router) notifyPolicy(event routing.Event) {
 	r.policy.pending = append(r.policy.pending, event)
 	if r.policy.running {
@@ -49,7 +49,7 @@
 		for _, action := range actions {
 			r.performAction(action)
 		}
-		// Not before all actions are performed: a release comes after the answer.
+		// Requests are removed only after all actions are performed, as a release follows the answer.
 		for _, req := range r.requests.justFinished {
 			r.forgetIfFinished(req)
 		}
@@ -58,14 +58,15 @@
 	r.policy.pending, r.policy.running = nil, false
 }
 
-// catchUp lets the time pass and new lists come in that a decision has taken. The present event stays the same.
+// catchUp lets the transport update the time and the endpoint list after a decision, which may have taken a while. The
+// times of the current event stay the same.
 func (r *Router) catchUp() {
 	readAt, earliestEvent := r.readAt, r.earliestEvent
 	r.transport.CatchUp()
 	r.readAt, r.earliestEvent = readAt, earliestEvent
 }
 
-// runPolicy is the only place that calls the policy. A panic there must not end the requests of the whole router.
+// runPolicy is the only function that calls the policy. A panic of the policy must not crash the whole router.
 func (r *Router) runPolicy(event routing.Event) (actions []routing.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -77,11 +78,11 @@
 	return actions, true
 }
 
-// restartPolicy answers all open requests with an error, since the old policy's view of them is lost, and starts a new
-// policy from the present endpoint list. What was in flight may have run, so the answers do not say that a retry is safe.
+// restartPolicy answers all open requests with an error, since the old policy's state of them is lost, and starts a new
+// policy from the current endpoint list. Attempts in flight may have run, so the answers do not say that a retry is safe.
 func (r *Router) restartPolicy() {
 	r.policy.restart(r.config)
-	if r.endpoints.current != nil { // before the requests that wait behind those answered now
+	if r.endpoints.current != nil { // queued before the requests that wait behind those answered below
 		update, _ := r.config.EndpointUpdate(*r.endpoints.current)
 		r.policy.pending = append(r.policy.pending, update)
 	}
@@ -98,7 +99,7 @@
 	}
 }
 
-// dropAttempt ends an attempt that the new policy does not know of.
+// dropAttempt ends an attempt that the new policy does not know.
 func (r *Router) dropAttempt(att *engineAttempt) {
 	att.ended = true
 	r.recordReservation(att, attempt.Canceled, attempt.Result{Verdict: routing.Canceled, MayLeaveReservation: true})
@@ -108,7 +109,7 @@
 	}
 }
 
-// performAction carries out one decision of the policy.
+// performAction performs one action of the policy.
 func (r *Router) performAction(action routing.Action) {
 	switch action := action.(type) {
 	case routing.Send:
@@ -140,7 +141,7 @@
 	}
 }
 
-// fireTimers hands the timers that are due to the policy that has set them.
+// fireTimers notifies the policy of its timers that are due, and drops those of an earlier policy.
 func (r *Router) fireTimers() {
 	for {
 		t, ok := r.policy.timers.popDue(r.now)
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -5,7 +5,7 @@
 	"sandcourse/internal/routing"
 )
 
-// RequestOutcome is how a request has ended. The values are labels of metrics.
+// RequestOutcome is how a request ended. The values are metric labels.
 type RequestOutcome string
 
 // The outcomes of requests.
@@ -13,10 +13,10 @@
 	OutcomeCompleted RequestOutcome = "completed"
 	OutcomeShed      RequestOutcome = "shed"
 	OutcomeErrored   RequestOutcome = "errored"
-	OutcomeAbandoned RequestOutcome = "left" // its client disconnected
+	OutcomeAbandoned RequestOutcome = "left" // the client disconnected
 )
 
-// FailureReason is why a request failed. Its text is part of the answer to the client.
+// FailureReason is why a request failed. The text is part of the answer to the client.
 type FailureReason string
 
 // The reasons for which the router itself fails a request.
@@ -27,14 +27,14 @@
 	ReasonShuttingDown     FailureReason = FailureReason(invariant.ShuttingDown)
 	reasonStreamShed       FailureReason = "the stream was given up"
 
-	// reasonStreamBroken comes before the reason of the attempt whose stream broke.
+	// reasonStreamBroken is a prefix of the reason of the attempt whose stream broke.
 	reasonStreamBroken FailureReason = "the stream broke: "
 )
 
-// ShedReason is why a request was shed. Its text is part of the answer to the client.
+// ShedReason is why a request was shed. The text is part of the answer to the client.
 type ShedReason string
 
-// The reasons for which the router sheds requests, beside those of package invariant.
+// The reasons for which the router sheds requests, in addition to those of package invariant.
 const (
 	shedPipelined   ShedReason = "too many requests wait on this connection"
 	shedRetryBudget ShedReason = "more calls are repeated than this node takes"
@@ -44,30 +44,30 @@
 	shedDeadline    ShedReason = "it would not be answered in time"
 )
 
-// AttemptReason is why an attempt ended as it did. Besides the constants it may be the text of an error, the status of the
-// engine's answer, or a reason of package invariant.
+// AttemptReason is why an attempt ended. Besides the constants, the value may be the text of an error, the status of the
+// engine's response, or a reason of package invariant.
 type AttemptReason string
 
-// The reasons of the router itself that are only logged.
+// The router's own reasons that are only logged.
 const (
 	reasonClientDisconnected AttemptReason = "client disconnected"
 	reasonConnectionLimit    AttemptReason = "connection limit reached"
 
-	// reasonDialFailed comes before an error.
+	// reasonDialFailed is a prefix of the text of an error.
 	reasonDialFailed AttemptReason = "dial failed: "
 )
 
-// The reasons of the router itself that end streams, and so are part of answers to clients.
+// The router's own reasons that end streams, and thus are part of answers to clients.
 const (
 	reasonCanceled       AttemptReason = "withdrawn"
 	reasonConnectionLost AttemptReason = "the connection is gone"
 	reasonSecondHead     AttemptReason = "a second head"
 
-	// reasonStalled comes before a duration.
+	// reasonStalled is a prefix of a duration.
 	reasonStalled AttemptReason = "no token for "
 )
 
-// RejectReason is why a message or a connection of a client was rejected. The values are labels of metrics.
+// RejectReason is why a message or a connection of a client was rejected. The values are metric labels.
 type RejectReason string
 
 // The reasons of rejections.
@@ -81,7 +81,7 @@
 	RejectTimeout     RejectReason = "slow or idle" // the client sent nothing, or too slowly
 )
 
-// CloseReason is why the router closes a client's connection. The values are labels of metrics.
+// CloseReason is why the router closes a client's connection. The values are metric labels.
 type CloseReason string
 
 // The reasons for which the router closes a client's connection.
@@ -89,12 +89,12 @@
 	CloseIdle         CloseReason = "idle"            // the idle timeout has passed
 	CloseShutdown     CloseReason = "stopping"        // the router is shutting down
 	CloseEvicted      CloseReason = "crowded"         // another client needs the capacity
-	CloseAnswered     CloseReason = "last answer out" // the last answer on it has been written
-	CloseStreamBroken CloseReason = "stream broke"    // its client must not take a partial stream for a complete one
-	CloseUnread       CloseReason = "not read"        // its client did not read the answer in time
+	CloseAnswered     CloseReason = "last answer out" // the last answer on the connection was written
+	CloseStreamBroken CloseReason = "stream broke"    // the client must not take a partial stream for a complete one
+	CloseUnread       CloseReason = "not read"        // the client did not read the answer in time
 )
 
-// ConnectionEvent is a change of a connection to an engine. The values are labels of metrics.
+// ConnectionEvent is a change of a connection to an engine. The values are metric labels.
 type ConnectionEvent string
 
 // The changes of connections to engines.
@@ -107,20 +107,20 @@
 	ConnectionClosed  ConnectionEvent = "closed"
 )
 
-// ReservationEvent is a change of a reservation that no attempt has consumed. The values are labels of metrics.
+// ReservationEvent is a change of a reservation that no attempt has consumed. The values are metric labels.
 type ReservationEvent string
 
 // The changes of reservations.
 const (
 	ReleaseSent         ReservationEvent = "sent"         // the first release was sent
-	ReleaseAcknowledged ReservationEvent = "acknowledged" // an engine has acknowledged a release
-	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation for as long as it may
-	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the attempt that was to consume it was unresponsive for as long
-	ReleaseAbandoned    ReservationEvent = "given up"     // no engine acknowledges releases
-	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are known: this one is not released
+	ReleaseAcknowledged ReservationEvent = "acknowledged" // an engine acknowledged a release
+	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation up to the time limit
+	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the attempt that was to consume it was unresponsive up to the time limit
+	ReleaseAbandoned    ReservationEvent = "given up"     // no engine acknowledged the releases
+	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are tracked; this one is not released
 )
 
-// Verdict is how an attempt ended. The values are labels of metrics.
+// Verdict is how an attempt ended. The values are metric labels.
 type Verdict string
 
 // The verdicts of attempts, as package routing defines them.
--- a/internal/router/recent_names.go
+++ b/internal/router/recent_names.go
@@ -1,21 +1,22 @@
 package router
 
-// namesPerGeneration bounds the names that are remembered: a minute of a hundred requests a second, some hundred kilobytes.
+// namesPerGeneration is how many names one generation remembers: those of a minute at a hundred requests per second, some
+// hundred kilobytes.
 const namesPerGeneration = 6000
 
-// recentNames are the request names that clients have given. Engines know requests by name, so that a second request of the
-// same name would be taken for a copy of the first. The last few thousand are kept, in two generations.
+// recentNames remembers the request names that clients have sent. Engines identify requests by name, so a second request of
+// the same name would be taken for a duplicate of the first. The last few thousand names are kept, in two generations.
 type recentNames struct{ recent, previous map[string]bool }
 
 func (n *recentNames) contains(name string) bool { return n.recent[name] || n.previous[name] }
 
-// remove forgets the name of a request of which nothing was sent to an engine: its client may use it again.
+// remove forgets the name of a request that was never sent to an engine: the client may use the name again.
 func (n *recentNames) remove(name string) {
 	delete(n.recent, name)
 	delete(n.previous, name)
 }
 
-// add remembers a name; it returns false where the name is known already.
+// add remembers a name; it returns false if the name is already known.
 func (n *recentNames) add(name string) bool {
 	if n.contains(name) {
 		return false
--- a/internal/router/request_admission.go
+++ b/internal/router/request_admission.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/routing"
 )
 
-// admitRequest hands a request to the policy, or answers it before the policy hears of it.
+// admitRequest passes a request to the policy, or answers the request itself if it is invalid, forbidden or over a limit.
 func (r *Router) admitRequest(client *ClientConnection, received *ClientRequest) {
 	route := r.config.Route(received.Call.Route)
 	if !r.validateRequest(client, received, route) || !r.checkAcceptance(client, received) || !r.acquireCapacity(client, received) {
@@ -27,7 +27,7 @@
 	r.forgetIfFinished(req)
 }
 
-// isValid is whether a request can be served at all. If not, it is answered.
+// validateRequest reports whether a request can be served at all. If not, the request is answered.
 func (r *Router) validateRequest(client *ClientConnection, received *ClientRequest, route int) bool {
 	if route < 0 {
 		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
@@ -42,7 +42,8 @@
 	return true
 }
 
-// isAllowed is whether the invariants let a request start. If not, it is answered. Its name is taken from now on.
+// checkAcceptance reports whether the invariants allow a request to start. If they do, its name is taken from now on;
+// otherwise the request is answered.
 func (r *Router) checkAcceptance(client *ClientConnection, received *ClientRequest) bool {
 	name := received.Call.ID
 	arrival := invariant.Arrival{DuplicateID: r.requests.isKnown(name), Accepting: r.acceptsRequests()}
@@ -61,7 +62,8 @@
 	return false
 }
 
-// hasCapacity is whether the limits of this router leave capacity for a request. If not, it is shed.
+// acquireCapacity counts a request as open if the limits of this router leave capacity for it, and reports whether they do.
+// If not, the request is shed.
 func (r *Router) acquireCapacity(client *ClientConnection, received *ClientRequest) bool {
 	status, reason := http.StatusServiceUnavailable, ShedReason("")
 	if received.exceedsPipeline {
@@ -102,8 +104,8 @@
 	}
 }
 
-// arrivalOf is what the policy is told of a new request. A request without a session is one of its own: the policy must not
-// take strangers for one session.
+// arrivalEvent returns the policy event for a new request. A request without a session gets a session of its own: the
+// policy must not treat unrelated clients as one session.
 func (r *Router) arrivalEvent(req *request) routing.RequestArrived {
 	call := req.received.Call
 	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(call.Session, req.name), Prefix: call.Prefix,
@@ -112,8 +114,8 @@
 		MaxOutputTokens: float64(call.MaxOutputTokens), ClientRetry: call.Idempotent, Resumed: call.Resumes}
 }
 
-// shedOnArrival sheds a request before the policy sees it. A request for the rest of a stream has run before, under another
-// name; where it must not run twice it gets an error instead, as to shed it would say that a retry is safe.
+// shedOnArrival sheds a request before the policy sees it. A request that resumes a stream has run before, under another
+// name. If it must not run twice, it gets an error instead, since a shed answer says that a retry is safe.
 func (r *Router) shedOnArrival(client *ClientConnection, received *ClientRequest, status int, reason ShedReason, retryAfter time.Duration) {
 	call := received.Call
 	r.observer.RequestShed(ShedRequest{Request: call.ID, Route: call.Route, Reason: reason, PromptTokens: call.PromptTokens})
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -8,7 +8,8 @@
 	"sandcourse/internal/routing"
 )
 
-// endRequest sets the outcome of a request. The first call counts, and no token is forwarded after it.
+// endRequest sets the outcome of a request, and reports whether the request had none before. A later call has no effect. No
+// token is forwarded after the outcome is set.
 func (r *Router) endRequest(req *request, outcome RequestOutcome, reason FailureReason) bool {
 	if req.outcome != "" {
 		return false
@@ -28,7 +29,7 @@
 	return true
 }
 
-// finishRequest answers a request that is completed or has failed.
+// finishRequest answers a request that has completed or failed.
 func (r *Router) finishRequest(req *request, outcome RequestOutcome, reason FailureReason) {
 	client := req.client
 	if !r.endRequest(req, outcome, reason) || client.disconnected {
@@ -38,7 +39,7 @@
 	case outcome == OutcomeCompleted && req.collector != nil:
 		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Call, req.name, req.collector))
 	case req.streaming && req.collector == nil, outcome == OutcomeCompleted:
-		if !req.streaming { // an answer without a token
+		if !req.streaming { // an answer without tokens
 			r.write(client, r.protocol.StreamHead(req.name))
 		}
 		last, keepAlive := r.protocol.StreamEnd(outcome == OutcomeCompleted, string(reason))
@@ -53,7 +54,7 @@
 	}
 }
 
-// failRequest answers a request that the policy has given up.
+// failRequest answers a request that the policy has failed.
 func (r *Router) failRequest(req *request) {
 	reason := reasonNoAnswer
 	if r.deadlinePassed(req) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// cancelRequest ends a request whose client does not wait for it.
+// cancelRequest ends a request whose client no longer waits for it, and cancels its attempts.
 func (r *Router) cancelRequest(req *request) {
 	r.endRequest(req, OutcomeAbandoned, "")
 	r.notifyPolicy(routing.ClientDisconnected{RequestID: req.id})
@@ -90,13 +91,13 @@
 	r.forgetIfFinished(req)
 }
 
-// abortRequest answers a request with an error and cancels what is in flight of it.
+// abortRequest answers a request with an error and cancels its attempts.
 func (r *Router) abortRequest(req *request, reason FailureReason) {
 	r.finishRequest(req, OutcomeErrored, reason)
 	r.cancelRequest(req)
 }
 
-// reportRequest reports a request that has its outcome.
+// reportRequest reports the outcome of a request to the observer.
 func (r *Router) reportRequest(req *request, reason FailureReason) {
 	call := req.received.Call
 	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: call.Session, Outcome: req.outcome,
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -8,63 +8,63 @@
 	"sandcourse/internal/protocol"
 )
 
-// request is one request of a client that engines are to serve, from its arrival until it is answered and none of its
-// attempts is in flight.
+// request is one request of a client that engines are to serve. It is kept from its arrival until it is answered and none
+// of its attempts is in flight.
 type request struct {
 	id               int64
-	name             string // as engines know it
+	name             string // identifies the request to engines
 	client           *ClientConnection
 	received         *ClientRequest
 	route            int
 	arrivedAt        int64
 	deadline         int64
 	attempts         []*engineAttempt
-	transfer         protocol.ReservationHandle // what the prefill engine reserved; nil before
-	collector        protocol.Collector         // where the client wants one complete answer; nil for a stream
-	streaming        bool                       // its first token has come
+	transfer         protocol.ReservationHandle // the reservation of the prefill engine; nil before the prefill is done
+	collector        protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
+	streaming        bool                       // the first token was received
 	firstTokenAt     int64
-	mayStillRunUntil int64          // until when a cancelled attempt may still act at its engine; 0 where there is none
-	tokens           int            // forwarded by the router; relays count theirs
-	outcome          RequestOutcome // empty until it has one
-	cause            string         // what made the policy end it; empty where it did not
+	mayStillRunUntil int64          // until when a cancelled attempt may still run at its engine; 0 if there is none
+	tokens           int            // forwarded by the router; relays count theirs separately
+	outcome          RequestOutcome // empty until the request has ended
+	cause            string         // why the policy ended the request; empty if it did not
 }
 
-// forwardsTokens is whether tokens are forwarded to the client as they come.
+// forwardsTokens reports whether tokens are forwarded to the client as they arrive.
 func (req *request) forwardsTokens() bool { return req.collector == nil && req.outcome == "" }
 
-// inFlight is whether an attempt has not ended.
+// inFlight reports whether an attempt of the request has not ended.
 func (req *request) inFlight() bool {
 	return slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool { return !att.ended })
 }
 
-// wasSent is whether anything of the request was written to an engine.
+// wasSent reports whether any part of the request was written to an engine.
 func (req *request) wasSent() bool {
 	return slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool { return att.writtenAt > 0 })
 }
 
-// requestTable are the open requests.
+// requestTable holds the open requests.
 type requestTable struct {
 	byID        map[int64]*request
 	byName      map[string]*request
-	recentNames recentNames // that clients have given
+	recentNames recentNames // names that clients have sent
 	lastID      int64
-	// justFinished are those that were answered while the present event of the policy is handled.
+	// justFinished holds the requests that were answered while the current policy event is handled.
 	justFinished       []*request
-	attemptTransitions uint64 // transitions of the attempt state machine that have fired, a bit each, from bit 1
+	attemptTransitions uint64 // fired transitions of the attempt state machine, one bit each, from bit 1
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[int64]*request{}, byName: map[string]*request{}}
 }
 
-// ids are the open requests in the order of their arrival.
+// ids returns the IDs of the open requests in the order of their arrival.
 func (t *requestTable) ids() []int64 {
 	ids := slices.AppendSeq(make([]int64, 0, len(t.byID)), maps.Keys(t.byID))
 	slices.Sort(ids)
 	return ids
 }
 
-// isKnown is whether a request has this name: an open one, or one of the last few thousand.
+// isKnown reports whether an open request, or one of the last few thousand requests, has this name.
 func (t *requestTable) isKnown(name string) bool {
 	return t.byName[name] != nil || t.recentNames.contains(name)
 }
@@ -76,20 +76,20 @@
 	delete(t.byName, req.name)
 }
 
-// effect is what a second run of the requests of a route would do.
+// effect returns the effect of running a request of the route a second time.
 func (r *Router) effect(route int) invariant.Effect {
 	return invariant.ParseEffect(string(r.config.Routes[route].Effect))
 }
 
-// retriable is whether the requests of a route may run twice.
+// retriable reports whether the requests of a route may run twice.
 func (r *Router) retriable(route int) bool { return r.effect(route) == invariant.Retriable }
 
-// deadlinePassed is whether the deadline of a request has passed, or is about to.
+// deadlinePassed reports whether the deadline of a request has passed or is about to pass.
 func (r *Router) deadlinePassed(req *request) bool {
 	return r.now >= req.deadline-4*int64(r.config.TickInterval)
 }
 
-// forgetRequest drops a request that is answered and has no attempt in flight.
+// forgetIfFinished removes a request that is answered and has no attempt in flight.
 func (r *Router) forgetIfFinished(req *request) {
 	if req.outcome != "" && !req.inFlight() {
 		r.removeRequest(req)
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -10,12 +10,12 @@
 	"sandcourse/internal/routing"
 )
 
-// reservationsPerRequest bounds the reservations that are tracked by the requests that may be open: a request may have two
-// prefills, and as many requests that have ended may still have reservations to release.
+// reservationsPerRequest is the number of reservations that are tracked at most, per request that may be open: a request
+// may have two prefills, and as many requests that have ended may still have reservations to release.
 const reservationsPerRequest = 4
 
-// parallelReleases is how many engines a release goes to at a time, where any of them may handle it: one that hangs must not
-// delay the next.
+// parallelReleases is how many engines a release is sent to at a time if any engine can handle it: an engine that hangs
+// must not delay the release at the next one.
 const parallelReleases = 2
 
 func newReservationTable(cfg *config.Deployment, codec protocol.Codec) *reservation.Table {
@@ -23,12 +23,12 @@
 		reservationsPerRequest*cfg.Limits.OpenRequests))
 }
 
-// recordReservation notes what the outcome of an attempt says of the reservation that it made or claimed.
+// recordReservation records what the outcome of an attempt means for the reservation that the attempt made or claimed.
 func (r *Router) recordReservation(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	req := att.request
-	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without an answer of the engine
+	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without a response of the engine
 	if cancelled && r.config.ReleaseRepeatTime > 0 {
-		// Engines know the timeout of a request, and need some time to notice that it has passed.
+		// Engines know the timeout of a request, and need some time to detect that it has passed.
 		req.mayStillRunUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
 	}
 	switch {
@@ -52,7 +52,7 @@
 	r.advanceReservation(reserved)
 }
 
-// claimResult is what the verdict of a decode says of the reservation that it may have claimed.
+// claimEvent returns what the verdict of a decode means for the reservation that the decode may have claimed.
 func claimEvent(verdict routing.Verdict, cancelled bool) reservation.Event {
 	switch {
 	case verdict == routing.Completed:
@@ -75,7 +75,7 @@
 	}
 }
 
-// runReservation does what is due for a reservation.
+// advanceReservation performs the action that is due for a reservation.
 func (r *Router) advanceReservation(reserved *reservation.Reservation) {
 	action, expiredState := r.reservations.HandleDue(reserved, r.now)
 	switch expiredState {
@@ -98,15 +98,15 @@
 		r.observer.ReservationChanged(ReleaseSent)
 	}
 	for _, engine := range r.releaseTargets(reserved, isFirst) {
-		// Where only one engine can handle it, every second release is on a connection of its own.
+		// If only one engine can handle the release, every second one is sent on a new connection.
 		newConnection := !r.protocol.ReleaseReachesAllEngines() && len(reserved.ReleaseTargets)%2 == 1
 		reserved.ReleaseTargets = append(reserved.ReleaseTargets, engine)
 		r.startControlRequest(&controlRequest{engine: engine, reservation: reserved, round: reserved.Round, newConnection: newConnection})
 	}
 }
 
-// releaseTargets are the engines that a release goes to now. Where any engine handles releases, that is the one that holds the
-// reservation, and with the first release one that there is an idle connection to; with later ones, those that answered last.
+// releaseTargets returns the engines that a release is sent to now: the engine that holds the reservation alone, unless any
+// engine handles releases.
 func (r *Router) releaseTargets(reserved *reservation.Reservation, isFirst bool) []string {
 	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints.current == nil {
 		return []string{reserved.Engine}
@@ -114,7 +114,8 @@
 	return r.targetsAmongAllEngines(reserved, isFirst)
 }
 
-// anyEngineTargets are those of a release that any engine handles.
+// targetsAmongAllEngines returns the targets of a release that any engine handles. The first release is sent to the engine
+// that holds the reservation and to one with an idle connection, later ones to those that responded last.
 func (r *Router) targetsAmongAllEngines(reserved *reservation.Reservation, isFirst bool) []string {
 	if !isFirst {
 		return r.releaseCandidates(reserved, parallelReleases)
@@ -130,8 +131,8 @@
 	return []string{reserved.Engine, connectedEngine}
 }
 
-// lastAnsweringConnected is the engine, of those other than one that an idle connection is open to, that answered last; empty
-// where there is none.
+// latestConnectedResponder returns the engine that responded last, of those with an idle connection other than except;
+// empty if there is none.
 func (r *Router) latestConnectedResponder(except string) (last string) {
 	for _, engine := range r.connections.ReusableEngines(r.now, r.config.Connections.IdleTimeout) {
 		if engine != except && r.endpoints.isListed(engine) && (last == "" || r.endpoints.respondedLater(engine, last)) {
@@ -141,19 +142,19 @@
 	return last
 }
 
-// answeredLater is whether an engine answered later than another. Of two that answered at once, or never, the first by ID
-// counts as later.
+// respondedLater reports whether an engine responded later than another. Of two that responded at the same time, or never,
+// the first by ID counts as later.
 func (e *endpointState) respondedLater(engine, other string) bool {
 	return cmp.Or(cmp.Compare(e.lastResponseAt[other], e.lastResponseAt[engine]), cmp.Compare(engine, other)) < 0
 }
 
-// releaseCandidates are the next listed engines that the release has not gone to yet; once it has gone to all, it starts over.
-// The engine that holds the reservation comes first, then those that answered last.
+// releaseCandidates returns the next listed engines that the release was not sent to yet; once it was sent to all, it
+// starts over. The engine that holds the reservation comes first, then those that responded last.
 func (r *Router) releaseCandidates(reserved *reservation.Reservation, count int) (candidates []string) {
 	if len(reserved.ReleaseTargets) >= len(r.endpoints.current.Entries) {
 		reserved.ReleaseTargets = reserved.ReleaseTargets[:0]
 	}
-	excluded := map[string]bool{} // that the release has gone to, or that are candidates already
+	excluded := map[string]bool{} // engines that the release was sent to, or that are candidates already
 	for _, engine := range reserved.ReleaseTargets {
 		excluded[engine] = true
 	}
@@ -168,7 +169,7 @@
 	return candidates
 }
 
-// nextReleaseCandidate is the first listed engine that is not passed; empty where there is none.
+// nextReleaseCandidate returns the first listed engine that is not excluded; empty if there is none.
 func (r *Router) nextReleaseCandidate(holder string, excluded map[string]bool) (next string) {
 	isCandidate := func(engine string) bool { return !excluded[engine] && r.endpoints.isListed(engine) }
 	if isCandidate(holder) {
@@ -182,7 +183,7 @@
 	if next != "" {
 		return next
 	}
-	for _, entry := range r.endpoints.current.Entries { // those that never answered
+	for _, entry := range r.endpoints.current.Entries { // engines that never responded
 		if !excluded[entry.ID] {
 			return entry.ID
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,7 @@
-// Package router is the core of one router, without its sockets. What happens on connections of clients and engines is
-// handed to it as method calls; it asks the deciding packages (routing, attempt, connpool, reservation, admission,
-// invariant) what to do, and turns their decisions into bytes for clients and engines. It does no I/O. Sockets, the clock
-// and the log are behind interfaces, so that the edge, the emulator and the model checker run the same code.
+// Package router implements the core of one router, without sockets. Events on the connections of clients and engines
+// arrive as method calls. The router passes them to the packages that decide (routing, attempt, connpool, reservation,
+// admission, invariant) and turns the decisions into bytes for clients and engines. The package does no I/O: sockets, the
+// clock and the log are behind interfaces, so that the edge, the emulator and the model checker run the same code.
 package router
 
 import (
@@ -14,8 +14,8 @@
 	"sandcourse/internal/reservation"
 )
 
-// Router joins the parts of one router. Each part owns its state; the methods of Router are the flows that cross parts.
-// It is not safe for concurrent use.
+// Router combines the components of one router. Each component owns its state; the methods of Router implement the
+// operations that span components. A Router is not safe for concurrent use.
 type Router struct {
 	environment
 	clock
@@ -33,10 +33,10 @@
 	monitor         invariantMonitor
 }
 
-// environment is what a router is given when it is made. None of it changes.
+// environment holds the settings and dependencies of a router. They do not change after the router is created.
 type environment struct {
 	config *config.Deployment
-	// protocol encodes and decodes the messages of clients and engines. It keeps no state that changes.
+	// protocol encodes and decodes the messages of clients and engines. A codec has no state that changes.
 	protocol    protocol.Codec
 	transport   Transport
 	observer    Observer
@@ -49,7 +49,7 @@
 	retries *admission.RetryBudget
 }
 
-// New makes a router that starts at the time now. The incarnation must differ between runs of the same router.
+// New returns a router that starts at the time now. The incarnation must differ between runs of the same router.
 func New(cfg *config.Deployment, protocol protocol.Codec, seed uint64, incarnation, now int64, transport Transport,
 	observer Observer) *Router {
 	return &Router{
@@ -68,7 +68,7 @@
 	}
 }
 
-// RunDue does what is due by now and flushes what clients are to get.
+// RunDue processes the timers, releases and timeouts that are due at the time now, and flushes the output to clients.
 func (r *Router) RunDue(now int64) {
 	r.SetTime(now)
 	for _, reserved := range r.reservations.DueBy(now) {
@@ -82,12 +82,13 @@
 	r.flushClients()
 }
 
-// NextDue is when RunDue is next needed if nothing happens before.
+// NextDue returns when RunDue must be called next if no other event occurs before.
 func (r *Router) NextDue() int64 {
 	return min(r.nextReapAt(), r.reservations.NextDue(), r.policy.timers.next())
 }
 
-// reap ends what has waited too long and has no timer of its own: stalled streams, slow clients, idle connections.
+// reap ends connections and requests that have exceeded a time limit and have no timer of their own: stalled streams, slow
+// clients, idle connections.
 func (r *Router) reap() {
 	r.drainClients()
 	r.abandonLateRequests()
@@ -100,25 +101,25 @@
 	r.reapStalledStreams()
 }
 
-// AbandonAll answers every open request with an error.
+// AbandonAll answers every open request with an error and cancels its attempts.
 func (r *Router) AbandonAll(reason FailureReason) {
 	for _, id := range r.requests.ids() {
 		r.abortRequest(r.requests.byID[id], reason)
 	}
 }
 
-// InFlight counts what a router has open.
+// InFlight counts the open connections, requests and reservations of a router.
 type InFlight struct {
 	Clients, Requests, Bytes, EngineConnections int
 
 	// ControlRequests counts health checks and releases in flight, and reservations that are not released yet.
 	ControlRequests   int
-	Reservations      int           // that engines hold, or may hold
-	OldestReservation time.Duration // how long the oldest of these has been known
-	Lingering         bool          // it is shutting down, and still accepts requests
+	Reservations      int           // held by engines, or possibly held
+	OldestReservation time.Duration // time since the oldest of these became known
+	Lingering         bool          // whether the router is shutting down and still accepts requests
 }
 
-// InFlight counts what the router has open now.
+// InFlight returns the current counts of the router's open connections, requests and reservations.
 func (r *Router) InFlight() InFlight {
 	clients, _, bytes := r.admission.Usage()
 	inFlight := InFlight{
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -2,27 +2,27 @@
 
 import "sandcourse/internal/config"
 
-// shutdownState is how far a graceful shutdown has come.
+// shutdownState is the progress of a graceful shutdown.
 type shutdownState struct {
 	requested      bool
 	requestedAt    int64
-	clientsDrained bool // idle connections of clients are closed since
+	clientsDrained bool // whether idle connections of clients are closed by now
 }
 
-// accepts is whether requests are still accepted: those that were on their way when the shutdown was requested, and all
+// accepts reports whether requests are still accepted: those that were in transit when the shutdown was requested, and all
 // until clients are drained.
 func (s *shutdownState) accepts(cfg *config.Deployment, now int64) bool {
 	return !s.requested || now-s.requestedAt < int64(cfg.ShutdownAcceptTime) || cfg.ShutdownAcceptTime > 0 && !s.clientsDrained
 }
 
-// handoverDue is whether requests that arrived late have to end, so that their clients may retry elsewhere before this
-// router is killed.
+// handoverDue reports whether requests that arrived late must end now, so that their clients can retry at another router
+// before this one is killed.
 func (s *shutdownState) handoverDue(cfg *config.Deployment, now int64) bool {
 	return s.requested && cfg.ShutdownStayTime != 0 && now-s.requestedAt >= int64(cfg.ShutdownHandoverTime)
 }
 
-// Shutdown begins a graceful shutdown. Where the settings let the router linger, requests that are on their way are still
-// accepted for that long, and then clients are drained.
+// Shutdown begins a graceful shutdown. If the settings let the router linger, requests in transit are still accepted for
+// that time, and then clients are drained.
 func (r *Router) Shutdown() {
 	if !r.shutdown.requested {
 		r.shutdown.requested, r.shutdown.requestedAt = true, r.now
@@ -30,12 +30,12 @@
 	}
 }
 
-// acceptsRequests is whether the router accepts new requests.
+// acceptsRequests reports whether the router accepts new requests.
 func (r *Router) acceptsRequests() bool { return r.shutdown.accepts(r.config, r.now) }
 
-// drainClients closes the idle connections of clients while the router shuts down, so that clients go elsewhere. It waits
-// until a peer is heard: rolling restarts follow one another, and if the router before is not back yet, clients find
-// nobody. Where peers serve and are not heard, the wait only delays the drain.
+// drainClients closes the idle connections of clients while the router shuts down, so that clients connect to other
+// routers. It waits until a message from a peer is received: in a rolling restart the previous router may not be back yet,
+// and clients would find no router. If peers serve but their messages do not arrive, the wait only delays the drain.
 func (r *Router) drainClients() {
 	waitsForPeer := r.config.ShutdownAcceptTime > 0 && r.now-r.shutdown.requestedAt < int64(r.config.ShutdownStayTime) &&
 		!r.gossip.heardRecently(r.now)
@@ -48,15 +48,15 @@
 	}
 }
 
-// closeDrainingClient closes an idle connection while clients are drained. A connection with a request in flight is tried
-// again after the answer.
+// closeDrainingClient closes an idle connection while clients are drained. It is called again after an answer for a
+// connection that had a request in flight.
 func (r *Router) closeDrainingClient(client *ClientConnection) {
 	if r.shutdown.clientsDrained && r.config.ShutdownAcceptTime > 0 && r.admission.ServedAndIdle(client.ID) {
 		r.closeIfIdle(client, CloseShutdown)
 	}
 }
 
-// abandonLateRequests ends the requests that arrived too late in a shutdown to be sure of their end before the process is
+// abandonLateRequests ends the requests that arrived too late in a shutdown to complete for certain before the process is
 // killed: the client of a stream resumes it at another router, and others get an answer while there is time for one.
 func (r *Router) abandonLateRequests() {
 	if !r.shutdown.handoverDue(r.config, r.now) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// notReadyReason is why the router cannot serve, for readiness checks; empty where it can.
+// notReadyReason returns why the router cannot serve, for readiness checks; empty if it can.
 func (r *Router) notReadyReason() string {
 	switch {
 	case r.shutdown.requested:
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -6,14 +6,15 @@
 	"math"
 )
 
-// timer is one that the routing policy has started.
+// timer is a timer of the routing policy.
 type timer struct {
 	at, sequence int64
 	token        int64
-	restarts     uint64 // of the policy when it was set: timers of an earlier policy have no effect
+	restarts     uint64 // policyRunner.restarts when the timer was set: timers of an earlier policy have no effect
 }
 
-// timerQueue holds the timers that have not fired. Those that are due together fire in the order in which they were set.
+// timerQueue holds the timers that have not fired. Timers that are due at the same time fire in the order in which they
+// were set.
 type timerQueue struct {
 	heap         timerHeap
 	lastSequence int64
@@ -25,7 +26,7 @@
 	heap.Push(&q.heap, t)
 }
 
-// next is when the next timer is due; never, where there is none.
+// next returns when the next timer is due; math.MaxInt64 if there is none.
 func (q *timerQueue) next() int64 {
 	if len(q.heap) == 0 {
 		return math.MaxInt64
@@ -33,7 +34,7 @@
 	return q.heap[0].at
 }
 
-// popDue takes the next timer that is due by now.
+// popDue removes and returns the next timer that is due by now.
 func (q *timerQueue) popDue(now int64) (t timer, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return timer{}, false
