--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,9 +8,8 @@
 	"sandcourse/internal/invariant"
 )
 
-// The timeout that an engine is told is what is left when the request is written: where its connection was slow to come up,
-// between prefill and decode, and for a retry. A connection that took a quarter second to come up once had its engine told
-// as much too much.
+// The timeout that is sent to an engine is what remains when the request is written: after a slow dial, between prefill and
+// decode, and for a retry. An engine whose dial took a quarter second was once given that much too much.
 func TestEngineGetsRemainingTimeout(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
@@ -19,25 +18,25 @@
 		t.Helper()
 		timeouts := advertisedTimeouts(t, s)
 		if n := len(timeouts); n == 0 || timeouts[n-1] > left+10*time.Millisecond || timeouts[n-1] < left-100*time.Millisecond {
-			t.Errorf("%s: told %v, %v left", situation, timeouts, left)
+			t.Errorf("%s: the engine was sent timeouts %v, want at most %v", situation, timeouts, left)
 		}
 	}
 	b.advance(200 * time.Millisecond)
 	prefill := b.connect()
-	expect("a connection that came up late", prefill, 2800*time.Millisecond)
+	expect("after a slow dial", prefill, 2800*time.Millisecond)
 	b.advance(300 * time.Millisecond)
 	b.answerPrefill(prefill)
 	b.advance(100 * time.Millisecond)
 	decode := b.connect()
-	expect("a decode after its prefill", decode, 2400*time.Millisecond)
+	expect("decode after its prefill", decode, 2400*time.Millisecond)
 	b.advance(100 * time.Millisecond)
 	b.answerFull(decode)
 	b.advance(200 * time.Millisecond)
-	expect("a retry", b.connect(), 2100*time.Millisecond)
+	expect("retry", b.connect(), 2100*time.Millisecond)
 }
 
-// Nothing is forwarded for a client that has disconnected: not while a connection is dialed, nor between prefill and decode,
-// nor while the request waits for a decode engine. Its reservation is released all the same.
+// No attempt is forwarded for a client that has disconnected: not during a dial, nor between prefill and decode, nor while
+// the request waits for a decode engine. The reservation is still released.
 func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	for _, route := range []string{"chat", "alert"} {
 		b := newUnacknowledgedTestbed(t)
@@ -60,7 +59,7 @@
 		}
 
 		b = newUnacknowledgedTestbed(t)
-		b.setEndpoints("r") // no decode engine is there
+		b.setEndpoints("r") // no decode engine is listed
 		client, _ = b.request("a3", route)
 		s = b.connect()
 		b.answerPrefill(s)
@@ -81,7 +80,8 @@
 	}
 }
 
-// testbedAfterLostDecode is one where a deduplicated request was written to a decode engine whose connection then broke.
+// testbedAfterLostDecode returns a testbed in which a deduplicated request was written to a decode engine whose connection
+// then broke.
 func testbedAfterLostDecode(t *testing.T) *testbed {
 	b := newTestbed(t)
 	b.request("a1", "label")
@@ -91,8 +91,8 @@
 	return b
 }
 
-// Found by random settings: the deduplication window of a class passed while the connection of the second attempt came up. It
-// is checked again before the first byte.
+// The deduplication window of a request may pass while the connection of its second attempt is dialed, as a test with
+// random settings found. The window is checked again before the first byte is written.
 func TestDedupWindowExpiresWhileDialing(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
@@ -105,12 +105,13 @@
 			want = 2
 		}
 		if n := b.countAttempts(); n != want {
-			t.Errorf("after %v: %d attempts, not %d", after, n, want)
+			t.Errorf("after %v: %d attempts, want %d", after, n, want)
 		}
 	}
 }
 
-// A process that did not run for a while finds requests that have waited for it: their timeouts began when they came.
+// If the process did not run for a while, requests have waited for it. Their timeouts count from when they may have
+// arrived.
 func TestDeadlineIncludesTimeTheProcessDidNotRun(t *testing.T) {
 	b := newTestbed(t)
 	lastClockRead := b.now
@@ -119,12 +120,12 @@
 	b.core.SetEarliestEventTime(lastClockRead)
 	b.request("a1", "chat")
 	if timeouts := advertisedTimeouts(t, b.connect()); len(timeouts) != 1 || timeouts[0] > 2400*time.Millisecond {
-		t.Errorf("an engine is told %v of 3 s, of which 0.6 s may have passed", timeouts)
+		t.Errorf("the engine was sent timeouts %v, want at most 2.4 s: 0.6 s of 3 s may have passed", timeouts)
 	}
 }
 
-// A router may be delayed for 0.15 s between its look at the clock and the arrival of what it writes. Engines forget a first
-// attempt at the end of the deduplication window, so a retry must not be written in the last of it.
+// A router may be delayed for 0.15 s between reading the clock and the arrival of its request. Engines forget the first
+// attempt at the end of the deduplication window, so a retry must not be written in the last 0.15 s of the window.
 func TestDedupWindowAllowsForADelayedRouter(t *testing.T) {
 	for _, delay := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
@@ -138,10 +139,10 @@
 	}
 }
 
-// A process that did not run for longer than a client waits answers at once, and forwards nothing.
+// A process that did not run for longer than a client waits answers its request at once, and forwards nothing.
 func TestRequestReadAfterItsDeadlineIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.LateAnswer // by the process that did not run
+	b.expectedViolation = invariant.LateAnswer // the answer is late because the process did not run
 	lastClockRead := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
--- a/internal/router/client_connections_test.go
+++ b/internal/router/client_connections_test.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/router"
 )
 
-// Connections that are due to be closed at the same time are closed in the order of their IDs: the order of a map would
+// Connections that must be closed at the same time are closed in the order of their IDs; the iteration order of a map would
 // differ from run to run.
 func TestFlushedConnectionsAreClosedInOrder(t *testing.T) {
 	b := newTestbed(t)
@@ -30,16 +30,16 @@
 	}
 }
 
-// Connections over the limit, and those whose partial requests are too large, get an answer: a request that is on its way on
-// the connection needs one.
+// Connections over the limit, and connections whose partial requests are too large, get an answer, since a request may be
+// in transit on them.
 func TestExcessConnectionsAreAnswered(t *testing.T) {
 	b := newTestbed(t)
 	var last *fakeClientSocket
-	for i := range 600 { // more than 46 of a hundred of 1,024 descriptors
+	for i := range 600 { // the limit of connections is 46 % of 1,024 descriptors
 		_, last = b.request(fmt.Sprint("a", i), "chat")
 	}
 	if statuses := responseStatuses(t, last); len(statuses) != 1 || statuses[0] != http.StatusServiceUnavailable {
-		t.Errorf("one connection over the limit: %v", statuses)
+		t.Errorf("answers on a connection over the limit: %v", statuses)
 	}
 	b = newTestbed(t)
 	out := &fakeClientSocket{}
@@ -49,6 +49,6 @@
 		b.core.ReceivePartial(client, admission.HeaderComplete, 64<<20)
 	})
 	if statuses := responseStatuses(t, out); len(statuses) != 1 || statuses[0] != http.StatusServiceUnavailable {
-		t.Errorf("a partial request with more bytes than the limit: %v", statuses)
+		t.Errorf("answers to a partial request with more bytes than the limit: %v", statuses)
 	}
 }
--- a/internal/router/client_requests_test.go
+++ b/internal/router/client_requests_test.go
@@ -11,8 +11,8 @@
 	"sandcourse/internal/router"
 )
 
-// Every request that was read is answered, however many a client pipelines: a fifth one once closed the connection, with all
-// that waited on it. An invalid message behind them is answered last.
+// Every request that was read is answered, however many a client pipelines: a fifth request once closed the connection, and
+// the waiting requests got no answer. An invalid message after the requests is answered last.
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	for _, count := range []int{4, 6, 20, 200} {
 		b := newTestbed(t)
@@ -21,16 +21,17 @@
 			b.requestOn(client, fmt.Sprint("a", i), "chat")
 		}
 		b.do(func() { b.core.RejectMessage(client, io.ErrUnexpectedEOF) })
-		b.advance(20 * time.Second) // no connection to an engine comes up, and each request gets its error in time
+		b.advance(20 * time.Second) // no dial succeeds, and each request gets an error in time
 		statuses := responseStatuses(t, out)
 		if len(statuses) != count+1 || statuses[count] != http.StatusBadRequest || !out.closed {
-			t.Errorf("%d requests and an invalid message: %v, closed %v", count, statuses, out.closed)
+			t.Errorf("%d requests and an invalid message: answers %v, closed %v", count, statuses, out.closed)
 		}
 	}
 }
 
-// A client sends a request and a part of a second one, and stops there. The part came while the first was served, and when
-// that was answered the connection once counted as idle: for a minute, and then for good, as it could not be closed either.
+// A client sends a request and part of a second one, and then stops. When the first request was answered, the connection
+// once counted as idle and was not closed for a minute, and later never, since a connection with a partial request cannot
+// be closed as idle.
 func TestPartialRequestBehindAServedOne(t *testing.T) {
 	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 		b := newTestbed(t)
@@ -48,8 +49,8 @@
 	}
 }
 
-// The bytes of a rejected partial request are returned with the answer, not when its connection has drained: partial requests
-// of other clients were once rejected meanwhile.
+// The buffered bytes of a rejected partial request stop counting when the request is answered, not when its connection has
+// drained: partial requests of other clients were once rejected in the meantime.
 func TestBytesOfARejectedPartialRequestAreReturned(t *testing.T) {
 	b := newTestbed(t)
 	var sockets []*fakeClientSocket
@@ -67,14 +68,14 @@
 		got = append(got, responseStatuses(t, out))
 	}
 	if len(got[0]) != 1 || len(got[1])+len(got[2]) > 0 {
-		t.Errorf("answers %v: only the largest is to be rejected", got)
+		t.Errorf("answers %v: only the largest partial request must be rejected", got)
 	}
 	if buffered := b.core.InFlight().Bytes; buffered != 2000 {
-		t.Errorf("%d bytes are counted, 2000 are buffered", buffered)
+		t.Errorf("%d bytes are counted as buffered, want 2000", buffered)
 	}
 }
 
-// A client that says that a request is the last on its connection gets no answer to what it sends after it.
+// A client that declares a request the last on its connection gets no answer to later requests.
 func TestRequestsBehindAClosingOneAreDropped(t *testing.T) {
 	b := newTestbed(t)
 	client, out := b.request("a1", "chat", "Connection: close\r\n")
--- a/internal/router/control_requests_test.go
+++ b/internal/router/control_requests_test.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/routing"
 )
 
-// A health check for which this machine had no descriptor says nothing of the engine: it counts neither as timed out nor as
-// failed.
+// A health check for which this machine has no descriptor says nothing about the engine: the check counts neither as timed
+// out nor as failed.
 func TestHealthCheckThatFailsLocally(t *testing.T) {
 	b := newTestbed(t)
 	b.healthCheck("r")
@@ -18,10 +18,10 @@
 	b.do(func() { b.core.EngineConnected(conn, nil, fmt.Errorf("%w: no descriptor", router.ErrLocal)) })
 	for _, event := range b.events {
 		if result, ok := event.(routing.HealthCheckResult); ok && result.Verdict != routing.NotSent {
-			t.Errorf("the policy is told verdict %d of an engine that was never reached", result.Verdict)
+			t.Errorf("the policy was notified of verdict %d for an engine that was never reached", result.Verdict)
 		}
 	}
 	if _, out := b.request("a1", "alert"); len(responseStatuses(t, out)) > 0 || len(b.dials) != 1 {
-		t.Errorf("%d connections are dialed for the next request, answers %v", len(b.dials), responseStatuses(t, out))
+		t.Errorf("%d connections are dialed for the next request, want 1; answers %v", len(b.dials), responseStatuses(t, out))
 	}
 }
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/endpoint"
 )
 
-// Engines that have left must not be remembered for good.
+// The state of engines that have left the endpoint list must not be kept forever.
 func TestDepartedEnginesAreForgotten(t *testing.T) {
 	b := newTestbed(t)
 	for i := range 500 {
@@ -17,11 +17,12 @@
 		b.advance(time.Second)
 	}
 	if n := b.core.KnownEngines(); n > 80 {
-		t.Errorf("after 500 engines came and went, %d are remembered", n)
+		t.Errorf("%d engines are remembered after 500 were listed and removed, want at most 80", n)
 	}
 }
 
-// An engine is listed at another address: connections that are kept or dialed to the old one lead elsewhere by now.
+// When an engine is listed at another address, connections that are open or dialed to the old address must not be used:
+// another process may listen there.
 func TestEngineAtAnotherAddress(t *testing.T) {
 	publishMove := func(b *testbed) {
 		moved := entries(endpoint.Ready, 0)
@@ -35,13 +36,13 @@
 	publishMove(b)
 	b.request("a2", "chat")
 	if n := len(advertisedTimeouts(t, kept)); n != 1 {
-		t.Errorf("%d requests went to the old address on a kept connection", n-1)
+		t.Errorf("%d requests were sent to the old address on an open connection", n-1)
 	}
 	b = newTestbed(t)
 	b.request("a1", "chat")
 	publishMove(b)
 	if dialed := b.connect(); len(advertisedTimeouts(t, dialed)) != 0 {
-		t.Error("a request went to the old address on a connection that was dialed before")
+		t.Error("a request was sent to the old address on a connection that was dialed before the move")
 	}
 	b.advance(200 * time.Millisecond) // the policy waits a little before a retry
 	if len(b.dials) == 0 || b.dials[0].Address != "127.0.0.1:2" {
@@ -49,7 +50,7 @@
 	}
 }
 
-// entries are those of r, in a state and with a start, and of w, which is ready. With the state empty r is not listed.
+// entries returns a list in which w is ready, and r has the given state and start. If the state is empty, r is not listed.
 func entries(state string, startedAtMs int64) []endpoint.Entry {
 	list := []endpoint.Entry{{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}
 	if state != "" {
@@ -59,12 +60,12 @@
 	return list
 }
 
-// publish hands a list to the router.
+// publish passes a list to the router.
 func (b *testbed) publish(revision int64, entries []endpoint.Entry) {
 	b.do(func() { b.core.UpdateEndpoints(endpoint.List{Revision: revision, Entries: entries}) })
 }
 
-// forwards is whether a new request is forwarded to r.
+// forwardsToR reports whether a new request is forwarded to r.
 func (b *testbed) forwardsToR() bool {
 	b.request(fmt.Sprint("a", b.now), "chat")
 	b.advance(50 * time.Millisecond)
@@ -75,37 +76,37 @@
 	return dialed
 }
 
-// Discovery moves to an agent that lags behind the one before: an older list does not undo a drain. Where the older list
-// stays, as that of a store that was restored, it counts after some seconds.
+// When discovery moves to an agent that lags, an older list must not undo a drain. An older list that persists, as after a
+// store was restored, takes effect after some seconds.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
 	b := newTestbed(t)
 	b.publish(5, entries(endpoint.Draining, 0))
 	if b.forwardsToR() {
-		t.Error("an attempt at an engine that drains")
+		t.Error("an attempt is sent to a draining engine")
 	}
 	b.publish(4, entries(endpoint.Ready, 0))
 	b.advance(time.Second)
 	if b.forwardsToR() {
-		t.Error("an attempt at an engine that drains, as an older list has it ready")
+		t.Error("an attempt is sent to a draining engine that an older list has as ready")
 	}
 	b.advance(15 * time.Second)
 	if !b.forwardsToR() {
-		t.Error("no attempt 15 s after an older list, which stays")
+		t.Error("no attempt is sent 15 s after an older list that persists")
 	}
 	b.publish(6, entries(endpoint.Draining, 0))
 	b.publish(7, entries(endpoint.Ready, 0))
 	if !b.forwardsToR() {
-		t.Error("no attempt at an engine that a newer list has ready again")
+		t.Error("no attempt is sent to an engine that a newer list has as ready")
 	}
 	startedAt := b.now/int64(time.Millisecond) - 1000
 	b.publish(8, entries(endpoint.Ready, startedAt))
 	b.publish(9, entries("", 0))
 	b.publish(8, entries(endpoint.Ready, startedAt))
 	if b.forwardsToR() {
-		t.Error("an attempt at an engine that has left, as an older list has it")
+		t.Error("an attempt is sent to a departed engine that an older list has as ready")
 	}
 	b.publish(8, entries(endpoint.Ready, b.now/int64(time.Millisecond)))
 	if !b.forwardsToR() {
-		t.Error("no attempt at an engine that has restarted")
+		t.Error("no attempt is sent to an engine that has restarted")
 	}
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -5,14 +5,14 @@
 // HealthCheck sends a health check to an engine.
 func (r *Router) HealthCheck(engine string) { r.startControlRequest(&controlRequest{engine: engine}) }
 
-// AddNames remembers so many names of requests.
+// AddNames adds n request names to the recent names.
 func (r *Router) AddNames(n int) {
 	for i := range n {
 		r.requests.recentNames.add(fmt.Sprint("flood", i))
 	}
 }
 
-// KnownEngines is how many engines the router remembers.
+// KnownEngines returns how many engines the router remembers.
 func (r *Router) KnownEngines() int {
 	return max(len(r.endpoints.lastListedIn), len(r.endpoints.drains))
 }
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -23,44 +23,44 @@
 	"sandcourse/settings"
 )
 
-// recorder is a router on a simulated clock. It records everything that the router writes to connections: the time, the
-// connection and the bytes. Engines answer as a test says.
+// recorder runs a router on a simulated clock and records everything that the router writes to connections: the time, the
+// connection and the bytes. The test decides how engines answer.
 type recorder struct {
 	noopObserver
 	t             *testing.T
 	core          *router.Router
 	deployment    *config.Deployment
 	protocol      protocol.Codec
-	chat          bool // the open protocol; else the platform's
+	chat          bool // the chat API; false for the platform protocol
 	start         int64
 	now           int64
 	transcript    strings.Builder
 	scheduled     []scheduledEvent
 	connections   int
 	clients       int64
-	requestCounts map[string]int // so far, by kind
+	requestCounts map[string]int // requests to engines so far, by kind
 	revision      int64
 	refusing      map[string]bool // engines that refuse connections
-	// replyFor is how an engine answers a request.
+	// replyFor returns how an engine answers a request.
 	replyFor func(kind, engine string, count int) string
 }
 
-// scheduledEvent is one that happens at a time.
+// scheduledEvent is an event that happens at a given time.
 type scheduledEvent struct {
 	at  int64
 	run func()
 }
 
-// The answers of engines.
+// The kinds of replies of engines.
 const (
 	replyNormal        = ""
 	replyFull          = "full"
 	replyError         = "error"
-	replyNoState       = "no state"
+	replyNoState       = "no reservation"
 	replyDisconnect    = "broken connection"
-	replyPartialStream = "half a stream"
-	replyInvalid       = "noise"
-	replyNone          = "silent"
+	replyPartialStream = "partial stream"
+	replyInvalid       = "invalid"
+	replyNone          = "none"
 	replySlow          = "slow"
 )
 
@@ -147,7 +147,7 @@
 	r.core.RunDue(r.now)
 }
 
-// pass lets time pass, with all that falls due meanwhile.
+// advance moves the clock forward and runs all events that fall due.
 func (r *recorder) advance(d time.Duration) {
 	for end := r.now + int64(d); r.now < end; {
 		next := r.core.NextDue()
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// later schedules an event of the connection, unless it is closed by then.
+// schedule schedules an event of the connection, which is skipped if the connection is closed by then.
 func (e *goldenEngine) schedule(d time.Duration, event func()) {
 	e.r.schedule(d, func() {
 		if !e.closed {
@@ -295,7 +295,7 @@
 	e.schedule(wait+11*time.Millisecond, func() { core.ResponseComplete(e.conn, nil, true) })
 }
 
-// goldenClient is a connection of a client; its bytes are framed as the edge frames them.
+// goldenClient is a connection of a client; its input is framed as the edge frames it.
 type goldenClient struct {
 	r            *recorder
 	connection   *router.ClientConnection
@@ -336,12 +336,12 @@
 
 // disconnect ends the client's connection.
 func (c *goldenClient) disconnect() {
-	c.r.record("client %d leaves", c.connection.ID)
+	c.r.record("client %d disconnects", c.connection.ID)
 	c.disconnected = true
 	c.r.do(func() { c.r.core.ClientDisconnected(c.connection) })
 }
 
-// send writes to the connection.
+// send passes input from the client to the router.
 func (c *goldenClient) send(text string) {
 	core := c.r.core
 	c.r.do(func() {
@@ -367,14 +367,14 @@
 	})
 }
 
-// The model routes: whether a request may be retried after it may have run.
+// The kinds of model routes, by whether a request may be retried after an attempt that may have run.
 const (
 	retriable    = "retriable"
 	nonRetriable = "non-retriable"
-	deduplicated = "deduplicated" // by engines, for a time; the demo settings of the open protocol have no such route
+	deduplicated = "deduplicated" // by engines, for a time; the demo settings of the chat API have no such route
 )
 
-// requestText is a request in either protocol.
+// requestText returns a request in the recorder's protocol.
 func (r *recorder) requestText(name, effect string, stream bool, fields ...string) string {
 	if r.chat {
 		route := map[string]string{retriable: "clip-summary", nonRetriable: "fan-alert"}[effect]
@@ -396,8 +396,8 @@
 	return c
 }
 
-// setEndpoints publishes a list of engines: r... are for prefill, w... for decode; one with a - at the end is draining, and one
-// with an @ has another address.
+// setEndpoints publishes a list of engines. IDs that begin with r are for prefill, those with w for decode. An ID that ends
+// in - is draining; an address may follow after an @.
 func (r *recorder) setEndpoints(specs ...string) {
 	r.revision++
 	list := endpoint.List{Revision: r.revision}
@@ -426,7 +426,7 @@
 	r.do(func() { r.core.UpdateEndpoints(list) })
 }
 
-// injectFaults lists how the first requests of a kind are answered; later ones are answered normally.
+// injectFaults sets the replies to the first requests of a kind; later requests get normal replies.
 func (r *recorder) injectFaults(kind string, faults ...string) {
 	r.replyFor = func(k, _ string, count int) string {
 		if k == kind && count <= len(faults) {
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/golden"
 )
 
-// goldenSituations are run with both protocols.
+// goldenScenarios are run with both protocols.
 var goldenScenarios = []struct {
 	name string
 	run  func(r *recorder)
@@ -31,7 +31,7 @@
 		r.advance(2 * time.Second)
 	}},
 	{"shed", func(r *recorder) {
-		c := r.sendRequest("a1", retriable, true) // no list has come
+		c := r.sendRequest("a1", retriable, true) // no list has been received
 		r.advance(3 * time.Second)
 		r.setEndpoints()
 		c.send(r.requestText("a2", retriable, true))
@@ -132,7 +132,7 @@
 		r.injectFaults("decode", replyNormal, replySlow)
 		busy := r.sendRequest("a1", retriable, true)
 		r.advance(50 * time.Millisecond)
-		r.record("the node is told to stop")
+		r.record("a shutdown is requested")
 		r.do(r.core.Shutdown)
 		r.sendRequest("a2", retriable, true)
 		late := r.sendRequest("a3", nonRetriable, true)
@@ -154,7 +154,7 @@
 		}
 		r.sendRequest("a1", retriable, true)
 		r.advance(100 * time.Millisecond)
-		r.record("the node abandons what is open")
+		r.record("all open requests are abandoned")
 		r.do(func() { r.core.AbandonAll("this node is stopping") })
 		r.advance(2 * time.Second)
 	}},
@@ -184,7 +184,7 @@
 	return "platform-" + name
 }
 
-// What the router writes to connections is what it wrote when the golden files were recorded.
+// The bytes that the router writes to connections are those in the golden files.
 func TestGoldenWire(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		for _, scenario := range goldenScenarios {
@@ -201,7 +201,7 @@
 	}
 }
 
-// What routers send one another.
+// The messages between routers, and the requests after such a message, are those in the golden files.
 func TestGoldenPeerMessages(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "peers")
@@ -213,7 +213,7 @@
 				r.advance(700 * time.Millisecond)
 			}
 			const text = `kept "kb0" "r2" "w2" 120`
-			r.record("peer 1 says %q", text)
+			r.record("peer 1 sends %q", text)
 			r.do(func() { r.core.ReceivePeerMessage(1, text) })
 			r.sendRequest("b0", retriable, true)
 			r.advance(700 * time.Millisecond)
@@ -222,10 +222,10 @@
 	}
 }
 
-// badRequests are invalid. Each has a connection of its own.
+// badRequests returns invalid requests. Each is sent on a connection of its own.
 func badRequests(r *recorder) []string {
 	good := r.requestText("a1", retriable, true)
-	// One that is left as it was is of the other protocol, and served.
+	// If the old text belongs to the other protocol, the request stays unchanged and is served.
 	replaced := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
 	withBody := func(text string) string {
 		head, _, _ := strings.Cut(good, "Content-Length:")
@@ -263,19 +263,19 @@
 	return requests
 }
 
-// What is answered to invalid requests.
+// The answers to invalid requests are those in the golden files.
 func TestGoldenInvalidRequests(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "refusals")
 		t.Run(name, func(t *testing.T) {
 			r := newRecorder(t, chat, 1)
 			for _, text := range []string{"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"} {
-				r.newClient().send(text) // no list has come
+				r.newClient().send(text) // no list has been received
 			}
 			r.setEndpoints("r1", "w1")
 			r.sendRequest("again", retriable, true)
 			r.advance(time.Second)
-			r.sendRequest("again", retriable, true) // a name that is known
+			r.sendRequest("again", retriable, true) // the name is known already
 			r.advance(time.Second)
 			for i, text := range badRequests(r) {
 				text = strings.Replace(text, "Request-Id: a1\r\n", fmt.Sprintf("Request-Id: a%d\r\n", i), 1)
@@ -284,7 +284,7 @@
 				c.send(text)
 				r.advance(700 * time.Millisecond)
 			}
-			r.record("a message that cannot be read for another reason")
+			r.record("a message with another read error")
 			c := r.newClient()
 			r.do(func() { r.core.RejectMessage(c.connection, errors.New("cut short")) })
 			r.advance(time.Second)
@@ -293,7 +293,7 @@
 	}
 }
 
-// What is rejected at the limits of the router.
+// The rejections at the limits of the router are those in the golden files.
 func TestGoldenLimits(t *testing.T) {
 	for _, chat := range []bool{true, false} {
 		name := goldenName(chat, "limits")
@@ -310,7 +310,7 @@
 	}
 }
 
-// exceedBytes sends partial requests, and one of too many bytes.
+// exceedBytes sends partial requests, and one with too many bytes.
 func (r *recorder) exceedBytes() {
 	r.record("a request that stops within its head, and one within its body")
 	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
@@ -319,15 +319,15 @@
 		r.advance(100 * time.Millisecond)
 	}
 	r.advance(20 * time.Second)
-	r.record("more bytes than may be held")
+	r.record("more bytes than may be buffered")
 	c := r.newClient()
 	r.do(func() { r.core.ReceivePartial(c.connection, admission.HeaderComplete, 20_000) })
 	r.advance(3 * time.Second)
 }
 
-// exceedPipeline sends more requests ahead than may wait on a connection.
+// exceedPipeline sends more requests than may wait on a connection.
 func (r *recorder) exceedPipeline() {
-	r.record("requests that are sent ahead")
+	r.record("pipelined requests")
 	r.setEndpoints("r1", "w1")
 	c := r.newClient()
 	var pipelined strings.Builder
@@ -338,7 +338,7 @@
 	r.advance(3 * time.Second)
 }
 
-// exceedConnections opens too many connections and requests, most of them of one caller.
+// exceedConnections opens too many connections and requests, most of them of one tenant.
 func (r *recorder) exceedConnections() {
 	r.record("more connections and requests than may be open")
 	r.setEndpoints()
@@ -346,7 +346,7 @@
 	for i := range 14 {
 		var fields []string
 		if i < 8 {
-			fields = []string{"Authorization: Bearer one\r\n"} // where the protocol knows callers
+			fields = []string{"Authorization: Bearer one\r\n"} // in the protocol that has tenants
 		}
 		clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
 	}
@@ -358,7 +358,7 @@
 
 // exceedRetries sends more retries than the retry budget allows.
 func (r *recorder) exceedRetries() {
-	r.record("clients that try again and again")
+	r.record("clients that retry repeatedly")
 	for i := range 30 {
 		c := r.sendRequest(fmt.Sprint("c", i), retriable, true, "Client-Retry: 1\r\n", "X-Stainless-Retry-Count: 1\r\n")
 		r.advance(10 * time.Millisecond)
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Reservations may be kept for 300 ms longer than the settings say, and answers may be half a second late.
+// Reservations may be kept for 300 ms longer than the configured limit, and answers may be half a second late.
 const (
 	reservationSlack = 300 * time.Millisecond
 	responseSlack    = 500 * time.Millisecond
 )
 
-// checkAttempt checks the invariants of an attempt that an engine receives: its client waits for it, its engine does not drain,
-// and none before it may have run where it must not run twice.
+// checkAttempt checks the invariants of an attempt that an engine receives: the client still waits for it, the engine does
+// not drain, and no earlier attempt may have run if the request must not run twice.
 func (s *simulation) checkAttempt(c *simulatedClient, p *receivedAttempt) {
 	if c.disconnected || c.respondedAt > 0 {
-		s.t.Fatalf("%s: an attempt after its client had disconnected (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
+		s.t.Fatalf("%s: an attempt after the client has disconnected (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
 	}
 	if drainNotifiedAt := s.drainNotifiedAt[p.engine]; drainNotifiedAt > 0 && s.now-drainNotifiedAt > int64(s.deployment.Rules.DrainGrace) {
 		s.t.Fatalf("%s: an attempt at %s %v after its drain was published", c.name, p.engine, time.Duration(s.now-drainNotifiedAt))
@@ -36,7 +36,7 @@
 			c.route.DedupGroup == "zone" && s.endpoints[p.engine].Zone == s.endpoints[prior.engine].Zone ||
 			c.route.DedupGroup == "cell" && s.endpoints[p.engine].Cell == s.endpoints[prior.engine].Cell)
 		if !deduplicates {
-			s.t.Fatalf("%s (%s, %s, %v): an attempt at %s, and one may have run at %s %v before", c.name, c.route.Effect,
+			s.t.Fatalf("%s (%s, %s, %v): an attempt at %s, although one may have run at %s %v before", c.name, c.route.Effect,
 				c.route.DedupGroup, c.route.DedupWindow, p.engine, prior.engine, time.Duration(s.now-prior.receivedAt))
 		}
 	}
@@ -48,7 +48,7 @@
 		s.checkResponse(c)
 	}
 	if !s.anyEngineReachable() {
-		s.reservations = nil // no release could reach an engine: such reservations are the engines' to drop
+		s.reservations = nil // no release can reach an engine, so engines must drop these reservations themselves
 	}
 	for _, reserved := range s.reservations {
 		if slices.ContainsFunc(reserved.client.attempts, func(p *receivedAttempt) bool { return p.inFlight }) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// anyReachable is whether an engine of the list can be reached.
+// anyEngineReachable reports whether any listed engine can be reached.
 func (s *simulation) anyEngineReachable() bool {
 	for id, e := range s.endpoints {
 		if e.State != "" && !s.unreachable[id] {
@@ -70,7 +70,7 @@
 	return false
 }
 
-// checkResponse checks that a client has an answer in time, and none that says that a retry is safe where it is not.
+// checkResponse checks that a client is answered in time, and that no answer says that a retry is safe when it is not.
 func (s *simulation) checkResponse(c *simulatedClient) {
 	if c.respondedAt > 0 || c.disconnected {
 		return
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkFinalState checks a world in which nothing is in flight any more: each client has one complete answer, and nothing
-// behind it.
+// checkFinalState checks a simulation with nothing left in flight: each client has one complete answer and no further
+// output.
 func (s *simulation) checkFinalState() {
 	for _, c := range s.clients {
 		if c.disconnected {
@@ -115,6 +115,6 @@
 		}
 	}
 	if inFlight := s.core.InFlight(); inFlight.Requests > 0 || inFlight.ControlRequests > 0 || len(s.reservations) > 0 {
-		s.t.Fatalf("at the end the router has %+v in flight, engines have %d reservations", inFlight, len(s.reservations))
+		s.t.Fatalf("at the end the router has %+v in flight, and engines hold %d reservations", inFlight, len(s.reservations))
 	}
 }
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -45,7 +45,7 @@
 	s.do(func() { s.core.ClientDisconnected(c.client) })
 }
 
-// connect ends a dial, with a connection or without.
+// connect ends a dial, which succeeds if ok is true.
 func (s *simulation) connect(i int, ok bool) {
 	conn := s.dialing[i]
 	s.dialing = slices.Delete(s.dialing, i, i+1)
@@ -58,18 +58,18 @@
 	s.do(func() { s.core.EngineConnected(conn, e, nil) })
 }
 
-// How an engine answers.
+// The kinds of answers of engines.
 const (
 	answerDone          = "done"
-	answerRejected      = "refused"
-	answerNoReservation = "no state"
+	answerRejected      = "rejected"
+	answerNoReservation = "no reservation"
 	answerError         = "error"
-	answerDisconnect    = "break"
-	answerToken         = "event"
-	answerInvalid       = "nonsense"
+	answerDisconnect    = "disconnect"
+	answerToken         = "token"
+	answerInvalid       = "invalid"
 )
 
-// respond is an engine's next step on a connection with a request in flight.
+// respond performs an engine's next step on a connection with a request in flight.
 func (s *simulation) respond(e *simulatedConnection, answer string) {
 	switch {
 	case answer == answerDisconnect || answer == answerInvalid && e.responding:
@@ -89,7 +89,7 @@
 	}
 }
 
-// respondToAttempt is an engine's first step for an attempt.
+// respondToAttempt performs an engine's first step for an attempt.
 func (s *simulation) respondToAttempt(e *simulatedConnection, answer string) {
 	prefill := e.attempt.prefill
 	switch {
@@ -117,19 +117,19 @@
 	}
 }
 
-// sendHead sends the head of an answer.
+// sendHead sends the head of a response.
 func (e *simulatedConnection) sendHead(status int, fields ...string) {
 	header := http.Header{}
 	for i := 0; i+1 < len(fields); i += 2 {
 		header.Set(fields[i], fields[i+1])
 	}
 	if e.method == http.MethodPost && status != http.StatusOK {
-		e.attempt.inFlight = false // the complete answer is on its way
+		e.attempt.inFlight = false // the complete response is in transit
 	}
 	e.simulation.core.ResponseHead(e.conn, responseHead(status, header), nil)
 }
 
-// completeResponse sends the body of an answer.
+// completeResponse sends the body of a response.
 func (e *simulatedConnection) completeResponse(body string) {
 	if e.method == http.MethodPost {
 		e.attempt.inFlight = false
@@ -138,13 +138,13 @@
 	e.simulation.core.ResponseComplete(e.conn, []byte(body), true)
 }
 
-// respondWith sends a complete answer.
+// respondWith sends a complete response.
 func (e *simulatedConnection) respondWith(status int, body string, fields ...string) {
 	e.sendHead(status, fields...)
 	e.completeResponse(body)
 }
 
-// publishEndpoints publishes the list as it is now.
+// publishEndpoints publishes the current endpoint list.
 func (s *simulation) publishEndpoints() {
 	list := endpoint.List{Revision: s.now}
 	ids := []string{}
@@ -204,7 +204,7 @@
 	return data
 }
 
-// newWorld makes a world of random settings and engines.
+// newSimulation returns a simulation with random settings and engines.
 func newSimulation(t *rapid.T) *simulation {
 	nodeConfig, err := platform.ParseNodeConfig("settings", randomSettings(t))
 	if err != nil {
@@ -226,7 +226,7 @@
 	return s
 }
 
-// busyEngines are the connections on which a request waits for its answer.
+// busyConnections returns the connections on which a request waits for its response.
 func (s *simulation) busyConnections() (busy []*simulatedConnection) {
 	s.connections = slices.DeleteFunc(s.connections, func(e *simulatedConnection) bool { return e.closed })
 	for _, e := range s.connections {
@@ -237,7 +237,7 @@
 	return busy
 }
 
-// step is one random event.
+// step performs one random event.
 func (s *simulation) step() {
 	answers := []string{answerDone, answerDone, answerDone, answerToken, answerRejected, answerNoReservation,
 		answerError, answerDisconnect, answerInvalid}
@@ -245,10 +245,10 @@
 	case kind <= 1 && len(s.clients) < 12:
 		s.sendRequest()
 	case kind <= 4 && len(s.dialing) > 0:
-		s.connect(rapid.IntRange(0, len(s.dialing)-1).Draw(s.t, "dial"), rapid.IntRange(0, 4).Draw(s.t, "comes up") > 0)
+		s.connect(rapid.IntRange(0, len(s.dialing)-1).Draw(s.t, "dial"), rapid.IntRange(0, 4).Draw(s.t, "dial succeeds") > 0)
 	case kind <= 8 && len(s.busyConnections()) > 0:
-		engine, answer := rapid.SampledFrom(s.busyConnections()).Draw(s.t, "engine"), rapid.SampledFrom(answers).Draw(s.t, "word")
-		s.delay = min(time.Duration(rapid.SampledFrom([]int{0, 0, 0, 50, 200}).Draw(s.t, "late in ms"))*time.Millisecond,
+		engine, answer := rapid.SampledFrom(s.busyConnections()).Draw(s.t, "engine"), rapid.SampledFrom(answers).Draw(s.t, "answer")
+		s.delay = min(time.Duration(rapid.SampledFrom([]int{0, 0, 0, 50, 200}).Draw(s.t, "delay in ms"))*time.Millisecond,
 			time.Duration(s.now-engine.writtenAt))
 		s.core.SetEarliestEventTime(s.now - int64(s.delay))
 		s.respond(engine, answer)
@@ -261,18 +261,18 @@
 	case kind == 10:
 		id := fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "listed"))
 		s.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(s.t, "state"))
-	case kind == 12 && len(s.unreachable) == 0: // one at a time, so that another handles releases
-		s.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "deaf"))] = true
+	case kind == 12 && len(s.unreachable) == 0: // one engine at a time, so that another can handle releases
+		s.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "unreachable"))] = true
 	case kind == 12:
 		clear(s.unreachable)
-	case kind == 11 && rapid.IntRange(0, 5).Draw(s.t, "stops") == 0:
+	case kind == 11 && rapid.IntRange(0, 5).Draw(s.t, "shut down") == 0:
 		s.do(s.core.Shutdown)
 	default:
 		s.advance(time.Duration(rapid.IntRange(1, 400).Draw(s.t, "time in ms")) * time.Millisecond)
 	}
 }
 
-// settle lets everything in flight end well.
+// settle lets everything in flight complete normally.
 func (s *simulation) settle() {
 	s.core.SetEarliestEventTime(0)
 	for range 400 {
@@ -288,8 +288,8 @@
 	}
 }
 
-// Whatever the settings, and whatever engines, clients and the endpoint list do, the invariants hold. Nothing may depend on
-// the names, classes or limits of one deployment.
+// The invariants hold for all settings, and for all behaviour of engines, clients and the endpoint list. No behaviour may
+// depend on the names, classes or limits of one deployment.
 func TestInvariantsOnRandomSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -18,8 +18,8 @@
 	"sandcourse/internal/routing"
 )
 
-// world is a router among clients and engines that behave at random. It checks the invariants by what reached clients and
-// engines alone.
+// simulation runs a router with clients and engines that behave at random. It checks the invariants only by what reached
+// clients and engines.
 type simulation struct {
 	noopObserver
 	t               *rapid.T
@@ -30,12 +30,13 @@
 	dialing         []*router.EngineConnection
 	connections     []*simulatedConnection
 	endpoints       map[string]endpoint.Entry
-	drainNotifiedAt map[string]int64 // since when the list has an engine draining, or without it
+	drainNotifiedAt map[string]int64 // since when engines are draining in the list or missing from it
 	reservations    []*simulatedReservation
-	// unnoticedCloses are connections that the router has closed, with an attempt on them, of which the engine does not know.
+	// unnoticedCloses are connections that the router has closed with an attempt in flight, while the engine has not
+	// noticed the close.
 	unnoticedCloses []*simulatedConnection
 	unreachable     map[string]bool // partitioned engines; their connections stay open
-	delay           time.Duration   // how late the present event is handled, as the process did not run meanwhile
+	delay           time.Duration   // how late the current event is handled, as the process did not run in the meantime
 }
 
 // simulatedClient is one client with one request.
@@ -47,43 +48,43 @@
 	deadline     int64
 	resumed      bool
 	out          bytes.Buffer
-	respondedAt  int64 // when its answer began or was complete
+	respondedAt  int64 // when the answer began or was complete
 	disconnected bool
 	closed       bool // by the router
 	attempts     []*receivedAttempt
 }
 
-// postedAttempt is one attempt that reached an engine.
+// receivedAttempt is an attempt that reached an engine.
 type receivedAttempt struct {
 	engine     string
 	receivedAt int64
 	prefill    bool
 	inFlight   bool
-	streaming  bool // its first token has come
-	cancelled  bool // the router has closed its connection
+	streaming  bool // the first token was sent
+	cancelled  bool // the router has closed the connection
 	neverRan   bool
 }
 
-// mayClaim is whether an attempt may still claim a reservation.
+// mayClaim reports whether an attempt may still claim a reservation.
 func (p *receivedAttempt) mayClaim() bool { return p.inFlight && !p.prefill && !p.streaming }
 
-// simulatedEngine is one connection to an engine and what it has to answer.
+// simulatedConnection is a connection to an engine, with the request that the engine must answer.
 type simulatedConnection struct {
 	simulation *simulation
 	conn       *router.EngineConnection
 	closed     bool
 	client     *simulatedClient
 	attempt    *receivedAttempt
-	method     string // of the request in flight: POST, DELETE or GET; empty for none
-	writtenAt  int64  // when it was written
+	method     string // method of the request in flight: POST, DELETE or GET; empty for none
+	writtenAt  int64  // when the request was written
 	responding bool
 }
 
-// simulatedReservation is one that a prefill engine holds.
+// simulatedReservation is a reservation that a prefill engine holds.
 type simulatedReservation struct {
 	client            *simulatedClient
 	engine            string
-	attemptInFlightAt int64 // when an attempt at its request was last in flight
+	attemptInFlightAt int64 // when an attempt of the same request was last in flight
 }
 
 func (s *simulation) Dial(conn *router.EngineConnection) { s.dialing = append(s.dialing, conn) }
@@ -101,7 +102,7 @@
 func (c *simulatedClient) CloseIfIdle() bool      { c.closed = true; return true }
 func (c *simulatedClient) Close()                 { c.closed = true }
 
-// Write receives a request of the router and checks it.
+// Write receives a request from the router and checks it.
 func (e *simulatedConnection) Write(request []byte) error {
 	s := e.simulation
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(request)))
@@ -109,7 +110,7 @@
 		s.t.Fatalf("%v: %q", err, request)
 	}
 	e.method, e.responding, e.writtenAt = r.Method, false, s.now
-	if s.unreachable[e.conn.Engine] { // nothing arrives
+	if s.unreachable[e.conn.Engine] { // the request does not arrive
 		e.method = ""
 	}
 	if e.method == http.MethodDelete {
@@ -129,7 +130,8 @@
 
 func (e *simulatedConnection) RequestWritten() bool { return true }
 
-// Close is noticed by the engine later: what the router writes on other connections may arrive before.
+// Close closes the connection. The engine notices the close later: requests that the router writes on other connections may
+// arrive before.
 func (e *simulatedConnection) Close() {
 	if e.closed {
 		return
@@ -141,7 +143,7 @@
 	}
 }
 
-// releaseReservations releases what is reserved for a request, unless an attempt may claim it.
+// releaseReservations releases the reservations of a request, unless an attempt may claim them.
 func (s *simulation) releaseReservations(name string) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(h *simulatedReservation) bool {
 		return h.client.name == name && !slices.ContainsFunc(h.client.attempts, (*receivedAttempt).mayClaim)
@@ -156,7 +158,7 @@
 	s.unnoticedCloses = nil
 }
 
-// loseAttempt ends the attempt in flight; whether it ran stays open. A prefill may have completed just then.
+// loseAttempt ends the attempt in flight without a known outcome: a prefill may have completed at that moment.
 func (e *simulatedConnection) loseAttempt() {
 	if e.method == http.MethodPost {
 		e.attempt.inFlight = false
@@ -179,7 +181,7 @@
 	s.checkReservations()
 }
 
-// dialTime is how long a dial takes that no other event ends: releases need connections, too.
+// simulatedDialTime is how long a dial takes that no other event ends; releases need connections, too.
 const simulatedDialTime = 20 * time.Millisecond
 
 func (s *simulation) advance(d time.Duration) {
--- a/internal/router/reference_test.go
+++ b/internal/router/reference_test.go
@@ -17,9 +17,9 @@
 	"sandcourse/internal/routing"
 )
 
-// What follows computes by a look at everything what the router finds by its indexes, and compares the two.
+// The tests in this file compare what the router finds through its indexes with a scan of all data.
 
-// fleetWorld is a router's view of a fleet that changes at random.
+// fleetSimulation holds the router's state of a fleet that changes at random.
 type fleetSimulation struct {
 	router *Router
 	now    int64
@@ -34,7 +34,7 @@
 
 func randomEngine(t *rapid.T) string { return fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "engine")) }
 
-// update publishes a list.
+// publishRandomList publishes a list with random states of the engines.
 func (s *fleetSimulation) publishRandomList(t *rapid.T) {
 	list := &endpoint.List{}
 	var listed []routing.Endpoint
@@ -50,15 +50,15 @@
 	s.router.endpoints.setCurrent(list)
 }
 
-// change lets time pass and something happen.
+// applyRandomEvent advances the clock and applies a random event.
 func (s *fleetSimulation) applyRandomEvent(t *rapid.T) {
-	s.now += rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "later")
+	s.now += rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "time")
 	s.router.now = s.now
-	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	switch rapid.IntRange(0, 3).Draw(t, "event") {
 	case 0:
 		s.publishRandomList(t)
 	case 1:
-		s.router.endpoints.lastResponseAt[randomEngine(t)] = s.now - rapid.Int64Range(0, 3).Draw(t, "ago")
+		s.router.endpoints.lastResponseAt[randomEngine(t)] = s.now - rapid.Int64Range(0, 3).Draw(t, "age of the response")
 	default:
 		if lease := s.router.connections.Acquire(randomEngine(t), s.now, 0, 0); lease.OK && rapid.Bool().Draw(t, "idle") {
 			s.router.connections.Handle(lease.ID, connpool.Dialed, s.now)
@@ -67,7 +67,7 @@
 	}
 }
 
-// scanReleaseCandidates are all that a release may go to, in order.
+// scanReleaseCandidates returns, in order, all engines that a release may be sent to.
 func (s *fleetSimulation) scanReleaseCandidates(reserved *reservation.Reservation) (engines []string) {
 	for _, entry := range s.router.endpoints.current.Entries {
 		if !slices.Contains(reserved.ReleaseTargets, entry.ID) {
@@ -82,7 +82,7 @@
 	return engines
 }
 
-// scanFirstTargets are those of the first release.
+// scanFirstTargets returns the engines that the first release is sent to.
 func (s *fleetSimulation) scanFirstTargets(reserved *reservation.Reservation) []string {
 	engines := s.scanReleaseCandidates(reserved)
 	connected := slices.IndexFunc(engines, func(engine string) bool {
@@ -105,7 +105,7 @@
 		}
 		reserved := &reservation.Reservation{Engine: randomEngine(t)}
 		if got, want := s.router.targetsAmongAllEngines(reserved, true), s.scanFirstTargets(reserved); !slices.Equal(got, want) {
-			t.Fatalf("the first release goes to %v, want %v", got, want)
+			t.Fatalf("targets of the first release are %v, want %v", got, want)
 		}
 		for range 12 {
 			if len(reserved.ReleaseTargets) >= len(s.router.endpoints.current.Entries) {
@@ -114,7 +114,7 @@
 			want := s.scanReleaseCandidates(reserved)
 			got := s.router.targetsAmongAllEngines(reserved, false)
 			if want = want[:min(parallelReleases, len(want))]; !slices.Equal(got, want) {
-				t.Fatalf("a release goes to %v, want %v", got, want)
+				t.Fatalf("targets of a release are %v, want %v", got, want)
 			}
 			reserved.ReleaseTargets = append(reserved.ReleaseTargets, got...)
 		}
@@ -124,7 +124,7 @@
 func TestEndpointLookupMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFleetSimulation(t)
-		since := map[string]int64{} // not ready since
+		since := map[string]int64{} // when engines were first not ready
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.applyRandomEvent(t)
 			for i := range 21 {
@@ -143,7 +143,8 @@
 	})
 }
 
-// checkDrain compares since when an engine is not ready with the test's own account. Engines that left are forgotten.
+// checkDrain compares the time since when an engine is not ready with the test's own record. Engines that left long ago are
+// forgotten.
 func checkDrain(t *rapid.T, s *fleetSimulation, id string, entry endpoint.Entry, since map[string]int64) {
 	drainedAt := s.router.endpoints.drains[id]
 	switch {
@@ -164,7 +165,7 @@
 	}
 }
 
-// BenchmarkUpdateEndpoints is a complete list in which one engine has changed.
+// BenchmarkUpdateEndpoints measures the update to a complete list in which one engine has changed.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -186,7 +187,7 @@
 	}
 }
 
-// ignoredLists is an observer of a router that gets nothing but lists.
+// listOnlyObserver is the observer of a router whose only events are endpoint lists.
 type listOnlyObserver struct{ Observer }
 
 func (listOnlyObserver) AroundStep(_ routing.Event, step func()) { step() }
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Found by a soak test: a non-retriable request was shed after it may have run. The rest of a broken stream is requested
-// under a new name, and whatever limit rejects it, to shed it would say that a retry is safe.
+// A soak test found a non-retriable request that was shed after it may have run. A client requests the rest of a broken
+// stream under a new name; whichever limit rejects that request, a shed answer would say that a retry is safe.
 func TestResumedStreamIsNotShedAsIfItNeverRan(t *testing.T) {
 	for _, at := range []struct{ route, retry, status string }{
 		{"chat", "", "503"}, {"alert", "", "503"}, {"alert", "Client-Retry: 1\r\n", "503"},
@@ -26,7 +26,7 @@
 	}
 }
 
-// A client whose connection broke before anything was forwarded retries with the same name.
+// A client whose connection broke before its request was forwarded may retry with the same name.
 func TestNameOfANeverForwardedRequestIsReusable(t *testing.T) {
 	b := newTestbed(t)
 	client, _ := b.request("a1", "alert")
@@ -35,7 +35,7 @@
 	if statuses := responseStatuses(t, out); slices.Contains(statuses, http.StatusConflict) {
 		t.Error("the name of a request of which no byte went to an engine is taken")
 	}
-	// Once it has been forwarded, engines know it by its name.
+	// Once a request has been forwarded, engines know its name.
 	b = newTestbed(t)
 	client, _ = b.request("a1", "alert")
 	b.connect()
@@ -46,7 +46,8 @@
 	}
 }
 
-// Engines know a request by its name for as long as an attempt is in flight, however many names come meanwhile.
+// Engines know a request by its name for as long as an attempt is in flight, however many other names arrive in the
+// meantime.
 func TestNameOfAnOpenRequestSurvivesAFloodOfNames(t *testing.T) {
 	b := newTestbed(t)
 	b.request("a1", "alert")
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -11,11 +11,11 @@
 	"sandcourse/internal/router"
 )
 
-// Found by rolling restarts with engines that hang: a reservation was kept past its limit, as its prefill engine hung and was
-// sent six releases. Any engine handles a release, so one that answers gets it too.
+// Rolling restarts with engines that hang showed a reservation that was kept past its limit: all six releases were sent to
+// its prefill engine, which hung. Any engine handles a release, so the release is also sent to engines that respond.
 func TestReservationOfAHungPrefillEngineIsReleasedElsewhere(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r", "w", "w2") // one of the decode engines has answered before, the other never
+	b.setEndpoints("r", "w", "w2") // w responds before the release, w2 never does
 	client, _ := b.request("a1", "alert")
 	b.answerPrefill(b.connect())
 	b.answerFull(b.connect())
@@ -35,7 +35,7 @@
 	}
 }
 
-// A router must not shut down between two releases of a reservation: the second counts as in flight.
+// A router must not shut down between two releases of a reservation: a pending second release counts as in flight.
 func TestPendingReleaseRetryCountsAsInFlight(t *testing.T) {
 	b := newTestbed(t)
 	client, _ := b.request("a1", "alert")
@@ -43,14 +43,14 @@
 	b.answerPrefill(s)
 	b.do(func() {
 		b.core.ClientDisconnected(client)
-		b.core.EngineDisconnected(s.conn) // the release went out on the connection of the prefill
+		b.core.EngineDisconnected(s.conn) // the release was sent on the connection of the prefill
 	})
 	if n := b.core.InFlight().ControlRequests; n == 0 {
-		t.Error("nothing is in flight while a release waits for its retry")
+		t.Error("no control request counts as in flight while a release waits for its retry")
 	}
 }
 
-// releases counts the releases that were written for a request, to any engine. All dials succeed.
+// countReleases lets all dials succeed, and counts the releases that were written for a request, to any engine.
 func (b *testbed) countReleases(name string) (n int) {
 	for len(b.dials) > 0 {
 		b.connect()
@@ -61,7 +61,8 @@
 	return n
 }
 
-// testbedWithDecodeInFlight is one with a request whose decode has been written and not answered.
+// testbedWithDecodeInFlight returns a testbed with a request whose decode was written and not answered, its client and the
+// connection of the decode.
 func testbedWithDecodeInFlight(t *testing.T, route string) (*testbed, *router.ClientConnection, *fakeEngineSocket) {
 	b := newTestbed(t)
 	c, _ := b.request("a1", route)
@@ -69,12 +70,13 @@
 	return b, c, b.connect()
 }
 
-// An engine releases a reservation that no attempt waits for. A release that is written right after the close of an attempt's
-// connection may arrive before the close is seen, and has no effect then: it is repeated.
+// An engine releases a reservation only if no attempt waits for it. A release that is written right after the close of an
+// attempt's connection may arrive before the engine notices the close, and then has no effect. The release must be
+// repeated.
 func TestReleaseIsRepeatedAfterACancelledAttempt(t *testing.T) {
 	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.do(func() { b.core.ClientDisconnected(client) })
-	for range 20 { // each answered
+	for range 20 { // each release is acknowledged
 		b.countReleases("a1")
 		for _, s := range b.engineSockets {
 			if strings.Contains(s.written.String(), "DELETE") && !s.closed {
@@ -93,8 +95,8 @@
 	}
 }
 
-// What is written to a machine that is partitioned, or whose process does not run, never arrives. Its reservation must be
-// released in time all the same, and once more if the attempt is rejected later without having claimed it.
+// A request to a machine that is partitioned, or whose process does not run, never arrives. The reservation must still be
+// released in time, and again if the attempt is rejected later without having claimed it.
 func TestReservationBehindAnUndeliveredAttemptIsReleased(t *testing.T) {
 	b, _, decode := testbedWithDecodeInFlight(t, "alert")
 	b.advance(time.Second)
@@ -109,10 +111,10 @@
 	}
 }
 
-// A reservation ages from when its prefill ended, not from when a delayed process handles that.
+// The age of a reservation counts from the end of its prefill, not from when a delayed process handles that.
 func TestReservationReportedLateIsReleasedInTime(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r") // no decode engine is there
+	b.setEndpoints("r") // no decode engine is listed
 	b.request("a1", "alert")
 	s := b.connect()
 	b.advance(700 * time.Millisecond)
@@ -120,17 +122,17 @@
 	b.answerPrefill(s)
 	b.advance(200 * time.Millisecond)
 	if b.countReleases("a1") == 0 {
-		t.Error("a reservation of 0.8 s is not released")
+		t.Error("a reservation is not released after 0.8 s")
 	}
 }
 
-// Reservations of open requests are released when the policy panics, whatever the requests wait for.
+// Reservations of open requests are released when the policy panics, in whichever phase the requests are.
 func TestReservationsAreReleasedWhenThePolicyPanics(t *testing.T) {
 	for _, at := range []string{"prefill", "reserved", "decode"} {
 		b := newTestbed(t)
 		b.mayPanic = true
 		if at == "reserved" {
-			b.setEndpoints("r") // no decode engine is there
+			b.setEndpoints("r") // no decode engine is listed
 		}
 		b.request("a1", "alert")
 		s := b.connect()
@@ -149,7 +151,7 @@
 	}
 }
 
-// unacknowledged are answers to a release that are no acknowledgement.
+// unacknowledged are the answers to a release that do not acknowledge it.
 var unacknowledged = map[string]func(b *testbed, s *fakeEngineSocket){
 	"404": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 404, nil, "") },
 	"500": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 500, nil, "") },
@@ -159,11 +161,11 @@
 	"partial": func(b *testbed, s *fakeEngineSocket) {
 		b.do(func() { b.core.ResponseHead(s.conn, responseHead(204, nil), nil); b.core.EngineDisconnected(s.conn) })
 	},
-	"nothing": func(*testbed, *fakeEngineSocket) {},
-	"a reset": func(b *testbed, s *fakeEngineSocket) { b.do(func() { b.core.EngineDisconnected(s.conn) }) },
+	"no answer": func(*testbed, *fakeEngineSocket) {},
+	"reset":     func(b *testbed, s *fakeEngineSocket) { b.do(func() { b.core.EngineDisconnected(s.conn) }) },
 }
 
-// A release that is answered with anything but an acknowledgement goes to other engines, and is abandoned in the end.
+// A release without an acknowledgement is sent to other engines, and is abandoned in the end.
 func TestUnacknowledgedReleasesAreAbandoned(t *testing.T) {
 	for name, answer := range unacknowledged {
 		b, client, _ := testbedWithDecodeInFlight(t, "chat")
@@ -188,23 +190,23 @@
 	}
 }
 
-// One engine that hangs must not delay a release: it goes to two engines at once where connections are open.
+// One engine that hangs must not delay a release: the release is sent to two engines at once if connections are open.
 func TestReleaseGoesToTwoEnginesInParallel(t *testing.T) {
 	b, client, decode := testbedWithDecodeInFlight(t, "chat")
 	b.answerFull(decode)
-	b.advance(25 * time.Millisecond) // its connection is idle now, as that of the prefill engine is
+	b.advance(25 * time.Millisecond) // the connections of the decode and prefill engines are idle now
 	b.do(func() { b.core.ClientDisconnected(client) })
 	releases := map[string]int{}
 	for _, s := range b.engineSockets {
 		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if releases["r"] != 1 || releases["w"] != 1 {
-		t.Errorf("releases at once: %v", releases)
+		t.Errorf("releases sent in parallel: %v, want one each to r and w", releases)
 	}
 }
 
-// All engines are unreachable for some seconds, as when the router's own network is partitioned: reservations are released
-// once connections come up again, after outages of the length that scenarios have.
+// If all engines are unreachable for some seconds, as when the router's own network is partitioned, reservations are
+// released once connections succeed again. The scenarios have outages of this length.
 func TestReleaseAfterALongOutage(t *testing.T) {
 	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.expectedViolation = invariant.ReservedTooLong
@@ -222,6 +224,6 @@
 		b.connect()
 	}
 	if b.countReleases("a1") == before {
-		t.Error("no release is sent when connections come up again after 8 s")
+		t.Error("no release is sent when dials succeed again after 8 s")
 	}
 }
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -18,7 +18,7 @@
 	"sandcourse/internal/routing"
 )
 
-// testbed is a router whose sockets are the test's: it sees each byte that is written, and when.
+// testbed runs a router with fake sockets, which record each byte that is written. The test sets the time.
 type testbed struct {
 	noopObserver
 	t             *testing.T
@@ -28,12 +28,12 @@
 	engineSockets []*fakeEngineSocket
 	events        []routing.Event
 
-	panicNext, mayPanic bool           // the policy, at its next event; and whether the test expects that
-	expectedViolation   invariant.Rule // the one that the test violates, as where no engine acknowledges a release
-	closedClients       []int64        // by the router, in order
+	panicNext, mayPanic bool           // whether the policy panics at its next event, and whether the test expects a panic
+	expectedViolation   invariant.Rule // rule that the test violates, as when no engine acknowledges a release
+	closedClients       []int64        // clients whose connections the router closed, in order
 }
 
-// Dial queues a dial, which ends with connect.
+// Dial queues a dial, which connect completes.
 func (b *testbed) Dial(conn *router.EngineConnection) { b.dials = append(b.dials, conn) }
 
 // AroundStep records an event of the policy.
@@ -53,7 +53,7 @@
 	}
 }
 
-// ignoredObserver ignores what a router reports and no test here looks at.
+// noopObserver ignores the notifications that the tests do not check.
 type noopObserver struct{}
 
 func (noopObserver) CatchUp()                                         {}
@@ -95,8 +95,8 @@
 // fakeClientSocket is a connection of a client.
 type fakeClientSocket struct {
 	bytes.Buffer
-	hasUnhandledRequest bool // a request has been read and not been handed over
-	disconnected        bool // it has ended, and the router has not been notified
+	hasUnhandledRequest bool // a request was read and not passed to the router
+	disconnected        bool // the connection has ended, and the router was not notified
 	closed              bool
 }
 
@@ -117,7 +117,7 @@
 	return s.closed
 }
 
-// testSettings has one class of each effect: chat may run twice, label is deduplicated, alert must not run twice.
+// testSettings has one class of each effect: chat may run twice, label is deduplicated, and alert must not run twice.
 const testSettings = `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":1024},
  "settings":{"areas":["a"],"zone":0,"index":0,"peers_total":1,"tick_us":4000,"flavors":["m1","m2"],"ceilings":{
  "try_limit":5,"cancel":true,"retry_after":true,"max_retry_after_us":1000000,"dial_timeout_us":250000},"report":{
@@ -126,7 +126,7 @@
  {"name":"label","effect":"dedup","dedup_scope":"all","memory_span_us":300000,"worth":1,"objective_us":1000000},
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
-// newTestbed makes a router with a prefill engine r and a decode engine w.
+// newTestbed returns a router with a prefill engine r and a decode engine w.
 func newTestbed(t *testing.T) *testbed {
 	nodeConfig, err := platform.ParseNodeConfig("test", []byte(testSettings))
 	if err != nil {
@@ -142,7 +142,7 @@
 	return b
 }
 
-// newUnacknowledgedTestbed makes one where no engine acknowledges a release.
+// newUnacknowledgedTestbed returns a testbed in which no engine acknowledges a release.
 func newUnacknowledgedTestbed(t *testing.T) *testbed {
 	b := newTestbed(t)
 	b.expectedViolation = invariant.ReservedTooLong
@@ -156,7 +156,7 @@
 	b.core.RunDue(b.now)
 }
 
-// setEndpoints publishes the engines that are ready; those whose names begin with r are for prefill.
+// setEndpoints publishes a list of ready engines; those whose names begin with r are for prefill.
 func (b *testbed) setEndpoints(ids ...string) {
 	list := endpoint.List{Revision: 1}
 	for _, id := range ids {
@@ -170,7 +170,7 @@
 	b.do(func() { b.core.UpdateEndpoints(list) })
 }
 
-// pass lets time pass, with all that falls due meanwhile.
+// advance moves the clock forward and runs everything that falls due.
 func (b *testbed) advance(d time.Duration) {
 	for end := b.now + int64(d); b.now < end; {
 		b.now = min(end, max(b.now+1, b.core.NextDue()))
@@ -178,10 +178,10 @@
 	}
 }
 
-// lastClient is the ID of the last client of any test.
+// lastClientID is the ID of the last client of any test.
 var lastClientID int64
 
-// request sends a request on a new connection; it waits for a connection to a prefill engine then.
+// request sends a request on a new connection. Afterwards a dial to a prefill engine is pending.
 func (b *testbed) request(name, route string, headers ...string) (*router.ClientConnection, *fakeClientSocket) {
 	lastClientID++
 	out := &fakeClientSocket{}
@@ -201,7 +201,7 @@
 func (b *testbed) connect() *fakeEngineSocket {
 	b.t.Helper()
 	if len(b.dials) == 0 {
-		b.t.Fatal("nothing is dialed")
+		b.t.Fatal("no connection is dialed")
 	}
 	s := &fakeEngineSocket{conn: b.dials[0]}
 	b.dials = b.dials[1:]
@@ -210,7 +210,7 @@
 	return s
 }
 
-// responseHead is the head of an engine's answer.
+// responseHead returns the head of an engine's response.
 func responseHead(status int, header http.Header) *http.Response {
 	if header == nil {
 		header = http.Header{}
@@ -218,7 +218,7 @@
 	return &http.Response{Status: fmt.Sprint(status), StatusCode: status, Header: header}
 }
 
-// respond completes an answer to what a connection carries.
+// respond completes the response to the request that a connection carries.
 func (b *testbed) respond(s *fakeEngineSocket, status int, header http.Header, body string) {
 	b.do(func() {
 		b.core.ResponseHead(s.conn, responseHead(status, header), nil)
@@ -229,7 +229,7 @@
 // answerPrefill completes a prefill.
 func (b *testbed) answerPrefill(s *fakeEngineSocket) { b.respond(s, 202, nil, `{"cached_tokens":0}`) }
 
-// answerFull rejects a decode for lack of capacity: it never ran.
+// answerFull rejects a decode for lack of capacity: the decode never ran.
 func (b *testbed) answerFull(s *fakeEngineSocket) {
 	b.respond(s, 503, http.Header{"Not-Started": {"1"}}, "")
 }
@@ -242,7 +242,7 @@
 	return n
 }
 
-// advertisedTimeouts are the timeouts in the requests that a connection carried.
+// advertisedTimeouts returns the timeouts in the requests that a connection carried.
 func advertisedTimeouts(t *testing.T, s *fakeEngineSocket) (timeouts []time.Duration) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(s.written.Bytes()))
@@ -277,7 +277,7 @@
 	b.do(func() { b.core.ReceiveRequest(client, received) })
 }
 
-// responseStatuses are the statuses of the answers that a client got, in order.
+// responseStatuses returns the statuses of the answers that a client received, in order.
 func responseStatuses(t *testing.T, out *fakeClientSocket) (statuses []int) {
 	t.Helper()
 	in := bufio.NewReader(bytes.NewReader(out.Bytes()))
@@ -291,7 +291,7 @@
 	}
 }
 
-// untilAnswered lets time pass until a client has an answer.
+// waitForAnswer advances the clock until a client has an answer.
 func (b *testbed) waitForAnswer(out *fakeClientSocket) {
 	b.t.Helper()
 	for range 100 {
