--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -4,11 +4,11 @@
 
 // RetryBudget limits the share of retries among the requests of the last ten seconds. After a fault every client whose
 // request failed retries, and a fleet near its limits then serves retries of failed requests instead of requests that could
-// be answered in time; this overload outlasts the fault. A retry over the budget is rejected at once, before any routing
+// be answered in time. This overload outlasts the fault. A retry over the budget is rejected at once, before any routing
 // decision, which costs nothing.
 //
-// There are two exceptions. The first three retries of any ten seconds are allowed, since an idle router must not reject
-// the only one. A retry that the client does not declare counts as a first try.
+// There are two exceptions. The first three retries of any ten seconds are allowed, since an idle router must not reject a
+// single retry. A retry that the client does not declare counts as a first try.
 type RetryBudget struct {
 	share  float64 // 0 for no limit
 	window [windowSeconds]secondCount
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -50,7 +50,7 @@
 // engineUsage summarizes the connections to one engine.
 type engineUsage struct {
 	dialing                   int
-	shortestIdle, longestIdle *connection // nil for none; shortestIdle is one that has settled
+	shortestIdle, longestIdle *connection // nil for none; shortestIdle has settled
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -24,7 +24,8 @@
 	reusableAt int64 // earliest time of the next reuse
 }
 
-// Pool holds the state of all connections of one router to engines. Times are in nanoseconds since the start of the clock.
+// Pool holds the state of all connections of one router to engines. Times are in nanoseconds since the start of the
+// caller's clock.
 type Pool struct {
 	limits           Limits
 	connections      map[int64]*connection
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -18,25 +18,25 @@
 
 // engineAttempt is one attempt to have an engine serve a request.
 type engineAttempt struct {
-	request         *request
-	index           int // position among the attempts of its request
-	engine          string
-	decode          bool // false for a prefill
-	startedAt       int64
-	writtenAt       int64 // when the request was written; 0 if it was not written yet
-	machine         attempt.Attempt
-	connection      *EngineConnection
-	responseHeads   int
-	token           []byte // the stream event that is being handled
-	lastTokenAt     int64
-	relay           Relay // relay of the attempt's stream; nil if there is none
-	cachedTokens    float64
-	transfer        protocol.ReservationHandle
-	loadReport      *routing.LoadReport
-	verdict         routing.Verdict
-	ended           bool
-	staleConnection bool // the engine had closed the connection before the request was written
-	reason          AttemptReason
+	request           *request
+	index             int // position among the attempts of its request
+	engine            string
+	decode            bool // false for a prefill
+	startedAt         int64
+	writtenAt         int64 // when the request was written; 0 if it was not written yet
+	machine           attempt.Attempt
+	connection        *EngineConnection
+	responseHeads     int
+	token             []byte // the stream event that is being handled
+	lastTokenAt       int64
+	relay             Relay // relay of the attempt's stream; nil if there is none
+	cachedTokens      float64
+	reservationHandle protocol.ReservationHandle
+	loadReport        *routing.LoadReport
+	verdict           routing.Verdict
+	ended             bool
+	staleConnection   bool // the engine had closed the connection before the request was written
+	reason            AttemptReason
 }
 
 // ownsConnection reports whether the attempt's connection still carries the attempt.
@@ -102,7 +102,7 @@
 	att := conn.attempt
 	req, timeout := att.request, r.advertisedTimeout(att.request)
 	if att.decode {
-		return r.protocol.DecodeRequest(req.received.Call, req.name, target, req.transfer, timeout)
+		return r.protocol.DecodeRequest(req.received.Call, req.name, target, req.reservationHandle, timeout)
 	}
 	return r.protocol.PrefillRequest(req.received.Call, req.name, target, att.index, timeout)
 }
@@ -158,7 +158,7 @@
 	r.releaseConnection(att, event, result)
 	r.reportAttempt(att)
 	if result.Verdict == routing.PrefillDone {
-		req.transfer = att.transfer
+		req.reservationHandle = att.reservationHandle
 	}
 	r.recordReservation(att, event, result)
 	if result.ReservationMissing {
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -9,7 +9,7 @@
 )
 
 // The timeout that is sent to an engine is what remains when the request is written: after a slow dial, between prefill and
-// decode, and for a retry. An engine whose dial took a quarter second was once given that much too much.
+// decode, and for a retry. After a dial of a quarter second an engine was once sent a timeout that was too long by as much.
 func TestEngineGetsRemainingTimeout(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
@@ -139,7 +139,7 @@
 	}
 }
 
-// A process that did not run for longer than a client waits answers its request at once, and forwards nothing.
+// If the process did not run for longer than a client waits, the client's request is answered at once and not forwarded.
 func TestRequestReadAfterItsDeadlineIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
 	b.expectedViolation = invariant.LateAnswer // the answer is late because the process did not run
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -31,8 +31,8 @@
 	partialBytes    int
 	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 
-	output      []byte // not passed to the socket yet
-	flushQueued bool   // the connection is in clientConnections.unflushed
+	output      []byte // data that was not passed to the socket yet
+	flushQueued bool   // whether the connection is in clientConnections.unflushed
 }
 
 // unansweredCount returns the number of requests that wait for their answer.
@@ -108,8 +108,7 @@
 	}
 }
 
-// CloseIdleClients closes each connection without a request in flight, and returns the number of connections that stay
-// busy.
+// CloseIdleClients closes each connection without a request in flight, and returns how many connections are still busy.
 func (r *Router) CloseIdleClients() (busy int) {
 	for _, id := range r.clients.ids() {
 		client := r.clients.byID[id]
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -27,7 +27,7 @@
 	Rejection *protocol.Response // the answer to an invalid request
 
 	exceedsPipeline bool // too many requests wait before this one
-	terminal        bool // no later request on the connection can be read
+	terminal        bool // no request after this one can be read
 }
 
 // ReceivePartial handles a part of a request; buffered is how many bytes of the request are buffered now.
@@ -141,8 +141,8 @@
 	}
 }
 
-// reply writes a complete answer and ends the request. An answer to no particular request, with received nil, also closes
-// the connection.
+// reply writes a complete answer and ends the request. If received is nil, the answer belongs to no request that was read
+// completely, and the connection is closed after it.
 func (r *Router) reply(client *ClientConnection, received *ClientRequest, answer protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
 		answer.Status, http.StatusText(answer.Status), answer.ContentType, len(answer.Body))
@@ -164,7 +164,7 @@
 	}
 	client.serving, client.current = false, nil
 	if !keepAlive || client.closing {
-		// The client declared this request the last one, or no later request can be read: later requests get no answer.
+		// The client declared this request the last one, or no request after it can be read: later requests get no answer.
 		client.waiting = nil
 		r.closeAfterFlush(client)
 		return
--- a/internal/router/client_requests_test.go
+++ b/internal/router/client_requests_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// A client sends a request and part of a second one, and then stops. When the first request was answered, the connection
-// once counted as idle and was not closed for a minute, and later never, since a connection with a partial request cannot
-// be closed as idle.
+// A client sends part of a second request while the first is served, and then stops. When the first request was answered,
+// the connection once counted as idle. It was not closed for a minute, and then never, as a connection with a partial
+// request is not closed as idle.
 func TestPartialRequestBehindAServedOne(t *testing.T) {
 	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 		b := newTestbed(t)
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -12,14 +12,14 @@
 // clock holds the time that was last passed to the router, in nanoseconds.
 type clock struct {
 	now           int64
-	earliestEvent int64 // the current events happened after this time; 0 if it is unknown
-	readAt        int64 // when the current event was read from its socket; 0 if that is unknown
+	earliestEvent int64 // the current events happened after this time; 0 if unknown
+	readAt        int64 // when the current event was read from its socket; 0 if unknown
 	observed      ObservedTimes
 	reapedAt      int64
 }
 
-// ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Input that is
-// missing by then was not sent; later input may still be unread. 0 stands for the current time.
+// ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Any missing
+// input was sent later than that and may still be unread. 0 stands for the current time.
 type ObservedTimes struct{ Engines, Clients int64 }
 
 // SetTime sets the time of the events that follow.
@@ -76,7 +76,7 @@
 
 func (c *clock) nextReapAt() int64 { return c.reapedAt + reapInterval }
 
-// startReapIfDue reports whether reap is due, and if so records that it runs now.
+// startReapIfDue reports whether reap is due, and if so records that reap runs now.
 func (c *clock) startReapIfDue() bool {
 	if c.now < c.nextReapAt() {
 		return false
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -15,7 +15,7 @@
 )
 
 // departedRetention is how long the router remembers an engine that has left the endpoint list. A minute is several times
-// the time that a dial may take; no request is written to the engine after its dial.
+// as long as a pending dial to the engine may take; after that no request is written to the engine.
 const departedRetention = int64(time.Minute)
 
 // drainRetention is how long a drain takes precedence over an endpoint list of an older revision. Discovery agents lag by
@@ -30,7 +30,7 @@
 	starts         engineStarts
 	drains         attempt.UnavailableSince
 	listCount      uint64            // number of lists received
-	lastListedIn   map[string]uint64 // number of the last list that had an engine; kept while it is listed and for departedRetention
+	lastListedIn   map[string]uint64 // number of the last list that had an engine; kept for departedRetention
 	lastResponseAt map[string]int64  // when an engine's last response began
 }
 
@@ -73,15 +73,16 @@
 	return endpoint.Entry{}
 }
 
-// target returns the address of an engine as seen from this router. The address is the engine's ID unless the list has
-// another one.
+// target returns the address of an engine as seen from this router, which is the engine's ID unless the list has another
+// one, and the engine's role epoch.
 func (e *endpointState) target(engine string) protocol.Target {
 	entry := e.find(engine)
 	return protocol.Target{Address: cmp.Or(entry.Address, engine), RoleEpoch: entry.RoleEpoch}
 }
 
-// acceptList records the latest list and returns the entries to use. In a list that is older than one received before, as
-// when discovery has moved to an agent that lags, engines that were drained or removed recently are returned as draining.
+// acceptList records the latest list and returns the list to apply. If the latest list is older than one received before,
+// as when discovery has moved to an agent that lags, engines that were drained or removed recently are returned as
+// draining.
 func (e *endpointState) acceptList(list endpoint.List, now int64) endpoint.List {
 	e.history.latest, e.history.reapplyAt = list, 0
 	if list.Revision < e.history.newestRevision {
@@ -143,13 +144,13 @@
 
 // reapplyEndpoints applies the latest list again once recent drains no longer take precedence over it.
 func (r *Router) reapplyEndpoints() {
-	if recheckAt := r.endpoints.history.reapplyAt; recheckAt > 0 && r.now >= recheckAt {
+	if reapplyAt := r.endpoints.history.reapplyAt; reapplyAt > 0 && r.now >= reapplyAt {
 		r.UpdateEndpoints(r.endpoints.history.latest)
 	}
 }
 
 // closeIdleToOldAddresses closes the idle connections to addresses that their engines no longer have: another engine may
-// listen there now. Busy connections are closed after their request.
+// listen there now. Busy connections are closed once their request has ended.
 func (r *Router) closeIdleToOldAddresses() {
 	for _, id := range r.connections.IDs() {
 		conn := r.connections.byID[id]
@@ -172,5 +173,5 @@
 	case config.RoleDecode:
 		return false
 	}
-	return req.transfer == nil && !r.protocol.MixedEnginePrefillsOnDecode()
+	return req.reservationHandle == nil && !r.protocol.MixedEnginePrefillsOnDecode()
 }
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -11,8 +11,8 @@
 	"sandcourse/internal/reservation"
 )
 
-// spareConnections is how many connections to each engine are reserved for control requests: reservations must be released
-// even while all other connections carry prefills.
+// spareConnections is how many connections to each engine, beyond the limits, are for control requests alone: reservations
+// must be released even while all other connections carry prefills.
 const spareConnections = 2
 
 // staleConnectionWindow is how soon after a write a reused connection breaks if the engine had closed it before the write:
@@ -36,7 +36,7 @@
 	streamed              bool            // the last response is a stream, as all responses to decodes are
 	writtenAt             int64           // when the last request was written
 	dialedAt              int64
-	drainingResponseSince int64 // since when the rest of a response is awaited that nothing uses; 0 if none is
+	drainingResponseSince int64 // when the connection began to drain a response that is no longer needed; 0 if it does not
 }
 
 // engineConnections holds the connections to engines; the pool decides on their use.
@@ -54,8 +54,8 @@
 }
 
 // maxIdle returns how long a connection may have been idle to carry an attempt or a control request. Control requests use
-// any open connection, even after early closes of others: a release may be sent twice, and a request on an open connection
-// reaches an engine that is paused, while a new connection to it cannot be established.
+// any open connection, even after early closes of other connections: a release may be sent twice, and a request on an open
+// connection reaches an engine that is paused, while a new connection to it cannot be established.
 func (r *Router) maxIdle(engine string, att *engineAttempt, control *controlRequest) time.Duration {
 	idle := r.config.Connections.IdleTimeout
 	switch {
@@ -103,7 +103,7 @@
 	return true
 }
 
-// EngineConnected handles the end of a dial, with the socket of the connection or the error.
+// EngineConnected handles the end of a dial, with the socket of the connection or an error.
 func (r *Router) EngineConnected(conn *EngineConnection, socket EngineSocket, err error) {
 	if r.connections.byID[conn.ID] != conn { // the connection was closed while it was dialed
 		if socket != nil {
--- a/internal/router/engine_responses.go
+++ b/internal/router/engine_responses.go
@@ -94,12 +94,12 @@
 		r.handleAttemptEvent(att, event, AttemptReason(reason))
 		return
 	}
-	transfer, cachedTokens, err := r.protocol.ParseReservation(body)
+	handle, cachedTokens, err := r.protocol.ParseReservation(body)
 	if err != nil {
 		r.handleAttemptEvent(att, attempt.MalformedResponse, AttemptReason(err.Error()))
 		return
 	}
-	att.cachedTokens, att.transfer = float64(cachedTokens), transfer
+	att.cachedTokens, att.reservationHandle = float64(cachedTokens), handle
 	r.handleAttemptEvent(att, attempt.PrefillCompleted, "")
 }
 
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -10,13 +10,13 @@
 	"sandcourse/internal/attempt"
 )
 
-// Fingerprint writes all state that later events may depend on. It identifies connections by what they carry and timers by
-// their purpose, not by their IDs. Model checkers use it; no decision depends on it.
+// Fingerprint writes all state that later events may depend on. The output identifies connections by what they carry and
+// timers by their purpose, not by their IDs. It is used by model checkers, and no decision depends on it.
 func (r *Router) Fingerprint(w io.Writer) {
 	r.policy.Fingerprint(w)
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
-		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.transfer, r.now-req.arrivedAt,
+		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.reservationHandle, r.now-req.arrivedAt,
 			max(0, req.mayStillRunUntil-r.now))
 		for _, att := range req.attempts {
 			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict,
@@ -29,8 +29,8 @@
 		lines = append(lines, fmt.Sprintln("control", control.engine, control.describe(), r.now-control.startedAt))
 	}
 	for _, t := range r.policy.timers.heap {
-		if what := r.policy.DescribeTimer(t.token); what != "" {
-			lines = append(lines, fmt.Sprintln("timer", t.at-r.now, what))
+		if purpose := r.policy.DescribeTimer(t.token); purpose != "" {
+			lines = append(lines, fmt.Sprintln("timer", t.at-r.now, purpose))
 		}
 	}
 	for _, reserved := range r.reservations.All() {
@@ -60,8 +60,8 @@
 		} else if conn.control != nil {
 			carries = "control " + conn.control.describe()
 		}
-		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingResponseSince > 0, conn.socket != nil,
-			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
+		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingResponseSince > 0,
+			conn.socket != nil, conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
 	return lines
 }
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -56,7 +56,7 @@
 	replyNormal        = ""
 	replyFull          = "full"
 	replyError         = "error"
-	replyNoState       = "no reservation"
+	replyNoReservation = "no reservation"
 	replyDisconnect    = "broken connection"
 	replyPartialStream = "partial stream"
 	replyInvalid       = "invalid"
@@ -236,7 +236,7 @@
 	case replyFull:
 		e.schedule(wait, func() { e.reject("full", 503) })
 		return
-	case replyNoState:
+	case replyNoReservation:
 		e.schedule(wait, func() { e.reject("no-state", 410) })
 		return
 	case replyError:
@@ -328,7 +328,8 @@
 
 func (r *recorder) newClient() *goldenClient {
 	r.clients++
-	c := &goldenClient{r: r, parser: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 2048, BodyBytes: 4096})}
+	c := &goldenClient{r: r,
+		parser: httpframing.NewParser(httpframing.Requests, httpframing.Limits{HeadBytes: 2048, BodyBytes: 4096})}
 	c.connection = &router.ClientConnection{ID: r.clients, Socket: c}
 	r.do(func() { r.core.ClientOpened(c.connection) })
 	return c
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -57,7 +57,7 @@
 		}
 	}},
 	{"decode-retry", func(r *recorder) {
-		for i, answer := range []string{replyFull, replyNoState, replyError, replyDisconnect} {
+		for i, answer := range []string{replyFull, replyNoReservation, replyError, replyDisconnect} {
 			r.setEndpoints("r1", "r2", "w1", "w2")
 			r.requestCounts = map[string]int{}
 			r.injectFaults("decode", answer)
@@ -66,7 +66,7 @@
 		}
 	}},
 	{"decode-failure-non-retriable", func(r *recorder) {
-		for i, answer := range []string{replyFull, replyNoState, replyError, replyDisconnect, replyPartialStream} {
+		for i, answer := range []string{replyFull, replyNoReservation, replyError, replyDisconnect, replyPartialStream} {
 			r.setEndpoints("r1", "r2", "w1", "w2")
 			r.requestCounts = map[string]int{}
 			r.injectFaults("decode", answer)
@@ -224,11 +224,11 @@
 
 // badRequests returns invalid requests. Each is sent on a connection of its own.
 func badRequests(r *recorder) []string {
-	good := r.requestText("a1", retriable, true)
-	// If the old text belongs to the other protocol, the request stays unchanged and is served.
-	replaced := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
+	valid := r.requestText("a1", retriable, true)
+	// Where the old text is missing, it belongs to the other protocol: the request stays valid and is served.
+	replaced := func(old, replacement string) string { return strings.Replace(valid, old, replacement, 1) }
 	withBody := func(text string) string {
-		head, _, _ := strings.Cut(good, "Content-Length:")
+		head, _, _ := strings.Cut(valid, "Content-Length:")
 		return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 	}
 	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -240,13 +240,15 @@
 		"POST /readyz HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
 		replaced("HTTP/1.1", "HTTP/1.0"), replaced("HTTP/1.1", "HTTP/3.7"), replaced("clip-summary", "unknown"),
 		replaced("Request-Class: chat", "Request-Class: unknown"), replaced("Request-Class: chat\r\n", ""),
-		replaced("Request-Id: a1\r\n", "Request-Id: ../x\r\n"), replaced("X-Request-Id: a1\r\n", "X-Request-Id: "+strings.Repeat("a", 300)+"\r\n"),
+		replaced("Request-Id: a1\r\n", "Request-Id: ../x\r\n"),
+		replaced("X-Request-Id: a1\r\n", "X-Request-Id: "+strings.Repeat("a", 300)+"\r\n"),
 		replaced("Request-Timeout: 2.0", "Request-Timeout: soon"), replaced("Request-Timeout: 2.0\r\n", ""),
 		replaced("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: soon"), replaced("X-Give-Up-Ms: 2000", "X-Give-Up-Ms: -1"),
 		replaced("prompt_len=120", "prompt_len=-1"), replaced("Affinity-Key: ka1", "Affinity-Key: "+strings.Repeat("k", 200)),
 		replaced("Host: x\r\n", "Host: x\r\nRequest-Class: chat\r\n"),
 		replaced("Host: x\r\n", "Host: x\r\nX-Stainless-Retry-Count: many\r\n"),
-		withBody(""), withBody("[]"), withBody("{"), withBody("null"), withBody("{}"), withBody(`{"model":3}`), withBody(`{"model":"clip-summary","messages":[]}`),
+		withBody(""), withBody("[]"), withBody("{"), withBody("null"), withBody("{}"), withBody(`{"model":3}`),
+		withBody(`{"model":"clip-summary","messages":[]}`),
 		withBody(`{"model":"clip-summary","messages":[{"role":"x","content":"a"}]}`),
 		withBody(`{"model":"clip-summary","n":2,"messages":[{"role":"user","content":"a"}]}`),
 		withBody(`{"model":"clip-summary","max_tokens":0,"messages":[{"role":"user","content":"a"}]}`),
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -12,14 +12,14 @@
 
 // gossipState is the part of the gossip state that the router itself keeps; the policy keeps the rest.
 type gossipState struct {
-	heardAt int64 // when the last message from a peer was received
+	lastMessageAt int64 // when the last message from a peer was received
 }
 
 // heardRecently reports whether a message from a peer was received recently.
-func (g *gossipState) heardRecently(now int64) bool { return now-g.heardAt <= peerFreshness }
+func (g *gossipState) hasRecentMessage(now int64) bool { return now-g.lastMessageAt <= peerFreshness }
 
 // ReceivePeerMessage handles a message from another router.
 func (r *Router) ReceivePeerMessage(from int, text string) {
-	r.gossip.heardAt = r.now
+	r.gossip.lastMessageAt = r.now
 	r.notifyPolicy(routing.GossipReceived{From: from, Text: text})
 }
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -66,7 +66,7 @@
 	r.readAt, r.earliestEvent = readAt, earliestEvent
 }
 
-// runPolicy is the only function that calls the policy. A panic of the policy must not crash the whole router.
+// runPolicy is the only function that calls the policy. A panic of the policy must not end the whole router.
 func (r *Router) runPolicy(event routing.Event) (actions []routing.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -82,7 +82,7 @@
 // policy from the current endpoint list. Attempts in flight may have run, so the answers do not say that a retry is safe.
 func (r *Router) restartPolicy() {
 	r.policy.restart(r.config)
-	if r.endpoints.current != nil { // queued before the requests that wait behind those answered below
+	if r.endpoints.current != nil { // queued first, before the requests that are served after the answers below
 		update, _ := r.config.EndpointUpdate(*r.endpoints.current)
 		r.policy.pending = append(r.policy.pending, update)
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// dropAttempt ends an attempt that the new policy does not know.
+// dropAttempt ends an attempt that is unknown to the new policy.
 func (r *Router) dropAttempt(att *engineAttempt) {
 	att.ended = true
 	r.recordReservation(att, attempt.Canceled, attempt.Result{Verdict: routing.Canceled, MayLeaveReservation: true})
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -19,7 +19,8 @@
 // not drain, and no earlier attempt may have run if the request must not run twice.
 func (s *simulation) checkAttempt(c *simulatedClient, p *receivedAttempt) {
 	if c.disconnected || c.respondedAt > 0 {
-		s.t.Fatalf("%s: an attempt after the client has disconnected (%v) or been answered (%v)", c.name, c.disconnected, c.respondedAt > 0)
+		s.t.Fatalf("%s: an attempt after the client has disconnected (%v) or been answered (%v)", c.name, c.disconnected,
+			c.respondedAt > 0)
 	}
 	if drainNotifiedAt := s.drainNotifiedAt[p.engine]; drainNotifiedAt > 0 && s.now-drainNotifiedAt > int64(s.deployment.Rules.DrainGrace) {
 		s.t.Fatalf("%s: an attempt at %s %v after its drain was published", c.name, p.engine, time.Duration(s.now-drainNotifiedAt))
@@ -55,7 +56,8 @@
 			reserved.attemptInFlightAt = s.now
 		}
 		if s.now-reserved.attemptInFlightAt > int64(s.deployment.Rules.ReservationLimit+reservationSlack) {
-			s.t.Fatalf("%s is reserved at %s for %v", reserved.client.name, reserved.engine, time.Duration(s.now-reserved.attemptInFlightAt))
+			s.t.Fatalf("%s is reserved at %s for %v", reserved.client.name, reserved.engine,
+				time.Duration(s.now-reserved.attemptInFlightAt))
 		}
 	}
 }
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -121,7 +121,8 @@
 	}
 	i := slices.IndexFunc(s.clients, func(c *simulatedClient) bool { return c.name == r.Header.Get(platform.HeaderRequestID) })
 	e.client = s.clients[i]
-	e.attempt = &receivedAttempt{engine: e.conn.Engine, receivedAt: s.now, prefill: s.deployment.Role(s.endpoints[e.conn.Engine].Kind) == "read"}
+	e.attempt = &receivedAttempt{engine: e.conn.Engine, receivedAt: s.now,
+		prefill: s.deployment.Role(s.endpoints[e.conn.Engine].Kind) == "read"}
 	s.checkAttempt(e.client, e.attempt)
 	e.attempt.inFlight = e.method != ""
 	e.client.attempts = append(e.client.attempts, e.attempt)
@@ -170,7 +171,8 @@
 }
 
 func (s *simulation) addReservation(c *simulatedClient, engine string) {
-	s.reservations = append(s.reservations, &simulatedReservation{client: c, engine: engine, attemptInFlightAt: s.now - int64(s.delay)})
+	s.reservations = append(s.reservations, &simulatedReservation{client: c, engine: engine,
+		attemptInFlightAt: s.now - int64(s.delay)})
 }
 
 // do lets the router handle one event, and checks the invariants.
--- a/internal/router/reference_test.go
+++ b/internal/router/reference_test.go
@@ -157,7 +157,8 @@
 	if drainedAt != since[id] && !forgotten {
 		t.Fatalf("%s, %q, is not ready since %d, want %d", id, entry.State, drainedAt, since[id])
 	}
-	if entry.State == endpoint.Draining && drainedAt == 0 || entry.ID == "" && drainedAt == 0 && since[id] != 0 && s.now-since[id] <= departedRetention {
+	if entry.State == endpoint.Draining && drainedAt == 0 ||
+		entry.ID == "" && drainedAt == 0 && since[id] != 0 && s.now-since[id] <= departedRetention {
 		t.Fatalf("%s, %q, counts as ready", id, entry.State)
 	}
 	if forgotten {
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -65,7 +65,7 @@
 
 // shedRequest answers a request that the policy sheds.
 func (r *Router) shedRequest(req *request, retryAfter int64) {
-	if req.streaming { // the policy never sheds a stream; if it did, it would be too late to say that a retry is safe
+	if req.streaming { // the policy never sheds a stream; it would be too late then to say that a retry is safe
 		r.finishRequest(req, OutcomeErrored, reasonStreamShed)
 		return
 	}
@@ -80,7 +80,7 @@
 	r.endRequest(req, OutcomeAbandoned, "")
 	r.notifyPolicy(routing.ClientDisconnected{RequestID: req.id})
 	for _, att := range req.attempts {
-		if !att.ended { // the policy does not cancel streams
+		if !att.ended { // the policy does not cancel streams itself
 			r.handleAttemptEvent(att, attempt.Canceled, reasonClientDisconnected)
 		}
 	}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -11,22 +11,22 @@
 // request is one request of a client that engines are to serve. It is kept from its arrival until it is answered and none
 // of its attempts is in flight.
 type request struct {
-	id               int64
-	name             string // identifies the request to engines
-	client           *ClientConnection
-	received         *ClientRequest
-	route            int
-	arrivedAt        int64
-	deadline         int64
-	attempts         []*engineAttempt
-	transfer         protocol.ReservationHandle // the reservation of the prefill engine; nil before the prefill is done
-	collector        protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
-	streaming        bool                       // the first token was received
-	firstTokenAt     int64
-	mayStillRunUntil int64          // until when a cancelled attempt may still run at its engine; 0 if there is none
-	tokens           int            // forwarded by the router; relays count theirs separately
-	outcome          RequestOutcome // empty until the request has ended
-	cause            string         // why the policy ended the request; empty if it did not
+	id                int64
+	name              string // identifies the request to engines
+	client            *ClientConnection
+	received          *ClientRequest
+	route             int
+	arrivedAt         int64
+	deadline          int64
+	attempts          []*engineAttempt
+	reservationHandle protocol.ReservationHandle // the reservation of the prefill engine; nil before the prefill is done
+	collector         protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
+	streaming         bool                       // the first token was received
+	firstTokenAt      int64
+	mayStillRunUntil  int64          // until when a cancelled attempt may still run at its engine; 0 if there is none
+	tokens            int            // forwarded by the router; relays count theirs separately
+	outcome           RequestOutcome // empty until the request has ended
+	cause             string         // why the policy ended the request; empty if it did not
 }
 
 // forwardsTokens reports whether tokens are forwarded to the client as they arrive.
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/routing"
 )
 
-// reservationsPerRequest is the number of reservations that are tracked at most, per request that may be open: a request
+// reservationsPerRequest limits the tracked reservations, as a multiple of the open requests that are allowed: a request
 // may have two prefills, and as many requests that have ended may still have reservations to release.
 const reservationsPerRequest = 4
 
@@ -26,7 +26,7 @@
 // recordReservation records what the outcome of an attempt means for the reservation that the attempt made or claimed.
 func (r *Router) recordReservation(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	req := att.request
-	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // without a response of the engine
+	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // the engine sent no response
 	if cancelled && r.config.ReleaseRepeatTime > 0 {
 		// Engines know the timeout of a request, and need some time to detect that it has passed.
 		req.mayStillRunUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
@@ -191,7 +191,7 @@
 	return ""
 }
 
-// releaseAcknowledged handles an engine's acknowledgement of a release.
+// handleReleaseAcknowledged handles an engine's acknowledgement of a release.
 func (r *Router) handleReleaseAcknowledged(control *controlRequest) {
 	r.observer.ReservationChanged(ReleaseAcknowledged)
 	r.reservations.Acknowledge(control.reservation, control.round, r.now)
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -85,10 +85,10 @@
 		}
 		b.advance(5 * time.Millisecond)
 	}
-	early := b.countReleases("a1")
+	initialCount := b.countReleases("a1")
 	b.advance(600 * time.Millisecond)
-	if again := b.countReleases("a1"); early == 0 || again <= early {
-		t.Errorf("%d releases at first, %d after 0.7 s", early, again)
+	if laterCount := b.countReleases("a1"); initialCount == 0 || laterCount <= initialCount {
+		t.Errorf("%d releases at first, %d after 0.7 s", initialCount, laterCount)
 	}
 	if inFlight := b.core.InFlight(); inFlight.Reservations != 1 || inFlight.OldestReservation < 600*time.Millisecond {
 		t.Errorf("in flight: %+v", inFlight)
@@ -100,14 +100,14 @@
 func TestReservationBehindAnUndeliveredAttemptIsReleased(t *testing.T) {
 	b, _, decode := testbedWithDecodeInFlight(t, "alert")
 	b.advance(time.Second)
-	early := b.countReleases("a1")
-	if early == 0 {
+	initialCount := b.countReleases("a1")
+	if initialCount == 0 {
 		t.Error("no release within the limit")
 	}
 	b.answerFull(decode)
 	b.advance(10 * time.Millisecond)
-	if again := b.countReleases("a1"); again <= early {
-		t.Errorf("%d releases before the decode engine rejects, %d after", early, again)
+	if laterCount := b.countReleases("a1"); laterCount <= initialCount {
+		t.Errorf("%d releases before the decode engine rejects, %d after", initialCount, laterCount)
 	}
 }
 
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -6,7 +6,7 @@
 type shutdownState struct {
 	requested      bool
 	requestedAt    int64
-	clientsDrained bool // whether idle connections of clients are closed by now
+	clientsDrained bool // set when the idle connections of clients are closed
 }
 
 // accepts reports whether requests are still accepted: those that were in transit when the shutdown was requested, and all
@@ -38,7 +38,7 @@
 // and clients would find no router. If peers serve but their messages do not arrive, the wait only delays the drain.
 func (r *Router) drainClients() {
 	waitsForPeer := r.config.ShutdownAcceptTime > 0 && r.now-r.shutdown.requestedAt < int64(r.config.ShutdownStayTime) &&
-		!r.gossip.heardRecently(r.now)
+		!r.gossip.hasRecentMessage(r.now)
 	if !r.shutdown.requested || !r.shutdown.clientsDrained && waitsForPeer {
 		return
 	}
@@ -48,16 +48,16 @@
 	}
 }
 
-// closeDrainingClient closes an idle connection while clients are drained. It is called again after an answer for a
-// connection that had a request in flight.
+// closeDrainingClient closes an idle connection while clients are drained. For a connection with a request in flight, it is
+// called again after the answer.
 func (r *Router) closeDrainingClient(client *ClientConnection) {
 	if r.shutdown.clientsDrained && r.config.ShutdownAcceptTime > 0 && r.admission.ServedAndIdle(client.ID) {
 		r.closeIfIdle(client, CloseShutdown)
 	}
 }
 
-// abandonLateRequests ends the requests that arrived too late in a shutdown to complete for certain before the process is
-// killed: the client of a stream resumes it at another router, and others get an answer while there is time for one.
+// abandonLateRequests ends the requests that arrived too late in a shutdown to complete reliably before the process is
+// killed: the client of a stream resumes it at another router, and other clients get an answer while there is time for one.
 func (r *Router) abandonLateRequests() {
 	if !r.shutdown.handoverDue(r.config, r.now) {
 		return
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -95,7 +95,7 @@
 // fakeClientSocket is a connection of a client.
 type fakeClientSocket struct {
 	bytes.Buffer
-	hasUnhandledRequest bool // a request was read and not passed to the router
+	hasUnhandledRequest bool // a request was read from the socket and not passed to the router
 	disconnected        bool // the connection has ended, and the router was not notified
 	closed              bool
 }
@@ -197,7 +197,7 @@
 	b.do(func() { b.core.HealthCheck(engine) })
 }
 
-// connect lets the oldest dial succeed.
+// connect completes the oldest dial with a connection.
 func (b *testbed) connect() *fakeEngineSocket {
 	b.t.Helper()
 	if len(b.dials) == 0 {
@@ -234,7 +234,7 @@
 	b.respond(s, 503, http.Header{"Not-Started": {"1"}}, "")
 }
 
-// countPosts counts the attempts that were written to engines so far.
+// countAttempts counts the attempts that were written to engines so far.
 func (b *testbed) countAttempts() (n int) {
 	for _, s := range b.engineSockets {
 		n += strings.Count(s.written.String(), "POST ")
