--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -173,7 +173,7 @@
 	if req.outcome != "" {
 		r.releaseReservations(req)
 	}
-	r.forgetIfFinished(req)
+	r.forgetRequest(req)
 }
 
 // releaseConnection returns the connection of an attempt to the pool, closes it, or lets it drain the rest of the response.
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -51,7 +51,7 @@
 		}
 		// Requests are removed only after all actions are performed, as a release follows the answer.
 		for _, req := range r.requests.justFinished {
-			r.forgetIfFinished(req)
+			r.forgetRequest(req)
 		}
 		r.requests.justFinished = r.requests.justFinished[:0]
 	}
--- a/internal/router/request_admission.go
+++ b/internal/router/request_admission.go
@@ -24,7 +24,7 @@
 	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: r.effect(route),
 		DedupWindow: r.config.Routes[route].DedupWindow, Deadline: req.deadline})
 	r.notifyPolicy(r.arrivalEvent(req))
-	r.forgetIfFinished(req)
+	r.forgetRequest(req)
 }
 
 // validateRequest reports whether a request can be served at all. If not, the request is answered.
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -88,7 +88,7 @@
 	if !req.wasSent() {
 		r.requests.recentNames.remove(req.name)
 	}
-	r.forgetIfFinished(req)
+	r.forgetRequest(req)
 }
 
 // abortRequest answers a request with an error and cancels its attempts.
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -89,8 +89,8 @@
 	return r.now >= req.deadline-4*int64(r.config.TickInterval)
 }
 
-// forgetIfFinished removes a request that is answered and has no attempt in flight.
-func (r *Router) forgetIfFinished(req *request) {
+// forgetRequest removes a request that is answered and has no attempt in flight.
+func (r *Router) forgetRequest(req *request) {
 	if req.outcome != "" && !req.inFlight() {
 		r.removeRequest(req)
 	}
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -93,11 +93,11 @@
 }
 
 func (r *Router) sendReleases(reserved *reservation.Reservation) {
-	isFirst := len(reserved.ReleaseTargets) == 0
-	if isFirst {
+	first := len(reserved.ReleaseTargets) == 0
+	if first {
 		r.observer.ReservationChanged(ReleaseSent)
 	}
-	for _, engine := range r.releaseTargets(reserved, isFirst) {
+	for _, engine := range r.releaseTargets(reserved, first) {
 		// If only one engine can handle the release, every second one is sent on a new connection.
 		newConnection := !r.protocol.ReleaseReachesAllEngines() && len(reserved.ReleaseTargets)%2 == 1
 		reserved.ReleaseTargets = append(reserved.ReleaseTargets, engine)
@@ -107,17 +107,17 @@
 
 // releaseTargets returns the engines that a release is sent to now: the engine that holds the reservation alone, unless any
 // engine handles releases.
-func (r *Router) releaseTargets(reserved *reservation.Reservation, isFirst bool) []string {
+func (r *Router) releaseTargets(reserved *reservation.Reservation, first bool) []string {
 	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints.current == nil {
 		return []string{reserved.Engine}
 	}
-	return r.targetsAmongAllEngines(reserved, isFirst)
+	return r.targetsAmongAllEngines(reserved, first)
 }
 
 // targetsAmongAllEngines returns the targets of a release that any engine handles. The first release is sent to the engine
 // that holds the reservation and to one with an idle connection, later ones to those that responded last.
-func (r *Router) targetsAmongAllEngines(reserved *reservation.Reservation, isFirst bool) []string {
-	if !isFirst {
+func (r *Router) targetsAmongAllEngines(reserved *reservation.Reservation, first bool) []string {
+	if !first {
 		return r.releaseCandidates(reserved, parallelReleases)
 	}
 	// A new connection for each release would cost too much.
