--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -134,7 +134,7 @@
 			b.connect()
 		}
 		if n := b.countAttempts(); n != 2 {
-			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, delay)
+			t.Errorf("%d attempts, want 2: the retry would be written %v into a window of 300 ms", n, delay)
 		}
 	}
 }
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -225,7 +225,7 @@
 // badRequests returns invalid requests. Each is sent on a connection of its own.
 func badRequests(r *recorder) []string {
 	valid := r.requestText("a1", retriable, true)
-	// Where the old text is missing, it belongs to the other protocol: the request stays valid and is served.
+	// If the old text is not in the request, it belongs to the other protocol: the request stays valid and is served.
 	replaced := func(old, replacement string) string { return strings.Replace(valid, old, replacement, 1) }
 	withBody := func(text string) string {
 		head, _, _ := strings.Cut(valid, "Content-Length:")
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -115,7 +115,7 @@
 	ReleaseSent         ReservationEvent = "sent"         // the first release was sent
 	ReleaseAcknowledged ReservationEvent = "acknowledged" // an engine acknowledged a release
 	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation up to the time limit
-	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the attempt that was to consume it was unresponsive for as long
+	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the consuming attempt was unresponsive up to the time limit
 	ReleaseAbandoned    ReservationEvent = "given up"     // no engine acknowledged the releases
 	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are tracked; this one is not released
 )
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -21,7 +21,7 @@
 		b.advance(5 * time.Second)
 		_, out := b.request("a1", at.route, at.retry)
 		if got := out.String(); !strings.HasPrefix(got, "HTTP/1.1 "+at.status) {
-			t.Errorf("%s %q: %q", at.route, at.retry, got)
+			t.Errorf("%s %q: answer %q", at.route, at.retry, got)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 	b.do(func() { b.core.ClientDisconnected(client) })
 	_, out := b.request("a1", "alert")
 	if statuses := responseStatuses(t, out); slices.Contains(statuses, http.StatusConflict) {
-		t.Error("the name of a request of which no byte went to an engine is taken")
+		t.Error("the name of a request that was never sent to an engine is still taken")
 	}
 	// Once a request has been forwarded, engines know its name.
 	b = newTestbed(t)
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -88,10 +88,10 @@
 	initialCount := b.countReleases("a1")
 	b.advance(600 * time.Millisecond)
 	if laterCount := b.countReleases("a1"); initialCount == 0 || laterCount <= initialCount {
-		t.Errorf("%d releases at first, %d after 0.7 s", initialCount, laterCount)
+		t.Errorf("%d releases at first, %d in all after 0.7 s, want more", initialCount, laterCount)
 	}
 	if inFlight := b.core.InFlight(); inFlight.Reservations != 1 || inFlight.OldestReservation < 600*time.Millisecond {
-		t.Errorf("in flight: %+v", inFlight)
+		t.Errorf("in flight: %+v, want one reservation that is at least 0.6 s old", inFlight)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -115,7 +115,7 @@
 	// ControlRequests counts health checks and releases in flight, and reservations that are not released yet.
 	ControlRequests   int
 	Reservations      int           // held by engines, or possibly held
-	OldestReservation time.Duration // time since the oldest of these became known
+	OldestReservation time.Duration // time since the oldest reservation became known
 	Lingering         bool          // whether the router is shutting down and still accepts requests
 }
 
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -300,5 +300,5 @@
 		}
 		b.advance(100 * time.Millisecond)
 	}
-	b.t.Fatal("never answered")
+	b.t.Fatal("the client was not answered within 10 s")
 }
