--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,44 +8,43 @@
 	"sandcourse/internal/invariant"
 )
 
-// The timeout that an engine is told is what is left when the request is written: where its connection was slow to come up,
-// between prefill and decode, and for a retry. A connection that took a quarter second to come up once had its engine told
-// as much too much.
+// The timeout that is sent to an engine is what remains when the request is written: after a slow dial, between prefill and
+// decode, and for a retry. After a dial of a quarter second an engine was once sent a timeout that was too long by as much.
 func TestEngineGetsRemainingTimeout(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
 	b.request("a1", "chat")
-	expect := func(what string, s *fakeEngineSocket, left time.Duration) {
+	expect := func(situation string, s *fakeEngineSocket, left time.Duration) {
 		t.Helper()
 		timeouts := advertisedTimeouts(t, s)
 		if n := len(timeouts); n == 0 || timeouts[n-1] > left+10*time.Millisecond || timeouts[n-1] < left-100*time.Millisecond {
-			t.Errorf("%s: told %v, %v left", what, timeouts, left)
+			t.Errorf("%s: the engine was sent timeouts %v, want at most %v", situation, timeouts, left)
 		}
 	}
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	prefill := b.connect()
-	expect("a connection that came up late", prefill, 2800*time.Millisecond)
-	b.pass(300 * time.Millisecond)
+	expect("after a slow dial", prefill, 2800*time.Millisecond)
+	b.advance(300 * time.Millisecond)
 	b.answerPrefill(prefill)
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	decode := b.connect()
-	expect("a decode after its prefill", decode, 2400*time.Millisecond)
-	b.pass(100 * time.Millisecond)
+	expect("decode after its prefill", decode, 2400*time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	b.answerFull(decode)
-	b.pass(200 * time.Millisecond)
-	expect("a retry", b.connect(), 2100*time.Millisecond)
+	b.advance(200 * time.Millisecond)
+	expect("retry", b.connect(), 2100*time.Millisecond)
 }
 
-// Nothing is forwarded for a client that has disconnected: not while a connection is dialed, nor between prefill and decode,
-// nor while the request waits for a decode engine. Its reservation is released all the same.
+// No attempt is forwarded for a client that has disconnected: not during a dial, nor between prefill and decode, nor while
+// the request waits for a decode engine. The reservation is still released.
 func TestNothingIsForwardedForADisconnectedClient(t *testing.T) {
 	for _, route := range []string{"chat", "alert"} {
 		b := newUnacknowledgedTestbed(t)
 		client, _ := b.request("a1", route)
 		b.core.ClientDisconnected(client)
 		b.connect()
-		b.pass(3 * time.Second)
-		if n := b.countPosts(); n != 0 {
+		b.advance(3 * time.Second)
+		if n := b.countAttempts(); n != 0 {
 			t.Errorf("%s: %d attempts for a client that disconnected during the dial", route, n)
 		}
 
@@ -54,34 +53,35 @@
 		s := b.connect()
 		b.core.ClientDisconnected(client)
 		b.answerPrefill(s)
-		b.pass(3 * time.Second)
-		if n := b.countPosts(); n != 1 {
+		b.advance(3 * time.Second)
+		if n := b.countAttempts(); n != 1 {
 			t.Errorf("%s: %d attempts, the prefill among them, for a client that disconnected during the prefill", route, n)
 		}
 
 		b = newUnacknowledgedTestbed(t)
-		b.setEndpoints("r") // no decode engine is there
+		b.setEndpoints("r") // no decode engine is listed
 		client, _ = b.request("a3", route)
 		s = b.connect()
 		b.answerPrefill(s)
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		b.core.ClientDisconnected(client)
 		b.setEndpoints("r", "w")
-		b.pass(3 * time.Second)
+		b.advance(3 * time.Second)
 		released := false
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		for _, s := range b.engines {
+		for _, s := range b.engineSockets {
 			released = released || strings.Contains(s.written.String(), "DELETE /v1/holds/a3")
 		}
-		if n := b.countPosts(); n != 1 || !released {
+		if n := b.countAttempts(); n != 1 || !released {
 			t.Errorf("%s: %d attempts, released: %v, for a client that disconnected while its request waited", route, n, released)
 		}
 	}
 }
 
-// testbedAfterLostDecode is one where a deduplicated request was written to a decode engine whose connection then broke.
+// testbedAfterLostDecode returns a testbed in which a deduplicated request was written to a decode engine whose connection
+// then broke.
 func testbedAfterLostDecode(t *testing.T) *testbed {
 	b := newTestbed(t)
 	b.request("a1", "label")
@@ -91,12 +91,12 @@
 	return b
 }
 
-// Found by random settings: the deduplication window of a class passed while the connection of the second attempt came up. It
-// is checked again before the first byte.
+// The deduplication window of a request may pass while the connection of its second attempt is dialed, as a test with
+// random settings found. The window is checked again before the first byte is written.
 func TestDedupWindowExpiresWhileDialing(t *testing.T) {
 	for _, after := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
-		b.pass(after)
+		b.advance(after)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
@@ -104,54 +104,55 @@
 		if after > 300*time.Millisecond {
 			want = 2
 		}
-		if n := b.countPosts(); n != want {
-			t.Errorf("after %v: %d attempts, not %d", after, n, want)
+		if n := b.countAttempts(); n != want {
+			t.Errorf("after %v: %d attempts, want %d", after, n, want)
 		}
 	}
 }
 
-// A process that did not run for a while finds requests that have waited for it: their timeouts began when they came.
-func TestDeadlineCountsTimeWaitedForTheProcess(t *testing.T) {
+// If the process did not run for a while, requests have waited for it. Their timeouts count from when they may have
+// arrived.
+func TestDeadlineIncludesTimeTheProcessDidNotRun(t *testing.T) {
 	b := newTestbed(t)
-	lastLook := b.now
+	lastClockRead := b.now
 	b.now += int64(600 * time.Millisecond)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(lastLook)
+	b.core.SetEarliestEventTime(lastClockRead)
 	b.request("a1", "chat")
 	if timeouts := advertisedTimeouts(t, b.connect()); len(timeouts) != 1 || timeouts[0] > 2400*time.Millisecond {
-		t.Errorf("an engine is told %v of 3 s, of which 0.6 s may have passed", timeouts)
+		t.Errorf("the engine was sent timeouts %v, want at most 2.4 s: 0.6 s of 3 s may have passed", timeouts)
 	}
 }
 
-// A router may be delayed for 0.15 s between its look at the clock and the arrival of what it writes. Engines forget a first
-// attempt at the end of the deduplication window, so a retry must not be written in the last of it.
+// A router may be delayed for 0.15 s between reading the clock and the arrival of its request. Engines forget the first
+// attempt at the end of the deduplication window, so a retry must not be written in the last 0.15 s of the window.
 func TestDedupWindowAllowsForADelayedRouter(t *testing.T) {
 	for _, delay := range []time.Duration{160 * time.Millisecond, 290 * time.Millisecond} {
 		b := testbedAfterLostDecode(t)
-		b.pass(delay)
+		b.advance(delay)
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		if n := b.countPosts(); n != 2 {
-			t.Errorf("%d attempts, one of them %v into a window of 300 ms", n, delay)
+		if n := b.countAttempts(); n != 2 {
+			t.Errorf("%d attempts, want 2: the retry would be written %v into a window of 300 ms", n, delay)
 		}
 	}
 }
 
-// A process that did not run for longer than a client waits answers at once, and forwards nothing.
-func TestRequestThatOutwaitedItsClient(t *testing.T) {
+// If the process did not run for longer than a client waits, the client's request is answered at once and not forwarded.
+func TestRequestReadAfterItsDeadlineIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.LateAnswer // by the process that did not run
-	lastLook := b.now
+	b.expectedViolation = invariant.LateAnswer // the answer is late because the process did not run
+	lastClockRead := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
-	b.core.SetEarliestEventTime(lastLook)
+	b.core.SetEarliestEventTime(lastClockRead)
 	_, out := b.request("a1", "alert")
-	b.pass(100 * time.Millisecond)
+	b.advance(100 * time.Millisecond)
 	for len(b.dials) > 0 {
 		b.connect()
 	}
-	if statuses := responseStatuses(t, out); len(statuses) != 1 || b.countPosts() != 0 {
-		t.Errorf("answers %v, %d attempts, for a request whose deadline had passed when it was read", statuses, b.countPosts())
+	if statuses := responseStatuses(t, out); len(statuses) != 1 || b.countAttempts() != 0 {
+		t.Errorf("answers %v, %d attempts, for a request whose deadline had passed when it was read", statuses, b.countAttempts())
 	}
 }
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -10,44 +10,45 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// maxPipelined is how many requests of one connection wait for their turn. Those behind them are shed when their turn
-// comes: to close the connection would leave all that was read without an answer.
+// maxPipelined is how many requests may wait on one connection. Further requests are shed when their turn comes: closing
+// the connection instead would leave the requests that were read without an answer.
 const maxPipelined = 4
 
-// maxReadAhead is how many requests of one connection are read before their turn. The connection is closed after their
-// answers.
+// maxReadAhead is how many requests of one connection are read before their turn. No more are read after that many, and the
+// connection is closed once they are answered.
 const maxReadAhead = 64
 
 // ClientRequest is one complete HTTP request of a client.
 type ClientRequest struct {
 	Request   *http.Request
-	Call      *protocol.Request  // what engines are to do; nil where the request is for the router itself
-	Caller    string             // whose quota it counts for; empty for the connection's own
-	Bytes     int                // its size
+	Call      *protocol.Request  // the decoded request; nil if the router itself answers it
+	Caller    string             // tenant whose quota the request counts against; empty if the connection has its own quota
+	Bytes     int                // size of the request
 	Rejection *protocol.Response // the answer to an invalid request
 
-	excess   bool // too many wait before it
-	terminal bool // nothing behind it can be read
+	exceedsPipeline bool // too many requests wait before this one
+	terminal        bool // no request after this one can be read
 }
 
-// ReceivePartial handles a part of a request, of which so many bytes are buffered now.
-func (r *Router) ReceivePartial(client *ClientConnection, event admission.Event, bytes int) {
+// ReceivePartial handles a part of a request; buffered is how many bytes of the request are buffered now.
+func (r *Router) ReceivePartial(client *ClientConnection, event admission.Event, buffered int) {
 	if client.disconnected || client.closing {
-		return // what comes on a connection that is closing is dropped
+		return // input on a closing connection is dropped
 	}
-	client.partialState, client.partial = event, true
+	client.partialEvent, client.partial = event, true
 	if !client.serving {
 		r.admission.Handle(client.ID, event, r.now)
 	}
-	r.admission.AddBytes(client.ID, bytes-client.partialBytes)
-	client.partialBytes = bytes
+	r.admission.AddBytes(client.ID, buffered-client.partialBytes)
+	client.partialBytes = buffered
 	if id := r.admission.LargestUnfinished(); id != 0 {
 		r.observer.Rejected(RejectBytes)
 		r.reply(r.clients.byID[id], nil, r.shedResponse("", shedCapacity))
 	}
 }
 
-// RejectMessage answers what is no valid HTTP message. Nothing more is read, as it is not known where the message ends.
+// RejectMessage answers input that is not a valid HTTP message. No more input is read, as the end of the message is
+// unknown.
 func (r *Router) RejectMessage(client *ClientConnection, err error) {
 	status := http.StatusBadRequest
 	var message *httpframing.MessageError
@@ -55,7 +56,7 @@
 		status = message.Status
 	}
 	r.observer.Rejected(RejectMessage)
-	// Requests before it get their answers first.
+	// Earlier requests on the connection are answered first.
 	rejection := r.protocol.InvalidRequestResponse(status, "bad_message", "", err.Error())
 	client.waiting = append(client.waiting, &ClientRequest{Rejection: &rejection, terminal: true})
 	r.serveNext(client)
@@ -69,7 +70,7 @@
 	r.admission.AddBytes(client.ID, received.Bytes-client.partialBytes)
 	client.partialBytes, client.partial, client.expectsContinue = 0, false, false
 	r.admission.Handle(client.ID, admission.RequestComplete, r.now)
-	received.excess = len(client.waiting) >= maxPipelined
+	received.exceedsPipeline = len(client.waiting) >= maxPipelined
 	client.waiting = append(client.waiting, received)
 	if len(client.waiting) == maxReadAhead {
 		client.Socket.StopReading()
@@ -78,8 +79,8 @@
 	r.serveNext(client)
 }
 
-// ExpectContinue handles a request whose client waits for "100 Continue" before it sends the body. It is sent once all
-// requests before are answered, as it must not come in the middle of an answer.
+// ExpectContinue handles a request whose client waits for "100 Continue" before it sends the body. The interim response is
+// sent once all earlier requests are answered, as it must not be sent in the middle of an answer.
 func (r *Router) ExpectContinue(client *ClientConnection) {
 	if client.disconnected || client.closing {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// serveNext serves the requests of a connection, one after the other.
+// serveNext serves the waiting requests of a connection, one after the other.
 func (r *Router) serveNext(client *ClientConnection) {
 	for !client.serving && !client.disconnected && !client.closing && len(client.waiting) > 0 {
 		received := client.waiting[0]
@@ -109,20 +110,20 @@
 		r.serve(client, received)
 	}
 	if !client.serving && !client.disconnected && len(client.waiting) == 0 {
-		r.allAnswered(client)
+		r.handleAllAnswered(client)
 	}
 }
 
-// allAnswered handles that all requests read on a connection are answered. The timeout of a request that has come in part
-// meanwhile begins now.
-func (r *Router) allAnswered(client *ClientConnection) {
+// handleAllAnswered is called when all requests that were read on a connection are answered. The timeout of a request that
+// was received in part in the meantime begins now.
+func (r *Router) handleAllAnswered(client *ClientConnection) {
 	r.admission.Handle(client.ID, admission.AllAnswered, r.now)
 	switch {
 	case client.closing:
 	case client.readingStopped:
 		r.closeAfterFlush(client)
 	case client.partial:
-		r.admission.Handle(client.ID, client.partialState, r.now)
+		r.admission.Handle(client.ID, client.partialEvent, r.now)
 		r.sendContinue(client)
 	}
 }
@@ -140,7 +141,8 @@
 	}
 }
 
-// reply writes a complete answer and ends the request; the connection is closed after an answer to no request.
+// reply writes a complete answer and ends the request. If received is nil, the answer belongs to no request that was read
+// completely, and the connection is closed after it.
 func (r *Router) reply(client *ClientConnection, received *ClientRequest, answer protocol.Response) {
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
 		answer.Status, http.StatusText(answer.Status), answer.ContentType, len(answer.Body))
@@ -155,14 +157,14 @@
 	r.finishReply(client, received, keepAlive)
 }
 
-// finishReply ends a request of a client and goes on with the next.
+// finishReply ends a request of a client and serves the next one.
 func (r *Router) finishReply(client *ClientConnection, received *ClientRequest, keepAlive bool) {
 	if received != nil {
 		r.admission.AddBytes(client.ID, -received.Bytes)
 	}
 	client.serving, client.current = false, nil
 	if !keepAlive || client.closing {
-		// Its client has said that this was the last request, or nothing behind it can be read: what follows gets no answer.
+		// The client declared this request the last one, or no request after it can be read: later requests get no answer.
 		client.waiting = nil
 		r.closeAfterFlush(client)
 		return
@@ -170,14 +172,15 @@
 	r.serveNext(client)
 }
 
-// abortResponse closes a connection whose answer broke off, so that the client does not take what it has for complete.
+// abortResponse closes a connection whose answer was cut off, so that the client does not take a partial answer for a
+// complete one.
 func (r *Router) abortResponse(client *ClientConnection) {
 	client.serving, client.current = false, nil
 	client.aborted = true
 	r.closeAfterFlush(client)
 }
 
-// shedResponse is the answer to what is shed for lack of capacity.
+// shedResponse returns the answer to a request or connection that is shed for lack of capacity.
 func (r *Router) shedResponse(name string, reason ShedReason) protocol.Response {
 	return r.protocol.ShedResponse(http.StatusServiceUnavailable, name, string(reason), r.config.MaxRetryAfter)
 }
--- a/internal/router/engine_responses.go
+++ b/internal/router/engine_responses.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/connpool"
 )
 
-// ResponseHead handles the head of an engine's answer, with the relay of its stream if it is one.
+// ResponseHead handles the head of an engine's response. The relay is that of the response's stream, or nil.
 func (r *Router) ResponseHead(conn *EngineConnection, head *http.Response, relay Relay) {
 	conn.streamed = conn.attempt != nil && conn.attempt.decode
 	r.endpoints.lastResponseAt[conn.Engine] = r.now
@@ -23,7 +23,7 @@
 		r.handleAttemptEvent(att, r.protocol.ClassifyResponse(head, att.decode), AttemptReason(head.Status))
 	case conn.control != nil:
 		conn.control.head = head
-	case conn.drainingSince == 0:
+	case conn.drainingResponseSince == 0:
 		r.discardConnection(conn)
 	}
 }
@@ -54,27 +54,27 @@
 	}
 }
 
-// StreamComment handles a comment of a stream, which may be the engine's load report.
+// StreamComment handles a comment in a stream, which may contain the engine's load report.
 func (r *Router) StreamComment(conn *EngineConnection, text []byte) {
 	if report := r.protocol.ParseLoadComment(text); report != nil && conn.attempt != nil {
 		conn.attempt.loadReport = report
 	}
 }
 
-// ResponseComplete handles the end of an answer; clean is false where more bytes followed.
+// ResponseComplete handles the end of a response; clean is false if more bytes followed it.
 func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
 	if att := conn.attempt; att != nil {
-		r.attemptResponseComplete(att, body)
+		r.handleAttemptResponse(att, body)
 	}
 	if control := conn.control; control != nil {
 		conn.control = nil
-		conn.drainingSince = r.now
+		conn.drainingResponseSince = r.now
 		r.finishControlRequest(control, control.head, body)
 	}
 	if r.connections.byID[conn.ID] != conn || conn.socket == nil {
 		return
 	}
-	conn.drainingSince = 0
+	conn.drainingResponseSince = 0
 	if !clean {
 		r.discardConnection(conn)
 		return
@@ -88,22 +88,22 @@
 	}
 }
 
-func (r *Router) attemptResponseComplete(att *engineAttempt, body []byte) {
+func (r *Router) handleAttemptResponse(att *engineAttempt, body []byte) {
 	if att.decode {
 		event, reason := r.protocol.ClassifyStreamEnd(att.machine.FirstTokenReceived)
 		r.handleAttemptEvent(att, event, AttemptReason(reason))
 		return
 	}
-	transfer, cachedTokens, err := r.protocol.ParseReservation(body)
+	handle, cachedTokens, err := r.protocol.ParseReservation(body)
 	if err != nil {
 		r.handleAttemptEvent(att, attempt.MalformedResponse, AttemptReason(err.Error()))
 		return
 	}
-	att.cachedTokens, att.transfer = float64(cachedTokens), transfer
+	att.cachedTokens, att.reservationHandle = float64(cachedTokens), handle
 	r.handleAttemptEvent(att, attempt.PrefillCompleted, "")
 }
 
-// ResponseInvalid handles bytes that are no valid answer.
+// ResponseInvalid handles bytes that are not a valid response.
 func (r *Router) ResponseInvalid(conn *EngineConnection, err error) {
 	if conn.attempt != nil {
 		r.handleAttemptEvent(conn.attempt, attempt.MalformedResponse, AttemptReason(err.Error()))
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -10,14 +10,14 @@
 	"sandcourse/internal/attempt"
 )
 
-// Fingerprint writes everything that later events may depend on: the state of the policy, what is open, connections by what
-// they carry and not by their IDs, timers by what they are for. It is for model checkers and decides nothing.
+// Fingerprint writes all state that later events may depend on. The output identifies connections by what they carry and
+// timers by their purpose, not by their IDs. It is used by model checkers, and no decision depends on it.
 func (r *Router) Fingerprint(w io.Writer) {
 	r.policy.Fingerprint(w)
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
-		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.transfer, r.now-req.arrivedAt,
-			max(0, req.abandonedUntil-r.now))
+		fmt.Fprintln(w, "request", id, req.client.ID, req.streaming, req.outcome, req.reservationHandle, r.now-req.arrivedAt,
+			max(0, req.mayStillRunUntil-r.now))
 		for _, att := range req.attempts {
 			fmt.Fprintln(w, att.engine, att.decode, r.now-att.startedAt, att.machine, att.ended, att.verdict,
 				att.responseHeads, r.now-att.lastTokenAt)
@@ -29,8 +29,8 @@
 		lines = append(lines, fmt.Sprintln("control", control.engine, control.describe(), r.now-control.startedAt))
 	}
 	for _, t := range r.policy.timers.heap {
-		if what := r.policy.DescribeTimer(t.token); what != "" {
-			lines = append(lines, fmt.Sprintln("timer", t.at-r.now, what))
+		if purpose := r.policy.DescribeTimer(t.token); purpose != "" {
+			lines = append(lines, fmt.Sprintln("timer", t.at-r.now, purpose))
 		}
 	}
 	for _, reserved := range r.reservations.All() {
@@ -60,8 +60,8 @@
 		} else if conn.control != nil {
 			carries = "control " + conn.control.describe()
 		}
-		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingSince > 0, conn.socket != nil,
-			conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
+		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingResponseSince > 0,
+			conn.socket != nil, conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
 	return lines
 }
@@ -73,10 +73,10 @@
 	for _, engine := range slices.Sorted(maps.Keys(e.starts.byEngine)) {
 		fmt.Fprintln(w, "start", engine, now-e.starts.byEngine[engine].at)
 	}
-	fmt.Fprintln(w, "list", e.history.newestRevision-e.history.latest.Revision, max(0, e.history.recheckAt-now))
+	fmt.Fprintln(w, "list", e.history.newestRevision-e.history.latest.Revision, max(0, e.history.reapplyAt-now))
 }
 
-// describe tells control requests apart.
+// describe returns a text that distinguishes control requests.
 func (c *controlRequest) describe() string {
 	if c.reservation == nil {
 		return "health check"
@@ -84,7 +84,7 @@
 	return fmt.Sprint("release ", c.reservation.ID, " ", c.reservation.Round-c.round)
 }
 
-// OpenAttempt is one attempt of an open request, for model checkers.
+// OpenAttempt describes one attempt of an open request, for model checkers.
 type OpenAttempt struct {
 	Request, Engine string
 	Decode, Ended   bool
@@ -92,7 +92,7 @@
 	Verdict         Verdict
 }
 
-// OpenAttempts lists the attempts of all open requests, by request.
+// OpenAttempts returns the attempts of all open requests, ordered by request.
 func (r *Router) OpenAttempts() (attempts []OpenAttempt) {
 	for _, id := range r.requests.ids() {
 		req := r.requests.byID[id]
@@ -104,16 +104,17 @@
 	return attempts
 }
 
-// FiredTransitions is which transitions of the state machines of routing, attempts and connections have fired so far, a bit
-// each from bit 0.
+// FiredTransitions returns which transitions of the state machines of routing, attempts and connections have fired so far,
+// as bit sets that start at bit 0.
 func (r *Router) FiredTransitions() (policy, attempts, connections uint64) {
 	return r.policy.FiredTransitions(), r.requests.attemptTransitions >> 1, r.connections.FiredTransitions()
 }
 
-// BusyConnections is how many connections to engines carry something, wait for the rest of an answer, or are dialed.
+// BusyConnections returns the number of connections to engines that carry a request, wait for the rest of a response, or
+// are dialed.
 func (r *Router) BusyConnections() (count int) {
 	for _, conn := range r.connections.byID {
-		if conn.attempt != nil || conn.control != nil || conn.drainingSince > 0 || conn.socket == nil {
+		if conn.attempt != nil || conn.control != nil || conn.drainingResponseSince > 0 || conn.socket == nil {
 			count++
 		}
 	}
