--- a/cmd/sandcourse-edge/config_file.go
+++ b/cmd/sandcourse-edge/config_file.go
@@ -11,16 +11,16 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// A configuration that cannot be opened at startup, for want of descriptors or memory, is retried for a while.
+// Reading the configuration at startup is retried for a while if it fails because file descriptors or memory run short.
 const (
 	maxOpenAttempts   = 100
 	openRetryInterval = 50 * time.Millisecond
 )
 
-// errConfigTooLarge says that a file is over platform.MaxTold. Its text is a part of what a refusal prints.
-var errConfigTooLarge = errors.New("it is over its bound")
+// errConfigTooLarge means that a file exceeds platform.MaxConfigBytes. Its text is printed when the edge rejects the file.
+var errConfigTooLarge = errors.New("configuration is larger than the limit")
 
-// readConfigAtStartup reads the platform's configuration, and waits for a descriptor if there is none.
+// readConfigAtStartup reads the platform's configuration, and retries while this machine has no free file descriptor.
 func readConfigAtStartup(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
 	for attempt := 1; neterr.IsLocal(err) && attempt < maxOpenAttempts; attempt++ {
@@ -36,7 +36,8 @@
 	return parseConfig(file, data, err)
 }
 
-// parseConfig parses what was read of a configuration's file, or reports why it was not; the error is a script.Faults.
+// parseConfig parses the content of a configuration file. If the file could not be read, err is the reason. The returned
+// error is a script.Faults.
 func parseConfig(file string, data []byte, err error) (*platform.NodeConfig, error) {
 	if err != nil {
 		return nil, script.Faults{&script.Fault{File: file, Err: err}}
@@ -44,7 +45,7 @@
 	return platform.ParseNodeConfig(file, data)
 }
 
-// readBounded reads a file of at most platform.MaxTold bytes.
+// readBounded reads a file of at most platform.MaxConfigBytes bytes.
 func readBounded(file string) ([]byte, error) {
 	f, err := os.Open(file)
 	if err != nil {
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -1,5 +1,5 @@
-// Command sandcourse-edge is one edge router: it takes chat requests and routes them over the engines that its settings,
-// an endpoint list or discovery name.
+// Command sandcourse-edge runs one edge router: it accepts chat requests and routes them to the engines listed in its
+// settings, in an endpoint list or by discovery.
 package main
 
 import (
@@ -22,8 +22,8 @@
 
 // Exit statuses.
 const (
-	exitFailed  = 1
-	exitRefused = 2 // the settings or the configuration have faults
+	exitFailed        = 1
+	exitInvalidConfig = 2 // the settings or the configuration are invalid
 )
 
 func main() {
@@ -32,7 +32,7 @@
 		fmt.Fprintln(os.Stderr, "sandcourse-edge:", err)
 		var faults script.Faults
 		if errors.As(err, &faults) {
-			os.Exit(exitRefused)
+			os.Exit(exitInvalidConfig)
 		}
 		os.Exit(exitFailed)
 	}
@@ -60,7 +60,8 @@
 	return command
 }
 
-// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT; a second one ends it at once.
+// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT. A second such signal ends the
+// process at once.
 func runOnSettings(file string, signals process.Signals) error {
 	deployment, err := config.Load(file)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// drain ends an edge gracefully.
+// drain stops an edge gracefully.
 func drain(e *edge.Edge, log *zap.Logger) {
 	if err := e.Drain(context.Background()); err != nil {
 		log.Warn("drain incomplete, requests abandoned", zap.Error(err))
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// Three fifths of the platform's memory limit are for the heap: the rest is for stacks, the kernel's buffers and what
-	// the collector has not freed yet.
+	// The heap may use three fifths of the platform's memory limit; the rest is for stacks, the kernel's buffers and
+	// memory that the garbage collector has not freed yet.
 	heapNumerator, heapDenominator = 3, 5
-	// maxProcs is more than the platform's one core: a poller that waits for sockets must not keep the owner from running.
+	// maxProcs is more than the platform's one core, so that a poller that waits for sockets does not keep the owner from
+	// running.
 	maxProcs = 4
 )
 
-// runOnPlatform runs the edge that the platform's configuration describes, until SIGTERM. A further SIGTERM changes
-// nothing: the edge is ending, and the platform has SIGKILL for what it does not want to wait for.
+// runOnPlatform runs the edge that the platform's configuration describes, until SIGTERM. A further SIGTERM has no effect:
+// the edge is draining already, and the platform can send SIGKILL if it does not want to wait.
 func runOnPlatform(file string, signals process.Signals) error {
 	configuration, err := readConfigAtStartup(file)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go (&reloader{file: file, hangups: signals.Reload, discoveryAddress: discoveryAddress, log: log}).run(ctx)
+	go (&reloader{file: file, reloadSignals: signals.Reload, discoveryAddress: discoveryAddress, log: log}).run(ctx)
 	<-signals.Stop
 	drain(e, log)
 	return nil
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// A configuration that cannot be read may be half written, or descriptors may have run out for a moment: it is read
-	// again soon. The new discovery address counts four seconds after SIGHUP.
-	rereadIntervalShort   = 100 * time.Millisecond
+	// A configuration that cannot be read may be partially written, or file descriptors may have run out for a moment, so
+	// it is soon read again. The new discovery address has to be in use four seconds after SIGHUP.
+	retryIntervalShort    = 100 * time.Millisecond
 	shortIntervalAttempts = 50
-	// After that it is bad until somebody mends it.
-	rereadIntervalLong = time.Second
+	// After shortIntervalAttempts the configuration is presumably invalid until an operator corrects it.
+	retryIntervalLong = time.Second
 )
 
-// reloader reads the configuration again at each SIGHUP. Only the discovery address may change in a running edge; all else
-// takes a restart.
+// reloader reads the configuration again at each SIGHUP. Only the discovery address can change in a running edge; all other
+// changes require a restart.
 type reloader struct {
 	file             string
-	hangups          <-chan os.Signal
-	discoveryAddress chan string // holds the newest address that discovery has not taken yet
+	reloadSignals    <-chan os.Signal
+	discoveryAddress chan string // holds the latest address until discovery receives it
 	log              *zap.Logger
 }
 
-// run reads until ctx ends. It goes on while the edge drains: discovery counts until the end.
+// run handles reloads until ctx is done. It continues while the edge drains, because discovery is needed until the end.
 func (r *reloader) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.hangups:
-			r.reread(ctx)
+		case <-r.reloadSignals:
+			r.reload(ctx)
 		}
 	}
 }
 
-// reread reads the configuration until it can be read, or another SIGHUP starts over.
-func (r *reloader) reread(ctx context.Context) {
+// reload retries until the configuration can be read; another SIGHUP restarts the retries.
+func (r *reloader) reload(ctx context.Context) {
 	lastError := ""
 	for attempt := 0; ; attempt++ {
 		configuration, err := readConfig(r.file)
@@ -52,21 +52,21 @@
 			lastError = err.Error()
 			r.log.Warn("configuration reload failed, retrying", zap.Error(err))
 		}
-		interval := rereadIntervalShort
+		interval := retryIntervalShort
 		if attempt >= shortIntervalAttempts {
-			interval = rereadIntervalLong
+			interval = retryIntervalLong
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.hangups:
+		case <-r.reloadSignals:
 			attempt, lastError = -1, ""
 		case <-time.After(interval):
 		}
 	}
 }
 
-// publish puts an address in place of one that has not been taken. It never waits; nobody else sends.
+// publish replaces an address that discovery has not received yet. It never blocks, because there is no other sender.
 func (r *reloader) publish(address string) {
 	select {
 	case <-r.discoveryAddress:
--- a/internal/asynclog/sink.go
+++ b/internal/asynclog/sink.go
@@ -1,5 +1,5 @@
-// Package asynclog writes log lines on a goroutine of its own, so that a caller that logs never waits for the reader of the
-// log. When the reader stalls, lines are dropped and counted.
+// Package asynclog writes log lines on a separate goroutine, so that a caller that logs never waits for the reader of the
+// log. If the reader stalls, lines are dropped and counted.
 package asynclog
 
 import (
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxPendingLines is some seconds of a busy router's log, some hundred kilobytes.
+	// maxPendingLines is the queue length: some seconds of a busy router's log, some hundred kilobytes.
 	maxPendingLines = 1024
-	// syncTimeout is how long Sync waits for a reader that may have stalled.
+	// syncTimeout is how long Sync waits, because the reader may have stalled.
 	syncTimeout = 200 * time.Millisecond
-	// droppedLine reports the number of dropped lines, in the form of the other log lines.
+	// droppedLine is the log line that reports the number of dropped lines, in the format of the other log lines.
 	droppedLine = `{"level":"warn","msg":"log lines dropped","count":%d}` + "\n"
 )
 
 // Sink is a zapcore.WriteSyncer whose Write never blocks.
 type Sink struct {
-	lines   chan []byte
-	flushes chan chan struct{}
-	dropped atomic.Int64
+	lines        chan []byte
+	syncRequests chan chan struct{}
+	dropped      atomic.Int64
 }
 
 // New starts a sink that writes to w until the process ends.
 func New(w io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, maxPendingLines), flushes: make(chan chan struct{}, 1)}
+	s := &Sink{lines: make(chan []byte, maxPendingLines), syncRequests: make(chan chan struct{}, 1)}
 	go s.run(w)
 	return s
 }
 
-// Write queues a copy of a line. It reports success even if the line is dropped: a caller cannot do anything about a fault
-// of the log.
+// Write queues a copy of a line. It reports success even if the line is dropped: a caller cannot handle a failure of the
+// log.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- bytes.Clone(line):
@@ -44,15 +44,15 @@
 	return len(line), nil
 }
 
-// Dropped is the number of dropped lines that the log does not report yet.
+// Dropped returns the number of dropped lines that have not been reported in the log yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Sync waits until the lines so far are written, or until a short timeout.
+// Sync waits until all queued lines are written, or until a short timeout.
 func (s *Sink) Sync() error {
 	done := make(chan struct{})
 	timeout := time.After(syncTimeout)
 	select {
-	case s.flushes <- done:
+	case s.syncRequests <- done:
 	case <-timeout:
 		return nil
 	}
@@ -68,14 +68,14 @@
 		select {
 		case line := <-s.lines:
 			s.write(w, line)
-		case done := <-s.flushes:
-			s.drain(w)
+		case done := <-s.syncRequests:
+			s.writeQueued(w)
 			close(done)
 		}
 	}
 }
 
-func (s *Sink) drain(w io.Writer) {
+func (s *Sink) writeQueued(w io.Writer) {
 	for {
 		select {
 		case line := <-s.lines:
@@ -86,11 +86,11 @@
 	}
 }
 
-// write writes one line, after a report of those that were dropped before it. Errors of the log's own writer cannot be
+// write writes one line, after a report of the lines that were dropped before it. Errors of the log's writer cannot be
 // reported anywhere.
 func (s *Sink) write(w io.Writer, line []byte) {
 	if count := s.dropped.Swap(0); count > 0 {
 		fmt.Fprintf(w, droppedLine, count)
 	}
-	_, _ = w.Write(line) // there is nowhere to report that the log is gone
+	_, _ = w.Write(line) // an error of the log's writer cannot be reported
 }
--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// spareConnections are accepted over the settings' bound, so that the router can reject them with a response.
+	// spareConnections is how many connections are accepted beyond the configured limit, so that the router can reject
+	// them with a response.
 	spareConnections = 16
-	// acceptRetryInterval is how long the listener rests after a connection could not be accepted, as when descriptors
-	// have run out. Without it the accepting goroutine would spin until some are free.
+	// acceptRetryInterval is how long the listener pauses after a failed accept, for example when file descriptors have
+	// run out. Without the pause the accepting goroutine would spin until a descriptor is free.
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// connectionLimit counts clients' connections where they are accepted: many that connect at once must not take the
-// process's descriptors before the owner has seen the first of them. Past the limit they wait in the kernel's queue.
-// Any goroutine may use it.
+// connectionLimit bounds the number of open client connections at accept time: a burst of connections must not use up
+// the process's file descriptors before the owner has processed the first of them. Connections over the limit wait in the
+// kernel's accept queue. A connectionLimit is safe for concurrent use.
 type connectionLimit struct {
 	mu       sync.Mutex
 	released *sync.Cond
 	open     map[*nbio.Conn]struct{}
-	max      int
+	maxOpen  int
 	closed   chan struct{}
 }
 
-func newConnectionLimit(max int) *connectionLimit {
-	l := &connectionLimit{open: map[*nbio.Conn]struct{}{}, max: max, closed: make(chan struct{})}
+func newConnectionLimit(maxOpen int) *connectionLimit {
+	l := &connectionLimit{open: map[*nbio.Conn]struct{}{}, maxOpen: maxOpen, closed: make(chan struct{})}
 	l.released = sync.NewCond(&l.mu)
 	return l
 }
@@ -51,10 +52,10 @@
 	l.released.Broadcast()
 }
 
-// wait returns once there is capacity, or after close.
-func (l *connectionLimit) wait() {
+// waitForCapacity blocks until another connection may be accepted, or until close is called.
+func (l *connectionLimit) waitForCapacity() {
 	l.mu.Lock()
-	for len(l.open) >= l.max && !l.isClosed() {
+	for len(l.open) >= l.maxOpen && !l.isClosed() {
 		l.released.Wait()
 	}
 	l.mu.Unlock()
@@ -78,7 +79,7 @@
 	l.released.Broadcast()
 }
 
-// closeConnections closes all connections that are open.
+// closeConnections closes all open connections.
 func (l *connectionLimit) closeConnections() {
 	l.mu.Lock()
 	open := slices.Collect(maps.Keys(l.open))
@@ -88,16 +89,16 @@
 	}
 }
 
-// limitedListener accepts while there is capacity.
+// limitedListener accepts connections only while the limit has capacity.
 type limitedListener struct {
 	net.Listener
 	limit *connectionLimit
 }
 
-// Accept does not return errors at once: the socket library asks again without a pause, also after the listener has been
-// closed.
+// Accept delays the return of errors, because the socket library calls Accept again without a pause, even after the
+// listener has been closed.
 func (l limitedListener) Accept() (net.Conn, error) {
-	l.limit.wait()
+	l.limit.waitForCapacity()
 	conn, err := l.Listener.Accept()
 	switch {
 	case errors.Is(err, net.ErrClosed):
@@ -105,18 +106,19 @@
 	case err != nil:
 		time.Sleep(acceptRetryInterval)
 	default:
-		return l.adopt(conn)
+		return l.convert(conn)
 	}
 	return conn, err
 }
 
-// adopt makes an accepted connection one of the socket library's, which takes a descriptor more for a moment. Where there
-// is none the client waits: the library would reset its connection, and what it has sent would be lost.
-func (l limitedListener) adopt(conn net.Conn) (net.Conn, error) {
+// convert turns an accepted connection into a connection of the socket library, which needs one more file descriptor for
+// a moment. If none is free, convert retries and the client waits; an error would make the library reset the connection,
+// and the data sent by the client would be lost.
+func (l limitedListener) convert(conn net.Conn) (net.Conn, error) {
 	for {
-		adopted, err := nbio.NBConn(conn)
+		converted, err := nbio.NBConn(conn)
 		if err == nil {
-			return adopted, nil
+			return converted, nil
 		}
 		if !neterr.IsLocal(err) || l.limit.isClosed() {
 			conn.Close()
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -15,44 +15,45 @@
 	"sandcourse/internal/router"
 )
 
-// clientConnection is one connection of a client, and the router.ClientSocket that package router sees. Its poller reads and
-// parses requests; the owner answers them and decides when the connection closes. The two run side by side, so a close
-// and a request may cross: see TryClose.
+// clientConnection is one client connection; it implements router.ClientSocket. Its poller reads and parses requests; the
+// owner answers them and decides when to close the connection. Poller and owner run concurrently, so closing may race with
+// the arrival of a request: see CloseIfIdle.
 type clientConnection struct {
 	edge  *Edge
 	conn  *nbio.Conn
-	state *router.ClientConnection // the owner's
-
-	mu           sync.Mutex // held while bytes are read and parsed, and while the owner decides on a close
-	parser       *httpframing.Parser
-	request      *http.Request // whose body is being read
-	body         []byte
-	announced    bool // the owner has been notified of the request that is being read
-	pending      int  // tasks that answer a request and wait for the owner
-	closeDecided bool // by the owner; nothing is read any more
-
-	discardInput atomic.Bool  // what still arrives is read and dropped
-	bytesQueued  atomic.Int64 // handed to the socket
-	bytesFlushed atomic.Int64 // taken by the kernel
+	state *router.ClientConnection // accessed only by the owner
+
+	mu            sync.Mutex // held while bytes are read and parsed, and while the owner decides whether to close
+	parser        *httpframing.Parser
+	request       *http.Request // the request whose body is being read
+	body          []byte
+	ownerNotified bool // the owner has been notified of the request that is being read
+	pending       int  // number of tasks queued for the owner that answer a request
+	closeDecided  bool // the owner has decided to close the connection; nothing more is read
+
+	discardInput atomic.Bool  // further input is read and dropped
+	bytesQueued  atomic.Int64 // bytes passed to the socket
+	bytesFlushed atomic.Int64 // bytes accepted by the kernel
 }
 
-// task is work for the owner, and its weight in the inbox.
+// task is work for the owner, with its weight in the inbox.
 type task struct {
 	weight int
 	run    func()
 }
 
-// Send hands bytes to the socket. A client that does not read is closed by the socket's bound.
+// Send writes bytes to the socket. If the client does not read, the connection is closed once the socket's write buffer is
+// full.
 func (c *clientConnection) Send(data []byte) error {
 	c.bytesQueued.Add(int64(len(data)))
 	_, err := c.conn.Write(data)
 	return err
 }
 
-// Flushed is whether the kernel has taken all that was sent.
+// Flushed reports whether the kernel has accepted all bytes passed to Send.
 func (c *clientConnection) Flushed() bool { return c.bytesFlushed.Load() >= c.bytesQueued.Load() }
 
-// StopReading drops what still arrives, and what has arrived of an unfinished request.
+// StopReading drops all further input, and the part of an unfinished request that has been read.
 func (c *clientConnection) StopReading() {
 	c.discardInput.Store(true)
 	c.mu.Lock()
@@ -60,11 +61,11 @@
 	c.request, c.body = nil, nil
 }
 
-// Disconnected is whether the client has closed. The socket library marks a connection as closed once its poller has seen the
-// end, and reports it later. Where the poller has not come to it, as in a process that was not run for a while, the
-// kernel knows.
+// Disconnected reports whether the client has closed the connection. The socket library marks a connection as closed once
+// its poller has read the end of the stream, and calls the close callback later. The poller may not have run yet, for
+// example if the process was paused, so the kernel is queried as well.
 func (c *clientConnection) Disconnected() bool {
-	if c.closeSeen() {
+	if c.isClosed() {
 		return true
 	}
 	polled := []unix.PollFd{{Fd: int32(c.conn.Hash()), Events: unix.POLLRDHUP}}
@@ -75,8 +76,8 @@
 	return err == nil && ready > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// closeSeen is whether this process has seen the connection's end.
-func (c *clientConnection) closeSeen() bool {
+// isClosed reports whether the socket library has marked the connection as closed.
+func (c *clientConnection) isClosed() bool {
 	closed, _ := c.conn.IsClosed()
 	return closed
 }
@@ -85,33 +86,34 @@
 func (c *clientConnection) Close() { c.conn.Close() }
 
 // CloseIfIdle closes the connection unless a request has been read, in whole or in part, and is not answered yet. The owner
-// calls it between requests. Reading and this decision exclude each other, so a request is either read and answered, or
-// never read: then its client sees the close and retries elsewhere.
+// calls it between requests. Reading and this decision are mutually exclusive, so a request is either read and answered, or
+// never read; in the second case the client notices the close and retries elsewhere.
 func (c *clientConnection) CloseIfIdle() bool {
 	tasks, ok := c.decideClose()
 	for _, t := range tasks {
-		c.edge.inbox.put(clientLane, 0, t.run) // weight 0: the owner must not wait for itself
+		c.edge.inbox.put(clientLane, 0, t.run) // weight 0: the owner must not block on its own inbox
 	}
 	if !ok {
 		return false
 	}
-	c.edge.reach(CloseDecided)
+	c.edge.reachSyncPoint(CloseDecided)
 	c.conn.Close()
 	return true
 }
 
-// decideClose is whether the connection may close; if not, tasks are what has been read meanwhile.
+// decideClose reports whether the connection may be closed. If not, it returns the tasks for the input that was read
+// during the check.
 func (c *clientConnection) decideClose() (tasks []task, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closeDecided || c.discardInput.Load() || c.closeSeen() {
+	if c.closeDecided || c.discardInput.Load() || c.isClosed() {
 		c.closeDecided = true
 		return nil, true
 	}
 	if c.pending > 0 || !c.parser.AtBoundary() {
 		return nil, false
 	}
-	// What waits in the kernel is served: a close over unread bytes would reset the connection.
+	// Bytes in the kernel's buffer are read and served, because closing a socket with unread bytes resets the connection.
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
 	if size, _ := readOnce(c.conn, *buffer); size > 0 {
@@ -121,15 +123,15 @@
 	return nil, true
 }
 
-// readable runs on the poller when there is something to read.
+// readable reads and parses input; it runs on the poller when the socket is readable.
 func (c *clientConnection) readable() {
-	c.edge.reach(ClientReadable)
+	c.edge.reachSyncPoint(ClientReadable)
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
 	for range maxReadsPerWakeup {
 		tasks, more, err := c.read(*buffer)
 		if len(tasks) > 0 {
-			c.edge.reach(RequestParsed)
+			c.edge.reachSyncPoint(RequestParsed)
 		}
 		for _, t := range tasks {
 			c.edge.inbox.put(clientLane, t.weight, t.run)
@@ -143,7 +145,7 @@
 	}
 }
 
-// read reads and parses once. More is whether there may be further bytes.
+// read reads and parses once; more reports whether there may be further bytes to read.
 func (c *clientConnection) read(buffer []byte) (tasks []task, more bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +159,8 @@
 	return tasks, size == len(buffer), err
 }
 
-// parse makes what was read into tasks for the owner, which sees complete requests only, and the start of others so
-// that their timeouts run. The caller holds mu.
+// parse turns input into tasks for the owner. The owner receives complete requests only; it is also notified of the start
+// of incomplete ones, so that their timeouts run. The caller holds mu.
 func (c *clientConnection) parse(data []byte) (tasks []task) {
 	if c.discardInput.Load() {
 		return nil
@@ -187,21 +189,21 @@
 	return c.appendProgress(tasks)
 }
 
-// completeRequest ends the request that is being read. The caller holds mu.
+// completeRequest returns the task for the request that has been read to its end. The caller holds mu.
 func (c *clientConnection) completeRequest() task {
 	request := c.edge.parseRequest(c.request, c.body)
-	c.request, c.body, c.announced = nil, nil, false
+	c.request, c.body, c.ownerNotified = nil, nil, false
 	return c.requestTask(request.Bytes, func() { c.edge.router.ReceiveRequest(c.state, request) })
 }
 
-// appendProgress notifies the owner of how far an unfinished request has been read: once for its head, and for each
-// part of its body. The caller holds mu.
+// appendProgress appends a task that notifies the owner of how far an unfinished request has been read: once for its
+// head, and for each part of its body. The caller holds mu.
 func (c *clientConnection) appendProgress(tasks []task) []task {
 	headComplete := c.request != nil
-	if c.announced && !headComplete {
+	if c.ownerNotified && !headComplete {
 		return tasks
 	}
-	c.announced = true
+	c.ownerNotified = true
 	input, size := admission.HeaderStarted, len(c.body)+c.parser.Buffered()
 	if headComplete {
 		input = admission.HeaderComplete
@@ -209,8 +211,8 @@
 	return append(tasks, task{1, func() { c.edge.router.ReceivePartial(c.state, input, size) }})
 }
 
-// requestTask is work that answers something the client sent. Until the owner runs it the connection must not be
-// closed. The caller holds mu.
+// requestTask returns a task that answers input from the client. The connection must not be closed until the owner has
+// run the task. The caller holds mu.
 func (c *clientConnection) requestTask(bytes int, run func()) task {
 	c.pending++
 	return task{1 + bytes, func() {
@@ -221,7 +223,7 @@
 	}}
 }
 
-// parseRequest has the protocol read a complete request. It runs on a poller.
+// parseRequest parses a complete request with the edge's protocol codec. It runs on a poller.
 func (e *Edge) parseRequest(r *http.Request, body []byte) *router.ClientRequest {
 	request := &router.ClientRequest{Request: r, Bytes: len(body)}
 	request.Call, request.Caller, request.Rejection = e.protocol.ParseRequest(r, body)
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/router"
 )
 
-// clientSide is the listener and the pollers of clients' connections. Its callbacks run on the pollers.
+// clientSide has the listener and the pollers of the client connections. Its callbacks run on the pollers.
 type clientSide struct {
 	edge     *Edge
 	listener net.Listener
@@ -25,7 +25,7 @@
 	lastID   atomic.Int64
 }
 
-// listen binds the address of clients. Connections wait in the kernel's queue until start.
+// listen binds the address that clients connect to. Connections wait in the kernel's accept queue until start is called.
 func (s *clientSide) listen() error {
 	address := s.edge.deployment.ChatAddress
 	err := s.edge.retryStartup(func() (err error) {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// start accepts and serves clients.
+// start starts to accept and serve clients.
 func (s *clientSide) start() error {
 	s.pollers = nbio.NewEngine(nbio.Config{
 		Name:               "clients",
@@ -55,13 +55,14 @@
 	s.pollers.OnRead(s.readable)
 	s.pollers.OnWrittenSize(s.written)
 	if err := s.pollers.Start(); err != nil {
-		return fmt.Errorf("start pollers of clients: %w", err)
+		return fmt.Errorf("start client pollers: %w", err)
 	}
 	return s.reuse.start(s.edge, s.pollers)
 }
 
-// stop ends the pollers once all connections are closed. The socket library closes those that it knows of as it begins to
-// stop, and then waits for their end; one that is accepted in that moment becomes known to it later.
+// stop closes all connections and stops the pollers. The socket library closes the connections that are registered when it
+// begins to stop, and then waits for their end. A connection that is accepted at that moment is registered later, so stop
+// closes open connections repeatedly.
 func (s *clientSide) stop() {
 	stopped := make(chan struct{})
 	go func() {
@@ -83,8 +84,8 @@
 		return
 	}
 	e := s.edge
-	e.reach(ClientAccepted)
-	s.reuse.waitForFreshBatch(conn)
+	e.reachSyncPoint(ClientAccepted)
+	s.reuse.waitForNewBatch(conn)
 	bounds := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
 	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
 	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
@@ -122,22 +123,22 @@
 
 const (
 	readBufferSize = 16 << 10
-	// maxReadsPerWakeup bounds how long one connection keeps its poller from the others. It covers the longest request.
+	// maxReadsPerWakeup bounds how long one connection occupies its poller. It is enough for the longest request.
 	maxReadsPerWakeup = 20
 )
 
-// readBuffers are shared by the pollers: a connection needs one only while it is read.
+// readBuffers is shared by the pollers: a connection needs a buffer only while it is read.
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, readBufferSize); return &b }}
 
-// errPeerClosed says that the other side sends nothing more.
+// errPeerClosed means that the peer has closed its sending side of the connection.
 var errPeerClosed = errors.New("connection closed by peer")
 
-// readOnce reads what is there, which may be nothing.
+// readOnce reads available bytes without blocking; size is 0 if there are none.
 func readOnce(conn *nbio.Conn, buffer []byte) (size int, err error) {
 	size, err = conn.Read(buffer)
 	switch {
 	case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.EAGAIN):
-		return 0, nil // the poller reports again what is unread
+		return 0, nil // the poller reports unread bytes again
 	case err != nil:
 		return 0, err
 	case size == 0:
--- a/internal/edge/delay_report.go
+++ b/internal/edge/delay_report.go
@@ -6,41 +6,42 @@
 	"go.uber.org/zap"
 )
 
-// LogOwnerLate is the log message of an edge whose events wait for too long.
+// LogOwnerLate is the log message for events that waited too long for the owner.
 const LogOwnerLate = "events wait for the owner"
 
 const (
-	// lateDelay is from which delay of a task on an edge counts as late: a third of what an event of a stream has in all.
-	lateDelay = int64(100 * time.Millisecond)
-	// lateLogInterval bounds the log lines of an edge that stays late.
+	// lateThreshold is the queueing delay from which a task counts as late: a third of the time within which an event of a
+	// stream has to be forwarded.
+	lateThreshold = int64(100 * time.Millisecond)
+	// lateLogInterval is the minimum interval between log lines about late tasks.
 	lateLogInterval = int64(time.Second)
 )
 
-// delayReport measures how long tasks wait for the owner, and logs where that is too long. It is the owner's.
+// delayReport measures how long tasks wait for the owner, and logs delays that are too long. Only the owner uses it.
 type delayReport struct {
 	edge     *Edge
 	longest  time.Duration // since the last log line
-	lane     lane          // of the task that waited longest
-	late     int           // tasks that waited for longer than lateDelay since the last log line
+	lane     lane          // lane of the task that waited longest
+	late     int           // number of late tasks since the last log line
 	loggedAt int64
 }
 
 func newDelayReport(e *Edge) delayReport { return delayReport{edge: e} }
 
-// note records how long a task has waited that is run now.
-func (r *delayReport) note(in lane, now, queuedAt int64) {
+// record records how long a task waited until it is run now.
+func (r *delayReport) record(taskLane lane, now, queuedAt int64) {
 	delay := time.Duration(max(0, now-queuedAt))
-	r.edge.metrics.ownerDelay.WithLabelValues(laneNames[in]).Observe(delay.Seconds())
-	if int64(delay) < lateDelay {
+	r.edge.metrics.ownerDelay.WithLabelValues(laneNames[taskLane]).Observe(delay.Seconds())
+	if int64(delay) < lateThreshold {
 		return
 	}
 	r.late++
 	if delay > r.longest {
-		r.longest, r.lane = delay, in
+		r.longest, r.lane = delay, taskLane
 	}
 }
 
-// logIfLate writes one line about the tasks that were late, at most one in lateLogInterval.
+// logIfLate writes one log line about late tasks, at most once in lateLogInterval.
 func (r *delayReport) logIfLate(now int64) {
 	if r.late == 0 || now-r.loggedAt < lateLogInterval {
 		return
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// clientCloseTimeout is how long an edge that has answered everything waits for clients that have sent a part of a
-	// request, or do not read their responses. The platform kills it 0.7 s after a client's longest wait.
+	// clientCloseTimeout is how long an edge that has answered all requests waits for clients that have sent a part of a
+	// request, or do not read their responses. The platform kills the edge 0.7 s after the longest client timeout.
 	clientCloseTimeout = time.Second
-	// abandonTimeout bounds the wait for the owner to give open requests their error.
+	// abandonTimeout bounds the wait for the owner to answer open requests with an error.
 	abandonTimeout = time.Second
-	// flushTime is how long what was written last has to leave the sockets before they close.
-	flushTime = 100 * time.Millisecond
-	// drainPollInterval is how often a draining edge looks whether requests are open.
+	// flushDelay is the time given to the sockets to send the last responses before they are closed.
+	flushDelay = 100 * time.Millisecond
+	// drainPollInterval is how often a draining edge checks whether requests are open.
 	drainPollInterval = 20 * time.Millisecond
-	// closePollInterval is how often it looks whether clients' connections are open.
+	// closePollInterval is how often a closing edge checks whether client connections are open.
 	closePollInterval = 10 * time.Millisecond
 )
 
-// Drain takes no new request and waits until the open ones are answered; past the settings' finish time, or when ctx
-// ends, the rest gets its error. Then the edge stops. The error says that requests were abandoned.
+// Drain accepts no new requests and waits until the open ones are answered. After the configured finish time, or when ctx
+// is done, the remaining requests are answered with an error. Then the edge stops. Drain returns an error if requests were
+// abandoned.
 func (e *Edge) Drain(ctx context.Context) error {
 	e.log.Info("draining", zap.Duration("linger", e.deployment.ShutdownAcceptTime))
 	e.inbox.put(clientLane, 0, func() { e.router.Shutdown() })
@@ -40,7 +41,7 @@
 	return err
 }
 
-// awaitRequests returns once no request and no release is under way, and the edge need not stay for others.
+// awaitRequests returns once no request and no release is in progress, and the edge does not have to linger.
 func (e *Edge) awaitRequests(ctx context.Context) error {
 	for {
 		usage, err := e.Usage(ctx)
@@ -56,7 +57,7 @@
 	}
 }
 
-// abandonRequests gives all open requests their error.
+// abandonRequests answers all open requests with an error.
 func (e *Edge) abandonRequests() {
 	finished := make(chan struct{})
 	e.inbox.put(clientLane, 0, func() {
@@ -68,11 +69,11 @@
 	case <-finished:
 	case <-time.After(abandonTimeout):
 	}
-	time.Sleep(flushTime)
+	time.Sleep(flushDelay)
 }
 
-// closeClients accepts nobody new and closes all connections, each between two requests: a request that has been read
-// already is answered first.
+// closeClients stops accepting connections and closes the open ones, each between two requests: a request that has
+// already been read is answered first.
 func (e *Edge) closeClients(ctx context.Context) {
 	e.clients.listener.Close()
 	ctx, cancel := context.WithTimeout(ctx, clientCloseTimeout)
@@ -85,21 +86,21 @@
 	}
 }
 
-// sleep waits for a time, or until ctx ends: then it returns why.
-func sleep(ctx context.Context, length time.Duration) error {
+// sleep waits for a duration. It returns the error of ctx if ctx is done before that.
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(length):
+	case <-time.After(duration):
 		return nil
 	}
 }
 
-// Stop ends the edge at once, as a kill would: what it holds is lost to it.
+// Stop ends the edge at once, as a kill would: open requests get no response, and reservations are not released.
 func (e *Edge) Stop() {
 	e.endLifetime()
 	e.clients.listener.Close()
-	// The owner first: it dials, and the socket library must not be stopped under a dial.
+	// The owner stops first: it dials engines, and the socket library must not be stopped during a dial.
 	close(e.stopped)
 	e.inbox.close()
 	e.clients.limit.close()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,10 +1,10 @@
-// Package edge runs one router on sockets. Pollers read and parse what clients and engines send, and one goroutine,
-// the owner, applies it to package router, which does no I/O and makes all decisions. Tokens of a stream
-// that is under way go from an engine's poller to the client without the owner.
+// Package edge runs one router on sockets. Pollers read and parse the input from clients and engines. One goroutine, the
+// owner, applies it to package router, which does no I/O and makes all decisions. Tokens of a stream in progress are
+// forwarded from an engine's poller to the client without passing through the owner.
 //
-// State is owned as follows. The router, the load counters and whatever a task reads or writes belong to the owner;
-// others reach them through the inbox only. A connection's parser belongs to its poller, and to whoever holds the
-// connection's lock where the owner may look at it too. Counters shared by both are atomic.
+// State is owned as follows. The router, the load counters and all other data that tasks access belong to the owner;
+// other goroutines reach them only through the inbox. A connection's parser belongs to its poller; where the owner may
+// access the parser too, it is guarded by the connection's lock. Counters shared by both are atomic.
 package edge
 
 import (
@@ -25,7 +25,8 @@
 	"sandcourse/internal/routing"
 )
 
-// defaultPollers is how many goroutines wait on sockets on each side. It does not grow with connections.
+// defaultPollers is the number of goroutines that wait on sockets, for clients and for engines each. It does not grow with
+// the number of connections.
 const defaultPollers = 2
 
 // Edge is one running router: its sockets, its state in package router, and the goroutine that owns that state.
@@ -33,35 +34,35 @@
 	deployment  *config.Deployment
 	log         *zap.Logger
 	protocol    protocol.Codec
-	endpoints   endpoint.Source // nil where the settings list the engines
+	endpoints   endpoint.Source // nil if the settings list the engines
 	startedAt   time.Time
 	incarnation int64 // Unix milliseconds of the start: request names differ between incarnations
 
-	inbox    *inbox         // the way to the owner
-	owner    *ownerLoop     // the owner's
-	router   *router.Router // the owner's
-	loads    loadCounters   // the owner's
+	inbox    *inbox         // tasks for the owner
+	owner    *ownerLoop     // accessed only by the owner
+	router   *router.Router // accessed only by the owner
+	loads    loadCounters   // accessed only by the owner
 	sessions sessionFence
 	metrics  *metrics
 
 	clients clientSide
 	engines engineSide
-	gossip  *gossip // nil where peers exchange nothing
+	gossip  *gossip // nil if the edge has no peers
 
-	metricsListener net.Listener // nil where metrics are not served
+	metricsListener net.Listener // nil if metrics are not served
 	pollersPerSide  int
 
-	lifetime    context.Context // ends with Stop
+	lifetime    context.Context // canceled by Stop
 	endLifetime context.CancelFunc
 	stopped     chan struct{} // closed by Stop
 	goroutines  sync.WaitGroup
 
-	// Hooks of tests, nil in service, set before Start or by the owner.
+	// Test hooks, nil in production; set before Start or by the owner.
 	decisionHook  func(routing.Event)
 	syncPointHook func(SyncPoint)
 }
 
-// New makes an edge that speaks the chat API. Source may be nil where the settings list the engines.
+// New returns an edge that serves the chat API. The source may be nil if the settings define where the engines are listed.
 func New(deployment *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64) *Edge {
 	var routes []string
 	for _, route := range deployment.Routes {
@@ -70,7 +71,7 @@
 	return NewWithProtocol(deployment, log, source, seed, chatapi.NewCodec(routes))
 }
 
-// NewWithProtocol makes an edge that speaks a given protocol to clients and engines.
+// NewWithProtocol returns an edge that uses the given protocol with clients and engines.
 func NewWithProtocol(deployment *config.Deployment, log *zap.Logger, source endpoint.Source, seed uint64,
 	protocol protocol.Codec) *Edge {
 	e := &Edge{
@@ -85,7 +86,7 @@
 		stopped:        make(chan struct{}),
 	}
 	e.inbox = newInbox(deployment.QueueBytes, e.clock)
-	e.owner = &ownerLoop{edge: e, turnedAt: e.clock(), delay: newDelayReport(e)}
+	e.owner = &ownerLoop{edge: e, turnStartedAt: e.clock(), delay: newDelayReport(e)}
 	e.incarnation = e.startedAt.UnixMilli()
 	e.lifetime, e.endLifetime = context.WithCancel(context.Background())
 	e.clients = clientSide{edge: e, limit: newConnectionLimit(deployment.Limits.Connections + spareConnections)}
@@ -97,7 +98,8 @@
 	return e
 }
 
-// configuredSource is where the settings have the endpoint list come from; nil where they hold the list itself.
+// configuredSource returns the source of the endpoint list that the settings define, or nil if they contain the list
+// itself.
 func (e *Edge) configuredSource() endpoint.Source {
 	switch {
 	case e.deployment.EndpointFile != "":
@@ -112,20 +114,21 @@
 	return nil
 }
 
-// clock is Unix nanoseconds that never go back: the start's wall time and the monotonic time since.
+// clock returns the time in Unix nanoseconds. It never goes back: it is the wall time of the start plus the monotonic time
+// elapsed since.
 func (e *Edge) clock() int64 { return e.startedAt.UnixNano() + int64(time.Since(e.startedAt)) }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (e *Edge) Addr() string { return e.clients.listener.Addr().String() }
 
-// loadReport is what the edge reports to the planner.
+// loadReport returns the edge's report to the planner.
 func (e *Edge) loadReport(ctx context.Context) (planapi.EdgeReport, error) {
 	return queryOwner(ctx, e, func() planapi.EdgeReport {
-		return planapi.EdgeReport{Edge: e.deployment.NodeName, Incarnation: e.incarnation, Routes: e.loads.list()}
+		return planapi.EdgeReport{Edge: e.deployment.NodeName, Incarnation: e.incarnation, Routes: e.loads.snapshot()}
 	})
 }
 
-// Usage is what the edge holds now: connections, requests, bytes, reservations.
+// Usage returns the number of connections, requests, bytes and reservations that the edge holds now.
 func (e *Edge) Usage(ctx context.Context) (router.InFlight, error) {
 	return queryOwner(ctx, e, func() router.InFlight { return e.router.InFlight() })
 }
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -12,32 +12,33 @@
 	"sandcourse/internal/router"
 )
 
-// Bounds of what an engine may respond.
+// Limits on the responses of engines, in bytes.
 const (
 	maxResponseHead = 16 << 10
-	maxStreamBody   = 64 << 20 // of all events together
-	maxCompleteBody = 1 << 20  // of a response that is no stream
+	maxStreamBody   = 64 << 20 // all events of a stream together
+	maxCompleteBody = 1 << 20  // the body of a response that is not a stream
 	maxStreamEvent  = 256 << 10
 )
 
-// errResponseTooLarge says that a response that is no stream is over maxCompleteBody. Its text may reach a client.
+// errResponseTooLarge means that the body of a response that is not a stream exceeds maxCompleteBody. Its text may be sent
+// to a client.
 var errResponseTooLarge = errors.New("answer is over its bound")
 
-// engineConnection is one connection to an engine, and the router.EngineSocket that package router sees. Its poller parses
-// responses; the owner writes requests.
+// engineConnection is one connection to an engine; it implements router.EngineSocket. Its poller parses responses; the
+// owner writes requests.
 type engineConnection struct {
 	edge  *Edge
-	state *router.EngineConnection // the owner's
+	state *router.EngineConnection // accessed only by the owner
 	conn  *nbio.Conn
 
-	// The poller's.
+	// Accessed only by the poller.
 	parser         *httpframing.Parser
-	streamDecoder  *chat.Decoder // of the stream under way; nil where the response is no stream
-	body           []byte        // of a response that is no stream
-	relay          *tokenRelay   // of the stream under way
-	closeAnnounced bool          // by the engine, after this response
+	streamDecoder  *chat.Decoder // decoder of the current stream; nil if the response is not a stream
+	body           []byte        // body of a response that is not a stream
+	relay          *tokenRelay   // relay of the current stream
+	closeAnnounced bool          // the engine closes the connection after this response
 
-	bytesToWrite int64 // the owner's
+	bytesToWrite int64 // accessed only by the owner
 	bytesWritten atomic.Int64
 }
 
@@ -46,25 +47,25 @@
 	return &engineConnection{edge: e, state: state, conn: conn, parser: httpframing.NewParser(httpframing.Responses, bounds)}
 }
 
-// Write hands a request to the socket.
+// Write writes a request to the socket.
 func (c *engineConnection) Write(request []byte) error {
-	c.edge.reach(ConnectionAssigned)
+	c.edge.reachSyncPoint(ConnectionAssigned)
 	c.bytesWritten.Store(0)
 	c.bytesToWrite = int64(len(request))
 	_, err := c.conn.Write(request)
-	if err != nil { // it may have closed before its session was set
+	if err != nil { // no close callback follows if the connection closed before its session was set
 		c.edge.inbox.put(engineLane, 0, func() { c.edge.router.EngineDisconnected(c.state) })
 	}
 	return err
 }
 
-// RequestWritten is whether the kernel has taken the whole request.
+// RequestWritten reports whether the kernel has accepted the whole request.
 func (c *engineConnection) RequestWritten() bool { return c.bytesWritten.Load() >= c.bytesToWrite }
 
 // Close closes the connection at once.
 func (c *engineConnection) Close() { c.conn.Close() }
 
-// readable runs on the poller when there is something to read.
+// readable reads and parses responses; it runs on the poller when the socket is readable.
 func (c *engineConnection) readable() {
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
@@ -83,10 +84,10 @@
 	}
 }
 
-// handleData parses what was read into tasks for the owner, and relays tokens.
+// handleData parses bytes from the engine into tasks for the owner, and relays tokens.
 func (c *engineConnection) handleData(data []byte) {
 	pieces, err := c.parser.Feed(data)
-	c.edge.reach(ResponseRead)
+	c.edge.reachSyncPoint(ResponseRead)
 	for i, piece := range pieces {
 		switch piece.Kind {
 		case httpframing.Head:
@@ -104,11 +105,11 @@
 	}
 }
 
-// handleHead begins a response.
+// handleHead handles the head of a response.
 func (c *engineConnection) handleHead(head *http.Response) {
 	e := c.edge
 	c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, head.Close
-	var tokens router.Relay // nil, and not a nil *relay, where the response is no stream
+	var tokens router.Relay // a nil interface, not a nil *tokenRelay, if the response is not a stream
 	if chat.IsEventStream(head.Header) {
 		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &tokenRelay{frame: e.protocol.StreamEvent}
 		c.streamDecoder.OnComment = func(text []byte) {
@@ -119,7 +120,7 @@
 	e.inbox.put(engineLane, 1, func() { e.router.ResponseHead(c.state, head, tokens) })
 }
 
-// handleBody takes a part of a response's body.
+// handleBody handles a part of a response's body.
 func (c *engineConnection) handleBody(data []byte) error {
 	if c.streamDecoder != nil {
 		return c.streamDecoder.Feed(data, c.handleStreamEvent)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// handleStreamEvent relays a token, or hands the event to the owner.
+// handleStreamEvent relays a token, or passes the event to the owner.
 func (c *engineConnection) handleStreamEvent(event []byte) {
 	e := c.edge
 	if !e.protocol.IsFinalEvent(event) && c.relay.forward(event, e.clock()) {
@@ -139,10 +140,10 @@
 	e.inbox.put(engineLane, 1+len(event), func() { e.router.StreamEvent(c.state, event) })
 }
 
-// handleEnd ends a response. The connection is clean, and can carry a further request, where nothing follows: a complete
-// response behind this one belongs to no request either.
-func (c *engineConnection) handleEnd(lastPiece bool) {
-	body, clean := c.body, lastPiece && c.parser.AtBoundary() && !c.closeAnnounced
+// handleEnd handles the end of a response. The connection is reusable for another request only if no bytes follow the
+// response: even a complete second response belongs to no request.
+func (c *engineConnection) handleEnd(isLastPiece bool) {
+	body, reusable := c.body, isLastPiece && c.parser.AtBoundary() && !c.closeAnnounced
 	c.body = nil
-	c.edge.inbox.put(engineLane, 1, func() { c.edge.router.ResponseComplete(c.state, body, clean) })
+	c.edge.inbox.put(engineLane, 1, func() { c.edge.router.ResponseComplete(c.state, body, reusable) })
 }
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -14,13 +14,13 @@
 	"sandcourse/internal/router"
 )
 
-// A connection that this machine could not make is dialled again after a short backoff, which doubles.
+// A dial that failed because of a shortage on this machine is retried after a short backoff, which doubles each time.
 const (
 	dialBackoffMin = 5 * time.Millisecond
 	dialBackoffMax = 40 * time.Millisecond
 )
 
-// engineSide dials engines, and has the pollers of the connections to them. Its callbacks run on the pollers.
+// engineSide dials engines, and has the pollers of the engine connections. Its callbacks run on the pollers.
 type engineSide struct {
 	edge    *Edge
 	pollers *nbio.Engine
@@ -32,14 +32,14 @@
 	s.pollers = nbio.NewEngine(nbio.Config{
 		Name:               "engines",
 		NPoller:            s.edge.pollersPerSide,
-		MaxWriteBufferSize: 2 * s.edge.deployment.MaxBodyBytes, // a request, and its head with room to spare
+		MaxWriteBufferSize: 2 * s.edge.deployment.MaxBodyBytes, // ample room for the body and head of a request
 	})
 	s.pollers.OnOpen(s.opened)
 	s.pollers.OnClose(s.closed)
 	s.pollers.OnRead(s.readable)
 	s.pollers.OnWrittenSize(s.written)
 	if err := s.edge.retryStartup(s.pollers.Start); err != nil {
-		return fmt.Errorf("start pollers of engines: %w", err)
+		return fmt.Errorf("start engine pollers: %w", err)
 	}
 	if err := s.reuse.start(s.edge, s.pollers); err != nil {
 		s.pollers.Stop()
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// Dial connects to an engine, within the settings' time, and notifies the router of the outcome. The socket library's own dial
-// takes an IPv4 address for 0.0.0.0, which reaches nothing but 127.0.0.1, and reports a refused connection as one that
-// is there; so the standard library dials, and the connection is handed over.
+// Dial connects to an engine within the configured dial timeout, and notifies the router of the outcome. The connection is
+// made with the standard library and then passed to the socket library, whose own dial is faulty: it treats an IPv4 address
+// as 0.0.0.0, which reaches only 127.0.0.1, and reports a refused connection as established.
 func (e *Edge) Dial(state *router.EngineConnection) {
 	e.goroutines.Go(func() {
 		c, err := e.engines.connect(state)
@@ -62,7 +62,7 @@
 	})
 }
 
-// connect dials an engine, and hands the connection to a poller.
+// connect dials an engine, and registers the connection with a poller.
 func (s *engineSide) connect(state *router.EngineConnection) (*engineConnection, error) {
 	conn, err := s.dialWithRetry(state.Address)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return c, nil
 }
 
-// dialWithRetry makes a connection within the settings' time. Where this machine lacks something for a moment, such as
-// descriptors or ports, it retries until that time is over; the error then is a router.ErrLocal.
+// dialWithRetry connects within the configured dial timeout. If a resource of this machine runs short, such as descriptors
+// or ports, it retries until the timeout, and then returns an error that wraps router.ErrLocal.
 func (s *engineSide) dialWithRetry(address string) (*nbio.Conn, error) {
 	e := s.edge
 	ctx, cancel := context.WithTimeout(e.lifetime, e.deployment.Connections.DialTimeout)
@@ -87,7 +87,7 @@
 	for backoff := dialBackoffMin; ; backoff = min(2*backoff, dialBackoffMax) {
 		conn, err := s.dialOnce(ctx, address)
 		if err != nil && ctx.Err() != nil && localpause.IsLate(e.clock(), due) {
-			return nil, errors.Join(router.ErrLocal, err) // it may have come up while the process was not run
+			return nil, errors.Join(router.ErrLocal, err) // the engine may have accepted while this process was paused
 		}
 		if err == nil || !neterr.IsLocal(err) && e.lifetime.Err() == nil {
 			return conn, err
@@ -98,7 +98,7 @@
 	}
 }
 
-// dialOnce makes a connection, and makes it one of the socket library's.
+// dialOnce connects, and converts the connection to one of the socket library.
 func (s *engineSide) dialOnce(ctx context.Context, address string) (*nbio.Conn, error) {
 	dialled, err := s.dial(ctx, address)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return conn, nil
 }
 
-// dialTCP makes a connection by the standard library.
+// dialTCP connects with the standard library.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", address)
@@ -120,7 +120,7 @@
 
 func (s *engineSide) opened(conn *nbio.Conn) {
 	if _, ok := conn.Session().(*batchMarker); !ok {
-		s.reuse.waitForFreshBatch(conn)
+		s.reuse.waitForNewBatch(conn)
 	}
 }
 
--- a/internal/edge/export_test.go
+++ b/internal/edge/export_test.go
@@ -47,7 +47,7 @@
 }
 
 // UrgentPending is whether an endpoint list waits for the owner.
-func (e *Edge) UrgentPending() bool { return e.inbox.isWaiting(listLane) }
+func (e *Edge) UrgentPending() bool { return e.inbox.hasTasks(listLane) }
 
 // BlockOwner keeps the owner at one task until the returned function is called.
 func (e *Edge) BlockOwner() (release func()) {
@@ -64,7 +64,7 @@
 func (e *Edge) WaitingConnections() (count int) {
 	for _, marker := range e.clients.reuse.markers {
 		marker.mu.Lock()
-		count += len(marker.arrived) + len(marker.nextBatch)
+		count += len(marker.newWaiters) + len(marker.olderWaiters)
 		marker.mu.Unlock()
 	}
 	return count
--- a/internal/edge/gossip.go
+++ b/internal/edge/gossip.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// maxGossipText is the most bytes of one text between peers.
+	// maxGossipText is the maximum size of a gossip message in bytes.
 	maxGossipText = 256
-	// receiveRetryInterval is how long after a failed read the next one follows: the socket may fail for good.
+	// receiveRetryInterval is the pause after a failed read: the socket may fail permanently.
 	receiveRetryInterval = 10 * time.Millisecond
 )
 
-// gossip exchanges short texts with the other edges, in datagrams, which may be late or lost. It does not change once
+// gossip exchanges short text messages with the other edges in datagrams, which may be late or lost. It is immutable once
 // the edge has started.
 type gossip struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // of all edges, this one too, by their numbers
-	broadcast netip.AddrPort   // reaches them all; not valid where there is none
+	peers     []netip.AddrPort // addresses of all edges, including this one, by node number
+	broadcast netip.AddrPort   // address that reaches all edges; invalid if there is none
 }
 
-// ListenForPeers makes the edge exchange texts with others. It does nothing without an address to listen on, and is
-// called before Start.
+// ListenForPeers starts the exchange of gossip with other edges. It does nothing if the listen address is empty. It must
+// be called before Start.
 func (e *Edge) ListenForPeers(listen string, peers []string, broadcast string) error {
 	if listen == "" {
 		return nil
@@ -60,7 +60,7 @@
 	})
 }
 
-// receiveGossip hands the owner what comes from a peer's address, until Stop.
+// receiveGossip passes messages from the addresses of peers to the owner, until Stop.
 func (e *Edge) receiveGossip() {
 	buffer := make([]byte, maxGossipText+1)
 	for {
@@ -80,7 +80,7 @@
 	}
 }
 
-// SendToPeer sends a text to one peer, or to all where its number is negative. The owner calls it.
+// SendToPeer sends a message to the peer with a node number, or to all peers if the number is negative. The owner calls it.
 func (e *Edge) SendToPeer(to int, text string) {
 	g := e.gossip
 	if g == nil || len(text) > maxGossipText {
@@ -96,7 +96,7 @@
 	}
 }
 
-// destinations are where a text to one peer goes, or to all where its number is negative.
+// destinations returns the addresses for a message to the peer with a node number, or to all if the number is negative.
 func (g *gossip) destinations(to int) []netip.AddrPort {
 	switch {
 	case to >= len(g.peers):
--- a/internal/edge/inbox.go
+++ b/internal/edge/inbox.go
@@ -5,36 +5,36 @@
 	"sync/atomic"
 )
 
-// lane is what a task is about, and so how soon the owner runs it: an earlier lane goes first.
+// lane is the kind of a task, which determines its priority: the owner runs lower lanes first.
 type lane uint8
 
-// The lanes of an inbox. Within a lane tasks keep their order.
+// The lanes of an inbox. Tasks of the same lane run in the order in which they were added.
 const (
-	listLane   lane = iota // endpoint lists: the time within which a drain has to be respected begins when it is notified
-	engineLane             // what engines send, and the ends of dials and of connections to them
-	clientLane             // what clients send, and all the rest
+	listLane   lane = iota // endpoint lists: the grace of a drain begins when its list is put into the inbox
+	engineLane             // data from engines, results of dials, and closed engine connections
+	clientLane             // data from clients, and everything else
 	laneCount
 )
 
-// laneNames are labels of metrics.
+// laneNames are label values of metrics.
 var laneNames = [laneCount]string{listLane: "list", engineLane: "engine", clientLane: "client"}
 
 // queuedTask is a task that waits for the owner.
 type queuedTask struct {
 	run      func()
-	queuedAt int64 // when it was brought, also where it then waited for capacity
-	// happenedAfter is when the process is known to have been run before the task was brought: where it is not run for a
-	// while, what a task is about may have happened at any time since.
+	queuedAt int64 // time of the call of put, before any wait for capacity
+	// happenedAfter is a time before the call of put at which the process was known to be running. If the process is paused,
+	// the event behind the task may have happened at any time since.
 	happenedAfter int64
 }
 
-// inbox is the bounded queue of tasks from the sockets to the owner. Who brings bytes waits while their lane is full, which
-// slows the sockets down; what must not wait, such as the end of a connection, comes at most once a connection or is made by
-// the owner itself.
+// inbox is the bounded queue of tasks from the sockets to the owner. A goroutine that adds a task with a weight blocks while
+// its lane is full, which slows the sockets down. Tasks that must not block, such as the close of a connection, have weight
+// 0; they occur at most once per connection or are added by the owner itself.
 type inbox struct {
-	clock    func() int64
-	wake     chan struct{} // holds one item while something waits
-	lastTurn atomic.Int64  // when the owner began its turn before the present one
+	clock          func() int64
+	wake           chan struct{} // holds one item while tasks wait
+	previousTurnAt atomic.Int64  // start of the owner's turn before the current one
 
 	mu     sync.Mutex
 	lanes  [laneCount]queue
@@ -43,35 +43,35 @@
 
 // queue is one lane of an inbox.
 type queue struct {
-	capacity  *sync.Cond // there may be some again, or the inbox is closed
-	waiting   atomic.Bool
-	tasks     []queuedTask
-	weight    int
-	maxWeight int
+	capacityFreed *sync.Cond // signaled when tasks are taken or the inbox is closed
+	hasTasks      atomic.Bool
+	tasks         []queuedTask
+	weight        int
+	maxWeight     int
 }
 
-// newInbox makes an inbox for tasks of a weight, of which engines and clients have a half each.
+// newInbox returns an inbox with a maximum total weight, half of which is for engines and half for clients.
 func newInbox(maxWeight int, clock func() int64) *inbox {
 	b := &inbox{clock: clock, wake: make(chan struct{}, 1)}
 	for i := range b.lanes {
-		b.lanes[i].capacity = sync.NewCond(&b.mu)
+		b.lanes[i].capacityFreed = sync.NewCond(&b.mu)
 		b.lanes[i].maxWeight = maxWeight / 2
 	}
 	return b
 }
 
-// put adds a task that the owner will run. Weight 0 never waits.
-func (b *inbox) put(in lane, weight int, run func()) {
-	task := queuedTask{run: run, queuedAt: b.clock(), happenedAfter: b.lastTurn.Load()}
-	q := &b.lanes[in]
+// put adds a task for the owner to run. It blocks while the lane is full, except for tasks of weight 0.
+func (b *inbox) put(taskLane lane, weight int, run func()) {
+	task := queuedTask{run: run, queuedAt: b.clock(), happenedAfter: b.previousTurnAt.Load()}
+	q := &b.lanes[taskLane]
 	b.mu.Lock()
 	for weight > 0 && q.weight > 0 && q.weight+weight > q.maxWeight && !b.closed {
-		q.capacity.Wait()
+		q.capacityFreed.Wait()
 	}
 	if !b.closed {
 		q.tasks = append(q.tasks, task)
 		q.weight += weight
-		q.waiting.Store(true)
+		q.hasTasks.Store(true)
 	}
 	b.mu.Unlock()
 	b.wakeOwner()
@@ -84,34 +84,34 @@
 	}
 }
 
-// isWaiting is whether a lane has tasks.
-func (b *inbox) isWaiting(in lane) bool { return b.lanes[in].waiting.Load() }
+// hasTasks reports whether tasks wait in a lane.
+func (b *inbox) hasTasks(taskLane lane) bool { return b.lanes[taskLane].hasTasks.Load() }
 
-// take hands over all that waits in a lane; the memory of into is used again.
-func (b *inbox) take(in lane, into []queuedTask) []queuedTask {
+// takeAll removes and returns all tasks of a lane; it reuses the memory of into.
+func (b *inbox) takeAll(taskLane lane, into []queuedTask) []queuedTask {
 	clear(into)
 	into = into[:0]
-	q := &b.lanes[in]
-	if !q.waiting.Load() {
+	q := &b.lanes[taskLane]
+	if !q.hasTasks.Load() {
 		return into
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	tasks := q.tasks
 	q.tasks, q.weight = into, 0
-	q.waiting.Store(false)
-	q.capacity.Broadcast()
+	q.hasTasks.Store(false)
+	q.capacityFreed.Broadcast()
 	return tasks
 }
 
-// close drops all that waits and all that comes.
+// close drops all waiting tasks and all tasks added later.
 func (b *inbox) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
 	for i := range b.lanes {
 		b.lanes[i].tasks = nil
-		b.lanes[i].waiting.Store(false)
-		b.lanes[i].capacity.Broadcast()
+		b.lanes[i].hasTasks.Store(false)
+		b.lanes[i].capacityFreed.Broadcast()
 	}
 }
--- a/internal/edge/load_counters.go
+++ b/internal/edge/load_counters.go
@@ -7,12 +7,12 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// loadCounters are what the edge has counted on each model route since it started, by the route's name. They are the
-// owner's.
+// loadCounters are the request counts of each model route since the edge started, by the route's name. Only the owner
+// accesses them.
 type loadCounters map[string]*planapi.RouteCount
 
-// of is the count of one route.
-func (l loadCounters) of(route string) *planapi.RouteCount {
+// forRoute returns the counters of one route, which it creates on first use.
+func (l loadCounters) forRoute(route string) *planapi.RouteCount {
 	count := l[route]
 	if count == nil {
 		count = &planapi.RouteCount{Route: route}
@@ -21,8 +21,8 @@
 	return count
 }
 
-// list copies all counts, in the order of the routes' names.
-func (l loadCounters) list() (counts []planapi.RouteCount) {
+// snapshot returns a copy of all counters, sorted by route name.
+func (l loadCounters) snapshot() (counts []planapi.RouteCount) {
 	for _, route := range slices.Sorted(maps.Keys(l)) {
 		counts = append(counts, *l[route])
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -7,7 +7,8 @@
 	"sandcourse/internal/router"
 )
 
-// metrics are the edge's. Names, labels and help texts are what dashboards and alerts are written for: they stay.
+// metrics are the Prometheus metrics of the edge. Names, labels and help texts must not change: dashboards and alerts
+// depend on them.
 type metrics struct {
 	registry *prometheus.Registry
 
@@ -31,7 +32,8 @@
 	oldestReservation prometheus.Gauge
 }
 
-// ownerDelayBuckets are in seconds. 0.3 is what an event of a stream has on its way to the client, 1 the end of a stream.
+// ownerDelayBuckets are in seconds. An event of a stream has to reach the client within 0.3 s, the end of a stream
+// within 1 s.
 var ownerDelayBuckets = []float64{0.001, 0.005, 0.025, 0.1, 0.3, 1, 3}
 
 func newMetrics() *metrics {
@@ -62,7 +64,7 @@
 	m.violations = m.counters("sandcourse_violations_total",
 		"Rules that the node broke, as its own monitor sees it; 0 is right.", "rule")
 	for _, rule := range invariant.Rules {
-		m.violations.WithLabelValues(string(rule)) // shown from the start, so that a rise from 0 is seen
+		m.violations.WithLabelValues(string(rule)) // exported from the start, so that an increase from 0 is visible
 	}
 }
 
@@ -104,7 +106,7 @@
 	return g
 }
 
-// setUsage sets the gauges of what the edge holds. The owner calls it.
+// setUsage sets the gauges of the edge's resource usage. The owner calls it.
 func (m *metrics) setUsage(usage router.InFlight) {
 	m.inUse.WithLabelValues("clients").Set(float64(usage.Clients))
 	m.inUse.WithLabelValues("inferences").Set(float64(usage.Requests))
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -12,16 +12,16 @@
 	"sandcourse/internal/routing"
 )
 
-// Log messages that mean a fault of the program. Tools that read an edge's log look for them.
+// Log messages that report a bug in the program. Tools that read an edge's log search for them.
 const (
 	LogPolicyPanicked    = "policy panicked"
 	LogInvariantViolated = "invariant violated"
 )
 
-// observer writes what the router reports to the log, the metrics and the load counters. The owner calls it.
+// observer records reports of the router in the log, the metrics and the load counters. The owner calls it.
 type observer struct{ edge *Edge }
 
-// AroundStep measures how long the policy takes for an event.
+// AroundStep measures how long the policy takes to process an event.
 func (o observer) AroundStep(event routing.Event, step func()) {
 	startedAt := time.Now()
 	defer func() { o.edge.metrics.decisionSeconds.Add(time.Since(startedAt).Seconds()) }()
@@ -31,7 +31,7 @@
 	step()
 }
 
-// PolicyPanicked logs a panic of the policy with its stack; all open requests have got their error.
+// PolicyPanicked logs a panic of the policy with its stack; all open requests have been answered with an error.
 func (o observer) PolicyPanicked(value any, event routing.Event, stack []byte) {
 	o.edge.metrics.decisionPanics.Inc()
 	o.edge.log.Error(LogPolicyPanicked, zap.Any("panic", value), zap.String("event", fmt.Sprintf("%T", event)),
@@ -63,9 +63,9 @@
 	o.edge.log.Info("request finished", fields...)
 }
 
-// countFinished counts the end of a request for the planner.
+// countFinished counts a finished request in the load counters for the planner.
 func (o observer) countFinished(summary router.RequestSummary) {
-	count := o.edge.loads.of(summary.Route)
+	count := o.edge.loads.forRoute(summary.Route)
 	count.Arrived++
 	count.PromptTokens += float64(summary.PromptTokens)
 	if summary.TimeToFirstToken > 0 {
@@ -80,17 +80,17 @@
 // RequestShed counts and logs a request that was shed before it was admitted.
 func (o observer) RequestShed(shed router.ShedRequest) {
 	o.edge.metrics.finalResponses.WithLabelValues(shed.Route, string(router.OutcomeShed)).Inc()
-	count := o.edge.loads.of(shed.Route)
+	count := o.edge.loads.forRoute(shed.Route)
 	count.Arrived++
 	count.PromptTokens += float64(shed.PromptTokens)
 	count.Shed++
 	o.edge.log.Info("request shed", zap.String("request", shed.Request), zap.String("route", shed.Route), zap.String("reason", string(shed.Reason)))
 }
 
-// FirstToken notes how long a request waited for its first token.
+// FirstToken records how long a request waited for its first token.
 func (o observer) FirstToken(route string, after time.Duration, promptTokens int) {
 	o.edge.metrics.firstToken.WithLabelValues(route).Observe(after.Seconds())
-	count := o.edge.loads.of(route)
+	count := o.edge.loads.forRoute(route)
 	count.Started++
 	count.StartedPromptTokens += float64(promptTokens)
 	if after <= o.firstTokenObjective(route, promptTokens) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// firstTokenObjective is the latency objective of a first token, which grows with the prompt.
+// firstTokenObjective returns the latency objective for the first token, which grows with the length of the prompt.
 func (o observer) firstTokenObjective(route string, promptTokens int) time.Duration {
 	r := o.edge.deployment.Routes[o.edge.deployment.Route(route)]
 	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(promptTokens)/1000)
@@ -113,7 +113,7 @@
 func (o observer) AttemptEnded(summary router.AttemptSummary) {
 	o.edge.metrics.attempts.WithLabelValues(stageName(summary.Decode), string(summary.Verdict)).Inc()
 	if summary.Reason == "" {
-		return // it ended well
+		return // the attempt succeeded
 	}
 	o.edge.log.Info("attempt ended",
 		zap.String("request", summary.Request),
@@ -126,37 +126,37 @@
 		zap.Duration("duration", summary.Duration))
 }
 
-// AttemptBlocked notes an attempt that an invariant forbids.
+// AttemptBlocked counts and logs an attempt that an invariant forbids.
 func (o observer) AttemptBlocked(request string, reason invariant.Reason) {
 	o.edge.metrics.blockedAttempts.WithLabelValues(string(reason)).Inc()
 	o.edge.log.Info("attempt blocked", zap.String("request", request), zap.String("reason", string(reason)))
 }
 
-// InvariantViolated notes a violation that the edge's own monitor has found.
+// InvariantViolated counts and logs a violation that the edge's own monitor has found.
 func (o observer) InvariantViolated(v invariant.Violation) {
 	o.edge.metrics.violations.WithLabelValues(string(v.Rule)).Inc()
 	o.edge.log.Error(LogInvariantViolated, zap.String("rule", string(v.Rule)), zap.String("request", v.Request),
 		zap.String("detail", v.Detail))
 }
 
-// ReservationChanged counts what became of the release of a reservation.
+// ReservationChanged counts an event in the release of a reservation.
 func (o observer) ReservationChanged(event router.ReservationEvent) {
 	o.edge.metrics.releases.WithLabelValues(string(event)).Inc()
 }
 
-// ClientClosed notes why a client's connection is closed.
+// ClientClosed counts and logs the reason why the edge closes a client connection.
 func (o observer) ClientClosed(client int64, reason router.CloseReason) {
 	o.edge.metrics.clientCloses.WithLabelValues(string(reason)).Inc()
 	o.edge.log.Debug("client connection closed", zap.Int64("client", client), zap.String("reason", string(reason)))
 }
 
-// ConnectionChanged notes what became of a connection to an engine.
+// ConnectionChanged counts and logs a state change of a connection to an engine.
 func (o observer) ConnectionChanged(engine string, event router.ConnectionEvent) {
 	o.edge.metrics.engineConnections.WithLabelValues(string(event)).Inc()
 	o.edge.log.Debug("engine connection changed", zap.String("engine", engine), zap.String("event", string(event)))
 }
 
-// EndpointsUpdated notes a new endpoint list, and the engines of it that are ignored.
+// EndpointsUpdated records a new endpoint list, and those of its engines that are ignored.
 func (o observer) EndpointsUpdated(revision int64, engines int, unknown []string) {
 	o.edge.metrics.engines.Set(float64(engines))
 	o.edge.log.Info("endpoint list applied", zap.Int64("revision", revision), zap.Int("engines", engines))
@@ -165,7 +165,7 @@
 	}
 }
 
-// stageName names what an attempt is for, in logs and metrics.
+// stageName returns the stage of an attempt as it appears in logs and metrics.
 func stageName(decode bool) string {
 	if decode {
 		return "decode"
@@ -173,7 +173,7 @@
 	return "prefill"
 }
 
-// sessionHash stands for a session key in logs, which must not hold keys of clients.
+// sessionHash returns a hash that replaces the session key in logs, which must not contain keys of clients.
 func sessionHash(session string) string {
 	if session == "" {
 		return ""
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -9,36 +9,36 @@
 	"sandcourse/internal/router"
 )
 
-// ErrStopped says that the edge has stopped, so its state can no longer be read.
+// ErrStopped means that the edge has stopped, so its state can no longer be read.
 var ErrStopped = errors.New("edge has stopped")
 
 const (
-	// maxTurnDelay is how long responses and timers may wait while a full inbox is worked through. Events of a stream
-	// have 0.3 s to reach the client in all.
+	// maxTurnDelay is how long responses and timers may wait while the owner processes a full inbox. Events of a stream
+	// have to reach the client within 0.3 s in total.
 	maxTurnDelay = int64(5 * time.Millisecond)
-	// gaugeInterval is how often gauges are set. They are read every few seconds, so not every event needs to set them.
+	// gaugeInterval is how often gauges are set. They are scraped every few seconds, so not every event has to set them.
 	gaugeInterval = int64(100 * time.Millisecond)
 )
 
 // ownerLoop is the state of the goroutine that owns the router.
 type ownerLoop struct {
-	edge         *Edge
-	listTasks    []queuedTask // of this turn; the memory of all three is used again
-	engineTasks  []queuedTask
-	clientTasks  []queuedTask
-	nextClient   int  // the first of clientTasks that has not been run
-	runningLists bool // listTasks are being run
-	delay        delayReport
-	pauses       localpause.Detector
-	// When the present turn began, and the one before: a poller that is about to hand over what it read may have read it
-	// before the present one.
-	turnedAt, previouslyTurned int64
-	observed                   router.ObservedTimes
-	ranDueAt                   int64
-	gaugesSetAt                int64
+	edge               *Edge
+	listTasks          []queuedTask // tasks of this turn; the memory of all three slices is reused
+	engineTasks        []queuedTask
+	clientTasks        []queuedTask
+	nextClient         int  // index of the first of clientTasks that has not been run
+	isRunningListTasks bool // runListTasks is running
+	delay              delayReport
+	pauses             localpause.Detector
+	// Start times of the current and the previous turn: a poller that is about to add a task may have read its data before
+	// the current turn.
+	turnStartedAt, previousTurnAt int64
+	observed                      router.ObservedTimes
+	lastRunDueAt                  int64
+	gaugesSetAt                   int64
 }
 
-// runOwner is the one goroutine that owns the router. It ends with Stop.
+// runOwner is the main loop of the goroutine that owns the router. It returns after Stop.
 func (e *Edge) runOwner() {
 	l := e.owner
 	wake := time.NewTimer(0)
@@ -52,18 +52,18 @@
 		case <-e.inbox.wake:
 		case <-wake.C:
 		}
-		l.pauses.Look(e.clock(), due)
+		l.pauses.Update(e.clock(), due)
 		l.runTasks()
 	}
 }
 
-// runTasks runs all tasks that wait. What engines sent goes before each task of a client: an attempt that is under way has
-// only so much time for its next step, and the engine's work is lost without it.
+// runTasks runs all waiting tasks. Tasks from engines run before each task from a client: the next step of an attempt in
+// progress has a time limit, and the engine's work is lost if it is exceeded.
 func (l *ownerLoop) runTasks() {
 	for !l.edge.isStopped() {
 		l.beginTurn()
 		l.setGauges()
-		l.delay.logIfLate(l.turnedAt)
+		l.delay.logIfLate(l.turnStartedAt)
 		l.runEngineTasks()
 		if !l.runClientTasks() {
 			return
@@ -71,107 +71,108 @@
 	}
 }
 
-// now looks at the clock.
+// now returns the current time and records the reading for pause detection.
 func (l *ownerLoop) now() int64 {
 	now := l.edge.clock()
-	l.pauses.Look(now, 0)
+	l.pauses.Update(now, 0)
 	return now
 }
 
 func (l *ownerLoop) beginTurn() {
 	now := l.now()
-	l.turnedAt, l.previouslyTurned = now, l.turnedAt
-	l.edge.inbox.lastTurn.Store(l.previouslyTurned)
+	l.turnStartedAt, l.previousTurnAt = now, l.turnStartedAt
+	l.edge.inbox.previousTurnAt.Store(l.previousTurnAt)
 }
 
-// runEngineTasks runs what engines sent, and then what is due.
+// runEngineTasks runs tasks from engines, and then the router's due timers.
 func (l *ownerLoop) runEngineTasks() {
 	before := l.now()
-	l.engineTasks = l.edge.inbox.take(engineLane, l.engineTasks)
+	l.engineTasks = l.edge.inbox.takeAll(engineLane, l.engineTasks)
 	for _, task := range l.engineTasks {
-		l.run(engineLane, task)
+		l.runTask(engineLane, task)
 	}
-	l.observed.Engines = max(l.observed.Engines, l.pauses.Observed(before))
+	l.observed.Engines = max(l.observed.Engines, l.pauses.ObservedUntil(before))
 	l.runDue()
 }
 
-// runClientTasks runs what clients sent until something else has to be looked at. It returns whether there was any.
+// runClientTasks runs tasks from clients until engine tasks wait or the turn has lasted maxTurnDelay. It reports whether
+// there were any tasks from clients.
 func (l *ownerLoop) runClientTasks() bool {
 	if l.nextClient == len(l.clientTasks) {
 		before := l.now()
-		l.clientTasks, l.nextClient = l.edge.inbox.take(clientLane, l.clientTasks), 0
+		l.clientTasks, l.nextClient = l.edge.inbox.takeAll(clientLane, l.clientTasks), 0
 		if len(l.clientTasks) == 0 {
-			l.observed.Clients = max(l.observed.Clients, l.pauses.Observed(before))
+			l.observed.Clients = max(l.observed.Clients, l.pauses.ObservedUntil(before))
 			return false
 		}
 	}
 	for l.nextClient < len(l.clientTasks) {
 		task := l.clientTasks[l.nextClient]
 		l.nextClient++
-		l.observed.Clients = max(l.observed.Clients, l.pauses.Observed(task.queuedAt))
-		l.run(clientLane, task)
-		if l.edge.inbox.isWaiting(engineLane) || l.now()-l.turnedAt >= maxTurnDelay {
+		l.observed.Clients = max(l.observed.Clients, l.pauses.ObservedUntil(task.queuedAt))
+		l.runTask(clientLane, task)
+		if l.edge.inbox.hasTasks(engineLane) || l.now()-l.turnStartedAt >= maxTurnDelay {
 			break
 		}
 	}
 	return true
 }
 
-// run runs a task, at least every maxTurnDelay after what is due in the router, and always after new endpoint lists.
-func (l *ownerLoop) run(in lane, task queuedTask) {
-	if l.now()-l.ranDueAt >= maxTurnDelay {
+// runTask runs a task after all new endpoint lists, and at least every maxTurnDelay also after the router's due timers.
+func (l *ownerLoop) runTask(taskLane lane, task queuedTask) {
+	if l.now()-l.lastRunDueAt >= maxTurnDelay {
 		l.runDue()
 	}
-	l.runLists()
-	l.runNow(in, task)
+	l.runListTasks()
+	l.executeTask(taskLane, task)
 }
 
-func (l *ownerLoop) runNow(in lane, task queuedTask) {
+func (l *ownerLoop) executeTask(taskLane lane, task queuedTask) {
 	now := l.now()
 	l.edge.router.SetTime(now)
 	l.edge.router.SetReadTime(task.queuedAt)
 	l.edge.router.SetEarliestEventTime(task.happenedAfter)
-	l.delay.note(in, now, task.queuedAt)
+	l.delay.record(taskLane, now, task.queuedAt)
 	task.run()
 }
 
-// runLists runs what waits of endpoint lists. A list that comes while another is applied waits for its end, though the policy
-// decides on the first meanwhile: lists keep their order.
-func (l *ownerLoop) runLists() {
-	if l.runningLists {
+// runListTasks applies the waiting endpoint lists. It may be called again while a list is applied, because the policy
+// decides on that list; a further list then waits until the first has been applied, so that lists keep their order.
+func (l *ownerLoop) runListTasks() {
+	if l.isRunningListTasks {
 		return
 	}
-	l.runningLists = true
-	defer func() { l.runningLists = false }()
-	for l.edge.inbox.isWaiting(listLane) {
-		l.listTasks = l.edge.inbox.take(listLane, l.listTasks)
+	l.isRunningListTasks = true
+	defer func() { l.isRunningListTasks = false }()
+	for l.edge.inbox.hasTasks(listLane) {
+		l.listTasks = l.edge.inbox.takeAll(listLane, l.listTasks)
 		for _, task := range l.listTasks {
-			l.runNow(listLane, task)
+			l.executeTask(listLane, task)
 		}
 	}
 }
 
-// CatchUp runs what waits of endpoint lists: a drain that was told during a decision is known before it is carried out. The
-// router calls it.
+// CatchUp applies the waiting endpoint lists, so that a drain that was reported during a decision is taken into account
+// before the decision is carried out. The router calls it.
 func (e *Edge) CatchUp() {
 	e.router.SetTime(e.owner.now())
-	e.owner.runLists()
+	e.owner.runListTasks()
 }
 
-// runDue runs what is due in the router, after new endpoint lists.
+// runDue runs the router's due timers, after all new endpoint lists.
 func (l *ownerLoop) runDue() {
-	l.runLists()
+	l.runListTasks()
 	now := l.now()
-	l.ranDueAt = now
+	l.lastRunDueAt = now
 	l.edge.router.SetObserved(l.observed)
-	l.edge.router.SetEarliestEventTime(l.previouslyTurned)
+	l.edge.router.SetEarliestEventTime(l.previousTurnAt)
 	l.edge.router.RunDue(now)
 }
 
-// setGauges sets the gauges when gaugeInterval has passed.
+// setGauges sets the gauges at most once in gaugeInterval.
 func (l *ownerLoop) setGauges() {
-	if l.turnedAt-l.gaugesSetAt >= gaugeInterval {
-		l.gaugesSetAt = l.turnedAt
+	if l.turnStartedAt-l.gaugesSetAt >= gaugeInterval {
+		l.gaugesSetAt = l.turnStartedAt
 		l.edge.metrics.setUsage(l.edge.router.InFlight())
 	}
 }
@@ -185,7 +186,8 @@
 	}
 }
 
-// queryOwner has the owner read something of its state, and waits for it. What clients sent before is handled first.
+// queryOwner runs read on the owner, which has access to the edge's state, and returns the result. Tasks from clients that
+// were added earlier run first.
 func queryOwner[T any](ctx context.Context, e *Edge, read func() T) (value T, err error) {
 	result := make(chan T, 1)
 	e.inbox.put(clientLane, 0, func() { result <- read() })
--- a/internal/edge/reuse_guard.go
+++ b/internal/edge/reuse_guard.go
@@ -12,33 +12,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// reuseGuard holds back a new connection until its poller can have no event left of the connection that had the same
-// descriptor before.
+// reuseGuard delays the registration of a new connection until its poller can have no pending event of an earlier
+// connection with the same file descriptor.
 //
-// A poller takes a batch of events from the kernel and handles them one by one, by descriptor. Where a connection is
-// closed meanwhile by another goroutine, and the next one gets its descriptor, an event of the old one would be taken
-// for the new one's; if it reports an end, the new connection is closed. So a connection is not made known to its poller
-// before that has begun a batch that was taken after the connection came up.
+// A poller takes a batch of events from the kernel and handles them one by one, by descriptor. If another goroutine closes
+// a connection during that, and a new connection gets its descriptor, an event of the old connection is attributed to the
+// new one; if the event reports a close, the new connection is closed. Therefore a connection is registered with its poller
+// only once the poller handles a batch that was taken after the connection was established.
 type reuseGuard struct {
 	mu      sync.Mutex
-	markers []*batchMarker // one for each poller; nil before start
+	markers []*batchMarker // one per poller; nil before start
 	stopped <-chan struct{}
 }
 
-// batchMarker tells when its poller begins a new batch of events. It is an event descriptor (eventfd) that the poller
-// waits on like on any connection, and is readable while somebody waits.
+// batchMarker detects when its poller begins a new batch of events. It is an eventfd that the poller waits on like on any
+// connection, and that is readable while a goroutine waits for a new batch.
 type batchMarker struct {
 	conn *nbio.Conn
 
-	mu        sync.Mutex
-	arrived   []chan struct{} // they came since the last event
-	nextBatch []chan struct{} // they were there at the last event, so the next one is of a later batch
+	mu           sync.Mutex
+	newWaiters   []chan struct{} // added since the last event
+	olderWaiters []chan struct{} // added before the last event, so the next event belongs to a later batch
 }
 
-// eventfdConn is an event descriptor in the form that the socket library takes over.
+// eventfdConn is an eventfd as a net.Conn, which the socket library requires.
 type eventfdConn struct{ *os.File }
 
-// eventfdAddr is an event descriptor's address, as the library needs one.
+// eventfdAddr is the address of an eventfd, which the socket library requires.
 type eventfdAddr struct{}
 
 func (eventfdAddr) Network() string      { return "eventfd" }
@@ -46,11 +46,11 @@
 func (eventfdConn) LocalAddr() net.Addr  { return eventfdAddr{} }
 func (eventfdConn) RemoteAddr() net.Addr { return eventfdAddr{} }
 
-// start gives each poller of a running engine of the socket library its marker. The library picks a descriptor's poller
-// by the descriptor's number, so markers are made until each poller has one.
+// start registers a marker with each poller of a running nbio.Engine. The library selects the poller by the number of the
+// descriptor, so markers are created until each poller has one.
 func (g *reuseGuard) start(e *Edge, pollers *nbio.Engine) error {
 	markers := make([]*batchMarker, e.pollersPerSide)
-	var spare []*batchMarker // whose poller has one; kept until the end, so that their descriptors are not given out again
+	var spare []*batchMarker // markers of pollers that have one already; kept open so that their descriptors are not reused
 	defer func() {
 		for _, marker := range spare {
 			marker.close()
@@ -70,8 +70,8 @@
 		found++
 		marker.conn.SetSession(marker)
 		e.sessions.publish()
-		if _, err := pollers.AddConn(marker.conn); err != nil { // it is closed by then
-			return fmt.Errorf("watch an event descriptor: %w", err)
+		if _, err := pollers.AddConn(marker.conn); err != nil { // AddConn has closed the marker
+			return fmt.Errorf("register eventfd with poller: %w", err)
 		}
 	}
 	g.mu.Lock()
@@ -80,23 +80,23 @@
 	return nil
 }
 
-// close ends all markers, once their pollers have stopped.
+// close closes all markers. It is called once their pollers have stopped.
 func (g *reuseGuard) close() {
 	for _, marker := range g.markers {
 		marker.close()
 	}
 }
 
-// waitForFreshBatch returns once the poller of a connection that has just come up has no event from before.
-func (g *reuseGuard) waitForFreshBatch(conn *nbio.Conn) {
+// waitForNewBatch returns once the poller of a newly established connection has no event from before that.
+func (g *reuseGuard) waitForNewBatch(conn *nbio.Conn) {
 	g.mu.Lock()
 	markers, stopped := g.markers, g.stopped
 	g.mu.Unlock()
 	if len(markers) == 0 {
-		return // the first connections: nothing has been closed yet
+		return // these are the first connections: none has been closed yet
 	}
 	select {
-	case <-markers[conn.Hash()%len(markers)].freshBatch():
+	case <-markers[conn.Hash()%len(markers)].notifyOnNewBatch():
 	case <-stopped:
 	}
 }
@@ -104,41 +104,42 @@
 func newBatchMarker() (*batchMarker, error) {
 	descriptor, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("make an event descriptor: %w", err)
+		return nil, fmt.Errorf("create eventfd: %w", err)
 	}
-	conn, err := nbio.NBConn(eventfdConn{os.NewFile(uintptr(descriptor), "event descriptor")})
+	conn, err := nbio.NBConn(eventfdConn{os.NewFile(uintptr(descriptor), "eventfd")})
 	if err != nil {
-		return nil, fmt.Errorf("hand over an event descriptor: %w", err)
+		return nil, fmt.Errorf("convert eventfd to connection: %w", err)
 	}
 	return &batchMarker{conn: conn}, nil
 }
 
 func (m *batchMarker) close() { syscall.Close(m.conn.Hash()) }
 
-// freshBatch is closed once a batch of events has begun that was taken after the call.
-func (m *batchMarker) freshBatch() <-chan struct{} {
+// notifyOnNewBatch returns a channel that is closed once the poller handles a batch of events that was taken after the call.
+func (m *batchMarker) notifyOnNewBatch() <-chan struct{} {
 	done := make(chan struct{})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.arrived)+len(m.nextBatch) == 0 {
+	if len(m.newWaiters)+len(m.olderWaiters) == 0 {
 		if err := m.signal(); err != nil {
 			close(done) // the edge has stopped
 			return done
 		}
 	}
-	m.arrived = append(m.arrived, done)
+	m.newWaiters = append(m.newWaiters, done)
 	return done
 }
 
-// onReadable runs on the poller. The descriptor stays readable, so that another event follows, while somebody waits.
+// onReadable releases waiters; it runs on the poller. The descriptor stays readable while there are waiters, so that
+// another event follows.
 func (m *batchMarker) onReadable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, done := range m.nextBatch {
+	for _, done := range m.olderWaiters {
 		close(done)
 	}
-	m.nextBatch, m.arrived = m.arrived, nil
-	if len(m.nextBatch) == 0 {
+	m.olderWaiters, m.newWaiters = m.newWaiters, nil
+	if len(m.olderWaiters) == 0 {
 		m.reset()
 	}
 }
@@ -154,7 +155,8 @@
 	}
 }
 
-// reset makes it unreadable. The read cannot fail: the poller has reported that it is readable, and nobody else reads.
+// reset makes the descriptor unreadable. The read cannot fail: the poller has reported the descriptor as readable, and no
+// other goroutine reads from it.
 func (m *batchMarker) reset() {
 	var count [8]byte
 	for {
--- a/internal/edge/session_fence.go
+++ b/internal/edge/session_fence.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// sessionFence orders what is written about a connection when it opens before what its poller reads of it later. The
-// socket library leaves that order to the kernel, which the race detector does not see.
+// sessionFence orders the writes to a connection's session data when it opens before the reads of its poller. The socket
+// library relies on the kernel for that order, which the race detector does not observe.
 type sessionFence struct{ published atomic.Int64 }
 
-// publish follows the last write about a new connection.
+// publish is called after the last write to a new connection's session data.
 func (f *sessionFence) publish() { f.published.Add(1) }
 
-// acquire comes before a poller's first look at a connection.
+// acquire is called before a poller reads a connection's session data.
 func (f *sessionFence) acquire() { f.published.Load() }
--- a/internal/edge/start.go
+++ b/internal/edge/start.go
@@ -15,10 +15,10 @@
 	"sandcourse/internal/endpoint"
 )
 
-// metricsHeadTimeout bounds how long a scraper may take for the head of its request.
+// metricsHeadTimeout bounds how long a scraper may take to send the head of its request.
 const metricsHeadTimeout = 5 * time.Second
 
-// Start listens, starts the owner and the pollers, and returns once clients are served. The edge runs until Stop.
+// Start listens, starts the owner and the pollers, and returns once clients are served. The edge runs until Stop is called.
 func (e *Edge) Start() error {
 	logging.SetLevel(logging.LevelNone) // the socket library's own log
 	if err := e.clients.listen(); err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// serveMetrics serves the metrics' page where the settings give it an address.
+// serveMetrics serves the metrics page if the settings define an address for it.
 func (e *Edge) serveMetrics() (err error) {
 	address := e.deployment.MetricsAddress
 	if address == "" {
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// followEndpoints hands the owner each endpoint list that the source has, or the settings' own list once.
+// followEndpoints passes each endpoint list of the source to the owner, or the list in the settings once.
 func (e *Edge) followEndpoints() {
 	apply := func(list endpoint.List) {
-		e.reach(EndpointListRead)
+		e.reachSyncPoint(EndpointListRead)
 		e.inbox.put(listLane, 0, func() { e.router.UpdateEndpoints(list) })
 	}
 	if e.endpoints == nil {
--- a/internal/edge/startup_retry.go
+++ b/internal/edge/startup_retry.go
@@ -8,14 +8,14 @@
 	"sandcourse/internal/neterr"
 )
 
-// At startup the process before may still hold an address, or no descriptor may be free for a moment. A step that fails
-// for that is retried for some seconds; the platform waits for thirty.
+// At startup the previous process may still use an address, or no file descriptor may be free for a moment. A step that
+// fails for such a reason is retried for some seconds; the platform waits 30 s for an edge to start.
 const (
 	startupRetryTimeout  = 15 * time.Second
 	startupRetryInterval = 50 * time.Millisecond
 )
 
-// retryStartup repeats a step of the startup while it fails for want of a resource of this machine.
+// retryStartup repeats a step of the startup while it fails because a resource of this machine is not available.
 func (e *Edge) retryStartup(step func() error) error {
 	deadline := time.Now().Add(startupRetryTimeout)
 	for logged := false; ; logged = true {
--- a/internal/edge/sync_point.go
+++ b/internal/edge/sync_point.go
@@ -1,22 +1,22 @@
 package edge
 
-// SyncPoint names a place between two steps of one goroutine at which another may overtake it. A test that forces two
-// events to cross pauses a goroutine there; in service nothing happens.
+// SyncPoint is a point between two steps of one goroutine at which another goroutine may run in between. A test that
+// forces a race pauses a goroutine there; in production the points have no effect.
 type SyncPoint string
 
-// The points.
+// The sync points.
 const (
-	ClientAccepted     SyncPoint = "a client's connection is accepted, its poller does not know of it"
-	ClientReadable     SyncPoint = "a client's connection is readable, nothing is read"
-	RequestParsed      SyncPoint = "a client's bytes are parsed, the owner is not notified"
-	CloseDecided       SyncPoint = "the owner has decided to close a client's connection, the socket is open"
-	ResponseRead       SyncPoint = "an engine's bytes are parsed, the owner is not notified"
-	ConnectionAssigned SyncPoint = "an attempt has its connection, nothing is written"
-	EndpointListRead   SyncPoint = "an endpoint list is read, the owner is not notified"
+	ClientAccepted     SyncPoint = "client connection accepted, not yet registered with its poller"
+	ClientReadable     SyncPoint = "client connection readable, nothing read yet"
+	RequestParsed      SyncPoint = "client input parsed, owner not yet notified"
+	CloseDecided       SyncPoint = "owner has decided to close a client connection, socket still open"
+	ResponseRead       SyncPoint = "engine response parsed, owner not yet notified"
+	ConnectionAssigned SyncPoint = "connection assigned to an attempt, nothing written yet"
+	EndpointListRead   SyncPoint = "endpoint list read, owner not yet notified"
 )
 
-// reach calls a test's hook.
-func (e *Edge) reach(point SyncPoint) {
+// reachSyncPoint calls the hook of a test, if there is one.
+func (e *Edge) reachSyncPoint(point SyncPoint) {
 	if e.syncPointHook != nil {
 		e.syncPointHook(point)
 	}
--- a/internal/localpause/detector.go
+++ b/internal/localpause/detector.go
@@ -1,47 +1,49 @@
-// Package localpause detects when this process was not run for a while, as on a machine that is busy or after a stop signal.
-// What others did meanwhile is still unread then, and their silence is not a fact yet. It does no I/O.
+// Package localpause detects pauses of this process, as on a busy machine or after a stop signal. After a pause, input that
+// arrived during it is still unread, so a missing response does not yet mean that the peer is silent. It does no I/O.
 package localpause
 
 import "time"
 
 const (
-	// threshold is from which delay on a process counts as paused: above that of a scheduler with little to do.
-	threshold = 20 * time.Millisecond
-	// maxCatchUp is for how long at most a process reads what has arrived during a pause.
-	maxCatchUp = 100 * time.Millisecond
+	// pauseThreshold is the delay from which a process counts as paused: longer than the scheduling delay of an idle machine.
+	pauseThreshold = 20 * time.Millisecond
+	// maxCatchUpTime is the longest time assumed for reading the input that arrived during a pause.
+	maxCatchUpTime = 100 * time.Millisecond
 )
 
-// Detector is told of each look at the clock. Points in time are in nanoseconds since the start. The zero value has seen no
-// pause.
+// Detector detects pauses from the readings of the clock passed to Update. Times are in nanoseconds of one clock. The zero
+// value is ready to use.
 type Detector struct {
-	lastLook    int64
-	pausedSince int64 // the last look before the latest pause
-	caughtUpAt  int64 // when what arrived during it counts as read
+	lastReadingAt  int64
+	pauseStartedAt int64 // last clock reading before the latest pause
+	caughtUpAt     int64 // when the input that arrived during the pause counts as read
 }
 
-// Look notes a look at the clock, which was due by a time; 0 where the process did not wait.
-func (d *Detector) Look(now, due int64) {
-	if d.lastLook > 0 {
-		d.notePause(time.Duration(now-max(d.lastLook, due)), now)
+// Update records a reading of the clock. If the process was waiting, due is the time at which the wait should have ended;
+// otherwise it is 0.
+func (d *Detector) Update(now, due int64) {
+	if d.lastReadingAt > 0 {
+		d.recordPause(time.Duration(now-max(d.lastReadingAt, due)), now)
 	}
-	d.lastLook = now
+	d.lastReadingAt = now
 }
 
-func (d *Detector) notePause(pause time.Duration, now int64) {
-	if pause < threshold {
+func (d *Detector) recordPause(pause time.Duration, now int64) {
+	if pause < pauseThreshold {
 		return
 	}
-	d.pausedSince = d.lastLook
-	d.caughtUpAt = now + int64(min(pause, maxCatchUp))
+	d.pauseStartedAt = d.lastReadingAt
+	d.caughtUpAt = now + int64(min(pause, maxCatchUpTime))
 }
 
-// Observed is up to when the process has seen what others did, if it has handled all that it has read.
-func (d *Detector) Observed(now int64) int64 {
+// ObservedUntil returns the time up to which the process has observed its input, provided that it has handled all input
+// that it has read.
+func (d *Detector) ObservedUntil(now int64) int64 {
 	if now < d.caughtUpAt {
-		return min(now, d.pausedSince)
+		return min(now, d.pauseStartedAt)
 	}
 	return now
 }
 
-// IsLate is whether a process looks at the clock so late after a time at which something was due that it was paused then.
-func IsLate(now, due int64) bool { return time.Duration(now-due) >= threshold }
+// IsLate reports whether a timer that was due is observed so late that the process must have been paused.
+func IsLate(now, due int64) bool { return time.Duration(now-due) >= pauseThreshold }
--- a/internal/localpause/detector_test.go
+++ b/internal/localpause/detector_test.go
@@ -11,16 +11,16 @@
 
 func TestPauseHoldsBackWhatWasObserved(t *testing.T) {
 	var d Detector
-	d.Look(1000*ms, 0)
-	d.Look(1030*ms, 1025*ms) // it waited
-	if got := d.Observed(1030 * ms); got != 1030*ms {
+	d.Update(1000*ms, 0)
+	d.Update(1030*ms, 1025*ms) // it waited
+	if got := d.ObservedUntil(1030 * ms); got != 1030*ms {
 		t.Errorf("without a pause observed until %d ms", got/ms)
 	}
-	d.Look(1500*ms, 1055*ms)
-	if got := d.Observed(1599 * ms); got != 1030*ms {
+	d.Update(1500*ms, 1055*ms)
+	if got := d.ObservedUntil(1599 * ms); got != 1030*ms {
 		t.Errorf("just after a pause observed until %d ms, want 1030", got/ms)
 	}
-	if got := d.Observed(1600 * ms); got != 1600*ms {
+	if got := d.ObservedUntil(1600 * ms); got != 1600*ms {
 		t.Errorf("once it has caught up observed until %d ms, want 1600", got/ms)
 	}
 }
@@ -33,12 +33,12 @@
 			waits := rapid.Int64Range(0, 30*ms).Draw(t, "waits")
 			late := rapid.Int64Range(0, 60*ms).Draw(t, "late")
 			now += waits + late
-			d.Look(now, now-late)
-			if late >= int64(threshold) {
+			d.Update(now, now-late)
+			if late >= int64(pauseThreshold) {
 				lastPause = now
 			}
-			observed := d.Observed(now)
-			if observed > now || now-lastPause >= int64(maxCatchUp) && observed != now {
+			observed := d.ObservedUntil(now)
+			if observed > now || now-lastPause >= int64(maxCatchUpTime) && observed != now {
 				t.Fatalf("at %d, %d after the last pause, observed until %d", now, now-lastPause, observed)
 			}
 		}
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -1,4 +1,4 @@
-// Package netaddr checks the addresses that configurations and endpoint lists name. It does no I/O.
+// Package netaddr validates the addresses in configurations and endpoint lists. It does no I/O.
 package netaddr
 
 import (
@@ -7,11 +7,11 @@
 	"net/netip"
 )
 
-// ErrNotAddressPort says that a text is not an IP address and a port, such as 127.0.0.1:8080 or [::1]:8080.
+// ErrNotAddressPort means that a text is not an IP address with a port, such as 127.0.0.1:8080 or [::1]:8080.
 var ErrNotAddressPort = errors.New("is not address:port")
 
-// Check accepts an address that others can connect to: an IP address and a port other than 0. The error quotes the text
-// and wraps ErrNotAddressPort.
+// Check returns an error unless text is an address to connect to: an IP address with a port other than 0. The error quotes
+// the text and wraps ErrNotAddressPort.
 func Check(text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 {
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// CheckListen accepts an address to listen on, where port 0 leaves the choice of the port to the system.
+// CheckListen returns an error unless text is an address to listen on: an IP address with a port, where port 0 lets the
+// system choose the port.
 func CheckListen(text string) error {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		return notAddressPort(text)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,4 +1,4 @@
-// Package neterr tells network errors of this machine from those of the other side of a connection. It does no I/O.
+// Package neterr distinguishes network errors caused by this machine from those caused by the peer. It does no I/O.
 package neterr
 
 import (
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// localErrnos are the errors of system calls that a shortage on this machine causes: of descriptors, memory, ports or
-// routes. The other side cannot cause them.
+// localErrnos are the system call errors that are caused by a shortage on this machine: of file descriptors, memory, ports
+// or routes. The peer cannot cause them.
 var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
@@ -17,8 +17,8 @@
 	syscall.ECONNABORTED, syscall.EINTR,
 }
 
-// IsLocal reports whether an error is caused by this machine alone: it must not count against the other side, and the same
-// call may succeed a moment later.
+// IsLocal reports whether an error is caused by this machine alone. Such an error must not count as a failure of the peer,
+// and the same call may succeed a moment later.
 func IsLocal(err error) bool {
 	if errors.Is(err, context.Canceled) {
 		return true // this side has canceled the call
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process sets up the signals and the log of a long-running program.
+// Package process sets up the signal handling and the logger of a long-running program.
 package process
 
 import (
@@ -13,14 +13,15 @@
 	"sandcourse/internal/asynclog"
 )
 
-// Signals are the signals that the operating system sends to the process.
+// Signals are the channels on which the process receives signals.
 type Signals struct {
 	Stop   <-chan os.Signal // SIGTERM or SIGINT
 	Reload <-chan os.Signal // SIGHUP
 }
 
-// CatchSignals has to be the first call of a program: each of these signals ends a process that does not catch it, even
-// during its start. A write to a log whose reader has ended raises SIGPIPE; ignored, the write fails instead.
+// CatchSignals registers the handlers of Signals. It has to be the first call of a program, because each of these signals
+// terminates a process that does not catch it, even during startup. A write to a log whose reader has exited raises
+// SIGPIPE, which is ignored, so that the write fails instead.
 func CatchSignals() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -29,7 +30,7 @@
 	return Signals{stop, reload}
 }
 
-// AwaitStop waits for Stop, in a program that reads its settings only when it starts: Reload is logged and has no other
+// AwaitStop waits for Stop. It is for programs that read their settings only at startup: Reload is logged and has no other
 // effect.
 func (s Signals) AwaitStop(log *zap.Logger) {
 	for {
@@ -42,8 +43,8 @@
 	}
 }
 
-// Of the lines with the same message, the first logSampleInitial of each second are written, and then each
-// logSampleThereafter-th.
+// Log sampling: of the lines with the same message, the first logSampleInitial in each second are written, and after that
+// every logSampleThereafter-th.
 const (
 	logSampleInitial    = 100
 	logSampleThereafter = 100
