--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raised := make(chan error, 1)
-	time.AfterFunc(300*time.Millisecond, func() { raised <- restore() })
+	restored := make(chan error, 1)
+	time.AfterFunc(300*time.Millisecond, func() { restored <- restore() })
 	var all sync.WaitGroup
 	for i := range 5 {
 		all.Go(func() {
@@ -30,7 +30,7 @@
 		})
 	}
 	all.Wait()
-	if err := <-raised; err != nil {
+	if err := <-restored; err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -27,8 +27,8 @@
 // The protocol's limits: a reservation has to be used or released within 1 s, with a tolerance of 300 ms. The rest of the
 // slack is for a machine that runs other tests at the same time.
 const (
-	pinLimit = time.Second
-	pinSlack = 300*time.Millisecond + 700*time.Millisecond
+	reservationLimit = time.Second
+	reservationSlack = 300*time.Millisecond + 700*time.Millisecond
 )
 
 // edgeProcesses is a set of edges, each in a separate process as when deployed, with a fleet of fake engines.
@@ -38,10 +38,10 @@
 	fleet     *platformengine.Fleet
 	addresses []string // the addresses of the edges
 	pids      []int
-	// configs are the configuration files of the edges; agent is the address of discovery in them.
-	configs  []string
-	commands []*exec.Cmd
-	agent    string
+	// configs are the configuration files of the edges; agentAddress is the address of discovery in them.
+	configs      []string
+	commands     []*exec.Cmd
+	agentAddress string
 	// obligations are further fields of the obligations object of nodeConfig, in JSON, each preceded by a comma.
 	obligations string
 	objective   time.Duration // for the first token; 0 means longObjective
@@ -67,10 +67,10 @@
 		entries = append(entries, e.Entry())
 	}
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`, strings.Join(entries, ","))
-	p.agent = newDiscoveryAgent(t, list, nil)
+	p.agentAddress = newDiscoveryAgent(t, list, nil)
 	binary := edgeBinary(t)
 	for i := range edges {
-		p.startEdge(binary, i, edges, p.agent, list, prepare)
+		p.startEdge(binary, i, edges, p.agentAddress, list, prepare)
 	}
 	for _, addr := range p.addresses {
 		p.awaitReady(addr)
@@ -197,7 +197,7 @@
 
 // waitForRelease waits until the fleet has no reservations, for at most 8 times the limit.
 func (p *edgeProcesses) waitForRelease() {
-	for end := time.Now().Add(8 * pinLimit); p.fleet.HeldReservations() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(8 * reservationLimit); p.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -205,7 +205,7 @@
 // checkReservations reports the reservations that were held for too long.
 func (p *edgeProcesses) checkReservations() {
 	p.t.Helper()
-	for _, violation := range p.log.Check(audit.Rules{ReservationLimit: pinLimit, Tolerance: pinSlack}, time.Now()) {
+	for _, violation := range p.log.Check(audit.Rules{ReservationLimit: reservationLimit, Tolerance: reservationSlack}, time.Now()) {
 		if violation.Rule == audit.RuleReservation {
 			p.t.Errorf("%s\n\t%s", violation, strings.Join(p.log.Trace(violation.RequestID), "\n\t"))
 		}
@@ -288,7 +288,7 @@
 	for ctx.Err() == nil {
 		time.Sleep(random.durationUpTo(500 * time.Millisecond))
 		syscall.Kill(pid, syscall.SIGSTOP)
-		time.Sleep(random.durationUpTo(pinLimit / 4))
+		time.Sleep(random.durationUpTo(reservationLimit / 4))
 		syscall.Kill(pid, syscall.SIGCONT)
 	}
 }
--- a/cmd/sandcourse-edge/large_fleet_test.go
+++ b/cmd/sandcourse-edge/large_fleet_test.go
@@ -96,11 +96,11 @@
 	return platformclient.Client{Address: f.addresses[0], Class: "chat", Log: f.log}.SendAtRate(name, perSecond, length, deadline)
 }
 
-// checkAll checks the invariants, the end of each stream and the share of requests that were served.
-func (f *largeFleet) checkAll(sent int) {
+// checkInvariantsAndResponses checks the invariants, the end of each stream and the share of requests that were served.
+func (f *largeFleet) checkInvariantsAndResponses(sent int) {
 	f.t.Helper()
 	f.waitForRelease()
-	rules := audit.Rules{DrainGrace: drainGrace, ReservationLimit: pinLimit, Tolerance: pinSlack}
+	rules := audit.Rules{DrainGrace: drainGrace, ReservationLimit: reservationLimit, Tolerance: reservationSlack}
 	for _, violation := range f.log.Check(rules, time.Now()) {
 		f.t.Errorf("%s\n\t%s", violation, strings.Join(f.log.Trace(violation.RequestID), "\n\t"))
 	}
@@ -144,7 +144,7 @@
 	go f.replaceHalf(ctx, 300*time.Millisecond)
 	var throttled sync.WaitGroup
 	throttled.Go(func() { soak.Throttle(ctx, f.pids[0], share) })
-	f.checkAll(f.sendAtRate("q", perSecond, duration, 4800*time.Millisecond))
+	f.checkInvariantsAndResponses(f.sendAtRate("q", perSecond, duration, 4800*time.Millisecond))
 	throttled.Wait()
 }
 
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return strings.Replace(string(text), p.agent, newDiscoveryAgent(p.t, oneEngineList, polls), 1)
+	return strings.Replace(string(text), p.agentAddress, newDiscoveryAgent(p.t, oneEngineList, polls), 1)
 }
 
 // A new configuration arrives while the edge drains: its discovery address must be used, as discovery is needed until the
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -294,7 +294,7 @@
 			runtime.ReadMemStats(&m)
 			return m.HeapInuse + m.StackInuse
 		}
-		idleBytes, idleRoutines := heap(), runtime.NumGoroutine()
+		idleBytes, idleGoroutines := heap(), runtime.NumGoroutine()
 		var connections []net.Conn
 		for range streams {
 			c, err := net.Dial("tcp", e.Addr())
@@ -312,7 +312,7 @@
 		}
 		// The figures include one goroutine and buffers per stream in the decode engines, which are not part of the edge.
 		b.ReportMetric(float64(heap()-idleBytes)/streams, "bytes/stream")
-		b.ReportMetric(float64(runtime.NumGoroutine()-idleRoutines)/streams, "goroutines/stream-with-its-engine")
+		b.ReportMetric(float64(runtime.NumGoroutine()-idleGoroutines)/streams, "goroutines/stream-with-its-engine")
 		for _, c := range connections {
 			c.Close()
 		}
--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -85,7 +85,7 @@
 	open := slices.Collect(maps.Keys(l.open))
 	l.mu.Unlock()
 	for _, conn := range open {
-		conn.Close() // calls release
+		conn.Close() // the close callback calls release
 	}
 }
 
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -123,8 +123,8 @@
 	return nil, true
 }
 
-// readable reads and parses input; it runs on the poller when the socket is readable.
-func (c *clientConnection) readable() {
+// onReadable reads and parses input; it runs on the poller when the socket is readable.
+func (c *clientConnection) onReadable() {
 	c.edge.reachSyncPoint(ClientReadable)
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -17,12 +17,12 @@
 
 // clientSide has the listener and the pollers of the client connections. Its callbacks run on the pollers.
 type clientSide struct {
-	edge     *Edge
-	listener net.Listener
-	limit    *connectionLimit
-	pollers  *nbio.Engine
-	reuse    reuseGuard
-	lastID   atomic.Int64
+	edge             *Edge
+	listener         net.Listener
+	limit            *connectionLimit
+	pollers          *nbio.Engine
+	reuse            reuseGuard
+	lastConnectionID atomic.Int64
 }
 
 // listen binds the address that clients connect to. Connections wait in the kernel's accept queue until start is called.
@@ -50,10 +50,10 @@
 			return limitedListener{s.listener, s.limit}, nil
 		},
 	})
-	s.pollers.OnOpen(s.opened)
-	s.pollers.OnClose(s.closed)
-	s.pollers.OnRead(s.readable)
-	s.pollers.OnWrittenSize(s.written)
+	s.pollers.OnOpen(s.onOpen)
+	s.pollers.OnClose(s.onClose)
+	s.pollers.OnRead(s.onRead)
+	s.pollers.OnWrittenSize(s.onWritten)
 	if err := s.pollers.Start(); err != nil {
 		return fmt.Errorf("start client pollers: %w", err)
 	}
@@ -79,23 +79,23 @@
 	}
 }
 
-func (s *clientSide) opened(conn *nbio.Conn) {
+func (s *clientSide) onOpen(conn *nbio.Conn) {
 	if _, ok := conn.Session().(*batchMarker); ok {
 		return
 	}
 	e := s.edge
 	e.reachSyncPoint(ClientAccepted)
 	s.reuse.waitForNewBatch(conn)
-	bounds := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
-	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
-	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
+	limits := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
+	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, limits)}
+	c.state = &router.ClientConnection{ID: s.lastConnectionID.Add(1), Socket: c}
 	conn.SetSession(c)
 	s.limit.acquire(conn)
 	e.sessions.publish()
 	e.inbox.put(clientLane, 0, func() { e.router.ClientOpened(c.state) })
 }
 
-func (s *clientSide) closed(conn *nbio.Conn, _ error) {
+func (s *clientSide) onClose(conn *nbio.Conn, _ error) {
 	e := s.edge
 	e.sessions.acquire()
 	if c, ok := conn.Session().(*clientConnection); ok {
@@ -104,20 +104,20 @@
 	}
 }
 
-func (s *clientSide) written(conn *nbio.Conn, _ []byte, size int) {
+func (s *clientSide) onWritten(conn *nbio.Conn, _ []byte, size int) {
 	s.edge.sessions.acquire()
 	if c, ok := conn.Session().(*clientConnection); ok {
 		c.bytesFlushed.Add(int64(size))
 	}
 }
 
-func (s *clientSide) readable(conn *nbio.Conn) {
+func (s *clientSide) onRead(conn *nbio.Conn) {
 	s.edge.sessions.acquire()
 	switch session := conn.Session().(type) {
 	case *batchMarker:
 		session.onReadable()
 	case *clientConnection:
-		session.readable()
+		session.onReadable()
 	}
 }
 
--- a/internal/edge/delay_report.go
+++ b/internal/edge/delay_report.go
@@ -20,7 +20,7 @@
 // delayReport measures how long tasks wait for the owner, and logs delays that are too long. Only the owner uses it.
 type delayReport struct {
 	edge     *Edge
-	longest  time.Duration // since the last log line
+	longest  time.Duration // longest delay since the last log line
 	lane     lane          // lane of the task that waited longest
 	late     int           // number of late tasks since the last log line
 	loggedAt int64
--- a/internal/edge/dial_test.go
+++ b/internal/edge/dial_test.go
@@ -30,7 +30,7 @@
 			var d net.Dialer
 			return d.DialContext(ctx, "tcp", address)
 		})
-		startReady(t, e)
+		startAndAwaitReady(t, e)
 		for i := range 3 {
 			if status, body, err := postChat(t, e, fmt.Sprint("a", i), "alert"); status != 200 || err != nil || body != streamEvents {
 				t.Errorf("%v: request %d: %d %q %v", errno, i, status, body, err)
@@ -60,7 +60,7 @@
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", address)
 	})
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	defer e.Stop()
 	if status, body, err := postChat(t, e, "a", "alert"); status != 200 || err != nil || body != streamEvents {
 		t.Errorf("%d %q %v", status, body, err)
@@ -91,7 +91,7 @@
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", address)
 	})
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	defer e.Stop()
 	if status, body, err := postChat(t, e, "a", "alert"); status != 200 || err != nil || body != streamEvents {
 		t.Errorf("%d %q %v", status, body, err)
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -23,8 +23,8 @@
 	d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 0, 0
 }
 
-// isStopping reports whether an edge reports that it drains, or no longer accepts connections. Its owner has handled the
-// client connections by then.
+// isStopping reports whether the health check of an edge fails, or the edge no longer accepts connections. The owner of the
+// edge has handled its client connections by then.
 func isStopping(e *edge.Edge) bool {
 	once := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 100 * time.Millisecond}
 	r, err := once.Get("http://" + e.Addr() + "/_health")
@@ -52,7 +52,7 @@
 		prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 		e := newPlatformEdge(t, 1024, closeClientsAtOnce, prefill, newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 		pause := newPausePoint(e, edge.RequestParsed)
-		startReady(t, e)
+		startAndAwaitReady(t, e)
 		client := idleClient(t, e)
 		pause.armed.Store(true)
 		text := ""
@@ -84,7 +84,7 @@
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	e := newPlatformEdge(t, 1024, closeClientsAtOnce, prefill, newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	pause := newPausePoint(e, edge.CloseDecided)
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	client := idleClient(t, e)
 	waitFor(t, "only the client's connection is open", func() bool { // the owner pauses at the first connection it closes
 		h, err := e.Usage(context.Background())
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -43,8 +43,8 @@
 }
 
 func newEngineConnection(e *Edge, state *router.EngineConnection, conn *nbio.Conn) *engineConnection {
-	bounds := httpframing.Limits{HeadBytes: maxResponseHead, BodyBytes: maxStreamBody}
-	return &engineConnection{edge: e, state: state, conn: conn, parser: httpframing.NewParser(httpframing.Responses, bounds)}
+	limits := httpframing.Limits{HeadBytes: maxResponseHead, BodyBytes: maxStreamBody}
+	return &engineConnection{edge: e, state: state, conn: conn, parser: httpframing.NewParser(httpframing.Responses, limits)}
 }
 
 // Write writes a request to the socket.
@@ -65,8 +65,8 @@
 // Close closes the connection at once.
 func (c *engineConnection) Close() { c.conn.Close() }
 
-// readable reads and parses responses; it runs on the poller when the socket is readable.
-func (c *engineConnection) readable() {
+// onReadable reads and parses responses; it runs on the poller when the socket is readable.
+func (c *engineConnection) onReadable() {
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
 	for range maxReadsPerWakeup {
@@ -109,15 +109,15 @@
 func (c *engineConnection) handleHead(head *http.Response) {
 	e := c.edge
 	c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, head.Close
-	var tokens router.Relay // a nil interface, not a nil *tokenRelay, if the response is not a stream
+	var relay router.Relay // a nil interface, not a nil *tokenRelay, if the response is not a stream
 	if chat.IsEventStream(head.Header) {
-		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &tokenRelay{frame: e.protocol.StreamEvent}
+		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &tokenRelay{encodeEvent: e.protocol.StreamEvent}
 		c.streamDecoder.OnComment = func(text []byte) {
 			e.inbox.put(engineLane, 1+len(text), func() { e.router.StreamComment(c.state, text) })
 		}
-		tokens = c.relay
+		relay = c.relay
 	}
-	e.inbox.put(engineLane, 1, func() { e.router.ResponseHead(c.state, head, tokens) })
+	e.inbox.put(engineLane, 1, func() { e.router.ResponseHead(c.state, head, relay) })
 }
 
 // handleBody handles a part of a response's body.
--- a/internal/edge/engine_connection_test.go
+++ b/internal/edge/engine_connection_test.go
@@ -83,14 +83,14 @@
 	prefill.singleUse, decode.singleUse = true, true
 	e := startPlatformEdge(t, 1024, nil, prefill, decode)
 	defer e.Stop()
-	lost := 0
+	failed := 0
 	for i := range 12 {
 		if status, _, err := postChat(t, e, fmt.Sprint("g", i), "alert"); status != 200 || err != nil {
-			lost++
+			failed++
 		}
 	}
-	if lost > 1 {
-		t.Errorf("%d of 12 requests failed", lost)
+	if failed > 1 {
+		t.Errorf("%d of 12 requests failed", failed)
 	}
 }
 
@@ -107,7 +107,7 @@
 			decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 			e := newPlatformEdge(t, 1024, nil, prefill, decode)
 			pause := newPausePoint(e, edge.ConnectionAssigned)
-			startReady(t, e)
+			startAndAwaitReady(t, e)
 			client := dialRaw(t, e)
 			client.send(requestText("a", route))
 			if status, _ := client.readResponse(); status != 200 {
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -34,10 +34,10 @@
 		NPoller:            s.edge.pollersPerSide,
 		MaxWriteBufferSize: 2 * s.edge.deployment.MaxBodyBytes, // ample room for the body and head of a request
 	})
-	s.pollers.OnOpen(s.opened)
-	s.pollers.OnClose(s.closed)
-	s.pollers.OnRead(s.readable)
-	s.pollers.OnWrittenSize(s.written)
+	s.pollers.OnOpen(s.onOpen)
+	s.pollers.OnClose(s.onClose)
+	s.pollers.OnRead(s.onRead)
+	s.pollers.OnWrittenSize(s.onWritten)
 	if err := s.edge.retryStartup(s.pollers.Start); err != nil {
 		return fmt.Errorf("start engine pollers: %w", err)
 	}
@@ -118,13 +118,13 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-func (s *engineSide) opened(conn *nbio.Conn) {
+func (s *engineSide) onOpen(conn *nbio.Conn) {
 	if _, ok := conn.Session().(*batchMarker); !ok {
 		s.reuse.waitForNewBatch(conn)
 	}
 }
 
-func (s *engineSide) closed(conn *nbio.Conn, _ error) {
+func (s *engineSide) onClose(conn *nbio.Conn, _ error) {
 	e := s.edge
 	e.sessions.acquire()
 	if c, ok := conn.Session().(*engineConnection); ok {
@@ -132,19 +132,19 @@
 	}
 }
 
-func (s *engineSide) written(conn *nbio.Conn, _ []byte, size int) {
+func (s *engineSide) onWritten(conn *nbio.Conn, _ []byte, size int) {
 	s.edge.sessions.acquire()
 	if c, ok := conn.Session().(*engineConnection); ok {
 		c.bytesWritten.Add(int64(size))
 	}
 }
 
-func (s *engineSide) readable(conn *nbio.Conn) {
+func (s *engineSide) onRead(conn *nbio.Conn) {
 	s.edge.sessions.acquire()
 	switch session := conn.Session().(type) {
 	case *batchMarker:
 		session.onReadable()
 	case *engineConnection:
-		session.readable()
+		session.onReadable()
 	}
 }
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -28,7 +28,7 @@
 	requestCount int
 }
 
-func newFixture(t *testing.T, alter func(*config.Deployment), configs ...engine.Config) *fixture {
+func newFixture(t *testing.T, configure func(*config.Deployment), configs ...engine.Config) *fixture {
 	t.Helper()
 	if configs == nil {
 		configs = []engine.Config{{Name: "r0", Role: "read"}, {Name: "r1", Role: "read"},
@@ -45,8 +45,8 @@
 		t.Fatal(err)
 	}
 	deployment.EndpointFile, deployment.Engines, deployment.ChatAddress = f.fleet.Path, nil, ""
-	if alter != nil {
-		alter(deployment)
+	if configure != nil {
+		configure(deployment)
 	}
 	f.rules = scenario.AuditRules(deployment)
 	if f.edges, err = scenario.StartEdges(1, *deployment, zap.NewNop(), f.log, 1); err != nil {
@@ -110,8 +110,8 @@
 }
 
 // singlePairFixture returns a fixture with one prefill and one decode engine, so that their faults affect every request.
-func singlePairFixture(t *testing.T, alter func(*config.Deployment)) (f *fixture, prefill, decode *engine.Engine) {
-	f = newFixture(t, alter, engine.Config{Name: "r", Role: "read"}, engine.Config{Name: "w", Role: "write"})
+func singlePairFixture(t *testing.T, configure func(*config.Deployment)) (f *fixture, prefill, decode *engine.Engine) {
+	f = newFixture(t, configure, engine.Config{Name: "r", Role: "read"}, engine.Config{Name: "w", Role: "write"})
 	return f, f.fleet.Engines[0], f.fleet.Engines[1]
 }
 
--- a/internal/edge/late_owner_test.go
+++ b/internal/edge/late_owner_test.go
@@ -48,8 +48,8 @@
 	released := time.Now()
 	release()
 	status, body := first.readResponse()
-	if took := time.Since(released); status != 200 || body != streamEvents || took > eventLimit {
-		t.Errorf("status %d, body %q, after %v", status, body, took)
+	if elapsed := time.Since(released); status != 200 || body != streamEvents || elapsed > eventLimit {
+		t.Errorf("status %d, body %q, after %v", status, body, elapsed)
 	}
 }
 
@@ -85,7 +85,7 @@
 			var d net.Dialer
 			return d.DialContext(ctx, "tcp", address)
 		})
-		startReady(t, e)
+		startAndAwaitReady(t, e)
 		if status, body, err := postChat(t, e, "a", "alert"); status != 200 || err != nil || body != streamEvents {
 			t.Errorf("%s: %d %q %v", pausedStage, status, body, err)
 		}
@@ -106,7 +106,7 @@
 	source := make(listSource, 1)
 	e := newPlatformEdgeFrom(t, 1024, nil, source)
 	source <- endpoint.List{Revision: 1, Entries: []endpoint.Entry{readyEntry("s-1", "m1", old), decode}}
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	defer e.Stop()
 	if status, _, err := postChat(t, e, "a", "alert"); status != 200 || err != nil { // opens the connections to the engines
 		t.Fatal(status, err)
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -34,7 +34,7 @@
 	// the current turn.
 	turnStartedAt, previousTurnAt int64
 	observed                      router.ObservedTimes
-	lastRunDueAt                  int64
+	dueTimersRanAt                int64
 	gaugesSetAt                   int64
 }
 
@@ -92,7 +92,7 @@
 		l.runTask(engineLane, task)
 	}
 	l.observed.Engines = max(l.observed.Engines, l.pauses.ObservedUntil(before))
-	l.runDue()
+	l.runDueTimers()
 }
 
 // runClientTasks runs tasks from clients until engine tasks wait or the turn has lasted maxTurnDelay. It reports whether
@@ -120,8 +120,8 @@
 
 // runTask runs a task after all new endpoint lists, and at least every maxTurnDelay also after the router's due timers.
 func (l *ownerLoop) runTask(taskLane lane, task queuedTask) {
-	if l.now()-l.lastRunDueAt >= maxTurnDelay {
-		l.runDue()
+	if l.now()-l.dueTimersRanAt >= maxTurnDelay {
+		l.runDueTimers()
 	}
 	l.runListTasks()
 	l.executeTask(taskLane, task)
@@ -136,8 +136,8 @@
 	task.run()
 }
 
-// runListTasks applies the waiting endpoint lists. It may be called again while a list is applied, because the policy
-// decides on that list; a further list then waits until the first has been applied, so that lists keep their order.
+// runListTasks applies the waiting endpoint lists. A nested call has no effect, which keeps lists in order: while a list
+// is applied, the policy decides on it and CatchUp is called, but a further list has to wait until the first is applied.
 func (l *ownerLoop) runListTasks() {
 	if l.isRunningListTasks {
 		return
@@ -159,11 +159,11 @@
 	e.owner.runListTasks()
 }
 
-// runDue runs the router's due timers, after all new endpoint lists.
-func (l *ownerLoop) runDue() {
+// runDueTimers runs the router's due timers, after all new endpoint lists.
+func (l *ownerLoop) runDueTimers() {
 	l.runListTasks()
 	now := l.now()
-	l.lastRunDueAt = now
+	l.dueTimersRanAt = now
 	l.edge.router.SetObserved(l.observed)
 	l.edge.router.SetEarliestEventTime(l.previousTurnAt)
 	l.edge.router.RunDue(now)
--- a/internal/edge/platform_edge_test.go
+++ b/internal/edge/platform_edge_test.go
@@ -47,17 +47,17 @@
  {"name":"alert","effect":"fragile","worth":5,"objective_us":1000000}],"obligations":{"drain_grace_us":250000}}}`
 
 // startPlatformEdge starts an edge that uses the platform protocol, with one prefill and one decode engine.
-func startPlatformEdge(t *testing.T, sockets int, alter func(*config.Deployment), prefill, decode *scriptedEngine) *edge.Edge {
+func startPlatformEdge(t *testing.T, sockets int, configure func(*config.Deployment), prefill, decode *scriptedEngine) *edge.Edge {
 	t.Helper()
-	e := newPlatformEdge(t, sockets, alter, prefill, decode)
-	startReady(t, e)
+	e := newPlatformEdge(t, sockets, configure, prefill, decode)
+	startAndAwaitReady(t, e)
 	return e
 }
 
 // newPlatformEdge returns an edge like that of startPlatformEdge, but does not start it.
-func newPlatformEdge(t *testing.T, sockets int, alter func(*config.Deployment), prefill, decode *scriptedEngine) *edge.Edge {
+func newPlatformEdge(t *testing.T, sockets int, configure func(*config.Deployment), prefill, decode *scriptedEngine) *edge.Edge {
 	t.Helper()
-	return newPlatformEdgeFrom(t, sockets, alter, fixedSource{readyEntry("s-1", "m1", prefill), readyEntry("s-2", "m2", decode)})
+	return newPlatformEdgeFrom(t, sockets, configure, fixedSource{readyEntry("s-1", "m1", prefill), readyEntry("s-2", "m2", decode)})
 }
 
 // readyEntry returns the endpoint entry of an engine that is ready.
@@ -66,13 +66,13 @@
 }
 
 // newPlatformEdgeFrom returns an edge that uses the platform protocol and a given endpoint source; it does not start it.
-func newPlatformEdgeFrom(t *testing.T, sockets int, alter func(*config.Deployment), source endpoint.Source) *edge.Edge {
+func newPlatformEdgeFrom(t *testing.T, sockets int, configure func(*config.Deployment), source endpoint.Source) *edge.Edge {
 	t.Helper()
-	return newLoggedPlatformEdge(t, sockets, alter, source, zap.NewNop())
+	return newLoggedPlatformEdge(t, sockets, configure, source, zap.NewNop())
 }
 
 // newLoggedPlatformEdge is newPlatformEdgeFrom with a logger.
-func newLoggedPlatformEdge(t *testing.T, sockets int, alter func(*config.Deployment), source endpoint.Source, log *zap.Logger) *edge.Edge {
+func newLoggedPlatformEdge(t *testing.T, sockets int, configure func(*config.Deployment), source endpoint.Source, log *zap.Logger) *edge.Edge {
 	t.Helper()
 	configuration, err := platform.ParseNodeConfig("test", fmt.Appendf(nil, platformConfig, sockets))
 	if err != nil {
@@ -83,13 +83,13 @@
 		t.Fatal(err)
 	}
 	deployment.ChatAddress = "127.0.0.1:0"
-	if alter != nil {
-		alter(deployment)
+	if configure != nil {
+		configure(deployment)
 	}
 	return edge.NewWithProtocol(deployment, log, source, 1, platform.NewCodec(configuration.LoadReportFields()))
 }
 
-func startReady(t *testing.T, e *edge.Edge) {
+func startAndAwaitReady(t *testing.T, e *edge.Edge) {
 	t.Helper()
 	if err := e.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -64,7 +64,7 @@
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 	e := newPlatformEdge(t, 1024, nil, prefill, decode)
 	pause := newPausePoint(e, edge.ClientReadable)
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	defer e.Stop()
 	defer close(pause.resume) // runs before Stop, which waits for the pollers
 	client := dialRaw(t, e)
@@ -86,7 +86,7 @@
 	prefill, decode := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 	e := newPlatformEdge(t, 1024, nil, prefill, decode)
 	pause := newPausePoint(e, edge.ResponseRead)
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	defer e.Stop()
 	client := dialRaw(t, e)
 	pause.armed.Store(true)
@@ -120,7 +120,7 @@
 		e := newPlatformEdgeFrom(t, 1024, nil, source)
 		pause := newPausePoint(e, edge.EndpointListRead)
 		source <- endpoint.List{Revision: 1, Entries: []endpoint.Entry{readyEntry("s-1", "m1", old), decode}}
-		startReady(t, e)
+		startAndAwaitReady(t, e)
 		client := dialRaw(t, e)
 		drainingEntry := readyEntry("s-1", "m1", old)
 		drainingEntry.State = endpoint.Draining
--- a/internal/edge/reuse_guard_test.go
+++ b/internal/edge/reuse_guard_test.go
@@ -18,16 +18,16 @@
 // pollerPause pauses the poller at each readable connection while it is enabled.
 type pollerPause struct {
 	arrived, proceed chan struct{}
-	on               chan bool // holds one value
+	enabled          chan bool // holds one value
 }
 
 func newPollerPause(e *edge.Edge) *pollerPause {
-	p := &pollerPause{arrived: make(chan struct{}), proceed: make(chan struct{}), on: make(chan bool, 1)}
-	p.on <- false
+	p := &pollerPause{arrived: make(chan struct{}), proceed: make(chan struct{}), enabled: make(chan bool, 1)}
+	p.enabled <- false
 	e.OnSyncPoint(func(at edge.SyncPoint) {
-		on := <-p.on
-		p.on <- on
-		if on && at == edge.ClientReadable {
+		enabled := <-p.enabled
+		p.enabled <- enabled
+		if enabled && at == edge.ClientReadable {
 			p.arrived <- struct{}{}
 			<-p.proceed
 		}
@@ -35,9 +35,9 @@
 	return p
 }
 
-func (p *pollerPause) set(on bool) {
-	<-p.on
-	p.on <- on
+func (p *pollerPause) setEnabled(enabled bool) {
+	<-p.enabled
+	p.enabled <- enabled
 }
 
 // hasClients reports whether an edge has the given number of client connections.
@@ -95,7 +95,7 @@
 		newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	e.UseOnePoller()
 	poller := newPollerPause(e)
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	earlier, first, leaving := dialRaw(t, e), dialRaw(t, e), dialRaw(t, e)
 	for i, client := range []*rawClient{earlier, first, leaving} {
 		client.send(requestText(fmt.Sprint("a", i), "chat"))
@@ -104,7 +104,7 @@
 		}
 	}
 	socket := reserveSocket(t)
-	poller.set(true)
+	poller.setEnabled(true)
 	earlier.send("P")
 	waitForSignal(t, poller.arrived) // paused in a batch of one event; the next batch has the other two, in this order
 	first.send("P")
@@ -119,7 +119,7 @@
 	})
 	fresh := socketClient(t, socket)
 	fresh.send(requestText("b", "chat"))
-	poller.set(false)
+	poller.setEnabled(false)
 	poller.proceed <- struct{}{}
 	if status, _ := fresh.readResponse(); status != 200 {
 		t.Errorf("status %d on the new connection", status)
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -31,7 +31,7 @@
 			<-proceed
 		}
 	})
-	startReady(t, e)
+	startAndAwaitReady(t, e)
 	<-pauseNext
 	pauseNext <- true
 	dialRaw(t, e)
--- a/internal/edge/token_relay.go
+++ b/internal/edge/token_relay.go
@@ -11,7 +11,7 @@
 // forwarded all earlier tokens. Thus a token never waits behind decisions for other requests. The owner controls the relay:
 // it opens the relay after the first token and closes it before the final response.
 type tokenRelay struct {
-	frame func(event []byte) []byte
+	encodeEvent func(event []byte) []byte
 
 	mu             sync.Mutex
 	pendingInOwner int                 // number of tokens queued for the owner
@@ -19,7 +19,7 @@
 	closed         bool
 
 	forwarded     atomic.Int64 // number of tokens that bypassed the owner
-	lastForwarded atomic.Int64 // time of the last such token, by the edge's clock
+	lastForwarded atomic.Int64 // time at which the last token bypassed the owner, by the edge's clock
 }
 
 // forward handles a token on the engine's poller. It returns false if the token must be passed to the owner.
@@ -35,7 +35,7 @@
 	}
 	r.lastForwarded.Store(now)
 	r.forwarded.Add(1)
-	_ = r.client.Send(r.frame(event)) // fails only if the socket has closed, and the owner is notified of that
+	_ = r.client.Send(r.encodeEvent(event)) // fails only if the socket has closed, and the owner is notified of that
 	return true
 }
 
