--- a/cmd/sandcourse-edge/config_file.go
+++ b/cmd/sandcourse-edge/config_file.go
@@ -36,8 +36,7 @@
 	return parseConfig(file, data, err)
 }
 
-// parseConfig parses the content of a configuration file. If the file could not be read, err is the reason. The returned
-// error is a script.Faults.
+// parseConfig parses a configuration file; err is the error of reading the file. The returned error is a script.Faults.
 func parseConfig(file string, data []byte, err error) (*platform.NodeConfig, error) {
 	if err != nil {
 		return nil, script.Faults{&script.Fault{File: file, Err: err}}
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -78,8 +78,8 @@
 	return p
 }
 
-// newDiscoveryAgent starts a discovery agent with a list that never changes, and returns its address. It counts requests in
-// polls unless that is nil.
+// newDiscoveryAgent starts a discovery agent with a list that never changes, and returns its address. If polls is not nil,
+// it counts the agent's requests.
 func newDiscoveryAgent(t *testing.T, list string, polls *atomic.Int64) string {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if polls != nil {
@@ -99,7 +99,7 @@
 	return strings.TrimPrefix(agent.URL, "http://")
 }
 
-// edgeBinary builds the edge once for all tests.
+// edgeBinary returns the path of the edge's binary, which is built once for all tests.
 func edgeBinary(t *testing.T) string {
 	t.Helper()
 	path, err := buildOnce()
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -60,8 +60,7 @@
 	return command
 }
 
-// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT. A second such signal ends the
-// process at once.
+// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT; a second one ends it at once.
 func runOnSettings(file string, signals process.Signals) error {
 	deployment, err := config.Load(file)
 	if err != nil {
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -15,8 +15,7 @@
 	// The heap may use three fifths of the platform's memory limit; the rest is for stacks, the kernel's buffers and
 	// memory that the garbage collector has not freed yet.
 	heapNumerator, heapDenominator = 3, 5
-	// maxProcs is more than the platform's one core, so that a poller that waits for sockets does not keep the owner from
-	// running.
+	// maxProcs exceeds the platform's one core: a poller that waits for sockets must not keep the owner from running.
 	maxProcs = 4
 )
 
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -159,8 +159,7 @@
 	waitForExit(t, edge, 0)
 }
 
-// configWithOtherAgent returns the configuration of the first edge with the address of another discovery agent, which
-// counts its polls.
+// configWithOtherAgent returns the first edge's configuration with another discovery agent, which counts its polls.
 func (p *edgeProcesses) configWithOtherAgent(polls *atomic.Int64) string {
 	p.t.Helper()
 	text, err := os.ReadFile(p.configs[0])
@@ -170,8 +169,7 @@
 	return strings.Replace(string(text), p.agentAddress, newDiscoveryAgent(p.t, oneEngineList, polls), 1)
 }
 
-// A new configuration arrives while the edge drains: its discovery address must be used, as discovery is needed until the
-// end.
+// A new configuration arrives while the edge drains: its discovery address must be used, as the edge still needs discovery.
 func TestReloadDuringShutdown(t *testing.T) {
 	p, edge := startSingleEdge(t, nil)
 	started := p.attemptStarted()
--- a/internal/asynclog/sink.go
+++ b/internal/asynclog/sink.go
@@ -33,8 +33,7 @@
 	return s
 }
 
-// Write queues a copy of a line. It reports success even if the line is dropped: a caller cannot handle a failure of the
-// log.
+// Write queues a copy of a line. It reports success even if the line is dropped, because callers cannot handle log errors.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- bytes.Clone(line):
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -132,8 +132,7 @@
 	}
 	d.EndpointFile, d.ChatAddress, d.Connections.PerEngine, d.Connections.ConcurrentDials = "", "127.0.0.1:0", 8000, 8000
 	d.Limits.OpenRequests, d.Limits.Connections = 20000, 20000
-	// The policy tracks the memory of each decode engine by the prompts sent to it. Thousands of streams would need more
-	// engines, so the size of the memory is unknown here.
+	// The policy tracks each decode engine's memory; thousands of streams would need more engines, so its size is unknown here.
 	for i := range d.Kinds {
 		d.Kinds[i].MemoryTokens = 0
 	}
@@ -153,8 +152,7 @@
 	return e
 }
 
-// measureStream sends one request on a connection. It records the time until the first token, and the age of each later
-// token at its arrival.
+// measureStream sends one request on a connection, and records the time until the first token and the age of later tokens.
 func measureStream(c net.Conn, in *bufio.Reader, direct bool, firstTokens, tokenAges *hdrhistogram.Histogram, mu *sync.Mutex) error {
 	body := `{"model":"clip-summary","stream":true,"messages":[{"role":"user","content":"measure"}]}`
 	if direct {
--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -14,8 +14,7 @@
 )
 
 const (
-	// spareConnections is how many connections are accepted beyond the configured limit, so that the router can reject
-	// them with a response.
+	// spareConnections are accepted beyond the configured limit, so that the router can reject them with a response.
 	spareConnections = 16
 	// acceptRetryInterval is how long the listener pauses after a failed accept, for example when file descriptors have
 	// run out. Without the pause the accepting goroutine would spin until a descriptor is free.
@@ -111,9 +110,8 @@
 	return conn, err
 }
 
-// convert turns an accepted connection into a connection of the socket library, which needs one more file descriptor for
-// a moment. If none is free, convert retries and the client waits; an error would make the library reset the connection,
-// and the data sent by the client would be lost.
+// convert turns an accepted connection into one of the socket library, which briefly needs another file descriptor. If none
+// is free, it retries: an error would make the library reset the connection and lose the data sent by the client.
 func (l limitedListener) convert(conn net.Conn) (net.Conn, error) {
 	for {
 		converted, err := nbio.NBConn(conn)
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -42,8 +42,7 @@
 	run    func()
 }
 
-// Send writes bytes to the socket. If the client does not read, the connection is closed once the socket's write buffer is
-// full.
+// Send writes bytes to the socket. If the client does not read, a full write buffer closes the connection.
 func (c *clientConnection) Send(data []byte) error {
 	c.bytesQueued.Add(int64(len(data)))
 	_, err := c.conn.Write(data)
@@ -101,8 +100,7 @@
 	return true
 }
 
-// decideClose reports whether the connection may be closed. If not, it returns the tasks for the input that was read
-// during the check.
+// decideClose reports whether the connection may be closed; if not, it returns the tasks for input read during the check.
 func (c *clientConnection) decideClose() (tasks []task, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -60,9 +60,8 @@
 	return s.reuse.start(s.edge, s.pollers)
 }
 
-// stop closes all connections and stops the pollers. The socket library closes the connections that are registered when it
-// begins to stop, and then waits for their end. A connection that is accepted at that moment is registered later, so stop
-// closes open connections repeatedly.
+// stop closes all connections and stops the pollers. The socket library closes only the connections that are registered when
+// it begins to stop, and waits for all; one accepted at that moment is registered later, so stop closes repeatedly.
 func (s *clientSide) stop() {
 	stopped := make(chan struct{})
 	go func() {
--- a/internal/edge/delay_report.go
+++ b/internal/edge/delay_report.go
@@ -10,8 +10,7 @@
 const LogOwnerLate = "events wait for the owner"
 
 const (
-	// lateThreshold is the queueing delay from which a task counts as late: a third of the time within which an event of a
-	// stream has to be forwarded.
+	// lateThreshold is the queueing delay from which a task is late: a third of the limit for forwarding a stream's event.
 	lateThreshold = int64(100 * time.Millisecond)
 	// lateLogInterval is the minimum interval between log lines about late tasks.
 	lateLogInterval = int64(time.Second)
@@ -28,7 +27,7 @@
 
 func newDelayReport(e *Edge) delayReport { return delayReport{edge: e} }
 
-// record records how long a task waited until it is run now.
+// record records how long a task that is run now has waited.
 func (r *delayReport) record(taskLane lane, now, queuedAt int64) {
 	delay := time.Duration(max(0, now-queuedAt))
 	r.edge.metrics.ownerDelay.WithLabelValues(laneNames[taskLane]).Observe(delay.Seconds())
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -24,8 +24,7 @@
 )
 
 // Drain accepts no new requests and waits until the open ones are answered. After the configured finish time, or when ctx
-// is done, the remaining requests are answered with an error. Then the edge stops. Drain returns an error if requests were
-// abandoned.
+// is done, the rest get an error. Then the edge stops. Drain returns an error if requests were abandoned.
 func (e *Edge) Drain(ctx context.Context) error {
 	e.log.Info("draining", zap.Duration("linger", e.deployment.ShutdownAcceptTime))
 	e.inbox.put(clientLane, 0, func() { e.router.Shutdown() })
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -23,8 +23,8 @@
 	d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 0, 0
 }
 
-// isStopping reports whether the health check of an edge fails, or the edge no longer accepts connections. The owner of the
-// edge has handled its client connections by then.
+// isStopping reports whether an edge's health check fails, or it accepts no connections. Its owner has handled its clients
+// by then.
 func isStopping(e *edge.Edge) bool {
 	once := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 100 * time.Millisecond}
 	r, err := once.Get("http://" + e.Addr() + "/_health")
@@ -163,8 +163,7 @@
 	}
 }
 
-// A draining edge that receives no gossip from a peer continues to serve its clients; after a message from a peer it closes
-// them at once.
+// A draining edge continues to serve its clients while it receives no gossip; after a peer's message it closes them at once.
 func TestPlatformServesLongerWithoutPeers(t *testing.T) {
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -206,8 +205,7 @@
 	}
 }
 
-// A draining edge without peers ends the requests that it accepted late at the handover time, so that their clients can
-// retry elsewhere before the edge is killed.
+// A draining edge ends late requests at the handover time, so that clients can retry elsewhere before the edge is killed.
 func TestPlatformInterruptsStreamsAfterHandoverTime(t *testing.T) {
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(streamHead+streamEvent("{}"))) // a stream that never ends
 	e := startPlatformEdge(t, 1024, func(d *config.Deployment) {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -25,8 +25,7 @@
 	"sandcourse/internal/routing"
 )
 
-// defaultPollers is the number of goroutines that wait on sockets, for clients and for engines each. It does not grow with
-// the number of connections.
+// defaultPollers is the number of pollers for clients and for engines each. It does not grow with the connections.
 const defaultPollers = 2
 
 // Edge is one running router: its sockets, its state in package router, and the goroutine that owns that state.
@@ -98,8 +97,7 @@
 	return e
 }
 
-// configuredSource returns the source of the endpoint list that the settings define, or nil if they contain the list
-// itself.
+// configuredSource returns the configured source of the endpoint list, or nil if the settings contain the list itself.
 func (e *Edge) configuredSource() endpoint.Source {
 	switch {
 	case e.deployment.EndpointFile != "":
@@ -114,8 +112,7 @@
 	return nil
 }
 
-// clock returns the time in Unix nanoseconds. It never goes back: it is the wall time of the start plus the monotonic time
-// elapsed since.
+// clock returns Unix nanoseconds that never go back: the wall time of the start plus the monotonic time elapsed since.
 func (e *Edge) clock() int64 { return e.startedAt.UnixNano() + int64(time.Since(e.startedAt)) }
 
 // Addr returns the address that clients connect to.
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -20,8 +20,7 @@
 	maxStreamEvent  = 256 << 10
 )
 
-// errResponseTooLarge means that the body of a response that is not a stream exceeds maxCompleteBody. Its text may be sent
-// to a client.
+// errResponseTooLarge means that the body of a non-stream response exceeds maxCompleteBody. Its text may reach a client.
 var errResponseTooLarge = errors.New("answer is over its bound")
 
 // engineConnection is one connection to an engine; it implements router.EngineSocket. Its poller parses responses; the
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -107,8 +107,7 @@
 // dateHeader matches the only header that differs between runs.
 var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
-// TestGoldenPages checks byte for byte the pages at the metrics address other than the metrics, and those at the address
-// for clients.
+// TestGoldenPages checks the other pages at the metrics address, and those at the address for clients, byte for byte.
 func TestGoldenPages(t *testing.T) {
 	e := startGoldenEdge(t)
 	var out strings.Builder
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -7,8 +7,7 @@
 	"sandcourse/internal/router"
 )
 
-// metrics are the Prometheus metrics of the edge. Names, labels and help texts must not change: dashboards and alerts
-// depend on them.
+// metrics are the metrics of the edge. Names, labels and help texts must not change: dashboards and alerts use them.
 type metrics struct {
 	registry *prometheus.Registry
 
@@ -32,8 +31,7 @@
 	oldestReservation prometheus.Gauge
 }
 
-// ownerDelayBuckets are in seconds. An event of a stream has to reach the client within 0.3 s, the end of a stream
-// within 1 s.
+// ownerDelayBuckets are in seconds. An event of a stream has to reach the client within 0.3 s, the stream's end within 1 s.
 var ownerDelayBuckets = []float64{0.001, 0.005, 0.025, 0.1, 0.3, 1, 3}
 
 func newMetrics() *metrics {
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -95,8 +95,7 @@
 	l.runDueTimers()
 }
 
-// runClientTasks runs tasks from clients until engine tasks wait or the turn has lasted maxTurnDelay. It reports whether
-// there were any tasks from clients.
+// runClientTasks runs tasks from clients until engine tasks wait or maxTurnDelay has passed. It reports whether any waited.
 func (l *ownerLoop) runClientTasks() bool {
 	if l.nextClient == len(l.clientTasks) {
 		before := l.now()
--- a/internal/edge/platform_test.go
+++ b/internal/edge/platform_test.go
@@ -33,8 +33,7 @@
 	}
 }
 
-// All decode engines are at capacity: the request is rejected with a Retry-After header, and its reservation at the prefill
-// engine is released.
+// All decode engines are at capacity: the reservation is released, and the request is rejected with a Retry-After header.
 func TestPlatformShedReleasesReservation(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(notStarted))
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -108,10 +108,9 @@
 	}
 }
 
-// An endpoint list marks the only prefill engine as draining and adds another, while a request waits for the owner. If the
-// list is in the inbox before the owner handles the request, the list is applied first, although it arrived later. A list
-// that has been read but is not in the inbox yet does not delay requests: the attempt may go to the draining engine, which
-// the drain grace allows.
+// An endpoint list marks the only prefill engine as draining and adds another, while a request waits for the owner. A list
+// in the inbox is applied before the request, even if it arrived later. A list that has been read but is not in the inbox
+// yet delays no request: the attempt goes to the draining engine, which the drain grace allows.
 func TestDrainInListRacesAttempt(t *testing.T) {
 	for _, notified := range []bool{true, false} {
 		old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
--- a/internal/edge/reuse_guard.go
+++ b/internal/edge/reuse_guard.go
@@ -130,8 +130,7 @@
 	return done
 }
 
-// onReadable releases waiters; it runs on the poller. The descriptor stays readable while there are waiters, so that
-// another event follows.
+// onReadable releases waiters on the poller. The descriptor stays readable while others wait, so that another event follows.
 func (m *batchMarker) onReadable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,8 +154,7 @@
 	}
 }
 
-// reset makes the descriptor unreadable. The read cannot fail: the poller has reported the descriptor as readable, and no
-// other goroutine reads from it.
+// reset makes the descriptor unreadable. The read cannot fail: the poller has reported it as readable, and only reset reads.
 func (m *batchMarker) reset() {
 	var count [8]byte
 	for {
--- a/internal/edge/reuse_guard_test.go
+++ b/internal/edge/reuse_guard_test.go
@@ -87,9 +87,8 @@
 	return &rawClient{t, conn, bufio.NewReader(conn)}
 }
 
-// A poller takes events in batches. While it handles the first event of a batch, the owner closes a connection whose close
-// is reported by a later event of the batch, and a new connection gets the same descriptor. The stale event must not close
-// the new connection.
+// While a poller handles the first event of a batch, the owner closes a connection whose close a later event of the batch
+// reports, and a new connection gets its descriptor. The stale event must not close the new connection.
 func TestReusedDescriptorIgnoresStaleEvent(t *testing.T) {
 	e := newPlatformEdge(t, 1024, func(d *config.Deployment) { d.Limits.IdleTimeout = time.Second },
 		newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -20,8 +20,7 @@
 	soak(t, length)
 }
 
-// soak runs a steady load with intermittent faults, logs memory and descriptors, and checks that the edge holds nothing
-// afterwards.
+// soak runs a steady load with intermittent faults, logs memory and descriptors, and checks that everything is released.
 func soak(t *testing.T, length time.Duration) {
 	f := newFixture(t, nil)
 	descriptors := func() int {
--- a/internal/edge/token_relay.go
+++ b/internal/edge/token_relay.go
@@ -39,8 +39,7 @@
 	return true
 }
 
-// Forwarded records that the owner has forwarded a token. Once no token is queued for the owner, the relay opens, and
-// further tokens are sent directly to the client.
+// Forwarded records that the owner has forwarded a token. Once no token is queued for the owner, the relay opens.
 func (r *tokenRelay) Forwarded(client router.ClientSocket, flush func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/localpause/detector.go
+++ b/internal/localpause/detector.go
@@ -11,8 +11,7 @@
 	maxCatchUpTime = 100 * time.Millisecond
 )
 
-// Detector detects pauses from the readings of the clock passed to Update. Times are in nanoseconds of one clock. The zero
-// value is ready to use.
+// Detector detects pauses from readings of a clock in nanoseconds. The zero value is ready to use.
 type Detector struct {
 	lastReadingAt  int64
 	pauseStartedAt int64 // last clock reading before the latest pause
@@ -36,8 +35,7 @@
 	d.caughtUpAt = now + int64(min(pause, maxCatchUpTime))
 }
 
-// ObservedUntil returns the time up to which the process has observed its input, provided that it has handled all input
-// that it has read.
+// ObservedUntil returns the time up to which the process has observed its input, if it has handled all that it has read.
 func (d *Detector) ObservedUntil(now int64) int64 {
 	if now < d.caughtUpAt {
 		return min(now, d.pauseStartedAt)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -30,8 +30,7 @@
 	return Signals{stop, reload}
 }
 
-// AwaitStop waits for Stop. It is for programs that read their settings only at startup: Reload is logged and has no other
-// effect.
+// AwaitStop waits for Stop in a program that reads its settings only at startup: Reload is logged but has no other effect.
 func (s Signals) AwaitStop(log *zap.Logger) {
 	for {
 		select {
