--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -10,27 +10,27 @@
 	"sandcourse/internal/soak"
 )
 
-// Descriptors run out for a moment, just as a client connects: the edge has one left, which the accepted connection takes,
-// and none to hand it over. The client waits, and is answered.
-func TestDescriptorsRunOut(t *testing.T) {
+// File descriptors run out for a moment as clients connect: the edge has one left, which the accepted connection uses, and
+// none to pass the connection to the socket library. The clients have to wait, and must then be served.
+func TestClientIsServedAfterDescriptorsRunOut(t *testing.T) {
 	p, edge := startSingleEdge(t, nil)
 	restore, err := soak.LeaveDescriptors(edge.Process.Pid, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raised := make(chan error, 1)
-	time.AfterFunc(300*time.Millisecond, func() { raised <- restore() })
+	restored := make(chan error, 1)
+	time.AfterFunc(300*time.Millisecond, func() { restored <- restore() })
 	var all sync.WaitGroup
 	for i := range 5 {
 		all.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			if status := p.call(client, p.addresses[0], fmt.Sprintf("q%d", i), "chat", 4*time.Second); status != http.StatusOK {
-				t.Errorf("client %d, who came while descriptors had run out, is answered %d", i, status)
+				t.Errorf("client %d, which connected without a free descriptor, got status %d", i, status)
 			}
 		})
 	}
 	all.Wait()
-	if err := <-raised; err != nil {
+	if err := <-restored; err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -15,17 +15,17 @@
 	"sandcourse/internal/router"
 )
 
-// clientSide is the listener and the pollers of clients' connections. Its callbacks run on the pollers.
+// clientSide has the listener and the pollers of the client connections. Its callbacks run on the pollers.
 type clientSide struct {
-	edge     *Edge
-	listener net.Listener
-	limit    *connectionLimit
-	pollers  *nbio.Engine
-	reuse    reuseGuard
-	lastID   atomic.Int64
+	edge             *Edge
+	listener         net.Listener
+	limit            *connectionLimit
+	pollers          *nbio.Engine
+	reuse            reuseGuard
+	lastConnectionID atomic.Int64
 }
 
-// listen binds the address of clients. Connections wait in the kernel's queue until start.
+// listen binds the address that clients connect to. Connections wait in the kernel's accept queue until start is called.
 func (s *clientSide) listen() error {
 	address := s.edge.deployment.ChatAddress
 	err := s.edge.retryStartup(func() (err error) {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// start accepts and serves clients.
+// start starts to accept and serve clients.
 func (s *clientSide) start() error {
 	s.pollers = nbio.NewEngine(nbio.Config{
 		Name:               "clients",
@@ -50,18 +50,18 @@
 			return limitedListener{s.listener, s.limit}, nil
 		},
 	})
-	s.pollers.OnOpen(s.opened)
-	s.pollers.OnClose(s.closed)
-	s.pollers.OnRead(s.readable)
-	s.pollers.OnWrittenSize(s.written)
+	s.pollers.OnOpen(s.onOpen)
+	s.pollers.OnClose(s.onClose)
+	s.pollers.OnRead(s.onRead)
+	s.pollers.OnWrittenSize(s.onWritten)
 	if err := s.pollers.Start(); err != nil {
-		return fmt.Errorf("start pollers of clients: %w", err)
+		return fmt.Errorf("start client pollers: %w", err)
 	}
 	return s.reuse.start(s.edge, s.pollers)
 }
 
-// stop ends the pollers once all connections are closed. The socket library closes those that it knows of as it begins to
-// stop, and then waits for their end; one that is accepted in that moment becomes known to it later.
+// stop closes all connections and stops the pollers. The socket library closes only the connections that are registered when
+// it begins to stop, and waits for all; one accepted at that moment is registered later, so stop closes repeatedly.
 func (s *clientSide) stop() {
 	stopped := make(chan struct{})
 	go func() {
@@ -78,23 +78,23 @@
 	}
 }
 
-func (s *clientSide) opened(conn *nbio.Conn) {
+func (s *clientSide) onOpen(conn *nbio.Conn) {
 	if _, ok := conn.Session().(*batchMarker); ok {
 		return
 	}
 	e := s.edge
-	e.reach(ClientAccepted)
-	s.reuse.waitForFreshBatch(conn)
-	bounds := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
-	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, bounds)}
-	c.state = &router.ClientConnection{ID: s.lastID.Add(1), Socket: c}
+	e.reachSyncPoint(ClientAccepted)
+	s.reuse.waitForNewBatch(conn)
+	limits := httpframing.Limits{HeadBytes: e.deployment.MaxHeadBytes, BodyBytes: e.deployment.MaxBodyBytes}
+	c := &clientConnection{edge: e, conn: conn, parser: httpframing.NewParser(httpframing.Requests, limits)}
+	c.state = &router.ClientConnection{ID: s.lastConnectionID.Add(1), Socket: c}
 	conn.SetSession(c)
 	s.limit.acquire(conn)
 	e.sessions.publish()
 	e.inbox.put(clientLane, 0, func() { e.router.ClientOpened(c.state) })
 }
 
-func (s *clientSide) closed(conn *nbio.Conn, _ error) {
+func (s *clientSide) onClose(conn *nbio.Conn, _ error) {
 	e := s.edge
 	e.sessions.acquire()
 	if c, ok := conn.Session().(*clientConnection); ok {
@@ -103,41 +103,41 @@
 	}
 }
 
-func (s *clientSide) written(conn *nbio.Conn, _ []byte, size int) {
+func (s *clientSide) onWritten(conn *nbio.Conn, _ []byte, size int) {
 	s.edge.sessions.acquire()
 	if c, ok := conn.Session().(*clientConnection); ok {
 		c.bytesFlushed.Add(int64(size))
 	}
 }
 
-func (s *clientSide) readable(conn *nbio.Conn) {
+func (s *clientSide) onRead(conn *nbio.Conn) {
 	s.edge.sessions.acquire()
 	switch session := conn.Session().(type) {
 	case *batchMarker:
 		session.onReadable()
 	case *clientConnection:
-		session.readable()
+		session.onReadable()
 	}
 }
 
 const (
 	readBufferSize = 16 << 10
-	// maxReadsPerWakeup bounds how long one connection keeps its poller from the others. It covers the longest request.
+	// maxReadsPerWakeup bounds how long one connection occupies its poller. It is enough for the longest request.
 	maxReadsPerWakeup = 20
 )
 
-// readBuffers are shared by the pollers: a connection needs one only while it is read.
+// readBuffers is shared by the pollers: a connection needs a buffer only while it is read.
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, readBufferSize); return &b }}
 
-// errPeerClosed says that the other side sends nothing more.
+// errPeerClosed means that the peer has closed its sending side of the connection.
 var errPeerClosed = errors.New("connection closed by peer")
 
-// readOnce reads what is there, which may be nothing.
+// readOnce reads available bytes without blocking; size is 0 if there are none.
 func readOnce(conn *nbio.Conn, buffer []byte) (size int, err error) {
 	size, err = conn.Read(buffer)
 	switch {
 	case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.EAGAIN):
-		return 0, nil // the poller reports again what is unread
+		return 0, nil // the poller reports unread bytes again
 	case err != nil:
 		return 0, err
 	case size == 0:
