--- a/cmd/sandcourse/commands_test.go
+++ b/cmd/sandcourse/commands_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Sub-commands that were renamed go on working under their old names, with their own sub-commands.
-func TestRenamedCommandsKeepTheirOldNames(t *testing.T) {
+// Renamed commands and their subcommands are still found under the old names.
+func TestRenamedCommandsAcceptOldNames(t *testing.T) {
 	for _, c := range []struct{ old, renamed, subcommand string }{
 		{"badday", "scenario", "import"},
 		{"prove", "modelcheck", "replay"},
@@ -13,7 +13,7 @@
 		for _, name := range []string{c.old, c.renamed} {
 			found, _, err := newCommand().Find([]string{name, c.subcommand})
 			if err != nil || found.Name() != c.subcommand || found.Parent().Name() != c.renamed {
-				t.Errorf("%s %s is %s (%v)", name, c.subcommand, found.CommandPath(), err)
+				t.Errorf("%s %s resolves to %s (%v)", name, c.subcommand, found.CommandPath(), err)
 			}
 		}
 	}
--- a/cmd/sandcourse/demo.go
+++ b/cmd/sandcourse/demo.go
@@ -16,12 +16,12 @@
 	"sandcourse/settings"
 )
 
-// demoOptions are the flags of demo.
+// demoOptions holds the flags of demo.
 type demoOptions struct {
 	address         string
 	prefill, decode int
-	withTilt        bool
-	tilt            tiltOptions
+	withLoadShift   bool
+	loadShift       loadShiftOptions
 }
 
 func demoCommand() *cobra.Command {
@@ -31,36 +31,37 @@
 		Short: "Run an edge and fake engines in one process",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.withTilt {
-				return runTilt(c, o.tilt, o.prefill+1, o.decode+1)
+			if o.withLoadShift {
+				return runLoadShift(c, o.loadShift, o.prefill+1, o.decode+1)
 			}
 			return runDemo(c, o)
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&o.address, "chat", "127.0.0.1:8080", "address to take chat requests on")
-	flags.IntVar(&o.prefill, "readers", 3, "fake prefill engines")
-	flags.IntVar(&o.decode, "writers", 3, "fake decode engines")
-	flags.BoolVar(&o.withTilt, "tilt", false, "load that shifts between prefill and decode, and a planner that follows (a minute)")
-	flags.BoolVar(&o.tilt.fixed, "fixed", false, "with --tilt: roles stay as they are")
-	flags.BoolVar(&o.tilt.kill, "kill", false, "with --tilt: the planner is killed every ten seconds or so")
-	flags.DurationVar(&o.tilt.phase, "phase", 20*time.Second, "with --tilt: the length of each of its three phases")
-	flags.Float64Var(&o.tilt.rate, "rate", 24, "with --tilt: requests a second")
-	flags.Uint64Var(&o.tilt.seed, "seed", 1, "with --tilt: seed of the traffic")
+	flags.StringVar(&o.address, "chat", "127.0.0.1:8080", "address that accepts chat requests")
+	flags.IntVar(&o.prefill, "readers", 3, "number of fake prefill engines")
+	flags.IntVar(&o.decode, "writers", 3, "number of fake decode engines")
+	flags.BoolVar(&o.withLoadShift, "tilt", false,
+		"run for a minute with load that shifts between prefill and decode and a planner that reassigns roles")
+	flags.BoolVar(&o.loadShift.fixed, "fixed", false, "with --tilt: the planner does not change roles")
+	flags.BoolVar(&o.loadShift.kill, "kill", false, "with --tilt: kill and restart the planner about every ten seconds")
+	flags.DurationVar(&o.loadShift.phase, "phase", 20*time.Second, "with --tilt: length of each of the three phases")
+	flags.Float64Var(&o.loadShift.rate, "rate", 24, "with --tilt: requests per second")
+	flags.Uint64Var(&o.loadShift.seed, "seed", 1, "with --tilt: random seed of the traffic")
 	return command
 }
 
-// demoText is printed once the edge serves.
+// demoText is printed once the edge accepts requests.
 const demoText = `
-%d readers and %d writers (stand-ins: the answers are made up) behind one edge. Try:
+One edge with %d fake prefill engines and %d fake decode engines; their responses are generated text. Try:
 
   curl -N http://%s/v1/chat/completions -H 'Content-Type: application/json' \
     -d '{"model":"fan-alert","stream":true,"messages":[{"role":"user","content":"Who scored?"}]}'
 
-Ctrl-C stops it. The roster is %s
+Press Ctrl-C to stop. The endpoint list file is %s
 `
 
-// runDemo serves until SIGTERM or SIGINT; a second one ends the process at once.
+// runDemo runs until SIGTERM or SIGINT and then drains the edge; a second signal ends the process at once.
 func runDemo(c *cobra.Command, o demoOptions) error {
 	folder, err := os.MkdirTemp("", "sandcourse-demo-")
 	if err != nil {
@@ -86,7 +87,7 @@
 		return err
 	}
 	fmt.Fprintf(c.OutOrStdout(), demoText, o.prefill, o.decode, e.Addr(), fleet.Path)
-	ctx, stop := untilStopped(context.Background())
+	ctx, stop := withStopSignals(context.Background())
 	<-ctx.Done()
 	stop()
 	return e.Drain(context.Background())
--- a/cmd/sandcourse/emulate.go
+++ b/cmd/sandcourse/emulate.go
@@ -21,21 +21,21 @@
 	command := &cobra.Command{
 		Use:     "emulate",
 		Aliases: []string{"lab"},
-		Short:   "Experiments in emulated time on the real decision code",
+		Short:   "Run experiments in simulated time with the production routing code",
 	}
 	var out string
 	compare := &cobra.Command{
 		Use:   "compare FILE",
-		Short: "Run an experiment's arms on paired seeds, and compare them",
+		Short: "Run all arms of an experiment on the same seeds and compare them",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(c *cobra.Command, args []string) error { return runCompare(args[0], out, c.OutOrStdout()) },
 	}
-	compare.Flags().StringVar(&out, "out", "", "folder for a table and a chart")
+	compare.Flags().StringVar(&out, "out", "", "folder to write the table and a chart to")
 	command.AddCommand(compare)
 	return command
 }
 
-// runCompare prints an experiment's table, and writes it with a chart to a folder if one is given.
+// runCompare prints the table of an experiment, and writes the table and a chart to a folder if one is given.
 func runCompare(file, folder string, out io.Writer) error {
 	text, err := script.ReadFile(file)
 	if err != nil {
@@ -45,8 +45,8 @@
 	if err != nil {
 		return err
 	}
-	arms := experiment.Compare(runArms(experiment))
-	table := formatArms(experiment, arms)
+	arms := experiment.Compare(runExperiment(experiment))
+	table := formatComparison(experiment, arms)
 	fmt.Fprint(out, table)
 	if folder == "" {
 		return nil
@@ -58,29 +58,30 @@
 	if err := os.WriteFile(filepath.Join(folder, name+".md"), []byte(table), 0o644); err != nil {
 		return err
 	}
-	return plotArms(filepath.Join(folder, name+".svg"), arms)
+	return plotComparison(filepath.Join(folder, name+".svg"), arms)
 }
 
-// runArms runs each arm on each seed, spread over the cores; a run is one goroutine's, and the same wherever it is.
-func runArms(experiment *emulator.Experiment) [][]emulator.Result {
+// runExperiment runs each arm on each seed, in parallel on all cores. A run uses one goroutine and is deterministic.
+func runExperiment(experiment *emulator.Experiment) [][]emulator.Result {
 	results := make([][]emulator.Result, len(experiment.Arms))
 	for i := range results {
 		results[i] = make([]emulator.Result, experiment.Seeds)
 	}
-	onAllCores(len(experiment.Arms)*experiment.Seeds, func(n int) {
+	runParallel(len(experiment.Arms)*experiment.Seeds, func(n int) {
 		arm, seed := n/experiment.Seeds, n%experiment.Seeds
-		day := experiment.Arms[arm].Scenario
-		day.Seed = uint64(seed + 1)
-		results[arm][seed] = emulator.Run(day)
+		scenario := experiment.Arms[arm].Scenario
+		scenario.Seed = uint64(seed + 1)
+		results[arm][seed] = emulator.Run(scenario)
 	})
 	return results
 }
 
-// formatArms is a table of the arms, the first of which is what the others are compared with.
-func formatArms(experiment *emulator.Experiment, arms []emulator.Comparison) string {
+// formatComparison returns a table that compares the arms with the first one.
+func formatComparison(experiment *emulator.Experiment, arms []emulator.Comparison) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference to the first arm with 95 of 100 by bootstrap.\n\n", experiment.Seeds)
-	b.WriteString("| arm | value in time | difference | worst 5 s | well again after | tries | refused | ran twice | pushed over |\n" +
+	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference from the first arm with its 95 percent bootstrap interval.\n\n",
+		experiment.Seeds)
+	b.WriteString("| arm | share of value in time | difference | worst 5 s | recovery time | attempts | rejected | ran twice | overloaded |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i, arm := range arms {
 		difference, recovery := fmt.Sprintf("%+.3f (%+.3f to %+.3f)", arm.Difference, arm.Low, arm.High), arm.RecoveryTime.String()
@@ -88,34 +89,34 @@
 			difference = "-"
 		}
 		if arm.RecoveryTime < 0 {
-			recovery = "not by the day's end"
+			recovery = "not recovered"
 		}
-		var attempts, rejected, twice, pushed int
+		var attempts, rejected, ranTwice, overloaded int
 		for _, r := range arm.Results {
 			attempts += r.Attempts
 			rejected += r.Rejected
-			twice += r.RanTwice
-			pushed += r.Overloaded
+			ranTwice += r.RanTwice
+			overloaded += r.Overloaded
 		}
-		n := len(arm.Results)
+		runs := len(arm.Results)
 		fmt.Fprintf(&b, "| %s | %.3f | %s | %.2f | %s | %d | %d | %d | %d |\n", arm.Name, arm.Share, difference,
-			arm.WorstWindow, recovery, attempts/n, rejected/n, twice, pushed)
+			arm.WorstWindow, recovery, attempts/runs, rejected/runs, ranTwice, overloaded)
 	}
 	return b.String()
 }
 
-// courseInterval is the seconds between two points of an arm's course.
-const courseInterval = 5
+// windowSeconds is the length of the windows of emulator.Comparison.ByWindow, in seconds.
+const windowSeconds = 5
 
-func plotArms(path string, arms []emulator.Comparison) error {
+func plotComparison(path string, arms []emulator.Comparison) error {
 	p := plot.New()
-	p.Title.Text = "value in time by when clients first asked (simulated)"
+	p.Title.Text = "share of value in time, by time of the first attempt (simulated)"
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "share", 0, 1.02
 	var lines []any
 	for _, arm := range arms {
 		var points plotter.XYs
 		for i, share := range arm.ByWindow {
-			points = append(points, plotter.XY{X: float64(i * courseInterval), Y: share})
+			points = append(points, plotter.XY{X: float64(i * windowSeconds), Y: share})
 		}
 		lines = append(lines, arm.Name, points)
 	}
--- a/cmd/sandcourse/fake_engine.go
+++ b/cmd/sandcourse/fake_engine.go
@@ -20,7 +20,7 @@
 	}
 	command.Flags().StringVar(&config.Addr, "at", "127.0.0.1:0", "address to listen on")
 	command.Flags().StringVar(&config.Role, "role", planapi.Prefill, "read (prefill) or write (decode)")
-	command.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of its responses")
+	command.Flags().Uint64Var(&config.Seed, "seed", 1, "random seed of the responses")
 	return command
 }
 
@@ -33,17 +33,17 @@
 		return err
 	}
 	fmt.Fprintln(c.OutOrStdout(), "stand-in", config.Role, "at", e.Addr())
-	ctx, stop := untilStopped(context.Background())
+	ctx, stop := withStopSignals(context.Background())
 	defer stop()
 	<-ctx.Done()
 	e.Stop()
 	return nil
 }
 
-// decodeSeed is shared by fake decode engines, so that a retry elsewhere gets the same response.
+// decodeSeed is shared by all fake decode engines, so that a retry on another engine gets the same response.
 const decodeSeed = 7
 
-// fakeEngines configures so many fake engines of each role.
+// fakeEngines returns the configurations of the given numbers of fake prefill and decode engines.
 func fakeEngines(prefill, decode int) (configs []engine.Config) {
 	for i := range prefill {
 		configs = append(configs, engine.Config{Name: fmt.Sprint("reader", i), Role: planapi.Prefill, Seed: uint64(i)})
--- a/cmd/sandcourse/golden_test.go
+++ b/cmd/sandcourse/golden_test.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/golden"
 )
 
-// What operators' commands ask of a planner, to the byte, and what they print of its answers.
+// The roles commands send the planner exactly the requests in the golden file, and print its responses as recorded there.
 func TestGoldenRolesCommands(t *testing.T) {
 	shown, err := os.ReadFile(filepath.Join("testdata", "shown.json"))
 	if err != nil {
@@ -39,7 +39,7 @@
 		case strings.Contains(string(body), "10.0.0.9"):
 			http.Error(w, "10.0.0.9:8000: no such engine is known", http.StatusConflict)
 		default:
-			io.WriteString(w, "it is done\n")
+			io.WriteString(w, "order accepted\n")
 		}
 	}))
 	defer planner.Close()
@@ -64,8 +64,8 @@
 	golden.Check(t, "roles.golden", b.String())
 }
 
-// A script's faults are printed as they are, and the exit status is 2; 0 where there is none, and 1 for other errors.
-func TestGoldenCheckExits(t *testing.T) {
+// The exit status is 0 for a valid script, 2 for one with faults, which are printed without a prefix, and 1 for other errors.
+func TestGoldenCheckExitStatus(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "sandcourse")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
--- a/cmd/sandcourse/load.go
+++ b/cmd/sandcourse/load.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/loadgen"
 )
 
-// maxResponseTokens bounds the responses that load asks for.
+// maxResponseTokens is the token limit of the responses that load requests.
 const maxResponseTokens = 64
 
 func loadCommand() *cobra.Command {
@@ -22,7 +22,7 @@
 		Short: "Send requests to edges and report the outcomes",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, stop := untilStopped(context.Background())
+			ctx, stop := withStopSignals(context.Background())
 			defer stop()
 			traffic.Log = &audit.Log{}
 			traffic.Edges = func() []string { return edges }
@@ -35,15 +35,15 @@
 	flags := command.Flags()
 	flags.StringSliceVar(&edges, "edge", []string{"127.0.0.1:8080"}, "edges to send to")
 	flags.StringVar(&route.Name, "model", "clip-summary", "model route")
-	flags.Float64Var(&traffic.Rate, "rate", 20, "requests a second, not counting retries")
-	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long")
-	flags.Uint64Var(&traffic.Seed, "seed", 1, "seed of arrivals and texts")
-	flags.IntVar(&traffic.Prefixes, "beginnings", 6, "shared prefixes")
-	flags.IntVar(&traffic.PrefixWords, "words", 200, "words of a shared prefix")
-	flags.IntVar(&traffic.Turns, "turns", 3, "turns of a session")
-	flags.IntVar(&traffic.Retries, "retries", 1, "retries of a client")
-	flags.BoolVar(&route.Retriable, "retriable", true, "whether clients retry what failed")
-	flags.DurationVar(&route.FirstTokenTarget, "target", time.Second, "latency objective of the first token")
-	flags.DurationVar(&route.Timeout, "give-up", 4*time.Second, "a client's deadline")
+	flags.Float64Var(&traffic.Rate, "rate", 20, "requests per second, not counting retries")
+	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long requests are sent")
+	flags.Uint64Var(&traffic.Seed, "seed", 1, "random seed of arrival times and prompts")
+	flags.IntVar(&traffic.Prefixes, "beginnings", 6, "number of shared prompt prefixes")
+	flags.IntVar(&traffic.PrefixWords, "words", 200, "words per shared prefix")
+	flags.IntVar(&traffic.Turns, "turns", 3, "turns per session")
+	flags.IntVar(&traffic.Retries, "retries", 1, "maximum retries per request")
+	flags.BoolVar(&route.Retriable, "retriable", true, "whether clients retry failed requests")
+	flags.DurationVar(&route.FirstTokenTarget, "target", time.Second, "objective of the time to first token")
+	flags.DurationVar(&route.Timeout, "give-up", 4*time.Second, "deadline at which a client gives up")
 	return command
 }
--- a/cmd/sandcourse/main.go
+++ b/cmd/sandcourse/main.go
@@ -1,5 +1,5 @@
-// Command sandcourse is the operators' command line: it checks settings, reads and orders engines' roles, and runs the
-// tests that need a fleet, real, emulated or modelled.
+// Command sandcourse is the command-line tool for operators: it checks settings scripts, shows and changes the roles of
+// engines, and runs tests on fake, emulated and modelled fleets.
 package main
 
 import (
@@ -15,16 +15,16 @@
 	"sandcourse/internal/config/script"
 )
 
-// version of this program; the changelog says what each brought.
+// version is the version of this program; the changelog lists the changes of each version.
 const version = "0.2.0-dev"
 
 // Exit statuses.
 const (
-	exitFailed  exitStatus = 1 // an error, or a test that found faults
-	exitRefused exitStatus = 2 // a settings script has faults
+	exitFailed          exitStatus = 1 // an error, or a test that found violations
+	exitInvalidSettings exitStatus = 2 // a settings script has faults
 )
 
-// exitStatus is an error that chooses the program's exit status; what led to it has been printed already.
+// exitStatus is an error that sets the exit status of the program; its cause has been printed already.
 type exitStatus int
 
 func (e exitStatus) Error() string { return fmt.Sprintf("exit %d", int(e)) }
@@ -48,7 +48,7 @@
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "sandcourse", version) }}
 }
 
-// run executes the command, prints its error and returns the program's exit status.
+// run executes the command, prints its error and returns the exit status of the program.
 func run(command *cobra.Command) exitStatus {
 	err := command.Execute()
 	var status exitStatus
@@ -60,13 +60,13 @@
 		return status
 	case errors.As(err, &faults):
 		fmt.Fprintln(os.Stderr, err)
-		return exitRefused
+		return exitInvalidSettings
 	}
 	fmt.Fprintln(os.Stderr, "sandcourse:", err)
 	return exitFailed
 }
 
-// untilStopped is a context that ends with SIGTERM or SIGINT; after stop they end the process again.
-func untilStopped(parent context.Context) (ctx context.Context, stop context.CancelFunc) {
+// withStopSignals returns a context that SIGTERM and SIGINT cancel; after a call of stop, they end the process again.
+func withStopSignals(parent context.Context) (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(parent, syscall.SIGTERM, os.Interrupt)
 }
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -15,10 +15,10 @@
 	"sandcourse/internal/modelcheck"
 )
 
-// modelcheckOptions are the flags of modelcheck.
+// modelcheckOptions holds the flags of modelcheck.
 type modelcheckOptions struct {
 	workers, states, walks int
-	length                 time.Duration
+	timeLimit              time.Duration
 	seed                   uint64
 	snapshots, out         string
 	asJSON                 bool
@@ -29,26 +29,26 @@
 	command := &cobra.Command{
 		Use:     "modelcheck [WORLD ...]",
 		Aliases: []string{"prove"},
-		Short:   "Explore the attempt state machine for a violated property",
-		Long: "Without a world, all small ones are explored completely and the large ones by random walks. " +
-			"`modelcheck list` names them.",
+		Short:   "Check the properties of routing and of role changes in explored worlds",
+		Long: "A world is a small system to explore: requests, engines and faults. Without arguments, the small worlds are explored " +
+			"completely and the large ones by random walks. `modelcheck list` prints the names.",
 		RunE: func(c *cobra.Command, args []string) error { return runModelcheck(c, o, args) },
 	}
 	flags := command.Flags()
-	flags.IntVar(&o.workers, "workers", runtime.NumCPU(), "states expanded at once; the verdict does not depend on it")
-	flags.IntVar(&o.states, "states", 2_000_000, "states of one world at most: about 200 bytes each")
-	flags.DurationVar(&o.length, "for", 10*time.Minute, "how long at most")
-	flags.IntVar(&o.walks, "walks", 2000, "random walks through each large world")
-	flags.Uint64Var(&o.seed, "seed", 1, "seed of the walks")
-	flags.StringVar(&o.snapshots, "snapshots", "", "folder of snapshots of unfinished explorations, to resume from")
+	flags.IntVar(&o.workers, "workers", runtime.NumCPU(), "states expanded in parallel; the verdict does not depend on it")
+	flags.IntVar(&o.states, "states", 2_000_000, "maximum number of states per world, of about 200 bytes each")
+	flags.DurationVar(&o.timeLimit, "for", 10*time.Minute, "time limit for all worlds together")
+	flags.IntVar(&o.walks, "walks", 2000, "number of random walks per large world")
+	flags.Uint64Var(&o.seed, "seed", 1, "random seed of the walks")
+	flags.StringVar(&o.snapshots, "snapshots", "", "folder to save unfinished explorations in and to resume them from")
 	flags.StringVar(&o.out, "out", "", "folder to write counterexamples to")
-	flags.BoolVar(&o.asJSON, "json", false, "print JSON")
-	command.AddCommand(replayCommand(), worldsCommand())
+	flags.BoolVar(&o.asJSON, "json", false, "print the results as JSON")
+	command.AddCommand(replayCommand(), listWorldsCommand())
 	return command
 }
 
-func worldsCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Name worlds and properties", Args: cobra.NoArgs,
+func listWorldsCommand() *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List worlds and properties", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			for _, w := range allWorlds() {
 				fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", w.Name, w.About)
@@ -63,14 +63,14 @@
 	return slices.Concat(modelcheck.Worlds, modelcheck.LargeWorlds, modelcheck.CrowdWorlds)
 }
 
-// unknownWorldError is a name that no world has.
+// unknownWorldError is the name of a world that does not exist.
 type unknownWorldError string
 
 func (e unknownWorldError) Error() string {
-	return fmt.Sprintf("there is no world %q; see sandcourse modelcheck list", string(e))
+	return fmt.Sprintf("unknown world %q; sandcourse modelcheck list prints the names", string(e))
 }
 
-// selectWorlds finds worlds by their names; without names it is all of them.
+// selectWorlds returns the worlds with the given names, or all worlds if no name is given.
 func selectWorlds(names []string) (worlds []modelcheck.World, err error) {
 	if len(names) == 0 {
 		return allWorlds(), nil
@@ -85,11 +85,11 @@
 	return worlds, nil
 }
 
-// exploration is what modelcheck found in all worlds.
+// exploration holds the results of all worlds.
 type exploration struct {
 	worlds   []modelcheck.World
 	results  []modelcheck.Result
-	cover    modelcheck.Coverage
+	coverage modelcheck.Coverage
 	violated bool
 }
 
@@ -98,67 +98,68 @@
 	if err != nil {
 		return err
 	}
-	found, err := exploreWorlds(worlds, o, c.OutOrStdout(), c.ErrOrStderr())
+	explored, err := exploreWorlds(worlds, o, c.OutOrStdout(), c.ErrOrStderr())
 	if err != nil {
 		return err
 	}
 	if o.asJSON {
-		return found.printJSON(c.OutOrStdout())
+		return explored.printJSON(c.OutOrStdout())
 	}
-	found.printTable(c.OutOrStdout())
-	found.printCover(c.OutOrStdout())
-	if found.violated {
+	explored.printTable(c.OutOrStdout())
+	explored.printCoverage(c.OutOrStdout())
+	if explored.violated {
 		return exitFailed
 	}
 	return nil
 }
 
-// exploreWorlds explores one world after the other, within the options' time for all. It prints counterexamples as they
-// are found.
+// exploreWorlds explores one world after the other, within one time limit for all of them. It prints counterexamples as
+// they are found.
 func exploreWorlds(worlds []modelcheck.World, o modelcheckOptions, out, progress io.Writer) (*exploration, error) {
-	deadline := time.Now().Add(o.length)
-	bounds := modelcheck.Limits{Workers: o.workers, MaxStates: o.states,
+	deadline := time.Now().Add(o.timeLimit)
+	limits := modelcheck.Limits{Workers: o.workers, MaxStates: o.states,
 		Stop: func() bool { return time.Now().After(deadline) }}
-	found := &exploration{worlds: worlds}
+	explored := &exploration{worlds: worlds}
 	for _, w := range worlds {
 		startedAt := time.Now()
-		r, err := exploreWorld(w, bounds, o, progress)
+		r, err := exploreWorld(w, limits, o, progress)
 		if err != nil {
 			return nil, err
 		}
-		fmt.Fprintf(progress, "%s: %.1f s, %.0f states a second\n", w.Name, time.Since(startedAt).Seconds(),
+		fmt.Fprintf(progress, "%s: %.1f s, %.0f states per second\n", w.Name, time.Since(startedAt).Seconds(),
 			float64(r.States)/time.Since(startedAt).Seconds())
-		found.cover.Add(r.Coverage)
-		found.results = append(found.results, r)
+		explored.coverage.Add(r.Coverage)
+		explored.results = append(explored.results, r)
 		if len(r.Violations) == 0 {
 			continue
 		}
-		found.violated = true
+		explored.violated = true
 		if err := saveCounterexample(o.out, r, out); err != nil {
 			return nil, err
 		}
 	}
-	return found, nil
+	return explored, nil
 }
 
-// exploreWorld explores a small world, resuming from its snapshot if there is one, and walks through a large one.
-func exploreWorld(w modelcheck.World, bounds modelcheck.Limits, o modelcheckOptions, progress io.Writer) (modelcheck.Result, error) {
+// exploreWorld explores a small world, from its snapshot if there is one, runs random walks through a large world, and
+// simulates a crowd.
+func exploreWorld(w modelcheck.World, limits modelcheck.Limits, o modelcheckOptions, progress io.Writer) (modelcheck.Result, error) {
 	if w.Crowd {
-		return modelcheck.SimulateCrowd(w, o.seed, bounds.Stop), nil
+		return modelcheck.SimulateCrowd(w, o.seed, limits.Stop), nil
 	}
 	for _, large := range modelcheck.LargeWorlds {
 		if large.Name == w.Name {
-			return modelcheck.RandomWalks(w, o.seed, o.walks, bounds.Workers, bounds.Stop), nil
+			return modelcheck.RandomWalks(w, o.seed, o.walks, limits.Workers, limits.Stop), nil
 		}
 	}
 	snapshot, err := loadSnapshot(o.snapshots, w)
 	if err != nil {
 		return modelcheck.Result{}, err
 	}
-	startedAt, before := time.Now(), snapshot.Result.States
-	r := snapshot.Explore(bounds, func(r modelcheck.Result, frontier int) {
-		rate := float64(r.States-before) / time.Since(startedAt).Seconds()
-		fmt.Fprintf(progress, "%s: depth %d, %d states, %d to open next, about %.0f s for them\n", w.Name, r.Depth, r.States,
+	startedAt, statesBefore := time.Now(), snapshot.Result.States
+	r := snapshot.Explore(limits, func(r modelcheck.Result, frontier int) {
+		rate := float64(r.States-statesBefore) / time.Since(startedAt).Seconds()
+		fmt.Fprintf(progress, "%s: depth %d, %d states; next depth: %d states, about %.0f s\n", w.Name, r.Depth, r.States,
 			frontier, float64(frontier)/max(rate, 1))
 	})
 	if r.Complete || r.Path != nil {
@@ -168,12 +169,12 @@
 	return r, saveSnapshot(o.snapshots, w, snapshot)
 }
 
-// printJSON prints what was found for a program to read.
+// printJSON prints the results as JSON.
 func (e *exploration) printJSON(out io.Writer) error {
 	return json.NewEncoder(out).Encode(struct {
 		Results    []modelcheck.Result `json:"results"`
 		NeverTaken []string            `json:"rows never taken"`
-	}{e.results, e.cover.Unfired()})
+	}{e.results, e.coverage.Unfired()})
 }
 
 // printTable prints a line for each world.
@@ -192,20 +193,20 @@
 	case len(r.Violations) > 0:
 		return "BROKEN " + strings.Join(r.Violations, "; ")
 	case r.World.Crowd && r.Complete:
-		return fmt.Sprintf("walked: holds, a cold engine had %d sends in a window at most", r.MaxColdAttempts)
+		return fmt.Sprintf("simulated: all properties hold, at most %d attempts at a warming engine in one window", r.MaxColdAttempts)
 	case !r.Complete:
-		return "in part: no break found"
+		return "partial: no violation found"
 	}
-	return "whole: all properties hold"
+	return "complete: all properties hold"
 }
 
 // printCover prints how many transitions of the state machines fired, and names those that did not.
-func (e *exploration) printCover(out io.Writer) {
-	taken, of := e.cover.Fired()
-	fmt.Fprintf(out, "rows of the tables taken: %d of %d\n", taken, of)
-	for _, name := range e.cover.Unfired() {
-		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // those that the world could take
-			fmt.Fprintln(out, "  never taken:", name)
+func (e *exploration) printCoverage(out io.Writer) {
+	fired, total := e.coverage.Fired()
+	fmt.Fprintf(out, "transitions fired: %d of %d\n", fired, total)
+	for _, name := range e.coverage.Unfired() {
+		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // skips those that cannot fire in it
+			fmt.Fprintln(out, "  never fired:", name)
 		}
 	}
 }
--- a/cmd/sandcourse/modelcheck_files.go
+++ b/cmd/sandcourse/modelcheck_files.go
@@ -15,40 +15,40 @@
 	"sandcourse/internal/replay"
 )
 
-// counterexample is one as a file keeps it: enough to replay it.
+// counterexample is the file format of a counterexample, with all that is needed to replay it.
 type counterexample struct {
-	World  modelcheck.World `json:"world"`
-	Path   modelcheck.Path  `json:"path"`
-	Broken []string         `json:"broken"`
-	Story  []string         `json:"story"`
+	World      modelcheck.World `json:"world"`
+	Path       modelcheck.Path  `json:"path"`
+	Violations []string         `json:"broken"`
+	Steps      []string         `json:"story"`
 }
 
 // saveCounterexample prints the path to a violated property, and writes it to a folder if one is given.
 func saveCounterexample(folder string, r modelcheck.Result, out io.Writer) error {
-	lines, broken := modelcheck.Describe(r.World, r.Path)
-	if r.World.Crowd { // a walk of its own: its seed replays it
-		lines, broken = nil, r.Violations
+	steps, violations := modelcheck.Describe(r.World, r.Path)
+	if r.World.Crowd { // a crowd has no path: the seed reproduces the simulation
+		steps, violations = nil, r.Violations
 	}
-	fmt.Fprintln(out, strings.Join(lines, "\n"))
+	fmt.Fprintln(out, strings.Join(steps, "\n"))
 	if folder == "" {
 		return nil
 	}
-	text, err := json.MarshalIndent(counterexample{r.World, r.Path, broken, lines}, "", " ")
+	text, err := json.MarshalIndent(counterexample{r.World, r.Path, violations, steps}, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(folder, r.World.Name+".json"), append(text, '\n'), 0o644)
 }
 
-func readCounterexample(file string) (f counterexample, err error) {
+func readCounterexample(file string) (example counterexample, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return f, err
+		return example, err
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return f, fmt.Errorf("%s is no counterexample: %w", file, err)
+	if err := json.Unmarshal(text, &example); err != nil {
+		return example, fmt.Errorf("%s is not a counterexample file: %w", file, err)
 	}
-	return f, nil
+	return example, nil
 }
 
 func replayCommand() *cobra.Command {
@@ -65,35 +65,36 @@
 			return runReplay(example, sockets, c.OutOrStdout())
 		},
 	}
-	command.Flags().BoolVar(&sockets, "sockets", false, "also through a real edge and scripted engines on loopback")
+	command.Flags().BoolVar(&sockets, "sockets", false, "also replay through a real edge and scripted engines on loopback")
 	return command
 }
 
 func runReplay(example counterexample, sockets bool, out io.Writer) error {
-	lines, broken := modelcheck.Describe(example.World, example.Path)
-	fmt.Fprintln(out, strings.Join(lines, "\n"))
+	steps, violations := modelcheck.Describe(example.World, example.Path)
+	fmt.Fprintln(out, strings.Join(steps, "\n"))
 	if sockets {
 		got, want, err := replay.Play(example.World, example.Path)
 		if err != nil {
-			return fmt.Errorf("on sockets: %w", err)
+			return fmt.Errorf("replay on sockets: %w", err)
 		}
 		for i, call := range got {
-			fmt.Fprintf(out, "on sockets client %d has %s, %d final answers; the explorer's had %q\n", i, call.Outcome, call.OutcomeCount, want[i])
+			fmt.Fprintf(out, "replay on sockets: client %d: %s, %d final answers; the model checker has %q\n",
+				i, call.Outcome, call.OutcomeCount, want[i])
 		}
 	}
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		return exitFailed
 	}
-	fmt.Fprintln(out, "nothing breaks on this text")
+	fmt.Fprintln(out, "no property is violated by this version of the code")
 	return nil
 }
 
-// snapshotPath is where an unfinished exploration of a world is kept.
+// snapshotPath returns the path of the snapshot of an unfinished exploration.
 func snapshotPath(folder string, w modelcheck.World) string {
 	return filepath.Join(folder, w.Name+".prove")
 }
 
-// loadSnapshot is the unfinished exploration of a world, or a new one where none is kept.
+// loadSnapshot returns the unfinished exploration of a world, or a new one if none was saved.
 func loadSnapshot(folder string, w modelcheck.World) (*modelcheck.Snapshot, error) {
 	if folder == "" {
 		return modelcheck.NewSnapshot(w), nil
@@ -114,7 +115,7 @@
 	return snapshot, nil
 }
 
-// saveSnapshot keeps an unfinished exploration, in place of an older one.
+// saveSnapshot saves an unfinished exploration and replaces an older snapshot of the same world.
 func saveSnapshot(folder string, w modelcheck.World, snapshot *modelcheck.Snapshot) error {
 	if folder == "" {
 		return nil
@@ -130,7 +131,7 @@
 	return os.Rename(f.Name(), snapshotPath(folder, w))
 }
 
-// removeSnapshot drops what was kept of an exploration that has ended.
+// removeSnapshot removes the snapshot of an exploration that has ended.
 func removeSnapshot(folder string, w modelcheck.World) {
 	if folder != "" {
 		os.Remove(snapshotPath(folder, w))
--- a/cmd/sandcourse/planner_client.go
+++ b/cmd/sandcourse/planner_client.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	plannerTimeout = 10 * time.Second
-	maxStatusBytes = 64 << 20 // far over what a fleet of thousands needs
-	maxAnswerBytes = 1 << 16  // to an order
+	plannerTimeout        = 10 * time.Second
+	maxStatusBytes        = 64 << 20 // far more than the status of thousands of engines
+	maxOrderResponseBytes = 1 << 16  // the planner's response to an order
 )
 
-// orderRefusedError is an order that the planner refused, with its reason.
+// orderRefusedError is the reason for which the planner refused an order.
 type orderRefusedError string
 
 func (e orderRefusedError) Error() string { return "refused: " + string(e) }
 
-// plannerClient asks a planner for roles, and gives it orders.
+// plannerClient requests the roles of engines from a planner and sends it orders.
 type plannerClient struct {
 	address string
 	http    http.Client
@@ -34,32 +34,32 @@
 	return &plannerClient{http: http.Client{Timeout: plannerTimeout}}
 }
 
-// status is what the planner knows of all engines, and its last decision.
+// status returns the planner's records of all engines and its last decision.
 func (p *plannerClient) status() (status planner.Status, err error) {
-	answer, err := p.http.Get("http://" + p.address + planapi.RolesPath)
+	response, err := p.http.Get("http://" + p.address + planapi.RolesPath)
 	if err != nil {
 		return status, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return status, fmt.Errorf("planner %s answers %s", p.address, answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return status, fmt.Errorf("planner %s responded with status %s", p.address, response.Status)
 	}
-	return status, json.NewDecoder(io.LimitReader(answer.Body, maxStatusBytes)).Decode(&status)
+	return status, json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 }
 
-// order gives an order, and returns the planner's answer.
+// order sends an order and returns the planner's response.
 func (p *plannerClient) order(order planapi.Order) (string, error) {
 	data, err := json.Marshal(order)
 	if err != nil {
 		return "", err
 	}
-	answer, err := p.http.Post("http://"+p.address+planapi.OrderPath, "application/json", bytes.NewReader(data))
+	response, err := p.http.Post("http://"+p.address+planapi.OrderPath, "application/json", bytes.NewReader(data))
 	if err != nil {
 		return "", err
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	if answer.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxOrderResponseBytes))
+	if response.StatusCode != http.StatusOK {
 		return "", orderRefusedError(strings.TrimSpace(string(text)))
 	}
 	return string(text), nil
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -12,13 +12,13 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// errUnknownEngine says that the planner knows no engine of a given address.
-var errUnknownEngine = errors.New("no such engine is known")
+// errUnknownEngine is returned for an address that is not in the planner's status.
+var errUnknownEngine = errors.New("engine is not known to the planner")
 
 func rolesCommand() *cobra.Command {
 	client := newPlannerClient()
-	command := &cobra.Command{Use: "roles", Short: "Inspect engines' roles, and order changes"}
-	command.PersistentFlags().StringVar(&client.address, "planner", "127.0.0.1:9090", "the planner's address")
+	command := &cobra.Command{Use: "roles", Short: "Show the roles of engines and order changes"}
+	command.PersistentFlags().StringVar(&client.address, "planner", "127.0.0.1:9090", "address of the planner")
 	command.AddCommand(showRolesCommand(client), explainRolesCommand(client), sweepCommand())
 	for _, o := range roleOrders {
 		command.AddCommand(orderCommand(client, o))
@@ -30,7 +30,7 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "show",
-		Short: "List engines with role, epoch and state",
+		Short: "List the engines with role, epoch and state",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := client.status()
@@ -44,14 +44,14 @@
 			return nil
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the status as JSON")
 	return command
 }
 
 func explainRolesCommand(client *plannerClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain [ENGINE]",
-		Short: "Explain the last decision, or an engine's role and state",
+		Short: "Explain the planner's last decision, or the role and state of one engine",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			status, err := client.status()
@@ -62,12 +62,12 @@
 				explainDecision(c.OutOrStdout(), status.Decision)
 				return nil
 			}
-			return explainEngineNamed(c, status, args[0])
+			return explainEngineByAddress(c, status, args[0])
 		},
 	}
 }
 
-func explainEngineNamed(c *cobra.Command, status planner.Status, engine string) error {
+func explainEngineByAddress(c *cobra.Command, status planner.Status, engine string) error {
 	for _, e := range status.Engines {
 		if e.Engine == engine {
 			explainEngine(c.OutOrStdout(), e)
@@ -77,30 +77,30 @@
 	return fmt.Errorf("%s: %w", engine, errUnknownEngine)
 }
 
-// roleOrder is one of the orders of planapi.Ops as a command.
+// roleOrder is the command for one of planapi.Operations.
 type roleOrder struct {
-	op, about  string
-	needEngine bool
+	op, summary string
+	needsEngine bool
 }
 
 var roleOrders = []roleOrder{
 	{"pin", "Keep an engine in its role", true},
-	{"unpin", "Let it change again", true},
-	{"move", "Change an engine's role now, as far as floors and budgets allow", true},
-	{"readmit", "Ask an engine that was ejected to come back", true},
-	{"stop", "Begin no change; what is draining returns to its role", false},
-	{"go", "Let changes go on", false},
+	{"unpin", "Let a pinned engine change its role again", true},
+	{"move", "Change an engine's role now, within the limits on role changes", true},
+	{"readmit", "Return a quarantined engine to service", true},
+	{"stop", "Stop starting role changes; draining engines return to their role", false},
+	{"go", "Let the planner start role changes again", false},
 }
 
 func orderCommand(client *plannerClient, o roleOrder) *cobra.Command {
 	order := planapi.Order{Operation: o.op}
 	use, args := o.op+" --why TEXT", cobra.NoArgs
-	if o.needEngine {
+	if o.needsEngine {
 		use, args = o.op+" ENGINE --why TEXT", cobra.ExactArgs(1)
 	}
 	command := &cobra.Command{
 		Use:   use,
-		Short: o.about,
+		Short: o.summary,
 		Args:  args,
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) > 0 {
@@ -111,17 +111,17 @@
 				return err
 			}
 			if order.DryRun {
-				fmt.Fprint(c.OutOrStdout(), "nothing is changed; it would be: ")
+				fmt.Fprint(c.OutOrStdout(), "dry run, nothing was changed; the order would have this result: ")
 			}
 			fmt.Fprint(c.OutOrStdout(), answer)
 			return nil
 		},
 	}
-	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "who orders it")
-	command.Flags().StringVar(&order.Reason, "why", "", "the reason, for whoever reads it later")
-	command.Flags().BoolVar(&order.DryRun, "dry-run", false, "only print what would be done, or why not")
+	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "operator who gives the order")
+	command.Flags().StringVar(&order.Reason, "why", "", "reason for the order, which is recorded with it")
+	command.Flags().BoolVar(&order.DryRun, "dry-run", false, "only print what the order would do, or why it is refused")
 	if err := command.MarkFlagRequired("why"); err != nil {
-		panic(err) // no such flag
+		panic(err) // the flag is not defined above
 	}
 	return command
 }
--- a/cmd/sandcourse/roles_print.go
+++ b/cmd/sandcourse/roles_print.go
@@ -15,32 +15,32 @@
 func printRoles(out io.Writer, status planner.Status) {
 	note := ""
 	if status.Deposed {
-		note = "; DEPOSED by a later planner"
+		note = "; DEPOSED by a planner of a later term"
 	}
 	if status.SaveFailing {
-		note += "; STUCK: its store cannot be written"
+		note += "; STUCK: the planner cannot write its store"
 	}
-	fmt.Fprintf(out, "plan %d of term %d, %d edges follow%s\n", status.Number, status.Term, status.FollowingEdges, note)
+	fmt.Fprintf(out, "plan %d of term %d, followed by %d edges%s\n", status.Number, status.Term, status.FollowingEdges, note)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "engine\trole\tepoch\tstate\tnext\topen\theld\theard\tnote")
+	fmt.Fprintln(table, "engine\trole\tepoch\tstate\tnext role\topen requests\treservations\tlast report\tnote")
 	for _, e := range status.Engines {
 		if e.Listed {
 			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\n", e.Engine, e.Role, e.Epoch, e.State, e.NextRole,
-				e.Report.OpenRequests, e.Report.Reservations, sinceReport(e), engineNote(e))
+				e.Report.OpenRequests, e.Report.Reservations, reportAge(e), engineNote(e))
 		}
 	}
 	table.Flush()
 }
 
-// sinceReport is how long ago an engine reported its role.
-func sinceReport(e assignment.EngineView) string {
+// reportAge returns how long ago an engine last reported its role.
+func reportAge(e assignment.EngineView) string {
 	if e.ReportedMsAgo < 0 {
 		return "never"
 	}
 	return (time.Duration(e.ReportedMsAgo) * time.Millisecond).String()
 }
 
-// engineNote is why an engine is pinned, or out of the plan.
+// engineNote returns the reason for which an engine is pinned or quarantined.
 func engineNote(e assignment.EngineView) string {
 	switch {
 	case e.Pinned:
@@ -51,41 +51,44 @@
 	return ""
 }
 
-// explainDecision prints what the planner weighed last.
+// explainDecision prints the last decision of the planner with the figures that led to it.
 func explainDecision(out io.Writer, d assignment.Decision) {
-	fmt.Fprintf(out, "edges heard: %d of %d; engines changing: %d; stopped: %v\n", d.EdgesReporting, d.EdgesKnown, d.Changing, d.Stopped)
+	fmt.Fprintf(out, "edges reporting: %d of %d; engines changing role: %d; role changes stopped: %v\n",
+		d.EdgesReporting, d.EdgesKnown, d.Changing, d.Stopped)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "role\tengines kept busy\tserving\ton their way\ttokens/s of one")
+	fmt.Fprintln(table, "role\tengines required\tserving\tchanging to it\ttokens/s per engine")
 	for _, role := range []string{planapi.Prefill, planapi.Decode} {
-		fmt.Fprintf(table, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role, d.RequiredEngines[role], d.ServingEngines[role], d.IncomingEngines[role], d.Throughput[role])
+		fmt.Fprintf(table, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role,
+			d.RequiredEngines[role], d.ServingEngines[role], d.IncomingEngines[role], d.Throughput[role])
 	}
-	fmt.Fprintln(table, "route\tarrivals/s\tread tokens\twritten tokens\tvalue")
-	for _, f := range d.Mix {
-		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.2f\n", f.Route, f.Rate, f.PrefillTokens, f.DecodeTokens, f.Value)
+	fmt.Fprintln(table, "route\trequests/s\tprefill tokens\tdecode tokens\tvalue")
+	for _, flow := range d.Mix {
+		fmt.Fprintf(table, "%s\t%.2f\t%.0f\t%.0f\t%.2f\n", flow.Route, flow.Rate, flow.PrefillTokens, flow.DecodeTokens, flow.Value)
 	}
 	table.Flush()
-	for _, x := range d.Evaluations {
-		engine := x.Engine
+	for _, evaluation := range d.Evaluations {
+		engine := evaluation.Engine
 		if engine == "" {
 			engine = "no engine"
 		}
-		fmt.Fprintf(out, "to %s, %s: gains %.2f of value a second, for %.0f s already and perhaps %.0f more; %.2f when the load turns, "+
-			"%.2f on average; costs %.2f: %s\n", x.ToRole, engine, x.Gain, x.GainingSeconds, x.RemainingSeconds, x.ReversalLoss, x.MeanGain, x.Cost, x.Reason)
+		fmt.Fprintf(out, "to %s, %s: gains %.2f value/s, for %.0f s so far and %.0f s more as expected; %.2f if the load shifts back, "+
+			"%.2f on average; costs %.2f of value: %s\n", evaluation.ToRole, engine, evaluation.Gain, evaluation.GainingSeconds,
+			evaluation.RemainingSeconds, evaluation.ReversalLoss, evaluation.MeanGain, evaluation.Cost, evaluation.Reason)
 	}
 }
 
-// explainEngine prints an engine's role and state, and why they are so.
+// explainEngine prints the role and state of an engine, with their reasons.
 func explainEngine(out io.Writer, e assignment.EngineView) {
-	fmt.Fprintf(out, "%s: %s of epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State,
+	fmt.Fprintf(out, "%s: role %s, epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State,
 		time.Unix(0, e.StateSince).Format(time.TimeOnly))
-	printIfSet(out, "last order or change", e.Reason)
-	printIfSet(out, "may not change now", string(e.IneligibleReason))
+	printIfSet(out, "reason of the last order or change", e.Reason)
+	printIfSet(out, "cannot change role now", string(e.IneligibleReason))
 	printIfSet(out, "trouble", e.Fault)
 	if e.NextRole != "" {
-		fmt.Fprintf(out, "  on its way to %s of epoch %d\n", e.NextRole, e.NextEpoch)
+		fmt.Fprintf(out, "  changing to role %s, epoch %d\n", e.NextRole, e.NextEpoch)
 	}
-	fmt.Fprintf(out, "  it says: %s of epoch %d, open %d, held %d, kept %.0f tokens\n", e.Report.Role, e.Report.Epoch, e.Report.OpenRequests,
-		e.Report.Reservations, e.Report.CachedTokens)
+	fmt.Fprintf(out, "  last report: role %s, epoch %d, %d open requests, %d reservations, %.0f cached tokens\n",
+		e.Report.Role, e.Report.Epoch, e.Report.OpenRequests, e.Report.Reservations, e.Report.CachedTokens)
 }
 
 func printIfSet(out io.Writer, label, text string) {
--- a/cmd/sandcourse/scenario.go
+++ b/cmd/sandcourse/scenario.go
@@ -33,15 +33,15 @@
 			return runScenario(c, args[0], log, progress)
 		},
 	}
-	command.Flags().BoolVar(&quiet, "quiet", false, "do not report faults as they are injected")
-	command.Flags().BoolVar(&logs, "logs", false, "print the edges' logs")
+	command.Flags().BoolVar(&quiet, "quiet", false, "do not print faults as they are injected")
+	command.Flags().BoolVar(&logs, "logs", false, "print the logs of the edges")
 	command.AddCommand(scenarioImportCommand())
 	return command
 }
 
-// runScenario runs the scenario of a file until its end, SIGTERM or SIGINT.
+// runScenario runs the scenario of a file until it ends or SIGTERM or SIGINT arrives.
 func runScenario(c *cobra.Command, file string, log *zap.Logger, progress io.Writer) error {
-	day, err := scenario.LoadFile(file)
+	parsed, err := scenario.LoadFile(file)
 	if err != nil {
 		return err
 	}
@@ -50,9 +50,9 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	ctx, stop := untilStopped(context.Background())
+	ctx, stop := withStopSignals(context.Background())
 	defer stop()
-	result, err := day.Run(ctx, folder, log, progress)
+	result, err := parsed.Run(ctx, folder, log, progress)
 	if err != nil {
 		return err
 	}
@@ -67,8 +67,8 @@
 	var shrink float64
 	var out string
 	command := &cobra.Command{
-		Use:   "import DAY.json",
-		Short: "Turn a day that the bench has drawn into a scenario script",
+		Use:   "import SCENARIO.json",
+		Short: "Convert a scenario of the benchmark to a scenario script",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := importScenario(args[0], shrink)
@@ -82,15 +82,15 @@
 			return os.WriteFile(out, []byte(script), 0o644)
 		},
 	}
-	command.Flags().Float64Var(&shrink, "shrink", 0.5, "the script's length against the day's")
-	command.Flags().StringVarP(&out, "out", "o", "", "file to write; standard output if none")
+	command.Flags().Float64Var(&shrink, "shrink", 0.5, "length of the script as a share of the length of the benchmark's scenario")
+	command.Flags().StringVarP(&out, "out", "o", "", "file to write the script to (default: standard output)")
 	return command
 }
 
-// importScenario is the script of a day, shrunk to a part of its length.
+// importScenario returns the script of a scenario of the benchmark, shortened to a share of its length.
 func importScenario(file string, shrink float64) (string, error) {
 	if !(shrink > 0 && shrink <= 1) {
-		return "", fmt.Errorf("--shrink must be over 0 and at most 1, not %g", shrink)
+		return "", fmt.Errorf("--shrink must be greater than 0 and at most 1, not %g", shrink)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/fluidmodel"
 )
 
-// sweepFactor is a property of the modelled day, and the levels at which the sweep looks.
+// sweepFactor is a parameter of the modelled scenario with the levels that the sweep tries.
 type sweepFactor struct {
 	name   string
 	levels []float64
@@ -43,8 +43,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s) * time.Second }
 
-// sweepBase is the day that each point changes in one factor.
-var sweepBase = fluidmodel.Scenario{Engines: 40, PrefillEngines: 20, Cells: 4, Edges: 6, Duration: 20 * time.Minute,
+// sweepBaseline is the scenario of which each point changes one factor.
+var sweepBaseline = fluidmodel.Scenario{Engines: 40, PrefillEngines: 20, Cells: 4, Edges: 6, Duration: 20 * time.Minute,
 	Period: 10 * time.Minute, SkewDepth: 0.8, SquareWave: true,
 	Utilization: 0.85, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second}
 
@@ -53,31 +53,31 @@
 
 // The arms of the sweep.
 const (
-	armRoles     sweepArm = "roles"
+	armAdaptive  sweepArm = "roles"
 	armBestFixed sweepArm = "best fixed"
 	armFixed     sweepArm = "fixed at start"
 	armThreshold sweepArm = "threshold"
 )
 
-var sweepArms = []sweepArm{armRoles, armBestFixed, armFixed, armThreshold}
+var sweepArms = []sweepArm{armAdaptive, armBestFixed, armFixed, armThreshold}
 
-// sweepGroup is all points of one factor.
+// sweepGroup holds all points of one factor.
 type sweepGroup struct {
 	factor string
 	points []*sweepPoint
 }
 
-// sweepPoint is one level of a factor, with each arm's results on the seeds.
+// sweepPoint is one level of a factor with the results of each arm by seed.
 type sweepPoint struct {
-	level float64
-	arms  map[sweepArm][]fluidmodel.Result
+	level   float64
+	results map[sweepArm][]fluidmodel.Result
 }
 
-// sweepRun is a point's day on one seed.
+// sweepRun is the scenario of a point with one seed.
 type sweepRun struct {
-	point *sweepPoint
-	seed  int
-	day   fluidmodel.Scenario
+	point    *sweepPoint
+	seed     int
+	scenario fluidmodel.Scenario
 }
 
 func sweepCommand() *cobra.Command {
@@ -85,20 +85,20 @@
 	var seeds int
 	command := &cobra.Command{
 		Use:   "sweep",
-		Short: "Run days of shifting load in modelled time: where does changing roles pay?",
+		Short: "Compare changing and fixed roles under shifting load in a fluid model",
 		Args:  cobra.NoArgs,
-		Long:  "The real role assignment on a fluid model of a fleet, against fixed roles and a plain threshold. Writes a table and charts.",
+		Long:  "Runs the production role assignment, fixed roles and a threshold in a fluid model of a fleet. Writes a table and charts.",
 		RunE:  func(c *cobra.Command, _ []string) error { return runSweep(out, seeds, c.OutOrStdout()) },
 	}
 	command.Flags().StringVar(&out, "out", "sweep", "folder for the table and the charts")
-	command.Flags().IntVar(&seeds, "seeds", 3, "days of each setting")
+	command.Flags().IntVar(&seeds, "seeds", 3, "simulated runs of each arm per level")
 	return command
 }
 
-// runSweep runs all points on all seeds, prints the table and writes it with a chart for each factor.
+// runSweep runs all points on all seeds, prints the table, and writes the table and a chart for each factor.
 func runSweep(folder string, seeds int, out io.Writer) error {
 	groups, runs := planSweep(seeds)
-	onAllCores(len(runs), func(i int) { runs[i].run() })
+	runParallel(len(runs), func(i int) { runs[i].run() })
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -115,20 +115,20 @@
 	return nil
 }
 
-// planSweep lists the points by factor, and their days on all seeds.
+// planSweep returns the points by factor and the runs of all points on all seeds.
 func planSweep(seeds int) (groups []sweepGroup, runs []sweepRun) {
 	for _, factor := range sweepFactors {
 		group := sweepGroup{factor: factor.name}
 		for _, level := range factor.levels {
-			point := &sweepPoint{level: level, arms: map[sweepArm][]fluidmodel.Result{}}
+			point := &sweepPoint{level: level, results: map[sweepArm][]fluidmodel.Result{}}
 			for _, arm := range sweepArms {
-				point.arms[arm] = make([]fluidmodel.Result, seeds)
+				point.results[arm] = make([]fluidmodel.Result, seeds)
 			}
 			for seed := range seeds {
-				day := sweepBase
-				factor.apply(&day, level)
-				day.Seed = uint64(seed + 1)
-				runs = append(runs, sweepRun{point, seed, day})
+				scenario := sweepBaseline
+				factor.apply(&scenario, level)
+				scenario.Seed = uint64(seed + 1)
+				runs = append(runs, sweepRun{point, seed, scenario})
 			}
 			group.points = append(group.points, point)
 		}
@@ -137,25 +137,25 @@
 	return groups, runs
 }
 
-// run runs all arms. It is deterministic, and writes only what belongs to its seed.
+// run runs all arms. It is deterministic and writes only the results of its own seed, so that runs can be concurrent.
 func (r sweepRun) run() {
-	arms := r.point.arms
-	arms[armRoles][r.seed] = fluidmodel.Run(r.day, fluidmodel.Adaptive)
-	arms[armBestFixed][r.seed], _ = fluidmodel.BestFixedSplit(r.day)
-	arms[armFixed][r.seed] = fluidmodel.Run(r.day, fluidmodel.FixedSplit)
-	arms[armThreshold][r.seed] = fluidmodel.Run(r.day, fluidmodel.Threshold)
+	arms := r.point.results
+	arms[armAdaptive][r.seed] = fluidmodel.Run(r.scenario, fluidmodel.Adaptive)
+	arms[armBestFixed][r.seed], _ = fluidmodel.BestFixedSplit(r.scenario)
+	arms[armFixed][r.seed] = fluidmodel.Run(r.scenario, fluidmodel.FixedSplit)
+	arms[armThreshold][r.seed] = fluidmodel.Run(r.scenario, fluidmodel.Threshold)
 }
 
-// onAllCores does n independent things, as many at once as there are cores.
-func onAllCores(n int, do func(i int)) {
-	var all sync.WaitGroup
+// runParallel runs n independent tasks, at most as many at the same time as there are cores.
+func runParallel(n int, task func(i int)) {
+	var running sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
 	for i := range n {
-		all.Go(func() {
+		running.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			do(i)
+			task(i)
 		})
 	}
-	all.Wait()
+	running.Wait()
 }
--- a/cmd/sandcourse/sweep_report.go
+++ b/cmd/sandcourse/sweep_report.go
@@ -14,54 +14,56 @@
 	"sandcourse/internal/fluidmodel"
 )
 
-// measure reads one figure of a result.
-type measure func(fluidmodel.Result) float64
+// metricFunc returns one figure of a result.
+type metricFunc func(fluidmodel.Result) float64
 
-func valueInTime(r fluidmodel.Result) float64 { return r.Value }
-func worstWindow(r fluidmodel.Result) float64 { return r.WorstWindow }
-func roleChanges(r fluidmodel.Result) float64 { return float64(r.Changes) }
-func lostService(r fluidmodel.Result) float64 { return r.LostEngineTime }
+func valueInTime(r fluidmodel.Result) float64    { return r.Value }
+func worstWindow(r fluidmodel.Result) float64    { return r.WorstWindow }
+func roleChanges(r fluidmodel.Result) float64    { return float64(r.Changes) }
+func lostEngineTime(r fluidmodel.Result) float64 { return r.LostEngineTime }
 
-// values are one figure of an arm on all seeds.
-func (p *sweepPoint) values(arm sweepArm, of measure) (out []float64) {
-	for _, r := range p.arms[arm] {
-		out = append(out, of(r))
+// values returns one figure of an arm for each seed.
+func (p *sweepPoint) values(arm sweepArm, metric metricFunc) (out []float64) {
+	for _, r := range p.results[arm] {
+		out = append(out, metric(r))
 	}
 	return out
 }
 
-func (p *sweepPoint) mean(arm sweepArm, of measure) float64 { return stat.Mean(p.values(arm, of), nil) }
+func (p *sweepPoint) mean(arm sweepArm, metric metricFunc) float64 {
+	return stat.Mean(p.values(arm, metric), nil)
+}
 
-const sweepHeader = "\n%s, mean of %d days (± standard deviation of roles):\n\n| level | roles | best fixed | fixed at start | threshold | " +
-	"worst 10 s of roles | of best fixed | changes | lost to changing |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
+const sweepHeader = "\n%s: share of value in time, mean of %d runs (± standard deviation of roles):\n\n| level | roles | best fixed | fixed at start | threshold | " +
+	"worst 10 s of roles | worst 10 s of best fixed | role changes | engine time lost to changes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// formatSweep is a table for each factor.
+// formatSweep returns a table for each factor.
 func formatSweep(groups []sweepGroup, seeds int) string {
 	var b strings.Builder
 	for _, group := range groups {
 		fmt.Fprintf(&b, sweepHeader, group.factor, seeds)
 		for _, p := range group.points {
-			mean, deviation := stat.MeanStdDev(p.values(armRoles, valueInTime), nil)
+			mean, deviation := stat.MeanStdDev(p.values(armAdaptive, valueInTime), nil)
 			if seeds < 2 {
 				deviation = 0
 			}
 			fmt.Fprintf(&b, "| %s | %.3f ± %.3f | %.3f | %.3f | %.3f | %.2f | %.2f | %.0f | %.3f |\n", fmt.Sprint(p.level),
 				mean, deviation,
 				p.mean(armBestFixed, valueInTime), p.mean(armFixed, valueInTime), p.mean(armThreshold, valueInTime),
-				p.mean(armRoles, worstWindow), p.mean(armBestFixed, worstWindow),
-				p.mean(armRoles, roleChanges), p.mean(armRoles, lostService))
+				p.mean(armAdaptive, worstWindow), p.mean(armBestFixed, worstWindow),
+				p.mean(armAdaptive, roleChanges), p.mean(armAdaptive, lostEngineTime))
 		}
 	}
 	return b.String()
 }
 
-// logScaleRatio is how far levels have to lie apart to be shown on a logarithmic scale.
+// logScaleRatio is the ratio of the last level to the first above which a chart has a logarithmic scale.
 const logScaleRatio = 20
 
 // plotFactor writes a chart of the arms over the levels of a factor.
 func plotFactor(folder string, group sweepGroup) error {
 	p := plot.New()
-	p.Title.Text = "value in time (simulated)"
+	p.Title.Text = "share of value in time (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = group.factor, "share of value"
 	p.Legend.Top = false
 	var lines []any
