--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -29,7 +29,7 @@
 	command := &cobra.Command{
 		Use:     "modelcheck [WORLD ...]",
 		Aliases: []string{"prove"},
-		Short:   "Check the properties of routing and of role changes in explored worlds",
+		Short:   "Model-check routing and role changes against their properties",
 		Long: "A world is a small system to explore: requests, engines and faults. Without arguments, the small worlds are explored " +
 			"completely and the large ones by random walks. `modelcheck list` prints the names.",
 		RunE: func(c *cobra.Command, args []string) error { return runModelcheck(c, o, args) },
--- a/internal/scenario/edges.go
+++ b/internal/scenario/edges.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/router"
 )
 
-// Edges are edges in this process. Each keeps its address over restarts.
+// Edges is a set of edges in this process. Each edge keeps its address when it restarts.
 type Edges struct {
 	mu      sync.Mutex
 	edges   []*edge.Edge
@@ -43,7 +43,7 @@
 	return es, nil
 }
 
-var errNotReady = fmt.Errorf("the edges are not ready after %v", readyPolls*readyPollInterval)
+var errNotReady = fmt.Errorf("edges are not ready after %v", readyPolls*readyPollInterval)
 
 const (
 	readyPolls          = 200
@@ -58,7 +58,7 @@
 	d := es.base
 	d.NodeName, d.NodeNumber, d.NodeCount, d.ChatAddress = fmt.Sprint("edge", i), i, len(es.edges), es.addrs[i]
 	e := edge.New(&d, es.log, nil, es.seed+uint64(i))
-	// A port that was free for a while may belong to some other connection for a moment.
+	// While the edge was down, the system may have given its port to another connection for a moment.
 	for attempt := 1; ; attempt++ {
 		err := e.Start()
 		if err == nil {
@@ -75,39 +75,39 @@
 	return nil
 }
 
-// Addrs are those of all edges, up or down: a plain load balancer goes on sending to a dead one for a while.
+// Addrs returns the addresses of all edges, up or down: a simple load balancer sends to a dead edge for a while.
 func (es *Edges) Addrs() []string {
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	return slices.Clone(es.addrs)
 }
 
-// Kill ends an edge at once and restarts it after a time. Its clients lose their requests of that time.
-func (es *Edges) Kill(i int, down time.Duration) error {
+// Kill stops an edge without a drain and restarts it after a downtime. Its open requests and those sent to it meanwhile are lost.
+func (es *Edges) Kill(i int, downtime time.Duration) error {
 	es.mu.Lock()
 	e := es.edges[i]
 	es.edges[i] = nil
 	es.mu.Unlock()
 	if e == nil {
-		return nil // it is down already
+		return nil // the edge is already down
 	}
-	from := time.Now()
+	killedAt := time.Now()
 	e.Stop()
-	time.Sleep(down)
+	time.Sleep(downtime)
 	err := es.start(i)
-	es.records.RecordOutage(audit.Outage{Edge: es.addrs[i], From: from, To: time.Now()})
-	es.records.RecordOutage(audit.Outage{Edge: fmt.Sprint("edge", i), From: from, To: time.Now()})
+	es.records.RecordOutage(audit.Outage{Edge: es.addrs[i], From: killedAt, To: time.Now()})
+	es.records.RecordOutage(audit.Outage{Edge: fmt.Sprint("edge", i), From: killedAt, To: time.Now()})
 	return err
 }
 
-// Node is one edge; nil while it is down.
+// Node returns an edge, or nil while it is down.
 func (es *Edges) Node(i int) *edge.Edge {
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	return es.edges[i]
 }
 
-// Drain shuts an edge down gracefully, as a signal does: it finishes open requests, within its timeout.
+// Drain shuts an edge down gracefully, as SIGTERM does: open requests are finished within the drain timeout.
 func (es *Edges) Drain(i int) error {
 	es.mu.Lock()
 	e := es.edges[i]
@@ -119,7 +119,7 @@
 	return e.Drain(context.Background())
 }
 
-// Holding adds up what all edges hold.
+// Holding returns the sum of the requests, connections and buffered bytes of all edges.
 func (es *Edges) Holding(ctx context.Context) (sum router.InFlight) {
 	es.mu.Lock()
 	edges := slices.Clone(es.edges)
@@ -169,11 +169,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// awaitReleased waits until no engine holds a reservation and no edge a request: nobody asks for anything any more, so
-// they must be released by themselves. It returns how many reservations are still held.
+// awaitReleased waits until no engine holds a reservation and no edge has an open request. No client sends requests any
+// more, so both must go down to zero without further input. It returns the number of reservations still held.
 func awaitReleased(ctx context.Context, fleet *Fleet, edges *Edges) (held int) {
 	for range releasePolls {
-		held = fleet.held()
+		held = fleet.heldReservations()
 		if held == 0 && edges.Holding(ctx).Requests == 0 {
 			break
 		}
@@ -182,7 +182,7 @@
 	return held
 }
 
-// Stop ends all edges.
+// Stop stops all edges without a drain.
 func (es *Edges) Stop() {
 	es.mu.Lock()
 	defer es.mu.Unlock()
--- a/internal/scenario/faultrunner.go
+++ b/internal/scenario/faultrunner.go
@@ -10,10 +10,10 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// maxRemoveDelay is how late at most the endpoint list learns of a crash.
+// maxRemoveDelay is the longest time from the crash of an engine to its removal from the endpoint list.
 const maxRemoveDelay = time.Second
 
-// faultRunner executes steps.
+// faultRunner executes the steps of a scenario.
 type faultRunner struct {
 	fleet      *Fleet
 	edges      *Edges
@@ -21,7 +21,7 @@
 	startedAt  time.Time
 	recoveries sync.WaitGroup
 	restarts   int
-	active     map[int]map[FaultKind]float64 // sizes, by engine and kind
+	active     map[int]map[FaultKind]float64 // fault sizes by engine and kind
 }
 
 func newFaultRunner(fleet *Fleet, edges *Edges, out io.Writer) *faultRunner {
@@ -36,7 +36,7 @@
 			return
 		case <-time.After(time.Until(r.startedAt.Add(s.At))):
 		}
-		fmt.Fprintf(r.out, "%6.2fs %s engine %d edge %d over %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine, s.Edge, s.Ends)
+		fmt.Fprintf(r.out, "%6.2fs %s: engine %d, edge %d, ends %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine, s.Edge, s.EndsFault)
 		r.apply(s)
 	}
 }
@@ -45,13 +45,13 @@
 	switch {
 	case s.Edge != noTarget:
 		r.killEdge(s)
-	case s.Kind == FaultStaleList && s.Ends:
+	case s.Kind == FaultStaleList && s.EndsFault:
 		r.fleet.DelayList(0)
 	case s.Kind == FaultStaleList:
 		r.fleet.DelayList(seconds(s.Size))
 	default:
 		e := r.fleet.Engines[s.Engine]
-		if !e.Overloaded() { // else it stays down
+		if !e.Overloaded() { // an engine that was overloaded stays down
 			r.applyToEngine(s, e)
 		}
 	}
@@ -70,9 +70,9 @@
 	case FaultCacheFlush:
 		e.ClearCache()
 	case FaultDrain:
-		r.fleet.Drain(e, !s.Ends)
+		r.fleet.Drain(e, !s.EndsFault)
 	case FaultCrash, FaultMassRestart, FaultPreempt:
-		if s.Ends {
+		if s.EndsFault {
 			r.restart(s, e)
 		} else if s.Kind == FaultPreempt {
 			r.preempt(s, e)
@@ -80,7 +80,7 @@
 			r.crash(s, e)
 		}
 	case FaultVanish:
-		if s.Ends {
+		if s.EndsFault {
 			r.restart(s, e)
 			return
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// preempt lists an engine as draining, and crashes it after its notice.
+// preempt lists an engine as draining and crashes it after the notice period, the size of the fault in seconds.
 func (r *faultRunner) preempt(s Step, e *engine.Engine) {
 	r.fleet.Drain(e, true)
 	r.recoveries.Go(func() {
@@ -100,7 +100,7 @@
 	})
 }
 
-// crash crashes an engine. The endpoint list learns of it late, if at all.
+// crash crashes an engine. The endpoint list drops it later, or not at all if the crash lasts at most maxRemoveDelay.
 func (r *faultRunner) crash(s Step, e *engine.Engine) {
 	e.Crash()
 	r.recoveries.Go(func() {
@@ -111,7 +111,7 @@
 	})
 }
 
-// restart restarts an engine without faults.
+// restart ends the faults of an engine and restarts it.
 func (r *faultRunner) restart(s Step, e *engine.Engine) {
 	delete(r.active, s.Engine)
 	e.SetFaults(engine.Faults{})
@@ -123,7 +123,7 @@
 	r.fleet.Restore(e)
 }
 
-// setFault begins or ends a fault that the fake engine itself injects.
+// setFault begins or ends a fault that the fake engine injects.
 func (r *faultRunner) setFault(s Step, e *engine.Engine) {
 	active := r.active[s.Engine]
 	if active == nil {
@@ -131,13 +131,13 @@
 		r.active[s.Engine] = active
 	}
 	active[s.Kind] = s.Size
-	if s.Ends {
+	if s.EndsFault {
 		delete(active, s.Kind)
 	}
 	e.SetFaults(combineFaults(active))
 }
 
-// combineFaults makes one set of the faults that are active at once.
+// combineFaults returns the engine settings for all faults that are active at the same time.
 func combineFaults(active map[FaultKind]float64) (f engine.Faults) {
 	f.Slowdown = 1
 	for kind, size := range active {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,5 +1,5 @@
 // Package scenario runs scripted scenarios: fake engines, several edges, traffic and faults in one process on loopback
-// sockets, judged by the audit.
+// sockets. Package audit checks the records of a run for violated invariants.
 package scenario
 
 import (
@@ -16,26 +16,26 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// endpointFile is the name of the file of the endpoint list in a scenario's folder.
+// endpointFile is the name of the endpoint list file in the folder of a scenario.
 const endpointFile = "roster.json"
 
-// cellSize is how many engines make a cell.
+// cellSize is the number of engines per cell.
 const cellSize = 5
 
-// Fleet is fake engines with the file of the endpoint list that names them.
+// Fleet is a set of fake engines with the endpoint list file that names them.
 type Fleet struct {
 	Log     *audit.Log
 	Engines []*engine.Engine
 	Path    string
 
-	mu        sync.Mutex
-	endpoints endpoint.List
-	listDelay time.Duration // how late changes are published
-	delayed   sync.WaitGroup
-	writeList func(path string, list endpoint.List) error
+	mu            sync.Mutex
+	endpoints     endpoint.List
+	listDelay     time.Duration // from a change to its publication
+	delayedWrites sync.WaitGroup
+	writeList     func(path string, list endpoint.List) error
 }
 
-// StartFleet starts engines and writes the first endpoint list into a folder.
+// StartFleet starts engines and writes the first endpoint list to a folder.
 func StartFleet(dir string, configs []engine.Config, log *audit.Log) (*Fleet, error) {
 	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFile), writeList: endpoint.WriteFile}
 	keys := &engine.IdempotencyKeys{}
@@ -53,7 +53,7 @@
 	return f, endpoint.WriteFile(f.Path, f.endpoints)
 }
 
-// engineKind is the kind under which the endpoint list names engines of a role.
+// engineKind returns the kind of engine that the endpoint list has for a role.
 func engineKind(role string) string {
 	if config.Role(role) == config.RoleDecode {
 		return "decode"
@@ -61,15 +61,15 @@
 	return "prefill"
 }
 
-// Stop ends all engines.
+// Stop waits for delayed writes of the list and stops all engines.
 func (f *Fleet) Stop() {
-	f.delayed.Wait()
+	f.delayedWrites.Wait()
 	for _, e := range f.Engines {
 		e.Stop()
 	}
 }
 
-// updateList changes entries and publishes the list, late if discovery is.
+// updateList changes the list and publishes it, after listDelay if that is set.
 func (f *Fleet) updateList(change func(list *endpoint.List)) {
 	f.mu.Lock()
 	change(&f.endpoints)
@@ -80,11 +80,11 @@
 		f.publish()
 		return
 	}
-	f.delayed.Go(func() { time.Sleep(delay); f.publish() })
+	f.delayedWrites.Go(func() { time.Sleep(delay); f.publish() })
 }
 
-// publish writes the endpoint list and records what it says of each engine. Edges may read it from some moment within the
-// write on: what is listed as ready counts from before that moment, what is not from after it.
+// publish writes the endpoint list and records which engines it lists as ready. Edges may read the new list at any moment
+// during the write: an engine that is ready is recorded as such from before the write, any other as not ready from after it.
 func (f *Fleet) publish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +92,7 @@
 	list.Entries = slices.Clone(list.Entries)
 	before := time.Now()
 	if err := f.writeList(f.Path, list); err != nil {
-		fmt.Fprintln(os.Stderr, "scenario: write the endpoint list:", err)
+		fmt.Fprintln(os.Stderr, "scenario: cannot write the endpoint list:", err)
 		return
 	}
 	after := time.Now()
@@ -109,7 +109,7 @@
 	}
 }
 
-// DelayList delays what is published from now on.
+// DelayList delays the publication of all later changes.
 func (f *Fleet) DelayList(delay time.Duration) { f.mu.Lock(); f.listDelay = delay; f.mu.Unlock() }
 
 // Drain lists an engine as draining, or as ready again.
@@ -127,22 +127,22 @@
 	})
 }
 
-// Remove takes an engine off the list; Restore lists it again.
+// Remove removes an engine from the endpoint list. Restore lists it again.
 func (f *Fleet) Remove(e *engine.Engine) {
 	f.updateList(func(list *endpoint.List) {
 		list.Entries = slices.DeleteFunc(list.Entries, func(entry endpoint.Entry) bool { return entry.ID == e.Addr() })
 	})
 }
 
-// held counts the reservations that the engines hold.
-func (f *Fleet) held() (count int) {
+// heldReservations returns the number of reservations that the engines hold.
+func (f *Fleet) heldReservations() (count int) {
 	for _, e := range f.Engines {
 		count += e.HeldReservations()
 	}
 	return count
 }
 
-// Restore lists an engine as ready and just started.
+// Restore lists an engine as ready, with the current time as its start time.
 func (f *Fleet) Restore(e *engine.Engine) {
 	f.updateList(func(list *endpoint.List) {
 		entry := endpoint.Entry{ID: e.Addr(), Kind: engineKind(e.Role()), Weight: 1, Cell: "c0", State: endpoint.Ready,
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -9,9 +9,9 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// Edges may read a new list at any moment while it is written. An engine that it lists as ready may be sent to from before
-// then; one that it does not list as ready must not be sent to from the moment at which all edges can read it.
-func TestReadinessCountsFromWhenEdgesCanReadIt(t *testing.T) {
+// Edges may read a new endpoint list at any moment while it is written. Attempts may reach an engine that it lists as ready
+// from before the write on; an engine that it does not list as ready gets no new attempts once all edges can read the list.
+func TestReadinessIsRecordedFromWhenListIsReadable(t *testing.T) {
 	log := &audit.Log{}
 	f, err := StartFleet(t.TempDir(), []engine.Config{{Name: "a", Role: "read"}, {Name: "b", Role: "write"}}, log)
 	if err != nil {
@@ -28,14 +28,15 @@
 		f.Drain(f.Engines[0], draining)
 		changes := log.ReadinessChanges()[before:]
 		if len(changes) != len(f.Engines) {
-			t.Fatalf("%d changes are recorded", len(changes))
+			t.Fatalf("%d readiness changes are recorded", len(changes))
 		}
 		for _, change := range changes {
 			if change.Ready && change.At.After(written) {
-				t.Errorf("draining %v: %s counts as ready %v after the list was there", draining, change.Engine, change.At.Sub(written))
+				t.Errorf("draining %v: %s is recorded as ready %v after the list was written", draining, change.Engine, change.At.Sub(written))
 			}
 			if !change.Ready && change.At.Before(written) {
-				t.Errorf("draining %v: %s counts as draining %v before the list was there", draining, change.Engine, written.Sub(change.At))
+				t.Errorf("draining %v: %s is recorded as draining %v before the list was written",
+					draining, change.Engine, written.Sub(change.At))
 			}
 		}
 	}
--- a/internal/scenario/import.go
+++ b/internal/scenario/import.go
@@ -13,24 +13,24 @@
 	"sandcourse/internal/config"
 )
 
-// The errors of what is imported.
+// Errors of Import.
 var (
-	ErrNotBench     = errors.New("not a day of the bench")
-	ErrUnknownFault = errors.New("is not known")
+	ErrNotBenchScenario = errors.New("not a scenario of the benchmark")
+	ErrUnknownFault     = errors.New("unknown kind of fault")
 )
 
-// What a fake engine does: the rate and pace of an imported scenario.
+// The attempt rate and prefill rate of a fake engine in an imported scenario, and the limits of its edges and sizes.
 const (
 	importedAttemptRate = 40.0
 	importedPrefillRate = 100_000.0
 	maxImportedEdges    = 8
-	maxSize             = 1000 // beyond it, a size of the bench is a time in microseconds
+	maxFaultSize        = 1000 // a larger size in the benchmark is a time in microseconds
 )
 
-// Import turns a scenario of the bench into a script: its faults, fleet and traffic, with its length scaled by shrink
-// and its rate set so that each engine here is about as busy as there.
-func Import(day []byte, shrink float64) (string, error) {
-	in, err := readBench(day)
+// Import converts a scenario of the benchmark to a script with the same faults, fleet and traffic. Its length is scaled by
+// shrink, and its request rate is set so that the fake engines are about as busy as those of the benchmark.
+func Import(data []byte, shrink float64) (string, error) {
+	in, err := parseBenchScenario(data)
 	if err != nil {
 		return "", err
 	}
@@ -44,7 +44,7 @@
 	}
 	text := w.text.String()
 	if _, err := Parse("imported", []byte(text)); err != nil {
-		return "", fmt.Errorf("the day cannot be played: %w", err)
+		return "", fmt.Errorf("imported script is invalid: %w", err)
 	}
 	return text, nil
 }
@@ -55,44 +55,48 @@
 	shrink float64
 }
 
-func (w *scriptWriter) line(format string, args ...any) { fmt.Fprintf(&w.text, format+"\n", args...) }
+func (w *scriptWriter) writeLine(format string, args ...any) {
+	fmt.Fprintf(&w.text, format+"\n", args...)
+}
 
-// scaled is a time of the bench, scaled.
-func (w *scriptWriter) scaled(microseconds float64) string {
+// scaledDuration formats a time of the benchmark, scaled by shrink.
+func (w *scriptWriter) scaledDuration(microseconds float64) string {
 	return time.Duration(math.Max(0, microseconds*w.shrink) * 1000).Round(time.Millisecond).String()
 }
 
-func unscaled(microseconds float64) string { return time.Duration(microseconds * 1000).String() }
+func unscaledDuration(microseconds float64) string {
+	return time.Duration(microseconds * 1000).String()
+}
 
 func (w *scriptWriter) writeFleet(in *benchScenario) {
 	prefill, decode := in.countEngines()
-	w.line("# A day of the bench, %s of %s, %.2f of its length. Rates are of the stand-ins, not of the bench.", in.Kind,
-		in.Family, w.shrink)
-	w.line("day(length = %q, rate = %.1f, seed = %d, retries = %d, beginnings = %d)", w.scaled(in.Length),
+	w.writeLine("# A scenario of the benchmark, %s of %s, %.2f of its length. The rates are those of the fake engines, not of the benchmark.",
+		in.Kind, in.Family, w.shrink)
+	w.writeLine("day(length = %q, rate = %.1f, seed = %d, retries = %d, beginnings = %d)", w.scaledDuration(in.Length),
 		max(1, in.Traffic.Load*importedAttemptRate*float64(min(prefill, decode))*0.5), int(in.Noise)%1_000_000,
 		in.Clients.Retries, max(1, in.Fam.Talks[0].Prefixes))
-	w.line("edges(count = %d)", min(maxImportedEdges, len(in.Balancers)))
-	w.line("fleet(readers = %d, writers = %d, pace = %.0f, send_rate = %.0f)", prefill, decode, importedPrefillRate, importedAttemptRate)
-	w.line("kind(name = \"prefill\", role = \"read\", memory = 200000)\nkind(name = \"decode\", role = \"write\", memory = 150000)")
-	w.line("rules(drain_grace = %q, pin = %q, cold = \"6s\", fall_window = %q)", unscaled(in.DrainGrace), unscaled(in.Fam.Release),
-		unscaled(in.FallFor))
+	w.writeLine("edges(count = %d)", min(maxImportedEdges, len(in.Balancers)))
+	w.writeLine("fleet(readers = %d, writers = %d, pace = %.0f, send_rate = %.0f)", prefill, decode, importedPrefillRate, importedAttemptRate)
+	w.writeLine("kind(name = \"prefill\", role = \"read\", memory = 200000)\nkind(name = \"decode\", role = \"write\", memory = 150000)")
+	w.writeLine("rules(drain_grace = %q, pin = %q, cold = \"6s\", fall_window = %q)", unscaledDuration(in.DrainGrace), unscaledDuration(in.Fam.Release),
+		unscaledDuration(in.FallFor))
 }
 
 func (w *scriptWriter) writeRoutes(in *benchScenario) {
 	effects := map[string]config.Effect{"safe": config.EffectRetriable, "keyed": config.EffectDeduped, "unsafe": config.EffectNonRetriable}
 	for _, c := range in.Classes {
-		w.line("route(name = %q, effect = %q, value = %g, first_token_target = %q, route_timeout = %q)", c.Name,
-			effects[c.Effect], max(0.001, c.Worth), unscaled(c.Aim), unscaled(c.Deadline))
+		w.writeLine("route(name = %q, effect = %q, value = %g, first_token_target = %q, route_timeout = %q)", c.Name,
+			effects[c.Effect], max(0.001, c.Worth), unscaledDuration(c.Aim), unscaledDuration(c.Deadline))
 	}
 	for _, c := range in.Classes {
-		w.line("client(route = %q, share = %.4f)", c.Name, max(0.0001, c.Share))
+		w.writeLine("client(route = %q, share = %.4f)", c.Name, max(0.0001, c.Share))
 	}
 }
 
 func (w *scriptWriter) writeFault(in *benchScenario, t benchFault) error {
 	kind, ok := benchFaultKinds[t.Kind]
 	if !ok {
-		return fmt.Errorf("trouble %q of the day %w; known are %s", t.Kind, ErrUnknownFault,
+		return fmt.Errorf("trouble %q: %w; known kinds are %s", t.Kind, ErrUnknownFault,
 			strings.Join(slices.Sorted(maps.Keys(benchFaultKinds)), ", "))
 	}
 	targets := len(in.Servers)
@@ -100,24 +104,24 @@
 		targets = len(in.Balancers)
 	}
 	fraction := min(1, max(float64(len(t.On))/float64(max(1, targets)), 0))
-	// Sizes in time are microseconds there and seconds here.
+	// Sizes that are times are in microseconds in the benchmark and in seconds in a script.
 	size := t.Size
-	if size > maxSize {
+	if size > maxFaultSize {
 		size = size * w.shrink / 1e6
 	}
-	w.line("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaled(t.At),
-		w.scaled(t.Len), fraction, min(maxSize, size))
+	w.writeLine("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaledDuration(t.At),
+		w.scaledDuration(t.Len), fraction, min(maxFaultSize, size))
 	return nil
 }
 
-// benchFaultKinds are the kinds of fault by their names in the bench.
+// benchFaultKinds maps the benchmark's names of faults to the kinds of fault.
 var benchFaultKinds = map[string]FaultKind{"vanish": FaultVanish, "slow": FaultSlow, "burst": FaultBurst, "hot_key": FaultHotPrefix,
 	"discovery_stale": FaultStaleList, "balancer_crash": FaultEdgeCrash, "balancer_roll": FaultEdgeRoll, "flush": FaultCacheFlush,
 	"mass_restart": FaultMassRestart, "neighbour": FaultNoisyNeighbour, "pauses": FaultPauses, "handshake_slow": FaultSlowAccept,
 	"ageing": FaultAgeing, "preempt": FaultPreempt}
 
-// benchScenario is what is read of a scenario as the bench draws it; times in microseconds. Its fields are named as
-// there.
+// benchScenario holds the parts of a scenario of the benchmark that Import uses. Times are in microseconds. The fields
+// without a tag are decoded by their names.
 type benchScenario struct {
 	Family, Kind string
 	Noise        float64
@@ -157,17 +161,17 @@
 	return prefill, decode
 }
 
-func readBench(day []byte) (*benchScenario, error) {
+func parseBenchScenario(data []byte) (*benchScenario, error) {
 	var b benchScenario
-	if err := json.Unmarshal(day, &b); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotBench, err)
+	if err := json.Unmarshal(data, &b); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotBenchScenario, err)
 	}
 	if b.Family != "twostage" || len(b.Servers) == 0 || len(b.Balancers) == 0 || len(b.Classes) == 0 || len(b.Fam.Talks) == 0 {
-		return nil, fmt.Errorf("%w with readers and writers", ErrNotBench)
+		return nil, fmt.Errorf("%w with prefill and decode engines", ErrNotBenchScenario)
 	}
 	for i, s := range b.Servers {
 		if s.Kind < 0 || s.Kind >= len(b.Fam.Roles) {
-			return nil, fmt.Errorf("servers[%d].kind: %d has no role", i, s.Kind)
+			return nil, fmt.Errorf("servers[%d].kind: %d has no entry in fam.roles", i, s.Kind)
 		}
 	}
 	return &b, nil
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -19,37 +19,37 @@
 	"sandcourse/settings"
 )
 
-// What each engine of a load shift does: prompt tokens and output tokens a second.
+// Prompt tokens and output tokens per second of each engine of a load shift, and the slow start of its edges.
 const (
 	shiftPrefillRate = 20_000
 	shiftDecodeRate  = 1_600
 	shiftSlowStart   = 2 * time.Second
 )
 
-// Phase is a time with one mix of work.
+// Phase is a part of a load shift with one mix of prefill and decode work.
 type Phase struct {
 	Name                 string
 	Duration             time.Duration
-	RequestRate          float64 // requests a second
-	UserWords, MaxTokens int     // words of a prompt that nobody shares, and the most tokens of an answer
+	RequestRate          float64 // requests per second
+	UserWords, MaxTokens int     // unshared words per prompt, and token limit of a response
 }
 
-// LoadShift is a scenario whose load shifts between prefill and decode, with a planner that follows it.
+// LoadShift is a scenario whose load shifts between prefill and decode, with a planner that reassigns roles.
 type LoadShift struct {
 	PrefillEngines, DecodeEngines, Edges int
 	Phases                               []Phase
-	FixedRoles                           bool // roles stay as they are: the planner only explains
-	KillPlanner                          bool // the planner is killed now and then
+	FixedRoles                           bool // the planner explains its decisions but changes no role
+	KillPlanner                          bool // kills and restarts the planner repeatedly
 	Seed                                 uint64
-	Faults                               func(ctx context.Context, f *Fleet) // beside the shift; may be nil
+	Faults                               func(ctx context.Context, f *Fleet) // runs concurrently with the phases; may be nil
 	OnPlan                               func(planapi.Plan)
 }
 
-// LoadShiftResult is how it went, by phase.
+// LoadShiftResult is the result of a load shift, by phase.
 type LoadShiftResult struct {
 	Phases        []loadgen.Summary
-	SecondHalves  []loadgen.Summary // of each phase: after the planner had time to follow
-	RecoveryTimes []time.Duration   // of each phase: until the route of highest priority is served again; -1 for not within it
+	SecondHalves  []loadgen.Summary // of each phase: after the planner had time to change roles
+	RecoveryTimes []time.Duration   // of each phase: see recoveryTime; neverRecovered if not within the phase
 	Violations    []audit.Violation
 	HeldAtEnd     int
 	RoleChanges   int
@@ -58,8 +58,8 @@
 
 func engineName(i int) string { return fmt.Sprint("e", i) }
 
-// loadShiftEngine is one fake engine.
-func loadShiftEngine(i, prefillCount int, rules config.Rules) engine.Config {
+// loadShiftEngineConfig returns the configuration of the i-th fake engine.
+func loadShiftEngineConfig(i, prefillCount int, rules config.Rules) engine.Config {
 	c := engine.Config{Name: engineName(i), Role: string(config.RolePrefill), Seed: engineSeed, Slots: 2, OtherRoleSlots: 16, QueueLimit: 64,
 		PrefillRate: shiftPrefillRate, AttemptRate: 30, TokenTime: 10 * time.Millisecond, MemoryTokens: 400_000,
 		WarmUp: rules.SlowStart, WarmUpShare: rules.SlowStartShare, OverloadFactor: rules.OverloadMultiple,
@@ -70,8 +70,8 @@
 	return c
 }
 
-// Planning is the planner's configuration.
-func (t LoadShift) Planning(fleet *Fleet, dir string) *config.Planner {
+// PlannerConfig returns the configuration of the planner.
+func (t LoadShift) PlannerConfig(fleet *Fleet, dir string) *config.Planner {
 	p := config.DefaultPlanner()
 	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: config.RolePrefill}, {Name: "decode", Role: config.RoleDecode}}
@@ -84,7 +84,7 @@
 	return p
 }
 
-// Run runs the load shift in a folder, and reports its phases to out.
+// Run runs the load shift with its files in dir, and prints its phases to out.
 func (t LoadShift) Run(ctx context.Context, dir string, log *zap.Logger, out io.Writer) (LoadShiftResult, error) {
 	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
@@ -94,18 +94,19 @@
 	r := &shiftRun{LoadShift: t, out: out, records: &audit.Log{}, deployment: *d}
 	var configs []engine.Config
 	for i := range t.PrefillEngines + t.DecodeEngines {
-		configs = append(configs, loadShiftEngine(i, t.PrefillEngines, d.Rules))
+		configs = append(configs, loadShiftEngineConfig(i, t.PrefillEngines, d.Rules))
 	}
 	if r.fleet, err = StartFleet(dir, configs, r.records); err != nil {
 		return r.result, err
 	}
 	defer r.fleet.Stop()
-	r.planner = &plannerProcess{config: t.Planning(r.fleet, dir), log: log, out: out, onPublish: r.recordPlan}
+	r.planner = &plannerProcess{config: t.PlannerConfig(r.fleet, dir), log: log, out: out, onPublish: r.recordPlan}
 	if err := r.planner.start(); err != nil {
 		return r.result, err
 	}
 	defer r.planner.stop()
-	fmt.Fprintf(out, "the planner is at %s: look with sandcourse roles --planner %s show, and explain\n", r.planner.addr(), r.planner.addr())
+	fmt.Fprintf(out, "planner at %s; inspect it with: sandcourse roles --planner %s show (or explain)\n",
+		r.planner.addr(), r.planner.addr())
 	r.deployment.EndpointFile, r.deployment.Engines, r.deployment.PlannerAddress = "", nil, r.planner.addr()
 	if r.edges, err = StartEdges(t.Edges, r.deployment, log, r.records, t.Seed); err != nil {
 		return r.result, err
@@ -150,49 +151,50 @@
 	}
 }
 
-// runPhases runs all phases, with what goes wrong beside them.
+// runPhases runs all phases, with the faults and the kills of the planner in the background.
 func (r *shiftRun) runPhases(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	var beside sync.WaitGroup
+	var background sync.WaitGroup
 	if r.KillPlanner {
-		beside.Go(func() { r.result.PlannerKills = r.planner.killRepeatedly(ctx) })
+		background.Go(func() { r.result.PlannerKills = r.planner.killRepeatedly(ctx) })
 	}
 	if r.Faults != nil {
-		beside.Go(func() { r.Faults(ctx, r.fleet) })
+		background.Go(func() { r.Faults(ctx, r.fleet) })
 	}
 	for i, phase := range r.Phases {
 		r.runPhase(ctx, i, phase)
 	}
 	cancel()
-	beside.Wait()
+	background.Wait()
 }
 
 func (r *shiftRun) runPhase(ctx context.Context, i int, p Phase) {
-	fmt.Fprintf(r.out, "%s: %.0f requests a second for %v, prompts of %d own words, answers of up to %d tokens\n", p.Name, p.RequestRate,
-		p.Duration, p.UserWords, p.MaxTokens)
+	fmt.Fprintf(r.out, "%s: %.0f requests per second for %v, prompts with %d unshared words, responses of up to %d tokens\n",
+		p.Name, p.RequestRate, p.Duration, p.UserWords, p.MaxTokens)
 	routes := r.routes(p)
 	startedAt := time.Now()
 	loadgen.Traffic{Edges: r.edges.Addrs, Routes: routes, Rate: p.RequestRate, Duration: p.Duration, Seed: r.Seed*100 + uint64(i),
 		Prefixes: 6, PrefixWords: 100, UserWords: p.UserWords, Turns: 2, Retries: 1, Log: r.records}.Run(ctx)
-	var all, second []audit.ClientRecord
+	var all, secondHalf []audit.ClientRecord
 	for _, c := range r.records.ClientRecords() {
 		if c.Sent.After(startedAt) {
 			all = append(all, c)
 		}
 		if c.Sent.After(startedAt.Add(p.Duration / 2)) {
-			second = append(second, c)
+			secondHalf = append(secondHalf, c)
 		}
 	}
-	sum, half := loadgen.Summarize(all, routes), loadgen.Summarize(second, routes)
+	summary, secondHalfSummary := loadgen.Summarize(all, routes), loadgen.Summarize(secondHalf, routes)
 	recovery := recoveryTime(all, routes, startedAt, p.Duration)
-	r.result.Phases, r.result.SecondHalves = append(r.result.Phases, sum), append(r.result.SecondHalves, half)
+	r.result.Phases, r.result.SecondHalves = append(r.result.Phases, summary), append(r.result.SecondHalves, secondHalfSummary)
 	r.result.RecoveryTimes = append(r.result.RecoveryTimes, recovery)
 	prefill, decode := r.countRoles()
-	fmt.Fprintf(r.out, "  value in time %.3f, in the second half %.3f; nine tenths of the route of highest priority in time after %v; "+
-		"now %d prefill and %d decode engines\n", sum.InTime/max(sum.Offered, 1), half.InTime/max(half.Offered, 1), recovery, prefill, decode)
+	fmt.Fprintf(r.out, "  share of value in time %.3f, in the second half %.3f; route of highest priority 90 percent in time after %v; "+
+		"now %d prefill and %d decode engines\n",
+		summary.InTime/max(summary.Offered, 1), secondHalfSummary.InTime/max(secondHalfSummary.Offered, 1), recovery, prefill, decode)
 }
 
-// routes are the model routes of a phase, with equal shares.
+// routes returns the model routes of a phase, with equal shares of the traffic.
 func (r *shiftRun) routes(p Phase) (routes []loadgen.Route) {
 	for _, configured := range r.deployment.Routes {
 		route := clientRoute(configured)
@@ -213,14 +215,14 @@
 	return prefill, decode
 }
 
-// recoveryWindow is the length of the windows in which recoveryTime looks.
+// recoveryWindow is the length of the windows that recoveryTime checks.
 const recoveryWindow = 4 * time.Second
 
 // neverRecovered is the recovery time of a phase in which the route did not recover.
 const neverRecovered = time.Duration(-1)
 
-// recoveryTime is how long after the start of a phase nine tenths of the requests of the route of highest priority get
-// their first token in time, for two windows in a row.
+// recoveryTime returns the time from the start of a phase until nine tenths of the requests of the route of highest priority
+// get their first token in time in two successive windows, or neverRecovered.
 func recoveryTime(records []audit.ClientRecord, routes []loadgen.Route, startedAt time.Time, length time.Duration) time.Duration {
 	highest := routes[0]
 	for _, r := range routes {
--- a/internal/scenario/loadshift_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -22,20 +22,20 @@
 	"sandcourse/settings"
 )
 
-// Load shifts to prefill and to decode, the planner is killed every nine seconds, an engine crashes and another reports
-// false work: engines follow the load, the five rules hold, no reservation stays, and all edges and engines agree at the
-// end.
-func TestLoadShiftKeepsTheRules(t *testing.T) {
+// The load shifts to prefill and then to decode, the planner is killed every nine seconds, one engine restarts and another
+// reports ten times its work. Engines change roles, no invariant is violated, all reservations are released, and each
+// published plan is newer than the one before.
+func TestLoadShiftKeepsInvariants(t *testing.T) {
 	var mu sync.Mutex
 	var newest planapi.Plan
-	tilt := LoadShift{PrefillEngines: 4, DecodeEngines: 4, Edges: 2, KillPlanner: true, Seed: 3, Phases: []Phase{
+	shift := LoadShift{PrefillEngines: 4, DecodeEngines: 4, Edges: 2, KillPlanner: true, Seed: 3, Phases: []Phase{
 		{Name: "long prompts", Duration: 20 * time.Second, RequestRate: 30, UserWords: 1500, MaxTokens: 24},
-		{Name: "long answers", Duration: 8 * time.Second, RequestRate: 20, UserWords: 40, MaxTokens: 200}},
+		{Name: "long responses", Duration: 8 * time.Second, RequestRate: 20, UserWords: 40, MaxTokens: 200}},
 		OnPlan: func(p planapi.Plan) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !p.Newer(newest) {
-				t.Errorf("plan %d of term %d follows %d of %d", p.Number, p.Term, newest.Number, newest.Term)
+				t.Errorf("plan %d of term %d is published after plan %d of term %d", p.Number, p.Term, newest.Number, newest.Term)
 			}
 			newest = p
 		},
@@ -49,43 +49,45 @@
 				}
 			}
 		}}
-	res, err := tilt.Run(context.Background(), t.TempDir(), zap.NewNop(), io.Discard)
+	result, err := shift.Run(context.Background(), t.TempDir(), zap.NewNop(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Violations {
-		t.Error(b)
+	for _, violation := range result.Violations {
+		t.Error(violation)
 	}
-	if res.HeldAtEnd > 0 || res.RoleChanges == 0 || res.PlannerKills < 2 {
-		t.Errorf("held %d, changes %d, kills %d", res.HeldAtEnd, res.RoleChanges, res.PlannerKills)
+	if result.HeldAtEnd > 0 || result.RoleChanges == 0 || result.PlannerKills < 2 {
+		t.Errorf("%d reservations held at the end, %d role changes, %d kills of the planner",
+			result.HeldAtEnd, result.RoleChanges, result.PlannerKills)
 	}
 }
 
-// One edge follows the planner, the other a list that never changes again. An engine changes its role under both: what
-// the second sends it by its old list is rejected as certainly not run, is retried elsewhere, and no rule is violated.
-func TestEdgesOnDifferentPlans(t *testing.T) {
+// One edge follows the planner, the other an endpoint list that never changes, when an engine changes its role. The engine
+// rejects attempts of the second edge in its old role as certainly not run; they are retried on other engines, and no
+// invariant is violated.
+func TestEdgeWithStaleListIsRejectedWithoutViolations(t *testing.T) {
 	dir := t.TempDir()
-	seen := &audit.Log{}
+	records := &audit.Log{}
 	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var configs []engine.Config
 	for i := range 6 {
-		configs = append(configs, loadShiftEngine(i, 3, d.Rules))
+		configs = append(configs, loadShiftEngineConfig(i, 3, d.Rules))
 	}
-	fleet, err := StartFleet(dir, configs, seen)
+	fleet, err := StartFleet(dir, configs, records)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Stop()
-	p := planner.New(LoadShift{}.Planning(fleet, dir), zap.NewNop())
+	p := planner.New(LoadShift{}.PlannerConfig(fleet, dir), zap.NewNop())
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer p.Stop()
-	follows, stale := *d, *d
-	follows.EndpointFile, follows.PlannerAddress = "", p.Addr()
+	following, stale := *d, *d
+	following.EndpointFile, following.PlannerAddress = "", p.Addr()
 	list := endpoint.List{Revision: 1}
 	for _, e := range fleet.endpoints.Entries {
 		e.RoleEpoch = 1
@@ -96,9 +98,9 @@
 		t.Fatal(err)
 	}
 	var addrs []string
-	for i, base := range []config.Deployment{follows, stale} {
+	for i, base := range []config.Deployment{following, stale} {
 		base.ChatAddress = "127.0.0.1:0"
-		edges, err := StartEdges(1, base, zap.NewNop(), seen, uint64(i))
+		edges, err := StartEdges(1, base, zap.NewNop(), records, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,13 +111,13 @@
 		addrs = append(addrs, edges.Addrs()...)
 	}
 	moved := fleet.Engines[0]
-	var all sync.WaitGroup
-	all.Go(func() {
-		time.Sleep(2 * time.Second) // of eight
-		answer, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
+	var ordering sync.WaitGroup
+	ordering.Go(func() {
+		time.Sleep(2 * time.Second) // the traffic lasts eight seconds
+		response, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 			strings.NewReader(`{"op":"move","engine":"`+moved.Addr()+`","who":"test","why":"test"}`))
-		if err != nil || answer.StatusCode != http.StatusOK {
-			t.Error(err, answer)
+		if err != nil || response.StatusCode != http.StatusOK {
+			t.Error(err, response)
 		}
 	})
 	routes := []loadgen.Route{}
@@ -126,16 +128,16 @@
 	}
 	loadgen.Traffic{Edges: func() []string { return addrs }, Routes: routes, Rate: 20, Duration: 8 * time.Second,
 		Seed: 5, Prefixes: 4, PrefixWords: 100,
-		Turns: 2, Retries: 1, Log: seen}.Run(context.Background())
-	all.Wait()
+		Turns: 2, Retries: 1, Log: records}.Run(context.Background())
+	ordering.Wait()
 	if moved.Role() != "write" {
-		t.Errorf("it is still %s of epoch %d", moved.Role(), moved.Epoch())
+		t.Errorf("engine still has role %s of epoch %d", moved.Role(), moved.Epoch())
 	}
-	for _, b := range seen.Check(AuditRules(d), time.Now()) {
-		t.Error(b)
+	for _, violation := range records.Check(AuditRules(d), time.Now()) {
+		t.Error(violation)
 	}
-	sum := loadgen.Summarize(seen.ClientRecords(), routes)
-	if sum.Outcomes["errored"] > 0 || sum.InTime < 0.9*sum.Offered {
-		t.Errorf("%v, %.2f of value in time", sum.Outcomes, sum.InTime/sum.Offered)
+	summary := loadgen.Summarize(records.ClientRecords(), routes)
+	if summary.Outcomes["errored"] > 0 || summary.InTime < 0.9*summary.Offered {
+		t.Errorf("outcomes %v, share of value in time %.2f", summary.Outcomes, summary.InTime/summary.Offered)
 	}
 }
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	killInterval            = 9 * time.Second
-	killIntervalStep        = 700 * time.Millisecond
-	plannerDownTime         = 400 * time.Millisecond
-	plannerStartAttempts    = 50
-	plannerStartRetryPeriod = 20 * time.Millisecond
+	killInterval              = 9 * time.Second
+	killIntervalStep          = 700 * time.Millisecond
+	plannerDownTime           = 400 * time.Millisecond
+	plannerStartAttempts      = 50
+	plannerStartRetryInterval = 20 * time.Millisecond
 )
 
-// plannerProcess is a planner that may be killed and restarted. It keeps its address.
+// plannerProcess is a planner in this process that can be killed and restarted. It keeps its address.
 type plannerProcess struct {
 	config    *config.Planner
 	log       *zap.Logger
@@ -57,7 +57,7 @@
 	p.planner.Stop()
 }
 
-// killRepeatedly kills and restarts the planner until the context ends, and counts how often.
+// killRepeatedly kills and restarts the planner until the context is canceled, and returns the number of kills.
 func (p *plannerProcess) killRepeatedly(ctx context.Context) (kills int) {
 	for n := 1; ; n++ {
 		select {
@@ -68,20 +68,20 @@
 		p.stop()
 		time.Sleep(plannerDownTime)
 		if err := p.restart(); err != nil {
-			fmt.Fprintln(p.out, "the planner does not restart:", err)
+			fmt.Fprintln(p.out, "planner did not restart:", err)
 			return kills
 		}
 		kills++
 	}
 }
 
-// restart starts the planner again, as soon as its address is free.
+// restart starts the planner again, with retries until its address is free.
 func (p *plannerProcess) restart() (err error) {
 	for range plannerStartAttempts + 1 {
 		if err = p.start(); err == nil {
 			return nil
 		}
-		time.Sleep(plannerStartRetryPeriod)
+		time.Sleep(plannerStartRetryInterval)
 	}
 	return err
 }
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -7,12 +7,12 @@
 	"sandcourse/internal/config"
 )
 
-// AuditRules are what a deployment's runs are judged by.
+// AuditRules returns the rules with which package audit checks runs of a deployment.
 func AuditRules(d *config.Deployment) audit.Rules {
 	r := audit.Rules{NonRetriable: map[string]bool{}, DrainGrace: d.Rules.DrainGrace, ReservationLimit: d.Rules.ReservationLimit,
-		// A list is looked at every 50 ms.
+		// Edges check the endpoint list for changes every 50 ms.
 		ListDelay: 100 * time.Millisecond,
-		// What goroutines of a full machine may wait before they see what has happened.
+		// Goroutines on a busy machine may run this long after the event that wakes them.
 		Tolerance: 150 * time.Millisecond}
 	for _, t := range d.Routes {
 		r.NonRetriable[t.Name] = t.Effect == config.EffectNonRetriable
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -13,17 +13,17 @@
 	"sandcourse/internal/loadgen"
 )
 
-// Result is how a scenario went.
+// Result is the result of a scenario.
 type Result struct {
 	Summary       loadgen.Summary
 	Violations    []audit.Violation
-	Traces        map[string][]string // of the requests concerned
+	Traces        map[string][]string // of requests with violations, by request ID
 	Restarts      int                 // of engines
 	HeldAtEnd     int                 // reservations that were not released
 	EngineRecords int
 }
 
-// Run runs the scenario in a folder, and reports its steps to out.
+// Run runs the scenario with its files in dir, and prints its steps to out.
 func (s *Scenario) Run(ctx context.Context, dir string, log *zap.Logger, out io.Writer) (Result, error) {
 	records := &audit.Log{}
 	fleet, err := StartFleet(dir, s.engineConfigs(), records)
@@ -64,12 +64,12 @@
 		Turns: s.Turns, Retries: s.Retries, DisconnectShare: s.DisconnectShare, Log: records}
 }
 
-// Print writes the result for people.
+// Print writes the result as text.
 func (r Result) Print(w io.Writer) {
 	r.Summary.Print(w)
-	fmt.Fprintf(w, "engines restarted: %d; reservations still held: %d; records of engines: %d\n", r.Restarts, r.HeldAtEnd, r.EngineRecords)
+	fmt.Fprintf(w, "engine restarts: %d; reservations still held: %d; engine records: %d\n", r.Restarts, r.HeldAtEnd, r.EngineRecords)
 	if len(r.Violations) == 0 {
-		fmt.Fprintln(w, "all five rules kept (simulated: fake engines on loopback)")
+		fmt.Fprintln(w, "all five invariants hold (simulated: fake engines on loopback)")
 	}
 	for _, v := range r.Violations {
 		fmt.Fprintln(w, "BROKEN", v)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/loadgen"
 )
 
-// Scenario is a scripted scenario.
+// Scenario is a parsed scenario script.
 type Scenario struct {
 	Duration                                            time.Duration
 	RequestRate, DisconnectShare                        float64
@@ -24,28 +24,28 @@
 	Deployment                                          *config.Deployment
 }
 
-// TrafficShare is how much of the traffic goes to a model route.
+// TrafficShare is the share of the traffic that goes to a model route.
 type TrafficShare struct {
 	Route     string
 	Share     float64
 	MaxTokens int
 }
 
-// Fault is one fault of a scenario, named and shaped as the bench's.
+// Fault is one fault of a scenario, with the kinds and parameters that the benchmark has.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
 	Duration time.Duration
 	Fraction float64     // of the engines of its role, or of the edges
-	Size     float64     // times slower, times the rate, share of the traffic, seconds: by kind
-	Role     config.Role // empty for both
-	Selector int         // picks among engines beside the scenario's seed
+	Size     float64     // by kind: slowdown factor, rate factor, share of the traffic or seconds
+	Role     config.Role // empty for both roles
+	Selector int         // with the seed of the scenario, selects the targets
 }
 
-// active reports whether a fault lasts at a time into the scenario.
+// active reports whether the fault lasts at a time after the start of the scenario.
 func (f Fault) active(at time.Duration) bool { return at >= f.At && at < f.At+f.Duration }
 
-// LoadFile reads a scenario's script from a file. The error, if any, is of type script.Faults.
+// LoadFile reads a scenario script from a file. Any error is of type script.Faults.
 func LoadFile(path string) (*Scenario, error) {
 	text, err := script.ReadFile(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 // engineSeed is the seed of all fake engines.
 const engineSeed = 7
 
-// engineConfigs are the fake engines, prefill engines first.
+// engineConfigs returns the configurations of the fake engines, prefill engines first.
 func (s *Scenario) engineConfigs() (configs []engine.Config) {
 	rules := s.Deployment.Rules
 	for i := range s.PrefillEngines + s.DecodeEngines {
@@ -73,7 +73,7 @@
 	return configs
 }
 
-// routes are the model routes as clients use them.
+// routes returns the model routes as clients use them.
 func (s *Scenario) routes() (routes []loadgen.Route) {
 	for _, c := range s.Clients {
 		r := clientRoute(s.Deployment.Routes[s.Deployment.Route(c.Route)])
@@ -83,7 +83,7 @@
 	return routes
 }
 
-// clientRoute is a model route as clients use it, without its share and size.
+// clientRoute returns a model route as clients use it, without its share and its token limit.
 func clientRoute(r config.Route) loadgen.Route {
 	return loadgen.Route{Name: r.Name, PriorityWeight: r.PriorityWeight, Retriable: r.Effect == config.EffectRetriable,
 		FirstTokenTarget: r.FirstTokenObjective, Timeout: r.Timeout}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -7,10 +7,10 @@
 	"sandcourse/internal/config/script"
 )
 
-// maxFaults is how many faults a script may have.
+// maxFaults is the maximum number of faults in a script.
 const maxFaults = 1000
 
-// Parse checks a scenario's script completely. The error, if any, is of type script.Faults.
+// Parse parses a scenario script and reports all its faults together. Any error is of type script.Faults.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{Duration: 20 * time.Second, RequestRate: 30, Seed: 1, Retries: 2, Turns: 3, Prefixes: 6, PrefixWords: 200, Edges: 3,
 		PrefillEngines: 4, DecodeEngines: 4, PrefillRate: 200_000, AttemptRate: 60, TokenTime: 5 * time.Millisecond,
@@ -18,7 +18,7 @@
 	s.Deployment.File, s.Deployment.EndpointFile, s.Deployment.ChatAddress = name, endpointFile, ""
 	functions := s.Deployment.ScriptFunctions()
 	for _, own := range []string{"listen", "node", "roster", "engine"} {
-		delete(functions, own) // the scenario makes these itself
+		delete(functions, own) // set by the scenario
 	}
 	functions["day"] = s.scriptDay
 	functions["edges"] = s.scriptEdges
@@ -70,7 +70,7 @@
 			script.Number("max_tokens", &c.MaxTokens, 1, 4096),
 		}, func(report script.ReportFault) {
 			if c.Route != "" && s.Deployment.Route(c.Route) < 0 {
-				report("route", "%q is no route named above", c.Route)
+				report("route", "%q is not a route that the script defines above", c.Route)
 			}
 			s.Clients = append(s.Clients, c)
 		}
@@ -88,22 +88,22 @@
 			script.Number("on", &f.Selector, 0, 1e6),
 		}, func(report script.ReportFault) {
 			if len(s.Faults) >= maxFaults {
-				report("", "more than %d troubles", maxFaults)
+				report("", "more than %d faults", maxFaults)
 				return
 			}
 			s.Faults = append(s.Faults, f)
 		}
 }
 
-// checkScript checks what concerns the script as a whole.
+// checkScript checks the script as a whole.
 func (s *Scenario) checkScript(report script.ReportScriptFault) {
 	s.Deployment.CheckScript(report)
 	if len(s.Clients) == 0 {
-		report("client: none is given; at least one is needed")
+		report("client: at least one is required")
 	}
 	for i, f := range s.Faults {
 		if f.At > s.Duration {
-			report("trouble: number %d, %s, begins %v into a day of %v", i+1, f.Kind, f.At, s.Duration)
+			report("trouble: number %d, %s, begins at %v, after the end of the scenario at %v", i+1, f.Kind, f.At, s.Duration)
 		}
 	}
 }
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/config"
 )
 
-// FaultKind is a kind of fault, as scripts spell it.
+// FaultKind is a kind of fault, by its name in scripts.
 type FaultKind string
 
 // The kinds of fault.
@@ -19,19 +19,19 @@
 	FaultVanish         FaultKind = "vanish"          // engines become unresponsive, and restart
 	FaultMassRestart    FaultKind = "mass_restart"    // many engines crash and restart
 	FaultSlow           FaultKind = "slow"            // engines are slower
-	FaultNoisyNeighbour FaultKind = "neighbour"       // engines are slower, because of another tenant
-	FaultAgeing         FaultKind = "ageing"          // engines become slower step by step
+	FaultNoisyNeighbour FaultKind = "neighbour"       // engines are slower, as with another tenant on the machine
+	FaultAgeing         FaultKind = "ageing"          // engines become slower in steps
 	FaultPauses         FaultKind = "pauses"          // engines are unresponsive for a part of each second
 	FaultCacheFlush     FaultKind = "flush"           // engines lose their cached prefixes
 	FaultSlowAccept     FaultKind = "handshake_slow"  // engines are slow to begin a response
 	FaultStallFirst     FaultKind = "stall_first"     // engines stop before the first token
-	FaultStall          FaultKind = "stall"           // engines stop within a stream
-	FaultBreak          FaultKind = "break"           // engines reset the connection within a stream
-	FaultHalfResponse   FaultKind = "half_answer"     // responses to prefills stop half way
-	FaultFalseLoad      FaultKind = "lie"             // engines report no load
-	FaultFail           FaultKind = "fail"            // engines answer attempts with a status and no reason
+	FaultStall          FaultKind = "stall"           // engines stop in the middle of a stream
+	FaultBreak          FaultKind = "break"           // engines reset the connection in the middle of a stream
+	FaultHalfResponse   FaultKind = "half_answer"     // prefill responses are truncated
+	FaultFalseLoad      FaultKind = "lie"             // engines report an empty load
+	FaultFail           FaultKind = "fail"            // engines respond to attempts with an error status and no reason
 	FaultDrain          FaultKind = "drain"           // engines drain
-	FaultPreempt        FaultKind = "preempt"         // engines are lost after a notice
+	FaultPreempt        FaultKind = "preempt"         // engines drain for a notice period and crash
 	FaultBurst          FaultKind = "burst"           // more requests arrive
 	FaultHotPrefix      FaultKind = "hot_key"         // many requests share a new prefix
 	FaultStaleList      FaultKind = "discovery_stale" // the endpoint list is published late
@@ -39,7 +39,7 @@
 	FaultEdgeRoll       FaultKind = "balancer_roll"   // edges restart one after the other
 )
 
-// faultTarget is what a kind of fault concerns.
+// faultTarget is what a kind of fault acts on.
 type faultTarget uint8
 
 const (
@@ -49,8 +49,8 @@
 	targetList
 )
 
-// faultKinds is what each kind concerns, and its size where none is given.
-var faultKinds = map[FaultKind]struct {
+// faultKindInfo holds the target and the default size of each kind of fault.
+var faultKindInfo = map[FaultKind]struct {
 	target faultTarget
 	size   float64
 }{
@@ -62,39 +62,39 @@
 	FaultHotPrefix: {targetTraffic, 0.2}, FaultStaleList: {targetList, 2}, FaultEdgeCrash: {targetEdges, 0}, FaultEdgeRoll: {targetEdges, 0.2},
 }
 
-// FaultKinds lists the kinds of fault by name.
-func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultKinds)) }
+// FaultKinds returns the kinds of fault, sorted by name.
+func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(faultKindInfo)) }
 
-// size is the size of a fault, or the default of its kind.
-func (f Fault) size() float64 { return cmp.Or(f.Size, faultKinds[f.Kind].size) }
+// size returns the size of the fault, or the default of its kind.
+func (f Fault) size() float64 { return cmp.Or(f.Size, faultKindInfo[f.Kind].size) }
 
-// seconds is a size as a time.
+// seconds converts a size in seconds to a duration.
 func seconds(size float64) time.Duration { return time.Duration(size * 1e9) }
 
-// noTarget marks a step that concerns no engine, or no edge.
+// noTarget is the engine or edge of a step that does not act on one.
 const noTarget = -1
 
-// Step is one thing done to one engine or edge, or to the endpoint list, at a time into the scenario.
+// Step is one action on an engine, an edge or the endpoint list, at a time after the start of the scenario.
 type Step struct {
-	At       time.Duration
-	Kind     FaultKind
-	Engine   int // noTarget for none
-	Edge     int // noTarget for none
-	Size     float64
-	Duration time.Duration
-	Ends     bool // the fault of this kind is over
+	At        time.Duration
+	Kind      FaultKind
+	Engine    int // noTarget for none
+	Edge      int // noTarget for none
+	Size      float64
+	Duration  time.Duration
+	EndsFault bool // the step ends the fault
 }
 
-// Plan lays out faults as steps, ordered by time. The same faults and seed give the same steps.
+// Plan returns the steps of faults, ordered by time. The same faults and seed give the same steps.
 func Plan(faults []Fault, engineCount, prefillCount, edgeCount int, seed uint64) []Step {
 	var steps []Step
 	for n, f := range faults {
 		random := rand.New(rand.NewPCG(seed+uint64(f.Selector), uint64(n)))
-		switch faultKinds[f.Kind].target {
-		case targetTraffic: // the load generator asks rateFactor and hotPrefixShare
+		switch faultKindInfo[f.Kind].target {
+		case targetTraffic: // no steps: the load generator calls rateFactor and hotPrefixShare
 		case targetList:
 			steps = append(steps, Step{At: f.At, Kind: f.Kind, Engine: noTarget, Edge: noTarget, Size: f.size()},
-				Step{At: f.At + f.Duration, Kind: f.Kind, Engine: noTarget, Edge: noTarget, Ends: true})
+				Step{At: f.At + f.Duration, Kind: f.Kind, Engine: noTarget, Edge: noTarget, EndsFault: true})
 		case targetEdges:
 			for i, edge := range pickTargets(random, 0, edgeCount, f.Fraction) {
 				steps = append(steps, f.edgeStep(i, edge, edgeCount))
@@ -116,7 +116,7 @@
 	return steps
 }
 
-// edgeStep is the step of a fault for the i-th edge that it concerns. A roll spreads them over its duration.
+// edgeStep returns the step of a fault for its i-th edge. A rolling restart spreads the steps over its duration.
 func (f Fault) edgeStep(i, edge, edgeCount int) Step {
 	s := Step{At: f.At, Kind: f.Kind, Engine: noTarget, Edge: edge, Duration: f.Duration}
 	if f.Kind == FaultEdgeRoll {
@@ -125,18 +125,18 @@
 	return s
 }
 
-// ageingSteps is in how many steps an ageing engine reaches the size of its fault.
+// ageingSteps is the number of steps in which an ageing engine reaches the full slowdown.
 const ageingSteps = 4
 
-// engineSteps are the steps of a fault for one engine.
+// engineSteps returns the steps of a fault for one engine.
 func (f Fault) engineSteps(engine int) (steps []Step) {
 	begin := Step{At: f.At, Kind: f.Kind, Engine: engine, Edge: noTarget, Size: f.size(), Duration: f.Duration}
 	end := begin
-	end.At, end.Ends = f.At+f.Duration, true
+	end.At, end.EndsFault = f.At+f.Duration, true
 	switch f.Kind {
 	case FaultCacheFlush:
 		return []Step{begin}
-	case FaultPauses: // every second, for size seconds
+	case FaultPauses: // a pause of size seconds in every second
 		for at := time.Duration(0); at < f.Duration; at += time.Second {
 			pause, resume := begin, end
 			pause.At, resume.At = f.At+at, f.At+at+seconds(f.size())
@@ -154,7 +154,7 @@
 	return []Step{begin, end}
 }
 
-// pickTargets picks a fraction of the numbers from low to high, at least one if the fraction is not zero.
+// pickTargets picks a random fraction of the numbers from low to high-1, at least one if the fraction is not zero.
 func pickTargets(random *rand.Rand, low, high int, fraction float64) []int {
 	count := int(fraction*float64(high-low) + 0.5)
 	if fraction > 0 && high > low {
@@ -168,7 +168,7 @@
 	return picked
 }
 
-// rateFactor is by how much bursts raise the rate of requests.
+// rateFactor returns the function of time by which bursts multiply the request rate.
 func rateFactor(faults []Fault) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		factor := 1.0
@@ -181,7 +181,7 @@
 	}
 }
 
-// hotPrefixShare is the share of requests that begin with a new prefix.
+// hotPrefixShare returns the share of new sessions that begin with a hot prefix, as a function of time.
 func hotPrefixShare(faults []Fault) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		share := 0.0
