--- a/deploy/sites/build.sh
+++ b/deploy/sites/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds this folder's sites from one of the operators' kit. Ends with 2 where there is no such site.
+# Builds the site files of this folder from a site file of the operators' kit. Exits with status 2 if that fails.
 #   deploy/sites/build.sh PATH/TO/SITE.toml
 set -eu
 mkdir -p bin
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,10 +1,10 @@
-// Command sites builds the site files of this folder: each is a site of the operators' kit with changes of our own.
-// The changes are kept here; what is built from the kit is not.
+// Command sites builds the site files of this folder: each is a variant of a site file of the operators' kit. Only the
+// changes of each variant are kept in the repository, not the files built from the kit.
 //
 //	deploy/sites/build.sh PATH/TO/SITE.toml
 //
-// Beside each variant's changes it writes site.toml, and copies real.json, wire.json and unlock.txt, which lie beside
-// the kit's site. It ends with 2 where there is no such site.
+// The command writes site.toml to the folder of each variant, and copies real.json, wire.json and unlock.txt there from
+// the folder of the kit's site file. It exits with status 2 on any error.
 package main
 
 import (
@@ -18,14 +18,14 @@
 	"strings"
 )
 
-// changesName is the file that holds a variant's changes: one "path = value" a line, # begins a remark. A path is a
-// section and a key, such as net.zones; sections that stand several times are counted from 0, as in class.1.worth.
-const changesName = "changes.txt"
+// changesFile is the name of the file with the changes of a variant: one "path = value" per line, # begins a comment. A path
+// is a section and a key, such as net.zones; repeated sections are numbered from 0, as in class.1.worth.
+const changesFile = "changes.txt"
 
-// besideSite are the files that a bench reads beside a site.
-var besideSite = []string{"real.json", "wire.json", "unlock.txt"}
+// companionFiles are the files that the benchmark reads from the folder of a site file.
+var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// change sets one key. Applied is set once its section has been met.
+// change sets one key. The field applied is set once the key has been written to its section.
 type change struct {
 	section, key, value string
 	applied             bool
@@ -46,14 +46,14 @@
 func buildAll(site, folder string) error {
 	text, err := os.ReadFile(site)
 	if err != nil {
-		return fmt.Errorf("the kit's site is needed: %w", err)
+		return fmt.Errorf("read the site file of the kit: %w", err)
 	}
-	files, err := filepath.Glob(filepath.Join(folder, "*", changesName))
+	files, err := filepath.Glob(filepath.Join(folder, "*", changesFile))
 	if err != nil {
-		return fmt.Errorf("look for %s under %s: %w", changesName, folder, err)
+		return fmt.Errorf("find %s under %s: %w", changesFile, folder, err)
 	}
 	if len(files) == 0 {
-		return fmt.Errorf("no %s under %s; run it from the repository's root", changesName, folder)
+		return fmt.Errorf("no %s under %s; run the command from the root of the repository", changesFile, folder)
 	}
 	for _, file := range files {
 		if err := build(string(text), filepath.Dir(site), file); err != nil {
@@ -77,16 +77,16 @@
 	if err != nil {
 		return err
 	}
-	to := filepath.Dir(file)
-	if err := os.WriteFile(filepath.Join(to, "site.toml"), []byte(changed), 0o644); err != nil {
+	variantFolder := filepath.Dir(file)
+	if err := os.WriteFile(filepath.Join(variantFolder, "site.toml"), []byte(changed), 0o644); err != nil {
 		return err
 	}
-	for _, name := range besideSite {
+	for _, name := range companionFiles {
 		data, err := os.ReadFile(filepath.Join(kit, name))
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(to, name), data, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(variantFolder, name), data, 0o644); err != nil {
 			return err
 		}
 	}
@@ -109,12 +109,12 @@
 	return changes, nil
 }
 
-// apply sets keys in a site's text. Keys that a section lacks are added to its end.
+// apply sets keys in the text of a site file. Keys that a section does not have are added to its end.
 func apply(site string, changes []*change) (string, error) {
 	var out []string
 	section := ""
-	count := map[string]int{}
-	finish := func() {
+	sectionCounts := map[string]int{}
+	addMissingKeys := func() {
 		for _, c := range changes {
 			if c.section == section && !c.applied {
 				c.applied = true
@@ -126,12 +126,12 @@
 	for lines.Scan() {
 		line := lines.Text()
 		if strings.HasPrefix(line, "[") {
-			finish()
+			addMissingKeys()
 			name := strings.Trim(line, "[]")
 			section = name
 			if strings.HasPrefix(line, "[[") {
-				section += "." + strconv.Itoa(count[name])
-				count[name]++
+				section += "." + strconv.Itoa(sectionCounts[name])
+				sectionCounts[name]++
 			}
 		}
 		key, _, _ := strings.Cut(line, " = ")
@@ -142,12 +142,12 @@
 		}
 		out = append(out, line)
 	}
-	finish()
-	var unmet []error
+	addMissingKeys()
+	var missingSections []error
 	for _, c := range changes {
 		if !c.applied {
-			unmet = append(unmet, fmt.Errorf("the site has no section %q", c.section))
+			missingSections = append(missingSections, fmt.Errorf("site file has no section %q", c.section))
 		}
 	}
-	return strings.Join(out, "\n") + "\n", errors.Join(append(unmet, lines.Err())...)
+	return strings.Join(out, "\n") + "\n", errors.Join(append(missingSections, lines.Err())...)
 }
--- a/deploy/sites/main_test.go
+++ b/deploy/sites/main_test.go
@@ -10,7 +10,7 @@
 const sample = "name = \"a\"\n[net]\nzones = [\"x\"]\n\n[[class]]\nworth = 1\n[[class]]\nworth = 5\nshare = 2\n"
 
 func TestChangesAreApplied(t *testing.T) {
-	changes, err := readChanges("# remark\nname = \"b\"\nclass.1.worth = [7, 8]\nclass.0.effect = \"keyed\"\n")
+	changes, err := readChanges("# comment\nname = \"b\"\nclass.1.worth = [7, 8]\nclass.0.effect = \"keyed\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestWhatCannotBeBuiltIsTold(t *testing.T) {
+func TestInvalidInputIsReported(t *testing.T) {
 	changes, _ := readChanges("class.2.worth = 1")
 	if _, err := apply(sample, changes); err == nil || !strings.Contains(err.Error(), "class.2") {
 		t.Error(err)
@@ -34,32 +34,32 @@
 	}
 }
 
-// All variants of this folder fit a site that has the kit's sections, and each is built with what lies beside it.
-func TestVariantsAreBuilt(t *testing.T) {
-	kit, to := t.TempDir(), t.TempDir()
+// Every variant of this folder can be built from a site file with the sections of the kit, and gets its companion files.
+func TestAllVariantsAreBuilt(t *testing.T) {
+	kit, folder := t.TempDir(), t.TempDir()
 	sections := "[day]\n[scale]\n[load]\n[net]\n[clients]\n[discovery]\n[allow]\n[rules]\n[goal]\n[prices]\n[[tier]]\n[tier.report]\n" +
 		"[tier.conn]\n[tier.probe]\n[[tier.kind]]\n[[tier.kind]]\n[[class]]\n[[class]]\n[fam]\n[[fam.engine]]\n[[fam.engine]]\n" +
 		"[[fam.class]]\n[[fam.class]]\n"
-	for _, name := range append([]string{"site.toml"}, besideSite...) {
+	for _, name := range append([]string{"site.toml"}, companionFiles...) {
 		if err := os.WriteFile(filepath.Join(kit, name), []byte(sections), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	files, _ := filepath.Glob(filepath.Join("*", changesName))
+	files, _ := filepath.Glob(filepath.Join("*", changesFile))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		os.MkdirAll(filepath.Join(to, filepath.Dir(file)), 0o755)
-		os.WriteFile(filepath.Join(to, file), text, 0o644)
+		os.MkdirAll(filepath.Join(folder, filepath.Dir(file)), 0o755)
+		os.WriteFile(filepath.Join(folder, file), text, 0o644)
 	}
-	if err := buildAll(filepath.Join(kit, "site.toml"), to); err != nil || len(files) < 2 {
+	if err := buildAll(filepath.Join(kit, "site.toml"), folder); err != nil || len(files) < 2 {
 		t.Fatal(err, files)
 	}
 	for _, file := range files {
-		for _, name := range append([]string{"site.toml"}, besideSite...) {
-			if _, err := os.Stat(filepath.Join(to, filepath.Dir(file), name)); err != nil {
+		for _, name := range append([]string{"site.toml"}, companionFiles...) {
+			if _, err := os.Stat(filepath.Join(folder, filepath.Dir(file), name)); err != nil {
 				t.Error(err)
 			}
 		}
--- a/scenarios/ci.star
+++ b/scenarios/ci.star
@@ -1,4 +1,4 @@
-# The bad day that CI plays: most kinds of trouble, some at once, in under half a minute.
+# The scenario that CI runs: most kinds of fault, some at the same time, in under half a minute.
 day(length = "16s", rate = 60, seed = 11, retries = 2, leave = 0.03, beginnings = 6, words = 300)
 edges(count = 3)
 fleet(readers = 5, writers = 5, send_rate = 40)
--- a/scenarios/lab/retries-drain.star
+++ b/scenarios/lab/retries-drain.star
@@ -1,4 +1,4 @@
-# Trouble: drain, for ten seconds; clients try up to four times more.
+# Half of the engines drain for ten seconds; clients retry up to four times.
 day(length = "90s", rate = 12, retries = 4, seeds = 8)
 trouble(kind = "drain", at = "20s", length = "10s", part = 0.5)
 
--- a/scenarios/lab/retries-restart.star
+++ b/scenarios/lab/retries-restart.star
@@ -1,4 +1,4 @@
-# Trouble: restart, for ten seconds; clients try up to four times more.
+# Half of the engines are down for ten seconds and warm up afterwards; clients retry up to four times.
 day(length = "90s", rate = 12, retries = 4, seeds = 8)
 trouble(kind = "restart", at = "20s", length = "10s", part = 0.5)
 
--- a/scenarios/lab/retries-slow.star
+++ b/scenarios/lab/retries-slow.star
@@ -1,4 +1,4 @@
-# Trouble: slow, for ten seconds; clients try up to four times more.
+# All engines are four times slower for ten seconds; clients retry up to four times.
 day(length = "90s", rate = 12, retries = 4, seeds = 8)
 trouble(kind = "slow", at = "20s", length = "10s", part = 4)
 
--- a/settings/demo.go
+++ b/settings/demo.go
@@ -1,9 +1,9 @@
-// Package settings holds the sample settings scripts.
+// Package settings holds sample settings scripts.
 package settings
 
 import _ "embed"
 
-// Demo is the script that the demo runs with; operators may start theirs from it.
+// Demo is the settings script of the demo. Operators can use it as a template.
 //
 //go:embed demo.star
 var Demo string
--- a/settings/planner.star
+++ b/settings/planner.star
@@ -1,4 +1,4 @@
-# A planner to start from: paths are taken from this file's folder.
+# Settings of a planner, as a template. Paths are relative to the folder of this file.
 planner(listen = "127.0.0.1:9090", store = "planner.db", roster = "roster.json")
 
 kind(name = "prefill", role = "read", memory = 200000)
