--- a/cmd/sandcourse/load.go
+++ b/cmd/sandcourse/load.go
@@ -33,8 +33,8 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringSliceVar(&edges, "edge", []string{"127.0.0.1:8080"}, "edges to send to")
-	flags.StringVar(&route.Name, "model", "clip-summary", "model route")
+	flags.StringSliceVar(&edges, "edge", []string{"127.0.0.1:8080"}, "addresses of the edges to send requests to")
+	flags.StringVar(&route.Name, "model", "clip-summary", "model route to request")
 	flags.Float64Var(&traffic.Rate, "rate", 20, "requests per second, not counting retries")
 	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long requests are sent")
 	flags.Uint64Var(&traffic.Seed, "seed", 1, "random seed of arrival times and prompts")
--- a/cmd/sandcourse/main.go
+++ b/cmd/sandcourse/main.go
@@ -34,7 +34,7 @@
 func newCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "sandcourse",
-		Short:         "Routes LLM requests over prefill and decode engines",
+		Short:         "Operate and test a router of LLM requests over prefill and decode engines",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -39,7 +39,7 @@
 	flags.IntVar(&o.states, "states", 2_000_000, "maximum number of states per world, of about 200 bytes each")
 	flags.DurationVar(&o.timeLimit, "for", 10*time.Minute, "time limit for all worlds together")
 	flags.IntVar(&o.walks, "walks", 2000, "number of random walks per large world")
-	flags.Uint64Var(&o.seed, "seed", 1, "random seed of the walks")
+	flags.Uint64Var(&o.seed, "seed", 1, "random seed of the walks and simulations")
 	flags.StringVar(&o.snapshots, "snapshots", "", "folder to save unfinished explorations in and to resume them from")
 	flags.StringVar(&o.out, "out", "", "folder to write counterexamples to")
 	flags.BoolVar(&o.asJSON, "json", false, "print the results as JSON")
--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -90,7 +90,7 @@
 		Long:  "Runs the production role assignment, fixed roles and a threshold in a fluid model of a fleet. Writes a table and charts.",
 		RunE:  func(c *cobra.Command, _ []string) error { return runSweep(out, seeds, c.OutOrStdout()) },
 	}
-	command.Flags().StringVar(&out, "out", "sweep", "folder for the table and the charts")
+	command.Flags().StringVar(&out, "out", "sweep", "folder to write the table and the charts to")
 	command.Flags().IntVar(&seeds, "seeds", 3, "simulated runs of each arm per level")
 	return command
 }
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -189,7 +189,7 @@
 	r.result.Phases, r.result.SecondHalves = append(r.result.Phases, summary), append(r.result.SecondHalves, secondHalfSummary)
 	r.result.RecoveryTimes = append(r.result.RecoveryTimes, recovery)
 	prefill, decode := r.countRoles()
-	fmt.Fprintf(r.out, "  share of value in time %.3f, in the second half %.3f; route of highest priority 90 percent in time after %v; "+
+	fmt.Fprintf(r.out, "  share of value in time %.3f, in the second half %.3f; route of highest priority 90 percent in time after %v (-1ns: never); "+
 		"now %d prefill and %d decode engines\n",
 		summary.InTime/max(summary.Offered, 1), secondHalfSummary.InTime/max(secondHalfSummary.Offered, 1), recovery, prefill, decode)
 }
