--- a/cmd/sandcourse/loadshift.go
+++ b/cmd/sandcourse/loadshift.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// runTilt runs a fleet and a planner under a load that shifts between prefill and decode, and checks the invariants.
+// runLoadShift runs a fleet and a planner under a load that shifts between prefill and decode, and checks the invariants.
 func runLoadShift(c *cobra.Command, o loadShiftOptions, prefill, decode int) error {
 	folder, err := os.MkdirTemp("", "sandcourse-tilt-")
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// planPrinter prints each plan that changes how many engines have which role and state.
+// planPrinter prints each plan that changes the numbers of engines by role and state.
 type planPrinter struct {
 	out         io.Writer
 	engines     int
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -200,12 +200,12 @@
 	return "complete: all properties hold"
 }
 
-// printCover prints how many transitions of the state machines fired, and names those that did not.
+// printCoverage prints how many transitions of the state machines fired, and names those that did not.
 func (e *exploration) printCoverage(out io.Writer) {
 	fired, total := e.coverage.Fired()
 	fmt.Fprintf(out, "transitions fired: %d of %d\n", fired, total)
 	for _, name := range e.coverage.Unfired() {
-		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // skips those that cannot fire in it
+		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // skips transitions of other worlds
 			fmt.Fprintln(out, "  never fired:", name)
 		}
 	}
--- a/cmd/sandcourse/sweep_report.go
+++ b/cmd/sandcourse/sweep_report.go
@@ -57,7 +57,7 @@
 	return b.String()
 }
 
-// logScaleRatio is the ratio of the last level to the first above which a chart has a logarithmic scale.
+// logScaleRatio is the least ratio of the last level to the first for a chart with a logarithmic scale.
 const logScaleRatio = 20
 
 // plotFactor writes a chart of the arms over the levels of a factor.
--- a/internal/scenario/faultrunner.go
+++ b/internal/scenario/faultrunner.go
@@ -137,7 +137,7 @@
 	e.SetFaults(combineFaults(active))
 }
 
-// combineFaults returns the engine settings for all faults that are active at the same time.
+// combineFaults returns the settings of a fake engine for all faults that are active at the same time.
 func combineFaults(active map[FaultKind]float64) (f engine.Faults) {
 	f.Slowdown = 1
 	for kind, size := range active {
--- a/internal/scenario/loadshift_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -65,7 +65,7 @@
 // One edge follows the planner, the other an endpoint list that never changes, when an engine changes its role. The engine
 // rejects attempts of the second edge in its old role as certainly not run; they are retried on other engines, and no
 // invariant is violated.
-func TestEdgeWithStaleListIsRejectedWithoutViolations(t *testing.T) {
+func TestAttemptsFromStaleListAreRejectedWithoutViolations(t *testing.T) {
 	dir := t.TempDir()
 	records := &audit.Log{}
 	d, err := config.Read("demo.star", []byte(settings.Demo))
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// The check of each rule detects its violation, and a run without one passes.
+// The check of each rule detects a violation of that rule, and a run without violations passes.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
 	recordClient := func(c uncheckedRouter, name, request string, outcome audit.Outcome, outcomes int, end time.Time) {
