--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Action is one of the types of this file. Each is something the caller of a Policy has to do.
+// Action is something that the caller of a Policy has to do. Its implementations are the types of this file.
 type Action interface{ isAction() }
 
-// Send starts an attempt: it sends a request to an engine. Without a timeout it waits until the request's
-// deadline.
+// Send starts an attempt: the request is sent to the engine. An attempt without a timeout may last until the
+// request's deadline.
 type Send struct {
 	RequestID int64
 	Engine    string
 	Timeout   time.Duration
 }
 
-// Shed is the final answer that tells the client that a retry is safe.
+// Shed rejects a request with a final answer by which the client may safely retry.
 type Shed struct {
 	RequestID  int64
-	RetryAfter time.Duration // 0: no advice
-	Cause      string        // for logs: what the request's state machine was told
+	RetryAfter time.Duration // suggested to the client; 0 for no suggestion
+	Cause      string        // for logs: the last trigger of the request's state machine
 }
 
-// Fail is the final answer that promises nothing.
+// Fail rejects a request with a final answer that leaves open whether the request has run.
 type Fail struct {
 	RequestID int64
-	Cause     string // for logs: what the request's state machine was told
+	Cause     string // for logs: the last trigger of the request's state machine
 }
 
-// CancelAttempt abandons one attempt.
+// CancelAttempt cancels one attempt.
 type CancelAttempt struct {
 	RequestID int64
 	Attempt   int
 }
 
-// Release gives back all reservations of a request that no attempt needs any more.
+// Release releases all reservations of a request that no attempt needs any more.
 type Release struct{ RequestID int64 }
 
-// StartTimer asks for a TimerFired event no sooner than After from now.
+// StartTimer requests a TimerFired event no earlier than After from now.
 type StartTimer struct {
 	Token int64
 	After time.Duration
 }
 
-// MigrateStream hands a stream back to its client, who resumes it at another node.
+// MigrateStream ends a stream at this node so that its client resumes it at another node.
 type MigrateStream struct{ RequestID int64 }
 
-// HealthCheck asks an engine for its load.
+// HealthCheck requests the load of an engine.
 type HealthCheck struct{ Engine string }
 
-// AllNodes as the receiver of a SendGossip action stands for all other nodes.
+// AllNodes is the receiver of a SendGossip action that is sent to all other nodes.
 const AllNodes = -1
 
-// SendGossip sends a short text to one node, or to AllNodes.
+// SendGossip sends a short message to one node, or to AllNodes.
 type SendGossip struct {
 	To   int
 	Text string
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -4,22 +4,23 @@
 	"time"
 )
 
-// An overload lasts longer than the window, and a few late answers are none.
+// Overload is measured over a window shorter than an overload lasts. The share of late answers is that of at least
+// overloadMinSamples, so that a few late answers do not count as an overload.
 const (
 	overloadWindow     = 4 * time.Second
 	overloadMinSamples = 32
 )
 
-// admit sheds at once what would miss its objective: queues that only grow make all late and never clear,
-// whatever filled them: too much traffic, engines that are lost or slow, or caches that were lost. It does
-// harm where latencies are high but harmless. Resumed streams are always admitted.
+// admit sheds a request at once if it is expected to miss its objective. Otherwise queues filled by too much traffic, by
+// lost or slow engines or by lost caches would only grow, make every request late and never drain. The rule does harm
+// where latencies are high but harmless. Resumed streams are always admitted.
 func (p *Policy) admit(req *request) trigger {
 	decoders := p.usableEngines(req, &p.decodeEngines, everyEngine)
 	if len(decoders) == 0 || req.Resumed {
 		return admitted
 	}
-	weight := p.weightShare(req)
-	// Where all known decode engines are out of memory, reservations queue: the least weight is shed first.
+	weight := p.relativeWeight(req)
+	// Reservations queue when all decode engines with a known load are out of memory: the lowest weight is shed first.
 	if memory, known := p.leastMemoryShare(decoders); known && memory > 0.9+0.1*weight {
 		return cannotMeetObjective
 	}
@@ -27,52 +28,52 @@
 	expected := p.expectedLatency(req, prefill, decoders)
 	overrun := sample{p.now, time.Duration(expected - 0.25*objective)}
 	p.expectedOverruns = appendBounded(p.expectedOverruns, overrun, 48)
-	// Latencies are known late and vary, so the limit is under the objective: 0.8 of it for the highest
-	// weight, down to 0.4. Recent late answers show what latencies do not, and in a lasting overload, of
-	// first tokens or of latencies, prompts that are not cached feed it.
-	uncached := 1 - p.cachedTokens(req, prefill)/max(req.PromptTokens, 1)
-	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
-	overload := shareAbove(p.expectedOverruns, p.now, overloadWindow, overloadMinSamples)
-	limit := latencyLimit(weight) * (1 - late*(0.4+0.6*uncached)) * (1 - 0.6*overload*uncached)
+	// Latencies vary and are measured late, so the limit is below the objective: 0.8 of it for the highest weight, down
+	// to 0.4. Recent late first tokens reveal overload that latencies do not show. In a lasting overload, by late first
+	// tokens or by expected latencies, the limit is lower for uncached prompts, which add most to the load.
+	uncachedShare := 1 - p.cachedTokens(req, prefill)/max(req.PromptTokens, 1)
+	lateShare := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
+	overloadShare := shareAbove(p.expectedOverruns, p.now, overloadWindow, overloadMinSamples)
+	limit := latencyLimit(weight) * (1 - lateShare*(0.4+0.6*uncachedShare)) * (1 - 0.6*overloadShare*uncachedShare)
 	if expected > limit*objective {
 		return cannotMeetObjective
 	}
 	return admitted
 }
 
-// latencyLimit is the share of its objective that a request of a weight may be expected to take.
+// latencyLimit returns the share of its objective that a request of a weight may be expected to take.
 func latencyLimit(weight float64) float64 { return 0.4 + 0.4*weight }
 
-// hasWaitedTooLong is whether a request has waited at this node for longer than it may be expected to take in all. A
-// node that is late works it off by shedding what is old, the least weight first, in place of making all late.
+// hasWaitedTooLong reports whether a request has waited at this node for longer than it may be expected to take in
+// total. A node that falls behind sheds its oldest requests, the lowest weight first, rather than answer all of them late.
 func (p *Policy) hasWaitedTooLong(req *request) bool {
-	limit := latencyLimit(p.weightShare(req)) * p.firstTokenObjective(req)
+	limit := latencyLimit(p.relativeWeight(req)) * p.firstTokenObjective(req)
 	return !req.Resumed && float64(req.Waited) > limit
 }
 
-// expectedLatency is when the first token of a request is expected, in nanoseconds since its arrival.
-// Reservations that wait here for a decode engine say more than any latency.
+// expectedLatency returns when the first token of a request is expected, in nanoseconds since its arrival. The time that
+// reservations at this node wait for a decode engine is a better predictor than any latency.
 func (p *Policy) expectedLatency(req *request, prefill *engine, decoders []*engine) float64 {
 	var decodeLatencies []time.Duration
-	none := 0
+	unknownCount := 0
 	for _, e := range decoders {
 		if p.isQuiet(e) {
-			none++
+			unknownCount++
 		} else if latency, _ := p.latency(e, p.loadOf(e)); latency > 0 {
 			decodeLatencies = append(decodeLatencies, latency)
 		} else {
-			none++
+			unknownCount++
 		}
 	}
 	latency, _ := p.latency(prefill, p.loadOf(prefill))
-	return float64(p.now - req.arrivedAt + median(p.reservationWaits()) + latency + medianWithZeros(decodeLatencies, none))
+	return float64(p.now - req.arrivedAt + median(p.reservationWaits()) + latency + medianWithZeros(decodeLatencies, unknownCount))
 }
 
-// shedLate sheds a request that is not prefilled by its objective, where it may be shed with an attempt in
-// flight: in an overload it takes the place of one that could be in time.
-func (p *Policy) shedLate(req *request) trigger {
-	late := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
-	if p.route(req).Effect == Retriable && !req.Resumed && late > 0.2 {
+// shedLatePrefill sheds a request that has not been prefilled by its objective, if it may be shed with an attempt in
+// flight: in an overload it takes capacity from requests that could be in time.
+func (p *Policy) shedLatePrefill(req *request) trigger {
+	lateShare := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
+	if p.route(req).Effect == Retriable && !req.Resumed && lateShare > 0.2 {
 		return cannotMeetObjective
 	}
 	return noTrigger
--- a/internal/routing/affinity_test.go
+++ b/internal/routing/affinity_test.go
@@ -70,9 +70,9 @@
 		}
 	}
 	policy := n.policy
-	if len(policy.engines) > 40 || len(policy.ordered) > 40 || len(policy.requests) > 0 || len(policy.timers.pending) > 300 || policy.cache.count > 20001 ||
-		len(policy.affinities) > 20001 || len(policy.cache.entries) > 20001 || len(policy.cache.texts) > 40 {
-		t.Errorf("engines %d, listed %d, requests %d, timers %d, cached %d, affinities %d, texts %d at %d engines", len(policy.engines), len(policy.ordered),
-			len(policy.requests), len(policy.timers.pending), policy.cache.count, len(policy.affinities), len(policy.cache.entries), len(policy.cache.texts))
+	if len(policy.engines) > 40 || len(policy.sortedEngines) > 40 || len(policy.requests) > 0 || len(policy.timers.pending) > 300 || policy.cache.count > 20001 ||
+		len(policy.affinities) > 20001 || len(policy.cache.entriesByKey) > 20001 || len(policy.cache.keysByEngine) > 40 {
+		t.Errorf("engines %d, listed %d, requests %d, timers %d, cached %d, affinities %d, texts %d at %d engines", len(policy.engines), len(policy.sortedEngines),
+			len(policy.requests), len(policy.timers.pending), policy.cache.count, len(policy.affinities), len(policy.cache.entriesByKey), len(policy.cache.keysByEngine))
 	}
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Effect says what a second run of a request may do. The zero value is the strictest.
+// Effect states what harm a second run of a request may do. The zero value is the strictest.
 type Effect uint8
 
 // The effects of a second run.
@@ -16,19 +16,19 @@
 	Retriable                  // a second run does no harm
 )
 
-// effectNames are the words of the settings, by effect.
+// effectNames holds the names of the effects in the settings.
 var effectNames = [...]string{NonRetriable: "non-retriable", Deduped: "deduped", Retriable: "retriable"}
 
-// String is the word of the settings.
+// String returns the name in the settings.
 func (e Effect) String() string { return effectNames[e] }
 
-// ParseEffect reads an effect by its word in the settings. The error, if any, is an UnknownWordError.
-func ParseEffect(word string) (Effect, error) {
-	return parseWord[Effect]("effect", word, effectNames[:])
+// ParseEffect returns the effect with a name in the settings. An error is an UnknownValueError.
+func ParseEffect(name string) (Effect, error) {
+	return parseValue[Effect]("effect", name, effectNames[:])
 }
 
-// DedupGroup is the set of engines that share the memory by which they drop a second run. The zero value is
-// an engine alone.
+// DedupGroup is the set of engines that share the deduplication memory by which they drop a second run. The zero value
+// is a single engine.
 type DedupGroup uint8
 
 // The dedup groups.
@@ -39,18 +39,18 @@
 	DedupAll
 )
 
-// dedupGroupNames are the words of the settings, by dedup group.
+// dedupGroupNames holds the names of the dedup groups in the settings.
 var dedupGroupNames = [...]string{DedupNone: "", DedupCell: "cell", DedupZone: "zone", DedupAll: "all"}
 
-// String is the word of the settings.
+// String returns the name in the settings.
 func (g DedupGroup) String() string { return dedupGroupNames[g] }
 
-// ParseDedupGroup reads a dedup group by its word in the settings. The error, if any, is an UnknownWordError.
-func ParseDedupGroup(word string) (DedupGroup, error) {
-	return parseWord[DedupGroup]("dedup group", word, dedupGroupNames[:])
+// ParseDedupGroup returns the dedup group with a name in the settings. An error is an UnknownValueError.
+func ParseDedupGroup(name string) (DedupGroup, error) {
+	return parseValue[DedupGroup]("dedup group", name, dedupGroupNames[:])
 }
 
-// Role is the stage of a request that a kind of engine runs. The zero value is both.
+// Role states which stages of a request a kind of engine runs. The zero value is both stages.
 type Role uint8
 
 // The roles of engines.
@@ -60,62 +60,62 @@
 	DecodeOnly
 )
 
-// roleNames are the words of the settings, by role.
+// roleNames holds the names of the roles in the settings.
 var roleNames = [...]string{Mixed: "both", PrefillOnly: "read", DecodeOnly: "write"}
 
-// String is the word of the settings.
+// String returns the name in the settings.
 func (r Role) String() string { return roleNames[r] }
 
-// ParseRole reads a role by its word in the settings. The error, if any, is an UnknownWordError.
-func ParseRole(word string) (Role, error) { return parseWord[Role]("role", word, roleNames[:]) }
+// ParseRole returns the role with a name in the settings. An error is an UnknownValueError.
+func ParseRole(name string) (Role, error) { return parseValue[Role]("role", name, roleNames[:]) }
 
-// UnknownWordError is a word of the settings that is none of those that are allowed.
-type UnknownWordError struct {
-	Setting, Word string
-	Allowed       []string
+// UnknownValueError reports a value of a setting that is not among the allowed ones.
+type UnknownValueError struct {
+	Setting, Value string
+	Allowed        []string
 }
 
-// Error names the setting, the word and what is allowed.
-func (e *UnknownWordError) Error() string {
-	return fmt.Sprintf("%s %q is none of %q", e.Setting, e.Word, e.Allowed)
+// Error names the setting, its value and the allowed values.
+func (e *UnknownValueError) Error() string {
+	return fmt.Sprintf("%s %q is not one of %q", e.Setting, e.Value, e.Allowed)
 }
 
-// parseWord is the index of a word among those that are allowed; 0 if it is none of them.
-func parseWord[T ~uint8](setting, word string, allowed []string) (T, error) {
-	i := slices.Index(allowed, word)
+// parseValue returns the index of a value among the allowed ones; 0 and an error if it is not among them.
+func parseValue[T ~uint8](setting, value string, allowed []string) (T, error) {
+	i := slices.Index(allowed, value)
 	if i < 0 {
-		return 0, &UnknownWordError{setting, word, allowed}
+		return 0, &UnknownValueError{setting, value, allowed}
 	}
 	return T(i), nil
 }
 
-// Route is what the decisions need to know of a model route.
+// Route holds the settings of a model route that decisions depend on.
 type Route struct {
 	Effect                 Effect
 	DedupGroup             DedupGroup
 	DedupWindow            time.Duration
-	PriorityWeight         float64       // priority weight
+	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective for the first token
-	ObjectivePer1000Tokens time.Duration // added to it for each 1,000 prompt tokens
+	ObjectivePer1000Tokens time.Duration // added to the objective for each 1,000 prompt tokens
 }
 
-// EngineKind is what the decisions need to know of a kind of engine.
+// EngineKind holds the properties of a kind of engine that decisions depend on.
 type EngineKind struct {
 	Role         Role
 	MemoryTokens float64 // 0 if unknown
 }
 
-// SlowStart limits what an engine that has just started is sent: in any window Share of Multiple times of
-// what an engine of its role did on average.
+// SlowStart limits the attempts at an engine that has just started: in any Window, to Share times Multiple times what an
+// engine of its role completes on average.
 type SlowStart struct {
 	Duration        time.Duration // how long an engine counts as warming up
 	Share, Multiple float64
 	Window          time.Duration
 }
 
-// Config is the part of the deployment's settings that decisions depend on. It is fixed while a Policy lives.
+// Config holds the settings of the deployment that decisions depend on. It must not change while a Policy uses it.
 type Config struct {
-	Node, Nodes int // number of this node, and how many there are
+	Node, Nodes int // index of this node, and the number of nodes
 	Zone        int
 	Tick        time.Duration // how late timers and answers may be
 
@@ -123,13 +123,13 @@
 	Cancel            bool
 	HealthChecks      bool
 	Gossip            bool    // whether nodes may send each other messages
-	GossipPrice       float64 // of one message
+	GossipPrice       float64 // per message
 	SuggestRetryAfter bool
 	MaxRetryAfter     time.Duration
-	WatchEndpoints    bool // whether endpoint lists come only after they were asked for
+	WatchEndpoints    bool // whether endpoint lists arrive only after a WatchEndpoints action
 
-	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout how long a decode
-	// engine may stay without a sign of life.
+	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout is how long a decode engine may
+	// stay silent before it is checked.
 	ReservationLimit      time.Duration
 	DecodeResponseTimeout time.Duration
 
@@ -138,28 +138,28 @@
 	Kinds     []EngineKind
 }
 
-// defaultReservationLimit is what the response timeout of decode engines goes by where no limit is known.
+// defaultReservationLimit is the limit from which the response timeout of decode engines is derived if none is set.
 const defaultReservationLimit = time.Second
 
-// DefaultConfig is the configuration of a deployment whose settings name nothing.
+// DefaultConfig returns the configuration of a deployment with empty settings.
 func DefaultConfig() Config {
 	return Config{Nodes: 1, Tick: time.Millisecond, MaxAttempts: 1, SlowStart: SlowStart{Window: time.Second},
 		DecodeResponseTimeout: responseTimeoutOf(defaultReservationLimit)}
 }
 
-// DefaultRoute is a route whose settings name nothing.
+// DefaultRoute returns the configuration of a route with empty settings.
 func DefaultRoute() Route { return Route{PriorityWeight: 1, FirstTokenObjective: time.Second} }
 
-// SetReservationLimit sets the limit and the response timeout that goes by it.
+// SetReservationLimit sets the reservation limit and the response timeout that is derived from it.
 func (c *Config) SetReservationLimit(limit time.Duration) {
 	c.ReservationLimit, c.DecodeResponseTimeout = limit, responseTimeoutOf(limit)
 }
 
-// responseTimeoutOf is a third of the reservation limit, so that the wait for a health check's answer and
-// another attempt fit in before the limit.
+// responseTimeoutOf returns a third of the reservation limit, so that a health check and another attempt fit in before
+// the limit.
 func responseTimeoutOf(limit time.Duration) time.Duration { return limit / 3 }
 
-// route is the row of a route, or the default of one that the settings do not name.
+// route returns the configuration of a route, or the default of one that the settings do not list.
 func (c *Config) route(number int) Route {
 	if number < 0 || number >= len(c.Routes) {
 		return DefaultRoute()
@@ -167,7 +167,7 @@
 	return c.Routes[number]
 }
 
-// kind is the row of a kind of engine, or the default of one that the settings do not name.
+// kind returns the properties of a kind of engine, or the default of one that the settings do not list.
 func (c *Config) kind(number int) EngineKind {
 	if number < 0 || number >= len(c.Kinds) {
 		return EngineKind{}
@@ -175,8 +175,8 @@
 	return c.Kinds[number]
 }
 
-// spans is whether two engines are of one dedup group; an engine that is not known any more is in none but
-// that of all.
+// spans reports whether two engines are in the same dedup group. The first is nil if it is no longer known, and then only
+// DedupAll spans both.
 func (g DedupGroup) spans(first, second *engine) bool {
 	switch {
 	case g == DedupAll:
--- a/internal/routing/config_test.go
+++ b/internal/routing/config_test.go
@@ -25,8 +25,8 @@
 
 func TestUnknownWordIsTheStrictestAndAnError(t *testing.T) {
 	effect, err := ParseEffect("Retriable")
-	unknown, ok := errors.AsType[*UnknownWordError](err)
-	if effect != NonRetriable || !ok || unknown.Word != "Retriable" || len(unknown.Allowed) != len(effectNames) {
+	unknown, ok := errors.AsType[*UnknownValueError](err)
+	if effect != NonRetriable || !ok || unknown.Value != "Retriable" || len(unknown.Allowed) != len(effectNames) {
 		t.Errorf("%v, %v", effect, err)
 	}
 	if group, err := ParseDedupGroup("town"); group != DedupNone || err == nil {
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -8,65 +8,64 @@
 	"time"
 )
 
-// engine is what a node knows of one engine.
+// engine is this node's record of one engine.
 type engine struct {
-	quiet                 bool // as isQuiet found it, until something happens
+	quiet                 bool // cached result of isQuiet; activity of the engine resets it
 	canPrefill, canDecode bool
-	warmingSince          time.Duration // when it was last seen to start; 0 if that was long ago
+	warmingUpSince        time.Duration // when the engine last started; 0 if that was long ago
 	Endpoint
 
-	sendTimes      []time.Duration // of the last attempts
-	progressTimes  []time.Duration // of the last prefills that ended and first tokens
-	latencySamples []sample
-	latencyPerWork []time.Duration // of the last prefills: for each thousand tokens that were queued or not cached
-	faultTimes     []time.Duration
-	suspect        bool          // it had a fault, and nothing good was seen since
-	fullUntil      time.Duration // when a decode may be sent again after it rejected one
-	healthyAt      time.Duration // when it last answered an attempt
-	removedAt      time.Duration // since when it is not in the endpoint list; 0 while it is
-	listedIn       uint64        // the update that listed it last
-	open           openAttempts
-	lot            slowStartLot
-
-	memoryShare float64 // by the last report
-	queuedWork  float64 // by the last report
+	sendTimes        []time.Duration // when the last attempts were sent
+	progressTimes    []time.Duration // when the last prefills ended and the last first tokens arrived
+	latencySamples   []sample
+	latencyPerWork   []time.Duration // of the last prefills: per thousand tokens that were queued or not cached
+	faultTimes       []time.Duration
+	suspect          bool          // the engine had a fault and has not responded since
+	fullUntil        time.Duration // when a decode may be sent again after the engine rejected one
+	healthyAt        time.Duration // when the engine last answered an attempt
+	removedAt        time.Duration // when the engine left the endpoint list; 0 while it is listed
+	lastListedUpdate uint64        // number of the update that last listed the engine
+	open             openAttempts
+	quarterDraw      quarterDraw
+
+	memoryShare float64 // of the last report
+	queuedWork  float64 // of the last report
 	reportedAt  time.Duration
 
-	checkedAt       time.Duration // when the last health check was sent
-	checkAnsweredAt time.Duration // when the last health check ended
-	unresponsiveAt  time.Duration // when one last ended without an answer
+	checkSentAt    time.Duration // when the last health check was sent
+	checkEndedAt   time.Duration // when the last health check ended
+	unresponsiveAt time.Duration // when a health check last ended without an answer
 }
 
-// sample is a measured latency, or how far a latency was over a limit.
+// sample is a measured latency, or the excess of a latency over a limit.
 type sample struct {
 	at, value time.Duration
 }
 
-// updateEndpoints takes over an endpoint list. An engine that has restarted is warming up, and its cache is
-// empty.
+// updateEndpoints applies an endpoint list. An engine that has restarted is warming up, and its cache is empty.
 func (p *Policy) updateEndpoints(update EndpointUpdate) {
-	p.updates++
+	p.updateCount++
 	for _, endpoint := range update.Engines {
 		p.updateEndpoint(endpoint)
 	}
 	for id, e := range p.engines {
-		if update.Complete && e.listedIn != p.updates || e.Removed {
+		if update.Complete && e.lastListedUpdate != p.updateCount || e.Removed {
 			p.removeEngine(id, e)
 		}
 	}
 	known := len(p.engines)
-	maps.DeleteFunc(p.engines, func(_ string, e *engine) bool { return p.expired(e) })
-	p.reordered = p.reordered || len(p.engines) != known
-	p.orderEngines()
+	maps.DeleteFunc(p.engines, func(_ string, e *engine) bool { return p.isExpired(e) })
+	p.orderStale = p.orderStale || len(p.engines) != known
+	p.rebuildEngineLists()
 }
 
-// engineGroup is engines of one role that are ready, in order of IDs.
+// engineGroup holds the engines of one role that are ready, in the order of their IDs.
 type engineGroup struct {
-	engines []*engine
-	closed  slowStartClosure
+	engines    []*engine
+	exhaustion budgetExhaustion
 }
 
-// removeEngine notes that an engine is not in the endpoint list any more.
+// removeEngine records that an engine is no longer in the endpoint list.
 func (p *Policy) removeEngine(id string, e *engine) {
 	e.Ready = false
 	p.cache.drop(id, p.now)
@@ -75,17 +74,17 @@
 	}
 }
 
-// orderEngines renews the lists of engines by role, each in the order of IDs.
-func (p *Policy) orderEngines() {
-	p.slowStartRates.valid = false
-	if p.reordered {
-		p.reordered = false
-		p.ordered = slices.AppendSeq(p.ordered[:0], maps.Values(p.engines))
-		slices.SortFunc(p.ordered, func(x, y *engine) int { return cmp.Compare(x.Engine, y.Engine) })
+// rebuildEngineLists rebuilds the lists of engines, each in the order of IDs.
+func (p *Policy) rebuildEngineLists() {
+	p.throughput.valid = false
+	if p.orderStale {
+		p.orderStale = false
+		p.sortedEngines = slices.AppendSeq(p.sortedEngines[:0], maps.Values(p.engines))
+		slices.SortFunc(p.sortedEngines, func(x, y *engine) int { return cmp.Compare(x.Engine, y.Engine) })
 	}
 	p.prefillEngines = engineGroup{engines: p.prefillEngines.engines[:0]}
 	p.decodeEngines = engineGroup{engines: p.decodeEngines.engines[:0]}
-	for _, e := range p.ordered {
+	for _, e := range p.sortedEngines {
 		if e.Ready && e.canPrefill {
 			p.prefillEngines.engines = append(p.prefillEngines.engines, e)
 		}
@@ -100,11 +99,11 @@
 	if !known {
 		e = &engine{}
 		p.engines[endpoint.Engine] = e
-		p.reordered = true
+		p.orderStale = true
 	}
-	e.listedIn = p.updates
+	e.lastListedUpdate = p.updateCount
 	if endpoint.StartedAt > e.StartedAt {
-		e.warmingSince, e.latencySamples, e.latencyPerWork = endpoint.StartedAt, nil, nil
+		e.warmingUpSince, e.latencySamples, e.latencyPerWork = endpoint.StartedAt, nil, nil
 		e.faultTimes, e.suspect = nil, false
 		p.cache.drop(endpoint.Engine, p.now)
 	}
@@ -117,7 +116,7 @@
 	e.canPrefill, e.canDecode = role != DecodeOnly, role != PrefillOnly
 }
 
-// recordReport notes an engine's load.
+// recordReport records the load that an engine has reported.
 func (p *Policy) recordReport(e *engine, report *LoadReport) {
 	if e == nil || report == nil {
 		return
@@ -129,26 +128,26 @@
 	}
 }
 
-// healthCheck asks an engine for its load, unless an answer is on its way.
+// healthCheck sends a health check to an engine, unless one is in flight.
 func (p *Policy) healthCheck(e *engine) {
-	if e.checkedAt <= e.checkAnsweredAt {
-		e.checkedAt = p.now
-		p.act(HealthCheck{e.Engine})
+	if e.checkSentAt <= e.checkEndedAt {
+		e.checkSentAt = p.now
+		p.emit(HealthCheck{e.Engine})
 	}
 }
 
-// distance is 0 within a cell, 1 within a zone, else 2.
+// distance returns 0 within a cell, 1 within a zone, else 2.
 func distance(from, to *engine) int {
 	if from == nil || to.Cell == from.Cell {
 		return 0
 	}
-	return 1 + differ(to.Zone, from.Zone)
+	return 1 + oneIfDifferent(to.Zone, from.Zone)
 }
 
-// meanQueuedWork is the mean reported load of the prefill engines that reported within a span.
+// meanQueuedWork returns the mean queued work of the prefill engines that have reported within a span.
 func (p *Policy) meanQueuedWork(span time.Duration) float64 {
 	sum, n := 0.0, 0.0
-	for _, e := range p.ordered {
+	for _, e := range p.sortedEngines {
 		if e.canPrefill && p.now-e.reportedAt < span {
 			sum, n = sum+e.queuedWork, n+1
 		}
@@ -156,7 +155,7 @@
 	return sum / max(1, n)
 }
 
-// leastMemoryShare is that of the engines whose load is known.
+// leastMemoryShare returns the least memory share of the engines whose load is known.
 func (p *Policy) leastMemoryShare(engines []*engine) (least float64, known bool) {
 	least = math.Inf(1)
 	for _, e := range engines {
--- a/internal/routing/engine_load.go
+++ b/internal/routing/engine_load.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// engineLoad is what this node has open at one engine.
+// engineLoad summarizes the attempts of this node that are in flight at one engine.
 type engineLoad struct {
 	prefills, streams int
 	promptTokens      float64         // of the streams
-	waits             []time.Duration // of the attempts without a response
+	waits             []time.Duration // for how long each attempt without a response has waited
 }
 
-// openAttempt is an attempt in flight, as its engine lists it.
+// openAttempt identifies an attempt in flight in the lists of its engine.
 type openAttempt struct {
 	request *request
 	index   int // among the attempts of its request
@@ -21,15 +21,15 @@
 
 func (o openAttempt) attempt() *attempt { return &o.request.attempts[o.index] }
 
-// openAttempts are those in flight at one engine, with their sums.
+// openAttempts holds the attempts in flight at one engine, with their totals.
 type openAttempts struct {
-	all          []openAttempt // in the order of their sends
+	all          []openAttempt // in the order in which they were sent
 	unanswered   []openAttempt // those that are not streaming
-	streams      int           // decodes among all
+	streams      int           // number of decodes
 	promptTokens float64       // of the decodes
 }
 
-// loadOf is what this node has open at an engine.
+// loadOf returns the load of this node's attempts in flight at an engine.
 func (p *Policy) loadOf(e *engine) engineLoad {
 	open := &e.open
 	if len(open.all) == 0 {
@@ -42,7 +42,7 @@
 	return load
 }
 
-// unreportedTokens counts the prompt tokens of the decodes that an engine's report may not count yet.
+// unreportedTokens returns the prompt tokens of the decodes that the engine's last report may not include.
 func (e *engine) unreportedTokens() (promptTokens float64) {
 	for _, open := range slices.Backward(e.open.all) {
 		att := open.attempt()
@@ -56,8 +56,8 @@
 	return promptTokens
 }
 
-// noteOpen adds the last attempt of a request to those in flight at its engine.
-func (e *engine) noteOpen(req *request) {
+// addAttempt adds the last attempt of a request to those in flight at its engine.
+func (e *engine) addAttempt(req *request) {
 	e.quiet = false
 	opened := openAttempt{req, len(req.attempts) - 1}
 	e.open.all, e.open.unanswered = append(e.open.all, opened), append(e.open.unanswered, opened)
@@ -67,13 +67,13 @@
 	}
 }
 
-// noteStreaming notes that an attempt has its first token.
-func (e *engine) noteStreaming(req *request, index int) {
+// markStreaming records that the first token of an attempt has arrived.
+func (e *engine) markStreaming(req *request, index int) {
 	e.open.unanswered = withoutAttempt(e.open.unanswered, openAttempt{req, index})
 }
 
-// noteClosed takes an attempt of a request off those in flight.
-func (e *engine) noteClosed(req *request, index int) {
+// removeAttempt removes an attempt of a request from those in flight.
+func (e *engine) removeAttempt(req *request, index int) {
 	closed := openAttempt{req, index}
 	e.open.all, e.open.unanswered = withoutAttempt(e.open.all, closed), withoutAttempt(e.open.unanswered, closed)
 	if closed.attempt().decode {
@@ -81,18 +81,18 @@
 		e.open.promptTokens -= req.PromptTokens
 	}
 	if e.open.streams == 0 {
-		e.open.promptTokens = 0 // nothing is left of rounding
+		e.open.promptTokens = 0 // clears rounding errors
 	}
 }
 
-func withoutAttempt(attempts []openAttempt, gone openAttempt) []openAttempt {
-	if i := slices.Index(attempts, gone); i >= 0 {
+func withoutAttempt(attempts []openAttempt, removed openAttempt) []openAttempt {
+	if i := slices.Index(attempts, removed); i >= 0 {
 		return slices.Delete(attempts, i, i+1)
 	}
 	return attempts
 }
 
-// unansweredRequests are the requests whose attempt is in flight at an engine and not streaming, in order of
+// unansweredRequests returns the requests with an attempt in flight at the engine that is not streaming, in the order of
 // their IDs.
 func (e *engine) unansweredRequests() (found []*request) {
 	for _, open := range e.open.unanswered {
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Event is one of the types of this file. Each tells a Policy what happened.
+// Event is something that has happened and that a Policy handles. Its implementations are the types of this file.
 type Event interface{ isEvent() }
 
-// EndpointUpdate is a watch event of the endpoint list. A complete list replaces what was known; others
-// change it.
+// EndpointUpdate is a watch event of the endpoint list. A complete list replaces the previous one; any other update
+// changes only the engines that it lists.
 type EndpointUpdate struct {
 	Complete bool
-	Failed   bool // a call to discovery failed; the old list stays
+	Failed   bool // a call to discovery failed; the previous list remains valid
 	Engines  []Endpoint
 }
 
@@ -22,17 +22,17 @@
 	Ready, Draining, Removed bool          // exactly one is true
 }
 
-// RequestArrived is a request that this node has accepted.
+// RequestArrived reports a request that this node has accepted.
 type RequestArrived struct {
 	RequestID                  int64
 	Route                      int
 	Session, Prefix            string
-	Waited                     time.Duration // since this node has read it
+	Waited                     time.Duration // since this node has read the request
 	Deadline                   time.Duration
 	PromptTokens, PrefixTokens float64
 	MaxOutputTokens            float64
-	ClientRetry                bool // the client has sent it before
-	Resumed                    bool // its stream broke at another node, and the client asks for the rest
+	ClientRetry                bool // the client has sent the request before
+	Resumed                    bool // the stream broke at another node, and the client requests the rest
 }
 
 // FirstToken reports that an answer has begun to stream.
@@ -43,23 +43,23 @@
 	Latency   time.Duration
 }
 
-// Verdict is how an attempt ended.
+// Verdict classifies the end of an attempt.
 type Verdict uint8
 
 // The verdicts of an attempt.
 const (
 	Completed      Verdict = iota
 	EngineError            // the engine answered with an error
-	Full                   // the engine rejected it for want of capacity
-	TimedOut               // no answer came in time
+	Full                   // the engine rejected the attempt for lack of capacity
+	TimedOut               // no answer arrived in time
 	NotConnected           // no connection could be opened
 	ConnectionLost         // the connection broke after the request was sent
-	Canceled               // this node canceled it
-	NotSent                // this node could not send it
+	Canceled               // this node canceled the attempt
+	NotSent                // this node could not send the attempt
 	PrefillDone            // the prefill engine holds a reservation for the request
 )
 
-// LoadReport is what an engine reports of its load. It counts the requests of all nodes.
+// LoadReport is the load that an engine reports. It includes the requests of all nodes.
 type LoadReport struct {
 	MemoryShare      float64
 	QueuedWork       float64 // thousands of tokens to prefill, or open requests where an engine reports no tokens
@@ -67,27 +67,27 @@
 	HasRecentLatency bool
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	RequestID       int64
 	Attempt         int
 	Engine          string
 	Verdict         Verdict
 	Latency         time.Duration
-	RequestEnded    bool    // the client has its final answer
+	RequestEnded    bool    // the client has received its final answer
 	CachedTokens    float64 // prompt tokens that a prefill engine found in its cache
-	ReservationLost bool    // with Full: the prefill engine holds nothing for the request any more
+	ReservationLost bool    // with Full: the prefill engine no longer holds a reservation for the request
 	Report          *LoadReport
-	StaleConnection bool // an idle connection broke as it was reused, which says nothing of the engine
+	StaleConnection bool // an idle connection broke when it was reused, which is no fault of the engine
 }
 
-// ClientDisconnected reports that no client waits for the request any more.
+// ClientDisconnected reports that the client no longer waits for the request.
 type ClientDisconnected struct{ RequestID int64 }
 
-// TimerFired returns the token of a StartTimer action.
+// TimerFired reports that the timer of the StartTimer action with this token has fired.
 type TimerFired struct{ Token int64 }
 
-// HealthCheckResult is the answer to a HealthCheck action, or that there was none.
+// HealthCheckResult reports the answer to a HealthCheck action, or the lack of one.
 type HealthCheckResult struct {
 	Engine  string
 	Verdict Verdict
@@ -95,14 +95,14 @@
 	Report  *LoadReport
 }
 
-// GossipReceived is a message of another node.
+// GossipReceived is a message from another node.
 type GossipReceived struct {
 	From int
 	Text string
 }
 
-// ReservationResult reports whether a capacity reservation was granted while a prefill runs. Decisions do not
-// depend on it yet.
+// ReservationResult reports whether a capacity reservation was granted while a prefill runs. No decision depends on it
+// yet.
 type ReservationResult struct {
 	RequestID int64
 	Attempt   int
--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// Fingerprint writes all that later steps may depend on, in an order of its own and with times relative to
-// now, so that two policies that will act alike write the same. Model checkers compare it; no decision
-// depends on it.
+// Fingerprint writes all state that later steps may depend on, in a canonical order and with times relative to now, so
+// that policies that will behave alike have equal fingerprints. Model checkers compare them; no decision depends on them.
 func (p *Policy) Fingerprint(w io.Writer) {
 	fmt.Fprintln(w, p.random.draws, p.rotation, int64(p.now-p.startedAt), p.recentPrefixes,
-		numbers(p.recentLatencyPerWork), p.cache.recentHits, p.samples(p.expectedOverruns),
-		p.samples(p.firstTokenOverruns))
-	for _, e := range p.ordered {
+		nanoseconds(p.recentLatencyPerWork), p.cache.recentHitsPPM, p.relativeSamples(p.expectedOverruns),
+		p.relativeSamples(p.firstTokenOverruns))
+	for _, e := range p.sortedEngines {
 		p.fingerprintEngine(w, e)
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
@@ -28,10 +27,10 @@
 			fmt.Fprintln(w, att)
 		}
 	}
-	for _, engine := range slices.Sorted(maps.Keys(p.cache.texts)) {
-		for _, text := range slices.SortedFunc(slices.Values(p.cache.texts[engine]), cachedText.compare) {
-			entry, _ := p.cache.get(text, engine)
-			fmt.Fprintln(w, text, engine, entry.tokens, int64(p.now-entry.at))
+	for _, engine := range slices.Sorted(maps.Keys(p.cache.keysByEngine)) {
+		for _, key := range slices.SortedFunc(slices.Values(p.cache.keysByEngine[engine]), cacheKey.compare) {
+			entry, _ := p.cache.get(key, engine)
+			fmt.Fprintln(w, key, engine, entry.tokens, int64(p.now-entry.updatedAt))
 		}
 	}
 	for _, session := range slices.Sorted(maps.Keys(p.affinities)) {
@@ -46,19 +45,19 @@
 	if e.removedAt > 0 {
 		removedFor = ago(e.removedAt)
 	}
-	fmt.Fprintln(w, e.Endpoint, p.ages(e.sendTimes), p.ages(e.progressTimes), p.samples(e.latencySamples),
-		numbers(e.latencyPerWork), p.ages(e.faultTimes), e.suspect, ago(e.warmingSince),
+	fmt.Fprintln(w, e.Endpoint, p.ages(e.sendTimes), p.ages(e.progressTimes), p.relativeSamples(e.latencySamples),
+		nanoseconds(e.latencyPerWork), p.ages(e.faultTimes), e.suspect, ago(e.warmingUpSince),
 		int64(max(0, e.fullUntil-p.now)),
-		e.memoryShare, ago(e.reportedAt), e.queuedWork, ago(e.checkedAt), removedFor, ago(e.checkAnsweredAt),
+		e.memoryShare, ago(e.reportedAt), e.queuedWork, ago(e.checkSentAt), removedFor, ago(e.checkEndedAt),
 		ago(e.unresponsiveAt), ago(e.healthyAt))
 }
 
-// compare orders texts.
-func (t cachedText) compare(other cachedText) int {
-	return cmp.Or(cmp.Compare(t.key, other.key), cmp.Compare(fmt.Sprint(t.isSession), fmt.Sprint(other.isSession)))
+// compare orders cache keys.
+func (k cacheKey) compare(other cacheKey) int {
+	return cmp.Or(cmp.Compare(k.id, other.id), cmp.Compare(fmt.Sprint(k.isSession), fmt.Sprint(other.isSession)))
 }
 
-// ages are times relative to now, in nanoseconds.
+// ages returns times relative to now, in nanoseconds.
 func (p *Policy) ages(times []time.Duration) (out []int64) {
 	for _, at := range times {
 		out = append(out, int64(p.now-at))
@@ -66,23 +65,23 @@
 	return out
 }
 
-// samples are samples with their times relative to now, in nanoseconds.
-func (p *Policy) samples(samples []sample) (out []int64) {
+// relativeSamples returns samples with their times relative to now, in nanoseconds.
+func (p *Policy) relativeSamples(samples []sample) (out []int64) {
 	for _, s := range samples {
 		out = append(out, int64(p.now-s.at), int64(s.value))
 	}
 	return out
 }
 
-// numbers are durations in nanoseconds, which are quicker to print.
-func numbers(durations []time.Duration) (out []int64) {
+// nanoseconds returns durations as integers, which are faster to print.
+func nanoseconds(durations []time.Duration) (out []int64) {
 	for _, d := range durations {
 		out = append(out, int64(d))
 	}
 	return out
 }
 
-// DescribeTimer is what a token stands for: a request and a trigger, or nothing any more.
+// DescribeTimer returns the request and the trigger of a pending timer; empty if the timer has no effect any more.
 func (p *Policy) DescribeTimer(token int64) string {
 	t, ok := p.timers.pending[token]
 	if !ok || t.requestID != noRequest && p.requests[t.requestID] == nil {
@@ -91,10 +90,10 @@
 	return fmt.Sprint(t.requestID, "/", t.trigger)
 }
 
-// FiredTransitions is which transitions have fired so far, a bit each.
+// FiredTransitions has a bit set for each transition that has fired so far.
 func (p *Policy) FiredTransitions() uint64 { return p.firedTransitions }
 
-// TransitionNames are the transitions by name, in the order of FiredTransitions' bits.
+// TransitionNames names the transitions in the order of the bits of Policy.FiredTransitions.
 func TransitionNames() []string {
 	names := make([]string, len(transitions))
 	for i, t := range transitions {
--- a/internal/routing/hash.go
+++ b/internal/routing/hash.go
@@ -6,13 +6,13 @@
 	"strconv"
 )
 
-// Constants of the FNV-1a hash of 64 bits.
+// Constants of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = uint64(14695981039346656037)
 	fnvPrime  = uint64(1099511628211)
 )
 
-// fnvHash is a hash of the text so far.
+// fnvHash is the running FNV-1a hash of a text.
 type fnvHash uint64
 
 // add continues the hash with a text.
@@ -32,17 +32,17 @@
 	return h
 }
 
-// sum mixes the hash once more: texts that differ only in their last letters share its upper bits.
+// sum returns the hash mixed once more: without it, texts that differ only in their last letters share the upper bits.
 func (h fnvHash) sum() uint64 {
 	x := uint64(h)
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	return x ^ x>>33
 }
 
-// hash is a hash of a text, the same at all nodes.
+// hash returns the hash of a text, which is the same at all nodes.
 func hash(text string) uint64 { return fnvHash(fnvOffset).add(text).sum() }
 
-// randomSource is a sequence of random numbers that depends on nothing but its seed.
+// randomSource is a sequence of pseudo-random numbers that depends on its seed alone.
 type randomSource struct {
 	seeded fnvHash
 	draws  uint64
@@ -52,16 +52,16 @@
 	return randomSource{seeded: fnvHash(fnvOffset).addNumber(seed).add(" ")}
 }
 
-// next is the next number between 0 and 1.
+// next returns the next number, at least 0 and less than 1.
 func (r *randomSource) next() float64 {
 	r.draws++
 	return float64(r.seeded.addNumber(r.draws).sum()>>11) / (1 << 53)
 }
 
-// skip passes over numbers.
+// skip skips the given count of numbers.
 func (r *randomSource) skip(count int) { r.draws += uint64(count) }
 
-// hashedEngine is an engine with the hash of a key and its ID.
+// hashedEngine is an engine with the hash of a key and the engine's ID.
 type hashedEngine struct {
 	*engine
 	sum uint64
@@ -70,7 +70,7 @@
 // byHash orders engines by their hashes.
 func byHash(x, y hashedEngine) int { return cmp.Compare(x.sum, y.sum) }
 
-// hashEngines gives engines their hashes of key and ID, which are the same at all nodes.
+// hashEngines returns engines with their hashes of key and ID, which are the same at all nodes.
 func hashEngines(key string, engines []*engine) []hashedEngine {
 	keyed := fnvHash(fnvOffset).add(key)
 	hashed := make([]hashedEngine, len(engines))
@@ -80,11 +80,11 @@
 	return hashed
 }
 
-// firstByHash are the first engines in the order of their hashes of key and ID; all of them in that order where
-// there are no more.
+// firstByHash returns the first count engines in the order of their hashes of key and ID (rendezvous hashing); all engines
+// in that order if there are no more.
 func firstByHash(key string, engines []*engine, count int) []*engine {
 	hashed := hashEngines(key, engines)
-	first := leastHashed(hashed, min(count, len(hashed)))
+	first := selectLeastHashes(hashed, min(count, len(hashed)))
 	slices.SortFunc(first, byHash)
 	sorted := make([]*engine, len(first))
 	for i, e := range first {
@@ -93,10 +93,10 @@
 	return sorted
 }
 
-// leastHashed moves the engines with the least hashes to the front, in any order, and returns them. It is
-// Hoare's selection, linear on average, as hashes are spread evenly.
-func leastHashed(engines []hashedEngine, count int) []hashedEngine {
-	from, to := 0, len(engines) // engines before from are among the least, those from to on are not
+// selectLeastHashes moves the count engines with the least hashes to the front, in any order, and returns them. It uses
+// Hoare's selection algorithm, linear on average as hashes are evenly distributed.
+func selectLeastHashes(engines []hashedEngine, count int) []hashedEngine {
+	from, to := 0, len(engines) // engines before index from are among the least, those from index to on are not
 	for count > from && count < to {
 		pivot := engines[(from+to)/2].sum
 		i, j := from, to-1
--- a/internal/routing/healthcheck.go
+++ b/internal/routing/healthcheck.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// handleHealthCheck notes what an engine reports. Requests that waited for it go on, and attempts at an
-// engine that did not answer are lost.
+// handleHealthCheck records the result of a health check. Requests that waited for it continue, and attempts at an engine
+// that did not answer count as lost.
 func (p *Policy) handleHealthCheck(result HealthCheckResult) {
 	e := p.engines[result.Engine]
 	if e == nil {
 		return
 	}
-	e.checkAnsweredAt = p.now
+	e.checkEndedAt = p.now
 	switch result.Verdict {
 	case Completed:
 		p.recordReport(e, result.Report)
-	case NotSent: // for a cause at this node, which says nothing of the engine
+	case NotSent: // the cause is at this node, not at the engine
 	default:
 		e.unresponsiveAt = p.now
 	}
-	for _, req := range p.checkAnswered(result.Engine) {
+	for _, req := range p.takeUnblockedRequests(result.Engine) {
 		p.fire(req, loadKnown)
 		p.forgetIfDone(req)
 	}
-	// A busy engine answers that it is; one that does not answer has not received what was sent before
-	// either.
+	// A busy engine still answers health checks. An engine that does not answer has not received earlier attempts either.
 	if result.Verdict != TimedOut && result.Verdict != NotConnected && result.Verdict != ConnectionLost {
 		return
 	}
 	for _, req := range e.unansweredRequests() {
-		if att := req.last(); att.sentAt < e.checkedAt && p.unanswered(att) {
+		if att := req.lastAttempt(); att.sentAt < e.checkSentAt && p.isUnanswered(att) {
 			p.recordFault(e)
 			p.fire(req, engineUnresponsive)
 		}
 	}
 }
 
-// responseTimeout is how long the last attempt may go without a sign of its engine. Nothing else tells an
-// engine that is cut off from a busy one, and what is written to a reused connection may be lost. A prefill
-// engine is checked after half the objective, as another prefill would be too late later.
+// responseTimeout returns how long the last attempt may go without a response before its engine is checked. Only a health
+// check distinguishes an engine that is cut off from a busy one, and data written to a reused connection may be lost. A
+// prefill engine is checked after half the objective, as a second prefill would be too late any later.
 func (p *Policy) responseTimeout(req *request) time.Duration {
-	if req.last().decode {
+	if req.lastAttempt().decode {
 		return p.config.DecodeResponseTimeout
 	}
 	return time.Duration(p.firstTokenObjective(req) / 2)
 }
 
-// checkUnresponsive checks an engine that is overdue. One that is warming up would count that as work.
-func (p *Policy) checkUnresponsive(req *request) trigger {
-	att := req.last()
+// checkOverdueEngine sends a health check to the engine of an overdue attempt, unless the engine is warming up: there a
+// health check would count as work.
+func (p *Policy) checkOverdueEngine(req *request) trigger {
+	att := req.lastAttempt()
 	e := p.engines[att.engine]
-	overdue := p.unanswered(att) && p.now-att.sentAt >= p.responseTimeout(req)
-	if overdue && p.config.HealthChecks && !p.warmingUp(e) {
+	overdue := p.isUnanswered(att) && p.now-att.sentAt >= p.responseTimeout(req)
+	if overdue && p.config.HealthChecks && !p.isWarmingUp(e) {
 		p.healthCheck(e)
 	}
 	return noTrigger
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -7,54 +7,55 @@
 )
 
 const (
-	// reportTTL is how long a load report counts: queues turn over, and reports are renewed, in that time.
+	// reportTTL is how long a load report is valid: queues turn over, and reports are renewed, within that time.
 	reportTTL = 700 * time.Millisecond
-	// reportDelay is how long reports travel and are refreshed; they lack what was sent since.
+	// reportDelay is the age of a report on arrival, from its refresh interval and the network. The report lacks attempts
+	// that were sent since.
 	reportDelay = 500 * time.Millisecond
 )
 
-// hasFreshLoad is whether an engine's load is known. One that is warming up within its slow start has hardly
-// any.
+// hasFreshLoad reports whether an engine's load is known. An engine that is warming up has hardly any, as its slow start
+// limits its attempts.
 func (p *Policy) hasFreshLoad(e *engine) bool {
-	return p.now-e.reportedAt < reportTTL || p.warmingUp(e)
+	return p.now-e.reportedAt < reportTTL || p.isWarmingUp(e)
 }
 
-// latency is how long attempts wait at an engine now, and whether that is known: the least of recent samples,
-// as large prompts take long anywhere, or what the load report comes to, or how long attempts there have
-// waited.
-func (p *Policy) latency(e *engine, l engineLoad) (latency time.Duration, known bool) {
-	if !p.mayHaveLatency(e, l) {
+// latency returns how long attempts currently wait at an engine, and whether that is known. It is the least of the recent
+// samples, as large prompts take long on any engine, or without samples an estimate from the load report; and no less than
+// the median wait of the attempts without a response.
+func (p *Policy) latency(e *engine, load engineLoad) (latency time.Duration, known bool) {
+	if !p.mayHaveLatency(e, load) {
 		return 0, false
 	}
 	least := time.Duration(math.MaxInt64)
 	for _, s := range e.latencySamples[max(0, len(e.latencySamples)-8):] {
-		// Less counts where nothing waits, so there is no queue.
-		if age := p.now - s.at; age < reportTTL || len(l.waits) > 0 && age < sampleSpan {
+		// Older samples count only while attempts wait: otherwise there is no queue.
+		if age := p.now - s.at; age < reportTTL || len(load.waits) > 0 && age < sampleTTL {
 			known, least = true, min(least, s.value)
 		}
 	}
 	if !known && e.canPrefill && p.now-e.reportedAt < reportTTL {
-		known, least = true, time.Duration(float64(p.quickLatencyPerWork)*(1+e.queuedWork))
+		known, least = true, time.Duration(float64(p.lowerQuartileLatencyPerWork)*(1+e.queuedWork))
 	}
 	if !known {
 		least = 0
 	}
-	return max(least, median(l.waits)), known || len(l.waits) > 0
+	return max(least, median(load.waits)), known || len(load.waits) > 0
 }
 
-// sampleSpan is for how long a sample may count: about the time that a queue takes to change.
-const sampleSpan = 2 * time.Second
+// sampleTTL is how long a sample may count: about the time that a queue takes to change.
+const sampleTTL = 2 * time.Second
 
-// mayHaveLatency is false for engines of which nothing has been heard lately and where nothing waits: most engines of
-// a large fleet.
-func (p *Policy) mayHaveLatency(e *engine, l engineLoad) bool {
+// mayHaveLatency reports whether an engine has waiting attempts, a recent report or a recent sample. Most engines of a
+// large fleet have none of these.
+func (p *Policy) mayHaveLatency(e *engine, load engineLoad) bool {
 	samples := len(e.latencySamples)
-	return len(l.waits) > 0 || p.now-e.reportedAt < reportTTL ||
-		samples > 0 && p.now-e.latencySamples[samples-1].at < sampleSpan
+	return len(load.waits) > 0 || p.now-e.reportedAt < reportTTL ||
+		samples > 0 && p.now-e.latencySamples[samples-1].at < sampleTTL
 }
 
-// requestLoad checks the preferred prefill engines and some decode engines, whose load a node among many
-// cannot know.
+// requestLoad sends health checks to the preferred prefill engines and some decode engines, as the load of the other nodes
+// is not visible to this one.
 func (p *Policy) requestLoad(req *request) trigger {
 	if p.hasWaitedTooLong(req) {
 		return cannotMeetObjective
@@ -68,13 +69,13 @@
 	return p.requestLoadOf(req, append(preferred, p.decodeCandidates(req)...))
 }
 
-// requestDecodeLoad checks some decode engines.
+// requestDecodeLoad sends health checks to some decode engines.
 func (p *Policy) requestDecodeLoad(req *request) trigger {
 	return p.requestLoadOf(req, p.decodeCandidates(req))
 }
 
-// decodeCandidates are two of the nearest engines that tie for the fewest streams, and one farther away in
-// case these are full; none if what is known will do.
+// decodeCandidates returns two of the nearest engines that tie for the fewest streams, and one farther away in case these
+// are full; none if the known load suffices for a choice.
 func (p *Policy) decodeCandidates(req *request) []*engine {
 	tied, from := p.fewestStreams(req), p.engines[req.prefillEngine]
 	nearest := math.MaxInt
@@ -85,31 +86,31 @@
 		return distance(from, e) == nearest && p.hasFreshLoad(e) && e.memoryShare < lowMemoryShare
 	}
 	if len(tied) < 2 || slices.ContainsFunc(tied, suffices) {
-		p.random.skip(len(tied)) // as many numbers are drawn whatever is known
+		p.random.skip(len(tied)) // the count of draws must not depend on the known load
 		return nil
 	}
-	return p.nearestByRandom(tied, from, nearest)
+	return p.nearestAtRandom(tied, from, nearest)
 }
 
-// rankedEngine is an engine with its rank, by distance and then at random.
+// rankedEngine is an engine with its rank: its distance plus a random fraction.
 type rankedEngine struct {
 	*engine
 	rank float64
 }
 
-// nearestByRandom are the first two engines by rank, and the first that is farther away than the nearest; without
-// one, the second again.
-func (p *Policy) nearestByRandom(engines []*engine, from *engine, nearest int) []*engine {
+// nearestAtRandom returns the first two engines by rank, and the first one that is farther away than the nearest; if there
+// is none, the second again.
+func (p *Policy) nearestAtRandom(engines []*engine, from *engine, nearest int) []*engine {
 	first, second, farther := rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}
 	for _, e := range engines {
-		away := distance(from, e)
-		ranked := rankedEngine{e, float64(away) + p.random.next()}
+		engineDistance := distance(from, e)
+		ranked := rankedEngine{e, float64(engineDistance) + p.random.next()}
 		if ranked.rank < first.rank {
 			first, second = ranked, first
 		} else if ranked.rank < second.rank {
 			second = ranked
 		}
-		if away > nearest && ranked.rank < farther.rank {
+		if engineDistance > nearest && ranked.rank < farther.rank {
 			farther = ranked
 		}
 	}
@@ -119,23 +120,23 @@
 	return []*engine{first.engine, second.engine, farther.engine}
 }
 
-// requestLoadOf checks the engines whose load is not known. To one that is warming up a check would count as
-// work.
+// requestLoadOf sends health checks to the engines whose load is unknown. Engines that are warming up are left out: there a
+// health check would count as work.
 func (p *Policy) requestLoadOf(req *request, engines []*engine) trigger {
 	req.awaitedEngines = req.awaitedEngines[:0]
 	for _, e := range engines {
-		unknown := p.now-e.checkAnsweredAt >= reportTTL && !p.hasFreshLoad(e)
+		unknown := p.now-e.checkEndedAt >= reportTTL && !p.hasFreshLoad(e)
 		if p.config.HealthChecks && unknown && !slices.Contains(req.awaitedEngines, e.Engine) {
 			p.healthCheck(e)
 			req.awaitedEngines = append(req.awaitedEngines, e.Engine)
 		}
 	}
-	p.noteAwaiting(req)
+	p.updateAwaiting(req)
 	if len(req.awaitedEngines) == 0 {
 		return loadKnown
 	}
-	// Several times what a healthy engine takes.
-	const patience = 50 * time.Millisecond
-	p.startTimer(req.RequestID, loadKnown, patience)
+	// Several times the response time of a healthy engine.
+	const healthCheckTimeout = 50 * time.Millisecond
+	p.startTimer(req.RequestID, loadKnown, healthCheckTimeout)
 	return noTrigger
 }
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -8,96 +8,96 @@
 	"time"
 )
 
-// prefixCache is what the prefill engines are thought to cache, by text and by engine.
-type prefixCache struct {
-	entries    map[cachedText][]cacheEntry // in order of engines
-	texts      map[string][]cachedText     // that an engine has an entry for
-	count      int                         // of all entries
-	recentHits []int64                     // of the last prefills: millionths of what follows the prefix that were cached
+// prefixCacheIndex records what the prefill engines are assumed to have cached, by key and by engine.
+type prefixCacheIndex struct {
+	entriesByKey  map[cacheKey][]cacheEntry // in the order of engine IDs
+	keysByEngine  map[string][]cacheKey     // the keys of each engine's entries
+	count         int                       // number of entries
+	recentHitsPPM []int64                   // of the last prefills: cached share of the tokens after the prefix, in parts per million
 }
 
-func newPrefixCache() prefixCache {
-	return prefixCache{entries: map[cachedText][]cacheEntry{}, texts: map[string][]cachedText{}}
+func newPrefixCacheIndex() prefixCacheIndex {
+	return prefixCacheIndex{entriesByKey: map[cacheKey][]cacheEntry{}, keysByEngine: map[string][]cacheKey{}}
 }
 
-// cachedText names the text of a session, or a prefix.
-type cachedText struct {
+// cacheKey identifies the text of a session, or a prefix.
+type cacheKey struct {
 	isSession bool
-	key       string
+	id        string
 }
 
-// cacheEntry is how much of a text an engine caches.
+// cacheEntry records how much of a text an engine has cached.
 type cacheEntry struct {
-	engine string
-	tokens float64
-	at     time.Duration
+	engine    string
+	tokens    float64
+	updatedAt time.Duration
 }
 
-func sessionText(session string) cachedText { return cachedText{true, session} }
+func sessionKey(session string) cacheKey { return cacheKey{true, session} }
 
-func prefixText(prefix string) cachedText { return cachedText{false, prefix} }
+func prefixKey(prefix string) cacheKey { return cacheKey{false, prefix} }
 
-// position is where the entry of an engine stands, or would, among those of a text.
-func (c *prefixCache) position(text cachedText, engine string) (position int, found bool) {
-	return slices.BinarySearchFunc(c.entries[text], engine, func(e cacheEntry, engine string) int { return cmp.Compare(e.engine, engine) })
+// position returns the index of an engine's entry among those of a key, or the index at which to insert it.
+func (c *prefixCacheIndex) position(key cacheKey, engine string) (position int, found bool) {
+	return slices.BinarySearchFunc(c.entriesByKey[key], engine, func(e cacheEntry, engine string) int { return cmp.Compare(e.engine, engine) })
 }
 
-// get is what an engine caches of a text.
-func (c *prefixCache) get(text cachedText, engine string) (entry cacheEntry, found bool) {
-	i, found := c.position(text, engine)
+// get returns the entry of an engine for a key.
+func (c *prefixCacheIndex) get(key cacheKey, engine string) (entry cacheEntry, found bool) {
+	i, found := c.position(key, engine)
 	if !found {
 		return cacheEntry{}, false
 	}
-	return c.entries[text][i], true
+	return c.entriesByKey[key][i], true
 }
 
-// put notes how much of a text an engine caches.
-func (c *prefixCache) put(text cachedText, entry cacheEntry) {
-	i, found := c.position(text, entry.engine)
+// put adds or replaces the entry of an engine for a key.
+func (c *prefixCacheIndex) put(key cacheKey, entry cacheEntry) {
+	i, found := c.position(key, entry.engine)
 	if found {
-		c.entries[text][i] = entry
+		c.entriesByKey[key][i] = entry
 		return
 	}
-	c.entries[text] = slices.Insert(c.entries[text], i, entry)
-	c.texts[entry.engine] = append(c.texts[entry.engine], text)
+	c.entriesByKey[key] = slices.Insert(c.entriesByKey[key], i, entry)
+	c.keysByEngine[entry.engine] = append(c.keysByEngine[entry.engine], key)
 	c.count++
 }
 
-// drop forgets what an engine was thought to cache before a time.
-func (c *prefixCache) drop(engine string, before time.Duration) {
-	kept := slices.DeleteFunc(c.texts[engine], func(text cachedText) bool {
-		i, _ := c.position(text, engine)
-		if c.entries[text][i].at >= before {
+// drop removes the entries of an engine that were last updated before a time.
+func (c *prefixCacheIndex) drop(engine string, before time.Duration) {
+	kept := slices.DeleteFunc(c.keysByEngine[engine], func(key cacheKey) bool {
+		i, _ := c.position(key, engine)
+		if c.entriesByKey[key][i].updatedAt >= before {
 			return false
 		}
-		if c.entries[text] = slices.Delete(c.entries[text], i, i+1); len(c.entries[text]) == 0 {
-			delete(c.entries, text)
+		if c.entriesByKey[key] = slices.Delete(c.entriesByKey[key], i, i+1); len(c.entriesByKey[key]) == 0 {
+			delete(c.entriesByKey, key)
 		}
 		c.count--
 		return true
 	})
-	if c.texts[engine] = kept; len(kept) == 0 {
-		delete(c.texts, engine)
+	if c.keysByEngine[engine] = kept; len(kept) == 0 {
+		delete(c.keysByEngine, engine)
 	}
 }
 
-// evict forgets what is old where there is too much.
-func (c *prefixCache) evict(now time.Duration) {
+// evict removes the old entries of an index that has too many.
+func (c *prefixCacheIndex) evict(now time.Duration) {
 	if c.count <= maxEntries {
 		return
 	}
-	for engine := range c.texts {
+	for engine := range c.keysByEngine {
 		c.drop(engine, now-evictAfter)
 	}
 }
 
-// affinity is where a session was served last.
+// affinity records which engines last served a session.
 type affinity struct {
 	prefillEngine, decodeEngine string
 	servedAt                    time.Duration
 }
 
-// affinityTable is the affinity of each session.
+// affinityTable holds the affinity of each session.
 type affinityTable map[string]affinity
 
 func (t affinityTable) evict(now time.Duration) {
@@ -106,12 +106,12 @@
 	}
 }
 
-// formatGossip says where a session was served and how many of its tokens are cached there.
+// formatGossip encodes which engines served a session and how many of its tokens are cached.
 func formatGossip(req *request) string {
 	return fmt.Sprintf("kept %q %q %q %.0f", req.Session, req.prefillEngine, req.decodeEngine, req.PromptTokens)
 }
 
-// handleGossip takes over what another node tells. Messages of other versions are ignored.
+// handleGossip applies a message from another node. Messages of other versions are ignored.
 func (p *Policy) handleGossip(text string) {
 	var session, prefillEngine, decodeEngine string
 	var tokens float64
@@ -120,13 +120,13 @@
 		return
 	}
 	p.affinities[session] = affinity{prefillEngine, decodeEngine, p.now}
-	p.cache.put(sessionText(session), cacheEntry{prefillEngine, tokens, p.now})
+	p.cache.put(sessionKey(session), cacheEntry{prefillEngine, tokens, p.now})
 }
 
-// gossipAffinity tells the other nodes where a session was served, as its next request may come to any of
-// them. A lost message costs one full prefill.
+// gossipAffinity sends the other nodes the affinity of a session, as its next request may arrive at any of them. A lost
+// message costs one full prefill.
 func (p *Policy) gossipAffinity(req *request) {
 	if p.gossipEnabled() {
-		p.act(SendGossip{AllNodes, formatGossip(req)})
+		p.emit(SendGossip{AllNodes, formatGossip(req)})
 	}
 }
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// handleFirstToken notes which engines serve the session, and how far over the objective the first token
-// came.
+// handleFirstToken records which engines serve the session, and by how much the first token exceeded the objective.
 func (p *Policy) handleFirstToken(req *request, first FirstToken) {
 	att := &req.attempts[first.Attempt]
 	if e := p.engines[att.engine]; e != nil && !att.streaming {
-		e.noteStreaming(req, first.Attempt)
+		e.markStreaming(req, first.Attempt)
 	}
 	att.streaming = true
 	p.recordLatency(p.engines[first.Engine], first.Latency, att.sentAt)
@@ -18,22 +17,21 @@
 	p.fire(req, firstToken)
 }
 
-// handleOutcome learns from the end of an attempt and continues its request.
+// handleOutcome updates the records of an attempt's engine and continues its request.
 func (p *Policy) handleOutcome(o Outcome) {
 	req := p.requests[o.RequestID]
 	if req == nil || o.Attempt < 0 || o.Attempt >= len(req.attempts) || !req.attempts[o.Attempt].inFlight {
 		if o.Verdict == PrefillDone {
-			p.act(Release{o.RequestID}) // it came after the request was forgotten
+			p.emit(Release{o.RequestID}) // the prefill ended after its request was dropped
 		}
 		return
 	}
 	att := &req.attempts[o.Attempt]
 	att.inFlight = false
 	if e := p.engines[att.engine]; e != nil {
-		e.noteClosed(req, o.Attempt)
+		e.removeAttempt(req, o.Attempt)
 	}
-	// A decode that never reached its engine has not begun to fetch the KV state: the reservation has waited
-	// on.
+	// A decode that never reached its engine has not begun to fetch the KV state, so the reservation stayed idle.
 	if !att.decode || !att.canceled && o.Verdict != NotConnected && o.Verdict != NotSent {
 		req.idleSince = p.now
 	}
@@ -41,12 +39,12 @@
 	att.prefilled = o.Verdict == PrefillDone
 	att.neverRan = !att.decode || o.Verdict == Full || o.Verdict == NotConnected || o.Verdict == NotSent
 	p.recordOutcome(req, att, o)
-	p.fire(req, att.trigger(o))
+	p.fire(req, att.outcomeTrigger(o))
 	p.forgetIfDone(req)
 }
 
-// trigger is what an outcome means for the request of the attempt.
-func (a *attempt) trigger(o Outcome) trigger {
+// outcomeTrigger returns the trigger that an outcome of the attempt has for its request.
+func (a *attempt) outcomeTrigger(o Outcome) trigger {
 	switch {
 	case o.RequestEnded:
 		return finished
@@ -62,7 +60,7 @@
 	return mayHaveRun
 }
 
-// recordOutcome notes what an outcome says of the engine.
+// recordOutcome records what an outcome reveals about the engine.
 func (p *Policy) recordOutcome(req *request, att *attempt, o Outcome) {
 	e := p.engines[att.engine]
 	if e == nil {
@@ -70,13 +68,13 @@
 	}
 	switch o.Verdict {
 	case Completed:
-		e.suspect, e.healthyAt = false, p.now // a complete stream is a sign of health too
+		e.suspect, e.healthyAt = false, p.now // a complete stream also proves the engine healthy
 	case PrefillDone:
 		p.recordCached(req, att.engine, o.CachedTokens)
 		p.recordLatency(e, o.Latency, att.sentAt)
-		p.recordWork(req, e, att, o)
+		p.recordWorkLatency(req, e, att, o)
 	case Full:
-		// About the time in which a busy decode engine ends one answer.
+		// About the time in which a busy decode engine completes one answer.
 		const fullFor = 150 * time.Millisecond
 		e.fullUntil, e.quiet = p.now+fullFor, false
 	case TimedOut, NotConnected, ConnectionLost:
@@ -88,24 +86,24 @@
 	}
 }
 
-// recordWork notes how long a prefill took for the work that was queued before it and its own.
-func (p *Policy) recordWork(req *request, e *engine, att *attempt, o Outcome) {
+// recordWorkLatency records the latency of a prefill per unit of work, of its own and that queued before it.
+func (p *Policy) recordWorkLatency(req *request, e *engine, att *attempt, o Outcome) {
 	if att.queuedWork <= 0 {
 		return
 	}
-	// Less work than half a thousand tokens says more of the network than of the engine.
-	const leastWork = 0.5
-	if work := att.queuedWork - 1 + (req.PromptTokens-o.CachedTokens)/1000; work > leastWork {
-		p.usualWorkLatency.known = false
+	// With less work than half a thousand tokens, latency depends more on the network than on the engine.
+	const minWork = 0.5
+	if work := att.queuedWork - 1 + (req.PromptTokens-o.CachedTokens)/1000; work > minWork {
+		p.cachedWorkLatency.valid = false
 		e.latencyPerWork = appendBounded(e.latencyPerWork, time.Duration(float64(o.Latency)/work), 5)
 	}
 	perWork := time.Duration(float64(o.Latency) / att.queuedWork)
 	p.recentLatencyPerWork = appendBounded(p.recentLatencyPerWork, perWork, 32)
-	p.quickLatencyPerWork = lowerQuartile(p.recentLatencyPerWork)
+	p.lowerQuartileLatencyPerWork = lowerQuartile(p.recentLatencyPerWork)
 }
 
-// recordLatency takes a response as a sign of health. Engines serve attempts in turn, so an attempt that
-// later responses have passed, though it has waited a sixth of its objective, was lost on the network or in
+// recordLatency records the latency of a response, which also proves the engine healthy. Engines serve attempts in order,
+// so an attempt that has waited for a sixth of its objective while later ones were answered was lost on the network or in
 // the engine.
 func (p *Policy) recordLatency(e *engine, latency, sentAt time.Duration) {
 	if e == nil {
@@ -113,17 +111,17 @@
 	}
 	e.quiet = false
 	e.latencySamples = appendBounded(e.latencySamples, sample{p.now, latency}, 64)
-	e.progressTimes, p.slowStartRates.valid = appendBounded(e.progressTimes, p.now, 64), false
-	// Longer than any overload: an engine that failed and was not healthy since may have restarted unnoticed.
+	e.progressTimes, p.throughput.valid = appendBounded(e.progressTimes, p.now, 64), false
+	// Longer than any overload: an engine that had a fault and has not been healthy since may have restarted unnoticed.
 	const restartAfter = 3 * time.Second
 	if e.suspect && p.now-e.healthyAt > restartAfter {
-		e.warmingSince = p.now
+		e.warmingUpSince = p.now
 	}
 	e.suspect, e.healthyAt = false, p.now
 	const lostAfterResponses = 2
 	var passed []*request
 	for _, req := range e.unansweredRequests() {
-		att := req.last()
+		att := req.lastAttempt()
 		if att.sentAt < sentAt {
 			att.laterResponses++
 		}
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -1,13 +1,13 @@
-// Package routing decides where requests are prefilled and decoded, when they are retried, and when they are
-// shed. Events and the time go in through Step, actions come out. It knows no wire format and reads no clock.
-// It does no I/O.
+// Package routing decides where requests are prefilled and decoded, when they are retried, and when they are shed.
+// Policy.Step takes events with their time and returns actions. The package is independent of wire formats, reads no clock
+// and does no I/O.
 //
 // All times are durations since the start of the caller's clock.
 package routing
 
 import "time"
 
-// Policy is all that one node knows, and decides by. It is not safe for concurrent use.
+// Policy makes the routing decisions of one node and holds the state for them. It is not safe for concurrent use.
 type Policy struct {
 	config    *Config
 	now       time.Duration
@@ -16,50 +16,50 @@
 	actions   []Action // of the current step
 
 	engines        map[string]*engine
-	ordered        []*engine   // all, by ID
-	prefillEngines engineGroup // those that are ready and can prefill
-	decodeEngines  engineGroup // those that are ready and can decode
-	updates        uint64      // of the endpoint list
-	reordered      bool        // engines have come or gone since ordered was renewed
+	sortedEngines  []*engine   // all engines, in the order of their IDs
+	prefillEngines engineGroup // engines that are ready and can prefill
+	decodeEngines  engineGroup // engines that are ready and can decode
+	updateCount    uint64      // number of endpoint lists applied so far
+	orderStale     bool        // engines were added or removed since sortedEngines was built
 
 	requests   map[int64]*request
-	reserved   map[int64]*request // those in state reserved
-	awaiting   map[int64]*request // those that wait for health checks
+	reserved   map[int64]*request // requests in state reserved
+	awaiting   map[int64]*request // requests that wait for health checks
 	timers     timerTable
-	cache      prefixCache
+	cache      prefixCacheIndex
 	affinities affinityTable
 	random     randomSource
-	rotation   int // of round robin; 0 until its random start is drawn
+	rotation   int // position of the round robin; 0 until its random start is drawn
 
-	recentPrefixes       []string        // of the last requests
-	recentLatencyPerWork []time.Duration // of the last prefills: by the queued work reported before, and themselves as one
-	quickLatencyPerWork  time.Duration   // the lower quartile of these
-	expectedOverruns     []sample        // of the last requests: expected latency over a quarter of the objective
-	firstTokenOverruns   []sample        // of the last first tokens: latency over the objective
+	recentPrefixes              []string        // of the last requests
+	recentLatencyPerWork        []time.Duration // of the last prefills: per unit of queued work, with the prefill itself as one
+	lowerQuartileLatencyPerWork time.Duration   // lower quartile of recentLatencyPerWork
+	expectedOverruns            []sample        // of the last requests: expected latency less a quarter of the objective
+	firstTokenOverruns          []sample        // of the last first tokens: latency less the objective
 
-	slowStartRates   slowStartRates
-	usualWorkLatency workLatency // of the current step
-	firedTransitions uint64      // a bit for each
+	throughput        throughputTable
+	cachedWorkLatency workLatencyMedian // cache of medianWorkLatency
+	firedTransitions  uint64            // a bit for each transition
 }
 
-// New returns the policy of one node that has just started.
+// New returns the policy of a node that has just started.
 func New(seed uint64, config Config) *Policy {
 	return &Policy{config: &config, engines: map[string]*engine{}, requests: map[int64]*request{},
 		reserved: map[int64]*request{}, awaiting: map[int64]*request{},
-		timers: timerTable{pending: map[int64]timer{}}, cache: newPrefixCache(),
+		timers: timerTable{pending: map[int64]timer{}}, cache: newPrefixCacheIndex(),
 		affinities: affinityTable{}, random: newRandomSource(seed)}
 }
 
-// Step handles one event at the time now and returns what is to be done, in order.
+// Step handles one event at the time now and returns the actions that the caller has to do, in order.
 func (p *Policy) Step(now time.Duration, event Event) []Action {
 	p.now, p.actions = now, nil
-	p.usualWorkLatency.known = false
+	p.cachedWorkLatency.valid = false
 	p.handle(event)
-	p.usualWorkLatency.known = false
+	p.cachedWorkLatency.valid = false
 	return p.actions
 }
 
-// handle hands an event to the decisions.
+// handle dispatches an event by its type.
 func (p *Policy) handle(event Event) {
 	if !p.started {
 		p.started, p.startedAt = true, p.now
@@ -67,7 +67,7 @@
 	}
 	switch event := event.(type) {
 	case EndpointUpdate:
-		p.handleEndpoints(event)
+		p.handleEndpointUpdate(event)
 	case RequestArrived:
 		p.handleArrival(event)
 	case FirstToken:
@@ -90,7 +90,7 @@
 	}
 }
 
-// handleTimer continues what a timer was started for.
+// handleTimer fires the trigger of a timer, or watches the endpoint list again.
 func (p *Policy) handleTimer(token int64) {
 	t, ok := p.timers.take(token)
 	if !ok {
@@ -111,25 +111,24 @@
 	p.forgetIfDone(req)
 }
 
-// act adds an action to those of the current step.
-func (p *Policy) act(action Action) { p.actions = append(p.actions, action) }
+// emit adds an action to those of the current step.
+func (p *Policy) emit(action Action) { p.actions = append(p.actions, action) }
 
-// startTimer asks for a trigger of a request after a while.
+// startTimer starts a timer that fires a trigger of a request.
 func (p *Policy) startTimer(requestID int64, trigger trigger, after time.Duration) {
 	token := p.timers.add(timer{requestID, trigger})
 	if req := p.requests[requestID]; req != nil {
 		req.timers = append(req.timers, token)
 	}
-	p.act(StartTimer{token, after})
+	p.emit(StartTimer{token, after})
 }
 
-// route is the configuration of a request's route.
+// route returns the configuration of a request's route.
 func (p *Policy) route(req *request) Route { return p.config.route(req.Route) }
 
-// forgetIfDone drops a request that has ended and has no attempt in flight, and its timers: they may be due much
-// later.
+// forgetIfDone drops a request that has ended and has no attempt in flight, and its timers, which may be due much later.
 func (p *Policy) forgetIfDone(req *request) {
-	if req.state != ended || req.inFlight() {
+	if req.state != ended || req.hasAttemptInFlight() {
 		return
 	}
 	delete(p.requests, req.RequestID)
@@ -139,10 +138,10 @@
 	}
 }
 
-// noRequest stands for a request in timers that belong to none.
+// noRequest is the request ID of timers that belong to no request.
 const noRequest = -1
 
-// timer is what a token stands for.
+// timer holds the trigger that a timer fires and the ID of the request that it fires for.
 type timer struct {
 	requestID int64
 	trigger   trigger
@@ -154,14 +153,14 @@
 	lastToken int64
 }
 
-// add returns the token of a new timer.
+// add adds a timer and returns its token.
 func (t *timerTable) add(entry timer) int64 {
 	t.lastToken++
 	t.pending[t.lastToken] = entry
 	return t.lastToken
 }
 
-// take removes a timer that has fired.
+// take removes a timer that has fired and returns it.
 func (t *timerTable) take(token int64) (timer, bool) {
 	entry, ok := t.pending[token]
 	delete(t.pending, token)
@@ -177,9 +176,9 @@
 	p.fire(req, arrived)
 }
 
-// watchEndpoints asks for the endpoint list where it does not come by itself.
+// watchEndpoints subscribes to the endpoint list if the configuration requires it.
 func (p *Policy) watchEndpoints() {
 	if p.config.WatchEndpoints {
-		p.act(WatchEndpoints{})
+		p.emit(WatchEndpoints{})
 	}
 }
--- a/internal/routing/prefill_test.go
+++ b/internal/routing/prefill_test.go
@@ -39,7 +39,7 @@
 		moves               bool
 	}{{6, 3, 0, true}, {3.2, 3, 1, false}, {3.2, 3, 0, true}, {3, 3, 0, false}} {
 		n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
-		n.policy.recentLatencyPerWork, n.policy.cache.recentHits = []time.Duration{50 * ms}, []int64{int64(1e6 * at.found)}
+		n.policy.recentLatencyPerWork, n.policy.cache.recentHitsPPM = []time.Duration{50 * ms}, []int64{int64(1e6 * at.found)}
 		n.step(0, RequestArrived{RequestID: 1, Session: "s", Prefix: "p", PromptTokens: 2000, PrefixTokens: 1500, Deadline: n.now + 4000*ms})
 		to := ""
 		for _, e := range n.actions {
--- a/internal/routing/quiet.go
+++ b/internal/routing/quiet.go
@@ -1,12 +1,12 @@
 package routing
 
-// isQuiet is whether nothing has happened at an engine lately: nothing is in flight there, no latency, load or
-// fault of it counts any more. Then its health needs no look. Most engines of a large fleet are quiet.
+// isQuiet reports whether an engine has had no recent activity: no attempt is in flight there, and no latency, load or fault
+// of the engine counts any more. The health of a quiet engine need not be checked. Most engines of a large fleet are quiet.
 //
-// What ends an engine's quiet has to reset the field, since a quiet engine is not looked at again.
-func (p *Policy) isQuiet(e *engine) bool { return e.quiet || p.becomesQuiet(e) }
+// Every activity of an engine has to reset its field quiet, since a quiet engine is not examined again.
+func (p *Policy) isQuiet(e *engine) bool { return e.quiet || p.updateQuiet(e) }
 
-func (p *Policy) becomesQuiet(e *engine) bool {
+func (p *Policy) updateQuiet(e *engine) bool {
 	e.quiet = len(e.open.all) == 0 && !e.suspect && e.fullUntil <= p.now &&
 		p.countSince(e.faultTimes, faultWindow) == 0 && !p.mayHaveLatency(e, engineLoad{})
 	return e.quiet
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -21,7 +21,7 @@
 	checkRequests(t, p)
 	checkEngineLists(t, p)
 	checkCacheIndexes(t, p)
-	for _, e := range p.ordered {
+	for _, e := range p.sortedEngines {
 		checkEngine(t, p, e)
 	}
 	request := &request{}
@@ -58,8 +58,8 @@
 func checkEngineLists(t *rapid.T, p *Policy) {
 	t.Helper()
 	ids := slices.Sorted(maps.Keys(p.engines))
-	if !slices.Equal(engineIDs(p.ordered), ids) {
-		t.Fatalf("in order %v, known %v", engineIDs(p.ordered), ids)
+	if !slices.Equal(engineIDs(p.sortedEngines), ids) {
+		t.Fatalf("in order %v, known %v", engineIDs(p.sortedEngines), ids)
 	}
 	var prefill, decode []*engine
 	for _, id := range ids {
@@ -78,18 +78,18 @@
 func checkCacheIndexes(t *rapid.T, p *Policy) {
 	t.Helper()
 	entries, texts := 0, 0
-	for text, cached := range p.cache.entries {
+	for text, cached := range p.cache.entriesByKey {
 		entries += len(cached)
 		if !slices.IsSortedFunc(cached, func(a, b cacheEntry) int { return cmp.Compare(a.engine, b.engine) }) {
 			t.Fatalf("%v is not in order of engines: %v", text, cached)
 		}
 		for _, entry := range cached {
-			if !slices.Contains(p.cache.texts[entry.engine], text) {
+			if !slices.Contains(p.cache.keysByEngine[entry.engine], text) {
 				t.Fatalf("%v at %s is not in the index", text, entry.engine)
 			}
 		}
 	}
-	for _, cached := range p.cache.texts {
+	for _, cached := range p.cache.keysByEngine {
 		texts += len(cached)
 	}
 	if entries != p.cache.count || texts != p.cache.count {
@@ -110,7 +110,7 @@
 	if p.isQuiet(e) && (known || latency != 0 || e.suspect || len(e.open.all) > 0 || e.fullUntil > p.now || scanCount(p, e.faultTimes, faultWindow) > 0) {
 		t.Fatalf("%s counts as quiet: %+v, latency %v %v", e.Engine, e, latency, known)
 	}
-	if got, want := p.slowStartRate(e), scanSlowStartRate(p, e); got != want {
+	if got, want := p.throughputOfRole(e), scanSlowStartRate(p, e); got != want {
 		t.Fatalf("slow start rate of %s: %v, by a scan %v", e.Engine, got, want)
 	}
 }
@@ -152,11 +152,11 @@
 	return n
 }
 
-func scanSlowStartRate(p *Policy, e *engine) (rate slowStartRate) {
+func scanSlowStartRate(p *Policy, e *engine) (rate roleThroughput) {
 	for _, other := range p.engines {
-		recent := scanCount(p, other.progressTimes, slowStartSpan)
+		recent := scanCount(p, other.progressTimes, throughputWindow)
 		if other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
-			rate.done, rate.engines = rate.done+recent, rate.engines+1
+			rate.completed, rate.engines = rate.completed+recent, rate.engines+1
 		}
 	}
 	return rate
@@ -167,7 +167,7 @@
 	fitting, healthy := []*engine{}, []*engine{}
 	latencies, faults := []time.Duration{}, []int64{}
 	for _, e := range engines {
-		if !e.Ready || !p.withinSlowStart(e) {
+		if !e.Ready || !p.withinSlowStartBudget(e) {
 			continue
 		}
 		fitting, faults = append(fitting, e), append(faults, int64(scanCount(p, e.faultTimes, faultWindow)))
@@ -186,7 +186,7 @@
 	if len(healthy) > 0 {
 		return healthy
 	}
-	return leastBad(req, fitting)
+	return leastUnhealthy(req, fitting)
 }
 
 func TestFirstByHashAgreesWithASort(t *testing.T) {
@@ -245,13 +245,13 @@
 func TestSlowStartOfHalfAFleetIsCountedOnceForEachResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
 		n := newFleetNode(t, engines, 0.5)
-		before := n.policy.slowStartRates.counts
+		before := n.policy.throughput.recounts
 		const requests = 50
 		for range requests {
 			n.serve()
 		}
 		// A request has two responses; each may end the count's validity, and so may one that is 20 s old.
-		if counted := n.policy.slowStartRates.counts - before; counted > 4*requests {
+		if counted := n.policy.throughput.recounts - before; counted > 4*requests {
 			t.Errorf("%d engines: all were counted %d times for %d requests", engines, counted, requests)
 		}
 	}
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// request is one request that this node has accepted.
+// request is this node's record of one request that it has accepted.
 type request struct {
 	RequestArrived
 	state          state
-	lastTrigger    trigger // that a transition took
+	lastTrigger    trigger // the last trigger that fired a transition
 	arrivedAt      time.Duration
 	prefillEngine  string
 	decodeEngine   string
 	attempts       []attempt
-	idleSince      time.Duration // when the last outcome came, or the prefill ended
+	idleSince      time.Duration // when the last attempt that had reached its engine ended
 	retryScheduled bool
-	awaitedEngines []string // engines whose health checks it waits for
-	timers         []int64  // tokens of all that were started for it
+	awaitedEngines []string // engines whose health checks the request waits for
+	timers         []int64  // tokens of all timers that were started for the request
 }
 
 // attempt is one send of a request to an engine.
@@ -28,9 +28,9 @@
 	decode         bool
 	inFlight       bool
 	neverRan       bool
-	prefilled      bool // it ended with a reservation
+	prefilled      bool // the attempt ended with a reservation
 	streaming      bool
-	queuedWork     float64 // reported load of the engine when it was sent, itself counted as one; 0 if unknown
+	queuedWork     float64 // reported load of the engine at the send, plus one for the attempt itself; 0 if unknown
 	laterResponses int     // how many later attempts the engine has answered
 	canceled       bool
 }
@@ -41,15 +41,15 @@
 // The states of a request.
 const (
 	pending      state = iota // no attempt in flight, no reservation
-	checkingLoad              // it waits for load reports
+	checkingLoad              // the request waits for load reports
 	prefilling                // a prefill is in flight
-	reserved                  // a prefill engine holds its reservation, no attempt in flight
+	reserved                  // a prefill engine holds a reservation, no attempt in flight
 	decoding                  // a decode is in flight
 	streaming                 // the client receives the answer
-	ended                     // it is answered, or its client has disconnected
+	ended                     // the request is answered, or the client has disconnected
 )
 
-// stateNames are for people.
+// stateNames holds the names of the states, for output.
 var stateNames = [...]string{pending: "pending", checkingLoad: "checking load", prefilling: "prefilling",
 	reserved: "reserved", decoding: "decoding", streaming: "streaming", ended: "ended"}
 
@@ -60,21 +60,21 @@
 	allStates  = append(openStates[:len(openStates):len(openStates)], streaming, ended)
 )
 
-// trigger is what makes a request change its state.
+// trigger is an input of a request's state machine.
 type trigger uint8
 
 // The triggers of a request.
 const (
 	noTrigger             trigger = iota
-	arrived                       // this node has accepted it
-	loadKnown                     // load reports have come, or were waited for long enough
+	arrived                       // this node has accepted the request
+	loadKnown                     // load reports have arrived, or the wait for them has timed out
 	retryDue                      // the delay of a retry is over
 	deadlineNear                  // the deadline is about to pass
-	clientDisconnected            // its client is gone
-	prefillDone                   // a prefill engine holds its reservation
+	clientDisconnected            // the client has disconnected
+	prefillDone                   // a prefill engine holds a reservation for the request
 	prefillFailed                 // a prefill ended without a reservation
-	decodeNotStarted              // a decode surely never ran, the reservation is still there
-	reservationLost               // a decode surely never ran, the reservation is gone
+	decodeNotStarted              // a decode has provably not run, and the reservation still exists
+	reservationLost               // a decode has provably not run, and the reservation is lost
 	mayHaveRun                    // a decode ended and may have run
 	firstToken                    // the answer has begun to stream
 	finished                      // the client has its final answer, or the stream broke
@@ -82,15 +82,15 @@
 	noPrefillEngine               // no prefill engine may be sent to now
 	noDecodeEngine                // no decode engine may be sent to now
 	attemptsExhausted             // no further attempt is allowed
-	admitted                      // it can be answered in time
-	cannotMeetObjective           // it cannot be answered in time
-	responseOverdue               // its attempt has been in flight for a while
-	engineUnresponsive            // its engine does not answer a health check either
-	passedByLaterResponse         // its engine has answered later attempts
-	objectiveMissed               // its objective has passed before it was prefilled
+	admitted                      // the request can be answered in time
+	cannotMeetObjective           // the request cannot be answered in time
+	responseOverdue               // the attempt has been in flight for its response timeout
+	engineUnresponsive            // the engine of the attempt does not answer a health check either
+	passedByLaterResponse         // the engine of the attempt has answered later ones
+	objectiveMissed               // the objective has passed before the prefill ended
 )
 
-// triggerNames are for people.
+// triggerNames holds the names of the triggers, for output.
 var triggerNames = [...]string{noTrigger: "none", arrived: "arrived", loadKnown: "load known", retryDue: "retry due",
 	deadlineNear: "deadline near", clientDisconnected: "client disconnected", prefillDone: "prefill done",
 	prefillFailed: "prefill failed", decodeNotStarted: "decode not started", reservationLost: "reservation lost",
@@ -102,26 +102,26 @@
 
 func (t trigger) String() string { return triggerNames[t] }
 
-// inFlight is whether an attempt is in flight.
-func (r *request) inFlight() bool {
+// hasAttemptInFlight reports whether an attempt is in flight.
+func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// last is the last attempt; nil if there is none.
-func (r *request) last() *attempt {
+// lastAttempt returns the last attempt; nil if there is none.
+func (r *request) lastAttempt() *attempt {
 	if len(r.attempts) == 0 {
 		return nil
 	}
 	return &r.attempts[len(r.attempts)-1]
 }
 
-// failedOn is whether an attempt at an engine ended with nothing, or has not ended.
-func (r *request) failedOn(e *engine) bool {
+// hasFailedOn reports whether an attempt at an engine ended without a reservation, or has not ended.
+func (r *request) hasFailedOn(e *engine) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.engine == e.Engine && !a.prefilled })
 }
 
-// checkAnswered takes an engine off those that the request waits for, and returns whether it was the last.
-func (r *request) checkAnswered(engine string) bool {
+// removeAwaitedEngine removes an engine from those that the request waits for, and reports whether it was the last.
+func (r *request) removeAwaitedEngine(engine string) bool {
 	i := slices.Index(r.awaitedEngines, engine)
 	if i >= 0 {
 		r.awaitedEngines = slices.Delete(r.awaitedEngines, i, i+1)
@@ -129,8 +129,8 @@
 	return i >= 0 && len(r.awaitedEngines) == 0
 }
 
-// noteAwaiting notes whether a request waits for health checks.
-func (p *Policy) noteAwaiting(req *request) {
+// updateAwaiting records whether a request waits for health checks.
+func (p *Policy) updateAwaiting(req *request) {
 	if len(req.awaitedEngines) > 0 {
 		p.awaiting[req.RequestID] = req
 	} else {
@@ -138,22 +138,22 @@
 	}
 }
 
-// checkAnswered are the requests for which the health check of an engine was the last that they waited for, in order of
-// their IDs.
-func (p *Policy) checkAnswered(engine string) (found []*request) {
+// takeUnblockedRequests returns the requests that waited only for the health check of an engine, in the order of their IDs,
+// and records that they no longer wait.
+func (p *Policy) takeUnblockedRequests(engine string) (found []*request) {
 	for _, req := range p.awaiting {
-		if req.checkAnswered(engine) {
+		if req.removeAwaitedEngine(engine) {
 			found = append(found, req)
 		}
 	}
 	for _, req := range found {
-		p.noteAwaiting(req)
+		p.updateAwaiting(req)
 	}
 	slices.SortFunc(found, func(x, y *request) int { return cmp.Compare(x.RequestID, y.RequestID) })
 	return found
 }
 
-// reservationWaits is for how long each reservation has waited for a decode engine.
+// reservationWaits returns how long each reservation has waited for a decode engine.
 func (p *Policy) reservationWaits() (waits []time.Duration) {
 	for _, req := range p.reserved {
 		waits = append(waits, p.now-req.idleSince)
@@ -161,8 +161,8 @@
 	return waits
 }
 
-// transition is one line of the table: in one of these states, one of these triggers leads to the next state
-// and runs the function, if there is one.
+// transition is one row of the table: in one of the states from, one of the triggers leads to the state next and runs the
+// function, if there is one.
 type transition struct {
 	from     []state
 	triggers []trigger
@@ -174,23 +174,23 @@
 
 func triggers(t ...trigger) []trigger { return t }
 
-// firstTokenObjective is the latency objective in nanoseconds.
+// firstTokenObjective returns the latency objective of a request, in nanoseconds.
 func (p *Policy) firstTokenObjective(req *request) float64 {
 	route := p.route(req)
 	return float64(route.FirstTokenObjective) + float64(route.ObjectivePer1000Tokens)*req.PromptTokens/1000
 }
 
-// weightShare is a route's priority weight over that of the highest.
-func (p *Policy) weightShare(req *request) float64 {
-	most := 1e-9
+// relativeWeight returns the priority weight of a request's route, relative to the highest of all routes.
+func (p *Policy) relativeWeight(req *request) float64 {
+	highest := 1e-9
 	for _, route := range p.config.Routes {
-		most = max(most, route.PriorityWeight)
+		highest = max(highest, route.PriorityWeight)
 	}
-	return p.route(req).PriorityWeight / most
+	return p.route(req).PriorityWeight / highest
 }
 
-// unanswered is whether an attempt is in flight and nothing came from its engine since it was sent.
-func (p *Policy) unanswered(att *attempt) bool {
+// isUnanswered reports whether an attempt is in flight and its engine has not responded to anything since the send.
+func (p *Policy) isUnanswered(att *attempt) bool {
 	e := p.engines[att.engine]
 	return att.inFlight && !att.streaming && e != nil && max(e.healthyAt, e.reportedAt) < att.sentAt
 }
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// warmingUp is whether an engine has started so recently that its slow start limits what it is sent.
-func (p *Policy) warmingUp(e *engine) bool {
-	return e.warmingSince != 0 && p.now-e.warmingSince <= p.config.SlowStart.Duration
+// isWarmingUp reports whether an engine has started so recently that slow start limits its attempts.
+func (p *Policy) isWarmingUp(e *engine) bool {
+	return e.warmingUpSince != 0 && p.now-e.warmingUpSince <= p.config.SlowStart.Duration
 }
 
-// withinSlowStart keeps all nodes together from overloading an engine that is warming up. Whole places are
-// this node's own; for the rest all nodes draw the same lots.
-func (p *Policy) withinSlowStart(e *engine) bool {
-	if !p.warmingUp(e) {
+// withinSlowStartBudget reports whether this node may send an attempt to an engine. It keeps all nodes together from
+// overloading an engine that is warming up. The integer part of the budget is available to each node. For the fractional
+// part, a random number that is the same at all nodes selects the nodes that may send.
+func (p *Policy) withinSlowStartBudget(e *engine) bool {
+	if !p.isWarmingUp(e) {
 		return true
 	}
 	window := max(4, p.config.SlowStart.Window)
 	nodes := max(1, float64(p.config.Nodes))
-	whole, rest := math.Modf(p.slowStartPlaces(e, window))
-	// Any window touches five quarters at most, so each quarter gives out a fifth. Lots get two thirds of it,
-	// as they fall unevenly.
-	first := e.lotIn(int64(4*p.now/window)) * nodes
+	whole, fraction := math.Modf(p.slowStartBudget(e, window))
+	// A window overlaps five quarters at most, so each quarter grants a fifth of the fraction. The random selection is
+	// uneven and grants only two thirds of that.
+	firstNode := e.sharedDraw(int64(4*p.now/window)) * nodes
 	idle := p.countSince(e.sendTimes, window/4) == 0
-	if math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5 && idle {
+	if math.Mod(float64(p.config.Node)+firstNode, nodes) < fraction*nodes/7.5 && idle {
 		whole++
 	}
 	return p.countSince(e.sendTimes, window) < whole
 }
 
-// slowStartLot is an engine's lot of one quarter of a window, from 0 to 1, the same at all nodes.
-type slowStartLot struct {
+// quarterDraw is an engine's random number for one quarter of a window, from 0 to 1, the same at all nodes.
+type quarterDraw struct {
 	quarter int64
 	value   float64
 }
 
-// lotIn draws the lot of a quarter, once.
-func (e *engine) lotIn(quarter int64) float64 {
-	if e.lot.quarter != quarter || quarter == 0 {
+// sharedDraw returns the random number of a quarter, which it computes once.
+func (e *engine) sharedDraw(quarter int64) float64 {
+	if e.quarterDraw.quarter != quarter || quarter == 0 {
 		drawn := fnvHash(fnvOffset).add(e.Engine).addNumber(uint64(quarter)).sum()
-		e.lot = slowStartLot{quarter, float64(drawn%1e6) / 1e6}
+		e.quarterDraw = quarterDraw{quarter, float64(drawn%1e6) / 1e6}
 	}
-	return e.lot.value
+	return e.quarterDraw.value
 }
 
-// slowStartSpan is the time whose work counts: a node among many sends little, and all of a role may be warming up
-// at once.
-const slowStartSpan = 20 * time.Second
-
-// slowStartPlaces is this node's part of what an engine may be sent within a window: a share of what the
-// engines of its role did for this node on average, removed ones too, which is what one can do at least.
-func (p *Policy) slowStartPlaces(e *engine, window time.Duration) float64 {
-	rate := p.slowStartRate(e)
-	// 1.2: engines seldom do all that they can.
-	places := 1.2 * p.config.SlowStart.Share * p.config.SlowStart.Multiple * rate.done / max(1, rate.engines) *
-		float64(window) / float64(min(slowStartSpan, max(window, p.now-p.startedAt)))
-	return places
+// throughputWindow is the time over which throughput is counted. It is long, as a node among many sends little, and all
+// engines of a role may be warming up at once.
+const throughputWindow = 20 * time.Second
+
+// slowStartBudget returns how many attempts this node may send to an engine within a window: a share of what the engines
+// of its role, including removed ones, completed for this node on average. An engine can complete at least that much.
+func (p *Policy) slowStartBudget(e *engine, window time.Duration) float64 {
+	throughput := p.throughputOfRole(e)
+	// The factor 1.2 corrects for engines that seldom run at full capacity.
+	budget := 1.2 * p.config.SlowStart.Share * p.config.SlowStart.Multiple * throughput.completed / max(1, throughput.engines) *
+		float64(window) / float64(min(throughputWindow, max(window, p.now-p.startedAt)))
+	return budget
 }
 
-// slowStartRates are what engines did for this node lately, by role. They hold until an engine makes progress, the
-// endpoint list changes, or the oldest progress that counts is over.
-type slowStartRates struct {
-	valid  bool
-	counts int // how often they were counted so far
-	until  time.Duration
-	byRole [roleCount]slowStartRate
+// throughputTable holds the recent throughput of engines for this node, by role. It is valid until an engine makes
+// progress, the endpoint list changes, or the oldest progress leaves the throughput window.
+type throughputTable struct {
+	valid      bool
+	recounts   int // how often the table was computed so far
+	validUntil time.Duration
+	byRole     [roleCount]roleThroughput
 }
 
-// roleCount is how many roles there are: prefill, decode, both or none.
+// roleCount is the number of values of roleIndex: prefill, decode, both or none.
 const roleCount = 4
 
-// roleIndex numbers what an engine can do.
+// roleIndex returns a number for the stages that an engine can run.
 func (e *engine) roleIndex() (index int) {
 	if e.canPrefill {
 		index++
@@ -81,62 +82,63 @@
 	return index
 }
 
-// slowStartRate is what the engines of a role did for this node.
-type slowStartRate struct{ done, engines float64 }
+// roleThroughput is what the engines of a role completed for this node in the throughput window, and their number.
+type roleThroughput struct{ completed, engines float64 }
 
-// slowStartRate is that of an engine's role.
-func (p *Policy) slowStartRate(e *engine) slowStartRate {
-	if !p.slowStartRates.valid || p.now >= p.slowStartRates.until {
-		p.slowStartRates = p.countSlowStartRates()
+// throughputOfRole returns the throughput of the engine's role.
+func (p *Policy) throughputOfRole(e *engine) roleThroughput {
+	if !p.throughput.valid || p.now >= p.throughput.validUntil {
+		p.throughput = p.countThroughput()
 	}
-	return p.slowStartRates.byRole[e.roleIndex()]
+	return p.throughput.byRole[e.roleIndex()]
 }
 
-// countSlowStartRates looks at all engines.
-func (p *Policy) countSlowStartRates() slowStartRates {
-	rates := slowStartRates{valid: true, counts: p.slowStartRates.counts + 1, until: math.MaxInt64}
-	for _, e := range p.ordered {
-		recent := p.countSince(e.progressTimes, slowStartSpan)
-		if recent > 0 {
-			oldest := e.progressTimes[len(e.progressTimes)-int(recent)]
-			rates.until = min(rates.until, oldest+slowStartSpan)
+// countThroughput computes the throughput from the records of all engines.
+func (p *Policy) countThroughput() throughputTable {
+	table := throughputTable{valid: true, recounts: p.throughput.recounts + 1, validUntil: math.MaxInt64}
+	for _, e := range p.sortedEngines {
+		completed := p.countSince(e.progressTimes, throughputWindow)
+		if completed > 0 {
+			oldest := e.progressTimes[len(e.progressTimes)-int(completed)]
+			table.validUntil = min(table.validUntil, oldest+throughputWindow)
 		}
-		if e.Ready || recent > 0 {
-			rate := &rates.byRole[e.roleIndex()]
-			rate.done, rate.engines = rate.done+recent, rate.engines+1
+		if e.Ready || completed > 0 {
+			role := &table.byRole[e.roleIndex()]
+			role.completed, role.engines = role.completed+completed, role.engines+1
 		}
 	}
-	return rates
+	return table
 }
 
-// slowStartClosure says that each engine of a group is warming up and may not be sent anything now. It holds until
-// the time, unless what engines did for this node is counted anew: requests that wait for an engine ask often.
-type slowStartClosure struct {
-	until  time.Duration
-	counts int // of the rates that it was found with
+// budgetExhaustion records that each engine of a group is warming up and has no slow start budget left. The record is valid
+// until a time, unless throughput is computed anew. It saves scans of the group, as requests that wait for an engine retry
+// often.
+type budgetExhaustion struct {
+	until    time.Duration
+	recounts int // of the throughput that it is based on
 }
 
-// isClosed is whether all engines of a group are known to be closed.
-func (p *Policy) isClosed(group *engineGroup) bool {
-	ratesHold := p.slowStartRates.valid && p.now < p.slowStartRates.until
-	return p.now < group.closed.until && ratesHold && group.closed.counts == p.slowStartRates.counts
+// isBudgetExhausted reports whether all engines of a group are known to have no slow start budget left.
+func (p *Policy) isBudgetExhausted(group *engineGroup) bool {
+	throughputValid := p.throughput.valid && p.now < p.throughput.validUntil
+	return p.now < group.exhaustion.until && throughputValid && group.exhaustion.recounts == p.throughput.recounts
 }
 
-// closure is that of engines which all are closed now.
-func (p *Policy) closure(engines []*engine) slowStartClosure {
-	closed := slowStartClosure{until: math.MaxInt64, counts: p.slowStartRates.counts}
+// budgetExhaustionOf returns the record for engines none of which has slow start budget left.
+func (p *Policy) budgetExhaustionOf(engines []*engine) budgetExhaustion {
+	exhaustion := budgetExhaustion{until: math.MaxInt64, recounts: p.throughput.recounts}
 	for _, e := range engines {
-		closed.until = min(closed.until, p.mayReopenAt(e))
+		exhaustion.until = min(exhaustion.until, p.earliestBudgetAt(e))
 	}
-	return closed
+	return exhaustion
 }
 
-// mayReopenAt is the earliest time at which an engine that is closed may be sent something, if no rate changes: with
-// the next lots, once a send is long enough ago, or when it is warm.
-func (p *Policy) mayReopenAt(e *engine) time.Duration {
+// earliestBudgetAt returns the earliest time at which an engine without slow start budget may be sent an attempt, if the
+// throughput does not change: at the next draw, once a send leaves the window, or at the end of the slow start.
+func (p *Policy) earliestBudgetAt(e *engine) time.Duration {
 	window := max(4, p.config.SlowStart.Window)
-	nextLots := time.Duration(int64(4*p.now/window)+1) * window / 4
-	at := min(nextLots, e.warmingSince+p.config.SlowStart.Duration)
+	nextDraw := time.Duration(int64(4*p.now/window)+1) * window / 4
+	at := min(nextDraw, e.warmingUpSince+p.config.SlowStart.Duration)
 	if sends := int(p.countSince(e.sendTimes, window)); sends > 0 {
 		oldest, last := e.sendTimes[len(e.sendTimes)-sends], e.sendTimes[len(e.sendTimes)-1]
 		at = min(at, oldest+window)
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -154,10 +154,10 @@
 			break // all places are given out
 		}
 	}
-	if !p.isClosed(&p.prefillEngines) {
+	if !p.isBudgetExhausted(&p.prefillEngines) {
 		t.Fatal("a fleet that is warming up without a place counts as open")
 	}
-	if p.now = n.now.Truncate(window/4) + window/4; p.isClosed(&p.prefillEngines) {
+	if p.now = n.now.Truncate(window/4) + window/4; p.isBudgetExhausted(&p.prefillEngines) {
 		t.Fatal("a fleet counts as closed after the next lots")
 	}
 }
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// median is 0 of no values.
+// median returns the median of values; 0 for no values.
 func median[T ~int64](values []T) T {
 	if len(values) == 0 {
 		return 0
@@ -14,7 +14,7 @@
 	return slices.Sorted(slices.Values(values))[len(values)/2]
 }
 
-// lowerQuartile is 0 of no values.
+// lowerQuartile returns the lower quartile of values; 0 for no values.
 func lowerQuartile[T ~int64](values []T) T {
 	if len(values) == 0 {
 		return 0
@@ -22,7 +22,7 @@
 	return slices.Sorted(slices.Values(values))[len(values)/4]
 }
 
-// mean is 0 of no values.
+// mean returns the mean of values; 0 for no values.
 func mean(values []int64) (sum int64) {
 	for _, v := range values {
 		sum += v
@@ -30,8 +30,8 @@
 	return sum / int64(max(1, len(values)))
 }
 
-// shareAbove is the share of samples that came within a span before now and are above zero. Fewer samples
-// than atLeast count as that many.
+// shareAbove returns the share of samples that were taken within a span before now and are above zero. Fewer samples than
+// atLeast count as that many.
 func shareAbove(samples []sample, now, span time.Duration, atLeast int) float64 {
 	n := 0.0
 	for _, s := range samples {
@@ -42,7 +42,7 @@
 	return n / float64(max(atLeast, len(samples)))
 }
 
-// medianWithZeros is the median of some values that are not zero and some zeros.
+// medianWithZeros returns the median of the nonZero values and a number of zeros.
 func medianWithZeros[T ~int64](nonZero []T, zeros int) T {
 	middle := (len(nonZero) + zeros) / 2
 	if middle < zeros || len(nonZero) == 0 {
@@ -52,7 +52,7 @@
 	return nonZero[middle-zeros]
 }
 
-// countSince counts the times that are less than a span before now. They are in order.
+// countSince counts the times that are less than a span before now. The times must be in order.
 func (p *Policy) countSince(times []time.Duration, span time.Duration) (n float64) {
 	for _, at := range slices.Backward(times) {
 		if p.now-at >= span {
@@ -63,7 +63,7 @@
 	return n
 }
 
-// appendBounded keeps the newest n values of a list.
+// appendBounded appends a value to a list and keeps the newest n values.
 func appendBounded[T any](list []T, v T, n int) []T {
 	list = append(list, v)
 	if len(list) > n {
@@ -72,16 +72,16 @@
 	return list
 }
 
-// differ is 0 for the same, else 1.
-func differ[T comparable](x, y T) int {
+// oneIfDifferent returns 0 for equal values, else 1.
+func oneIfDifferent[T comparable](x, y T) int {
 	if x == y {
 		return 0
 	}
 	return 1
 }
 
-// best is the first of the least engines by order among those that fit; nil if none fits.
-func best(engines []*engine, fits func(*engine) bool, order func(x, y *engine) int) *engine {
+// bestFitting returns the first of the least engines by order among those that fit; nil if none fits.
+func bestFitting(engines []*engine, fits func(*engine) bool, order func(x, y *engine) int) *engine {
 	var found *engine
 	for _, e := range engines {
 		if fits(e) && (found == nil || order(e, found) < 0) {
@@ -91,8 +91,8 @@
 	return found
 }
 
-// find is the engine of an ID among engines in order of IDs; nil if it is not among them.
-func find(engines []*engine, id string) *engine {
+// findEngine returns the engine with an ID among engines in the order of IDs; nil if there is none.
+func findEngine(engines []*engine, id string) *engine {
 	i, found := slices.BinarySearchFunc(engines, id, func(e *engine, id string) int { return cmp.Compare(e.Engine, id) })
 	if !found {
 		return nil
@@ -100,7 +100,7 @@
 	return engines[i]
 }
 
-// leastBy are the engines with the least cost, in their order.
+// leastBy returns the engines with the least cost, in their order.
 func leastBy[T cmp.Ordered](engines []*engine, cost func(*engine) T) (tied []*engine) {
 	var least T
 	for i, e := range engines {
@@ -115,8 +115,8 @@
 	return tied
 }
 
-// nextTurn is the number of the next choice by turns.
-func (p *Policy) nextTurn() int {
+// nextRotation advances the round robin and returns its position.
+func (p *Policy) nextRotation() int {
 	if p.rotation == 0 {
 		p.rotation = int(p.random.next() * 1e6) // nodes that start together must not rotate in step
 	}
--- a/internal/routing/transitions.go
+++ b/internal/routing/transitions.go
@@ -1,9 +1,9 @@
 package routing
 
-// How to call it: New makes the policy of one node, Step takes an event and the time and returns the actions
-// in order. The interface is in events.go, actions.go and config.go, state in policy.go, request.go and
-// engine.go. The decisions are in the files that deploy/balancer.toml names; read them from this table down.
-// A state and a trigger give the next state and a function, which may return a further trigger.
+// New returns the policy of one node. Policy.Step takes an event and the time and returns the actions in order. The
+// interface is in events.go, actions.go and config.go, the state in policy.go, request.go and engine.go. The decisions are
+// in the files that deploy/balancer.toml lists; this table is the place to start reading. A state and a trigger determine
+// the next state and a function, which may return a further trigger.
 
 import (
 	"slices"
@@ -25,39 +25,39 @@
 	{states(decoding), triggers(decodeNotStarted, mayHaveRun), decoding, (*Policy).sendToDecode},
 	{states(decoding), triggers(noDecodeEngine), reserved, (*Policy).scheduleRetry},
 	{states(decoding), triggers(reservationLost), pending, (*Policy).choosePrefill},
-	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // mixed engines answer at once
-	{states(prefilling), triggers(objectiveMissed), prefilling, (*Policy).shedLate},
-	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkUnresponsive},
-	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkUnresponsive},
-	{states(prefilling), triggers(passedByLaterResponse, engineUnresponsive), prefilling, (*Policy).cancelLast},
-	{states(decoding), triggers(passedByLaterResponse, engineUnresponsive), decoding, (*Policy).cancelLast},
+	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // mixed engines decode after the prefill without a second attempt
+	{states(prefilling), triggers(objectiveMissed), prefilling, (*Policy).shedLatePrefill},
+	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkOverdueEngine},
+	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkOverdueEngine},
+	{states(prefilling), triggers(passedByLaterResponse, engineUnresponsive), prefilling, (*Policy).cancelLastAttempt},
+	{states(decoding), triggers(passedByLaterResponse, engineUnresponsive), decoding, (*Policy).cancelLastAttempt},
 	{openStates, triggers(deadlineNear, attemptsExhausted, cannotMeetObjective), ended, (*Policy).reject},
 	{allStates, triggers(clientDisconnected, finished), ended, (*Policy).releaseAll},
-	// What comes after the end still releases reservations.
+	// Outcomes after the end of a request still release its reservations.
 	{states(ended), triggers(prefillDone, prefillFailed, decodeNotStarted, reservationLost, mayHaveRun), ended,
 		(*Policy).releaseAll},
 }
 
-// fire runs the transitions of a trigger and of those that follow from it.
-func (p *Policy) fire(req *request, event trigger) {
-	for event != noTrigger {
+// fire runs the transition of a trigger and those of the triggers that follow from it.
+func (p *Policy) fire(req *request, current trigger) {
+	for current != noTrigger {
 		i := slices.IndexFunc(transitions, func(t transition) bool {
-			return slices.Contains(t.from, req.state) && slices.Contains(t.triggers, event)
+			return slices.Contains(t.from, req.state) && slices.Contains(t.triggers, current)
 		})
 		if i < 0 {
 			return
 		}
-		p.enter(req, transitions[i].next)
-		req.lastTrigger, event = event, noTrigger
+		p.setState(req, transitions[i].next)
+		req.lastTrigger, current = current, noTrigger
 		p.firedTransitions |= 1 << i
 		if transitions[i].run != nil {
-			event = transitions[i].run(p, req)
+			current = transitions[i].run(p, req)
 		}
 	}
 }
 
-// enter puts a request into a state.
-func (p *Policy) enter(req *request, next state) {
+// setState sets the state of a request and keeps the set of reserved requests up to date.
+func (p *Policy) setState(req *request, next state) {
 	req.state = next
 	if next == reserved {
 		p.reserved[req.RequestID] = req
@@ -66,13 +66,13 @@
 	}
 }
 
-// handleEndpoints takes over a watch event, and watches again after one that failed.
-func (p *Policy) handleEndpoints(update EndpointUpdate) {
+// handleEndpointUpdate applies a watch event, and schedules another watch after one that failed.
+func (p *Policy) handleEndpointUpdate(update EndpointUpdate) {
 	if !update.Failed {
 		p.updateEndpoints(update)
 		return
 	}
-	// Up to twice the delay: all nodes fail at once, and discovery serves one call at a time.
+	// The timer runs for up to twice the delay: all nodes fail at once, and discovery serves one call at a time.
 	const delay = 300 * time.Millisecond
 	p.startTimer(noRequest, retryDue, delay+time.Duration(p.random.next()*float64(delay)))
 }
