--- a/internal/routing/config_test.go
+++ b/internal/routing/config_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-func TestWordsOfSettingsAreReadBack(t *testing.T) {
+func TestSettingNamesRoundTrip(t *testing.T) {
 	for i := range effectNames {
 		if effect, err := ParseEffect(Effect(i).String()); err != nil || effect != Effect(i) {
-			t.Errorf("%q is read as %q: %v", Effect(i), effect, err)
+			t.Errorf("%q is parsed as %q: %v", Effect(i), effect, err)
 		}
 	}
 	for i := range dedupGroupNames {
 		if group, err := ParseDedupGroup(DedupGroup(i).String()); err != nil || group != DedupGroup(i) {
-			t.Errorf("%q is read as %q: %v", DedupGroup(i), group, err)
+			t.Errorf("%q is parsed as %q: %v", DedupGroup(i), group, err)
 		}
 	}
 	for i := range roleNames {
 		if role, err := ParseRole(Role(i).String()); err != nil || role != Role(i) {
-			t.Errorf("%q is read as %q: %v", Role(i), role, err)
+			t.Errorf("%q is parsed as %q: %v", Role(i), role, err)
 		}
 	}
 }
 
-func TestUnknownWordIsTheStrictestAndAnError(t *testing.T) {
+func TestUnknownNameGivesTheStrictestValueAndAnError(t *testing.T) {
 	effect, err := ParseEffect("Retriable")
 	unknown, ok := errors.AsType[*UnknownValueError](err)
 	if effect != NonRetriable || !ok || unknown.Value != "Retriable" || len(unknown.Allowed) != len(effectNames) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Routes and kinds that the settings do not name have the defaults of settings that name nothing.
-func TestUnnamedRoutesAndKindsHaveDefaults(t *testing.T) {
+// Routes and kinds that the settings do not list have the defaults of empty settings.
+func TestUnlistedRoutesAndKindsHaveDefaults(t *testing.T) {
 	c := DefaultConfig()
 	if c.route(0) != DefaultRoute() || c.route(-1) != DefaultRoute() || c.kind(3) != (EngineKind{}) {
 		t.Errorf("%+v, %+v", c.route(0), c.kind(3))
--- a/internal/routing/fleet_benchmark_test.go
+++ b/internal/routing/fleet_benchmark_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// fleetOf is the endpoint list of a fleet, half prefill engines, half decode engines. Of each role a share has just
-// started.
-func fleetOf(engines int, warmingShare float64, startedAt time.Duration) EndpointUpdate {
+// newFleetUpdate returns the endpoint list of a fleet, half prefill engines, half decode engines. A share of each role has
+// started at startedAt.
+func newFleetUpdate(engines int, warmingShare float64, startedAt time.Duration) EndpointUpdate {
 	update := EndpointUpdate{Complete: true}
 	for i := range engines {
 		endpoint := Endpoint{Engine: fmt.Sprintf("s-%04x", i), Weight: 1, Kind: i % 2, Ready: true}
@@ -20,7 +20,7 @@
 	return update
 }
 
-// newFleetNode is one node of 300 that has served a few requests of a fleet and has been told of a release.
+// newFleetNode returns one node of 300 that has served a few requests, after which a share of the engines has restarted.
 func newFleetNode(tb testing.TB, engines int, warmingShare float64) *fleetNode {
 	config := DefaultConfig()
 	config.Nodes, config.MaxAttempts, config.Cancel, config.HealthChecks = 300, 5, true, true
@@ -29,11 +29,11 @@
 	config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
 	config.Routes = []Route{{Effect: Retriable, PriorityWeight: 1, FirstTokenObjective: time.Second}}
 	n := &fleetNode{tb: tb, policy: New(1, config), now: simulationStart}
-	n.policy.Step(n.now, fleetOf(engines, 0, 0))
+	n.policy.Step(n.now, newFleetUpdate(engines, 0, 0))
 	for range 100 {
 		n.serve()
 	}
-	n.policy.Step(n.now, fleetOf(engines, warmingShare, n.now))
+	n.policy.Step(n.now, newFleetUpdate(engines, warmingShare, n.now))
 	return n
 }
 
@@ -44,7 +44,7 @@
 	lastID int64
 }
 
-// step has the policy handle an event, answers its health checks, and returns where it sends, if it does.
+// step passes an event to the policy, answers its health checks, and returns the engine that it sends to, if any.
 func (n *fleetNode) step(event Event) (engine string) {
 	for _, action := range n.policy.Step(n.now, event) {
 		switch action := action.(type) {
@@ -59,7 +59,7 @@
 	return engine
 }
 
-// serve plays a request from its arrival to its end.
+// serve runs a request from its arrival to its end.
 func (n *fleetNode) serve() {
 	n.lastID++
 	n.now += 25 * time.Millisecond
@@ -74,7 +74,7 @@
 	n.step(Outcome{RequestID: id, Attempt: 1, Engine: decode, Verdict: Completed, RequestEnded: true})
 }
 
-// BenchmarkRequestInFleet is one request from its arrival to its end.
+// BenchmarkRequestInFleet measures one request from its arrival to its end.
 func BenchmarkRequestInFleet(b *testing.B) {
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		for _, warmingShare := range []float64{0, 0.5} {
@@ -88,12 +88,12 @@
 	}
 }
 
-// BenchmarkEndpointUpdate is a complete list in which one engine has changed.
+// BenchmarkEndpointUpdate measures a complete list in which one engine has changed.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			n := newFleetNode(b, engines, 0)
-			update := fleetOf(engines, 0, 0)
+			update := newFleetUpdate(engines, 0, 0)
 			for b.Loop() {
 				update.Engines[0].Ready, update.Engines[0].Draining = !update.Engines[0].Ready, update.Engines[0].Ready
 				n.policy.Step(n.now, update)
@@ -102,7 +102,7 @@
 	}
 }
 
-// BenchmarkRetryWithoutAnEngine is the retry of one of 200 requests that wait while all engines are warming up.
+// BenchmarkRetryWithoutAnEngine measures the retry of one of 200 requests that wait while all engines are warming up.
 func BenchmarkRetryWithoutAnEngine(b *testing.B) {
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/routing/node_test.go
+++ b/internal/routing/node_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testNode is a policy with two prefill engines r0, r1 and two decode engines w0, w1.
+// testNode drives a policy with two prefill engines r0, r1 and two decode engines w0, w1.
 type testNode struct {
 	t       *testing.T
 	policy  *Policy
@@ -26,29 +26,29 @@
 		change(&config)
 	}
 	n := &testNode{t: t, policy: New(1, config), now: 1e12}
-	n.engines(Endpoint{}, "r0", "r1", "w0", "w1")
+	n.updateEngines(Endpoint{}, "r0", "r1", "w0", "w1")
 	return n
 }
 
-func (n *testNode) engines(like Endpoint, ids ...string) {
+func (n *testNode) updateEngines(template Endpoint, ids ...string) {
 	update := EndpointUpdate{}
 	for _, id := range ids {
-		like.Engine, like.Ready, like.Kind = id, true, 0
+		template.Engine, template.Ready, template.Kind = id, true, 0
 		if id[0] == 'w' {
-			like.Kind = 1
+			template.Kind = 1
 		}
-		update.Engines = append(update.Engines, like)
+		update.Engines = append(update.Engines, template)
 	}
 	n.step(0, update)
 }
 
-// step handles an event after a while and returns the engine that was sent to, if one was.
+// step advances the time, handles an event and returns the engine that the policy sends to, if any.
 func (n *testNode) step(after time.Duration, event Event) string {
 	n.now += after
 	n.actions = n.policy.Step(n.now, event)
-	for _, e := range n.actions {
-		if s, ok := e.(Send); ok {
-			return s.Engine
+	for _, action := range n.actions {
+		if send, ok := action.(Send); ok {
+			return send.Engine
 		}
 	}
 	return ""
@@ -59,7 +59,7 @@
 		Deadline: n.now + 4000*ms})
 }
 
-func (n *testNode) prefill(after time.Duration, req int64, prefillEngine string) string {
+func (n *testNode) completePrefill(after time.Duration, req int64, prefillEngine string) string {
 	return n.step(after, Outcome{RequestID: req, Engine: prefillEngine, Verdict: PrefillDone, Latency: after})
 }
 
@@ -67,15 +67,15 @@
 	n.step(after, FirstToken{RequestID: req, Attempt: 1, Engine: decodeEngine, Latency: after})
 }
 
-// serve takes a request through to its first token and returns its engines.
+// serve runs a request up to its first token and returns its engines.
 func (n *testNode) serve(req int64, session string) (prefillEngine, decodeEngine string) {
 	prefillEngine = n.arrive(req, 0, session)
-	decodeEngine = n.prefill(20*ms, req, prefillEngine)
+	decodeEngine = n.completePrefill(20*ms, req, prefillEngine)
 	n.firstToken(20*ms, req, decodeEngine)
 	return prefillEngine, decodeEngine
 }
 
-func (n *testNode) want(actions ...Action) {
+func (n *testNode) expectActions(actions ...Action) {
 	n.t.Helper()
 	if fmt.Sprintf("%T%v", n.actions, n.actions) != fmt.Sprintf("%T%v", actions, actions) {
 		n.t.Fatalf("got %+v, want %+v", n.actions, actions)
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// What follows computes by a look at everything what the policy keeps in indexes, and compares the two.
+// The functions below compute by full scans what the policy keeps in indexes, and compare the results.
 
 // checkIndexes compares all indexes of a policy with a scan.
 func checkIndexes(t *rapid.T, p *Policy) {
@@ -27,7 +27,7 @@
 	request := &request{}
 	for name, group := range map[string]*engineGroup{"prefill": &p.prefillEngines, "decode": &p.decodeEngines} {
 		if got, want := p.usableEngines(request, group, everyEngine), scanUsable(p, request, group.engines); !slices.Equal(got, want) {
-			t.Fatalf("usable for %s: %v, by a scan %v", name, engineIDs(got), engineIDs(want))
+			t.Fatalf("usable engines for %s: %v, by a scan %v", name, engineIDs(got), engineIDs(want))
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	t.Helper()
 	ids := slices.Sorted(maps.Keys(p.engines))
 	if !slices.Equal(engineIDs(p.sortedEngines), ids) {
-		t.Fatalf("in order %v, known %v", engineIDs(p.sortedEngines), ids)
+		t.Fatalf("sorted engines %v, known engines %v", engineIDs(p.sortedEngines), ids)
 	}
 	var prefill, decode []*engine
 	for _, id := range ids {
@@ -81,11 +81,11 @@
 	for text, cached := range p.cache.entriesByKey {
 		entries += len(cached)
 		if !slices.IsSortedFunc(cached, func(a, b cacheEntry) int { return cmp.Compare(a.engine, b.engine) }) {
-			t.Fatalf("%v is not in order of engines: %v", text, cached)
+			t.Fatalf("entries of %v are not in the order of engines: %v", text, cached)
 		}
 		for _, entry := range cached {
 			if !slices.Contains(p.cache.keysByEngine[entry.engine], text) {
-				t.Fatalf("%v at %s is not in the index", text, entry.engine)
+				t.Fatalf("key %v of %s is not in the index", text, entry.engine)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// scanLoad counts the attempts of all requests.
+// scanLoad computes the load of an engine from the attempts of all requests.
 func scanLoad(p *Policy, e *engine) (load engineLoad, unreported float64) {
 	for _, req := range p.requests {
 		for i := range req.attempts {
@@ -130,7 +130,7 @@
 	return load, unreported
 }
 
-// addLoad counts one attempt that is in flight.
+// addLoad adds one attempt in flight to a load.
 func addLoad(l *engineLoad, a *attempt, promptTokens float64, now time.Duration) {
 	if a.decode {
 		l.streams++
@@ -162,7 +162,7 @@
 	return rate
 }
 
-// scanUsable looks at each engine in full.
+// scanUsable computes the usable engines from a full check of each engine.
 func scanUsable(p *Policy, req *request, engines []*engine) []*engine {
 	fitting, healthy := []*engine{}, []*engine{}
 	latencies, faults := []time.Duration{}, []int64{}
@@ -207,7 +207,7 @@
 	})
 }
 
-// referenceHash is the hash by the standard library.
+// referenceHash computes the hash with the standard library.
 func referenceHash(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
@@ -216,7 +216,7 @@
 	return x ^ x>>33
 }
 
-func TestRandomNumbersAreThoseOfTheTextHash(t *testing.T) {
+func TestRandomNumbersAgreeWithTheTextHash(t *testing.T) {
 	source := newRandomSource(42)
 	for draw := uint64(1); draw <= 1000; draw++ {
 		if draw%10 == 0 {
@@ -241,8 +241,9 @@
 	})
 }
 
-// The cost of a request was the square of the engines in slow start: for each of them all engines were counted.
-func TestSlowStartOfHalfAFleetIsCountedOnceForEachResponse(t *testing.T) {
+// Guards against a cost of a request that is quadratic in the engines in slow start: for each of them the throughput of all
+// engines was counted.
+func TestThroughputOfAWarmingUpFleetIsCountedOncePerResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
 		n := newFleetNode(t, engines, 0.5)
 		before := n.policy.throughput.recounts
@@ -250,7 +251,7 @@
 		for range requests {
 			n.serve()
 		}
-		// A request has two responses; each may end the count's validity, and so may one that is 20 s old.
+		// A request has two responses. Each invalidates the count, and may do so once more when it is 20 s old.
 		if counted := n.policy.throughput.recounts - before; counted > 4*requests {
 			t.Errorf("%d engines: all were counted %d times for %d requests", engines, counted, requests)
 		}
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -22,14 +22,13 @@
 // simulationStart is when simulated nodes start.
 const simulationStart = 1000 * time.Second
 
-// requestRecord is the test's own record of one request: what is in flight and reserved, and how it was
-// answered.
+// requestRecord is the test's own record of one request: its attempts, its reservation and its answer.
 type requestRecord struct {
 	RequestArrived
 	inFlight      []int // indices of attempts
 	engines       []string
 	sentAt        []time.Duration
-	ran           []bool // may have run, so far as told
+	ran           []bool // whether each attempt may have run, by its outcome
 	decode        []bool
 	reserved      bool
 	reservedSince time.Duration
@@ -38,7 +37,9 @@
 	answer        string
 }
 
-// simulation feeds random events to one policy and checks the five rules by its own record.
+// simulation feeds random events to one policy and checks five rules by its own record: each request gets one answer in
+// time (1), none may run twice against its route (2), attempts go to ready engines only (3), engines that are warming up get
+// limited attempts (4), and reservations are not held for too long (5).
 type simulation struct {
 	t             *rapid.T
 	policy        *Policy
@@ -65,272 +66,272 @@
 		config.Routes = append(config.Routes, Route{Effect: effect, DedupWindow: 2 * time.Second, DedupGroup: group,
 			FirstTokenObjective: time.Second, PriorityWeight: float64(i + 1)})
 	}
-	w := &simulation{t: t, policy: New(7, config), config: config, now: simulationStart, requests: map[int64]*requestRecord{},
+	s := &simulation{t: t, policy: New(7, config), config: config, now: simulationStart, requests: map[int64]*requestRecord{},
 		engines: map[string]Endpoint{}, timers: map[time.Duration][]int64{},
 		sentWarmingUp: map[string][]time.Duration{}, sentTo: map[string][]time.Duration{}}
-	w.updateEndpoints()
-	return w
+	s.updateEndpoints()
+	return s
 }
 
-func (w *simulation) step(event Event) {
-	for _, action := range w.policy.Step(w.now, event) {
-		w.apply(action)
+func (s *simulation) step(event Event) {
+	for _, action := range s.policy.Step(s.now, event) {
+		s.apply(action)
 	}
-	checkIndexes(w.t, w.policy)
-	w.checkReservations()
+	checkIndexes(s.t, s.policy)
+	s.checkReservations()
 }
 
-func (w *simulation) fail(rule, format string, args ...any) {
-	w.t.Fatalf("rule %s: %s", rule, fmt.Sprintf(format, args...))
+func (s *simulation) fail(rule, format string, args ...any) {
+	s.t.Fatalf("rule %s: %s", rule, fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) apply(action Action) {
+func (s *simulation) apply(action Action) {
 	switch e := action.(type) {
 	case Send:
-		w.send(e)
+		s.send(e)
 	case Shed:
-		w.answer(e.RequestID, "shed")
+		s.recordAnswer(e.RequestID, "shed")
 	case Fail:
-		w.answer(e.RequestID, "errored")
+		s.recordAnswer(e.RequestID, "errored")
 	case Release:
-		if a := w.requests[e.RequestID]; a != nil && len(a.inFlight) == 0 {
-			a.reserved = false
+		if req := s.requests[e.RequestID]; req != nil && len(req.inFlight) == 0 {
+			req.reserved = false
 		}
 	case StartTimer:
-		at := w.now + max(e.After, 1)
-		w.timers[at] = append(w.timers[at], e.Token)
+		at := s.now + max(e.After, 1)
+		s.timers[at] = append(s.timers[at], e.Token)
 	}
 }
 
-func (w *simulation) send(e Send) {
-	req, engine := w.requests[e.RequestID], w.engines[e.Engine]
+func (s *simulation) send(action Send) {
+	req, engine := s.requests[action.RequestID], s.engines[action.Engine]
 	switch {
 	case req == nil || req.ended:
-		w.fail("1", "%d was sent after its end", e.RequestID)
+		s.fail("1", "request %d is sent after its end", action.RequestID)
 	case len(req.inFlight) > 0:
-		w.fail("2", "%d has two attempts in flight", e.RequestID)
+		s.fail("2", "request %d has two attempts in flight", action.RequestID)
 	case !engine.Ready:
-		w.fail("3", "%d was sent to %s, which is not ready", e.RequestID, e.Engine)
+		s.fail("3", "request %d is sent to %s, which is not ready", action.RequestID, action.Engine)
 	}
-	w.checkRetry(req, engine)
-	if engine.StartedAt > 0 && w.now-engine.StartedAt < w.config.SlowStart.Duration {
-		w.checkSlowStart(engine)
+	s.checkRetry(req, engine)
+	if engine.StartedAt > 0 && s.now-engine.StartedAt < s.config.SlowStart.Duration {
+		s.checkSlowStart(engine)
 	}
-	w.sentTo[e.Engine] = append(w.sentTo[e.Engine], w.now)
+	s.sentTo[action.Engine] = append(s.sentTo[action.Engine], s.now)
 	req.inFlight = append(req.inFlight, len(req.engines))
-	req.engines, req.sentAt = append(req.engines, e.Engine), append(req.sentAt, w.now)
+	req.engines, req.sentAt = append(req.engines, action.Engine), append(req.sentAt, s.now)
 	req.decode = append(req.decode, engine.Kind != 0)
 	req.ran = append(req.ran, false)
 }
 
 // checkRetry fails if a request that may have run is sent again where its route does not allow it.
-func (w *simulation) checkRetry(req *requestRecord, engine Endpoint) {
-	route := w.config.Routes[req.Route]
+func (s *simulation) checkRetry(req *requestRecord, engine Endpoint) {
+	route := s.config.Routes[req.Route]
 	for i, ran := range req.ran {
 		if !ran || route.Effect == Retriable {
 			continue
 		}
-		first, group := w.engines[req.engines[i]], route.DedupGroup
+		first, group := s.engines[req.engines[i]], route.DedupGroup
 		inGroup := group == DedupAll || group == DedupZone && first.Zone == engine.Zone ||
 			group == DedupCell && first.Cell == engine.Cell
-		late := w.now-req.sentAt[i] > route.DedupWindow
-		if route.Effect == NonRetriable || late || engine.Kind != 0 && !inGroup {
-			w.fail("2", "%d was sent again though it may have run", req.RequestID)
+		expired := s.now-req.sentAt[i] > route.DedupWindow
+		if route.Effect == NonRetriable || expired || engine.Kind != 0 && !inGroup {
+			s.fail("2", "request %d is sent again although it may have run", req.RequestID)
 		}
 	}
 }
 
-// checkSlowStart fails if an engine that is warming up is sent too much. A window holds 0.25 x 3 x 1 s of
-// what an engine can do, which is what one was sent on average at least. One more is the lot of one of the
-// three nodes.
-func (w *simulation) checkSlowStart(engine Endpoint) {
-	recent, sent, alike := 0, 0.0, 0.0
-	for _, at := range w.sentWarmingUp[engine.Engine] {
-		if w.now-at < time.Second {
+// checkSlowStart fails if an engine that is warming up is sent too many attempts. The budget of a window is 0.25 x 3 x 1 s of
+// what an engine can do, which is at least what one was sent on average. The random selection of one of the three nodes
+// allows one attempt more.
+func (s *simulation) checkSlowStart(engine Endpoint) {
+	recent, sent, sameKind := 0, 0.0, 0.0
+	for _, at := range s.sentWarmingUp[engine.Engine] {
+		if s.now-at < time.Second {
 			recent++
 		}
 	}
-	for id, other := range w.engines {
+	for id, other := range s.engines {
 		if other.Kind != engine.Kind {
 			continue
 		}
 		if other.Ready {
-			alike++
+			sameKind++
 		}
-		for _, at := range w.sentTo[id] {
-			if w.now-at < 20*time.Second {
+		for _, at := range s.sentTo[id] {
+			if s.now-at < 20*time.Second {
 				sent++
 			}
 		}
 	}
-	budget := 0.75 * sent / max(1, alike) * 1e9 / float64(min(20*time.Second, max(time.Second, w.now-simulationStart)))
-	w.sentWarmingUp[engine.Engine] = append(w.sentWarmingUp[engine.Engine], w.now)
+	budget := 0.75 * sent / max(1, sameKind) * 1e9 / float64(min(20*time.Second, max(time.Second, s.now-simulationStart)))
+	s.sentWarmingUp[engine.Engine] = append(s.sentWarmingUp[engine.Engine], s.now)
 	if recent > int(budget) {
-		w.fail("4", "%s is warming up and got %d attempts within a window", engine.Engine, recent+1)
+		s.fail("4", "%s is warming up and is sent %d attempts within a window", engine.Engine, recent+1)
 	}
 }
 
-func (w *simulation) answer(req int64, how string) {
-	a := w.requests[req]
+func (s *simulation) recordAnswer(id int64, answer string) {
+	req := s.requests[id]
 	switch {
-	case a == nil || a.ended:
-		w.fail("1", "%d was answered after its end", req)
-	case w.now > a.Deadline+16*ms:
-		w.fail("1", "%d was answered too late", req)
+	case req == nil || req.ended:
+		s.fail("1", "request %d is answered after its end", id)
+	case s.now > req.Deadline+16*ms:
+		s.fail("1", "request %d is answered too late", id)
 	}
-	if how == "shed" && a.Route > 0 && (a.Route == 2 || w.config.Routes[1].DedupGroup != DedupAll) {
-		for _, ran := range a.ran {
-			if ran || len(a.inFlight) > 0 || a.Resumed {
-				w.fail("2", "%d was shed though it may have run", req)
+	if answer == "shed" && req.Route > 0 && (req.Route == 2 || s.config.Routes[1].DedupGroup != DedupAll) {
+		for _, ran := range req.ran {
+			if ran || len(req.inFlight) > 0 || req.Resumed {
+				s.fail("2", "request %d is shed although it may have run", id)
 			}
 		}
 	}
-	a.ended, a.answer = true, how
+	req.ended, req.answer = true, answer
 }
 
-func (w *simulation) checkReservations() {
-	for _, id := range w.ids {
-		a := w.requests[id]
-		if a.reserved && len(a.inFlight) == 0 && w.now-a.reservedSince > 300*ms {
-			w.fail("5", "%d has been held for %d ms", id, (w.now-a.reservedSince)/ms)
+func (s *simulation) checkReservations() {
+	for _, id := range s.ids {
+		req := s.requests[id]
+		if req.reserved && len(req.inFlight) == 0 && s.now-req.reservedSince > 300*ms {
+			s.fail("5", "reservation of request %d is held for %d ms", id, (s.now-req.reservedSince)/ms)
 		}
-		if !a.ended && !a.streaming && w.now > a.Deadline+16*ms {
-			w.fail("1", "%d was never answered", id)
+		if !req.ended && !req.streaming && s.now > req.Deadline+16*ms {
+			s.fail("1", "request %d is never answered", id)
 		}
 	}
 }
 
-func (w *simulation) updateEndpoints() {
-	whole := rapid.Bool().Draw(w.t, "whole") || len(w.engines) == 0
-	news := EndpointUpdate{Complete: whole, Failed: !whole && rapid.IntRange(0, 9).Draw(w.t, "failed") == 0}
+func (s *simulation) updateEndpoints() {
+	complete := rapid.Bool().Draw(s.t, "whole") || len(s.engines) == 0
+	update := EndpointUpdate{Complete: complete, Failed: !complete && rapid.IntRange(0, 9).Draw(s.t, "failed") == 0}
 	for i := range 8 {
-		life := rapid.IntRange(0, 11).Draw(w.t, "life")
+		lifecycle := rapid.IntRange(0, 11).Draw(s.t, "life")
 		e := Endpoint{Engine: fmt.Sprintf("e%d", i), Weight: 1, Zone: i % 2, Cell: i % 3, Kind: min(i%3, 2),
-			Ready: life > 1, Draining: life == 1, Removed: life == 0, StartedAt: w.engines[fmt.Sprintf("e%d", i)].StartedAt}
-		if rapid.IntRange(0, 7).Draw(w.t, "restart") == 0 {
-			e.StartedAt = w.now - time.Duration(rapid.Int64Range(0, 3000).Draw(w.t, "age"))*ms
+			Ready: lifecycle > 1, Draining: lifecycle == 1, Removed: lifecycle == 0, StartedAt: s.engines[fmt.Sprintf("e%d", i)].StartedAt}
+		if rapid.IntRange(0, 7).Draw(s.t, "restart") == 0 {
+			e.StartedAt = s.now - time.Duration(rapid.Int64Range(0, 3000).Draw(s.t, "age"))*ms
 		}
-		if !news.Failed && (whole || rapid.Bool().Draw(w.t, "in")) {
-			news.Engines = append(news.Engines, e)
-			w.engines[e.Engine] = e
+		if !update.Failed && (complete || rapid.Bool().Draw(s.t, "in")) {
+			update.Engines = append(update.Engines, e)
+			s.engines[e.Engine] = e
 		}
 	}
-	w.step(news)
+	s.step(update)
 }
 
-func (w *simulation) arrive() {
-	id := int64(len(w.ids) + 1)
-	a := &requestRecord{RequestArrived: RequestArrived{RequestID: id, Route: rapid.IntRange(0, 2).Draw(w.t, "route"),
-		Session: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(w.t, "session")),
-		Prefix:  rapid.SampledFrom([]string{"", "p1", "p2"}).Draw(w.t, "prefix"), PromptTokens: 2000, PrefixTokens: 1500,
-		Deadline: w.now + time.Duration(rapid.Int64Range(5, 4000).Draw(w.t, "patience"))*ms, MaxOutputTokens: 300,
-		Resumed: rapid.IntRange(0, 9).Draw(w.t, "resumed") == 0}}
-	w.requests[id], w.ids = a, append(w.ids, id)
-	w.step(a.RequestArrived)
+func (s *simulation) arrive() {
+	id := int64(len(s.ids) + 1)
+	req := &requestRecord{RequestArrived: RequestArrived{RequestID: id, Route: rapid.IntRange(0, 2).Draw(s.t, "route"),
+		Session: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(s.t, "session")),
+		Prefix:  rapid.SampledFrom([]string{"", "p1", "p2"}).Draw(s.t, "prefix"), PromptTokens: 2000, PrefixTokens: 1500,
+		Deadline: s.now + time.Duration(rapid.Int64Range(5, 4000).Draw(s.t, "patience"))*ms, MaxOutputTokens: 300,
+		Resumed: rapid.IntRange(0, 9).Draw(s.t, "resumed") == 0}}
+	s.requests[id], s.ids = req, append(s.ids, id)
+	s.step(req.RequestArrived)
 }
 
-// outcome ends one send that is out, as an engine might.
-func (w *simulation) outcome() {
+// endAttempt ends one attempt in flight with a random outcome.
+func (s *simulation) endAttempt() {
 	var open []int64
-	for _, id := range w.ids {
-		if len(w.requests[id].inFlight) > 0 {
+	for _, id := range s.ids {
+		if len(s.requests[id].inFlight) > 0 {
 			open = append(open, id)
 		}
 	}
 	if len(open) == 0 {
 		return
 	}
-	a := w.requests[rapid.SampledFrom(open).Draw(w.t, "inf")]
-	n := a.inFlight[0]
-	o := Outcome{RequestID: a.RequestID, Attempt: n, Engine: a.engines[n], Latency: w.now - a.sentAt[n]}
+	req := s.requests[rapid.SampledFrom(open).Draw(s.t, "inf")]
+	index := req.inFlight[0]
+	o := Outcome{RequestID: req.RequestID, Attempt: index, Engine: req.engines[index], Latency: s.now - req.sentAt[index]}
 	verdicts := []Verdict{EngineError, Full, TimedOut, NotConnected, ConnectionLost, Canceled, NotSent}
 	switch {
-	case a.streaming:
+	case req.streaming:
 		verdicts, o.RequestEnded = []Verdict{Completed, Completed, ConnectionLost}, true
-	case a.decode[n] && !a.ended && rapid.Bool().Draw(w.t, "first"):
-		a.streaming, a.reserved = true, false
-		w.step(FirstToken{RequestID: a.RequestID, Attempt: n, Engine: a.engines[n], Latency: o.Latency})
+	case req.decode[index] && !req.ended && rapid.Bool().Draw(s.t, "first"):
+		req.streaming, req.reserved = true, false
+		s.step(FirstToken{RequestID: req.RequestID, Attempt: index, Engine: req.engines[index], Latency: o.Latency})
 		return
-	case !a.decode[n]:
+	case !req.decode[index]:
 		verdicts = append(verdicts, PrefillDone, PrefillDone, PrefillDone, PrefillDone, PrefillDone)
 	}
-	o.Verdict = rapid.SampledFrom(verdicts).Draw(w.t, "verdict")
-	a.inFlight = nil
+	o.Verdict = rapid.SampledFrom(verdicts).Draw(s.t, "verdict")
+	req.inFlight = nil
 	switch o.Verdict {
 	case Full:
-		if a.decode[n] && rapid.Bool().Draw(w.t, "gone") {
-			o.ReservationLost, a.reserved = true, false
+		if req.decode[index] && rapid.Bool().Draw(s.t, "gone") {
+			o.ReservationLost, req.reserved = true, false
 		}
 	case PrefillDone:
-		a.reserved, o.CachedTokens = true, rapid.SampledFrom([]float64{0, 1500}).Draw(w.t, "kept")
+		req.reserved, o.CachedTokens = true, rapid.SampledFrom([]float64{0, 1500}).Draw(s.t, "kept")
 	case EngineError, TimedOut, ConnectionLost, Canceled:
-		a.ran[n] = a.decode[n]
+		req.ran[index] = req.decode[index]
 	}
-	a.reservedSince = w.now
-	if o.RequestEnded = o.RequestEnded || a.ended; o.RequestEnded {
-		a.ended = true
+	req.reservedSince = s.now
+	if o.RequestEnded = o.RequestEnded || req.ended; o.RequestEnded {
+		req.ended = true
 	}
-	w.step(o)
-	if rapid.IntRange(0, 9).Draw(w.t, "twice") == 0 {
-		w.step(o) // late and repeated news is harmless
+	s.step(o)
+	if rapid.IntRange(0, 9).Draw(s.t, "twice") == 0 {
+		s.step(o) // a late or repeated outcome must be harmless
 	}
 }
 
-func (w *simulation) advance() {
-	until := w.now + time.Duration(rapid.Int64Range(1, 60).Draw(w.t, "time"))*4*ms
-	for w.now < until {
-		w.now += 4 * ms
-		for at := w.now - 4*ms + 1; ; {
+func (s *simulation) advance() {
+	until := s.now + time.Duration(rapid.Int64Range(1, 60).Draw(s.t, "time"))*4*ms
+	for s.now < until {
+		s.now += 4 * ms
+		for at := s.now - 4*ms + 1; ; {
 			due := time.Duration(0)
-			for t := range w.timers {
-				if t <= w.now && t >= at-4*ms && (due == 0 || t < due) {
+			for t := range s.timers {
+				if t <= s.now && t >= at-4*ms && (due == 0 || t < due) {
 					due = t
 				}
 			}
 			if due == 0 {
 				break
 			}
-			tokens := w.timers[due]
-			delete(w.timers, due)
+			tokens := s.timers[due]
+			delete(s.timers, due)
 			for _, token := range tokens {
-				w.step(TimerFired{token})
+				s.step(TimerFired{token})
 			}
 		}
-		w.checkReservations()
+		s.checkReservations()
 	}
 }
 
-func (w *simulation) disconnect() {
-	if len(w.ids) == 0 {
+func (s *simulation) disconnect() {
+	if len(s.ids) == 0 {
 		return
 	}
-	a := w.requests[rapid.SampledFrom(w.ids).Draw(w.t, "leaves")]
-	a.ended = true
-	w.step(ClientDisconnected{a.RequestID})
+	req := s.requests[rapid.SampledFrom(s.ids).Draw(s.t, "leaves")]
+	req.ended = true
+	s.step(ClientDisconnected{req.RequestID})
 }
 
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
+		s := newSimulation(t)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				w.arrive()
+				s.arrive()
 			case 3, 4, 5, 6:
-				w.outcome()
+				s.endAttempt()
 			case 7, 8:
-				w.advance()
+				s.advance()
 			default:
 				if rapid.Bool().Draw(t, "list") {
-					w.updateEndpoints()
+					s.updateEndpoints()
 				} else {
-					w.disconnect()
+					s.disconnect()
 				}
 			}
 		}
-		w.now += 4 * ms
+		s.now += 4 * ms
 		for range 30 {
-			w.advance()
+			s.advance()
 		}
 	})
 }
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// Incidents i384176 and i602403: decode engines that had restarted stayed idle.
-func TestWarmingUpEngineGetsMoreThanOneRequestAWindow(t *testing.T) {
+// Guards against incidents i384176 and i602403: decode engines stayed idle after a restart.
+func TestWarmingUpEngineGetsMoreThanOneRequestPerWindow(t *testing.T) {
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 100; req++ {
 		n.serve(req, fmt.Sprint("s", req))
 	}
-	n.engines(Endpoint{StartedAt: n.now}, "w2")
+	n.updateEngines(Endpoint{StartedAt: n.now}, "w2")
 	warming := 0
 	for req := int64(101); req <= 120; req++ {
-		if _, w := n.serve(req, fmt.Sprint("s", req)); w == "w2" {
+		if _, decodeEngine := n.serve(req, fmt.Sprint("s", req)); decodeEngine == "w2" {
 			warming++
 		}
 	}
@@ -27,11 +27,11 @@
 	}
 }
 
-// All nodes together, from few to hundreds, by the test's own record of their attempts.
+// Checks all nodes together, from one to hundreds, by the test's own record of their attempts.
 func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSimulatedFleet(t)
-		// A third of the prefill engines restarts, or all of them, of which one is back before the others.
+		// A third of the prefill engines restarts, or all of them, of which one is ready before the others.
 		restarted := max(1, f.prefillEngines/3)
 		if rapid.Bool().Draw(t, "all") {
 			restarted = f.prefillEngines
@@ -50,7 +50,7 @@
 	})
 }
 
-// simulatedFleet is many nodes that share some prefill engines. All prefills succeed at once.
+// simulatedFleet holds many nodes that share some prefill engines. All prefills succeed at once.
 type simulatedFleet struct {
 	policies       []*Policy
 	prefillEngines int
@@ -85,7 +85,7 @@
 	return f
 }
 
-// restart restarts the first n prefill engines. If these are all, only one is back yet.
+// restart restarts the first n prefill engines. If these are all, only one of them is ready again.
 func (f *simulatedFleet) restart(n int) {
 	all := n == f.prefillEngines
 	for i := range n {
@@ -97,7 +97,7 @@
 	}
 }
 
-// arrive hands a request to one of the nodes, after the timers that are due.
+// arrive fires the timers that are due and then passes a request to one of the nodes.
 func (f *simulatedFleet) arrive(req int64) {
 	due := slices.Clone(f.timers)
 	f.timers = slices.DeleteFunc(f.timers, func(t fleetTimer) bool { return t.at <= f.now })
@@ -125,24 +125,24 @@
 	}
 }
 
-// checkBudget fails if an engine was sent too much within a window after its restart.
+// checkBudget fails if an engine was sent too many attempts within a window after its restart.
 func (f *simulatedFleet) checkBudget(t *rapid.T, engine string, restart time.Duration) {
-	const budget = 6 // 0.25 x 3 x the 6 a second that one engine gets, and a third for chance
+	const budget = 6 // 0.25 x 3 x the 6 attempts a second of one engine, plus a third for random variation
 	times := f.sentTo[engine]
 	for i, at := range times {
-		n := 0
+		attempts := 0
 		for _, other := range times[i:] {
 			if at > restart && other-at < time.Second {
-				n++
+				attempts++
 			}
 		}
-		if n > budget {
-			t.Fatalf("rule 4: %s is warming up and got %d attempts of %d nodes within a window", engine, n, len(f.policies))
+		if attempts > budget {
+			t.Fatalf("rule 4: %s is warming up and is sent %d attempts by %d nodes within a window", engine, attempts, len(f.policies))
 		}
 	}
 }
 
-func TestRequestsThatWaitForAClosedFleetAreNotScannedAgainUntilTheNextLots(t *testing.T) {
+func TestExhaustedFleetIsNotScannedAgainUntilTheNextDraw(t *testing.T) {
 	n := newFleetNode(t, 3200, 1)
 	p := n.policy
 	window := p.config.SlowStart.Window
@@ -151,13 +151,13 @@
 		n.lastID++
 		sent := n.step(RequestArrived{RequestID: n.lastID, Session: fmt.Sprint(n.lastID), Deadline: n.now + time.Hour, PromptTokens: 100})
 		if sent == "" {
-			break // all places are given out
+			break // no budget is left
 		}
 	}
 	if !p.isBudgetExhausted(&p.prefillEngines) {
-		t.Fatal("a fleet that is warming up without a place counts as open")
+		t.Fatal("a fleet that is warming up without budget does not count as exhausted")
 	}
 	if p.now = n.now.Truncate(window/4) + window/4; p.isBudgetExhausted(&p.prefillEngines) {
-		t.Fatal("a fleet counts as closed after the next lots")
+		t.Fatal("a fleet still counts as exhausted after the next draw")
 	}
 }
