--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,9 +1,9 @@
-// Package attempt is the state machine of one attempt: what the events on its connection prove about it, namely
-// whether it has not run, may have run or has run, whether it may leave a reservation behind, and what becomes of its
-// connection. It does no I/O.
+// Package attempt implements the state machine of one attempt. From the events on the attempt's connection it derives
+// whether the attempt has not run, may have run or has run, whether it may leave a reservation behind, and whether its
+// connection can be reused. The package does no I/O.
 //
-// To take an attempt that has run for one that has not makes an effect happen twice. So each transition with such an
-// outcome states its proof; after all others the attempt may have run.
+// The effect of a request could happen twice if an attempt that has run were treated as one that has not. So each
+// transition with the latter outcome states its proof; after all other outcomes the attempt may have run.
 package attempt
 
 import (
@@ -13,25 +13,25 @@
 	"sandcourse/internal/routing"
 )
 
-// Attempt is one attempt to have an engine serve a request. The zero value waits for its connection.
+// Attempt is the state of one attempt at an engine. The zero value waits for its connection.
 type Attempt struct {
 	State              State
 	FirstTokenReceived bool
 }
 
-// Result is what an event has led to.
+// Result describes the consequences of an event.
 type Result struct {
 	Final               bool // the attempt has ended, and Verdict is its outcome
 	Verdict             routing.Verdict
 	ReservationMissing  bool // with the verdict Full: the engine did not find the reservation to fetch
 	Connection          ConnectionDisposition
-	MayLeaveReservation bool // a prefill engine may keep a reservation for it that has to be released
+	MayLeaveReservation bool // a prefill engine may keep a reservation for the attempt that has to be released
 	FirstToken          bool // the event is the first token
-	Transition          int  // the transition that fired, from 1; 0 for none
+	Transition          int  // number of the transition that fired, from 1; 0 for none
 }
 
-// Handle applies an event. An event that no transition takes changes nothing: an attempt has one outcome, whatever
-// happens later.
+// Handle applies an event. An event without a transition from the current state changes nothing: an attempt has one
+// outcome, whatever happens later.
 func (a *Attempt) Handle(event Event) Result {
 	i := slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, a.State) })
 	if i < 0 {
@@ -57,5 +57,5 @@
 	return v == routing.Full || v == routing.NotConnected || v == routing.NotSent
 }
 
-// Stalled reports whether an attempt in this state that has received nothing for the time idle counts as stalled.
+// Stalled reports whether an attempt in a state counts as stalled after receiving nothing for the duration idle.
 func Stalled(state State, idle, stall time.Duration) bool { return state == Streaming && idle > stall }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -12,8 +12,8 @@
 // neverRanVerdicts lists the verdicts that the routing policy takes as proof that an attempt has not run.
 var neverRanVerdicts = []routing.Verdict{routing.Full, routing.NotConnected, routing.NotSent}
 
-// Whatever the events and their order: an attempt has one outcome, and none that proves that it has not run once its last
-// byte was written, unless the engine has reported it.
+// For any sequence of events, an attempt has one outcome. Once its last byte was written, no outcome proves that the attempt
+// has not run, unless the engine has reported it.
 func TestEventsInAnyOrderGiveOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Attempt
@@ -36,23 +36,23 @@
 				t.Fatalf("second outcome %v after %v", result.Verdict, event)
 			}
 			if slices.Contains(neverRanVerdicts, result.Verdict) && (written || responding) && !rejectedByEngine {
-				t.Fatalf("%v in state %v proves nothing, yet is taken as %v", event, before, result.Verdict)
+				t.Fatalf("%v in state %v proves nothing, but gives the verdict %v", event, before, result.Verdict)
 			}
 			if responding && slices.Contains(neverRanVerdicts, result.Verdict) {
-				t.Fatalf("after a success status %v is taken as %v", event, result.Verdict)
+				t.Fatalf("after a success status %v gives the verdict %v", event, result.Verdict)
 			}
 			if result.Connection == Reusable && slices.Contains([]Event{ConnectionReset, StreamStalled, MalformedResponse, Canceled}, event) {
 				t.Fatalf("a connection with unread bytes is reused after %v", event)
 			}
 			if result.Verdict == routing.PrefillDone && event != PrefillCompleted || result.Verdict == routing.Completed && event != DecodeCompleted {
-				t.Fatalf("%v is taken as %v", event, result.Verdict)
+				t.Fatalf("%v gives the verdict %v", event, result.Verdict)
 			}
 		}
 	})
 }
 
-// Each state but Ended has a transition for each event that can end a wait, or the attempt would be stuck.
-func TestEveryStateCanEnd(t *testing.T) {
+// Every state but Ended has a transition for a connection reset and a cancellation. Without them an attempt would never end.
+func TestEveryStateEndsOnResetOrCancellation(t *testing.T) {
 	for state := Dialing; state < Ended; state++ {
 		for _, event := range []Event{ConnectionReset, Canceled} {
 			a := Attempt{State: state}
@@ -63,16 +63,16 @@
 	}
 }
 
-func TestUnavailableSince(t *testing.T) {
+func TestUnavailableSinceKeepsTheFirstNotification(t *testing.T) {
 	unavailable := UnavailableSince{}
 	unavailable.Note("a", true, 5)
 	unavailable.Note("b", false, 5)
 	unavailable.Note("b", false, 9)
 	if unavailable["a"] != 0 || unavailable["b"] != 5 {
-		t.Errorf("%v: the first notification of a drain has to count", unavailable)
+		t.Errorf("got %v, want the time of the first notification of a drain", unavailable)
 	}
 	unavailable.Note("b", true, 10)
 	if unavailable["b"] != 0 {
-		t.Errorf("%v: a later notification that the engine is ready has to count", unavailable)
+		t.Errorf("got %v, want no entry after a later notification that the engine is ready", unavailable)
 	}
 }
--- a/internal/attempt/state.go
+++ b/internal/attempt/state.go
@@ -1,16 +1,16 @@
 package attempt
 
-// State is how far an attempt has got.
+// State is the progress of an attempt.
 type State uint8
 
 // The states of an attempt.
 const (
-	Dialing          State = iota // it has no connection yet
+	Dialing          State = iota // the attempt has no connection yet
 	Writing                       // the kernel has not taken all bytes of the request yet
 	AwaitingResponse              // all bytes are written, nothing has been received
 	Responding                    // a success status has been received, neither a token nor a prefill result yet
 	Streaming                     // the first token has been received
-	Ended                         // it has its outcome, which no later event changes
+	Ended                         // the attempt has its outcome, which no later event changes
 )
 
 var stateNames = [...]string{
@@ -30,11 +30,11 @@
 
 // The events of an attempt.
 const (
-	Connected           Event = iota // it has a connection, and its first byte is about to be written
-	ConnectFailed                    // no connection could be opened in time, or none may be opened
-	EngineUnavailable                // its engine has been draining or removed for longer than attempts may still be sent to it
+	Connected           Event = iota // the attempt has a connection, and its first byte is about to be written
+	ConnectFailed                    // no connection could be opened in time, or opening one is not allowed
+	EngineUnavailable                // the engine has been draining or removed for longer than attempts may still be sent to it
 	RequestWritten                   // the kernel has taken the last byte of the request
-	Rejected                         // the engine rejects it: slots and queue are full, it drains, or the epoch is outdated
+	Rejected                         // the engine rejects the request: slots and queue are full, the engine drains, or the epoch is outdated
 	ReservationNotFound              // the engine reports that there is no reservation to fetch
 	ErrorStatus                      // an error status that proves nothing else
 	MalformedResponse                // not a valid response: a bad status line, a second header, a bad frame
@@ -44,7 +44,7 @@
 	DecodeCompleted                  // the last event of a decode engine's stream
 	ConnectionReset                  // the connection broke, or the other side closed it
 	StreamStalled                    // no token for too long; before the first token the timers of the routing policy apply
-	Canceled                         // the routing policy canceled it
+	Canceled                         // the routing policy canceled the attempt
 )
 
 var eventNames = [...]string{
@@ -68,14 +68,14 @@
 // String returns the event's name.
 func (e Event) String() string { return eventNames[e] }
 
-// ConnectionDisposition is what becomes of an attempt's connection after an event.
+// ConnectionDisposition states whether the connection of an attempt can be used after an event.
 type ConnectionDisposition uint8
 
 // The dispositions.
 const (
-	InUse     ConnectionDisposition = iota // it still carries this attempt
-	Reusable                               // it may carry another attempt
-	MustClose                              // it must not be used again: unread bytes may follow
+	InUse     ConnectionDisposition = iota // the connection still carries this attempt
+	Reusable                               // the connection may carry another attempt
+	MustClose                              // the connection must not be used again: unread bytes may follow
 )
 
 var dispositionNames = [...]string{InUse: "in use", Reusable: "reusable", MustClose: "must close"}
--- a/internal/attempt/transitions.go
+++ b/internal/attempt/transitions.go
@@ -25,15 +25,16 @@
 	{from: []State{Responding}, event: TokenReceived, next: Streaming},
 	{from: []State{Streaming}, event: TokenReceived, next: Streaming},
 
-	// The attempt has not run. No byte was written:
+	// The attempt has not run, as no byte was written.
 	{from: []State{Dialing}, event: ConnectFailed, next: Ended, verdict: routing.NotConnected, connection: MustClose},
 	{from: []State{Dialing}, event: ConnectionReset, next: Ended, verdict: routing.NotConnected, connection: MustClose},
 	{from: []State{Dialing}, event: EngineUnavailable, next: Ended, verdict: routing.NotSent, connection: Reusable},
 	{from: []State{Dialing}, event: Canceled, next: Ended, verdict: routing.NotSent, connection: MustClose},
-	// The content length precedes the body, so an engine cannot have begun on a part of it:
+	// The attempt has not run, as only a part of its request was written: the content length precedes the body, so an engine
+	// cannot have begun before the body was complete.
 	{from: []State{Writing}, event: ConnectionReset, next: Ended, verdict: routing.NotConnected, connection: MustClose},
 	{from: []State{Writing}, event: Canceled, next: Ended, verdict: routing.NotSent, connection: MustClose},
-	// The engine reports it, before any token:
+	// The attempt has not run, as the engine reports before any token.
 	{from: []State{Writing, AwaitingResponse}, event: Rejected, next: Ended, verdict: routing.Full, connection: Reusable},
 	{from: []State{Writing, AwaitingResponse}, event: ReservationNotFound, next: Ended, verdict: routing.Full, connection: Reusable},
 
--- a/internal/attempt/unavailable.go
+++ b/internal/attempt/unavailable.go
@@ -1,7 +1,7 @@
 package attempt
 
-// UnavailableSince holds, for each engine that drains or has left the endpoint list, when this router was first
-// notified of it. A later notification that the engine is ready removes the entry.
+// UnavailableSince holds when this router was first notified that an engine drains or has left the endpoint list, for each
+// such engine. A later notification that the engine is ready removes the entry.
 type UnavailableSince map[string]int64
 
 // Note records a notification about one engine.
--- a/internal/invariant/effect.go
+++ b/internal/invariant/effect.go
@@ -1,18 +1,18 @@
 package invariant
 
-// Effect states what a second run of a request would do.
+// Effect states whether a second run of a request does harm.
 type Effect uint8
 
 // The effects.
 const (
-	Retriable    Effect = iota // nothing: it may run again
-	Deduplicated               // nothing, while engines remember the first run
-	NonRetriable               // harm: it must never run twice
+	Retriable    Effect = iota // no harm: the request may run again
+	Deduplicated               // no harm while engines remember the first run
+	NonRetriable               // harm: the request must never run twice
 )
 
 var effectNames = [...]string{Retriable: "retriable", Deduplicated: "deduped", NonRetriable: "non-retriable"}
 
-// String returns the effect's name; for Retriable and Deduplicated that of the settings.
+// String returns the effect's name; for Retriable and Deduplicated it is the name in the settings.
 func (e Effect) String() string { return effectNames[e] }
 
 // ParseEffect returns the effect that a setting names. An unknown name is NonRetriable, the strictest.
--- a/internal/invariant/gates.go
+++ b/internal/invariant/gates.go
@@ -1,9 +1,9 @@
 // Package invariant holds the gates that each attempt, each retry, each close of a client's connection and each accepted
-// request has to pass, and a run-time monitor that checks that the invariants were kept. It does no I/O.
+// request has to pass, and a run-time monitor that checks that the invariants were kept. The package does no I/O.
 //
-// A gate is asked before an act, with what the router knows. The monitor is notified of acts that have happened and keeps
-// its own record of them, so that an act that bypassed its gate, or a gate that was asked with wrong facts, shows as a
-// violation. Points in time are in nanoseconds since the start of the router.
+// A gate is called before an action, with the state of the router. The monitor is notified of actions after the fact and
+// keeps its own record of them, so that an action that bypassed its gate, or a gate that was called with wrong state, shows
+// as a violation. Points in time are in nanoseconds since the start of the router.
 package invariant
 
 import (
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// MaxDelay is how long a router may be delayed between its reading of the clock and the arrival of what it writes then.
-// Gates that depend on the end of a time span leave this much of it.
+// MaxDelay is the longest delay to expect between a router's reading of the clock and the arrival of the data that it then
+// writes. Gates that depend on the end of a time span keep this margin.
 const MaxDelay = 150 * time.Millisecond
 
 // PriorAttempt is an earlier attempt of the same request.
 type PriorAttempt struct {
 	Decode    bool  // decoding is the effect of a request; a prefill has none
-	WrittenAt int64 // when its first byte was written; 0 for not at all
-	InFlight  bool  // it has no outcome yet
-	NeverRan  bool  // its outcome proves that it has not run
+	WrittenAt int64 // when its first byte was written; 0 if none was
+	InFlight  bool  // the attempt has no outcome yet
+	NeverRan  bool  // the outcome proves that the attempt has not run
 }
 
-// Attempt is what is known of an attempt whose first byte is about to be written.
+// Attempt is the state that the router has recorded for an attempt whose first byte is about to be written.
 type Attempt struct {
-	Answered        bool // its request has its final answer
+	Answered        bool // the request has its final answer
 	ClientGone      bool
-	Deadline        int64 // of its client
-	DrainNotifiedAt int64 // since when its engine is known to drain or to be removed; 0 where it is ready
-	AddressChanged  bool  // its connection leads to a former address of its engine
+	Deadline        int64 // of the client
+	DrainNotifiedAt int64 // when the router was notified that the engine drains or was removed; 0 if the engine is ready
+	AddressChanged  bool  // the connection leads to a former address of the engine
 	Effect          Effect
-	DedupWindow     time.Duration // for how long engines remember a run of a deduplicated request
+	DedupWindow     time.Duration // how long engines remember a run of a deduplicated request
 	PriorAttempts   []PriorAttempt
 }
 
-// MaySend is the gate of an attempt's first byte, of retries too. Grace is for how long after the notification of a drain
-// an attempt may still arrive.
+// MaySend is the gate of the first byte of every attempt, retries included. Attempts may arrive at a draining engine until
+// the duration grace after the notification of the drain.
 func MaySend(a Attempt, now int64, grace time.Duration) Reason {
 	switch {
 	case a.Answered:
@@ -53,15 +53,15 @@
 	return MayRetry(a.Effect, a.DedupWindow, a.PriorAttempts, now)
 }
 
-// withinDrainGrace reports whether what is written now arrives within the grace at an engine that is known to drain, with
-// as much time to spare again for the network.
+// withinDrainGrace reports whether data that is written now arrives at a draining engine within the grace period, with as
+// much time again in reserve for the network.
 func withinDrainGrace(notifiedAt, now int64, grace time.Duration) bool {
 	spare := grace - MaxDelay
 	return notifiedAt == 0 || spare >= 0 && time.Duration(now-notifiedAt) <= spare/2
 }
 
-// MayRetry is the gate of a retry: never while another attempt is in flight, and after one that may have run only as the
-// effect allows.
+// MayRetry is the gate of a retry. It allows none while another attempt is in flight, and after one that may have run only
+// as the effect allows.
 func MayRetry(effect Effect, dedupWindow time.Duration, priorAttempts []PriorAttempt, now int64) Reason {
 	if slices.ContainsFunc(priorAttempts, func(p PriorAttempt) bool { return p.InFlight }) {
 		return AttemptInFlight
@@ -79,10 +79,10 @@
 	return Allowed
 }
 
-// Connection is what is known of a client's connection that is about to be closed.
+// Connection is the state of a client's connection that is about to be closed.
 type Connection struct {
 	ClientGone     bool
-	ResponseBroken bool // its response broke off, and the client must not take it for complete
+	ResponseBroken bool // the response broke off, and the client must not treat it as complete
 	Unanswered     int  // requests that were read on it and have no answer
 	UnreadRequest  bool // a request has arrived, in part or completely, that the router has not handled yet
 }
@@ -100,7 +100,7 @@
 	return Allowed
 }
 
-// Arrival is what is known of a request that has been read.
+// Arrival describes a request that has been read.
 type Arrival struct {
 	DuplicateID bool
 	Accepting   bool // the router accepts requests
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -21,7 +21,7 @@
 		NeverRan: rapid.Bool().Draw(t, "never ran"), WrittenAt: rapid.Int64Range(0, now).Draw(t, "written")}
 }
 
-// The monitor reports no violation for what the gate allows, also where the write is late by the longest delay.
+// The monitor reports no violation for an attempt that the gate allows, even if its write is late by the longest delay.
 func TestGateAndMonitorAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base = int64(time.Hour)
@@ -56,7 +56,7 @@
 		m.AttemptWritten(1, WrittenAttempt{Index: len(a.PriorAttempts), Decode: true, WrittenAt: late,
 			DrainNotifiedAt: a.DrainNotifiedAt, TimeBudget: time.Duration(a.Deadline - now)})
 		if violations := m.TakeViolations(); len(violations) > 0 {
-			t.Fatalf("the gate allows what the monitor reports as %v", violations)
+			t.Fatalf("gate allows an attempt that the monitor reports as %v", violations)
 		}
 	})
 }
@@ -64,8 +64,8 @@
 func TestMonitorReportsViolations(t *testing.T) {
 	const second = int64(time.Second)
 	cases := []struct {
-		rule Rule
-		act  func(m *Monitor)
+		rule   Rule
+		action func(m *Monitor)
 	}{
 		{AnsweredTwice, func(m *Monitor) { m.RequestAnswered(1, 0); m.RequestAnswered(1, 0) }},
 		{AttemptAfterAnswer, func(m *Monitor) { m.RequestAnswered(1, 0); m.AttemptWritten(1, WrittenAttempt{}) }},
@@ -86,7 +86,7 @@
 	for _, c := range cases {
 		m := NewMonitor(LimitsFor(250*time.Millisecond, time.Second))
 		m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: NonRetriable, Deadline: 3 * second})
-		c.act(m)
+		c.action(m)
 		if violations := m.TakeViolations(); len(violations) != 1 || violations[0].Rule != c.rule {
 			t.Errorf("%s: got %v", c.rule, violations)
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// What is allowed is no violation: a retry after an attempt that has not run, a stream that ends after its client's deadline,
-// a close between two requests.
-func TestMonitorAcceptsAllowedActs(t *testing.T) {
+// Allowed actions are no violations: a retry after an attempt that has not run, a stream that ends after the client's
+// deadline, a close between two requests.
+func TestMonitorAcceptsAllowedActions(t *testing.T) {
 	const second = int64(time.Second)
 	m := NewMonitor(LimitsFor(250*time.Millisecond, time.Second))
 	m.RequestAccepted(1, AcceptedRequest{Name: "a", Effect: NonRetriable, Deadline: 3 * second})
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestMayAcceptAndClose(t *testing.T) {
+func TestGatesOfRequestsAndConnections(t *testing.T) {
 	if MayAccept(Arrival{Accepting: true}) != Allowed || MayAccept(Arrival{}) != ShuttingDown ||
 		MayAccept(Arrival{DuplicateID: true, Accepting: true}) != DuplicateRequestID {
 		t.Error("MayAccept")
@@ -133,26 +133,26 @@
 	}
 }
 
-// Whatever the grace, what the gate allows arrives within it, also where the router is delayed; without a drain notification
-// nothing is rejected.
-func TestDrainGate(t *testing.T) {
+// For any grace period, an attempt that the gate allows arrives within it, even if the router is delayed. Without a drain
+// notification no attempt is rejected.
+func TestAllowedAttemptsArriveWithinDrainGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(1, 1e12).Draw(t, "grace"))
 		notifiedAt := rapid.Int64Range(1, 1e15).Draw(t, "notified at")
 		now := notifiedAt + rapid.Int64Range(0, 2e12).Draw(t, "later")
 		a := Attempt{Deadline: now + 1, DrainNotifiedAt: notifiedAt}
 		if MaySend(a, now, grace) == Allowed && time.Duration(now-notifiedAt)+MaxDelay > grace {
-			t.Fatal("written after the grace")
+			t.Fatal("attempt is allowed but arrives after the grace period")
 		}
 		a.DrainNotifiedAt = 0
 		if MaySend(a, now, grace) != Allowed {
-			t.Fatal("rejected without a drain notification")
+			t.Fatal("attempt is rejected without a drain notification")
 		}
 	})
 }
 
-// The gate leaves the longest delay of the grace, and half of the rest for the network.
-func TestDrainGateLimits(t *testing.T) {
+// The gate reserves the longest delay out of the grace period, and half of the rest for the network.
+func TestDrainGateReservesDelayAndNetworkTime(t *testing.T) {
 	const notifiedAt = int64(time.Hour)
 	for _, c := range []struct {
 		grace, sinceDrain time.Duration
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// maxReportedReservations is how many requests are remembered whose reservation was reported, so that it is reported once.
+// maxReportedReservations limits the record of requests whose reservation was reported, which prevents repeated reports.
 const maxReportedReservations = 1000
 
-// AcceptedRequest is what the monitor needs to know of a request.
+// AcceptedRequest describes a request to the monitor.
 type AcceptedRequest struct {
 	Name        string
 	Effect      Effect
-	DedupWindow time.Duration // for how long engines remember a run of a deduplicated request
-	Deadline    int64         // of its client
+	DedupWindow time.Duration // how long engines remember a run of a deduplicated request
+	Deadline    int64         // of the client
 }
 
 // WrittenAttempt is an attempt whose first byte has been written.
@@ -21,7 +21,7 @@
 	Index           int // among the attempts of its request, from 0
 	Decode          bool
 	WrittenAt       int64
-	DrainNotifiedAt int64         // since when its engine is known to drain or to be removed; 0 where it is ready
+	DrainNotifiedAt int64         // when the router was notified that the engine drains or was removed; 0 if the engine is ready
 	TimeBudget      time.Duration // as sent to the engine
 }
 
@@ -29,15 +29,15 @@
 type Monitor struct {
 	limits   Limits
 	requests map[int64]*requestRecord
-	// reportedReservations holds the requests whose reservation was reported, and for how long it was unclaimed then.
+	// reportedReservations holds the requests whose reservation was reported, with how long it was unclaimed at that time.
 	reportedReservations map[string]time.Duration
-	violations           []Violation // those that TakeViolations has not returned yet
+	violations           []Violation // violations that TakeViolations has not returned yet
 }
 
-// requestRecord is what has happened to one request.
+// requestRecord holds the recorded events of one request.
 type requestRecord struct {
 	AcceptedRequest
-	answerStarted bool // its client has the first event
+	answerStarted bool // the first event has been sent to the client
 	answered      bool
 	attempts      []attemptRecord
 }
@@ -84,7 +84,7 @@
 	}
 	timeLeft := time.Duration(max(0, record.Deadline-attempt.WrittenAt))
 	if excess := attempt.TimeBudget - timeLeft; excess > m.limits.TimeBudgetSlack {
-		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v too much", attempt.Index, excess)
+		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v more than is left", attempt.Index, excess)
 	}
 }
 
@@ -111,7 +111,7 @@
 	record.attempts[attempt].ended, record.attempts[attempt].neverRan = true, neverRan
 }
 
-// AnswerStarted records that the first event of an answer has been sent to the client: its deadline is met.
+// AnswerStarted records that the first event of an answer has been sent to the client, which meets the client's deadline.
 func (m *Monitor) AnswerStarted(id int64) {
 	if record := m.requests[id]; record != nil {
 		record.answerStarted = true
@@ -130,7 +130,7 @@
 	case record.answered:
 		m.report(AnsweredTwice, record.Name, "")
 	case !record.answerStarted && late > m.limits.AnswerSlack:
-		m.report(LateAnswer, record.Name, "%v after its client's deadline", late)
+		m.report(LateAnswer, record.Name, "%v after the client's deadline", late)
 	}
 	record.answered = true
 }
@@ -141,17 +141,17 @@
 // ConnectionClosing records that the router closes a client's connection.
 func (m *Monitor) ConnectionClosing(c Connection, cause string) {
 	if MayClose(c) == RequestUnanswered {
-		m.report(ClosedUnanswered, "", "%d requests, closed as: %s", c.Unanswered, cause)
+		m.report(ClosedUnanswered, "", "%d requests, cause of the close: %s", c.Unanswered, cause)
 	}
 }
 
-// ReservationUnclaimed records for how long no attempt that may consume a reservation of a request has been in flight.
+// ReservationUnclaimed records how long no attempt that may consume a reservation of a request has been in flight.
 func (m *Monitor) ReservationUnclaimed(request string, unclaimed time.Duration) {
 	if unclaimed <= m.limits.ReservationLimit {
 		return
 	}
 	previous, reported := m.reportedReservations[request]
-	if !reported || unclaimed < previous { // shorter: another reservation of the same request
+	if !reported || unclaimed < previous { // a shorter time is that of another reservation of the same request
 		m.report(ReservedTooLong, request, "%v", unclaimed)
 	}
 	if len(m.reportedReservations) >= maxReportedReservations {
--- a/internal/invariant/reason.go
+++ b/internal/invariant/reason.go
@@ -1,9 +1,9 @@
 package invariant
 
-// Reason states why an act is not allowed. The values are also labels of metrics.
+// Reason states why an action is not allowed. The values are also labels of metrics.
 type Reason string
 
-// The reasons. The zero value allows the act.
+// The reasons. The zero value allows the action.
 const (
 	Allowed              Reason = ""
 	AlreadyAnswered      Reason = "it has its final answer"
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -22,29 +22,29 @@
 var Rules = []Rule{AnsweredTwice, AttemptAfterAnswer, ConcurrentAttempts, ExecutedTwice, AttemptToDrainingEngine,
 	ExcessiveTimeBudget, LateAnswer, ClosedUnanswered, ReservedTooLong}
 
-// Violation is one rule that was broken, and how.
+// Violation reports a rule that was broken.
 type Violation struct {
 	Rule    Rule
 	Request string
 	Detail  string
 }
 
-// Limits are the time spans that the monitor applies.
+// Limits holds the time spans that the monitor applies.
 type Limits struct {
-	DrainGrace       time.Duration // for attempts, after the notification of a drain
-	ReservationLimit time.Duration // for a reservation that no attempt in flight may consume
-	AnswerSlack      time.Duration // for a final answer, after its client's deadline
-	TimeBudgetSlack  time.Duration // by which the time budget sent to an engine may exceed the time that is left
+	DrainGrace       time.Duration // how long attempts may be sent after the notification of a drain
+	ReservationLimit time.Duration // how long a reservation may exist that no attempt in flight may consume
+	AnswerSlack      time.Duration // how long after the client's deadline a final answer may be sent
+	TimeBudgetSlack  time.Duration // how much the time budget sent to an engine may exceed the time that is left
 }
 
-// The slack that the protocol adds.
+// The slack that the protocol adds to the time spans.
 const (
 	answerSlack      = 500 * time.Millisecond
 	timeBudgetSlack  = 150 * time.Millisecond
 	reservationSlack = 300 * time.Millisecond
 )
 
-// LimitsFor returns the limits for the time spans of the settings.
+// LimitsFor returns the limits for the time spans in the settings.
 func LimitsFor(drainGrace, reservationLimit time.Duration) Limits {
 	return Limits{
 		DrainGrace:       drainGrace,
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -47,7 +47,7 @@
 	{"a release is sent to no engine", "internal/router/reservations.go", "range r.releaseTargets(reserved, first) {", "range r.releaseTargets(reserved, first)[:0] {", "one", "P5 P9 P10"},
 	{"the reservation of a lost prefill is held until the request ends", "internal/router/reservations.go", "r.addReservation(att, reservation.PrefillLost)",
 		"_ = att.index", "one", "P5 P9 P10"},
-	{"a release is not retried", "internal/reservation/release.go", "t.setDue(r, now+int64(t.backoff(r.unacknowledged)))", "t.setDue(r, now+1<<50)", "one", "P5 P9 P10"},
+	{"a release is not retried", "internal/reservation/release.go", "t.setDue(r, now+int64(t.backoff(r.unacknowledgedCount)))", "t.setDue(r, now+1<<50)", "one", "P5 P9 P10"},
 	{"a control request never times out", "internal/router/engine_connections.go", "conn.control != nil && observed-conn.control.startedAt > r.controlTimeout()", "false", "one", "P5 P9 P10"},
 	{"a broken stream is not reported", "internal/router/attempts.go", "r.finishRequest(att.request, OutcomeErrored, reasonStreamBroken+FailureReason(att.reason))", "_ = att.reason", "single", "P1 P9 P10"},
 	{"a stream ends without an error", "internal/router/request_outcomes.go", "\t\tr.write(client, last)", "\t\tr.write(client, last[len(last)-5:])", "single", "P1"},
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -7,15 +7,15 @@
 	KeepTime             time.Duration // how long a reservation may wait to be consumed, from the last time at which an attempt was in flight
 	RepeatInterval       time.Duration // between two acknowledged releases
 	RetryInterval        time.Duration // between the first releases that are not acknowledged; the interval doubles after some
-	AbandonAfter         time.Duration // how long releases are tried that no engine acknowledges
+	AbandonAfter         time.Duration // how long releases that no engine acknowledges are retried
 	MaxReservations      int
 	ReleasesWholeRequest bool // a release frees all reservations of its request, whichever prefill made them
 }
 
 const (
-	// abandonAfterLimits is for how many reservation limits unacknowledged releases are tried. A router may be cut off
-	// from all engines for some seconds and owes the release once it is not; engines that never acknowledge must not be
-	// asked for ever.
+	// abandonAfterLimits is the number of reservation limits for which unacknowledged releases are retried. A router may be
+	// cut off from all engines for some seconds and must still release afterwards; engines that never acknowledge must not
+	// be retried forever.
 	abandonAfterLimits = 10
 
 	maxRetryInterval = 50 * time.Millisecond
@@ -27,10 +27,10 @@
 // LimitsFor derives the limits of a router that must have each reservation consumed or released within limit.
 func LimitsFor(limit time.Duration, releasesWholeRequest bool, maxReservations int) Limits {
 	return Limits{
-		// A quarter remains for the releases and for a process that is not scheduled in time. The routing policy releases
-		// earlier by itself: this is the last resort.
+		// A quarter of the limit remains for the releases and for a process that is not scheduled in time. The routing policy
+		// releases earlier by itself: the keep time is the last resort.
 		KeepTime: limit * 3 / 4,
-		// A reservation that is made just after a release has half the limit left at the next one.
+		// A reservation that is made just after a release has half the limit left at the next release.
 		RepeatInterval:       limit / 2,
 		RetryInterval:        max(minRetryInterval, min(maxRetryInterval, limit/retriesPerLimit)),
 		AbandonAfter:         abandonAfterLimits * limit,
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// steadyRetries is how many releases follow one another at the shortest interval: enough to ask a few engines, one of
-	// which runs, before a reservation is kept for too long.
+	// steadyRetries is the number of releases that are sent at the shortest interval: enough to reach one running engine
+	// among a few before a reservation is kept for too long.
 	steadyRetries = 4
 	// maxDoublings bounds the shift of the backoff; the repeat interval caps it much earlier.
 	maxDoublings = 16
 )
 
-// HandleDue decides about a reservation that may be due. ExpiredIn is the state in which it was kept for as long as it may
-// be; None where its release was due already.
+// HandleDue decides what to do about a reservation that may be due. If the keep time of the reservation has just expired,
+// expiredIn is the state in which it did, else None.
 func (t *Table) HandleDue(r *Reservation, now int64) (action Action, expiredIn State) {
 	if r.State == None || now < r.DueAt {
 		return NoAction, None
 	}
 	switch {
 	case r.State == Reserved && r.attemptAbandoned:
-		expiredIn = Claimed // whether the attempt that was to consume it has arrived is not known
+		expiredIn = Claimed // the attempt that was to consume the reservation may have arrived
 	case r.State == Reserved || r.State == Claimed:
 		expiredIn = r.State
 	}
 	t.handle(r, Expired, EventTimes{Now: now, Since: now})
 	if inUseUntil := t.inUseUntil(r); t.limits.ReleasesWholeRequest && inUseUntil > now {
-		// A release would free the reservation that the request waits to use. The time of this one runs from the same moment.
+		// A release would also free the reservation that the request is about to use, so both become due at the same time.
 		t.setDue(r, inUseUntil)
 		return NoAction, expiredIn
 	}
@@ -35,19 +35,19 @@
 		t.handle(r, ReleaseAbandoned, EventTimes{Now: now, Since: now})
 		return Abandon, expiredIn
 	}
-	r.unacknowledged++
-	t.setDue(r, now+int64(t.backoff(r.unacknowledged)))
+	r.unacknowledgedCount++
+	t.setDue(r, now+int64(t.backoff(r.unacknowledgedCount)))
 	return Release, expiredIn
 }
 
-// backoff is how long the next release waits for an acknowledgement of this one.
-func (t *Table) backoff(unacknowledged int) time.Duration {
-	doublings := min(max(0, unacknowledged-steadyRetries), maxDoublings)
+// backoff returns how long the next release waits for an acknowledgement of the previous one.
+func (t *Table) backoff(count int) time.Duration {
+	doublings := min(max(0, count-steadyRetries), maxDoublings)
 	longest := max(t.limits.RepeatInterval/2, t.limits.RetryInterval)
 	return min(t.limits.RetryInterval<<doublings, longest)
 }
 
-// inUseUntil is when the reservation of the same request that is still to be used will be released; 0 where there is none.
+// inUseUntil returns when another reservation of the same request that is still to be used becomes due; 0 if there is none.
 func (t *Table) inUseUntil(r *Reservation) (until int64) {
 	for _, other := range t.byRequest[r.ID.Request] {
 		if other != r && (other.State == Reserved || other.State == Claimed) {
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,16 +1,16 @@
 // Package reservation tracks the prefill state that engines reserve for this router's requests: which reservations may
-// exist, where, and when a release of one is due. It does no I/O.
+// exist, where, and when a release of one is due. The package does no I/O.
 //
-// A reservation may exist from the moment at which the last byte of its prefill request may have arrived. It leaves the
-// table once an attempt has consumed it, or once an engine has acknowledged a release at a time at which nothing can
-// bring the reservation back. An acknowledgement proves nothing while an attempt may still claim the reservation: an
+// A reservation may exist from the moment at which the last byte of its prefill request may have arrived. It is removed from
+// the table once an attempt has consumed it, or once an engine has acknowledged a release at a time at which nothing can
+// restore the reservation. An acknowledgement proves nothing while an attempt may still claim the reservation: an
 // engine frees only what no attempt waits for, and it may see the connection of an abandoned attempt close after the
 // release has arrived. So releases are repeated for as long as such an attempt, or an abandoned prefill, may live.
 package reservation
 
 import "fmt"
 
-// ID identifies a reservation: a request, and which of its attempts was the prefill.
+// ID identifies a reservation by its request and the index of the attempt that was the prefill.
 type ID struct {
 	Request string
 	Attempt int
@@ -26,35 +26,35 @@
 
 	// ReleaseTargets are the engines that the releases since the last acknowledgement were sent to.
 	ReleaseTargets []string
-	// Round counts how often releases became due anew. Acknowledgements of an earlier round are ignored.
+	// Round numbers the rounds of releases. Acknowledgements of releases of an earlier round are ignored.
 	Round int
 
-	unclaimedSince      int64 // since when no attempt that may consume it has been in flight, as far as is known
-	attemptAbandoned    bool  // whether the attempt that was to consume it has arrived is not known
-	horizon             int64 // until when releases are repeated
-	unacknowledgedSince int64 // since when releases have not been acknowledged; 0 where none is in flight
-	unacknowledged      int   // releases since the last acknowledgement
+	unclaimedSince      int64 // since when no attempt that may consume the reservation has been in flight, as far as is known
+	attemptAbandoned    bool  // the attempt that was to consume the reservation may have arrived
+	horizon             int64 // releases are repeated until this time
+	unacknowledgedSince int64 // since when releases have not been acknowledged; 0 if none is in flight
+	unacknowledgedCount int   // releases since the last acknowledgement
 	acknowledgements    int
 }
 
 // Acknowledged reports whether an engine has acknowledged a release.
 func (r *Reservation) Acknowledged() bool { return r.acknowledgements > 0 }
 
-// UnclaimedSince is since when no attempt that may consume the reservation has been in flight, as far as is known.
+// UnclaimedSince returns since when no attempt that may consume the reservation has been in flight, as far as is known.
 func (r *Reservation) UnclaimedSince() int64 { return r.unclaimedSince }
 
-// Fingerprint describes all that later events may depend on, with times relative to now.
+// Fingerprint returns a text of all state that the handling of later events depends on, with times relative to now.
 func (r *Reservation) Fingerprint(now int64) string {
 	unacknowledgedFor := int64(-1)
 	if r.unacknowledgedSince > 0 {
 		unacknowledgedFor = now - r.unacknowledgedSince
 	}
-	return fmt.Sprint(r.ID, r.Engine, r.State, r.DueAt-now, max(0, r.horizon-now), unacknowledgedFor, r.unacknowledged,
+	return fmt.Sprint(r.ID, r.Engine, r.State, r.DueAt-now, max(0, r.horizon-now), unacknowledgedFor, r.unacknowledgedCount,
 		r.acknowledgements, r.ReleaseTargets, r.attemptAbandoned)
 }
 
-// startRound makes acknowledgements of the releases so far count for nothing.
+// startRound starts a new round of releases, after which acknowledgements of the releases so far are ignored.
 func (r *Reservation) startRound() {
 	r.Round++
-	r.unacknowledgedSince, r.unacknowledged, r.ReleaseTargets = 0, 0, nil
+	r.unacknowledgedSince, r.unacknowledgedCount, r.ReleaseTargets = 0, 0, nil
 }
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -1,15 +1,15 @@
 package reservation
 
-// State is where a reservation stands, as far as this router knows.
+// State is the state of a reservation as it is known to this router.
 type State uint8
 
 // The states of a reservation.
 const (
-	None      State = iota // there is none, or none that is known any more
-	Reserved               // an engine holds it, and no attempt that may consume it is in flight
-	Claimed                // an attempt that may consume it is in flight
-	Contested              // a release is due, though an attempt that may consume it is in flight
-	Releasing              // it is not needed: releases are due until no further one can be needed
+	None      State = iota // no reservation exists, or none is known any more
+	Reserved               // an engine holds the reservation, and no attempt that may consume it is in flight
+	Claimed                // an attempt that may consume the reservation is in flight
+	Contested              // a release is due although an attempt that may consume the reservation is in flight
+	Releasing              // the reservation is not needed: releases are due until no further release can be necessary
 )
 
 var stateNames = [...]string{None: "none", Reserved: "reserved", Claimed: "claimed", Contested: "contested", Releasing: "releasing"}
@@ -24,16 +24,16 @@
 const (
 	PrefillDone              Event = iota // an engine has reported that it holds the reservation
 	PrefillLost                           // a prefill ended without such a report, and may have left a reservation or still leave one
-	AttemptSent                           // the first byte of an attempt that may consume it is about to be written
-	AttemptUnsent                         // that attempt ended, and its request never arrived completely
-	AttemptRejected                       // an engine has answered that attempt without consuming the reservation
-	AttemptAbandoned                      // that attempt ended in any other way: its engine may not have noticed yet
+	AttemptSent                           // the first byte of an attempt that may consume the reservation is about to be written
+	AttemptUnsent                         // the sent attempt ended, and its request never arrived completely
+	AttemptRejected                       // an engine has answered the sent attempt without consuming the reservation
+	AttemptAbandoned                      // the sent attempt ended in any other way: its engine may not have noticed yet
 	Consumed                              // an attempt has consumed the reservation
-	ConsumedBeforeHorizon                 // the same, and an abandoned prefill may still leave another reservation
-	Unneeded                              // the request does not need it any more
-	Expired                               // it has been kept for as long as it may be
+	ConsumedBeforeHorizon                 // an attempt has consumed the reservation, and an abandoned prefill may still leave another one
+	Unneeded                              // the request does not need the reservation any more
+	Expired                               // the keep time of the reservation has passed
 	ReleaseAcknowledged                   // an engine has acknowledged a release
-	ReleaseAcknowledgedEarly              // an engine has acknowledged a release, and a later one is needed
+	ReleaseAcknowledgedEarly              // an engine has acknowledged a release, and a later release is necessary
 	ReleaseAbandoned                      // no engine has acknowledged a release in time
 )
 
@@ -61,9 +61,9 @@
 
 // The actions.
 const (
-	NoAction Action = iota // it is not due, or it waits for another reservation of its request
+	NoAction Action = iota // the reservation is not due, or waits for another reservation of its request
 	Release                // send a release
-	Abandon                // no engine acknowledges releases: nothing more can be done
+	Abandon                // give up, as no engine acknowledges releases
 )
 
 var actionNames = [...]string{NoAction: "none", Release: "release", Abandon: "abandon"}
--- a/internal/reservation/table.go
+++ b/internal/reservation/table.go
@@ -14,7 +14,7 @@
 	limits    Limits
 	byRequest map[string][]*Reservation // in the order of their prefills
 	count     int
-	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation that had it may be gone.
+	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation with that time may have been removed.
 	nextDue      int64
 	nextDueStale bool
 }
@@ -24,7 +24,7 @@
 	return &Table{limits: limits, byRequest: map[string][]*Reservation{}, nextDue: Never}
 }
 
-// Find returns the reservation of an ID; nil where none is known.
+// Find returns the reservation with an ID; nil if none is known.
 func (t *Table) Find(id ID) *Reservation {
 	for _, r := range t.byRequest[id.Request] {
 		if r.ID == id {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// NextDue is when the next reservation is due.
+// NextDue returns when the next reservation is due.
 func (t *Table) NextDue() int64 {
 	if !t.nextDueStale {
 		return t.nextDue
@@ -73,10 +73,10 @@
 	return due
 }
 
-// Count is the number of reservations.
+// Count returns the number of reservations.
 func (t *Table) Count() int { return t.count }
 
-// OldestSince is since when the oldest reservation has been known; 0 for an empty table.
+// OldestSince returns since when the oldest reservation has been known; 0 for an empty table.
 func (t *Table) OldestSince() (since int64) {
 	for _, reservations := range t.byRequest {
 		for _, r := range reservations {
@@ -88,8 +88,8 @@
 	return since
 }
 
-// Unreleased counts the reservations that a router must not leave behind when it ends. Where releases are repeated, two
-// acknowledgements are enough: the earlier attempts are over by then, unless their engines hang.
+// Unreleased counts the reservations that a router must not leave behind when it exits. Where releases are repeated, two
+// acknowledgements are enough: by then the earlier attempts have ended, unless their engines hang.
 func (t *Table) Unreleased() (count int) {
 	const enoughAcknowledgements = 2
 	for _, reservations := range t.byRequest {
@@ -106,11 +106,11 @@
 type EventTimes struct {
 	Now     int64
 	Since   int64 // the earliest time at which the event may have happened
-	Horizon int64 // until when an abandoned attempt of the request may still act at its engine; 0 where there is none
+	Horizon int64 // until when an abandoned attempt of the request may still have an effect at its engine; 0 if there is none
 }
 
 // Add records the reservation of a prefill that has just ended, by PrefillDone or PrefillLost. It returns nil if the table
-// is full of reservations no release of which has been acknowledged.
+// is full of reservations without an acknowledged release.
 func (t *Table) Add(id ID, engine string, event Event, times EventTimes) *Reservation {
 	if r := t.Find(id); r != nil {
 		return r
@@ -125,7 +125,7 @@
 	return r
 }
 
-// evictAcknowledged removes a reservation of which a release has been acknowledged, if there is one.
+// evictAcknowledged removes a reservation with an acknowledged release, if there is one.
 func (t *Table) evictAcknowledged() bool {
 	for _, r := range t.All() {
 		if r.State == Releasing && r.Acknowledged() {
@@ -137,23 +137,23 @@
 	return false
 }
 
-// HandleAttempt applies the event of an attempt to all reservations of its request, as it may consume any of them, or
-// Unneeded. It returns the reservations whose due time has changed.
+// HandleAttempt applies Unneeded or the event of an attempt, which may consume any reservation of its request, to all
+// reservations of the request. It returns the reservations whose due time has changed.
 func (t *Table) HandleAttempt(request string, event Event, times EventTimes) (changed []*Reservation) {
 	for _, r := range slices.Clone(t.byRequest[request]) {
 		if r.State == Releasing && !t.limits.ReleasesWholeRequest {
-			continue // attempts name the reservation that they consume, and it is not this one
+			continue // attempts name the reservation that they consume, which is not this one
 		}
-		before := r.DueAt
+		previousDue := r.DueAt
 		t.handle(r, event, times)
-		if r.State != None && r.DueAt != before {
+		if r.State != None && r.DueAt != previousDue {
 			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
-// handle applies one event to one reservation. An event that no transition takes changes nothing but the horizon.
+// handle applies one event to one reservation. An event without a transition changes nothing but the horizon.
 func (t *Table) handle(r *Reservation, event Event, times EventTimes) {
 	r.horizon = max(r.horizon, times.Horizon)
 	if event == Consumed && times.Now < r.horizon {
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain makes random tests draw the same in every run; -rapid.seed on the command line draws others.
+// TestMain fixes the seed of random tests; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -25,19 +25,19 @@
 
 func newTable(wholeRequest bool) *Table { return New(LimitsFor(limit, wholeRequest, 100)) }
 
-// at are the times of an event that happens now, without an abandoned attempt.
-func at(now int64) EventTimes { return EventTimes{Now: now, Since: now} }
+// timesAt returns the times of an event that happens now, without an abandoned attempt.
+func timesAt(now int64) EventTimes { return EventTimes{Now: now, Since: now} }
 
-var first = ID{Request: "a", Attempt: 0}
+var firstID = ID{Request: "a", Attempt: 0}
 
-// A reservation follows the events of its request.
+// Checks the state and the due time of a reservation after the events of its request.
 func TestTransitions(t *testing.T) {
 	const horizon = start + 3*second
 	for _, c := range []struct {
 		name   string
 		events []Event
 		want   State
-		due    int64 // after the start; of no meaning for None
+		due    int64 // since the start; ignored for None
 	}{
 		{"prefill", []Event{PrefillDone}, Reserved, second * 3 / 4},
 		{"prefill, and consumed", []Event{PrefillDone, AttemptSent, Consumed}, None, 0},
@@ -46,43 +46,43 @@
 		{"the decode engine is full", []Event{PrefillDone, AttemptSent, AttemptRejected}, Reserved, second * 3 / 4},
 		{"an attempt that never arrived", []Event{PrefillDone, AttemptSent, AttemptUnsent}, Reserved, second * 3 / 4},
 		{"unneeded while an attempt is in flight", []Event{PrefillDone, AttemptSent, Unneeded}, Contested, 0},
-		{"that attempt is abandoned", []Event{PrefillDone, AttemptSent, Unneeded, AttemptAbandoned}, Releasing, 0},
-		{"or rejected", []Event{PrefillDone, AttemptSent, Unneeded, AttemptRejected}, Releasing, 0},
-		{"or consumes it after all", []Event{PrefillDone, AttemptSent, Unneeded, Consumed}, None, 0},
+		{"unneeded, then the attempt is abandoned", []Event{PrefillDone, AttemptSent, Unneeded, AttemptAbandoned}, Releasing, 0},
+		{"unneeded, then the attempt is rejected", []Event{PrefillDone, AttemptSent, Unneeded, AttemptRejected}, Releasing, 0},
+		{"unneeded, then the attempt consumes it nevertheless", []Event{PrefillDone, AttemptSent, Unneeded, Consumed}, None, 0},
 		{"a second attempt", []Event{PrefillDone, AttemptSent, AttemptAbandoned, AttemptSent, Consumed}, None, 0},
 		{"consumed, and a lost prefill may still leave another", []Event{PrefillLost, AttemptSent, Consumed}, Releasing, second / 2},
 		{"consumed twice", []Event{PrefillDone, Consumed, Consumed, Unneeded}, None, 0},
 	} {
 		table := newTable(true)
-		r := table.Add(first, "r", c.events[0], at(start))
+		r := table.Add(firstID, "r", c.events[0], timesAt(start))
 		for _, event := range c.events[1:] {
-			until := int64(0)
+			attemptHorizon := int64(0)
 			if event == AttemptAbandoned || c.events[0] == PrefillLost {
-				until = horizon
+				attemptHorizon = horizon
 			}
-			table.HandleAttempt(first.Request, event, EventTimes{start, start, until})
+			table.HandleAttempt(firstID.Request, event, EventTimes{start, start, attemptHorizon})
 		}
 		if r.State != c.want || r.State != None && r.DueAt-start != c.due {
 			t.Errorf("%s: state %v, due after %v", c.name, r.State, time.Duration(r.DueAt-start))
 		}
-		if known := table.Find(first) != nil; known != (c.want != None) || table.Count() == 0 == known {
+		if known := table.Find(firstID) != nil; known != (c.want != None) || table.Count() == 0 == known {
 			t.Errorf("%s: in the table: %v, %d in all", c.name, known, table.Count())
 		}
 	}
 }
 
-// Found with random engines, and on a fleet of real processes: the end of an abandoned attempt's connection and the release
-// that follows it reach two engines in either order. A release that arrives first frees nothing.
+// Guards against releases that free nothing, as seen with random engines and on a fleet of real processes: the close of an
+// abandoned attempt's connection and the release that follows it reach two engines in either order.
 func TestReleasesAreRepeatedAfterAnAbandonedAttempt(t *testing.T) {
 	table := newTable(true)
-	r := table.Add(first, "r", PrefillDone, at(start))
-	table.HandleAttempt("a", AttemptSent, at(start))
+	r := table.Add(firstID, "r", PrefillDone, timesAt(start))
+	table.HandleAttempt("a", AttemptSent, timesAt(start))
 	table.HandleAttempt("a", AttemptAbandoned, EventTimes{start, start, start + 3*second})
 	table.HandleAttempt("a", Unneeded, EventTimes{start, start, start + 3*second})
 	releases, last := 0, start
 	for now := start; r.State != None; now += second / 100 {
 		if now > start+10*second {
-			t.Fatal("it is never removed")
+			t.Fatal("reservation is never removed")
 		}
 		if action, _ := table.HandleDue(r, now); action == Release {
 			if gap := now - last; gap > int64(limit)*3/4 {
@@ -104,12 +104,12 @@
 // attempt left.
 func TestAcknowledgementOfAnEarlierRoundIsIgnored(t *testing.T) {
 	table := newTable(true)
-	r := table.Add(first, "r", PrefillDone, at(start))
-	table.HandleAttempt("a", AttemptSent, at(start))
-	table.HandleAttempt("a", Unneeded, at(start))
+	r := table.Add(firstID, "r", PrefillDone, timesAt(start))
+	table.HandleAttempt("a", AttemptSent, timesAt(start))
+	table.HandleAttempt("a", Unneeded, timesAt(start))
 	table.HandleDue(r, start)
 	round := r.Round
-	table.HandleAttempt("a", AttemptRejected, at(start))
+	table.HandleAttempt("a", AttemptRejected, timesAt(start))
 	table.Acknowledge(r, round, start)
 	if r.State != Releasing {
 		t.Errorf("state %v after the acknowledgement of an earlier round", r.State)
@@ -121,15 +121,15 @@
 	}
 }
 
-// Where a release frees all reservations of a request, that of a stray one must not cost the one that is still to be used;
-// where a release names one reservation, it need not wait.
+// Where a release frees all reservations of a request, the release of a stray one must not free the one that is still to be
+// used. Where a release names one reservation, it need not wait.
 func TestStrayReservationWaitsForTheOneInUse(t *testing.T) {
 	for _, wholeRequest := range []bool{true, false} {
 		table := newTable(wholeRequest)
-		stray := table.Add(first, "r", PrefillLost, EventTimes{start, start, start + 3*second})
+		stray := table.Add(firstID, "r", PrefillLost, EventTimes{start, start, start + 3*second})
 		table.HandleDue(stray, start)
 		table.Acknowledge(stray, stray.Round, start)
-		used := table.Add(ID{"a", 1}, "r2", PrefillDone, at(start+second/4))
+		used := table.Add(ID{"a", 1}, "r2", PrefillDone, timesAt(start+second/4))
 		action, _ := table.HandleDue(stray, start+second/2)
 		if wholeRequest && (action != NoAction || stray.DueAt != used.DueAt) || !wholeRequest && action != Release {
 			t.Errorf("releases whole request %v: action %v, due after %v", wholeRequest, action, time.Duration(stray.DueAt-start))
@@ -138,20 +138,20 @@
 }
 
 // The number of reservations is limited, and releases that no engine acknowledges are abandoned.
-func TestLimits(t *testing.T) {
+func TestReservationsAndReleasesAreLimited(t *testing.T) {
 	limits := LimitsFor(limit, true, 2)
 	table := New(limits)
-	r := table.Add(first, "r", PrefillLost, at(start))
-	table.Add(ID{"b", 0}, "r", PrefillDone, at(start))
-	if table.Add(ID{"c", 0}, "r", PrefillDone, at(start)) != nil {
+	r := table.Add(firstID, "r", PrefillLost, timesAt(start))
+	table.Add(ID{"b", 0}, "r", PrefillDone, timesAt(start))
+	if table.Add(ID{"c", 0}, "r", PrefillDone, timesAt(start)) != nil {
 		t.Error("a third reservation is added")
 	}
 	full := New(limits)
-	acknowledged := full.Add(first, "r", PrefillLost, EventTimes{start, start, start + 9*second})
+	acknowledged := full.Add(firstID, "r", PrefillLost, EventTimes{start, start, start + 9*second})
 	full.HandleDue(acknowledged, start)
 	full.Acknowledge(acknowledged, acknowledged.Round, start)
-	full.Add(ID{"b", 0}, "r", PrefillDone, at(start))
-	if full.Add(ID{"c", 0}, "r", PrefillDone, at(start)) == nil || full.Find(first) != nil {
+	full.Add(ID{"b", 0}, "r", PrefillDone, timesAt(start))
+	if full.Add(ID{"c", 0}, "r", PrefillDone, timesAt(start)) == nil || full.Find(firstID) != nil {
 		t.Error("a reservation of which a release was acknowledged is not evicted")
 	}
 	releases, now := 0, start
@@ -160,16 +160,16 @@
 			releases++
 		}
 	}
-	if gone := time.Duration(now - start); gone > limits.AbandonAfter+time.Second || releases < 10 {
-		t.Errorf("abandoned after %v and %d releases", gone, releases)
+	if abandonedAfter := time.Duration(now - start); abandonedAfter > limits.AbandonAfter+time.Second || releases < 10 {
+		t.Errorf("abandoned after %v and %d releases", abandonedAfter, releases)
 	}
 	if table.Unreleased() != 1 || table.Count() != 1 || table.OldestSince() != start {
 		t.Errorf("%d unreleased, %d in all, the oldest since %d", table.Unreleased(), table.Count(), table.OldestSince())
 	}
 }
 
-// The first releases that are not acknowledged follow one another at the retry interval; then the interval doubles up to half
-// the repeat interval.
+// The first unacknowledged releases follow each other at the retry interval; then the interval doubles up to half the repeat
+// interval.
 func TestBackoff(t *testing.T) {
 	limits := Limits{RetryInterval: 10 * time.Millisecond, RepeatInterval: 100 * time.Millisecond}
 	table := New(limits)
@@ -183,8 +183,8 @@
 	}
 }
 
-// Whatever happens: a waiting reservation is due within its limit, an unneeded one is released soon and again until an
-// engine acknowledges, and the table is empty in the end.
+// For any sequence of events, a waiting reservation is due within its limit, an unneeded one is released soon and again
+// until an engine acknowledges, and the table is eventually empty.
 func TestNoReservationIsLeftBehind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wholeRequest := rapid.Bool().Draw(t, "releases whole request")
@@ -215,20 +215,21 @@
 					table.Acknowledge(r, r.Round, now)
 				}
 				if r.State != None && r.DueAt > now+int64(limit)*3/4 {
-					t.Fatalf("%v: nothing is due for %v", r.ID, time.Duration(r.DueAt-now))
+					t.Fatalf("reservation %v: no release is due for %v", r.ID, time.Duration(r.DueAt-now))
 				}
 			}
 		}
-		expectEmptyInTheEnd(t, table, now)
+		expectEventuallyEmpty(t, table, now)
 	})
 }
 
-// expectEmptyInTheEnd lets 20 seconds pass in which the request has no attempt, needs nothing, and no engine acknowledges.
-func expectEmptyInTheEnd(t *rapid.T, table *Table, now int64) {
+// expectEventuallyEmpty fails if the table is not empty after 20 seconds in which the request has no attempt and needs no
+// reservation, and no engine acknowledges.
+func expectEventuallyEmpty(t *rapid.T, table *Table, now int64) {
 	for range 2000 {
 		now += second / 100
-		table.HandleAttempt("a", AttemptUnsent, at(now))
-		table.HandleAttempt("a", Unneeded, at(now))
+		table.HandleAttempt("a", AttemptUnsent, timesAt(now))
+		table.HandleAttempt("a", Unneeded, timesAt(now))
 		for _, r := range table.All() {
 			table.HandleDue(r, now)
 		}
--- a/internal/reservation/transitions.go
+++ b/internal/reservation/transitions.go
@@ -7,7 +7,7 @@
 
 const (
 	dueUnchanged           dueChange = iota
-	dueAfterKeepTime                 // it may be kept from the time of the event
+	dueAfterKeepTime                 // the keep time starts at the time of the event
 	dueNow                           // a release is due
 	dueAfterRepeatInterval           // a further release is due after the repeat interval
 )
@@ -50,7 +50,7 @@
 	{[]State{Releasing, Contested}, ReleaseAbandoned, None, dueUnchanged},
 }
 
-// findTransition returns the transition that an event causes in a state; nil where it causes none.
+// findTransition returns the transition that an event causes in a state; nil if it causes none.
 func findTransition(from State, event Event) *transition {
 	i := slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 	if i < 0 {
