--- a/internal/routing/decode_test.go
+++ b/internal/routing/decode_test.go
@@ -50,8 +50,8 @@
 	t.Fatal("request is never sent to a decode engine")
 }
 
-// Guards against incident i64730d: KV transfers to other cells overloaded the link. A near engine that is full is a worse
-// choice nevertheless.
+// Guards against incident i64730d: KV transfers to other cells overloaded the link. A full engine nearby is still the worse
+// choice.
 func TestDecodeEngineIsNearUnlessReportedFull(t *testing.T) {
 	for _, share := range []float64{0.2, 0.95} {
 		n := newTestNode(t, nil)
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -110,7 +110,7 @@
 	if p.isQuiet(e) && (known || latency != 0 || e.suspect || len(e.open.all) > 0 || e.fullUntil > p.now || scanCount(p, e.faultTimes, faultWindow) > 0) {
 		t.Fatalf("%s counts as quiet: %+v, latency %v %v", e.Engine, e, latency, known)
 	}
-	if got, want := p.throughputOfRole(e), scanSlowStartRate(p, e); got != want {
+	if got, want := p.throughputOfRole(e), scanThroughput(p, e); got != want {
 		t.Fatalf("slow start rate of %s: %v, by a scan %v", e.Engine, got, want)
 	}
 }
@@ -152,7 +152,7 @@
 	return n
 }
 
-func scanSlowStartRate(p *Policy, e *engine) (rate roleThroughput) {
+func scanThroughput(p *Policy, e *engine) (rate roleThroughput) {
 	for _, other := range p.engines {
 		recent := scanCount(p, other.progressTimes, throughputWindow)
 		if other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
@@ -177,9 +177,9 @@
 		}
 	}
 	slices.Sort(latencies)
-	usualLatency, usualFaults := median(latencies[:max(0, len(latencies)-1)]), float64(median(faults))
+	medianLatency, medianFaults := median(latencies[:max(0, len(latencies)-1)]), float64(median(faults))
 	for _, e := range fitting {
-		if load, _ := scanLoad(p, e); p.isHealthy(req, e, load, usualLatency, usualFaults) {
+		if load, _ := scanLoad(p, e); p.isHealthy(req, e, load, medianLatency, medianFaults) {
 			healthy = append(healthy, e)
 		}
 	}
