--- a/internal/attempt/state.go
+++ b/internal/attempt/state.go
@@ -34,7 +34,7 @@
 	ConnectFailed                    // no connection could be opened in time, or opening one is not allowed
 	EngineUnavailable                // the engine has been draining or removed for longer than attempts may still be sent to it
 	RequestWritten                   // the kernel has taken the last byte of the request
-	Rejected                         // the engine rejects the request: slots and queue are full, the engine drains, or the epoch is outdated
+	Rejected                         // the engine rejects the request: slots and queue full, draining, or outdated epoch
 	ReservationNotFound              // the engine reports that there is no reservation to fetch
 	ErrorStatus                      // an error status that proves nothing else
 	MalformedResponse                // not a valid response: a bad status line, a second header, a bad frame
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -4,7 +4,7 @@
 
 // Limits bound a table.
 type Limits struct {
-	KeepTime             time.Duration // how long a reservation may wait to be consumed, from the last time at which an attempt was in flight
+	KeepTime             time.Duration // how long a reservation may wait to be consumed, since an attempt was last in flight
 	RepeatInterval       time.Duration // between two acknowledged releases
 	RetryInterval        time.Duration // between the first releases that are not acknowledged; the interval doubles after some
 	AbandonAfter         time.Duration // how long releases that no engine acknowledges are retried
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -11,7 +11,7 @@
 )
 
 // HandleDue decides what to do about a reservation that may be due. If the keep time of the reservation has just expired,
-// expiredIn is the state in which it did, else None.
+// expiredIn is the state of the reservation at that time, else None.
 func (t *Table) HandleDue(r *Reservation, now int64) (action Action, expiredIn State) {
 	if r.State == None || now < r.DueAt {
 		return NoAction, None
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -29,7 +29,7 @@
 	AttemptRejected                       // an engine has answered the sent attempt without consuming the reservation
 	AttemptAbandoned                      // the sent attempt ended in any other way: its engine may not have noticed yet
 	Consumed                              // an attempt has consumed the reservation
-	ConsumedBeforeHorizon                 // an attempt has consumed the reservation, and an abandoned prefill may still leave another one
+	ConsumedBeforeHorizon                 // consumed, and an abandoned prefill may still leave another reservation
 	Unneeded                              // the request does not need the reservation any more
 	Expired                               // the keep time of the reservation has passed
 	ReleaseAcknowledged                   // an engine has acknowledged a release
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -70,7 +70,7 @@
 }
 
 // shedLatePrefill sheds a request that has not been prefilled by its objective, if it may be shed with an attempt in
-// flight: in an overload it takes capacity from requests that could be in time.
+// flight: in an overload a late request takes capacity from requests that could be in time.
 func (p *Policy) shedLatePrefill(req *request) trigger {
 	lateShare := shareAbove(p.firstTokenOverruns, p.now, overloadWindow, overloadMinSamples)
 	if p.route(req).Effect == Retriable && !req.Resumed && lateShare > 0.2 {
--- a/internal/routing/decode.go
+++ b/internal/routing/decode.go
@@ -66,8 +66,8 @@
 
 // hasCapacity reports whether an engine has memory for the request; an engine that runs out evicts its newest streams. The
 // memory in use is that of a fresh report plus what was sent since, else that of this node's streams, assuming that all
-// nodes have as many. A wrong estimate costs a wait of three quarters of the reservation limit. The factor 1.05 allows for
-// noise in reports.
+// nodes have as many streams. A wrong estimate costs a wait of three quarters of the reservation limit. The factor 1.05
+// allows for noise in reports.
 func (p *Policy) hasCapacity(req *request, e *engine) bool {
 	load := p.loadOf(e)
 	memory := p.config.kind(e.Kind).MemoryTokens
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -14,8 +14,8 @@
 	reportDelay = 500 * time.Millisecond
 )
 
-// hasFreshLoad reports whether an engine's load is known. An engine that is warming up has hardly any, as its slow start
-// limits its attempts.
+// hasFreshLoad reports whether an engine's load is known. An engine that is warming up counts as known to have hardly any
+// load, as slow start limits its attempts.
 func (p *Policy) hasFreshLoad(e *engine) bool {
 	return p.now-e.reportedAt < reportTTL || p.isWarmingUp(e)
 }
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -152,9 +152,9 @@
 
 // isHealthy reports whether an engine is neither failing nor unresponsive nor slow. Each fault ejects an engine, for longer
 // with each further one; afterwards the engine gets one trial attempt at a time, besides its open streams. Latencies and
-// faults are compared with those of the other engines: a busy fleet has high ones too, and network faults hit all engines
-// alike, so that ejecting each engine that had one would leave the whole load to one or two. The rule does harm where most
-// engines fail partially.
+// faults are compared with those of the other engines: a busy fleet has high values too, and network faults affect all
+// engines alike, so that ejecting each engine with a fault would leave the whole load to one or two. The rule does harm
+// where most engines fail partially.
 func (p *Policy) isHealthy(req *request, e *engine, load engineLoad, medianLatency time.Duration,
 	medianFaults float64) bool {
 	// Noise seldom reaches both three times the median latency and a third of the objective; slow and dead engines do.
--- a/internal/routing/transitions.go
+++ b/internal/routing/transitions.go
@@ -25,7 +25,7 @@
 	{states(decoding), triggers(decodeNotStarted, mayHaveRun), decoding, (*Policy).sendToDecode},
 	{states(decoding), triggers(noDecodeEngine), reserved, (*Policy).scheduleRetry},
 	{states(decoding), triggers(reservationLost), pending, (*Policy).choosePrefill},
-	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // mixed engines decode after the prefill without a second attempt
+	{states(prefilling, decoding), triggers(firstToken), streaming, nil}, // mixed engines decode in the same attempt
 	{states(prefilling), triggers(objectiveMissed), prefilling, (*Policy).shedLatePrefill},
 	{states(prefilling), triggers(responseOverdue), prefilling, (*Policy).checkOverdueEngine},
 	{states(decoding), triggers(responseOverdue), decoding, (*Policy).checkOverdueEngine},
