--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// What follows computes by a look at everything what the policy keeps in indexes, and compares the two.
+// The functions below compute by full scans what the policy keeps in indexes, and compare the results.
 
 // checkIndexes compares all indexes of a policy with a scan.
 func checkIndexes(t *rapid.T, p *Policy) {
@@ -21,13 +21,13 @@
 	checkRequests(t, p)
 	checkEngineLists(t, p)
 	checkCacheIndexes(t, p)
-	for _, e := range p.ordered {
+	for _, e := range p.sortedEngines {
 		checkEngine(t, p, e)
 	}
 	request := &request{}
 	for name, group := range map[string]*engineGroup{"prefill": &p.prefillEngines, "decode": &p.decodeEngines} {
 		if got, want := p.usableEngines(request, group, everyEngine), scanUsable(p, request, group.engines); !slices.Equal(got, want) {
-			t.Fatalf("usable for %s: %v, by a scan %v", name, engineIDs(got), engineIDs(want))
+			t.Fatalf("usable engines for %s: %v, by a scan %v", name, engineIDs(got), engineIDs(want))
 		}
 	}
 }
@@ -58,8 +58,8 @@
 func checkEngineLists(t *rapid.T, p *Policy) {
 	t.Helper()
 	ids := slices.Sorted(maps.Keys(p.engines))
-	if !slices.Equal(engineIDs(p.ordered), ids) {
-		t.Fatalf("in order %v, known %v", engineIDs(p.ordered), ids)
+	if !slices.Equal(engineIDs(p.sortedEngines), ids) {
+		t.Fatalf("sorted engines %v, known engines %v", engineIDs(p.sortedEngines), ids)
 	}
 	var prefill, decode []*engine
 	for _, id := range ids {
@@ -78,18 +78,18 @@
 func checkCacheIndexes(t *rapid.T, p *Policy) {
 	t.Helper()
 	entries, texts := 0, 0
-	for text, cached := range p.cache.entries {
+	for text, cached := range p.cache.entriesByKey {
 		entries += len(cached)
 		if !slices.IsSortedFunc(cached, func(a, b cacheEntry) int { return cmp.Compare(a.engine, b.engine) }) {
-			t.Fatalf("%v is not in order of engines: %v", text, cached)
+			t.Fatalf("entries of %v are not in the order of engines: %v", text, cached)
 		}
 		for _, entry := range cached {
-			if !slices.Contains(p.cache.texts[entry.engine], text) {
-				t.Fatalf("%v at %s is not in the index", text, entry.engine)
+			if !slices.Contains(p.cache.keysByEngine[entry.engine], text) {
+				t.Fatalf("key %v of %s is not in the index", text, entry.engine)
 			}
 		}
 	}
-	for _, cached := range p.cache.texts {
+	for _, cached := range p.cache.keysByEngine {
 		texts += len(cached)
 	}
 	if entries != p.cache.count || texts != p.cache.count {
@@ -110,12 +110,12 @@
 	if p.isQuiet(e) && (known || latency != 0 || e.suspect || len(e.open.all) > 0 || e.fullUntil > p.now || scanCount(p, e.faultTimes, faultWindow) > 0) {
 		t.Fatalf("%s counts as quiet: %+v, latency %v %v", e.Engine, e, latency, known)
 	}
-	if got, want := p.slowStartRate(e), scanSlowStartRate(p, e); got != want {
+	if got, want := p.throughputOfRole(e), scanThroughput(p, e); got != want {
 		t.Fatalf("slow start rate of %s: %v, by a scan %v", e.Engine, got, want)
 	}
 }
 
-// scanLoad counts the attempts of all requests.
+// scanLoad computes the load of an engine from the attempts of all requests.
 func scanLoad(p *Policy, e *engine) (load engineLoad, unreported float64) {
 	for _, req := range p.requests {
 		for i := range req.attempts {
@@ -130,7 +130,7 @@
 	return load, unreported
 }
 
-// addLoad counts one attempt that is in flight.
+// addLoad adds one attempt in flight to a load.
 func addLoad(l *engineLoad, a *attempt, promptTokens float64, now time.Duration) {
 	if a.decode {
 		l.streams++
@@ -152,22 +152,22 @@
 	return n
 }
 
-func scanSlowStartRate(p *Policy, e *engine) (rate slowStartRate) {
+func scanThroughput(p *Policy, e *engine) (rate roleThroughput) {
 	for _, other := range p.engines {
-		recent := scanCount(p, other.progressTimes, slowStartSpan)
+		recent := scanCount(p, other.progressTimes, throughputWindow)
 		if other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
-			rate.done, rate.engines = rate.done+recent, rate.engines+1
+			rate.completed, rate.engines = rate.completed+recent, rate.engines+1
 		}
 	}
 	return rate
 }
 
-// scanUsable looks at each engine in full.
+// scanUsable computes the usable engines from a full check of each engine.
 func scanUsable(p *Policy, req *request, engines []*engine) []*engine {
 	fitting, healthy := []*engine{}, []*engine{}
 	latencies, faults := []time.Duration{}, []int64{}
 	for _, e := range engines {
-		if !e.Ready || !p.withinSlowStart(e) {
+		if !e.Ready || !p.withinSlowStartBudget(e) {
 			continue
 		}
 		fitting, faults = append(fitting, e), append(faults, int64(scanCount(p, e.faultTimes, faultWindow)))
@@ -177,16 +177,16 @@
 		}
 	}
 	slices.Sort(latencies)
-	usualLatency, usualFaults := median(latencies[:max(0, len(latencies)-1)]), float64(median(faults))
+	medianLatency, medianFaults := median(latencies[:max(0, len(latencies)-1)]), float64(median(faults))
 	for _, e := range fitting {
-		if load, _ := scanLoad(p, e); p.isHealthy(req, e, load, usualLatency, usualFaults) {
+		if load, _ := scanLoad(p, e); p.isHealthy(req, e, load, medianLatency, medianFaults) {
 			healthy = append(healthy, e)
 		}
 	}
 	if len(healthy) > 0 {
 		return healthy
 	}
-	return leastBad(req, fitting)
+	return leastUnhealthy(req, fitting)
 }
 
 func TestFirstByHashAgreesWithASort(t *testing.T) {
@@ -207,7 +207,7 @@
 	})
 }
 
-// referenceHash is the hash by the standard library.
+// referenceHash computes the hash with the standard library.
 func referenceHash(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
@@ -216,7 +216,7 @@
 	return x ^ x>>33
 }
 
-func TestRandomNumbersAreThoseOfTheTextHash(t *testing.T) {
+func TestRandomNumbersAgreeWithTheTextHash(t *testing.T) {
 	source := newRandomSource(42)
 	for draw := uint64(1); draw <= 1000; draw++ {
 		if draw%10 == 0 {
@@ -241,17 +241,18 @@
 	})
 }
 
-// The cost of a request was the square of the engines in slow start: for each of them all engines were counted.
-func TestSlowStartOfHalfAFleetIsCountedOnceForEachResponse(t *testing.T) {
+// Guards against a cost of a request that is quadratic in the engines in slow start: for each of them the throughput of all
+// engines was counted.
+func TestThroughputOfAWarmingUpFleetIsCountedOncePerResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
 		n := newFleetNode(t, engines, 0.5)
-		before := n.policy.slowStartRates.counts
+		before := n.policy.throughput.recounts
 		const requests = 50
 		for range requests {
 			n.serve()
 		}
-		// A request has two responses; each may end the count's validity, and so may one that is 20 s old.
-		if counted := n.policy.slowStartRates.counts - before; counted > 4*requests {
+		// A request has two responses. Each invalidates the count, and may do so once more when it is 20 s old.
+		if counted := n.policy.throughput.recounts - before; counted > 4*requests {
 			t.Errorf("%d engines: all were counted %d times for %d requests", engines, counted, requests)
 		}
 	}
