--- a/internal/planner/assignment/actions.go
+++ b/internal/planner/assignment/actions.go
@@ -6,11 +6,11 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Action is an output of Controller.Step. Actions must be carried out in order.
+// Action is an output of Controller.Step. Actions must be executed in order.
 type Action interface{ isAction() }
 
-// Persist must be durable before any action after it is carried out: a role change order that was sent may
-// never be forgotten.
+// Persist saves records and meta. It must be durable before any later action is executed: a role change order
+// that was sent must survive a crash.
 type Persist struct {
 	Records []Record
 	Meta    Meta
@@ -19,14 +19,14 @@
 // PublishPlan sends a plan to all edges.
 type PublishPlan struct{ Plan planapi.Plan }
 
-// SendRoleOrder sends a role change order to an engine. It may get lost: it is sent again until the engine's
-// reports show that it was followed.
+// SendRoleOrder sends a role change order to an engine. Orders may get lost: the controller sends them again
+// until the engine's reports show that they were followed.
 type SendRoleOrder struct {
 	Engine string
 	Order  planapi.RoleOrder
 }
 
-// StartTrial sends an engine a small request that proves its role. TrialEnded follows.
+// StartTrial sends an engine a small request that verifies its role. The outcome is a TrialEnded event.
 type StartTrial struct {
 	Engine string
 	Role   string
@@ -34,28 +34,28 @@
 	Number int64
 }
 
-// EngineQuarantined notifies operators that an engine is out of the plan. It is ordered back into its last role
-// after RetryAfter, or when an operator readmits it.
+// EngineQuarantined notifies operators that an engine was removed from the plan. The engine is ordered back into
+// its last role after RetryAfter, or when an operator readmits it.
 type EngineQuarantined struct {
 	Engine     string
 	Fault      string
 	RetryAfter time.Duration
 }
 
-// DrainTimedOut notifies operators that an engine keeps its role, as its requests in flight did not end in time.
+// DrainTimedOut notifies operators that an engine keeps its role because its requests did not end in time.
 type DrainTimedOut struct {
 	Engine  string
 	Timeout time.Duration
 }
 
-// LaterTermFollowed notifies operators that an engine follows a planner of a later term than this one's.
+// LaterTermFollowed notifies operators that an engine follows a planner with a later term than this planner.
 type LaterTermFollowed struct {
 	Engine  string
 	Term    int64
 	OwnTerm int64
 }
 
-// StepDown says that a planner of a later term is active: this one sends orders and trials no more.
+// StepDown reports that a planner with a later term is active. This planner sends no orders or trials from then on.
 type StepDown struct{ Term int64 }
 
 func (Persist) isAction()           {}
--- a/internal/planner/assignment/config.go
+++ b/internal/planner/assignment/config.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Config holds the operators' settings for role changes.
+// Config holds the operator's settings for role changes.
 type Config struct {
-	DrainTimeout time.Duration // for requests in flight at an engine to end; after it the engine keeps its role
-	OrderTimeout time.Duration // for an engine to confirm a role change order
-	LoadTimeout  time.Duration // for an engine to report that it serves in its next role
-	TrialTimeout time.Duration // for the trial request that proves a role
-	WarmUp       time.Duration // for an engine in a new role to reach its full throughput
-	Cooldown     time.Duration // between two changes of one engine, and before the first retry of a quarantined one
-	DrainGrace   time.Duration // for requests that were sent before the drain was published
-	MinServing   int           // engines that serve in each role, which no change may go below
+	DrainTimeout time.Duration // limit for requests in flight to end; when it expires, the engine keeps its role
+	OrderTimeout time.Duration // limit for an engine to confirm a role change order
+	LoadTimeout  time.Duration // limit for an engine to load and to report its next role
+	TrialTimeout time.Duration // limit for the trial request that verifies a role
+	WarmUp       time.Duration // time until an engine in a new role reaches its full throughput
+	Cooldown     time.Duration // time between two changes of one engine, and before the first retry of a quarantined engine
+	DrainGrace   time.Duration // time for requests sent before the drain was published to arrive
+	MinServing   int           // number of engines that must keep serving in each role during changes
 
-	MaxChangingShare  float64 // share of all engines that may be changing at once; one always may
-	MaxSharePerMinute float64 // share of all engines that may begin a change within a minute; two always may
-	ExplainOnly       bool    // decide and explain, but change nothing
+	MaxChangingShare  float64 // share of all engines that may be changing at once; one engine is always allowed
+	MaxSharePerMinute float64 // share of all engines that may begin a change within a minute; two are always allowed
+	ExplainOnly       bool    // decide and explain changes without making them
 
-	PrefillThroughput float64            // tokens per second of one prefill engine until it is measured; 0 if unknown
-	DecodeThroughput  float64            // tokens per second of one decode engine until it is measured; 0 if unknown
-	RouteValues       map[string]float64 // value of one request by model route; 1 if missing
+	PrefillThroughput float64            // tokens per second of one prefill engine, used until measured; 0 if unknown
+	DecodeThroughput  float64            // tokens per second of one decode engine, used until measured; 0 if unknown
+	RouteValues       map[string]float64 // value of one request by model route; 1 for routes not listed
 }
 
-// ListedEngine is an engine as the endpoint list has it.
+// ListedEngine is an engine's entry in the endpoint list.
 type ListedEngine struct {
-	Engine    string // its address
+	Engine    string // address
 	Role      string
 	Zone      string
 	Cell      string
-	Kinds     map[string]string // engine kind by role; an engine that cannot change has one
+	Kinds     map[string]string // engine kind by role; one entry if the engine cannot change roles
 	Weight    float64           // capacity relative to an engine of weight 1; 0 counts as 1
-	Ready     bool              // false while discovery drains it
-	CanChange bool              // its kind has a counterpart for the other role
-	UpSince   int64             // nanoseconds; 0 for long ago
+	Ready     bool              // false while service discovery drains the engine
+	CanChange bool              // the engine's kind has a counterpart for the other role
+	UpSince   int64             // start time in nanoseconds; 0 if long ago
 }
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -1,7 +1,7 @@
 // Package assignment decides which engine changes between the prefill and the decode role, when, and how, so
-// that no request is lost and none is sent to an engine in the wrong role. It does no I/O: load reports,
-// operators' orders and the time go in as events, and what has to be persisted, published and ordered comes
-// out as actions. Times are nanoseconds of the planner's clock.
+// that no request is lost and none is sent to an engine in the wrong role. It does no I/O: load reports, operators'
+// orders and the time are inputs, and whatever has to be persisted, published and ordered is returned as actions.
+// Times are nanoseconds of the planner's clock.
 package assignment
 
 import (
@@ -13,11 +13,11 @@
 )
 
 const (
-	// firstPlanTimeout is how long a planner without records waits for engines to report their roles.
+	// firstPlanTimeout is how long a planner without records waits for the engines to report their roles.
 	firstPlanTimeout = 3 * time.Second
-	// decisionInterval is that of load reports.
+	// decisionInterval equals the interval of load reports.
 	decisionInterval = time.Second
-	// timeoutFactor is how much longer a state may last while the engine's reports do not come.
+	// timeoutFactor extends the timeout of a state while reports of the engine are missing.
 	timeoutFactor = 3
 )
 
@@ -34,18 +34,18 @@
 	steppedDown      bool
 	firedTransitions uint64
 
-	reportDelays []time.Duration // of the latest engine reports
+	reportDelays []time.Duration // delays of the latest engine reports
 	history      changeHistory
 	demand       demandEstimator
 	throughputs  map[string]float64 // latest known tokens per second of an engine of weight 1, by role
 	mixes        mixHistory
 	skew         skewTracker
-	gainSince    map[string]int64 // since when a change to a role would gain; 0 for not
+	gainSince    map[string]int64 // by role, since when a change to it would have a gain; 0 if it would not
 	decidedAt    int64
 	lastDecision Decision
 }
 
-// New returns a controller. Records and meta are what an earlier incarnation persisted; both are empty for a
+// New returns a controller. Records and meta are those that an earlier controller persisted; both are empty for the
 // first one.
 func New(config Config, term, now int64, records []Record, meta Meta) *Controller {
 	c := &Controller{config: config, term: term, now: now, startedAt: now, meta: meta,
@@ -58,23 +58,23 @@
 	for _, record := range records {
 		c.restore(record)
 	}
-	c.engines.sort()
+	c.engines.updateSorted()
 	return c
 }
 
 func (c *Controller) restore(record Record) {
-	// With a clock that was set back, a state would otherwise last until the clock has caught up.
+	// If the clock was set back, a state would otherwise last until the clock has caught up.
 	record.StateSince, record.ServingSince = min(record.StateSince, c.now), min(record.ServingSince, c.now)
 	c.engines.byAddress[record.Engine] = &engineRecord{Record: record, roleKnown: true, changeStartedAt: record.StateSince}
-	// Cooldowns and the budget of changes per minute outlive a restart: a planner that crashes again and again
-	// must not begin more changes than one that does not.
+	// Cooldowns and the budget of changes per minute survive a restart: a planner in a crash loop must not begin more
+	// changes than a planner that keeps running.
 	if record.Epoch > 1 || record.NextEpoch > 1 {
 		c.engines.byAddress[record.Engine].lastChangeEndedAt = record.StateSince
-		c.history.begin(record.StateSince)
+		c.history.recordStart(record.StateSince)
 	}
 }
 
-// Step handles one event at the time now and returns the actions to carry out, in order.
+// Step handles one event at the time now and returns the actions to execute, in order.
 func (c *Controller) Step(now int64, event Event) []Action {
 	c.beginStep(now)
 	switch event := event.(type) {
@@ -94,7 +94,7 @@
 
 func (c *Controller) beginStep(now int64) { c.now, c.output.actions = max(now, c.now), nil }
 
-// since is the time that has passed since t, which may be 0 for never.
+// since returns the time elapsed since t. For a t of 0, which stands for never, the result is very long.
 func (c *Controller) since(t int64) time.Duration { return time.Duration(c.now - t) }
 
 func (c *Controller) handleEngineList(engines []ListedEngine) {
@@ -108,7 +108,7 @@
 		}
 		if !listed.CanChange && (engine.Role != listed.Role || engine.Epoch != 0 || engine.State != Serving ||
 			engine.ServingSince != listed.UpSince) {
-			// Its kind has no other role, so the list is the only source of its role.
+			// The engine's kind has no other role, so the list is the only source of its role.
 			pinned := engine.Pinned
 			engine.Record = c.listedRecord(listed)
 			engine.Pinned = pinned
@@ -120,11 +120,11 @@
 			engine.present = false
 		}
 	}
-	c.engines.sort()
+	c.engines.updateSorted()
 	c.output.publishPending = true
 }
 
-// listedRecord is the record of an engine of which nothing but its entry in the list is known.
+// listedRecord returns the record of an engine of which only the entry in the list is known.
 func (c *Controller) listedRecord(listed ListedEngine) Record {
 	return Record{Engine: listed.Engine, Role: listed.Role, State: Serving, StateSince: c.now,
 		ServingSince: listed.UpSince}
@@ -139,7 +139,7 @@
 		c.fire(engine, trialPassed)
 		return
 	}
-	engine.fault = "it does not do the work of the role that it claims: " + event.Reason
+	engine.fault = "trial of the reported role failed: " + event.Reason
 	c.fire(engine, trialFailed)
 }
 
@@ -162,8 +162,8 @@
 	}
 }
 
-// checkTimeout ends a state that has lasted too long. The time of a state counts as far as the engine has
-// reported since, so that late reports alone end no change; without reports it ends after a longer time.
+// checkTimeout ends a state that has lasted too long. Its time counts up to the request of the engine's latest report,
+// so that late reports alone end no change. Without reports, it ends after timeoutFactor times its timeout.
 func (c *Controller) checkTimeout(engine *engineRecord) {
 	timeout := c.stateTimeout(engine.State)
 	reported := time.Duration(engine.reportRequestedAt - engine.StateSince)
@@ -174,25 +174,25 @@
 	case Draining:
 		c.output.add(DrainTimedOut{Engine: engine.Engine, Timeout: timeout})
 	case RollingBack:
-		engine.fault = fmt.Sprintf("it did not come back within %v", timeout)
+		engine.fault = fmt.Sprintf("engine did not return to its last role within %v", timeout)
 	case InTrial:
-		engine.fault = fmt.Sprintf("its trial did not end within %v", timeout)
+		engine.fault = fmt.Sprintf("trial did not end within %v", timeout)
 	}
 	c.fire(engine, timedOut)
 }
 
-// beginChange begins every change of roles; the caller has checked that the engine is eligible.
+// beginChange begins a role change. The caller has checked that the engine is eligible.
 func (c *Controller) beginChange(engine *engineRecord, reason string) {
 	engine.Reason, engine.changeStartedAt = reason, c.now
-	c.history.begin(c.now)
+	c.history.recordStart(c.now)
 	c.fire(engine, changeChosen)
 }
 
-// SteppedDown is whether a planner of a later term is active.
+// SteppedDown reports whether a planner with a later term is active.
 func (c *Controller) SteppedDown() bool { return c.steppedDown }
 
-// Fingerprint writes all state of the roles on which a later step may depend, with times relative to now. The
-// estimate of demand is left out, as model checking sends no edge reports.
+// Fingerprint writes all role state on which a later step may depend, with times relative to now. The demand
+// estimate is left out, as the model checker sends no edge reports.
 func (c *Controller) Fingerprint(w io.Writer) {
 	fmt.Fprintln(w, c.term, c.meta.Stopped, c.output.published, c.steppedDown, c.output.publishPending,
 		min(c.now-c.startedAt, int64(firstPlanTimeout)))
@@ -208,7 +208,7 @@
 	}
 }
 
-// sendOrder orders an engine what it should do now.
+// sendOrder sends an engine the order for its current state.
 func (c *Controller) sendOrder(engine *engineRecord) {
 	order := planapi.RoleOrder{Term: c.term, Epoch: engine.Epoch, Role: engine.Role}
 	switch engine.State {
@@ -221,11 +221,11 @@
 	c.output.add(SendRoleOrder{engine.Engine, order})
 }
 
-// orderResendInterval is the interval between two sends of the same order: an engine answers within
-// milliseconds, and a lost order costs little.
+// orderResendInterval is the interval between two sends of the same order. It is far over the milliseconds that an
+// engine takes to respond, and short enough for a lost order to cost little.
 const orderResendInterval = 250 * time.Millisecond
 
-func (c *Controller) resendOrder(engine *engineRecord) {
+func (c *Controller) resendOrderIfDue(engine *engineRecord) {
 	if c.since(engine.orderSentAt) >= orderResendInterval {
 		c.sendOrder(engine)
 	}
--- a/internal/planner/assignment/controller_test.go
+++ b/internal/planner/assignment/controller_test.go
@@ -22,7 +22,7 @@
 		PrefillThroughput: 1000, DecodeThroughput: 100}
 }
 
-// listEngines lists n engines of which half prefill and half decode.
+// listEngines returns n engines; the first half are prefill engines, the others are decode engines.
 func listEngines(n int) (engines []ListedEngine) {
 	kinds := map[string]string{planapi.Prefill: "prefill", planapi.Decode: "decode"}
 	for i := range n {
@@ -36,23 +36,23 @@
 	return engines
 }
 
-// newTestController returns a controller with engines that have not reported yet.
+// newTestController returns a controller with listed engines that have not reported yet.
 func newTestController(engines []ListedEngine) *Controller {
 	c := New(testConfig(), 1, testStart, nil, Meta{})
 	c.Step(testStart, EnginesListed{engines})
 	return c
 }
 
-// randomHistory is a controller among engines that follow orders, ignore them, report falsely and change at
-// random. It checks all actions against what was persisted before them.
+// randomHistory drives a controller with engines that at random follow or ignore orders, report false state and
+// change their roles. It checks all actions against the records persisted before them.
 type randomHistory struct {
 	t          *rapid.T
 	now        int64
 	engines    []ListedEngine
 	controller *Controller
-	replica    *Controller // gets the same events
+	replica    *Controller // receives the same inputs
 	persisted  map[string]Record
-	reports    map[string]planapi.EngineReport // that the engines would send now
+	reports    map[string]planapi.EngineReport // current report of each engine
 }
 
 func newRandomHistory(t *rapid.T) *randomHistory {
@@ -74,7 +74,7 @@
 func (h *randomHistory) apply(input func(*Controller) []Action) {
 	actions := input(h.controller)
 	if other := input(h.replica); !reflect.DeepEqual(actions, other) {
-		h.t.Fatalf("the same inputs give %v and %v", actions, other)
+		h.t.Fatalf("the same inputs result in %v and %v", actions, other)
 	}
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -93,7 +93,7 @@
 func (h *randomHistory) persist(records []Record) {
 	for _, record := range records {
 		if earlier := h.persisted[record.Engine]; record.Epoch < earlier.Epoch {
-			h.t.Fatalf("epoch of %s goes back: %+v after %+v", record.Engine, record, earlier)
+			h.t.Fatalf("epoch of %s decreases: %+v after %+v", record.Engine, record, earlier)
 		}
 		h.persisted[record.Engine] = record
 	}
@@ -103,7 +103,7 @@
 	for _, listed := range plan.Engines {
 		record, ok := h.persisted[listed.Engine]
 		if ok && listed.State == endpoint.Ready && record.State != Serving && record.State != WarmingUp {
-			h.t.Fatalf("%s is listed as ready and is %s", listed.Engine, record.State)
+			h.t.Fatalf("%s is published as ready in state %s", listed.Engine, record.State)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 		known = max(record.Epoch, record.NextEpoch)
 	}
 	if action.Order.Epoch > known {
-		h.t.Fatalf("%s is ordered to epoch %d, persisted is %+v", action.Engine, action.Order.Epoch, record)
+		h.t.Fatalf("%s is ordered to epoch %d, persisted record is %+v", action.Engine, action.Order.Epoch, record)
 	}
 }
 
@@ -133,7 +133,7 @@
 	h.reports[engine] = report
 }
 
-// checkRolesServed fails if a change took the last engine of a role, other than after a fault.
+// checkRolesServed fails if changes take all engines of a role out of service, unless one of them is faulty.
 func (h *randomHistory) checkRolesServed() {
 	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		leaving, serving, faulty := 0, 0, 0
@@ -151,7 +151,7 @@
 			}
 		}
 		if leaving > 0 && serving == 0 && faulty == 0 {
-			h.t.Fatalf("all of %s are leaving it", role)
+			h.t.Fatalf("all engines of role %s are leaving the role", role)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		Reason: "no"})
 }
 
-// followAll lets every engine load at once, report truly and pass its trial for a tenth of a second.
+// followAll advances the clock by 100 ms, in which every engine loads, reports its true state and passes its trial.
 func (h *randomHistory) followAll() {
 	h.now += int64(100 * time.Millisecond)
 	for _, listed := range h.engines {
@@ -213,9 +213,9 @@
 	h.step(Tick{})
 }
 
-// Whatever happens, the controller persists before it acts, never lists an engine that is changing, never lets an
-// epoch go back, never takes a role's last engine by a change, and does the same again for the same events. Once
-// the engines do what they should, every change comes to its end.
+// For any history, the controller persists before it acts, never publishes a changing engine as ready, never decreases
+// an epoch, never takes a role's last engine by a change, and is deterministic. Once all engines follow their orders,
+// every change completes.
 func TestRandomHistoryKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newRandomHistory(t)
@@ -228,16 +228,16 @@
 		for _, view := range h.controller.Engines() {
 			switch view.State {
 			case Serving, WarmingUp, Quarantined:
-			case Draining, Ordered: // of a change that began just now
+			case Draining, Ordered: // a change that has just begun
 			default:
-				t.Fatalf("%s is still %s: %s", view.Engine, view.State, view.Fault)
+				t.Fatalf("%s is still in state %s: %s", view.Engine, view.State, view.Fault)
 			}
 		}
 	})
 }
 
-// With a clock that was set back, a state does not last until the clock has caught up, and with one that was set
-// forward, no change gets lost.
+// If the clock is set back between two planners, a state must not last until the clock has caught up. If it is set
+// forward, no change may get lost.
 func TestClockOffsetBetweenPlanners(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
 		stored := int64(10_000 * time.Second)
@@ -269,7 +269,7 @@
 	}
 }
 
-// A second of a planner with 300 engines and 300 edges: their reports, and ten ticks with one decision.
+// Measures one second of a planner with 300 engines and 300 edges: their reports, and ten ticks with one decision.
 func BenchmarkSecondOf300(b *testing.B) {
 	now := testStart
 	engines := listEngines(300)
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxDeltas is how many reports back the demand is measured. Ten reports of a second are long enough that a
-	// variance of a few seconds evens out, and short enough that a shift shows within one change.
+	// maxDeltas is the number of latest reports of an edge from which demand is measured. Ten reports, one each
+	// second, average out variations of a few seconds and still show a shift of the load within one change.
 	maxDeltas = 10
-	// maxEdges bounds the memory that edges with ever new names can take.
-	maxEdges            = 10_000
-	edgeResponsiveFor   = 4 * time.Second // the counts of an edge that has not reported for longer are not used
-	edgeExpectedFor     = time.Minute     // after which an edge that does not report is forgotten
-	minEdgeSpan         = 0.1             // seconds, so that one early report makes no high rate
-	defaultAnswerTokens = 64              // of a request on a route of which no request has ended yet
-	// Of a prompt token, a part is computed: an engine may compute again what another has cached, so it can be
-	// more than 1. Values below a fiftieth are not credible.
+	// maxEdges bounds the memory used for edges that report under ever new names.
+	maxEdges              = 10_000
+	edgeUnresponsiveAfter = 4 * time.Second // counts of an edge without a report for longer are not used
+	edgeForgottenAfter    = time.Minute     // an edge without a report for longer is removed
+	minEdgeSpan           = 0.1             // seconds; bounds the rate that is computed from a single early report
+	defaultAnswerTokens   = 64              // answer tokens assumed for a route without completed requests
+	// Limits of the computed tokens per prompt token. The ratio can exceed 1, as an engine may compute tokens again
+	// that another engine has cached. Ratios below a fiftieth are not credible.
 	minUncachedRatio = 0.02
 	maxUncachedRatio = 1.5
 )
@@ -28,28 +28,28 @@
 // demandEstimator estimates the demand from the load reports of edges.
 type demandEstimator struct {
 	edges         map[string]*edgeRecord
-	uncachedRatio float64            // computed tokens per prompt token, latest known; 0 if unknown
-	answerTokens  map[string]float64 // of a request by route, latest known
+	uncachedRatio float64            // computed tokens per prompt token, latest known value; 0 if unknown
+	answerTokens  map[string]float64 // tokens per answer by route, latest known value
 }
 
 func newDemandEstimator() demandEstimator {
 	return demandEstimator{edges: map[string]*edgeRecord{}, answerTokens: map[string]float64{}}
 }
 
-// edgeRecord is what is known of one edge.
+// edgeRecord is the latest report of one edge and its recent counts.
 type edgeRecord struct {
 	report     planapi.EdgeReport
 	reportedAt int64
 	deltas     []countDelta
 }
 
-// countDelta is what an edge counted between two reports.
+// countDelta holds the counts of an edge between two of its reports.
 type countDelta struct {
 	duration time.Duration
 	routes   []planapi.RouteCount
 }
 
-// handleReport takes the difference to the last report of the same incarnation of an edge.
+// handleReport records the difference between an edge's report and the last one of the same incarnation.
 func (d *demandEstimator) handleReport(now int64, report planapi.EdgeReport) {
 	edge := d.edges[report.Edge]
 	if edge == nil {
@@ -71,7 +71,7 @@
 	edge.report, edge.reportedAt = report, now
 }
 
-// countOf is the latest report's count of a route, or the zero count.
+// countOf returns the count of a route in the latest report, or the zero count.
 func (e *edgeRecord) countOf(route string) planapi.RouteCount {
 	for _, count := range e.report.Routes {
 		if count.Route == route {
@@ -81,8 +81,8 @@
 	return planapi.RouteCount{}
 }
 
-// subtractCounts is what was counted since an earlier report. It is not ok if a count went down, which no edge
-// does within an incarnation.
+// subtractCounts returns the difference of two counts. It returns false if a count decreased, which does not happen
+// within an incarnation.
 func subtractCounts(count, earlier planapi.RouteCount) (difference planapi.RouteCount, ok bool) {
 	difference = planapi.RouteCount{Route: count.Route,
 		Arrived: count.Arrived - earlier.Arrived, PromptTokens: count.PromptTokens - earlier.PromptTokens,
@@ -93,30 +93,31 @@
 		difference.Completed, difference.CompletionTokens, difference.WithinObjective, difference.Shed) >= 0
 }
 
-// edgeCounts adds up what the edges counted within the window.
+// edgeCounts is the sum of the recent counts of all edges.
 type edgeCounts struct {
 	known, reporting int
-	startedTokenRate float64 // prompt tokens per second of the requests whose first token came
+	startedTokenRate float64 // prompt tokens per second of requests that had their first token
 	routes           map[string]*routeCounts
 }
 
-// routeCounts adds up one model route.
+// routeCounts is the sum of the recent counts of one model route.
 type routeCounts struct {
-	arrived, prompt, ended, answer, lost float64
-	rates                                []float64 // arrivals per second at each edge that has the route
+	arrived, promptTokens, completed, completionTokens, lost float64
+	edgeRates                                                []float64 // arrivals per second, for each edge with the route
 }
 
+// collect sums up the counts of all edges that report, and removes edges that have been silent for too long.
 func (d *demandEstimator) collect(now int64) edgeCounts {
 	counts := edgeCounts{routes: map[string]*routeCounts{}}
 	for _, name := range slices.Sorted(maps.Keys(d.edges)) {
 		edge := d.edges[name]
-		silence := time.Duration(now - edge.reportedAt)
-		if silence > edgeExpectedFor {
+		sinceReport := time.Duration(now - edge.reportedAt)
+		if sinceReport > edgeForgottenAfter {
 			delete(d.edges, name)
 			continue
 		}
 		counts.known++
-		if silence > edgeResponsiveFor || len(edge.deltas) == 0 {
+		if sinceReport > edgeUnresponsiveAfter || len(edge.deltas) == 0 {
 			continue
 		}
 		counts.reporting++
@@ -141,43 +142,43 @@
 	}
 	span = max(span, minEdgeSpan)
 	c.startedTokenRate += startedTokens / span
-	for route, count := range arrived { // each adds to its own route, so the order does not matter
-		c.routes[route].rates = append(c.routes[route].rates, count/span)
+	for route, count := range arrived { // each iteration changes only its own route, so the order does not matter
+		c.routes[route].edgeRates = append(c.routes[route].edgeRates, count/span)
 	}
 }
 
 func (r *routeCounts) add(count planapi.RouteCount) {
 	r.arrived += count.Arrived
-	r.prompt += count.PromptTokens
-	r.ended += count.Completed
-	r.answer += count.CompletionTokens
+	r.promptTokens += count.PromptTokens
+	r.completed += count.Completed
+	r.completionTokens += count.CompletionTokens
 	r.lost += count.Shed + max(0, count.Started-count.WithinObjective)
 }
 
-// arrivalRate is the arrivals per second at so many edges, none of which counts for more than a few times the
-// median one, as a load report may be wrong.
+// arrivalRate returns the arrivals per second at all reporting edges. The rate of each edge is limited to a few
+// times the median, as a load report may be wrong.
 func (r *routeCounts) arrivalRate(edges int) (total float64) {
-	for len(r.rates) < edges {
-		r.rates = append(r.rates, 0)
+	for len(r.edgeRates) < edges {
+		r.edgeRates = append(r.edgeRates, 0)
 	}
-	slices.Sort(r.rates)
-	limit := outlierFactor * r.rates[len(r.rates)/2]
-	if len(r.rates) < minForOutlierLimit || limit == 0 {
-		limit = r.rates[len(r.rates)-1]
+	slices.Sort(r.edgeRates)
+	limit := outlierFactor * r.edgeRates[len(r.edgeRates)/2]
+	if len(r.edgeRates) < minForOutlierLimit || limit == 0 {
+		limit = r.edgeRates[len(r.edgeRates)-1]
 	}
-	for _, rate := range r.rates {
+	for _, rate := range r.edgeRates {
 		total += min(rate, limit)
 	}
 	return total
 }
 
-// estimateDemand returns what arrives, and how many edges report of those that are known. Edges that do not
-// report are taken to receive as much as the others do on average.
+// estimateDemand returns the traffic mix, and the numbers of reporting and of known edges. Edges that do not report
+// are assumed to receive the average of the others.
 func (c *Controller) estimateDemand() (mix TrafficMix, reporting, known int) {
 	counts := c.demand.collect(c.now)
 	c.updateUncachedRatio(counts)
 	for _, route := range slices.Sorted(maps.Keys(counts.routes)) {
-		demand := c.demand.onRoute(route, counts)
+		demand := c.demand.routeDemand(route, counts)
 		demand.Value = cmp.Or(c.config.RouteValues[route], 1)
 		if demand.Rate > 0 {
 			mix = append(mix, demand)
@@ -190,8 +191,8 @@
 	return mix, counts.reporting, counts.known
 }
 
-// updateUncachedRatio compares the tokens that prefill engines computed with the prompt tokens of the requests
-// that they computed them for. Engines and edges that do not report are taken to be like the others.
+// updateUncachedRatio divides the tokens that prefill engines computed by the prompt tokens of the requests that
+// started. Engines and edges that do not report are assumed to be like the others.
 func (c *Controller) updateUncachedRatio(counts edgeCounts) {
 	computed, measured := c.tokenRate(planapi.Prefill)
 	if counts.startedTokenRate <= 0 || measured == 0 {
@@ -203,15 +204,15 @@
 	c.demand.uncachedRatio = min(max(computed/started, minUncachedRatio), maxUncachedRatio)
 }
 
-// onRoute is the demand on a route, without its value.
-func (d *demandEstimator) onRoute(route string, counts edgeCounts) RouteDemand {
+// routeDemand returns the demand on a route, with Value not set.
+func (d *demandEstimator) routeDemand(route string, counts edgeCounts) RouteDemand {
 	total := counts.routes[route]
-	if total.ended > 0 {
-		d.answerTokens[route] = total.answer / total.ended
+	if total.completed > 0 {
+		d.answerTokens[route] = total.completionTokens / total.completed
 	}
 	rate := total.arrivalRate(counts.reporting) * (float64(counts.known) / float64(max(counts.reporting, 1)))
 	return RouteDemand{Route: route, Rate: rate,
-		PrefillTokens: total.prompt / max(total.arrived, 1) * cmp.Or(d.uncachedRatio, 1),
+		PrefillTokens: total.promptTokens / max(total.arrived, 1) * cmp.Or(d.uncachedRatio, 1),
 		DecodeTokens:  cmp.Or(d.answerTokens[route], defaultAnswerTokens),
 		LostRate:      rate * min(1, total.lost/max(total.arrived, 1))}
 }
--- a/internal/planner/assignment/eligibility.go
+++ b/internal/planner/assignment/eligibility.go
@@ -9,30 +9,29 @@
 )
 
 const (
-	// maxReportDelay is how old reports may be: each of the five steps of a change waits for one.
+	// maxReportDelay is the maximum median delay of reports: each of the five steps of a change waits for a report.
 	maxReportDelay = 3 * time.Second
-	// requestTokens is what a request in flight at an engine counts for, in tokens of lost cache: about half an
-	// answer.
+	// requestTokens is the cost of a request in flight at an engine, in tokens of lost cache: about half an answer.
 	requestTokens = 100
-	// replicatedCacheShare is the part of all cached tokens that a change costs where other engines have them
-	// too, as the requests have to move.
+	// replicatedCacheShare is the share of cached tokens that counts as lost although other engines have them cached
+	// too, as the requests have to move to those engines.
 	replicatedCacheShare = 0.1
 )
 
-// ineligibleReason says why an engine may not change its role now; it is empty if it may. Every change, whether
-// chosen by a decision or ordered by an operator, has to pass it.
+// ineligibleReason returns why an engine may not change its role now, or an empty reason if it may. Every change,
+// whether chosen by a decision or ordered by an operator, has to pass this check.
 func (c *Controller) ineligibleReason(engine *engineRecord) Reason {
-	if reason := c.ownReason(engine); reason != "" {
+	if reason := c.checkEngineState(engine); reason != "" {
 		return reason
 	}
-	if reason := c.budgetReason(engine); reason != "" {
+	if reason := c.checkChangeBudget(engine); reason != "" {
 		return reason
 	}
 	return c.floorReason(engine)
 }
 
-// ownReason checks the engine itself.
-func (c *Controller) ownReason(engine *engineRecord) Reason {
+// checkEngineState returns a reason if the state of the engine itself prevents a change.
+func (c *Controller) checkEngineState(engine *engineRecord) Reason {
 	delay := median(c.reportDelays)
 	switch {
 	case !engine.present:
@@ -57,9 +56,9 @@
 	return ""
 }
 
-// budgetReason checks how many engines change at once and within a minute. Where the other role has no engine at
-// all, these budgets would only keep it so, and a third of all engines may change.
-func (c *Controller) budgetReason(engine *engineRecord) Reason {
+// checkChangeBudget returns a reason if too many engines change at once or within a minute. If the other role has no engine at
+// all, these budgets would prolong the outage, so a third of all engines may change then.
+func (c *Controller) checkChangeBudget(engine *engineRecord) Reason {
 	listed, changing := c.engines.presentCount(), c.engines.changingCount()
 	serving, incoming := c.supply(planapi.OtherRole(engine.Role))
 	if serving+incoming <= 0 {
@@ -71,16 +70,16 @@
 	if float64(changing+1) > max(1, c.config.MaxChangingShare*float64(listed)) {
 		return ReasonTooManyChanging
 	}
-	if recent := c.history.startedWithin(c.now, time.Minute); float64(recent+1) > max(2,
+	if recent := c.history.countStartedWithin(c.now, time.Minute); float64(recent+1) > max(2,
 		c.config.MaxSharePerMinute*float64(listed)) {
 		return ReasonTooManyPerMinute
 	}
 	return ""
 }
 
-// roleCount counts engines of one role. Those that are neither may be down, or may turn out to have the other
-// role.
-type roleCount struct{ serving, away int }
+// roleCount counts engines of one role. Engines that are neither serving nor out of service may be down, or may
+// report the other role later.
+type roleCount struct{ serving, outOfService int }
 
 func (c *Controller) countRole(role string, match func(*ListedEngine) bool) (count roleCount) {
 	for _, engine := range c.engines.sorted {
@@ -89,7 +88,7 @@
 		}
 		switch {
 		case !engine.inService():
-			count.away++
+			count.outOfService++
 		case c.available(engine) && engine.roleKnown:
 			count.serving++
 		}
@@ -97,27 +96,27 @@
 	return count
 }
 
-// floorReason keeps each role from being emptied in the fleet and in each zone and cell that has it, and two
-// thirds of a cell's role from being away together.
+// floorReason returns a reason if a change would leave too few serving engines of a role in the fleet, none in the zone
+// or cell of the engine, or two thirds of the role's engines in the cell out of service.
 func (c *Controller) floorReason(engine *engineRecord) Reason {
-	own := &engine.listed
+	listed := &engine.listed
 	fleet := c.countRole(engine.Role, func(*ListedEngine) bool { return true })
 	if fleet.serving-1 < c.config.MinServing {
 		return Reason(fmt.Sprintf(reasonMinServingFormat, fleet.serving, c.config.MinServing))
 	}
 	zones, cells := c.countZonesAndCells()
-	zone := c.countRole(engine.Role, func(other *ListedEngine) bool { return other.Zone == own.Zone })
+	zone := c.countRole(engine.Role, func(other *ListedEngine) bool { return other.Zone == listed.Zone })
 	if zones > 1 && zone.serving < 2 {
 		return ReasonLastInZone
 	}
 	cell := c.countRole(engine.Role, func(other *ListedEngine) bool {
-		return other.Zone == own.Zone && other.Cell == own.Cell
+		return other.Zone == listed.Zone && other.Cell == listed.Cell
 	})
 	if cells > 1 && cell.serving < 2 {
 		return ReasonLastInCell
 	}
-	if total := cell.serving + cell.away; total > 1 && 3*(cell.away+1) >= 2*total {
-		return ReasonCellMostlyAway
+	if total := cell.serving + cell.outOfService; total > 1 && 3*(cell.outOfService+1) >= 2*total {
+		return ReasonCellMostlyOutOfService
 	}
 	return ""
 }
@@ -131,8 +130,8 @@
 	return len(zoneSet), len(cellSet)
 }
 
-// cheapestEngine is the eligible engine of a role whose change loses least, cached tokens first and then
-// requests in flight. Without one, the reason is the most frequent of those for which engines are not eligible.
+// cheapestEngine returns the eligible engine of a role with the lowest cost of a change: lost cached tokens, plus
+// requests in flight. If no engine is eligible, it returns the most frequent reason.
 func (c *Controller) cheapestEngine(role string) (cheapest *engineRecord, reason Reason) {
 	counts := map[Reason]int{}
 	leastCost := math.Inf(1)
@@ -155,18 +154,18 @@
 	return nil, mostFrequent(counts)
 }
 
-// mostFrequent is the reason with the highest count, the first by its text of several.
+// mostFrequent returns the reason with the highest count. Ties are broken by the alphabetical order of the texts.
 func mostFrequent(counts map[Reason]int) Reason {
-	reason, most := ReasonNoEngine, 0
+	reason, highest := ReasonNoEngine, 0
 	for candidate, count := range counts {
-		if count > most || count == most && candidate < reason {
-			reason, most = candidate, count
+		if count > highest || count == highest && candidate < reason {
+			reason, highest = candidate, count
 		}
 	}
 	return reason
 }
 
-// lostCacheTokens is how many cached tokens would have to be computed again after a change of an engine.
+// lostCacheTokens returns how many cached tokens would have to be computed again after a change of an engine.
 // Prefixes that no other prefill engine in service has cached are computed again for each edge.
 func (c *Controller) lostCacheTokens(engine *engineRecord) float64 {
 	if engine.Role != planapi.Prefill {
@@ -174,15 +173,15 @@
 	}
 	lost := replicatedCacheShare * engine.report.CachedTokens
 	for prefix, tokens := range engine.report.HotPrefixes {
-		if c.cachedCopies(prefix) == 1 {
+		if c.countCachedCopies(prefix) == 1 {
 			lost += tokens * float64(max(1, len(c.demand.edges)))
 		}
 	}
 	return lost
 }
 
-// cachedCopies counts the prefill engines in service that have a prefix cached.
-func (c *Controller) cachedCopies(prefix string) (copies int) {
+// countCachedCopies counts the prefill engines in service that have a prefix cached.
+func (c *Controller) countCachedCopies(prefix string) (copies int) {
 	for _, engine := range c.engines.sorted {
 		if _, cached := engine.report.HotPrefixes[prefix]; cached && engine.Role == planapi.Prefill && engine.inService() {
 			copies++
--- a/internal/planner/assignment/eligibility_test.go
+++ b/internal/planner/assignment/eligibility_test.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// The engine to change is not the one with the only copy of a hot prefix.
+// A change must not lose the only cached copy of a hot prefix while another engine can change instead.
 func TestEngineWithOnlyCopyOfHotPrefixIsNotChosen(t *testing.T) {
 	engines := listEngines(8)
 	c := newTestController(engines)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Found by a random history: the last decode engine that had reported changed, as another had only been listed,
-// which then reported that it prefills.
+// Found by TestRandomHistoryKeepsInvariants: the last decode engine that had reported was changed because another
+// engine, which was only listed, counted as serving. That engine then reported the prefill role.
 func TestUnreportedEngineDoesNotCountAsServing(t *testing.T) {
 	engines := listEngines(4)
 	c := newTestController(engines)
@@ -39,11 +39,11 @@
 	_, _, err := c.ApplyOrder(testStart, planapi.Order{Operation: planapi.OperationMove, Engine: engines[2].Engine})
 	var ineligible *IneligibleError
 	if !errors.As(err, &ineligible) || !strings.Contains(string(ineligible.Reason), "must stay") {
-		t.Errorf("moved: %v", err)
+		t.Errorf("order to move: %v", err)
 	}
 }
 
-// The answers to operators' orders, accepted and rejected, which the command prints.
+// Checks the texts of accepted and rejected operator orders, which the command line prints.
 func TestGoldenOrders(t *testing.T) {
 	engines := listEngines(4)
 	c := newTestController(engines)
@@ -80,12 +80,12 @@
 	golden.Check(t, "orders.golden", b.String())
 }
 
-// The reasons that operators are shown.
+// Checks the texts of the reasons that are shown to operators.
 func TestGoldenReasons(t *testing.T) {
 	var b strings.Builder
 	for _, reason := range []Reason{ReasonNotListed, ReasonNoOtherRole, ReasonRoleUnknown, ReasonDrainedByDiscovery,
 		ReasonPinned, ReasonUnresponsive, ReasonTooManyChanging, ReasonTooManyPerMinute, ReasonThirdChanging,
-		ReasonLastInZone, ReasonLastInCell, ReasonCellMostlyAway, ReasonNoEngine, ReasonWorthCost, ReasonNothingKnown,
+		ReasonLastInZone, ReasonLastInCell, ReasonCellMostlyOutOfService, ReasonNoEngine, ReasonWorthCost, ReasonNoEstimate,
 		ReasonNoGain, ReasonExplainOnly, reasonStateFormat, reasonDelayFormat, reasonCooldownFormat,
 		reasonMinServingFormat, reasonTooRecentFormat, reasonCostFormat, reasonStoppedFormat} {
 		fmt.Fprintln(&b, reason)
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -7,58 +7,58 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Evaluation is what a change of an engine to one role would bring. Gains are in value per second.
+// Evaluation is the estimated gain and cost of a change of one engine to a role. Gains are in value per second.
 type Evaluation struct {
 	ToRole           string  `json:"to"`
-	Gain             float64 `json:"gain"`     // under the mix that arrives now
-	ReversalLoss     float64 `json:"usual"`    // average of those mixes of the last minutes that lose by it
-	MeanGain         float64 `json:"mean"`     // average of all mixes of the last minutes
-	RemainingSeconds float64 `json:"left_s"`   // for which the skew is expected to go on
+	Gain             float64 `json:"gain"`     // gain under the current mix
+	ReversalLoss     float64 `json:"usual"`    // average (negative) gain under those mixes of the last minutes that lose by it
+	MeanGain         float64 `json:"mean"`     // average gain under all mixes of the last minutes
+	RemainingSeconds float64 `json:"left_s"`   // expected remaining time of the skew
 	Cost             float64 `json:"cost"`     // value lost while the engine changes
-	GainingSeconds   float64 `json:"for_s"`    // for which it would have gained already
-	Engine           string  `json:"engine"`   // that loses least by the change
+	GainingSeconds   float64 `json:"for_s"`    // time for which the change has had a gain so far
+	Engine           string  `json:"engine"`   // engine with the lowest cost of a change
 	LostTokens       float64 `json:"lost_tok"` // cached tokens that no other engine has
-	Reason           Reason  `json:"why"`      // for which it is made or not
+	Reason           Reason  `json:"why"`      // why the change is made or not made
 	Chosen           bool    `json:"done"`
 }
 
 const (
-	// maxSkewForecast bounds how long a skew is expected to go on: mixes change with the matches of a day.
+	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the matches of a day.
 	maxSkewForecast = 2 * time.Minute
-	// skewDetectionTime is how long a reversal of the load stays unseen: the window of the demand, and three
+	// skewDetectionTime is how long a reversal of the load stays undetected: the window of the demand plus three
 	// reports.
 	skewDetectionTime = 13 * time.Second
-	// minSkewTime is three reports; nothing is decided on less.
+	// minSkewTime is how long a gain has to last before a change is made: three reports.
 	minSkewTime = 3 * time.Second
-	// minUnservedTime is enough where a role is not served at all.
+	// minUnservedTime replaces minSkewTime if a role has no serving engine.
 	minUnservedTime = time.Second
-	// noiseShare of all value is within the error of the estimate.
+	// noiseShare is the share of all value that is within the error of the estimate.
 	noiseShare = 0.01
-	// minGain is above the error of rounding.
+	// minGain is above the rounding error.
 	minGain = 1e-9
-	// maxGainPerLoss is how much more than the value lost now a change may be expected to bring back: counts of
-	// ten seconds vary.
+	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It is over 1 as counts
+	// of ten seconds vary.
 	maxGainPerLoss = 1.5
-	// gainCostMargin is how many times its cost a change has to gain, as both are estimates.
+	// gainCostMargin is how many times its cost a change has to gain, as both values are estimates.
 	gainCostMargin = 1.5
-	// unservedGain stands for the gain of serving a role that has no engine, while throughputs are unknown.
+	// unservedGain is the assumed gain of serving a role without engines while throughputs are unknown.
 	unservedGain = 1
-	// minSpareEngines keeps the cost of computing prefixes again finite where no prefill engine would be left.
+	// minSpareEngines keeps the cost of recomputing prefixes finite if no prefill engine would remain.
 	minSpareEngines = 0.1
 )
 
-// evaluate judges a change of one engine to a role. Reason is empty if the change is to be made.
+// evaluate estimates a change of one engine to a role. Reason is empty if the change is to be made.
 func (c *Controller) evaluate(to string, s *fleetSnapshot) Evaluation {
 	e := Evaluation{ToRole: to}
 	unserved := s.serving.of(to)+s.incoming.of(to) == 0 && s.serving.of(planapi.OtherRole(to)) > 1
-	demanded := len(s.sample.mix) > 0
+	hasDemand := len(s.sample.mix) > 0
 	switch {
-	case demanded && s.throughput.prefill != 0 && s.throughput.decode != 0:
-		e.Gain = c.gainNow(to, s)
-	case demanded && unserved:
+	case hasDemand && s.throughput.prefill != 0 && s.throughput.decode != 0:
+		e.Gain = c.currentGain(to, s)
+	case hasDemand && unserved:
 		e.Gain = unservedGain
 	default:
-		e.Reason = ReasonNothingKnown
+		e.Reason = ReasonNoEstimate
 		return e
 	}
 	if e.Gain <= minGain {
@@ -70,7 +70,7 @@
 		c.gainSince[to] = c.now
 	}
 	e.GainingSeconds = seconds(c.since(c.gainSince[to]))
-	c.averageGains(&e, s)
+	c.setAverageGains(&e, s)
 	engine, reason := c.cheapestEngine(planapi.OtherRole(to))
 	if engine == nil {
 		e.Reason = reason
@@ -83,17 +83,17 @@
 	return e
 }
 
-// gainNow is the gain of a change under the present mix. It is bounded by what the edges counted as lost: where
-// nothing is lost, nothing can be gained, however busy a role looks. Engines that are changing to the role or
-// came to it lately bring back a part of the loss already.
-func (c *Controller) gainNow(to string, s *fleetSnapshot) float64 {
+// currentGain returns the gain of a change under the current mix. The loss counted by the edges limits it: without
+// loss there is nothing to gain, however busy a role looks. Engines that are changing to the role, or
+// changed to it recently, already recover a part of the loss.
+func (c *Controller) currentGain(to string, s *fleetSnapshot) float64 {
 	value := func(moved float64) float64 { return s.sample.value(s.expected().moved(to, moved), s.throughput) }
 	recovering := max(0, value(0)-value(-c.recentlyAdded(to)))
 	return min(value(1)-value(0), maxGainPerLoss*s.sample.mix.lostValue()-recovering)
 }
 
-// recentlyAdded is the weight of the engines that are changing to a role, or came to it so lately that the edges
-// still count what was lost without them.
+// recentlyAdded returns the weight of the engines that are changing to a role, or changed to it so recently that the
+// edges' counts still include the loss from before the change.
 func (c *Controller) recentlyAdded(role string) (weight float64) {
 	for _, engine := range c.engines.sorted {
 		recent := engine.Role == role && engine.ServingSince > 0 && c.since(engine.ServingSince) < skewDetectionTime
@@ -104,11 +104,11 @@
 	return weight
 }
 
-// averageGains sets the gains under the mixes of the last minutes.
-func (c *Controller) averageGains(e *Evaluation, s *fleetSnapshot) {
+// setAverageGains sets the gains under the mixes of the last minutes.
+func (c *Controller) setAverageGains(e *Evaluation, s *fleetSnapshot) {
 	reversals := 0
 	for _, sample := range c.mixes.samples {
-		gain := c.gainOfOne(sample, e.ToRole, 0, s)
+		gain := c.gainOfOneEngine(sample, e.ToRole, 0, s)
 		e.MeanGain += gain / float64(len(c.mixes.samples))
 		if gain < 0 {
 			e.ReversalLoss += gain
@@ -118,20 +118,20 @@
 	e.ReversalLoss /= float64(max(reversals, 1))
 }
 
-// gainOfOne is what one engine more brings in a role under a mix, after so many engines moved to the role.
-func (c *Controller) gainOfOne(sample mixSample, to string, moved float64, s *fleetSnapshot) float64 {
+// gainOfOneEngine returns the gain of one more engine in a role under a mix, after other engines moved to the role.
+func (c *Controller) gainOfOneEngine(sample mixSample, to string, moved float64, s *fleetSnapshot) float64 {
 	expected := s.expected()
 	return sample.value(expected.moved(to, moved+1), s.throughput) - sample.value(expected.moved(to, moved), s.throughput)
 }
 
-// surplus is how many engines of a role are more than the split that would have been best on average. All of
-// them have to change back when the load turns.
+// surplus returns by how many engines a role exceeds the split that would have been best on average. All of them
+// have to change back when the load reverses.
 func (c *Controller) surplus(e *Evaluation, s *fleetSnapshot) float64 {
 	surplus := 0.0
 	for ; surplus < s.serving.of(e.ToRole) && e.MeanGain < 0; surplus++ {
 		gain := 0.0
 		for _, sample := range c.mixes.samples {
-			gain += c.gainOfOne(sample, e.ToRole, -surplus-1, s)
+			gain += c.gainOfOneEngine(sample, e.ToRole, -surplus-1, s)
 		}
 		if gain >= 0 {
 			break
@@ -140,7 +140,7 @@
 	return surplus
 }
 
-// changeCost is the value lost while neither role has the engine, and by computing its cached prefixes again.
+// changeCost returns the value lost while neither role has the engine, and by recomputing its cached prefixes.
 func (c *Controller) changeCost(e *Evaluation, s *fleetSnapshot) float64 {
 	mix, from := s.sample.mix, planapi.OtherRole(e.ToRole)
 	served := mix.servedValue(s.serving, s.throughput)
@@ -148,12 +148,12 @@
 	if from != planapi.Prefill || s.required.prefill <= 0 {
 		return cost
 	}
-	// A second of one prefill engine is worth its part of all value, the more so the busier these engines are.
-	busy := min(1, s.required.prefill/max(usableCapacity*(s.serving.prefill-1), minSpareEngines))
-	return cost + e.LostTokens/max(s.throughput.prefill, 1)*mix.offeredValue()/s.required.prefill*busy
+	// A second of one prefill engine is worth its share of all value, scaled by the utilization of the prefill engines.
+	utilization := min(1, s.required.prefill/max(usableCapacity*(s.serving.prefill-1), minSpareEngines))
+	return cost + e.LostTokens/max(s.throughput.prefill, 1)*mix.offeredValue()/s.required.prefill*utilization
 }
 
-// changeSeconds is how long a change takes until the engine is half warm: the median of the last ones.
+// changeSeconds returns how long a change takes until the engine is half warm, by the median of the last changes.
 func (c *Controller) changeSeconds() float64 {
 	expected := float64(c.config.DrainTimeout)/4 + float64(c.config.LoadTimeout)/2
 	if len(c.history.durations) > 0 {
@@ -162,22 +162,22 @@
 	return (expected + float64(c.config.WarmUp)/2) / float64(time.Second)
 }
 
-// expectedGain is what a change gains over the rest of the skew, less what is lost after the load has turned and
+// expectedGain returns the gain of a change over the rest of the skew, less the loss from the reversal of the load
 // until the engines have changed back.
 func (c *Controller) expectedGain(e *Evaluation, s *fleetSnapshot) float64 {
 	duration := c.changeSeconds()
 	concurrent := max(1, c.config.MaxChangingShare*(s.serving.prefill+s.serving.decode))
 	gain := e.Gain*max(0, e.RemainingSeconds-duration) +
 		e.ReversalLoss*(duration*(1+c.surplus(e, s)/concurrent)+skewDetectionTime.Seconds())
-	// A gain under the average of the last minutes needs no forecast.
+	// A gain under the average load of the last minutes does not depend on the skew forecast.
 	if len(c.mixes.samples) >= minMixes && e.MeanGain > noiseShare*s.sample.mix.offeredValue() {
 		gain = max(gain, e.MeanGain*maxSkewForecast.Seconds())
 	}
 	return gain
 }
 
-// rejectionReason is empty if a change is to be made. Where a role is not served, all value is lost until it is,
-// so that the cost of a change does not count.
+// rejectionReason returns why a change is not made, or an empty reason if it is. While a role has no serving engine,
+// all value is lost, so the cost of a change is ignored.
 func (c *Controller) rejectionReason(e *Evaluation, s *fleetSnapshot, unserved bool) Reason {
 	gain := c.expectedGain(e, s)
 	switch {
--- a/internal/planner/assignment/events.go
+++ b/internal/planner/assignment/events.go
@@ -8,8 +8,8 @@
 // EnginesListed carries the complete endpoint list.
 type EnginesListed struct{ Engines []ListedEngine }
 
-// EngineReported carries the load report of an engine. RequestedAt is when it was requested: a report that was
-// requested before a state began says nothing about that state.
+// EngineReported carries the load report of an engine. RequestedAt is the time of the request: a report requested
+// before a state began cannot be used to judge that state.
 type EngineReported struct {
 	RequestedAt int64
 	Report      planapi.EngineReport
@@ -21,12 +21,12 @@
 // TrialEnded carries the outcome of a StartTrial action.
 type TrialEnded struct {
 	Engine string
-	Number int64 // of the trial; the outcome of an earlier one is ignored
+	Number int64 // number of the trial; outcomes of earlier trials are ignored
 	OK     bool
-	Reason string // why it failed
+	Reason string // why the trial failed
 }
 
-// Tick lets time pass.
+// Tick advances the clock: timeouts are checked and decisions are made on ticks.
 type Tick struct{}
 
 func (EnginesListed) isEvent()  {}
--- a/internal/planner/assignment/history.go
+++ b/internal/planner/assignment/history.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	maxChangeStarts    = 32 // remembered for the budget of changes per minute
-	maxChangeDurations = 8  // of which the median is the expected duration of the next change
+	maxChangeStarts    = 32 // number kept for the budget of changes per minute
+	maxChangeDurations = 8  // number kept; their median is the expected duration of the next change
 )
 
-// changeHistory remembers when changes began and how long completed ones took.
+// changeHistory records when changes began and how long completed changes took.
 type changeHistory struct {
 	starts    []int64
 	durations []time.Duration // from the start of the drain until the trial passed
 }
 
-func (h *changeHistory) begin(now int64) { h.starts = appendBounded(h.starts, now, maxChangeStarts) }
+func (h *changeHistory) recordStart(now int64) {
+	h.starts = appendBounded(h.starts, now, maxChangeStarts)
+}
 
-func (h *changeHistory) complete(duration time.Duration) {
+func (h *changeHistory) recordCompletion(duration time.Duration) {
 	h.durations = appendBounded(h.durations, duration, maxChangeDurations)
 }
 
-// startedWithin counts the changes that began less than a period before now.
-func (h *changeHistory) startedWithin(now int64, period time.Duration) (count int) {
+// countStartedWithin counts the changes that began less than a period before now.
+func (h *changeHistory) countStartedWithin(now int64, period time.Duration) (count int) {
 	for _, startedAt := range h.starts {
 		if time.Duration(now-startedAt) < period {
 			count++
@@ -32,7 +34,7 @@
 	return count
 }
 
-// median is the upper median of durations, and 0 of none.
+// median returns the upper median of durations, or 0 if there are no durations.
 func median(durations []time.Duration) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -7,29 +7,29 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Errors of ApplyOrder. They are wrapped with the engine that they are about.
+// Errors of ApplyOrder. Those about one engine are wrapped with its address.
 var (
 	ErrNotListed      = errors.New("no such engine is listed")
-	ErrPinned         = errors.New("is pinned already")
-	ErrNotPinned      = errors.New("is unpinned already")
-	ErrStopped        = errors.New("changes are stopped already")
-	ErrNotStopped     = errors.New("changes are going on already")
+	ErrPinned         = errors.New("engine is already pinned")
+	ErrNotPinned      = errors.New("engine is already unpinned")
+	ErrStopped        = errors.New("role changes are already stopped")
+	ErrNotStopped     = errors.New("role changes are already allowed")
 	ErrNotQuarantined = errors.New("not aside")
 )
 
-// IneligibleError says why an engine may not change its role.
+// IneligibleError reports why an engine may not change its role.
 type IneligibleError struct {
 	Engine string
 	Reason Reason
 }
 
-// Error is the text that the operator is sent.
+// Error returns the text that is sent to the operator.
 func (e *IneligibleError) Error() string {
-	return fmt.Sprintf("%s may not change: %s", e.Engine, e.Reason)
+	return fmt.Sprintf("%s may not change its role: %s", e.Engine, e.Reason)
 }
 
-// ApplyOrder carries out an operator's order and returns a description of what it does, or the error for which
-// it is rejected. A dry run changes nothing.
+// ApplyOrder applies an operator's order. It returns a description of the effect, or the error for which the order
+// is rejected. A dry run changes nothing.
 func (c *Controller) ApplyOrder(now int64, order planapi.Order) (text string, actions []Action, err error) {
 	c.beginStep(now)
 	engine := c.engines.byAddress[order.Engine]
@@ -60,9 +60,9 @@
 	pin := order.Operation == planapi.OperationPin
 	switch {
 	case pin && engine.Pinned:
-		return "", fmt.Errorf("%s %w", engine.Engine, ErrPinned)
+		return "", fmt.Errorf("%s: %w", engine.Engine, ErrPinned)
 	case !pin && !engine.Pinned:
-		return "", fmt.Errorf("%s %w", engine.Engine, ErrNotPinned)
+		return "", fmt.Errorf("%s: %w", engine.Engine, ErrNotPinned)
 	}
 	if !order.DryRun {
 		engine.Pinned, engine.Reason = pin, requestedBy(order)
@@ -73,9 +73,9 @@
 
 func (c *Controller) setStopped(order planapi.Order) (string, error) {
 	stop := order.Operation == planapi.OperationStop
-	text := "changes go on"
+	text := "role changes may begin again"
 	if stop {
-		text = "no change begins; engines that drain go back, what is loading comes to its end"
+		text = "no role change begins; draining engines keep their roles, loading engines complete their changes"
 	}
 	switch {
 	case stop && c.meta.Stopped:
@@ -103,16 +103,16 @@
 		engine.quarantineCount = 0
 		c.fire(engine, readmitted)
 	}
-	return engine.Engine + " is asked to come back as " + engine.Role, nil
+	return engine.Engine + " is ordered back into its role, " + engine.Role, nil
 }
 
 func (c *Controller) move(engine *engineRecord, order planapi.Order) (string, error) {
 	if reason := c.ineligibleReason(engine); reason != "" {
 		return "", &IneligibleError{Engine: engine.Engine, Reason: reason}
 	}
-	text := fmt.Sprintf("%s leaves %s for %s", engine.Engine, engine.Role, planapi.OtherRole(engine.Role))
+	text := fmt.Sprintf("%s changes from role %s to %s", engine.Engine, engine.Role, planapi.OtherRole(engine.Role))
 	if !order.DryRun {
-		c.beginChange(engine, "by order of "+requestedBy(order))
+		c.beginChange(engine, "ordered by "+requestedBy(order))
 	}
 	return text, nil
 }
--- a/internal/planner/assignment/output.go
+++ b/internal/planner/assignment/output.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// output collects what a step has to do until the step ends.
+// output collects the results of a step until the step ends.
 type output struct {
 	actions        []Action
-	dirty          map[string]bool // addresses of engines whose records changed
+	dirty          map[string]bool // addresses of engines with records to persist
 	metaDirty      bool
-	publishPending bool // the plan changed; it stays pending until the first plan may be published
-	published      bool // the first plan is out
+	publishPending bool // the plan changed and is not published yet; see mayPublish
+	published      bool // the first plan was published
 }
 
 func (o *output) add(actions ...Action) { o.actions = append(o.actions, actions...) }
 
 func (o *output) markDirty(engine *engineRecord) { o.dirty[engine.Engine] = true }
 
-// finishStep puts what must be durable before everything else, then the plan, then the rest.
+// finishStep returns the actions of a step: what must be durable first, then the plan, then the rest.
 func (c *Controller) finishStep() []Action {
 	out := &c.output
 	if c.steppedDown {
@@ -42,7 +42,7 @@
 	return append(actions, out.actions...)
 }
 
-// isCommand is whether an action makes an engine do something.
+// isCommand reports whether an action sends a command to an engine.
 func isCommand(action Action) bool {
 	switch action.(type) {
 	case SendRoleOrder, StartTrial:
@@ -58,8 +58,8 @@
 	return records
 }
 
-// mayPublish is whether a plan can be published. A first one that is made before the engines reported their
-// roles may list roles that they no longer have; one that never comes would leave edges without any.
+// mayPublish reports whether a plan can be published. The first plan waits for the engines' reports, as their roles may
+// be outdated. firstPlanTimeout limits the wait, as edges have no endpoint list without a plan.
 func (c *Controller) mayPublish() bool {
 	if c.output.published {
 		return true
--- a/internal/planner/assignment/plan.go
+++ b/internal/planner/assignment/plan.go
@@ -7,10 +7,10 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// maxPublishedUpTime is longer than any warm-up: engines that are up for longer are published as warm.
+// maxPublishedUpTime is longer than any warm-up: engines with a longer uptime are published as warm.
 const maxPublishedUpTime = 10 * time.Minute
 
-// Plan is the endpoint list that edges have to follow. An engine that is between two roles is not in it.
+// Plan returns the endpoint list that edges have to follow. Engines between two roles are left out.
 func (c *Controller) Plan() planapi.Plan {
 	plan := planapi.Plan{Term: c.term, Number: c.meta.PlanNumber, Engines: []planapi.Engine{}}
 	for _, engine := range c.engines.sorted {
--- a/internal/planner/assignment/reason.go
+++ b/internal/planner/assignment/reason.go
@@ -1,40 +1,40 @@
 package assignment
 
-// Reason says to operators why a change is made or not made.
+// Reason explains to operators why a change is made or not made.
 type Reason string
 
 // Reasons for which an engine may not change its role.
 const (
-	ReasonNotListed          Reason = "it is not listed"
-	ReasonNoOtherRole        Reason = "its kind has no other role"
-	ReasonRoleUnknown        Reason = "it has not said yet what its role is"
-	ReasonDrainedByDiscovery Reason = "discovery drains it"
-	ReasonPinned             Reason = "it is pinned"
-	ReasonUnresponsive       Reason = "nothing was heard of it"
-	ReasonTooManyChanging    Reason = "as many engines are changing as may"
-	ReasonTooManyPerMinute   Reason = "as many changes were begun within a minute as may"
-	ReasonThirdChanging      Reason = "a third of all engines is changing"
-	ReasonLastInZone         Reason = "it is the last of its role in its zone"
-	ReasonLastInCell         Reason = "it is the last of its role in its cell"
-	ReasonCellMostlyAway     Reason = "two thirds of its role in its cell would be away"
-	ReasonNoEngine           Reason = "there is no engine that could change"
+	ReasonNotListed              Reason = "engine is not listed"
+	ReasonNoOtherRole            Reason = "engine kind has no other role"
+	ReasonRoleUnknown            Reason = "engine has not reported its role yet"
+	ReasonDrainedByDiscovery     Reason = "discovery drains the engine"
+	ReasonPinned                 Reason = "engine is pinned"
+	ReasonUnresponsive           Reason = "no recent report from the engine"
+	ReasonTooManyChanging        Reason = "budget of concurrent changes is used up"
+	ReasonTooManyPerMinute       Reason = "budget of changes per minute is used up"
+	ReasonThirdChanging          Reason = "a third of all engines is changing"
+	ReasonLastInZone             Reason = "engine is the last of its role in its zone"
+	ReasonLastInCell             Reason = "engine is the last of its role in its cell"
+	ReasonCellMostlyOutOfService Reason = "two thirds of the engines of its role in its cell would be out of service"
+	ReasonNoEngine               Reason = "no engine is available to change"
 )
 
 // Reasons for the outcome of an evaluation.
 const (
-	ReasonWorthCost    Reason = "it is worth its cost"
-	ReasonNothingKnown Reason = "nothing is known yet of what arrives or of how fast engines are"
-	ReasonNoGain       Reason = "it would gain nothing"
-	ReasonExplainOnly  Reason = "the settings only let it be explained"
+	ReasonWorthCost   Reason = "change is worth its cost"
+	ReasonNoEstimate  Reason = "demand or engine throughput is not known yet"
+	ReasonNoGain      Reason = "change would gain nothing"
+	ReasonExplainOnly Reason = "settings only allow changes to be explained"
 )
 
-// Reasons with figures.
+// Formats of reasons with values.
 const (
-	reasonStateFormat      = "it is %s"
-	reasonDelayFormat      = "reports are %v old: a change could not be followed"
-	reasonCooldownFormat   = "it changed within the last %v"
-	reasonMinServingFormat = "%d serve in its role, and %d must stay"
-	reasonTooRecentFormat  = "it has lasted %.0f s only"
-	reasonCostFormat       = "%.2f of value is expected, %.2f would be lost"
+	reasonStateFormat      = "engine is %s"
+	reasonDelayFormat      = "reports are %v old: a change could not be tracked"
+	reasonCooldownFormat   = "engine changed within the last %v"
+	reasonMinServingFormat = "%d engines serve in the role, and %d must stay"
+	reasonTooRecentFormat  = "gain has lasted for only %.0f s"
+	reasonCostFormat       = "expected gain of %.2f in value is too low for a cost of %.2f"
 	reasonStoppedFormat    = "changes are stopped by %s: %s"
 )
--- a/internal/planner/assignment/record.go
+++ b/internal/planner/assignment/record.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Record is the state of one engine that survives a restart of the planner.
+// Record is the persisted state of one engine.
 type Record struct {
 	Engine       string `json:"engine"`
 	Role         string `json:"role"`
@@ -18,28 +18,28 @@
 	NextRole     string `json:"next,omitempty"`
 	NextEpoch    int64  `json:"next_epoch,omitempty"`
 	StateSince   int64  `json:"since"`           // nanoseconds of the planner's clock
-	ServingSince int64  `json:"began,omitempty"` // since when the engine warms up; 0 for long ago
+	ServingSince int64  `json:"began,omitempty"` // start of the engine's warm-up; 0 if long ago
 	Incarnation  int64  `json:"life,omitempty"`
 	Pinned       bool   `json:"pinned,omitempty"`
-	Reason       string `json:"why,omitempty"` // of the last change or operator's order
+	Reason       string `json:"why,omitempty"` // reason of the last change or operator order
 }
 
-// Meta is the state of the planner itself that survives a restart.
+// Meta is the persisted state of the planner itself.
 type Meta struct {
-	PlanNumber int64  `json:"number"` // of the last plan
+	PlanNumber int64  `json:"number"` // number of the last plan
 	Stopped    bool   `json:"stopped"`
 	StoppedBy  string `json:"who,omitempty"`
 	StopReason string `json:"why,omitempty"`
 }
 
-// engineRecord is everything that is known of one engine.
+// engineRecord is the complete state of one engine, persisted and volatile.
 type engineRecord struct {
 	Record
 	listed            ListedEngine
-	present           bool // in the latest endpoint list
-	roleKnown         bool // its role was reported by itself or restored from the store
+	present           bool // listed in the latest endpoint list
+	roleKnown         bool // the engine reported its role, or it was restored from the store
 	report            planapi.EngineReport
-	reportedAt        int64 // 0 for never
+	reportedAt        int64 // 0 if the engine has never reported
 	reportRequestedAt int64
 	samples           []workSample
 	orderSentAt       int64
@@ -47,19 +47,19 @@
 	lastChangeEndedAt int64
 	trialNumber       int64
 	quarantineCount   int
-	fault             string // the last one, for operators
+	fault             string // the last fault, for operators
 }
 
-// inService is whether the engine serves requests in its role.
+// inService reports whether the engine serves requests in its role.
 func (e *engineRecord) inService() bool { return e.State == Serving || e.State == WarmingUp }
 
-// changing is whether the engine is between two roles.
+// changing reports whether the engine is between two roles.
 func (e *engineRecord) changing() bool { return !e.inService() && e.State != Quarantined }
 
-// weight is the engine's capacity relative to an engine of weight 1.
+// weight returns the engine's capacity relative to an engine of weight 1.
 func (e *engineRecord) weight() float64 { return cmp.Or(e.listed.Weight, 1) }
 
-// reportedUpSince is since when the engine is up by its latest report. It is never 0, which means long ago.
+// reportedUpSince returns the start time by the latest report. It is never 0, which stands for long ago.
 func (e *engineRecord) reportedUpSince(now int64) int64 {
 	return max(1, now-e.report.UptimeMillis*int64(time.Millisecond))
 }
@@ -67,18 +67,18 @@
 // engineRegistry holds all engines that were ever listed or restored.
 type engineRegistry struct {
 	byAddress map[string]*engineRecord
-	sorted    []*engineRecord // by address, so that no decision depends on the order of a map
+	sorted    []*engineRecord // sorted by address, so that no decision depends on map order
 }
 
-// sort brings the sorted list up to date after engines were added.
-func (r *engineRegistry) sort() {
+// updateSorted rebuilds the sorted list after engines were added.
+func (r *engineRegistry) updateSorted() {
 	r.sorted = r.sorted[:0]
 	for _, address := range slices.Sorted(maps.Keys(r.byAddress)) {
 		r.sorted = append(r.sorted, r.byAddress[address])
 	}
 }
 
-// presentCount is how many engines are in the latest endpoint list.
+// presentCount returns the number of engines in the latest endpoint list.
 func (r *engineRegistry) presentCount() (count int) {
 	for _, engine := range r.sorted {
 		if engine.present {
@@ -88,7 +88,7 @@
 	return count
 }
 
-// changingCount is how many engines are between two roles.
+// changingCount returns the number of engines between two roles.
 func (r *engineRegistry) changingCount() (count int) {
 	for _, engine := range r.sorted {
 		if engine.changing() {
@@ -98,7 +98,7 @@
 	return count
 }
 
-// appendBounded appends a value and keeps the newest limit of them.
+// appendBounded appends a value and keeps at most the limit newest values.
 func appendBounded[T any](values []T, value T, limit int) []T {
 	values = append(values, value)
 	if len(values) > limit {
@@ -107,5 +107,5 @@
 	return values
 }
 
-// seconds is a duration as the unit of rates. Duration.Seconds rounds differently in the last bit.
+// seconds converts a duration to seconds. Duration.Seconds rounds differently in the last bit.
 func seconds(d time.Duration) float64 { return float64(d) / float64(time.Second) }
--- a/internal/planner/assignment/report.go
+++ b/internal/planner/assignment/report.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// maxReportDelays is over how many engine reports the median delay is taken.
+// maxReportDelays is the number of latest engine reports over which the median delay is computed.
 const maxReportDelays = 64
 
 func (c *Controller) handleEngineReport(event EngineReported) {
@@ -32,14 +32,14 @@
 	}
 }
 
-// stepDown ends the work of a controller when an engine follows a planner of a later term.
+// stepDown ends the work of the controller because an engine follows a planner with a later term.
 func (c *Controller) stepDown(report planapi.EngineReport) {
 	c.steppedDown = true
 	c.output.add(StepDown{report.Term},
 		LaterTermFollowed{Engine: report.Engine, Term: report.Term, OwnTerm: c.term})
 }
 
-// acceptReportedRole takes the role that an engine reports, for a planner that has no record of it.
+// acceptReportedRole adopts the role that an engine reports. It is used if the planner has no record of the engine.
 func (c *Controller) acceptReportedRole(engine *engineRecord, report planapi.EngineReport) {
 	engine.roleKnown = true
 	engine.Role, engine.Epoch, engine.Incarnation, engine.StateSince = report.Role, report.Epoch, report.Incarnation, c.now
@@ -50,15 +50,15 @@
 	c.output.markDirty(engine)
 }
 
-// compareWithOrder makes a trigger of what an engine reports, compared with what it was ordered.
+// compareWithOrder compares an engine's report with its orders and fires the matching trigger.
 func (c *Controller) compareWithOrder(engine *engineRecord, report planapi.EngineReport) {
 	holdsCurrentRole := report.Epoch == engine.Epoch && report.Role == engine.Role && !report.Changing
 	reportsNextRole := report.Epoch == engine.NextEpoch && report.Role == engine.NextRole && engine.NextRole != ""
 	switch engine.State {
 	case Serving, WarmingUp:
-		c.checkServing(engine, report, holdsCurrentRole)
+		c.checkServingReport(engine, report, holdsCurrentRole)
 	case Draining:
-		c.checkDraining(engine, report, holdsCurrentRole)
+		c.checkDrainingReport(engine, report, holdsCurrentRole)
 	case Ordered, Loading, RollingBack:
 		switch {
 		case reportsNextRole && !report.Changing:
@@ -66,21 +66,21 @@
 		case reportsNextRole:
 			c.fire(engine, loadConfirmed)
 		default:
-			c.resendOrder(engine)
+			c.resendOrderIfDue(engine)
 		}
 	case InTrial:
 		if !reportsNextRole || report.Changing {
-			engine.fault = fmt.Sprintf("it says role %s of epoch %d in a trial of %s of %d", report.Role, report.Epoch,
-				engine.NextRole, engine.NextEpoch)
+			engine.fault = fmt.Sprintf("engine reports role %s in epoch %d during a trial of role %s in epoch %d", report.Role,
+				report.Epoch, engine.NextRole, engine.NextEpoch)
 			c.fire(engine, mismatchReported)
 		}
 	}
 }
 
-func (c *Controller) checkServing(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
+func (c *Controller) checkServingReport(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
 	switch {
 	case !holdsCurrentRole:
-		engine.fault = fmt.Sprintf("it says role %s of epoch %d, it was given %s of %d", report.Role, report.Epoch,
+		engine.fault = fmt.Sprintf("engine reports role %s in epoch %d instead of role %s in epoch %d", report.Role, report.Epoch,
 			engine.Role, engine.Epoch)
 		c.fire(engine, mismatchReported)
 	case report.Incarnation != engine.Incarnation && engine.Incarnation != 0:
@@ -89,32 +89,32 @@
 		engine.Incarnation = report.Incarnation
 		c.output.markDirty(engine)
 	case report.Draining: // its drain was aborted, and the order for that got lost
-		c.resendOrder(engine)
+		c.resendOrderIfDue(engine)
 	}
 }
 
-func (c *Controller) checkDraining(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
+func (c *Controller) checkDrainingReport(engine *engineRecord, report planapi.EngineReport, holdsCurrentRole bool) {
 	switch {
 	case !holdsCurrentRole:
-		engine.fault = fmt.Sprintf("it says role %s of epoch %d in a drain of %d", report.Role, report.Epoch,
+		engine.fault = fmt.Sprintf("engine reports role %s in epoch %d during a drain in epoch %d", report.Role, report.Epoch,
 			engine.Epoch)
 		c.fire(engine, mismatchReported)
 	case !report.Draining:
-		c.resendOrder(engine)
+		c.resendOrderIfDue(engine)
 	case report.OpenRequests == 0 && report.Reservations == 0 && c.since(engine.StateSince) >= 2*c.config.DrainGrace:
 		c.fire(engine, drained)
 	}
 }
 
-// unresponsiveAfter is four intervals of load reports.
+// unresponsiveAfter is four load report intervals.
 const unresponsiveAfter = 4 * time.Second
 
-// unresponsive is whether an engine has not reported for so long that it may be down.
+// unresponsive reports whether an engine has not reported for so long that it may be down.
 func (c *Controller) unresponsive(engine *engineRecord) bool {
 	return c.since(engine.reportedAt) > unresponsiveAfter
 }
 
-// available is whether requests can be sent to an engine in its role.
+// available reports whether requests can be sent to an engine in its role.
 func (c *Controller) available(engine *engineRecord) bool {
 	return engine.inService() && engine.listed.Ready && !c.unresponsive(engine)
 }
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	maxShares        = 240  // four minutes of seconds
-	maxSkewDurations = 6    // of each role
-	minSkew          = 0.05 // less is within the variance of counts
+	maxShares        = 240  // four minutes at one share each second
+	maxSkewDurations = 6    // number kept for each role
+	minSkew          = 0.05 // smaller deviations are within the variance of the counts
 )
 
-// skewTracker notes when the load is skewed to one role, compared with its average, and for how long.
+// skewTracker records when and for how long the load is skewed to one role, compared with the average load.
 type skewTracker struct {
-	prefillShares []float64                  // of prefill in all work, one per decision
-	role          string                     // to which the load is skewed now; empty until it was once
-	since         int64                      // nanoseconds
-	durations     map[string][]time.Duration // of the last skews to each role
+	prefillShares []float64                  // share of prefill in all work, one per decision
+	role          string                     // role to which the load is skewed, or was last; empty before the first skew
+	since         int64                      // start of the skew in nanoseconds
+	durations     map[string][]time.Duration // durations of the last skews by role
 }
 
-// observe takes how many engines of each role the load keeps busy now.
+// observe records how many engines of each role the load keeps busy now.
 func (s *skewTracker) observe(now int64, required perRole) {
 	total := required.prefill + required.decode
 	if total == 0 {
@@ -47,21 +47,21 @@
 	s.role, s.since = role, now
 }
 
-// expectedRemaining is for how many seconds a skew to a role is expected to go on: as long as earlier ones that
-// had lasted as long by then, or as long again as it has lasted, if there was none.
+// expectedRemaining returns the seconds for which a skew to a role is expected to continue: the average over earlier
+// skews that lasted longer than this one so far or, if there are none, the time that this one has lasted.
 func (s *skewTracker) expectedRemaining(now int64, role string, gainingSeconds float64) float64 {
 	if s.role != role {
 		return min(gainingSeconds, maxSkewForecast.Seconds())
 	}
 	lasted := time.Duration(now - s.since)
-	total, longer := 0.0, 0
+	total, longerSkews := 0.0, 0
 	for _, duration := range s.durations[role] {
 		if duration > lasted {
-			total, longer = total+seconds(duration-lasted), longer+1
+			total, longerSkews = total+seconds(duration-lasted), longerSkews+1
 		}
 	}
-	if longer > 0 {
-		return min(total/float64(longer), maxSkewForecast.Seconds())
+	if longerSkews > 0 {
+		return min(total/float64(longerSkews), maxSkewForecast.Seconds())
 	}
 	return min(seconds(lasted), maxSkewForecast.Seconds())
 }
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// sampleDuration is the least that a sample spans; reports of engines come up to four times as often.
+	// sampleDuration is the minimum time that a sample covers; engines report up to four times as often.
 	sampleDuration = time.Second
 	maxSamples     = 16
-	// tokenRateWindow is how far back the samples of token rates go, as far as those of edges.
+	// tokenRateWindow is the age up to which samples count for token rates. It is the window of the edges' counts.
 	tokenRateWindow = maxDeltas * time.Second
-	// minBusyShare is how busy an engine has to be for a sample to show its throughput.
+	// minBusyShare is the utilization of an engine above which a sample is used for its throughput.
 	minBusyShare = 0.05
-	// minThroughputSamples of an engine are needed, as the best one is left out.
+	// minThroughputSamples is the number of samples needed for an engine's throughput, as the best one is left out.
 	minThroughputSamples = 3
-	// minForOutlierLimit is how many measurements are needed for their median to limit the others.
+	// minForOutlierLimit is the number of measurements from which on their median limits each of them.
 	minForOutlierLimit = 3
-	// outlierFactor is how many times the median a measurement may count: a load report may be wrong.
+	// outlierFactor limits a measurement to a multiple of the median, as a load report may be wrong.
 	outlierFactor = 4
 )
 
@@ -28,14 +28,14 @@
 	takenAt     int64
 	duration    time.Duration
 	tokens      float64
-	busySeconds float64 // of all its slots together
+	busySeconds float64 // of all slots of the engine together
 	prefill     bool
 }
 
-func (s *workSample) of(role string) bool { return s.prefill == (role == planapi.Prefill) }
+func (s *workSample) isOfRole(role string) bool { return s.prefill == (role == planapi.Prefill) }
 
-// recordSample takes the work of an engine since its last report. A report of another incarnation or role, or
-// with lower counts, starts afresh.
+// recordSample records the work of an engine since its last report. No work is recorded for a report of another
+// incarnation or role, or with lower counts.
 func (e *engineRecord) recordSample(report planapi.EngineReport, now int64) {
 	previous := &e.report
 	elapsed := time.Duration(now - e.reportedAt)
@@ -66,13 +66,13 @@
 	s.busySeconds += next.busySeconds
 }
 
-// tokenRate is how many tokens per second all engines of a role process, and how many engines were measured.
+// tokenRate returns the tokens per second that all engines of a role process, and the number of measured engines.
 func (c *Controller) tokenRate(role string) (total float64, measured int) {
 	var rates []float64
 	for _, engine := range c.engines.sorted {
 		tokens, span := 0.0, time.Duration(0)
 		for _, sample := range engine.samples {
-			if sample.of(role) && c.since(sample.takenAt) < tokenRateWindow {
+			if sample.isOfRole(role) && c.since(sample.takenAt) < tokenRateWindow {
 				tokens, span = tokens+sample.tokens, span+sample.duration
 			}
 		}
@@ -82,16 +82,16 @@
 	}
 	slices.Sort(rates)
 	for _, rate := range rates {
-		if middle := rates[len(rates)/2]; len(rates) >= minForOutlierLimit && middle > 0 {
-			rate = min(rate, outlierFactor*middle)
+		if medianRate := rates[len(rates)/2]; len(rates) >= minForOutlierLimit && medianRate > 0 {
+			rate = min(rate, outlierFactor*medianRate)
 		}
 		total += rate
 	}
 	return total, len(rates)
 }
 
-// throughput is how many tokens per second an engine of weight 1 processes while it is busy: the median of all
-// engines. It is the configured value until it is measured, and the latest known one while nothing is.
+// throughput returns the tokens per second that a busy engine of weight 1 processes: the median of all measured
+// engines, else the latest measured value, else the configured one.
 func (c *Controller) throughput(role string) float64 {
 	var throughputs []float64
 	for _, engine := range c.engines.sorted {
@@ -112,12 +112,12 @@
 	return c.throughputs[role]
 }
 
-// throughput is the second best of an engine's samples: a slowdown that is shorter than they reach back does not
-// count as more demand, and a single wrong report does not count at all.
+// throughput returns the second best of an engine's samples. A slowdown shorter than the time that the samples cover
+// does not look like more demand, and a single wrong report has no effect.
 func (e *engineRecord) throughput(role string) (value float64, known bool) {
 	var throughputs []float64
 	for _, sample := range e.samples {
-		if sample.of(role) && sample.busySeconds > minBusyShare*seconds(sample.duration) && sample.tokens > 0 {
+		if sample.isOfRole(role) && sample.busySeconds > minBusyShare*seconds(sample.duration) && sample.tokens > 0 {
 			throughputs = append(throughputs, sample.tokens/sample.busySeconds/e.weight())
 		}
 	}
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -15,30 +15,30 @@
 const (
 	Serving     State = "serving"
 	Draining    State = "draining"  // published as draining, and ordered to drain
-	Ordered     State = "ordered"   // drained, and ordered to load for its next role
-	Loading     State = "loading"   // it confirmed the order and loads
-	InTrial     State = "trying"    // it reports the next role; a trial request verifies it
-	WarmingUp   State = "cold"      // it serves in a new role or incarnation below its full throughput
-	RollingBack State = "returning" // ordered to take up its last verified role under a new epoch
-	Quarantined State = "aside"     // out of the plan: it did not follow its orders or failed its trial
+	Ordered     State = "ordered"   // drained, and ordered to load its next role
+	Loading     State = "loading"   // the engine confirmed the order and is loading
+	InTrial     State = "trying"    // the engine reports its next role, and a trial request verifies it
+	WarmingUp   State = "cold"      // serves in a new role or incarnation, below its full throughput
+	RollingBack State = "returning" // ordered back to its last verified role under a new epoch
+	Quarantined State = "aside"     // removed from the plan: the engine did not follow its orders or failed its trial
 )
 
-// trigger is what makes the state of an engine's role change. Its values only name transitions.
+// trigger is an input that may change the state of an engine's role. Its values are used only to name transitions.
 type trigger string
 
 const (
 	changeChosen      trigger = "change chosen"
-	drained           trigger = "drained"        // nothing in flight or reserved, long enough after its drain was published
-	timedOut          trigger = "timed out"      // the timeout of its state has passed
-	loadConfirmed     trigger = "load confirmed" // it reports that it loads under the epoch of the order
-	roleReported      trigger = "role reported"  // it reports that it serves in the role and epoch of the order
+	drained           trigger = "drained"        // no requests or reservations are left, long enough after the drain was published
+	timedOut          trigger = "timed out"      // the timeout of the state has expired
+	loadConfirmed     trigger = "load confirmed" // the engine reports that it is loading under the epoch of the order
+	roleReported      trigger = "role reported"  // the engine reports that it serves in the role and epoch of the order
 	trialPassed       trigger = "trial passed"
 	trialFailed       trigger = "trial failed"
 	warmedUp          trigger = "warmed up"
-	mismatchReported  trigger = "mismatch reported" // it reports a role or an epoch that was not ordered
-	restarted         trigger = "restarted"         // the same role and epoch, another incarnation
-	changesStopped    trigger = "changes stopped"   // by an operator
-	readmitted        trigger = "readmitted"        // by an operator
+	mismatchReported  trigger = "mismatch reported" // the engine reports a role or an epoch that was not ordered
+	restarted         trigger = "restarted"         // the engine reports the same role and epoch under another incarnation
+	changesStopped    trigger = "changes stopped"   // an operator stopped all changes
+	readmitted        trigger = "readmitted"        // an operator readmitted the engine
 	quarantineExpired trigger = "quarantine expired"
 )
 
@@ -49,9 +49,9 @@
 	action  func(*Controller, *engineRecord)
 }
 
-// transitions lists, for a state and a trigger, the next state and the action. Every state but Serving has a
-// timeout with a way back, so that no change gets stuck. An order that may have been followed is undone by
-// another order under a higher epoch, never by assuming that it got lost.
+// transitions lists the next state and the action for each state and trigger. Every state but Serving has a timeout
+// that leads back to service or to a rollback, so that no change gets stuck. An order that may have been followed is
+// undone by another order under a higher epoch; it is never assumed to be lost.
 var transitions = []transition{
 	{[]State{Serving}, changeChosen, Draining, (*Controller).startDrain},
 	{[]State{Draining}, drained, Ordered, (*Controller).publishAndOrder},
@@ -71,7 +71,7 @@
 	{[]State{Quarantined}, readmitted, RollingBack, (*Controller).rollBack},
 }
 
-// TransitionNames names the transitions in the order of the bits of Controller.FiredTransitions.
+// TransitionNames returns the names of the transitions, in the order of the bits of Controller.FiredTransitions.
 func TransitionNames() (names []string) {
 	for i, t := range transitions {
 		names = append(names, fmt.Sprintf("assignment transition %d: states %v, trigger %s, next %s",
@@ -80,10 +80,10 @@
 	return names
 }
 
-// FiredTransitions is a bit for each transition that fired so far.
+// FiredTransitions returns a bit set of the transitions that have fired so far.
 func (c *Controller) FiredTransitions() uint64 { return c.firedTransitions }
 
-// fire is the only place where a state changes. A trigger that means nothing in a state is ignored.
+// fire makes every transition. It ignores a trigger for which the engine's state has no transition.
 func (c *Controller) fire(engine *engineRecord, cause trigger) {
 	i := slices.IndexFunc(transitions, func(t transition) bool {
 		return slices.Contains(t.from, engine.State) && t.trigger == cause
@@ -101,7 +101,7 @@
 	c.output.markDirty(engine)
 }
 
-// stateTimeout is how long a state may last; 0 for ever.
+// stateTimeout returns how long a state may last, or 0 if there is no limit.
 func (c *Controller) stateTimeout(state State) time.Duration {
 	switch state {
 	case Draining:
@@ -121,19 +121,19 @@
 	c.publishAndOrder(engine)
 }
 
-// publishAndOrder publishes the state that an engine has now and orders the engine to follow it.
+// publishAndOrder publishes the current state of an engine and sends the engine the matching order.
 func (c *Controller) publishAndOrder(engine *engineRecord) {
 	c.output.publishPending = true
 	c.sendOrder(engine)
 }
 
-// abortDrain ends a change while the engine still has its old role and epoch.
+// abortDrain aborts a change while the engine still has its old role and epoch.
 func (c *Controller) abortDrain(engine *engineRecord) {
 	engine.NextRole, engine.NextEpoch, engine.lastChangeEndedAt = "", 0, c.now
 	c.publishAndOrder(engine)
 }
 
-// rollBack orders the last verified role, under an epoch above all that the engine may have followed.
+// rollBack orders an engine back to its last verified role, under an epoch above all that it may have followed.
 func (c *Controller) rollBack(engine *engineRecord) {
 	engine.NextRole = engine.Role
 	engine.NextEpoch, engine.lastChangeEndedAt = max(engine.Epoch, engine.NextEpoch, engine.report.Epoch)+1, c.now
@@ -146,12 +146,12 @@
 		Number: engine.trialNumber})
 }
 
-// adoptRole is the only place where an engine gets a role, after a trial verified it under the new epoch.
+// adoptRole records the role that a trial verified under the new epoch. Role changes take effect only here.
 func (c *Controller) adoptRole(engine *engineRecord) {
 	if engine.Role != engine.NextRole {
-		c.history.complete(time.Duration(c.now - engine.changeStartedAt))
+		c.history.recordCompletion(time.Duration(c.now - engine.changeStartedAt))
 		engine.samples, engine.ServingSince = nil, c.now
-	} else { // the same role again needs no warm-up beyond that of its incarnation
+	} else { // an engine that keeps its role needs no warm-up beyond that of its incarnation
 		engine.ServingSince = engine.reportedUpSince(c.now)
 	}
 	engine.Role, engine.Epoch, engine.NextRole, engine.NextEpoch = engine.NextRole, engine.NextEpoch, "", 0
@@ -173,7 +173,7 @@
 // maxQuarantineDoublings limits the backoff of retries to sixteen times the cooldown.
 const maxQuarantineDoublings = 4
 
-// quarantineDuration doubles each time that an engine is quarantined until an operator readmits it.
+// quarantineDuration returns the time until the next retry, which doubles with each quarantine until readmission.
 func (c *Controller) quarantineDuration(engine *engineRecord) time.Duration {
 	return c.config.Cooldown << min(max(engine.quarantineCount-1, 0), maxQuarantineDoublings)
 }
--- a/internal/planner/assignment/view.go
+++ b/internal/planner/assignment/view.go
@@ -4,18 +4,18 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// EngineView is what operators see of one engine.
+// EngineView is the status of one engine as shown to operators.
 type EngineView struct {
 	Record
 	Listed           bool                 `json:"Listed"`
 	CanChange        bool                 `json:"CanChange"`
 	Report           planapi.EngineReport `json:"said"`
-	ReportedMsAgo    int64                `json:"heard_ms_ago"` // -1 for never
+	ReportedMsAgo    int64                `json:"heard_ms_ago"` // -1 if the engine has never reported
 	IneligibleReason Reason               `json:"barred,omitempty"`
 	Fault            string               `json:"trouble,omitempty"`
 }
 
-// Engines returns all known engines by address.
+// Engines returns the views of all known engines, sorted by address.
 func (c *Controller) Engines() (views []EngineView) {
 	for _, engine := range c.engines.sorted {
 		view := EngineView{Record: engine.Record, Listed: engine.present, CanChange: engine.listed.CanChange,
@@ -28,8 +28,8 @@
 	return views
 }
 
-// ReportTargets returns the engines to request load reports from, and those of them whose change waits for a
-// report.
+// ReportTargets returns the engines to request load reports from, and the subset that is changing roles and
+// whose change waits for the next report.
 func (c *Controller) ReportTargets() (all, urgent []string) {
 	for _, engine := range c.engines.sorted {
 		if !engine.present {
@@ -43,7 +43,7 @@
 	return all, urgent
 }
 
-// RoleState is a role and a state that engines can have in it.
+// RoleState is a combination of a role and a state, by which engines are counted.
 type RoleState struct {
 	Role  string
 	State State
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -26,7 +26,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// followers are edges that follow a planner: the revision that each has, and when it came.
+// followers is a set of edges that follow a planner, with the latest revision of each and the time it was received.
 type followers struct {
 	mu         sync.Mutex
 	revisions  []int64
@@ -50,14 +50,14 @@
 	return f
 }
 
-// newest is the newest revision that one of them has.
+// newest returns the newest revision of all edges.
 func (f *followers) newest() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Max(f.revisions)
 }
 
-// awaitNewer waits until all have a newer revision, and returns when it came to each.
+// awaitNewer waits until all edges have a newer revision, and returns the times at which they received it.
 func (f *followers) awaitNewer(b *testing.B, revision int64) []time.Time {
 	b.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -68,13 +68,13 @@
 			return receivedAt
 		}
 		if time.Now().After(end) {
-			b.Fatal("some edges did not get the plan within 20 s")
+			b.Fatal("not all edges received the plan within 20 s")
 		}
 	}
 }
 
-// 300 edges follow one planner of 300 engines, all in one process on loopback: how long a plan takes to reach them, and how
-// long a planner that was restarted needs until all follow it again.
+// Measures how long a plan takes to reach 300 edges from a planner of 300 engines, and how long after a restart of the planner
+// all edges follow it again. All of them run in one process and use the loopback interface.
 func BenchmarkPlanTo300Edges(b *testing.B) {
 	const engines, edges = 300, 300
 	_, list := startEngines(b, engines/2, engines/2, engine.Config{})
@@ -123,7 +123,7 @@
 	p.Stop()
 }
 
-// reportCPUAtRest reports the CPU time while engines and edges only report and nothing changes.
+// reportCPUAtRest reports the CPU usage while engines and edges send reports and the plan does not change.
 func reportCPUAtRest(b *testing.B) {
 	time.Sleep(2 * time.Second)
 	before, start := processCPUTime(), time.Now()
--- a/internal/planner/fleet_test.go
+++ b/internal/planner/fleet_test.go
@@ -20,7 +20,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// fleet is fake engines, their endpoint file, the settings of a planner of them, and the plans that were published.
+// fleet is a set of fake engines with an endpoint file, the settings of their planner, and the plans that were published.
 type fleet struct {
 	t        *testing.T
 	engines  []*engine.Engine
@@ -46,7 +46,7 @@
 	return f
 }
 
-// startEngines starts fake engines that end with the test, and lists them.
+// startEngines starts fake engines, which stop at the end of the test, and returns them with their endpoint list.
 func startEngines(t testing.TB, prefillEngines, decodeEngines int, engineConfig engine.Config) ([]*engine.Engine, endpoint.List) {
 	t.Helper()
 	var engines []*engine.Engine
@@ -68,7 +68,7 @@
 	return engines, list
 }
 
-// testSettings are the settings of a planner on a free port, of engines of the kinds prefill and decode.
+// testSettings returns the settings of a planner on a free port with the engine kinds prefill and decode.
 func testSettings(store, endpointFile string) *config.Planner {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", store, endpointFile
@@ -77,7 +77,7 @@
 	return settings
 }
 
-// startPlanner starts a planner that ends before the first action for which crash returns true; nil for none.
+// startPlanner starts a planner that ends before the first action for which crash returns true; crash may be nil.
 func (f *fleet) startPlanner(crash func(assignment.Action) bool) *Planner {
 	f.t.Helper()
 	p := New(f.settings, zap.NewNop())
@@ -93,15 +93,15 @@
 	return p
 }
 
-// published are the plans that were published so far.
+// published returns the plans that were published so far.
 func (f *fleet) published() []planapi.Plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.plans)
 }
 
-// awaitStatus waits until ok holds of the planner's status.
-func (f *fleet) awaitStatus(p *Planner, what string, ok func(Status) bool) Status {
+// awaitStatus waits until ok returns true for the planner's status.
+func (f *fleet) awaitStatus(p *Planner, description string, ok func(Status) bool) Status {
 	f.t.Helper()
 	var status Status
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -110,11 +110,11 @@
 			return status
 		}
 	}
-	f.t.Fatalf("never %s; its status is %+v", what, status)
+	f.t.Fatalf("planner is never %s; status %+v", description, status)
 	return status
 }
 
-// getStatus gets a planner's status as operators do.
+// getStatus requests a planner's status over HTTP, as operators do.
 func getStatus(p *Planner) (status Status, err error) {
 	response, err := http.Get("http://" + p.Addr() + planapi.RolesPath)
 	if err != nil {
@@ -125,13 +125,13 @@
 	return status, err
 }
 
-// allServing is whether all engines serve and have sent a report.
+// allServing reports whether all engines serve and have sent a report.
 func allServing(status Status) bool {
 	return len(status.Engines) > 0 && !slices.ContainsFunc(status.Engines,
 		func(e assignment.EngineView) bool { return e.State != assignment.Serving || e.ReportedMsAgo < 0 })
 }
 
-// postOrder sends an operator's order, and returns the planner's answer.
+// postOrder sends an operator's order and returns the planner's response.
 func postOrder(p *Planner, operation, engine string) (status int, text string) {
 	return post(p, planapi.Order{Operation: operation, Engine: engine})
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -23,9 +23,9 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// earlierStore was written by the program as it was at commit 105440a. It is never to be written again: planners of later
-// versions have to open what an earlier one left.
-const earlierStore = "store-105440a.db"
+// earlierStoreFile was written by the planner at commit 105440a. It must never be rewritten: it checks that later versions can
+// open the store of an earlier version.
+const earlierStoreFile = "store-105440a.db"
 
 const storeTerm = 7
 
@@ -40,10 +40,10 @@
 		}}
 }
 
-// copyStore gives a test a copy of the earlier store.
+// copyStore returns the path of a copy of the earlier store.
 func copyStore(t *testing.T) string {
 	t.Helper()
-	data, err := os.ReadFile(filepath.Join("testdata", earlierStore))
+	data, err := os.ReadFile(filepath.Join("testdata", earlierStoreFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	return path
 }
 
-// A store of an earlier version opens as it is: its term, its orders and all engines are there, and nothing is set aside.
+// A store of an earlier version opens with its term, its meta state and all its records, without faults or other files.
 func TestGoldenEarlierStoreOpens(t *testing.T) {
 	path := copyStore(t)
 	store, stored, err := Open(path)
@@ -71,11 +71,11 @@
 	}
 	files, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(files) != 1 {
-		t.Errorf("beside the store: %v %v", files, err)
+		t.Errorf("files in the directory of the store: %v %v", files, err)
 	}
 }
 
-// dumpStore is all that a store's file holds, bucket by bucket, with each value's checksum in hexadecimal digits.
+// dumpStore returns the content of a store's file by bucket, with the checksum of each value in hexadecimal digits.
 func dumpStore(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -89,7 +89,7 @@
 			fmt.Fprintf(&b, "%s\n", bucket)
 			return in.ForEach(func(key, value []byte) error {
 				if len(value) < 8 {
-					return fmt.Errorf("%s: a value of %d bytes", key, len(value))
+					return fmt.Errorf("%s: value of %d bytes is too short", key, len(value))
 				}
 				fmt.Fprintf(&b, "\t%s %x %s\n", key, value[:8], value[8:])
 				return nil
@@ -102,8 +102,8 @@
 	return b.String()
 }
 
-// What is saved now has the bytes that an earlier version wrote, so that one can open it as well.
-func TestGoldenStoreIsWrittenAsBefore(t *testing.T) {
+// A store is written with the same bytes as by an earlier version, so that the earlier version can open it.
+func TestGoldenStoreKeepsEarlierFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "planner.db")
 	store, _, err := Open(path)
 	if err != nil {
@@ -121,13 +121,13 @@
 	got := dumpStore(t, path)
 	golden.Check(t, "store.golden", got)
 	if earlier := dumpStore(t, copyStore(t)); got != earlier {
-		t.Errorf("written now:\n%s\nbefore:\n%s", got, earlier)
+		t.Errorf("current version:\n%s\nearlier version:\n%s", got, earlier)
 	}
 }
 
-// A planner that starts with an earlier store goes on from it: one term later, stopped as it was ordered to be, with each
-// engine's role and epoch, and with the same status for operators.
-func TestGoldenPlannerGoesOnFromEarlierStore(t *testing.T) {
+// A planner that starts with an earlier store continues from it: one term later, with role changes stopped as ordered before,
+// and with the role and epoch of each engine in its status.
+func TestGoldenPlannerContinuesFromEarlierStore(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
 	p := New(settings, zap.NewNop())
@@ -144,19 +144,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var shown struct {
+	var status struct {
 		Term     int64            `json:"term"`
 		Engines  []map[string]any `json:"engines"`
 		Decision struct {
 			Stopped bool `json:"stopped"`
 		} `json:"decision"`
 	}
-	if err := json.Unmarshal(data, &shown); err != nil {
+	if err := json.Unmarshal(data, &status); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "term %d\n", shown.Term)
-	for _, e := range shown.Engines {
+	fmt.Fprintf(&b, "term %d\n", status.Term)
+	for _, e := range status.Engines {
 		fmt.Fprintf(&b, "%v %v of epoch %v, pinned %v\n", e["engine"], e["role"], e["epoch"], e["pinned"])
 	}
 	golden.Check(t, "continued.golden", b.String())
@@ -167,20 +167,20 @@
 	}
 }
 
-// The status has these names and this form; the command line of another version reads it.
+// Checks the JSON format of the status, which command lines of other versions read.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{Term: 8, Number: 42, Deposed: true, SaveFailing: true, FollowingEdges: 3,
 		Engines: []assignment.EngineView{{Record: storeContent().Records[1], Listed: true, CanChange: true,
 			Report: planapi.EngineReport{Engine: "10.0.0.2:8000", Role: "write", Epoch: 4, Term: 7, Incarnation: 6, UptimeMillis: 1500,
 				Changing: true, Draining: true, PrefillTokens: 10.5, DecodeTokens: 20, BusySeconds: 0.25, OpenRequests: 2, Reservations: 1, CachedTokens: 300,
 				HotPrefixes: map[string]float64{"5c0f": 2048, "0a11": 512}},
-			ReportedMsAgo: 120, IneligibleReason: "it drains", Fault: "it said nothing"},
+			ReportedMsAgo: 120, IneligibleReason: "engine is draining", Fault: "trial did not end within 5s"},
 			{Record: storeContent().Records[0], ReportedMsAgo: -1}},
 		Decision: assignment.Decision{At: 1_700_000_000_000_000_000, EdgesReporting: 2, EdgesKnown: 3,
 			RequiredEngines: map[string]float64{"read": 1.5, "write": 2}, ServingEngines: map[string]float64{"read": 1, "write": 3},
 			IncomingEngines: map[string]float64{"read": 1}, Throughput: map[string]float64{"read": 9000, "write": 700},
 			Evaluations: []assignment.Evaluation{{ToRole: "read", Gain: 1.5, ReversalLoss: 0.5, MeanGain: 0.75, RemainingSeconds: 60, Cost: 12, GainingSeconds: 5,
-				Engine: "10.0.0.2:8000", LostTokens: 100, Reason: "it pays", Chosen: true}}, Changing: 1, Stopped: true}}
+				Engine: "10.0.0.2:8000", LostTokens: 100, Reason: "change is worth its cost", Chosen: true}}, Changing: 1, Stopped: true}}
 	data, err := json.MarshalIndent(status, "", " ")
 	if err != nil {
 		t.Fatal(err)
@@ -190,23 +190,23 @@
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
 	}
-	status.Engines[0].Report.Engine = "" // it is not sent
+	status.Engines[0].Report.Engine = "" // the address is not sent
 	if !reflect.DeepEqual(back, status) {
-		t.Error("what was decoded is not what was encoded")
+		t.Error("decoded status differs from the encoded one")
 	}
 }
 
-// A line of the stream that is sent later differs only in how long engines have been up.
+// A line of the stream that is sent later differs only in the engines' uptimes.
 func TestGoldenStreamLine(t *testing.T) {
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
 		`"state":"draining"}]}` + "\n"
-	golden.Check(t, "stream.golden", line+string(withUptimeAdded([]byte(line), 49*time.Millisecond))+
-		string(withUptimeAdded([]byte(line), 1250*time.Millisecond)))
+	golden.Check(t, "stream.golden", line+string(addUptime([]byte(line), 49*time.Millisecond))+
+		string(addUptime([]byte(line), 1250*time.Millisecond)))
 }
 
-// The responses of a planner at each of its paths, to requests as they are sent.
-func TestGoldenAnswers(t *testing.T) {
+// Checks the planner's responses on each of its paths.
+func TestGoldenResponses(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
 	p := New(settings, zap.NewNop())
@@ -251,7 +251,7 @@
 	golden.Check(t, "answers.golden", b.String())
 }
 
-// The planner's metrics by their names, labels and help texts.
+// Checks the names, labels and help texts of the planner's metrics.
 func TestGoldenMetrics(t *testing.T) {
 	m := newMetrics()
 	m.plans.Add(3)
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -13,16 +13,16 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Why an operator's order is answered with a conflict although the order itself is allowed.
+// Errors for which a valid operator's order is answered with a conflict.
 var (
-	ErrDeposed  = errors.New("this planner is deposed")
-	ErrNotSaved = errors.New("it could not be kept, and takes effect once it can")
+	ErrDeposed  = errors.New("planner is deposed by a later term")
+	ErrNotSaved = errors.New("order could not be saved; it takes effect once saving succeeds")
 )
 
-// Status is what a planner shows to operators.
+// Status is the planner's status as sent to operators.
 type Status struct {
 	Term           int64                   `json:"term"`
-	Number         int64                   `json:"number"` // of the newest plan
+	Number         int64                   `json:"number"` // number of the newest plan
 	Deposed        bool                    `json:"deposed"`
 	SaveFailing    bool                    `json:"stuck"`
 	FollowingEdges int                     `json:"edges_following"`
@@ -32,7 +32,7 @@
 
 func (p *Planner) serveStream(w http.ResponseWriter, r *http.Request) { p.stream.serve(p.ctx, w, r) }
 
-// serveEdgeReport takes an edge's report.
+// serveEdgeReport receives an edge's report.
 func (p *Planner) serveEdgeReport(w http.ResponseWriter, r *http.Request) {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -43,19 +43,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.handle(assignment.EdgeReported{Report: report})
+	p.enqueueEvent(assignment.EdgeReported{Report: report})
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveStatus answers with the planner's status.
+// serveStatus responds with the planner's status.
 func (p *Planner) serveStatus(w http.ResponseWriter, r *http.Request) {
-	if status, ok := inEventLoop(p, w, r, p.status); ok {
+	if status, ok := runInEventLoop(p, w, r, p.status); ok {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // the client has gone
+		_ = json.NewEncoder(w).Encode(status) // an error means that the client closed the connection
 	}
 }
 
-// status is the planner's status; the event loop calls it.
+// status returns the planner's status. It must be called in the event loop.
 func (p *Planner) status() Status {
 	number, streams := p.stream.status()
 	return Status{
@@ -69,13 +69,13 @@
 	}
 }
 
-// orderResult is what came of an operator's order.
+// orderResult is the outcome of an operator's order.
 type orderResult struct {
 	text string
 	err  error
 }
 
-// serveOperatorOrder carries out an operator's order and answers with what it does.
+// serveOperatorOrder applies an operator's order and responds with a description of its effect.
 func (p *Planner) serveOperatorOrder(w http.ResponseWriter, r *http.Request) {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -86,7 +86,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	result, ok := inEventLoop(p, w, r, func() orderResult { return p.applyOrder(order) })
+	result, ok := runInEventLoop(p, w, r, func() orderResult { return p.applyOrder(order) })
 	if !ok {
 		return
 	}
@@ -97,14 +97,14 @@
 	fmt.Fprintln(w, result.text)
 }
 
-// applyOrder carries out an operator's order; the event loop calls it.
+// applyOrder applies an operator's order. It must be called in the event loop.
 func (p *Planner) applyOrder(order planapi.Order) orderResult {
 	if p.controller.SteppedDown() {
 		return orderResult{err: ErrDeposed}
 	}
 	text, actions, err := p.controller.ApplyOrder(p.now(), order)
 	if err == nil {
-		p.carryOut(actions)
+		p.executeActions(actions)
 		if p.saver.failing {
 			err = ErrNotSaved
 		}
@@ -115,9 +115,9 @@
 	return orderResult{text: text, err: err}
 }
 
-// inEventLoop runs a function in the event loop and returns its result. It returns false if the client ended the request,
-// or if the planner ended, which it answers itself.
-func inEventLoop[T any](p *Planner, w http.ResponseWriter, r *http.Request, run func() T) (result T, ok bool) {
+// runInEventLoop runs a function in the event loop and returns its result. It returns false if the client closed the request
+// or the planner ended. In the latter case it writes the response.
+func runInEventLoop[T any](p *Planner, w http.ResponseWriter, r *http.Request, run func() T) (result T, ok bool) {
 	results := make(chan T, 1)
 	p.enqueue(func() { results <- run() })
 	select {
@@ -125,12 +125,12 @@
 		return result, true
 	case <-r.Context().Done():
 	case <-p.ctx.Done():
-		http.Error(w, "the planner stops", http.StatusServiceUnavailable)
+		http.Error(w, "planner is stopping", http.StatusServiceUnavailable)
 	}
 	return result, false
 }
 
-// readBody reads a request's body. It returns false if it could not be read, which it answers itself.
+// readBody reads a request's body. It returns false if reading failed, after it has written the response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planapi.MaxReportBytes+1))
 	if err != nil {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -6,7 +6,7 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// metrics are the planner's metrics.
+// metrics holds the planner's metrics.
 type metrics struct {
 	registry      *prometheus.Registry
 	plans         prometheus.Counter
@@ -39,7 +39,7 @@
 	return m
 }
 
-// observe sets the gauges to what the controller knows.
+// observe sets the gauges of engines from the controller's state.
 func (m metrics) observe(c *assignment.Controller) {
 	m.engines.Reset()
 	for group, count := range c.CountEngines() {
--- a/internal/planner/planapi/golden_test.go
+++ b/internal/planner/planapi/golden_test.go
@@ -17,13 +17,13 @@
 	return func(data []byte) (any, error) { return parse(data) }
 }
 
-// Each message has these bytes, with all its fields and with the fewest, and parses as what it was.
+// Checks the encoding of each message, with all its fields set and with the fewest, and that it parses as the same value.
 func TestGoldenMessages(t *testing.T) {
 	plans, engines, edges, roleOrders, orders := parserOf(ParsePlan), parserOf(ParseEngineReport), parserOf(ParseEdgeReport),
 		parserOf(ParseRoleOrder), parserOf(ParseOrder)
 	var b strings.Builder
 	for _, c := range []struct {
-		what  string
+		name  string
 		value any
 		parse parser
 	}{
@@ -50,36 +50,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, "%s\n%s\n", c.what, data)
+		fmt.Fprintf(&b, "%s\n%s\n", c.name, data)
 		if back, err := c.parse(data); err != nil || !reflect.DeepEqual(back, c.value) {
 			again, _ := json.Marshal(back)
-			t.Errorf("%s: %v: %s is parsed as %s", c.what, err, data, again)
+			t.Errorf("%s: %v: %s was parsed as %s", c.name, err, data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", b.String())
 }
 
-// The paths of messages, and the constants that go with them.
+// Checks the paths of the planner and the constants of its messages.
 func TestGoldenPaths(t *testing.T) {
 	golden.Check(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
 		"order " + OrderPath, "role " + RolePath, "trial " + TrialPrefix, "read " + Prefill, "write " + Decode,
 		"ops " + strings.Join(Operations, " "), fmt.Sprintf("most bytes of a plan %d, of a report %d", MaxPlanBytes, MaxReportBytes)}, "\n")+"\n")
 }
 
-// rejection is a message that is rejected, and its parser.
+// rejection is a message that its parser must reject.
 type rejection struct {
 	text  string
 	parse parser
 }
 
-// rejections are the errors of messages, each under the message that it is of.
+// rejections returns each message followed by its error.
 func rejections(t *testing.T, messages []rejection) string {
 	t.Helper()
 	var b strings.Builder
 	for _, m := range messages {
 		_, err := m.parse([]byte(m.text))
 		if err == nil {
-			t.Errorf("%s is accepted", m.text)
+			t.Errorf("accepted: %s", m.text)
 			continue
 		}
 		fmt.Fprintf(&b, "%.120s\n\t%v\n", m.text, err)
@@ -87,8 +87,8 @@
 	return b.String()
 }
 
-// Messages that are rejected, with the texts of their errors.
-func TestGoldenRefusals(t *testing.T) {
+// Checks the error texts of messages with missing or invalid values.
+func TestGoldenRejections(t *testing.T) {
 	golden.Check(t, "refusals.golden", rejections(t, []rejection{
 		{``, parserOf(ParsePlan)}, {`{"term":1,"number":1,"engines":[]`, parserOf(ParsePlan)},
 		{`{"number":1,"engines":[]}`, parserOf(ParsePlan)}, {`{"term":1,"number":1}`, parserOf(ParsePlan)},
@@ -107,7 +107,7 @@
 	}))
 }
 
-// A message with a value of another type is rejected with these texts, which operators and edges are sent.
+// Checks the error texts of messages with values of a wrong type. Operators and edges receive these texts.
 func TestGoldenTypeMismatches(t *testing.T) {
 	golden.Check(t, "type-mismatches.golden", rejections(t, []rejection{
 		{`{"term":"1"}`, parserOf(ParsePlan)}, {`{"engines":[{"engine":1}]}`, parserOf(ParsePlan)},
--- a/internal/planner/planapi/orders.go
+++ b/internal/planner/planapi/orders.go
@@ -1,7 +1,7 @@
 package planapi
 
-// RoleOrder is an order of a planner to an engine. An engine follows the latest term and epoch only. In its present epoch
-// it starts and ends drains; a higher epoch makes it change to the role named.
+// RoleOrder is an order of a planner to an engine. An engine follows only the latest term and epoch. An order of the
+// engine's current epoch starts or ends a drain; one of a higher epoch makes the engine change to the given role.
 type RoleOrder struct {
 	Term  int64  `json:"term"`
 	Epoch int64  `json:"epoch"`
@@ -12,10 +12,10 @@
 // Order is an order of an operator.
 type Order struct {
 	Operation string `json:"op"`               // one of Operations
-	Engine    string `json:"engine,omitempty"` // for operations on one engine
+	Engine    string `json:"engine,omitempty"` // set for operations on one engine
 	Operator  string `json:"who"`
 	Reason    string `json:"why"`
-	DryRun    bool   `json:"dry,omitempty"` // report only what would be done
+	DryRun    bool   `json:"dry,omitempty"` // report what would be done, and change nothing
 }
 
 // Operations of an operator's order.
@@ -23,12 +23,12 @@
 	OperationPin     = "pin"     // an engine keeps its role
 	OperationUnpin   = "unpin"   // an engine's role may change again
 	OperationMove    = "move"    // an engine changes to its other role
-	OperationReadmit = "readmit" // an engine that was set aside serves again
+	OperationReadmit = "readmit" // a quarantined engine serves again
 	OperationStop    = "stop"    // the planner starts no role change by itself
 	OperationGo      = "go"      // the planner starts role changes again
 )
 
-// Operations are all operations.
+// Operations lists all operations.
 var Operations = []string{OperationPin, OperationUnpin, OperationMove, OperationReadmit, OperationStop, OperationGo}
 
 const (
@@ -38,8 +38,8 @@
 	maxReasonBytes    = 1024
 )
 
-// needsEngine is whether an operation is on one engine; known is false if there is no such operation.
-func needsEngine(operation string) (needs, known bool) {
+// operationNeedsEngine reports whether an operation applies to one engine; known is false for an unknown operation.
+func operationNeedsEngine(operation string) (needs, known bool) {
 	switch operation {
 	case OperationPin, OperationUnpin, OperationMove, OperationReadmit:
 		return true, true
@@ -53,7 +53,7 @@
 func ParseRoleOrder(data []byte) (RoleOrder, error) {
 	return parse(MessageOrder, data, maxRoleOrderBytes, func(o RoleOrder) error {
 		if !isRole(o.Role) || o.Epoch < 0 || o.Term < 1 {
-			return invalid("role %q, epoch %d, term %d", o.Role, o.Epoch, o.Term)
+			return newInvalidError("role %q, epoch %d or term %d is not allowed", o.Role, o.Epoch, o.Term)
 		}
 		return nil
 	})
@@ -62,14 +62,14 @@
 // ParseOrder parses and checks an operator's order.
 func ParseOrder(data []byte) (Order, error) {
 	return parse(MessageOrder, data, maxOrderBytes, func(o Order) error {
-		needs, known := needsEngine(o.Operation)
+		needs, known := operationNeedsEngine(o.Operation)
 		switch {
 		case !known:
-			return invalid("op is one of %v, not %q", Operations, o.Operation)
+			return newInvalidError("op must be one of %v, not %q", Operations, o.Operation)
 		case needs != (o.Engine != ""):
-			return invalid("%s with engine %q", o.Operation, o.Engine)
+			return newInvalidError("op %s is not allowed with engine %q", o.Operation, o.Engine)
 		case len(o.Operator) > maxOperatorBytes || len(o.Reason) > maxReasonBytes:
-			return invalid("who has at most %d bytes, why %d", maxOperatorBytes, maxReasonBytes)
+			return newInvalidError("who may have at most %d bytes, and why %d", maxOperatorBytes, maxReasonBytes)
 		}
 		return nil
 	})
--- a/internal/planner/planapi/parse_test.go
+++ b/internal/planner/planapi/parse_test.go
@@ -14,24 +14,24 @@
 		{Engine: "10.0.0.2:80", Kind: "decode", State: "draining"}}}
 }
 
-// A plan that is truncated at any byte is rejected, never taken for a shorter one; complete, it is what was sent.
+// A plan that is truncated at any byte must be rejected, not taken for a shorter plan. A complete plan is accepted.
 func TestTruncatedPlanIsRejected(t *testing.T) {
 	data, _ := json.Marshal(samplePlan())
 	for i := range data {
 		if p, err := ParsePlan(data[:i]); err == nil {
-			t.Errorf("cut at %d it reads as %+v", i, p)
+			t.Errorf("truncated at byte %d, parsed as %+v", i, p)
 		}
 	}
 	if p, err := ParsePlan(append(data, '\n')); err != nil || !reflect.DeepEqual(p, samplePlan()) {
 		t.Errorf("%+v %v", p, err)
 	}
-	// A later version may add fields.
+	// A later version of the planner may add fields.
 	if _, err := ParsePlan([]byte(`{"term":1,"number":1,"engines":[],"leases":{"a":1}}`)); err != nil {
 		t.Error(err)
 	}
 }
 
-// Whatever the bytes, the parsers return, and what they accept is in range.
+// For any input the parsers return without a panic, and the values that they accept are in range.
 func TestParsersReturnOnlyValuesInRange(t *testing.T) {
 	bases := []any{samplePlan(), EngineReport{Role: Prefill, Epoch: 1}, EdgeReport{Edge: "e",
 		Routes: []RouteCount{{Route: "a", Arrived: 1}}},
@@ -56,13 +56,13 @@
 		if p, err := ParsePlan(data); err == nil && (p.Term < 1 || p.Number < 1 || p.Engines == nil) {
 			t.Fatalf("%+v", p)
 		}
-		if r, err := ParseEngineReport(data); err == nil && (!inRange(r.PrefillTokens, r.DecodeTokens, r.BusySeconds, r.CachedTokens) ||
+		if r, err := ParseEngineReport(data); err == nil && (!allInRange(r.PrefillTokens, r.DecodeTokens, r.BusySeconds, r.CachedTokens) ||
 			r.Epoch < 0 || r.OpenRequests < 0) {
 			t.Fatalf("%+v", r)
 		}
 		if r, err := ParseEdgeReport(data); err == nil {
 			for _, x := range r.Routes {
-				if !inRange(x.Arrived, x.PromptTokens, x.Shed) {
+				if !allInRange(x.Arrived, x.PromptTokens, x.Shed) {
 					t.Fatalf("%+v", r)
 				}
 			}
--- a/internal/planner/planapi/plan.go
+++ b/internal/planner/planapi/plan.go
@@ -14,26 +14,26 @@
 	Cell   string  `json:"cell,omitempty"`
 	Weight float64 `json:"weight,omitempty"`
 	State  string  `json:"state"`
-	// Epoch is the epoch of the engine's role: it rejects requests of another one.
+	// Epoch is the epoch of the engine's role. The engine rejects requests of other epochs.
 	Epoch int64 `json:"epoch,omitempty"`
-	// UptimeMillis is how long the engine has been up when the plan is sent, 0 for long. No time of day is sent, as
-	// the clocks of planner and edges may differ.
+	// UptimeMillis is the uptime of the engine when the plan is sent, 0 if long. A start time is not sent, as the
+	// clocks of planner and edges may differ.
 	UptimeMillis int64 `json:"up_for_ms,omitempty"`
 }
 
-// Plan is a complete plan. Of two, the one of the later term counts, then the one of the higher number.
+// Plan is a complete plan. The plan of the latest term applies, and within a term the one with the highest number.
 type Plan struct {
 	Term    int64    `json:"term"`
 	Number  int64    `json:"number"`
 	Engines []Engine `json:"engines"`
 }
 
-// Newer is whether p replaces other.
+// Newer reports whether p replaces other.
 func (p Plan) Newer(other Plan) bool {
 	return p.Term > other.Term || p.Term == other.Term && p.Number > other.Number
 }
 
-// EndpointList is a plan as a router uses it. Now is the router's clock in Unix milliseconds.
+// EndpointList converts the plan to the endpoint list of a router, whose clock is now in Unix milliseconds.
 func (p Plan) EndpointList(now int64) endpoint.List {
 	list := endpoint.List{Revision: p.Number, Entries: []endpoint.Entry{}}
 	for _, engine := range p.Engines {
@@ -58,14 +58,14 @@
 func ParsePlan(data []byte) (Plan, error) {
 	return parse(MessagePlan, data, MaxPlanBytes, func(p Plan) error {
 		if p.Term < 1 || p.Number < 1 || p.Engines == nil {
-			return invalid("it needs a term and a number over 0, and engines")
+			return newInvalidError("term and number must be over 0, and engines must be set")
 		}
 		for i, engine := range p.Engines {
-			if engine.UptimeMillis < 0 || !inRange(engine.Weight) {
-				return invalid("engines[%d]: up_for_ms or weight is out of range", i)
+			if engine.UptimeMillis < 0 || !allInRange(engine.Weight) {
+				return newInvalidError("engines[%d]: up_for_ms or weight is out of range", i)
 			}
 		}
-		// The entries as a router uses them; the time only has to lie after all that they have been up for.
+		// Validates the entries as a router uses them. The time is the highest one, so that every start time is positive.
 		return endpoint.Validate(p.EndpointList(math.MaxInt64).Entries)
 	})
 }
--- a/internal/planner/planclient/client.go
+++ b/internal/planner/planclient/client.go
@@ -1,5 +1,5 @@
 // Package planclient is an edge's client of the planner: it follows the stream of plans and sends the edge's reports. While
-// the planner is away the last plan stays, and the edge goes on by itself.
+// the planner is unavailable, the edge keeps working with the last plan.
 package planclient
 
 import (
@@ -17,7 +17,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Defaults of a client, and its bounds.
+// Defaults and bounds of a client.
 const (
 	defaultReportInterval = time.Second
 	defaultIdleTimeout    = 5 * time.Second
@@ -25,37 +25,37 @@
 	maxReconnectDelay     = time.Second
 	maxIdleConnections    = 2
 	initialLineBuffer     = 64 << 10
-	maxIgnoredBody        = 4096 // of a response that nobody reads
+	maxDiscardedBody      = 4096 // bytes read of an unused response body
 )
 
-// ErrStreamEnded says that the planner ended the stream.
-var ErrStreamEnded = errors.New("the stream ended")
+// ErrStreamEnded reports that the planner ended the stream.
+var ErrStreamEnded = errors.New("stream ended")
 
-// StatusError says that the planner answered with a status that is not 200.
+// StatusError reports that the planner responded with a status other than 200.
 type StatusError struct{ Status string }
 
 // Error returns the status.
-func (e *StatusError) Error() string { return fmt.Sprintf("it answers %s", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %s", e.Status) }
 
-// OldPlanError says that a planner sent a plan that is older than the one that is followed.
+// OldPlanError reports that a planner sent a plan older than the one that the client follows.
 type OldPlanError struct{ Term, Number int64 }
 
 // Error returns the plan's term and number.
 func (e *OldPlanError) Error() string {
-	return fmt.Sprintf("it speaks of term %d number %d, older than what was followed", e.Term, e.Number)
+	return fmt.Sprintf("plan of term %d, number %d is older than the current plan", e.Term, e.Number)
 }
 
-// Client is an endpoint.Source that follows the planner at Addr.
+// Client is an endpoint.Source that follows the planner at the address Addr.
 type Client struct {
 	Addr           string
-	Report         func(ctx context.Context) (planapi.EdgeReport, error) // makes the edge's report; nil to send none
-	ReportInterval time.Duration                                         // 0 for a second
-	IdleTimeout    time.Duration                                         // of a stream without a line; 0 for 5 s
-	Now            func() int64                                          // the edge's clock in Unix milliseconds; nil for the machine's
+	Report         func(ctx context.Context) (planapi.EdgeReport, error) // returns the edge's report; nil to send no reports
+	ReportInterval time.Duration                                         // interval of reports; 0 for one second
+	IdleTimeout    time.Duration                                         // maximum time between lines of the stream; 0 for 5 s
+	Now            func() int64                                          // clock in Unix milliseconds; nil for the system clock
 }
 
-// Run follows the planner until the context ends. It calls onList with each newer plan, and onError if the stream fails in
-// another way than the last time.
+// Run follows the planner until the context ends. It calls onList with each newer plan, and onError with each error that
+// differs from the last one.
 func (c Client) Run(ctx context.Context, onList func(endpoint.List), onError func(error)) {
 	c.setDefaults()
 	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
@@ -68,13 +68,13 @@
 	}
 	lastError := ""
 	for ctx.Err() == nil {
-		err := c.follow(ctx, httpClient, followed, onList)
+		err := c.followStream(ctx, httpClient, followed, onList)
 		if ctx.Err() != nil {
 			return
 		}
 		if err.Error() != lastError {
 			lastError = err.Error()
-			onError(fmt.Errorf("planner %s: %w; the plan before stays", c.Addr, err))
+			onError(fmt.Errorf("planner %s: %w; the previous plan stays in use", c.Addr, err))
 		}
 		select {
 		case <-ctx.Done():
@@ -95,13 +95,13 @@
 	}
 }
 
-// reconnectDelay is random: all edges lose a planner together, and must not come back at once.
+// reconnectDelay returns a random delay: all edges lose the planner at the same time and must not reconnect at once.
 func reconnectDelay() time.Duration {
 	return minReconnectDelay + time.Duration(rand.Int64N(int64(maxReconnectDelay-minReconnectDelay)))
 }
 
-// follow follows one stream until it ends, and returns why it ended.
-func (c Client) follow(ctx context.Context, httpClient *http.Client, followed *followedPlan,
+// followStream follows one stream until it ends, and returns why it ended.
+func (c Client) followStream(ctx context.Context, httpClient *http.Client, followed *followedPlan,
 	onList func(endpoint.List)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -133,8 +133,8 @@
 	return ErrStreamEnded
 }
 
-// handleLine handles one line of the stream: a plan, or an empty line as a heartbeat. A line that was cut short is an error,
-// too: the complete plan comes again with the next stream.
+// handleLine handles one line of the stream: a plan, or an empty line as a heartbeat. A truncated line is an error, too: the
+// next stream starts with the complete plan.
 func (c Client) handleLine(line []byte, followed *followedPlan, onList func(endpoint.List)) error {
 	if len(bytes.TrimSpace(line)) == 0 {
 		return nil
@@ -153,15 +153,15 @@
 	return nil
 }
 
-// followedPlan is the newest plan, over all streams.
+// followedPlan is the newest plan of all streams so far.
 type followedPlan struct {
-	startTimes startTimes // used by the goroutine that follows the stream
+	startTimes startTimes // owned by the goroutine that follows the stream
 
 	mu   sync.Mutex
 	plan planapi.Plan
 }
 
-// replace takes a plan if it is newer than the one that is followed. One that is older is an error.
+// replace adopts a plan if it is newer than the current one. An older plan is an error.
 func (f *followedPlan) replace(plan planapi.Plan) (newer bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +175,7 @@
 	return true, nil
 }
 
-// current is the term and the number of the plan that is followed.
+// current returns the term and the number of the current plan.
 func (f *followedPlan) current() (term, number int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -16,15 +16,15 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// sampleStream is a stream of plans. Between two plans stand an empty line and a plan of the same number, and the second one
-// has a field that is not known.
+// sampleStream is a stream of plans. Between two plans it has an empty line and a plan with the number of the first one. The
+// second plan has an unknown field.
 const sampleStream = `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 	`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode","state":"draining"}]}` +
 	"\n\n" + `{"term":8,"number":42,"engines":[]}` + "\n" +
 	`{"term":9,"number":1,"later":true,"engines":[{"engine":"10.0.0.2:8000","kind":"prefill","state":"ready","epoch":4}]}` + "\n"
 
-// fakePlanner serves sampleStream. It hands over the first request for it, and the first report of an edge that follows
-// term 9.
+// fakePlanner serves sampleStream. It returns channels with the first request for the stream and the first report of an edge
+// that follows term 9.
 func fakePlanner(t *testing.T) (address string, requested, posted <-chan string) {
 	requests, reports := make(chan string, 1), make(chan string, 1)
 	handOver := func(to chan<- string, text string) {
@@ -55,8 +55,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), requests, reports
 }
 
-// A client follows a planner's stream and sends its edge's reports: what it requests, the lists that it makes of lines with
-// these bytes, and what it posts.
+// Checks a client that follows a planner's stream and sends its edge's reports: its requests, the endpoint lists that it
+// makes of the stream's lines, and the reports that it posts.
 func TestGoldenEdgeAndPlanner(t *testing.T) {
 	address, requested, posted := fakePlanner(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,6 +87,6 @@
 	client.Wait()
 	golden.Check(t, "edge.golden", b.String())
 	if len(lists) > 0 {
-		t.Errorf("%d more lists were handed over", len(lists))
+		t.Errorf("%d more lists than expected", len(lists))
 	}
 }
--- a/internal/planner/planclient/report.go
+++ b/internal/planner/planclient/report.go
@@ -11,7 +11,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// sendReports sends the edge's reports until the context ends or no report can be made.
+// sendReports sends the edge's reports until the context ends or Report fails.
 func (c Client) sendReports(ctx context.Context, httpClient *http.Client, followed *followedPlan) {
 	tick := time.NewTicker(c.ReportInterval)
 	defer tick.Stop()
@@ -30,7 +30,7 @@
 	}
 }
 
-// sendReport sends one report. One that is lost is not sent again: the next one has all counts.
+// sendReport sends one report. A lost report is not sent again: counts are cumulative, so the next report includes it.
 func (c Client) sendReport(ctx context.Context, httpClient *http.Client, report planapi.EdgeReport) {
 	data, err := json.Marshal(report)
 	if err != nil {
@@ -47,6 +47,6 @@
 		return
 	}
 	defer response.Body.Close()
-	// The connection can be used again once the body is read; if that fails, it is not.
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
+	// The connection can be reused only after the body was read, so errors need no handling here.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBody))
 }
--- a/internal/planner/planclient/start_times.go
+++ b/internal/planner/planclient/start_times.go
@@ -2,15 +2,15 @@
 
 import "sandcourse/internal/endpoint"
 
-// startTimeTolerance is by how much two estimates of one start may differ, in milliseconds. A plan has how long an engine
-// had been up when the planner last polled it; the age of that and the time to the edge add to the estimate.
+// startTimeTolerance is the maximum difference of two estimates of one start, in milliseconds. A plan contains the uptime at
+// the planner's last poll; the age of that value and the delay until the edge receives it add to the estimate.
 const startTimeTolerance = 2000
 
-// startTimes are the engines' start times as they were first estimated. Without them each plan would move the start times a
-// little, and a start time that has become later stands for an engine that was restarted and has an empty cache.
+// startTimes holds the first estimate of each engine's start time. Without it, start times would vary a little with each
+// plan, and the router takes a later start time for a restart, after which the engine's cache is empty.
 type startTimes map[string]int64
 
-// stabilize puts the first estimate in place of a later one of the same start, and forgets engines that are not listed.
+// stabilize replaces later estimates of the same start by the first one, and drops engines that are not listed.
 func (s *startTimes) stabilize(list *endpoint.List) {
 	next := startTimes{}
 	for i := range list.Entries {
--- a/internal/planner/planclient/start_times_test.go
+++ b/internal/planner/planclient/start_times_test.go
@@ -6,8 +6,8 @@
 	"sandcourse/internal/endpoint"
 )
 
-// A plan has how long an engine had been up when the planner last polled it. Late plans and old figures must not look like a
-// restart of the engine, as its router then forgets what the engine has cached; a restart must.
+// A plan contains an engine's uptime at the planner's last poll. Late plans and old uptimes must not look like a restart of
+// the engine, as the router then drops its record of the engine's cache. A real restart must be detected.
 func TestStartTimesAreStable(t *testing.T) {
 	s := startTimes{}
 	estimate := func(upSince int64) int64 {
@@ -18,13 +18,13 @@
 	first := estimate(100_000)
 	for _, late := range []int64{100_001, 100_050, 99_990, 101_500} {
 		if got := estimate(late); got != first {
-			t.Errorf("an engine that came up at %d comes up at %d by a later plan, %d ms late", first, got, late-first)
+			t.Errorf("start time changed from %d to %d with a plan that is %d ms late", first, got, late-first)
 		}
 	}
 	if got := estimate(130_000); got != 130_000 {
-		t.Errorf("an engine that started anew at 130000 is taken to have started at %d", got)
+		t.Errorf("start time of an engine restarted at 130000 is %d", got)
 	}
 	if got := estimate(0); got != 0 {
-		t.Errorf("an engine that came up long ago is taken to have started at %d", got)
+		t.Errorf("start time of an engine that started long ago is %d, not 0", got)
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner is the planner on sockets. It polls engines, takes reports of edges, hands both to package assignment,
-// and carries out what that decides: it saves records before anything that follows from them, sends role orders to engines
-// and streams plans to edges. It decides nothing itself.
+// Package planner is the server around package assignment, which makes all decisions. It polls engines, receives reports of
+// edges, passes both to package assignment, and executes the resulting actions: it saves records before anything that
+// depends on them, sends role orders to engines and streams plans to edges.
 package planner
 
 import (
@@ -21,13 +21,13 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Planner is one running planner. Its event loop owns the controller and the saver; other parts guard themselves.
+// Planner is a planner process. Its event loop owns the controller and the saver; other parts are safe for concurrent use.
 type Planner struct {
-	settings *config.Planner
-	log      *zap.Logger
-	store    *Store
-	term     int64
-	started  time.Time
+	settings  *config.Planner
+	log       *zap.Logger
+	store     *Store
+	term      int64
+	startedAt time.Time
 
 	events     chan func()
 	controller *assignment.Controller
@@ -43,36 +43,36 @@
 	cancel     context.CancelFunc
 	tasks      sync.WaitGroup
 
-	// OnPublish, if set before Start, is called with each plan before edges can have it.
+	// OnPublish, if set before Start, is called with each plan before it is sent to edges.
 	OnPublish func(planapi.Plan)
-	// CrashBefore, if set before Start, is called before each action; true ends the planner there, as a kill would.
+	// CrashBefore, if set before Start, is called before each action; if it returns true, the planner ends as if killed.
 	CrashBefore func(assignment.Action) bool
 }
 
-// Bounds of the planner's event loop and of its connections.
+// Limits of the planner's event loop and its connections.
 const (
-	eventQueueLength       = 4096
-	tickInterval           = 100 * time.Millisecond
-	engineRequestTimeout   = time.Second
-	maxConnectionsToEngine = 4
-	maxIdleToEngine        = 2
-	engineIdleTimeout      = time.Minute
-	headerTimeout          = 5 * time.Second
-	maxHeaderBytes         = 16 << 10
-	maxIgnoredBody         = 4096 // of a response that nobody reads
+	eventQueueLength           = 4096
+	tickInterval               = 100 * time.Millisecond
+	engineRequestTimeout       = time.Second
+	maxConnectionsToEngine     = 4
+	maxIdleConnectionsToEngine = 2
+	engineIdleTimeout          = time.Minute
+	headerTimeout              = 5 * time.Second
+	maxHeaderBytes             = 16 << 10
+	maxDiscardedBody           = 4096 // bytes read of an unused response body
 )
 
-// New makes a planner; Start runs it.
+// New returns a planner that is not started yet.
 func New(settings *config.Planner, log *zap.Logger) *Planner {
 	p := &Planner{
-		settings: settings,
-		log:      log,
-		started:  time.Now(),
-		events:   make(chan func(), eventQueueLength),
-		metrics:  newMetrics(),
-		kinds:    map[string]config.EngineKind{},
+		settings:  settings,
+		log:       log,
+		startedAt: time.Now(),
+		events:    make(chan func(), eventQueueLength),
+		metrics:   newMetrics(),
+		kinds:     map[string]config.EngineKind{},
 		client: &http.Client{Timeout: engineRequestTimeout, Transport: &http.Transport{
-			MaxIdleConnsPerHost: maxIdleToEngine,
+			MaxIdleConnsPerHost: maxIdleConnectionsToEngine,
 			MaxConnsPerHost:     maxConnectionsToEngine,
 			IdleConnTimeout:     engineIdleTimeout,
 		}},
@@ -81,28 +81,28 @@
 		p.kinds[kind.Name] = kind
 	}
 	p.stream = newPlanStream(p.metrics.streams)
-	p.poller = &poller{client: p.client, now: p.now, deliver: p.handle}
+	p.poller = &poller{client: p.client, now: p.now, deliverEvent: p.enqueueEvent}
 	return p
 }
 
-// now is Unix nanoseconds that never go back while the planner runs.
-func (p *Planner) now() int64 { return p.started.UnixNano() + int64(time.Since(p.started)) }
+// now returns the time in Unix nanoseconds. It never decreases while the planner runs.
+func (p *Planner) now() int64 { return p.startedAt.UnixNano() + int64(time.Since(p.startedAt)) }
 
-// serve answers edges, engines and operators until Stop closes the server.
-func (p *Planner) serve() {
+// serveHTTP serves edges and operators until Stop closes the server.
+func (p *Planner) serveHTTP() {
 	if err := p.server.Serve(p.listener); !errors.Is(err, http.ErrServerClosed) {
 		p.log.Error("server failed", zap.Error(err))
 	}
 }
 
-// Start opens the store, takes a new term, and runs until Stop.
+// Start opens the store, starts a new term, and runs the planner until Stop.
 func (p *Planner) Start() error {
 	store, stored, err := openWithRetry(p.settings.Store, p.log)
 	if err != nil {
 		return err
 	}
 	for _, fault := range stored.Faults {
-		p.log.Error("stored record not readable", zap.Error(fault))
+		p.log.Error("damage found in the store", zap.Error(fault))
 	}
 	p.store, p.saver = store, newRecordSaver(store, p.log)
 	p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -118,7 +118,7 @@
 	}
 	p.controller = assignment.New(p.settings.Assignment, p.term, p.now(), stored.Records, stored.Meta)
 	p.server = &http.Server{Handler: p.routes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
-	p.tasks.Go(p.serve)
+	p.tasks.Go(p.serveHTTP)
 	p.tasks.Go(p.run)
 	p.tasks.Go(func() { p.poller.run(p.ctx) })
 	p.tasks.Go(p.watchEndpointFile)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// routes are the planner's paths.
+// routes returns the handlers of the planner's paths.
 func (p *Planner) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+planapi.StreamPath, p.serveStream)
@@ -138,10 +138,10 @@
 	return mux
 }
 
-// Addr is the address that the planner listens on.
+// Addr returns the address that the planner listens on.
 func (p *Planner) Addr() string { return p.listener.Addr().String() }
 
-// Stop ends the planner. The next one on its store goes on with role changes that are not complete.
+// Stop ends the planner. The next planner on the same store continues role changes that are not complete.
 func (p *Planner) Stop() {
 	p.cancel()
 	p.server.Close()
@@ -150,10 +150,10 @@
 	p.client.CloseIdleConnections()
 }
 
-// Done is closed when the planner ends.
+// Done returns a channel that is closed when the planner ends.
 func (p *Planner) Done() <-chan struct{} { return p.ctx.Done() }
 
-// enqueue lets the event loop run something.
+// enqueue adds a function to the queue of the event loop.
 func (p *Planner) enqueue(event func()) {
 	select {
 	case p.events <- event:
@@ -161,8 +161,8 @@
 	}
 }
 
-// handle lets the event loop handle an event.
-func (p *Planner) handle(event assignment.Event) { p.enqueue(func() { p.step(event) }) }
+// enqueueEvent adds a controller event to the queue of the event loop.
+func (p *Planner) enqueueEvent(event assignment.Event) { p.enqueue(func() { p.step(event) }) }
 
 // run is the event loop: the one goroutine that owns the controller and the saver.
 func (p *Planner) run() {
@@ -175,7 +175,7 @@
 		case event := <-p.events:
 			event()
 		case <-tick.C:
-			if p.saver.retry() {
+			if p.saver.retryFailed() {
 				p.publish(p.controller.Plan())
 			}
 			p.step(assignment.Tick{})
@@ -184,11 +184,11 @@
 	}
 }
 
-func (p *Planner) step(event assignment.Event) { p.carryOut(p.controller.Step(p.now(), event)) }
+func (p *Planner) step(event assignment.Event) { p.executeActions(p.controller.Step(p.now(), event)) }
 
-// carryOut carries out what the controller decided, in order. What was not saved must not be followed by what depends on
-// it: until a save succeeds nothing is sent or published. The controller sends orders again anyway.
-func (p *Planner) carryOut(actions []assignment.Action) {
+// executeActions executes the controller's actions in order. While saving fails, nothing is sent or published, as it would
+// depend on records that are not saved. Orders are not lost by that: the controller sends them again.
+func (p *Planner) executeActions(actions []assignment.Action) {
 	for _, action := range actions {
 		if p.ctx.Err() != nil {
 			return
@@ -197,12 +197,12 @@
 			p.cancel()
 			return
 		}
-		p.carryOutOne(action)
+		p.executeAction(action)
 	}
 	p.poller.setTargets(p.controller.ReportTargets())
 }
 
-func (p *Planner) carryOutOne(action assignment.Action) {
+func (p *Planner) executeAction(action assignment.Action) {
 	switch action := action.(type) {
 	case assignment.Persist:
 		if p.saver.save(action) {
@@ -218,7 +218,7 @@
 		}
 	case assignment.StartTrial:
 		if !p.saver.failing {
-			p.tasks.Go(func() { p.handle(p.trialResult(action)) })
+			p.tasks.Go(func() { p.enqueueEvent(p.runTrial(action)) })
 		}
 	case assignment.EngineQuarantined:
 		p.log.Warn("engine quarantined", zap.String("engine", action.Engine), zap.String("fault", action.Fault),
@@ -226,7 +226,7 @@
 	case assignment.DrainTimedOut:
 		p.log.Warn("drain timed out", zap.String("engine", action.Engine), zap.Duration("timeout", action.Timeout))
 	case assignment.LaterTermFollowed:
-		p.log.Warn("engine follows a later planner", zap.String("engine", action.Engine),
+		p.log.Warn("engine follows a planner with a later term", zap.String("engine", action.Engine),
 			zap.Int64("term", action.Term), zap.Int64("own_term", action.OwnTerm))
 	case assignment.StepDown:
 		p.log.Error("planner deposed", zap.Int64("by_term", action.Term))
@@ -234,11 +234,11 @@
 	}
 }
 
-// publish makes a plan the newest one of the stream.
+// publish makes a plan the newest plan of the stream.
 func (p *Planner) publish(plan planapi.Plan) {
 	line, err := json.Marshal(plan)
 	if err != nil {
-		p.log.Error("plan not encoded", zap.Error(err))
+		p.log.Error("encoding the plan failed", zap.Error(err))
 		return
 	}
 	if p.OnPublish != nil {
@@ -248,7 +248,7 @@
 	p.metrics.plans.Inc()
 }
 
-// watchEndpointFile hands each version of the endpoint file to the controller.
+// watchEndpointFile passes each version of the endpoint file to the controller.
 func (p *Planner) watchEndpointFile() {
 	handleList := func(list endpoint.List) {
 		p.enqueue(func() { p.step(assignment.EnginesListed{Engines: p.listedEngines(list)}) })
@@ -257,12 +257,12 @@
 	endpoint.FileSource{Path: p.settings.EndpointFile}.Run(p.ctx, handleList, reportFault)
 }
 
-// listedEngines are the engines of an endpoint list as the controller knows them.
+// listedEngines converts an endpoint list to the controller's engines.
 func (p *Planner) listedEngines(list endpoint.List) (engines []assignment.ListedEngine) {
 	for _, entry := range list.Entries {
 		kind, known := p.kinds[entry.Kind]
 		if !known || kind.Role == config.RoleBoth {
-			p.log.Warn("engine of a kind without a single role ignored", zap.String("engine", entry.ID),
+			p.log.Warn("ignoring engine whose kind has no single role", zap.String("engine", entry.ID),
 				zap.String("kind", entry.Kind))
 			continue
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -18,7 +18,7 @@
 	"sandcourse/internal/planner/planclient"
 )
 
-// An operator's order that can't be carried out is rejected with its reason; a dry run changes nothing.
+// An operator's order that cannot be applied is rejected with a reason, and a dry run changes nothing.
 func TestOperatorOrdersAreRejectedWithReason(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	p := f.startPlanner(nil)
@@ -29,7 +29,7 @@
 		want              string
 	}{
 		{planapi.OperationMove, f.engines[0].Addr(), "must stay"},
-		{planapi.OperationMove, "127.0.0.1:1", "no such engine"},
+		{planapi.OperationMove, "127.0.0.1:1", "no such engine is listed"},
 		{planapi.OperationReadmit, f.engines[1].Addr(), "not aside"},
 		{planapi.OperationGo, "", "already"},
 		{"fly", "", "one of"},
@@ -46,34 +46,34 @@
 		t.Error(status, text)
 	}
 	dryRun := planapi.Order{Operation: planapi.OperationMove, Engine: f.engines[2].Addr(), DryRun: true}
-	if status, text := post(p, dryRun); status != http.StatusOK || !strings.Contains(text, "leaves") {
+	if status, text := post(p, dryRun); status != http.StatusOK || !strings.Contains(text, "changes from") {
 		t.Error(status, text)
 	}
 	if f.engines[2].Epoch() != 1 {
-		t.Error("a dry run changed something")
+		t.Error("dry run changed the epoch of the engine")
 	}
 }
 
-// A second planner on the same store does not start. One with a store of its own starts only if it may take over, and then
-// the engines fence off the first one.
-func TestSecondPlannerIsFenced(t *testing.T) {
+// Two planners must not control the same engines. A second planner on the same store does not start. A planner with a store of
+// its own starts only with TakeOver set, and then the engines fence off the first planner.
+func TestOnlyOnePlannerControlsEngines(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	first := f.startPlanner(nil)
 	defer first.Stop()
 	f.awaitStatus(first, "ready", allServing)
-	// By an order engines learn the planner's term.
+	// Engines receive the planner's term with an order.
 	postOrder(first, planapi.OperationMove, f.engines[0].Addr())
 	f.awaitStatus(first, "moved", func(status Status) bool {
 		return allServing(status) && f.engines[0].Role() == planapi.Decode
 	})
 	if err := New(f.settings, zap.NewNop()).Start(); !errors.Is(err, ErrStoreInUse) {
-		t.Errorf("on the same store: %v", err)
+		t.Errorf("second planner on the same store: %v", err)
 	}
 	settings := *f.settings
 	settings.Store = filepath.Join(t.TempDir(), "other.db")
 	var followed *FollowedPlannerError
 	if err := New(&settings, zap.NewNop()).Start(); !errors.As(err, &followed) || !strings.Contains(err.Error(), "--take-over") {
-		t.Errorf("with a new store: %v", err)
+		t.Errorf("second planner with a new store: %v", err)
 	}
 	settings.TakeOver = true
 	second := New(&settings, zap.NewNop())
@@ -87,12 +87,12 @@
 	}
 	f.awaitStatus(first, "deposed", func(status Status) bool { return status.Deposed })
 	if status, text := postOrder(first, planapi.OperationMove, f.engines[1].Addr()); status < 400 {
-		t.Errorf("a deposed planner accepts orders: %s", text)
+		t.Errorf("deposed planner accepted an order: %s", text)
 	}
 }
 
-// While nothing can be saved, no order is sent and no plan published; once it can, the planner goes on.
-func TestNothingIsSentBeforeItIsSaved(t *testing.T) {
+// While saving fails, no order is sent and no plan is published. Once saving succeeds, the planner continues.
+func TestNoOrderOrPlanIsSentBeforeSave(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	p := f.startPlanner(nil)
 	defer p.Stop()
@@ -109,20 +109,20 @@
 		}
 	})
 	if status, text := postOrder(p, planapi.OperationMove, f.engines[0].Addr()); status < 400 ||
-		!strings.Contains(text, "could not be kept") {
+		!strings.Contains(text, "could not be saved") {
 		t.Error(status, text)
 	}
-	f.awaitStatus(p, "failing to save", func(status Status) bool { return status.SaveFailing })
+	f.awaitStatus(p, "in state SaveFailing", func(status Status) bool { return status.SaveFailing })
 	if more := len(f.published()) - before; more != 0 {
-		t.Errorf("%d plans were published while nothing could be saved", more)
+		t.Errorf("%d plans were published while saving failed", more)
 	}
 	diskFull.Store(false)
-	f.awaitStatus(p, "going on", func(status Status) bool {
+	f.awaitStatus(p, "continuing", func(status Status) bool {
 		return !status.SaveFailing && allServing(status) && f.engines[0].Role() == planapi.Decode
 	})
 }
 
-// An edge's client follows over restarts of the planner, and never goes back to an older plan.
+// An edge's client follows the planner across restarts, and never replaces a plan by an older one.
 func TestClientKeepsPlanWhilePlannerIsDown(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	first := f.startPlanner(nil)
@@ -141,7 +141,7 @@
 		t.Errorf("%+v", earlier)
 	}
 	first.Stop()
-	if err := <-faults; !strings.Contains(err.Error(), "the plan before stays") {
+	if err := <-faults; !strings.Contains(err.Error(), "the previous plan stays in use") {
 		t.Error(err)
 	}
 	second := f.startPlanner(nil)
--- a/internal/planner/poller.go
+++ b/internal/planner/poller.go
@@ -13,32 +13,32 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// Bounds of polling.
+// Limits and intervals of polling.
 const (
 	pollWorkers          = 16
 	pollInterval         = time.Second
-	changingPollInterval = 100 * time.Millisecond // of an engine that changes its role
-	pollParts            = int(pollInterval / changingPollInterval)
+	changingPollInterval = 100 * time.Millisecond // interval for engines that change their roles
+	ticksPerPollInterval = int(pollInterval / changingPollInterval)
 )
 
-// StatusError says that an engine answered with a status that is not 200.
+// StatusError reports that an engine responded with a status other than 200.
 type StatusError struct{ Status string }
 
 // Error returns the status.
 func (e *StatusError) Error() string { return e.Status }
 
-// poller polls all engines for their reports, those that change their role more often.
+// poller polls all engines for their reports, and more often those that change their roles.
 type poller struct {
-	client  *http.Client
-	now     func() int64
-	deliver func(assignment.Event)
+	client       *http.Client
+	now          func() int64
+	deliverEvent func(assignment.Event)
 
 	mu       sync.Mutex
 	engines  []string
 	changing []string
 }
 
-// setTargets sets which engines are polled, and which of them often.
+// setTargets sets which engines are polled, and which of them are polled at the shorter interval.
 func (p *poller) setTargets(engines, changing []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	engines := make(chan string)
 	var workers sync.WaitGroup
 	for range pollWorkers {
-		workers.Go(func() { p.work(ctx, engines) })
+		workers.Go(func() { p.pollEngines(ctx, engines) })
 	}
 	defer workers.Wait()
 	defer close(engines)
@@ -62,7 +62,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, engine := range p.due(n) {
+		for _, engine := range p.dueEngines(n) {
 			select {
 			case engines <- engine:
 			case <-ctx.Done():
@@ -72,13 +72,13 @@
 	}
 }
 
-// due are the engines to poll at a tick: those that change their role and a tenth of all others, for an even load.
-func (p *poller) due(tick int) []string {
+// dueEngines returns the engines to poll at a tick: all that change their roles and a tenth of the others, for an even load.
+func (p *poller) dueEngines(tick int) []string {
 	p.mu.Lock()
 	engines, changing := p.engines, p.changing
 	p.mu.Unlock()
 	due := slices.Clone(changing)
-	for i := tick % pollParts; i < len(engines); i += pollParts {
+	for i := tick % ticksPerPollInterval; i < len(engines); i += ticksPerPollInterval {
 		if !slices.Contains(changing, engines[i]) {
 			due = append(due, engines[i])
 		}
@@ -86,18 +86,18 @@
 	return due
 }
 
-// work polls engines and delivers their reports. A failed poll is not reported: the controller sees that the last report
-// is old.
-func (p *poller) work(ctx context.Context, engines <-chan string) {
+// pollEngines polls engines and delivers their reports. A failed poll is not delivered: the controller detects engines whose
+// last report is old.
+func (p *poller) pollEngines(ctx context.Context, engines <-chan string) {
 	for engine := range engines {
 		requestedAt := p.now()
 		if report, err := p.poll(ctx, engine); err == nil {
-			p.deliver(assignment.EngineReported{RequestedAt: requestedAt, Report: report})
+			p.deliverEvent(assignment.EngineReported{RequestedAt: requestedAt, Report: report})
 		}
 	}
 }
 
-// poll gets one engine's report.
+// poll requests one engine's report.
 func (p *poller) poll(ctx context.Context, engine string) (planapi.EngineReport, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+engine+engineapi.LoadPath, nil)
 	if err != nil {
--- a/internal/planner/role_change_test.go
+++ b/internal/planner/role_change_test.go
@@ -13,18 +13,18 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// minRoleChangeActions is the least number of actions that a role change has.
+// minRoleChangeActions is the minimum number of actions of a role change.
 const minRoleChangeActions = 7
 
-// The planner is killed before each action of a role change in turn. The next one on its store must complete the change, and
-// its records and the engines must agree.
-func TestCrashBeforeEachEffectOfARoleChange(t *testing.T) {
+// A role change must survive a crash of the planner at any point. The planner is killed before each action of a role change in
+// turn; the next planner on its store must complete the change, and its records must agree with the engines.
+func TestCrashBeforeEachActionOfRoleChange(t *testing.T) {
 	for k := 1; ; k++ {
 		f := newFleet(t, 2, 2)
 		killedBefore, killed := moveAndKill(f, k)
 		if !killed {
 			if k <= minRoleChangeActions {
-				t.Fatalf("a role change has %d actions only", k-1)
+				t.Fatalf("role change has only %d actions", k-1)
 			}
 			return
 		}
@@ -33,7 +33,7 @@
 		for _, view := range status.Engines {
 			i := slices.IndexFunc(f.engines, func(e *engine.Engine) bool { return e.Addr() == view.Engine })
 			if e := f.engines[i]; e.Role() != view.Role || e.Epoch() != view.Epoch {
-				t.Errorf("killed before %s: %s is %s of epoch %d, recorded as %s of %d", killedBefore, view.Engine, e.Role(),
+				t.Errorf("killed before %s: %s has role %s in epoch %d, recorded as %s in %d", killedBefore, view.Engine, e.Role(),
 					e.Epoch(), view.Role, view.Epoch)
 			}
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// moveAndKill lets a planner move the first engine and kills it before the k-th action of that. It returns false if the move
-// was complete before.
+// moveAndKill orders a planner to move the first engine, and kills the planner before the k-th action of the move. It returns
+// false if the move completes with fewer actions.
 func moveAndKill(f *fleet, k int) (before string, killed bool) {
 	var mu sync.Mutex
 	moving, count, killedBefore := false, 0, ""
@@ -89,9 +89,9 @@
 	}
 }
 
-// An engine that claims a role without having it, or does not come back, is quarantined and never listed in its new role.
-func TestEnginesThatFailTheirChangeAreSetAside(t *testing.T) {
-	for name, faults := range map[string]engine.Faults{"claims a role": {FalseRole: true}, "never back": {RoleChangeHangs: true}} {
+// An engine that falsely reports its new role, or never completes the change, is quarantined and not published in that role.
+func TestEnginesThatFailRoleChangeAreQuarantined(t *testing.T) {
+	for name, faults := range map[string]engine.Faults{"false role": {FalseRole: true}, "never completes": {RoleChangeHangs: true}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 2)
 			p := f.startPlanner(nil)
@@ -111,14 +111,14 @@
 				if slices.ContainsFunc(plan.Engines, func(e planapi.Engine) bool {
 					return e.Engine == faulty.Addr() && e.Kind == "decode"
 				}) {
-					t.Errorf("plan %d lists it as a decode engine", plan.Number)
+					t.Errorf("plan %d lists the engine as a decode engine", plan.Number)
 				}
 			}
-			// Mended, it comes back by itself after its cooldown, in the role that it had.
+			// Without faults, the engine returns to its previous role after the cooldown, without an operator's order.
 			faulty.SetFaults(engine.Faults{})
-			f.awaitStatus(p, "back", allServing)
+			f.awaitStatus(p, "serving again", allServing)
 			if faulty.Role() != planapi.Prefill {
-				t.Errorf("it came back as %s", faulty.Role())
+				t.Errorf("engine returned as %s", faulty.Role())
 			}
 		})
 	}
--- a/internal/planner/role_order.go
+++ b/internal/planner/role_order.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// sendRoleOrder sends an order to an engine. Whether it took effect shows in the engine's reports.
+// sendRoleOrder sends an order to an engine. Its effect is visible in the engine's reports.
 func (p *Planner) sendRoleOrder(action assignment.SendRoleOrder) {
 	data, err := json.Marshal(action.Order)
 	if err != nil {
@@ -29,8 +29,8 @@
 		return
 	}
 	defer response.Body.Close()
-	// The connection can be used again once the body is read; if that fails, it is not.
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBody))
+	// The connection can be reused only after the body was read, so errors need no handling here.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBody))
 	p.log.Info("role order sent", zap.String("engine", action.Engine), zap.String("role", action.Order.Role),
 		zap.Int64("epoch", action.Order.Epoch), zap.Bool("drain", action.Order.Drain),
 		zap.Int("status", response.StatusCode))
--- a/internal/planner/saver.go
+++ b/internal/planner/saver.go
@@ -6,8 +6,8 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// recordSaver saves what the controller wants saved. If a save fails, it keeps what was not saved and adds it to the next
-// one. It is not safe for concurrent use.
+// recordSaver executes Persist actions. If a save fails, its records are included in the next save. It is not safe for
+// concurrent use.
 type recordSaver struct {
 	store   *Store
 	log     *zap.Logger
@@ -20,8 +20,8 @@
 	return &recordSaver{store: store, log: log, unsaved: map[string]assignment.Record{}}
 }
 
-// save saves records and meta, and all records that were not saved before. It returns true if it is the first save that
-// succeeds after one that failed.
+// save saves records and meta, and all records of failed saves before it. It returns true if it is the first save that
+// succeeds after a failed one.
 func (s *recordSaver) save(changes assignment.Persist) (recovered bool) {
 	for _, record := range changes.Records {
 		s.unsaved[record.Engine] = record
@@ -46,7 +46,7 @@
 	return recovered
 }
 
-// retry saves again what a failed save left. Its result is that of save.
-func (s *recordSaver) retry() (recovered bool) {
+// retryFailed repeats a failed save. It returns the result of save, or false if no save has failed.
+func (s *recordSaver) retryFailed() (recovered bool) {
 	return s.failing && s.save(assignment.Persist{Meta: s.meta})
 }
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -15,12 +15,12 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// Store is the planner's durable store: its term, its orders, and the state of each engine's role change. A transaction is
-// complete or not there. Each value has a checksum of its own as well, against what a disk does to it later.
+// Store is the planner's durable store: its term, its meta state, and the record of each engine. Transactions are atomic. In
+// addition, each value has its own checksum to detect later corruption on disk.
 type Store struct {
 	path     string
 	db       *bbolt.DB
-	failSave func() error // set by tests, to fail as a full disk does
+	failSave func() error // set by tests to simulate a full disk
 }
 
 // Buckets and keys of the store's file.
@@ -31,50 +31,50 @@
 	termKey       = []byte("term")
 )
 
-// StoredState is what a store held when it was opened.
+// StoredState is the content of a store when it was opened.
 type StoredState struct {
 	Term    int64
 	Meta    assignment.Meta
 	Records []assignment.Record
-	Faults  []error // what could not be read and was left out
+	Faults  []error // damage found; damaged records are left out
 }
 
-// openTimeout is how long the lock of a store's file is waited for.
+// openTimeout is how long opening a store waits for the lock of its file.
 const openTimeout = time.Second
 
-// A disk may be full or fail for a while: opening the store is tried again for so long before the planner's start fails.
+// A disk may be full or fail temporarily: opening the store is retried for storeOpenTimeout before the planner's start fails.
 const (
 	storeOpenTimeout       = 30 * time.Second
 	storeOpenRetryInterval = 200 * time.Millisecond
 )
 
-// ErrStoreInUse says that another planner has the store open.
-var ErrStoreInUse = errors.New("another planner has it open")
+// ErrStoreInUse reports that another planner has the store open.
+var ErrStoreInUse = errors.New("file is locked by another planner")
 
-// DamagedError says that reading or writing a store's file faulted.
+// DamagedError reports a panic or memory fault on access to a store's file.
 type DamagedError struct {
 	Path  string
-	Fault any // what the access panicked with
+	Fault any // value that the access panicked with
 }
 
 // Error returns the store and the fault.
 func (e *DamagedError) Error() string { return fmt.Sprintf("store %s is damaged: %v", e.Path, e.Fault) }
 
-// ReplacedError says that a damaged store was replaced by an empty one.
+// ReplacedError reports that a damaged store was replaced by an empty one.
 type ReplacedError struct {
-	SetAside string // where the damaged file is
-	Err      error
+	RenamedTo string // path of the damaged file
+	Err       error
 }
 
-// Error returns the damage and where the damaged file is.
+// Error returns the damage and the path of the damaged file.
 func (e *ReplacedError) Error() string {
-	return fmt.Sprintf("%v; set aside as %s and replaced by an empty store", e.Err, e.SetAside)
+	return fmt.Sprintf("%v; file renamed to %s and replaced by an empty store", e.Err, e.RenamedTo)
 }
 
 // Unwrap returns the damage.
 func (e *ReplacedError) Unwrap() error { return e.Err }
 
-// RecordError says that the record of one engine is damaged.
+// RecordError reports that the record of one engine is damaged.
 type RecordError struct {
 	Path, Engine string
 	Err          error
@@ -88,12 +88,12 @@
 // Unwrap returns the damage.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// openWithRetry opens a store, and tries again for a while if the disk or the machine fails.
+// openWithRetry opens a store, and retries system errors until storeOpenTimeout.
 func openWithRetry(path string, log *zap.Logger) (*Store, StoredState, error) {
-	end := time.Now().Add(storeOpenTimeout)
+	deadline := time.Now().Add(storeOpenTimeout)
 	for {
 		store, stored, err := Open(path)
-		if err == nil || !retryable(err) || time.Now().After(end) {
+		if err == nil || !isRetryable(err) || time.Now().After(deadline) {
 			return store, stored, err
 		}
 		log.Warn("store open failed, retrying", zap.Error(err))
@@ -101,21 +101,20 @@
 	}
 }
 
-// retryable is whether a store may be opened later. What is not there or not permitted stays so.
-func retryable(err error) bool {
+// isRetryable reports whether opening a store may succeed later. Missing files and permissions do not appear by waiting.
+func isRetryable(err error) bool {
 	return isSystemError(err) && !errors.Is(err, os.ErrPermission) && !errors.Is(err, os.ErrNotExist)
 }
 
-// isSystemError is whether an error is that of a system call, as on a full or failing disk, or without free descriptors. It
-// says nothing about the content of the file.
+// isSystemError reports whether an error is that of a system call, such as on a full or failing disk, or for lack of file
+// descriptors. Such an error does not indicate that the content of the file is damaged.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// Open opens the store at path, or creates it. A file that is damaged as a whole is set aside under another name, and an
-// empty one takes its place: engines are asked for their roles then. If the disk or the machine fails, the file stays as it
-// is and the error is returned.
+// Open opens the store at path, or creates it. A file that is damaged as a whole is renamed and replaced by an empty store;
+// roles are then taken from the engines' reports. After a system error, the file is left as it is and the error is returned.
 func Open(path string) (*Store, StoredState, error) {
 	s := &Store{path: path}
 	stored, err := s.open()
@@ -128,20 +127,20 @@
 	if errors.Is(err, ErrStoreInUse) || isSystemError(err) {
 		return s, stored, err
 	}
-	aside := fmt.Sprintf("%s.damaged-%d", path, time.Now().Unix())
-	if renameErr := os.Rename(path, aside); renameErr != nil {
+	renamedPath := fmt.Sprintf("%s.damaged-%d", path, time.Now().Unix())
+	if renameErr := os.Rename(path, renamedPath); renameErr != nil {
 		return s, stored, errors.Join(err, renameErr)
 	}
-	replaced := &ReplacedError{SetAside: aside, Err: err}
+	replaced := &ReplacedError{RenamedTo: renamedPath, Err: err}
 	stored, err = s.open()
 	stored.Faults = append(stored.Faults, replaced)
 	return s, stored, err
 }
 
-// open opens the file and reads it.
+// open opens the file and reads its content.
 func (s *Store) open() (stored StoredState, err error) {
-	// bbolt reads its pages from mapped memory as they are: a damaged one ends in a panic, or a fault. Its
-	// locks are not released then, so what it opened is left as it is.
+	// bbolt reads pages from mapped memory without checks, so a damaged page causes a panic or a memory fault. bbolt does
+	// not release its locks then, so the database is left open, as closing it could block.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -158,7 +157,7 @@
 	return stored, nil
 }
 
-// openFile opens the file, and creates it if it is not there.
+// openFile opens the file, and creates it if it does not exist.
 func (s *Store) openFile() error {
 	if err := createStore(s.path); err != nil {
 		return err
@@ -176,7 +175,8 @@
 	return createBuckets(db)
 }
 
-// read reads all that the store holds. A damaged record is left out; without its term a planner must not go on.
+// read reads the content of the store. Damaged records are left out; a damaged term or meta value is an error, as a planner
+// must not continue without its term.
 func (s *Store) read(tx *bbolt.Tx, stored *StoredState) error {
 	meta := tx.Bucket(metaBucket)
 	if err := readValue(meta, termKey, &stored.Term); err != nil {
@@ -196,7 +196,7 @@
 	})
 }
 
-// readValue reads the value of a key, if there is one.
+// readValue reads the value of a key. It leaves target unchanged if the key does not exist.
 func readValue(bucket *bbolt.Bucket, key []byte, target any) error {
 	data := bucket.Get(key)
 	if data == nil {
@@ -213,7 +213,7 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return putValue(tx, metaBucket, termKey, term) })
 }
 
-// Save saves records and meta together. They are on disk when it returns.
+// Save saves records and meta in one transaction, which is on disk when Save returns.
 func (s *Store) Save(changes assignment.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -247,5 +247,5 @@
 	return tx.Bucket(bucket).Put(key, data)
 }
 
-// Close closes the store. Another planner can open it then.
+// Close closes the store, so that another planner can open it.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -14,8 +14,8 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// withFullDisk runs something while no file of this process may grow or be written, as on a full disk.
-func withFullDisk(t *testing.T, run func()) {
+// runWithFullDisk calls run while this process cannot write to files, as on a full disk.
+func runWithFullDisk(t *testing.T, run func()) {
 	t.Helper()
 	signal.Ignore(syscall.SIGXFSZ)
 	var before unix.Rlimit
@@ -33,7 +33,7 @@
 	run()
 }
 
-// otherFiles are the files beside a store.
+// otherFiles returns the names of the other files in the directory of a store.
 func otherFiles(t *testing.T, path string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Dir(path))
@@ -48,8 +48,8 @@
 	return names
 }
 
-// A planner that starts while its disk is full, or can't be read, has not lost its store: it must not create an empty one, as a
-// planner that forgets its term sends orders that look old, or new ones under an old term.
+// A planner that starts while its disk is full or not readable must not replace its store by an empty one. Without its term, a
+// planner sends orders that engines reject as old, or new orders under an old term.
 func TestStoreIsKeptWhenOpenedOnFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, _, err := Open(path)
@@ -60,9 +60,9 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	withFullDisk(t, func() {
+	runWithFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
-			s.Close() // nothing had to be written: that is fine, too
+			s.Close() // opening needs no write, so it may succeed
 		}
 	})
 	s, stored, err := Open(path)
@@ -71,16 +71,16 @@
 	}
 	defer s.Close()
 	if stored.Term != 7 || len(stored.Faults) > 0 || len(otherFiles(t, path)) > 0 {
-		t.Errorf("term %d, faults %q, beside the store lie %q; want term 7 and nothing else", stored.Term, stored.Faults, otherFiles(t, path))
+		t.Errorf("term %d, faults %q, other files %q; want term 7 and no other file", stored.Term, stored.Faults, otherFiles(t, path))
 	}
 }
 
-// A start that failed on a full disk leaves nothing that the next start takes for a damaged store.
+// A start that fails on a full disk must not leave a file that the next start takes for a damaged store.
 func TestFailedStoreCreationLeavesNoFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
-	withFullDisk(t, func() {
+	runWithFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
-			t.Error("a store was created without a write")
+			t.Error("store was created on a full disk")
 			s.Close()
 		}
 	})
@@ -90,11 +90,11 @@
 	}
 	defer s.Close()
 	if len(stored.Faults) > 0 || len(otherFiles(t, path)) > 0 {
-		t.Errorf("faults %q, beside the store lie %q", stored.Faults, otherFiles(t, path))
+		t.Errorf("faults %q, other files %q", stored.Faults, otherFiles(t, path))
 	}
 }
 
-// Whatever happens to a store's bytes, Open returns an error, or a store that holds only what was saved.
+// For any damage to the file, Open returns an error, or a store that contains only saved values.
 func TestDamagedStoreIsDetected(t *testing.T) {
 	directory := t.TempDir()
 	saved := assignment.Record{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: assignment.Ordered, NextRole: "write",
@@ -117,12 +117,12 @@
 		os.WriteFile(path, damage(t, data), 0o600)
 		store, stored, err := Open(path)
 		if err != nil {
-			return // reported, and nothing is invented
+			return // the damage was detected
 		}
 		defer store.Close()
 		if stored.Term != 0 && stored.Term != storeTerm || len(stored.Records) > 1 ||
 			len(stored.Records) == 1 && stored.Records[0] != saved {
-			t.Fatalf("invented: %+v", stored)
+			t.Fatalf("store contains values that were not saved: %+v", stored)
 		}
 	})
 }
--- a/internal/planner/storefile.go
+++ b/internal/planner/storefile.go
@@ -11,42 +11,42 @@
 	"go.etcd.io/bbolt"
 )
 
-// newStoreSuffix ends the name under which a new store is made. It gets its own name once it is complete.
+// newStoreSuffix is the suffix of a new store's file until the file is complete.
 const newStoreSuffix = ".new"
 
-// checksumBytes is the length of the checksum before each value.
+// checksumBytes is the length of the checksum that precedes each value.
 const checksumBytes = 8
 
-// The layout of a bbolt file, as far as checkFileSize reads it: two pages, each with a header and a meta record.
+// Parts of the layout of a bbolt file that checkFileSize reads: the file begins with two pages, each with a header and a meta
+// record.
 const (
-	boltMagic       = 0xED0CDAED
-	boltHeaderBytes = 16
-	boltMetaBytes   = 64
-	boltPageSizeAt  = 8  // in the meta record
-	boltPageCountAt = 40 // in the meta record
-	maxBoltPages    = 1 << 32
-	maxBoltPageSize = 1 << 20
+	boltMagic           = 0xED0CDAED
+	boltHeaderBytes     = 16
+	boltMetaBytes       = 64
+	boltPageSizeOffset  = 8  // byte offset in the meta record
+	boltPageCountOffset = 40 // byte offset in the meta record
+	maxBoltPages        = 1 << 32
+	maxBoltPageSize     = 1 << 20
 )
 
-// Why a store's content is not usable.
+// Reasons why the content of a store is not usable.
 var (
-	ErrEmptyStore = errors.New("it is empty")
-	ErrChecksum   = errors.New("its checksum does not fit")
+	ErrEmptyStore = errors.New("file is empty")
+	ErrChecksum   = errors.New("checksum does not match")
 )
 
-// TruncatedError says that a store's file is shorter than its newest page table says.
+// TruncatedError reports that a store's file is shorter than its meta record states.
 type TruncatedError struct {
 	Bytes           int64
 	Pages, PageSize uint64
 }
 
-// Error returns the file's size and what was written to it.
+// Error returns the size of the file and the expected pages.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("it has %d bytes, and %d pages of %d are written of", e.Bytes, e.Pages, e.PageSize)
+	return fmt.Sprintf("file has %d bytes, but its meta record lists %d pages of %d bytes", e.Bytes, e.Pages, e.PageSize)
 }
 
-// createStore creates an empty store if there is none. A start that fails before it is complete leaves nothing under the
-// store's name.
+// createStore creates an empty store if there is none at path. If creation fails, no file is left at path.
 func createStore(path string) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -64,7 +64,7 @@
 		return err
 	}
 	defer os.Remove(newPath)
-	// A link, and not a rename: another planner may have made the store meanwhile, and have it open.
+	// A link is used and not a rename, which would replace a store that another planner has created and opened meanwhile.
 	if err := os.Link(newPath, path); !errors.Is(err, os.ErrExist) {
 		return err
 	}
@@ -82,8 +82,8 @@
 	})
 }
 
-// checkFileSize checks that a store's file is as long as its newest page table says; a shorter one would fault when it is
-// read.
+// checkFileSize checks that a store's file is at least as long as its meta records state. Reading a shorter file would cause
+// a memory fault.
 func checkFileSize(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// readPageTable returns how many pages are written, and their size, by the two meta records; 0 where neither can be read.
+// readPageTable returns the number and the size of the written pages by the two meta records, or 0 if neither can be read.
 func readPageTable(f *os.File) (pages, pageSize uint64) {
 	for _, offset := range []int64{0, int64(os.Getpagesize())} {
 		page := make([]byte, boltHeaderBytes+boltMetaBytes)
@@ -115,14 +115,14 @@
 		}
 		meta := page[boltHeaderBytes:]
 		if binary.NativeEndian.Uint32(meta) == boltMagic {
-			pageSize = uint64(binary.NativeEndian.Uint32(meta[boltPageSizeAt:]))
-			pages = max(pages, binary.NativeEndian.Uint64(meta[boltPageCountAt:]))
+			pageSize = uint64(binary.NativeEndian.Uint32(meta[boltPageSizeOffset:]))
+			pages = max(pages, binary.NativeEndian.Uint64(meta[boltPageCountOffset:]))
 		}
 	}
 	return pages, pageSize
 }
 
-// encodeWithChecksum is a value as it is stored: a checksum and its JSON.
+// encodeWithChecksum returns the stored form of a value: a checksum followed by JSON.
 func encodeWithChecksum(value any) ([]byte, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(data)), data...), nil
 }
 
-// decodeWithChecksum reads what encodeWithChecksum has made.
+// decodeWithChecksum decodes the result of encodeWithChecksum.
 func decodeWithChecksum(data []byte, target any) error {
 	if len(data) < checksumBytes || binary.BigEndian.Uint64(data) != xxhash.Sum64(data[checksumBytes:]) {
 		return ErrChecksum
--- a/internal/planner/stream.go
+++ b/internal/planner/stream.go
@@ -12,15 +12,15 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Bounds of a stream of plans.
+// Limits of plan streams.
 const (
 	maxStreams         = 5000
-	heartbeatInterval  = time.Second // a stream without a new plan has an empty line at least this often
+	heartbeatInterval  = time.Second // interval of empty lines on a stream without a new plan
 	streamWriteTimeout = 5 * time.Second
-	minAge             = 50 * time.Millisecond // a plan that is younger is sent as it was made
+	minAgeToAdd        = 50 * time.Millisecond // uptimes of a younger plan are sent unchanged
 )
 
-// planStream holds the newest plan and sends it to the edges that follow it.
+// planStream holds the newest plan and sends it to all edges that follow the planner.
 type planStream struct {
 	following prometheus.Gauge
 
@@ -30,7 +30,7 @@
 	streams int
 }
 
-// encodedPlan is a plan as a line of the stream.
+// encodedPlan is a plan encoded as a line of the stream.
 type encodedPlan struct {
 	line   []byte // nil if there is no plan
 	number int64
@@ -41,7 +41,7 @@
 	return &planStream{following: following, changed: make(chan struct{})}
 }
 
-// publish makes a line the newest plan.
+// publish sets the newest plan.
 func (s *planStream) publish(line []byte, number int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	s.notify()
 }
 
-// close takes the plan away: streams that had one end.
+// close removes the plan. Streams on which a plan was sent end.
 func (s *planStream) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,15 +69,15 @@
 	return s.newest, s.changed
 }
 
-// status is the number of the newest plan and how many edges follow.
+// status returns the number of the newest plan and the number of streams.
 func (s *planStream) status() (number int64, streams int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest.number, s.streams
 }
 
-// join counts a stream, unless there are as many as may be.
-func (s *planStream) join() bool {
+// addStream counts a new stream. It returns false if the limit of streams is reached.
+func (s *planStream) addStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.streams >= maxStreams {
@@ -88,20 +88,20 @@
 	return true
 }
 
-func (s *planStream) leave() {
+func (s *planStream) removeStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams--
 	s.following.Dec()
 }
 
-// serve sends plans to one edge until it ends the request, or the planner ends or was deposed.
+// serve sends plans to one edge until the edge closes the request, or the planner ends or is deposed.
 func (s *planStream) serve(planner context.Context, w http.ResponseWriter, r *http.Request) {
-	if !s.join() {
-		http.Error(w, "as many edges follow as may", http.StatusServiceUnavailable)
+	if !s.addStream() {
+		http.Error(w, "too many edges follow the planner", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
+	defer s.removeStream()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	heartbeats := time.NewTicker(heartbeatInterval)
 	defer heartbeats.Stop()
@@ -109,9 +109,9 @@
 	for {
 		plan, changed := s.current()
 		if plan.line == nil && sent > 0 {
-			return // deposed
+			return // the planner was deposed
 		}
-		// A slow edge gets the newest plan when it has taken the one before: there is no queue.
+		// Plans are not queued: a slow edge gets the newest plan after it has received the previous one.
 		if err := writeNext(w, plan, sent); err != nil {
 			return
 		}
@@ -129,11 +129,11 @@
 	}
 }
 
-// writeNext writes a plan, or a heartbeat if there is none or it is the one of the number that was sent.
+// writeNext writes a plan, or a heartbeat if there is no plan or its number was sent already.
 func writeNext(w http.ResponseWriter, plan encodedPlan, sent int64) error {
 	line := []byte("\n")
 	if plan.line != nil && plan.number != sent {
-		line = withUptimeAdded(plan.line, time.Since(plan.madeAt))
+		line = addUptime(plan.line, time.Since(plan.madeAt))
 	}
 	connection := http.NewResponseController(w)
 	if err := connection.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
@@ -145,9 +145,9 @@
 	return connection.Flush()
 }
 
-// withUptimeAdded is a plan as it reads some time after it was made: engines have been up for longer.
-func withUptimeAdded(line []byte, age time.Duration) []byte {
-	if age < minAge {
+// addUptime adds the age of an encoded plan to the uptimes of its engines.
+func addUptime(line []byte, age time.Duration) []byte {
+	if age < minAgeToAdd {
 		return line
 	}
 	var plan planapi.Plan
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// trialBody is a client's request with a prompt of one word.
+	// trialBody is a chat request with a prompt of one word.
 	trialBody             = `{"model":"trial","max_tokens":1,"messages":[{"role":"user","content":"a"}]}`
 	trialDialInterval     = 50 * time.Millisecond
 	maxTrialResponseBytes = 1 << 16
 )
 
-// TrialError says that an engine did not answer a trial as an engine of its role does.
+// TrialError reports that an engine's response to a trial does not match its role.
 type TrialError struct {
 	Role      string
-	Status    string // HTTP status of its response
-	Rejection string // its reason, if it gave one
+	Status    string // HTTP status of the response
+	Rejection string // rejection reason of the response, if any
 }
 
-// Error returns what was asked and how the engine answered.
+// Error returns the kind of trial and the engine's response.
 func (e *TrialError) Error() string {
-	asked := "asked to read"
+	trial := "prefill trial"
 	if e.Role == planapi.Decode {
-		asked = "asked to write from a state that is not there"
+		trial = "decode trial of a missing reservation"
 	}
-	return fmt.Sprintf("%s, it answers %s %s", asked, e.Status, e.Rejection)
+	return fmt.Sprintf("%s: unexpected response %s %s", trial, e.Status, e.Rejection)
 }
 
-// trialResult runs a trial and returns its result as an event.
-func (p *Planner) trialResult(trial assignment.StartTrial) assignment.TrialEnded {
+// runTrial runs a trial and returns the event of its outcome.
+func (p *Planner) runTrial(trial assignment.StartTrial) assignment.TrialEnded {
 	result := assignment.TrialEnded{Engine: trial.Engine, Number: trial.Number}
-	if err := p.runTrial(trial); err != nil {
+	if err := p.verifyRole(trial); err != nil {
 		result.Reason = err.Error()
 	} else {
 		result.OK = true
@@ -50,10 +50,10 @@
 	return result
 }
 
-// runTrial sends an engine a small request under its new epoch, through the protocol that edges use. A prefill engine
-// answers a prompt of one word with a reservation. A decode engine is asked to go on from a reservation that does not
-// exist, and rejects that with a reason which only an engine that decodes gives.
-func (p *Planner) runTrial(trial assignment.StartTrial) error {
+// verifyRole sends an engine a small request under its new epoch, through the protocol that edges use. A prefill engine must
+// respond to a prompt of one word with a reservation. A decode engine is sent a reservation that does not exist, and must
+// reject it with a reason that only a decode engine gives.
+func (p *Planner) verifyRole(trial assignment.StartTrial) error {
 	ctx, cancel := context.WithTimeout(p.ctx, p.settings.Assignment.TrialTimeout)
 	defer cancel()
 	requestID := fmt.Sprintf("%s%d-%d", planapi.TrialPrefix, p.term, trial.Number)
@@ -82,12 +82,12 @@
 	if err := checkPrefillResponse(response); err != nil {
 		return err
 	}
-	// If the release is lost, the engine drops the reservation at its own limit.
+	// If the release is lost, the reservation expires at the engine.
 	_, _ = connection.Write(engineapi.Release(trial.Engine, requestID, 0))
 	return nil
 }
 
-// trialRequest is the request of a trial, as it is sent.
+// trialRequest returns the encoded request of a trial.
 func trialRequest(trial assignment.StartTrial, requestID string) ([]byte, error) {
 	chatRequest, err := chat.ParseRequest([]byte(trialBody), nil)
 	if err != nil {
@@ -106,8 +106,8 @@
 		Engine: requestID + "/none", Host: host, Port: portNumber})
 }
 
-// dialUntilDone connects to an engine. It tries again until the context ends: an engine that has just come back may not
-// listen yet.
+// dialUntilDone connects to an engine, and retries until the context ends: an engine that has just restarted may not listen
+// yet.
 func dialUntilDone(ctx context.Context, engine string) (net.Conn, error) {
 	for {
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", engine)
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkDecodeResponse checks that an engine knows that the reservation does not exist.
+// checkDecodeResponse checks that an engine rejected the request because the reservation does not exist.
 func checkDecodeResponse(response *http.Response) error {
 	rejection := response.Header.Get(engineapi.HeaderRejected)
 	if rejection != engineapi.RejectedNoReservation {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// checkPrefillResponse checks that an engine has answered with a reservation.
+// checkPrefillResponse checks that an engine responded with a reservation.
 func checkPrefillResponse(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxTrialResponseBytes))
 	if err != nil {
