--- a/cmd/sandcourse-plan/golden_test.go
+++ b/cmd/sandcourse-plan/golden_test.go
@@ -9,8 +9,8 @@
 	"sandcourse/internal/golden"
 )
 
-// A script's faults are printed, and the exit status is 2; it is 0 for a script without faults that is only checked, and 1 for
-// other errors.
+// Checks the output and the exit status for settings scripts: 2 with the faults of an invalid script, 0 if a valid script is only
+// checked, and 1 for other errors.
 func TestGoldenCheckExits(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "sandcourse-plan")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -1,5 +1,5 @@
-// Command sandcourse-plan is the planner: it watches the reports of engines and edges, changes the roles of engines between
-// prefill and decode, and streams plans to edges.
+// Command sandcourse-plan is the planner: it evaluates the load reports of engines and edges, changes the roles of engines
+// between prefill and decode, and streams plans to edges.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	exitInvalidSettings = 2
 )
 
-// options are the command line.
+// options holds the flags of the command line.
 type options struct {
 	settings string
 	takeOver bool
@@ -40,7 +40,7 @@
 	}
 }
 
-// command is the command line with its flags.
+// command returns the root command with its flags.
 func command(signals process.Signals) *cobra.Command {
 	var o options
 	c := &cobra.Command{
@@ -51,16 +51,16 @@
 		SilenceErrors: true,
 		RunE:          func(*cobra.Command, []string) error { return run(o, signals) },
 	}
-	c.Flags().StringVar(&o.settings, "settings", "", "the planner's script")
-	c.Flags().BoolVar(&o.takeOver, "take-over", false, "begin a new store though engines follow another planner, which is fenced off")
-	c.Flags().BoolVar(&o.check, "check", false, "check the script and end")
+	c.Flags().StringVar(&o.settings, "settings", "", "the planner's settings script")
+	c.Flags().BoolVar(&o.takeOver, "take-over", false, "start with a new store although engines follow another planner, and fence that planner off")
+	c.Flags().BoolVar(&o.check, "check", false, "check the script and exit")
 	if err := c.MarkFlagRequired("settings"); err != nil {
-		panic(err) // no such flag
+		panic(err) // the flag is not defined
 	}
 	return c
 }
 
-// run runs a planner until a signal stops it, or only checks its settings.
+// run runs a planner until a signal stops it. With the check flag it only checks the settings.
 func run(o options, signals process.Signals) error {
 	settings, err := config.LoadPlanner(o.settings)
 	if err != nil || o.check {
--- a/cmd/sandcourse-plan/signals_test.go
+++ b/cmd/sandcourse-plan/signals_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// startPlanner builds the planner and starts it with the sample script on a free port.
+// startPlanner builds the planner and starts it on a free port with the sample script, with its output written to log.
 func startPlanner(t *testing.T, log *os.File) (command *exec.Cmd, address string) {
 	t.Helper()
 	directory := t.TempDir()
@@ -33,7 +33,7 @@
 	address = reserved.Addr().String()
 	reserved.Close()
 	if !bytes.Contains(script, []byte(listen)) {
-		t.Fatalf("the sample script does not listen on %s", listen)
+		t.Fatalf("sample script does not listen on %s", listen)
 	}
 	file := filepath.Join(directory, "planner.star")
 	if err := os.WriteFile(file, bytes.Replace(script, []byte(listen), []byte(address), 1), 0o600); err != nil {
@@ -51,12 +51,12 @@
 			return command, address
 		}
 		if time.Now().After(end) {
-			t.Fatal("the planner does not serve within 10 s")
+			t.Fatal("planner does not respond within 10 s")
 		}
 	}
 }
 
-// The reader of the planner's log ends, its terminal hangs up, and it logs: it goes on until SIGTERM.
+// A planner whose log has lost its reader and whose terminal hangs up must keep running, and logging, until SIGTERM.
 func TestPlannerOutlivesItsLog(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -68,16 +68,16 @@
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(500 * time.Millisecond) // it looks for its endpoint file, which is not there, and logs that
+	time.Sleep(500 * time.Millisecond) // the planner logs meanwhile that its endpoint file does not exist
 	response, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
-		t.Fatalf("the planner has ended: %v", err)
+		t.Fatalf("planner has exited: %v", err)
 	}
 	response.Body.Close()
 	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := command.Wait(); err != nil && !strings.Contains(err.Error(), "already") {
-		t.Errorf("at SIGTERM the planner ends with %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
--- a/internal/fluidmodel/fleet.go
+++ b/internal/fluidmodel/fleet.go
@@ -15,28 +15,28 @@
 	startTime = int64(1_000_000) * int64(time.Second)
 	// rngStream separates this model's random numbers from others with the same seed.
 	rngStream = 11
-	// warmUpStartShare is the part of its throughput that an engine has at the start of its warm-up.
+	// warmUpStartShare is the share of its throughput that an engine has at the start of its warm-up.
 	warmUpStartShare = 0.25
 )
 
 type engineModel struct {
 	name           string
-	role           string // that it serves in
-	reportedRole   string // that it serves in or loads for
+	role           string // role in which the engine serves
+	reportedRole   string // role in which the engine serves, or which it loads
 	epoch, term    int64
 	cell           string
 	loading        bool
 	draining       bool
-	phaseEndsAt    time.Duration // when it has loaded, or its requests in flight have ended
-	servingSince   time.Duration // in its role; -1 for long ago
+	phaseEndsAt    time.Duration // when loading completes, or the requests in flight have ended
+	servingSince   time.Duration // start of service in the role; -1 for long ago
 	prefillTokens  float64
 	decodeTokens   float64
 	busySeconds    float64
 	canChange      bool
-	silent         bool // it reports only while it changes
+	silent         bool // the engine reports only while it changes its role
 	reportsFalsely bool
-	removed        bool   // drained for good
-	nextRole       string // of the threshold baseline
+	removed        bool   // drained permanently
+	nextRole       string // used by the threshold baseline only
 }
 
 // fleet is the state of a simulation.
@@ -48,14 +48,14 @@
 	now                   time.Duration
 	engines               []*engineModel
 	listed                []assignment.ListedEngine // the endpoint list
-	plan                  map[string]planapi.Engine // that edges follow, by engine
+	plan                  map[string]planapi.Engine // plan that edges follow, by engine
 	planner               *plannerModel             // nil unless the strategy is Adaptive
-	counts                []planapi.RouteCount      // of all edges together
+	counts                []planapi.RouteCount      // sum over all edges
 	prefillBacklog        float64                   // tokens
 	decodeBacklog         float64                   // tokens
-	decodePerPrefillToken float64                   // answer tokens that follow a prompt token of the backlog
-	changes               int                       // engines that came to another role
-	lostEngineSeconds     float64                   // out of service for changes
+	decodePerPrefillToken float64                   // answer tokens per prompt token of the backlog
+	changes               int                       // engines that changed to another role
+	lostEngineSeconds     float64                   // engine time out of service for role changes
 }
 
 func newFleet(scenario Scenario, strategy Strategy) *fleet {
@@ -69,7 +69,7 @@
 	}
 	if strategy == Adaptive {
 		f.planner = newPlannerModel(f)
-		f.planner.handle(assignment.EnginesListed{Engines: f.listed})
+		f.planner.handleEvent(assignment.EnginesListed{Engines: f.listed})
 	}
 	return f
 }
@@ -85,7 +85,7 @@
 	engine.silent = f.rng.Float64() < f.scenario.MissingReports
 	engine.reportsFalsely = f.rng.Float64() < f.scenario.FalseReports
 	f.engines = append(f.engines, engine)
-	// The kind of an engine has the name of its role.
+	// Engine kinds have the names of roles.
 	kinds := map[string]string{engine.role: engine.role}
 	if engine.canChange {
 		kinds = map[string]string{planapi.Prefill: planapi.Prefill, planapi.Decode: planapi.Decode}
@@ -95,13 +95,13 @@
 	f.publish(engine)
 }
 
-// publish puts an engine into the plan as it is.
+// publish adds an engine to the plan in its current role and epoch.
 func (f *fleet) publish(engine *engineModel) {
 	f.plan[engine.name] = planapi.Engine{Engine: engine.name, Kind: engine.role, State: endpoint.Ready,
 		Epoch: engine.epoch}
 }
 
-func (f *fleet) clock() int64 { return startTime + int64(f.now) }
+func (f *fleet) clockNanos() int64 { return startTime + int64(f.now) }
 
 // step simulates one time step.
 func (f *fleet) step() valueTotals {
@@ -110,7 +110,7 @@
 		f.removePrefillEngines()
 	}
 	if f.planner != nil {
-		f.planner.deliverDue()
+		f.planner.deliverDueEvents()
 	}
 	value := f.admitArrivals()
 	f.processBacklog(planapi.Prefill)
@@ -125,7 +125,7 @@
 	return value
 }
 
-// removePrefillEngines drains all prefill engines but one for good.
+// removePrefillEngines permanently drains all prefill engines but one.
 func (f *fleet) removePrefillEngines() {
 	kept := false
 	for i, engine := range f.engines {
@@ -140,12 +140,12 @@
 		f.listed[i].Ready = false
 	}
 	if f.planner != nil {
-		f.planner.handle(assignment.EnginesListed{Engines: f.listed})
+		f.planner.handleEvent(assignment.EnginesListed{Engines: f.listed})
 	}
 }
 
-// capacityShare is the part of its throughput that an engine has for a role. Edges send by their plan, and the
-// engine accepts only requests of its epoch.
+// capacityShare returns the share of an engine's throughput that is available for a role. Edges send requests by their
+// plan, and engines accept only requests of their epoch.
 func (f *fleet) capacityShare(engine *engineModel, role string) float64 {
 	if engine.removed || engine.loading || engine.draining || engine.role != role {
 		return 0
@@ -184,7 +184,7 @@
 	return count
 }
 
-// processBacklog lets the engines of a role do their work of a time step.
+// processBacklog simulates the work of the engines of a role in one time step.
 func (f *fleet) processBacklog(role string) {
 	prefill, capacity := role == planapi.Prefill, f.capacity(role)
 	throughput, backlog := decodeThroughput, &f.decodeBacklog
@@ -211,7 +211,7 @@
 	}
 }
 
-// finishLoading puts engines that have loaded into service in their new role.
+// finishLoading puts engines that have finished loading into service in their new role.
 func (f *fleet) finishLoading() {
 	for _, engine := range f.engines {
 		if engine.loading || engine.draining {
--- a/internal/fluidmodel/fluidmodel_test.go
+++ b/internal/fluidmodel/fluidmodel_test.go
@@ -12,7 +12,7 @@
 		Utilization: 0.9, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second, Seed: 1}
 }
 
-// A skew that alternates every few seconds must not make engines alternate with it.
+// A skew that alternates every few seconds must not make engines change roles along with it.
 func TestFastOscillationCausesFewChanges(t *testing.T) {
 	for _, period := range []time.Duration{4 * time.Second, 6 * time.Second, 10 * time.Second,
 		20 * time.Second} {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Where the skew alternates about as fast as a few changes take, engines may change, and the result must be no
-// worse than with fixed roles.
+// If the period of the skew is about as long as a few changes take, engines may change, but the result must not be worse
+// than with fixed roles.
 func TestSlowOscillationIsNoWorseThanFixedRoles(t *testing.T) {
 	for _, period := range []time.Duration{30 * time.Second, 60 * time.Second, 120 * time.Second} {
 		scenario := baseScenario()
@@ -40,7 +40,7 @@
 	}
 }
 
-// A lasting skew must be followed, also under faults.
+// The roles must follow a lasting skew, also under faults.
 func TestLastingSkewIsFollowed(t *testing.T) {
 	for name, change := range map[string]func(*Scenario){
 		"no fault":                          func(*Scenario) {},
@@ -60,8 +60,8 @@
 	}
 }
 
-// A slowdown of decode engines looks like a skew to decode. While it is shorter than the window of the throughput,
-// it must make hardly any engine change.
+// A slowdown of decode engines looks like a skew to decode. If it is shorter than the window in which throughput is
+// measured, hardly any engine may change.
 func TestShortDecodeSlowdownIsNoSkew(t *testing.T) {
 	scenario := baseScenario()
 	scenario.SkewDepth, scenario.Utilization, scenario.SlowDecode = 0, 0.55, [2]float64{0.5, 0.53}
@@ -74,7 +74,7 @@
 	}
 }
 
-// When all prefill engines but one are lost for good, decode engines must replace them within the limits.
+// When all prefill engines but one are lost permanently, decode engines must replace them within the limits on changes.
 func TestDecodeEnginesReplaceLostPrefillEngines(t *testing.T) {
 	scenario := baseScenario()
 	scenario.SkewDepth, scenario.Utilization, scenario.PrefillLossAt = 0, 0.4, 0.25
--- a/internal/fluidmodel/load.go
+++ b/internal/fluidmodel/load.go
@@ -7,14 +7,14 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Edges shed the requests that would wait for longer than a part of their latency objective, which is larger for
-// routes of higher value.
+// Edges shed requests that would wait for longer than a share of their latency objective. The share is the base share plus
+// the value share in proportion to the value of the route.
 const (
 	baseWaitShare  = 0.4
 	valueWaitShare = 0.4
 )
 
-// skew is 1 while the load is fully skewed to prefill, and -1 to decode.
+// skew returns the current skew of the load, from 1 for fully skewed to prefill to -1 for fully skewed to decode.
 func (f *fleet) skew() float64 {
 	if f.scenario.Period == 0 {
 		return 0
@@ -29,18 +29,18 @@
 	return -f.scenario.SkewDepth
 }
 
-// firstSkew is when the load is clearly skewed for the first time.
-func (f *fleet) firstSkew() time.Duration { return time.Duration(float64(f.scenario.Period) / 8) }
+// firstSkewAt returns the time at which the load is clearly skewed for the first time.
+func (f *fleet) firstSkewAt() time.Duration { return time.Duration(float64(f.scenario.Period) / 8) }
 
 func (r Route) tokensAt(skew float64) (prefillTokens, decodeTokens float64) {
 	return r.PrefillTokens + max(skew, 0)*(r.SkewedPrefillTokens-r.PrefillTokens),
 		r.DecodeTokens + max(-skew, 0)*(r.SkewedDecodeTokens-r.DecodeTokens)
 }
 
-// arrivalRate is how many requests arrive per second: the utilization of what all engines could serve with the
+// arrivalRate returns the arrivals per second: the scenario's utilization times what all engines could serve with the
 // best split of roles.
 func (f *fleet) arrivalRate() float64 {
-	prefillSeconds, decodeSeconds := 0.0, 0.0 // of one engine, for the average request
+	prefillSeconds, decodeSeconds := 0.0, 0.0 // engine time for the average request
 	for _, route := range f.routes {
 		prefillTokens, decodeTokens := route.tokensAt(f.skew())
 		prefillSeconds += route.Share * prefillTokens / prefillThroughput
@@ -49,7 +49,7 @@
 	return f.scenario.Utilization * float64(f.scenario.Engines) / (prefillSeconds + decodeSeconds)
 }
 
-// admitArrivals adds the requests of a time step to the backlog, other than those that edges shed.
+// admitArrivals adds the requests of a time step to the backlog, except those that edges shed.
 func (f *fleet) admitArrivals() (value valueTotals) {
 	prefillCapacity := f.capacity(planapi.Prefill) * prefillThroughput
 	decodeCapacity := f.capacity(planapi.Decode) * decodeThroughput
@@ -77,7 +77,7 @@
 		}
 		value.served += arrived * route.Value
 		f.prefillBacklog += arrived * prefillTokens
-		// The backlog's mix of routes shifts by the part of it that is new.
+		// The ratio of the backlog is updated in proportion to the newly arrived part of it.
 		f.decodePerPrefillToken += (decodeTokens/prefillTokens - f.decodePerPrefillToken) *
 			min(1, arrived*prefillTokens/max(f.prefillBacklog, 1))
 		count.Started += arrived
--- a/internal/fluidmodel/planner.go
+++ b/internal/fluidmodel/planner.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// stepsPerSecond is how many time steps the reports of a second are spread over.
+	// stepsPerSecond is the number of time steps over which the reports of one second are spread.
 	stepsPerSecond = int(time.Second / timeStep)
-	// falseReportFactor is how much more work than they did some engines report.
+	// falseReportFactor is the factor by which false reports overstate an engine's work.
 	falseReportFactor = 10
-	// loadMargin is added to twice the reload time for the planner's load timeout.
+	// loadMargin is added to twice the reload time to give the planner's load timeout.
 	loadMargin = 10 * time.Second
 )
 
-// plannerModel is the real role assignment in simulated time.
+// plannerModel runs the real role assignment in simulated time.
 type plannerModel struct {
 	fleet      *fleet
 	controller *assignment.Controller
-	delayed    []delayedEvent // in order of time
+	delayed    []delayedEvent // sorted by delivery time
 }
 
-// delayedEvent is a report or an outcome on its way to the planner.
+// delayedEvent is a report or a trial outcome that is not delivered to the planner yet.
 type delayedEvent struct {
 	event       assignment.Event
 	deliveredAt time.Duration
@@ -41,12 +41,12 @@
 		WarmUp: f.scenario.WarmUp, Cooldown: 30 * time.Second, DrainGrace: 250 * time.Millisecond,
 		MinServing: 1, MaxChangingShare: 0.1, MaxSharePerMinute: 0.25,
 		PrefillThroughput: prefillThroughput, DecodeThroughput: decodeThroughput, RouteValues: values}
-	return &plannerModel{fleet: f, controller: assignment.New(config, 1, f.clock(), nil, assignment.Meta{})}
+	return &plannerModel{fleet: f, controller: assignment.New(config, 1, f.clockNanos(), nil, assignment.Meta{})}
 }
 
-// handle lets the role assignment handle an event, and carries out its actions.
-func (p *plannerModel) handle(event assignment.Event) {
-	for _, action := range p.controller.Step(p.fleet.clock(), event) {
+// handleEvent passes an event to the role assignment and executes the resulting actions.
+func (p *plannerModel) handleEvent(event assignment.Event) {
+	for _, action := range p.controller.Step(p.fleet.clockNanos(), event) {
 		switch action := action.(type) {
 		case assignment.PublishPlan:
 			clear(p.fleet.plan)
@@ -58,41 +58,41 @@
 		case assignment.StartTrial:
 			engine := p.fleet.engineNamed(action.Engine)
 			passed := engine.role == action.Role && engine.epoch == action.Epoch && !engine.loading
-			p.handleLater(assignment.TrialEnded{Engine: action.Engine, Number: action.Number, OK: passed})
+			p.deliverLater(assignment.TrialEnded{Engine: action.Engine, Number: action.Number, OK: passed})
 		}
 	}
 }
 
-// handleLater delivers an event after the delay of reports.
-func (p *plannerModel) handleLater(event assignment.Event) {
+// deliverLater delivers an event after the scenario's report delay.
+func (p *plannerModel) deliverLater(event assignment.Event) {
 	p.delayed = append(p.delayed, delayedEvent{event, p.fleet.now + p.fleet.scenario.ReportDelay})
 }
 
-func (p *plannerModel) deliverDue() {
+func (p *plannerModel) deliverDueEvents() {
 	for len(p.delayed) > 0 && p.delayed[0].deliveredAt <= p.fleet.now {
 		event := p.delayed[0].event
 		p.delayed = p.delayed[1:]
-		p.handle(event)
+		p.handleEvent(event)
 	}
 }
 
-// step sends the reports of a time step: those of each second spread over its time steps, and those of engines
-// that are changing in each of them.
+// step sends the reports of a time step. The reports of one second are spread over its time steps; engines that are
+// changing report in each time step.
 func (p *plannerModel) step() {
 	f := p.fleet
-	turn := int(f.now/timeStep) % stepsPerSecond
+	tick := int(f.now/timeStep) % stepsPerSecond
 	for i, engine := range f.engines {
 		urgent := engine.draining || engine.loading || f.plan[engine.name].Epoch != engine.epoch
-		if urgent || !engine.silent && turn == i%stepsPerSecond {
-			p.handleLater(assignment.EngineReported{RequestedAt: f.clock(), Report: f.engineReport(engine)})
+		if urgent || !engine.silent && tick == i%stepsPerSecond {
+			p.deliverLater(assignment.EngineReported{RequestedAt: f.clockNanos(), Report: f.engineReport(engine)})
 		}
 	}
 	for i := range f.scenario.Edges {
-		if turn == i%stepsPerSecond && float64(i) >= f.scenario.MissingReports*float64(f.scenario.Edges) {
-			p.handleLater(assignment.EdgeReported{Report: f.edgeReport(i)})
+		if tick == i%stepsPerSecond && float64(i) >= f.scenario.MissingReports*float64(f.scenario.Edges) {
+			p.deliverLater(assignment.EdgeReported{Report: f.edgeReport(i)})
 		}
 	}
-	p.handle(assignment.Tick{})
+	p.handleEvent(assignment.Tick{})
 }
 
 func (f *fleet) engineNamed(name string) *engineModel {
@@ -116,7 +116,7 @@
 	return report
 }
 
-// edgeReport is an equal share of what all edges counted.
+// edgeReport returns the report of one edge, with an equal share of the counts of all edges.
 func (f *fleet) edgeReport(edge int) planapi.EdgeReport {
 	report := planapi.EdgeReport{Edge: fmt.Sprint("edge", edge), Incarnation: 1}
 	share := 1 / float64(f.scenario.Edges)
@@ -130,7 +130,7 @@
 	return report
 }
 
-// followOrder does with a role change order what an engine does.
+// followOrder applies a role change order to an engine.
 func (f *fleet) followOrder(engine *engineModel, order planapi.RoleOrder) {
 	engine.term = order.Term
 	switch {
--- a/internal/fluidmodel/run.go
+++ b/internal/fluidmodel/run.go
@@ -1,6 +1,6 @@
-// Package fluidmodel simulates a fleet whose load is skewed to prefill and to decode in turn. The real role
-// assignment decides, or a baseline does. Queues, engines and edges are modelled as a fluid: shares of requests,
-// not single ones. It does no I/O.
+// Package fluidmodel simulates a fleet whose load is skewed to prefill and to decode in turn. Roles are assigned by the
+// real role assignment or by a baseline. It is a fluid model: queues, engines and edges process amounts of work instead
+// of single requests. It does no I/O.
 package fluidmodel
 
 import "time"
@@ -8,12 +8,12 @@
 const (
 	timeStep       = 100 * time.Millisecond
 	windowDuration = 10 * time.Second
-	recoveredShare = 0.9 // value share of a window from which on the fleet has recovered
-	// fixedSplits is about how many splits are compared to find the best one.
+	recoveredShare = 0.9 // value share of a window at which the fleet counts as recovered
+	// fixedSplits is the approximate number of splits that are compared to find the best one.
 	fixedSplits = 12
 )
 
-// valueTotals adds up the value of requests.
+// valueTotals holds sums of the value of requests.
 type valueTotals struct{ offered, served float64 }
 
 func (v *valueTotals) add(step valueTotals) {
@@ -48,13 +48,13 @@
 	share := window.served / max(window.offered, 1e-9)
 	r.Windows = append(r.Windows, share)
 	r.WorstWindow = min(r.WorstWindow, share)
-	if share >= recoveredShare && r.RecoverySeconds < 0 && f.now > f.firstSkew() {
+	if share >= recoveredShare && r.RecoverySeconds < 0 && f.now > f.firstSkewAt() {
 		r.RecoverySeconds = f.now.Seconds()
 	}
 }
 
-// BestFixedSplit returns the result of the best of some fixed splits, in hindsight, and its number of prefill
-// engines.
+// BestFixedSplit runs a scenario with several fixed splits. It returns the result of the best one and its number of
+// prefill engines.
 func BestFixedSplit(scenario Scenario) (Result, int) {
 	best, bestEngines := Result{Value: -1}, 0
 	increment := max(1, scenario.Engines/fixedSplits)
--- a/internal/fluidmodel/scenario.go
+++ b/internal/fluidmodel/scenario.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Throughputs of one engine in tokens per second: the prompts of a prefill engine, and the answers of a decode
-// engine over all its slots.
+// Throughputs of one engine in tokens per second: prompt tokens of a prefill engine, and answer tokens of all slots of a
+// decode engine.
 const (
 	prefillThroughput = 20_000.0
 	decodeThroughput  = 1_600.0
 )
 
-// Route is one model route of the load. Tokens are those of one request.
+// Route is one model route of the load. Token counts are per request.
 type Route struct {
 	Name                string
-	Share               float64 // of all requests
+	Share               float64 // share of all requests
 	PrefillTokens       float64
 	DecodeTokens        float64
 	Value               float64
 	LatencyObjective    float64 // seconds to the first token
-	SkewedPrefillTokens float64 // while the load is fully skewed to prefill
-	SkewedDecodeTokens  float64 // while the load is fully skewed to decode
+	SkewedPrefillTokens float64 // PrefillTokens while the load is fully skewed to prefill
+	SkewedDecodeTokens  float64 // DecodeTokens while the load is fully skewed to decode
 }
 
 // Routes returns the two routes of every scenario: a low-value one with long prompts, and a high-value one with
@@ -35,43 +35,43 @@
 // Scenario describes a fleet, its load and its faults.
 type Scenario struct {
 	Engines        int
-	PrefillEngines int // at the start; the others decode
+	PrefillEngines int // prefill engines at the start; all others are decode engines
 	Cells          int
 	Edges          int
 	Duration       time.Duration
-	Period         time.Duration // of the skew; 0 for none
-	SkewDepth      float64       // 0 for none, 1 for full skew to prefill and to decode in turn
-	SquareWave     bool          // the load jumps; otherwise it follows a sine
-	Utilization    float64       // of what the best split of roles could serve
-	ReloadTime     time.Duration // of an engine that loads for its next role
+	Period         time.Duration // period of the skew; 0 for no skew
+	SkewDepth      float64       // from 0 for no skew to 1 for full skew to prefill and to decode in turn
+	SquareWave     bool          // the load jumps between skews; otherwise it follows a sine
+	Utilization    float64       // share of the load that the best split of roles could serve
+	ReloadTime     time.Duration // time for which an engine loads its next role
 	WarmUp         time.Duration
-	DrainTime      time.Duration // the longest that requests in flight last
-	ReportDelay    time.Duration // of all load reports
+	DrainTime      time.Duration // maximum time until requests in flight end
+	ReportDelay    time.Duration // delay of all load reports
 	MissingReports float64       // share of engines and edges that never report
 	FalseReports   float64       // share of engines that report ten times their work
-	SlowDecode     [2]float64    // from and to, as shares of the duration: decode engines have half their throughput
-	FixedRoles     float64       // share of engines that cannot change
-	PrefillLossAt  float64       // share of the duration after which all prefill engines but one drain for good; 0 for never
+	SlowDecode     [2]float64    // start and end of a slowdown of decode engines by half, as shares of the duration
+	FixedRoles     float64       // share of engines that cannot change roles
+	PrefillLossAt  float64       // share of the duration until all prefill engines but one drain permanently; 0 for never
 	Seed           uint64
 }
 
-// Strategy is how engines get their roles.
+// Strategy selects how roles are assigned to engines.
 type Strategy int
 
 // The strategies.
 const (
 	FixedSplit Strategy = iota // every engine keeps its role
-	Adaptive                   // package assignment decides
+	Adaptive                   // package assignment decides on roles
 	Threshold                  // a baseline that compares the utilization of both roles with fixed thresholds
 )
 
-// Result is the outcome of a scenario. Value shares are those of the offered value that is served in time.
+// Result is the outcome of a scenario. A value share is the share of the offered value that is served in time.
 type Result struct {
 	Value           float64   `json:"value"`
-	WorstWindow     float64   `json:"worst"`   // least value share of ten seconds
-	Changes         int       `json:"changes"` // engines that came to another role
+	WorstWindow     float64   `json:"worst"`   // lowest value share of a window of ten seconds
+	Changes         int       `json:"changes"` // engines that changed to another role
 	LostEngineTime  float64   `json:"lost"`    // share of all engine time that was out of service for changes
-	ServingPrefill  []float64 `json:"-"`       // prefill engines in service, every second
-	Windows         []float64 `json:"-"`       // value share of each ten seconds
-	RecoverySeconds float64   `json:"recover"` // until the first window after the first skew with nine tenths; -1 for never
+	ServingPrefill  []float64 `json:"-"`       // prefill engines in service at each second
+	Windows         []float64 `json:"-"`       // value share of each window of ten seconds
+	RecoverySeconds float64   `json:"recover"` // time of the first window after the first skew with value share 0.9; -1 for never
 }
--- a/internal/fluidmodel/threshold.go
+++ b/internal/fluidmodel/threshold.go
@@ -6,14 +6,14 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// The threshold baseline moves one engine at each interval to a role that is busier than one threshold from a
-// role that is less busy than the other.
+// Parameters of the threshold baseline. At each interval it moves one engine to a role with a utilization above
+// busyThreshold, if the other role has a utilization below idleThreshold.
 const (
 	thresholdInterval = 5 * time.Second
 	busyThreshold     = 0.8
 	idleThreshold     = 0.5
-	minCapacityLeft   = 1.5 // engines of the role that it leaves
-	minCapacity       = 0.1 // keeps the utilization of a role without engines finite
+	minCapacityToMove = 1.5 // capacity that a role must have before an engine leaves it
+	minCapacity       = 0.1 // lower bound of capacity; keeps the utilization of a role without engines finite
 )
 
 func (f *fleet) applyThreshold() {
@@ -29,13 +29,13 @@
 	for _, to := range []string{planapi.Prefill, planapi.Decode} {
 		from := planapi.OtherRole(to)
 		if f.utilization(to) > busyThreshold && f.utilization(from) < idleThreshold &&
-			f.capacity(from) > minCapacityLeft && f.moveOne(from, to) {
+			f.capacity(from) > minCapacityToMove && f.startOneMove(from, to) {
 			return
 		}
 	}
 }
 
-// utilization is the work that arrives for a role, compared with what its engines can do.
+// utilization returns the ratio of the work that arrives for a role to the capacity of its engines.
 func (f *fleet) utilization(role string) float64 {
 	required := 0.0
 	for _, route := range f.routes {
@@ -49,8 +49,8 @@
 	return required / max(f.capacity(role), minCapacity)
 }
 
-// moveOne lets the first engine of a role that can change leave it for the other.
-func (f *fleet) moveOne(from, to string) bool {
+// startOneMove starts the change of the first engine that can change its role. It returns false if there is none.
+func (f *fleet) startOneMove(from, to string) bool {
 	for _, engine := range f.engines {
 		if engine.canChange && f.capacityShare(engine, from) > 0 {
 			engine.nextRole = to
