--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -7,45 +7,46 @@
 	"sandcourse/internal/router"
 )
 
-// provesNotRun reports whether a verdict says that the attempt did not run.
+// provesNotRun reports whether a verdict means that the attempt did not run.
 func provesNotRun(verdict router.Verdict) bool {
 	return verdict == router.VerdictFull || verdict == router.VerdictNotConnected || verdict == router.VerdictNotSent
 }
 
-// horizon is when everything must have ended: the client's timeout, a stall, six releases, and as much again.
-const horizon = 3 * time.Second
+// executionTimeLimit is the time after which every request must have ended: the client's timeout, a stall and six
+// releases, doubled.
+const executionTimeLimit = 3 * time.Second
 
-// maxLostReleases is how many lost releases excuse a reservation that is still held.
+// maxLostReleases is the number of lost releases after which a reservation may still be held.
 const maxLostReleases = 2
 
-// checkAttempt checks an attempt as its first byte is sent.
+// checkAttempt checks an attempt when the router writes it.
 func (s *simulation) checkAttempt(r *engineRequest) {
 	c := s.clientOf(r.requestID)
-	engine := r.connection.core.Engine
+	engine := r.connection.engineConnection.Engine
 	if c == nil {
-		s.violated.add("P6 an attempt of a request that no client sent")
+		s.violationLog.add("P6 attempt belongs to no client's request")
 		return
 	}
 	if n := s.attemptsInFlight(r.requestID); n > 0 {
-		s.violated.add("P2 %s is sent to %s while %d attempts are in flight", r.requestID, engine, n)
+		s.violationLog.add("P2 %s is sent to %s while %d attempts are in flight", r.requestID, engine, n)
 	}
 	if c.endedAt > 0 {
-		s.violated.add("P6 %s is sent to %s after it was %s", r.requestID, engine, c.outcome)
+		s.violationLog.add("P6 %s is sent to %s after it was %s", r.requestID, engine, c.outcome)
 	}
-	if c.mayNotRepeat() && r.kind == DecodeRequest {
-		s.violated.add("P3 %s is non-retriable, may have run, and is sent to %s", r.requestID, engine)
+	if c.mustNotRunAgain() && r.kind == DecodeRequest {
+		s.violationLog.add("P3 %s is non-retriable, may have run, and is sent to %s", r.requestID, engine)
 	}
 	if at, ok := s.drainNotifiedAt[engine]; ok && s.now-at > int64(drainGrace) {
-		s.violated.add("P7 %s is sent to %s %v after the router was told of its drain", r.requestID, engine, time.Duration(s.now-at))
+		s.violationLog.add("P7 %s is sent to %s %v after the router was notified of its drain", r.requestID, engine, time.Duration(s.now-at))
 	}
 	if s.inFleet {
-		s.noteColdAttempt(engine)
+		s.recordColdAttempt(engine)
 	}
 	s.reservations.restartIdleTime(r.requestID, s.now)
 }
 
-// noteColdAttempt counts an attempt to an engine that has restarted.
-func (s *simulation) noteColdAttempt(engine string) {
+// recordColdAttempt records an attempt to an engine that has restarted.
+func (s *simulation) recordColdAttempt(engine string) {
 	for _, e := range s.endpoints.Entries {
 		if e.ID == engine && e.StartedAtMs > 0 {
 			s.coldAttempts = append(s.coldAttempts, coldAttempt{engine, s.now, e.StartedAtMs * 1e6})
@@ -53,51 +54,51 @@
 	}
 }
 
-// mayNotRepeat reports whether the request may have run and must not run twice.
-func (c *simulatedClient) mayNotRepeat() bool {
+// mustNotRunAgain reports whether the request is non-retriable and may have run.
+func (c *simulatedClient) mustNotRunAgain() bool {
 	return c.possibleRuns > 0 && c.effect == config.EffectNonRetriable
 }
 
-// overdue is how long after the client's timeout it is; negative before.
-func (c *simulatedClient) overdue() time.Duration {
+// timeSinceTimeout returns the time since the client's timeout; it is negative before the timeout.
+func (c *simulatedClient) timeSinceTimeout() time.Duration {
 	return time.Duration(c.simulation.now - c.sentAt - int64(clientTimeout))
 }
 
-// checkOutcome checks a final response as it arrives.
+// checkOutcome checks a final response when the client receives it.
 func (s *simulation) checkOutcome(c *simulatedClient) {
 	if c.outcome == outcomeCompleted && !c.decodeFinished {
-		s.violated.add("P11 %s is completed, and no decode engine has sent its last event", c.requestID)
+		s.violationLog.add("P11 %s is completed, but no decode engine has sent the last event of its stream", c.requestID)
 	}
 	cannotHaveRun := c.possibleRuns == 0 && s.attemptsInFlight(c.requestID) == 0 && c.effect == config.EffectNonRetriable
-	early := c.overdue() < -timeoutMarginTicks*tick
+	early := c.timeSinceTimeout() < -timeoutMarginTicks*tick
 	if c.outcome == outcomeErrored && early && cannotHaveRun && !c.isStreaming() {
-		s.violated.add("P11 %s is errored before its timeout, and cannot have run", c.requestID)
+		s.violationLog.add("P11 %s is errored before its timeout, but cannot have run", c.requestID)
 	}
-	if c.outcome == outcomeShed && c.mayNotRepeat() {
-		s.violated.add("P3 %s is non-retriable, may have run, and is shed", c.requestID)
+	if c.outcome == outcomeShed && c.mustNotRunAgain() {
+		s.violationLog.add("P3 %s is non-retriable, may have run, and is shed", c.requestID)
 	}
-	if !c.isStreaming() && c.overdue() > 0 {
-		s.violated.add("P4 client %d is %s %v after its timeout", c.number, c.outcome, c.overdue())
+	if !c.isStreaming() && c.timeSinceTimeout() > 0 {
+		s.violationLog.add("P4 client %d is %s %v after its timeout", c.number, c.outcome, c.timeSinceTimeout())
 	}
 }
 
-// checkState checks a state after an event.
+// checkState checks the state after an event.
 func (s *simulation) checkState() {
-	if s.elapsed() > horizon && !s.isQuiescent() {
-		s.violated.add("P10 after %v something is still held, open or awaited", horizon)
+	if s.elapsed() > executionTimeLimit && !s.isQuiescent() {
+		s.violationLog.add("P10 execution has not ended after %v: a request or reservation is still open", executionTimeLimit)
 	}
 	for _, c := range s.clients {
-		if c.isWaiting() && c.overdue() > 0 && !c.isStreaming() {
-			s.violated.add("P4 client %d has no response %v after its timeout", c.number, c.overdue())
+		if c.isWaiting() && c.timeSinceTimeout() > 0 && !c.isStreaming() {
+			s.violationLog.add("P4 client %d has no response %v after its timeout", c.number, c.timeSinceTimeout())
 		}
 	}
 	for _, c := range s.clients {
-		if c.outcome == outcomeLeft && s.attemptsInFlight(c.requestID) > 0 {
-			s.violated.add("P6 an attempt of %s is still in flight after its client disconnected", c.requestID)
+		if c.outcome == outcomeAbandoned && s.attemptsInFlight(c.requestID) > 0 {
+			s.violationLog.add("P6 an attempt of %s is still in flight after its client disconnected", c.requestID)
 		}
 	}
 	for _, open := range s.core.OpenAttempts() {
-		if !open.Ended { // an attempt whose connection is being dialed is in flight too
+		if !open.Ended { // includes attempts whose connection is being dialed
 			s.reservations.restartIdleTime(open.Request, s.now)
 		}
 	}
@@ -108,14 +109,14 @@
 func (s *simulation) checkReservations() {
 	for _, h := range s.reservations.held {
 		idle := time.Duration(s.now - h.idleSince)
-		// A release in flight counts as released: the network, not the router, delays it.
+		// A release in flight counts as released, because the network delays it and not the router.
 		if h.lostReleases < maxLostReleases && s.attemptsInFlight(h.requestID) == 0 && !s.releaseInFlight(h) && idle > reservationLimit {
-			s.violated.add("P5 %s holds the reservation of %s for %v with no attempt in flight", h.engine, h.requestID, idle)
+			s.violationLog.add("P5 %s holds the reservation of %s for %v with no attempt in flight", h.engine, h.requestID, idle)
 		}
 	}
 }
 
-// checkVerdicts compares what the router concluded about ended attempts with what engines did.
+// checkVerdicts compares the router's verdicts on ended attempts with what the engines did.
 func (s *simulation) checkVerdicts() {
 	for _, open := range s.core.OpenAttempts() {
 		c := s.clientOf(open.Request)
@@ -123,15 +124,15 @@
 			continue
 		}
 		if (open.Verdict == router.VerdictEngineError || open.Verdict == router.VerdictConnectionLost) && c.possibleRuns == 0 {
-			s.violated.add("P11 %s: %s at %s, yet it cannot have run", open.Request, open.Verdict, open.Engine)
+			s.violationLog.add("P11 %s: %s at %s, but the request cannot have run", open.Request, open.Verdict, open.Engine)
 		}
 		if provesNotRun(open.Verdict) && c.possibleRuns > 0 && s.attemptsThatMayHaveRun(open.Request) == 0 {
-			s.violated.add("P11 %s: %s at %s, yet it may have run", open.Request, open.Verdict, open.Engine)
+			s.violationLog.add("P11 %s: %s at %s, but the request may have run", open.Request, open.Verdict, open.Engine)
 		}
 	}
 }
 
-// attemptsThatMayHaveRun counts the decode attempts that the router counts as perhaps run, or as in flight.
+// attemptsThatMayHaveRun counts the decode attempts that are in flight or that may have run by the router's verdict.
 func (s *simulation) attemptsThatMayHaveRun(requestID string) (count int) {
 	for _, open := range s.core.OpenAttempts() {
 		if open.Request == requestID && open.Decode && !(open.Ended && provesNotRun(open.Verdict)) {
@@ -150,16 +151,16 @@
 	return false
 }
 
-// checkTerminal checks a state in which nothing can happen any more.
+// checkTerminal checks a state without enabled events.
 func (s *simulation) checkTerminal() {
 	for _, c := range s.clients {
 		if c.outcome == "" {
-			s.violated.add("P10 client %d waits forever", c.number)
+			s.violationLog.add("P10 client %d waits forever", c.number)
 		}
 	}
 	h := s.core.InFlight()
 	if h.Requests+h.ControlRequests+h.Reservations > 0 || s.core.BusyConnections() > 0 {
-		s.violated.add("P9 at the end the router holds %d requests, %d control requests, %d reservations, %d busy connections", h.Requests,
+		s.violationLog.add("P9 in a terminal state the router holds %d requests, %d control requests, %d reservations, %d busy connections", h.Requests,
 			h.ControlRequests, h.Reservations, s.core.BusyConnections())
 	}
 }
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -11,20 +11,20 @@
 	"sandcourse/internal/router"
 )
 
-// The outcomes of a client's request, in the words of the chat API; a client that disconnected has left, and one whose
-// router was killed has lost its request.
+// The outcomes of a client's request: those of the chat API, abandoned if the client disconnected, and lost if its router
+// was killed.
 const (
 	outcomeCompleted = chat.OutcomeCompleted
 	outcomeErrored   = chat.OutcomeErrored
 	outcomeShed      = chat.OutcomeShed
-	outcomeLeft      = "left"
+	outcomeAbandoned = "left"
 	outcomeLost      = "lost"
 )
 
-// simulatedClient is a client with one request.
+// simulatedClient is a client that sends one request.
 type simulatedClient struct {
 	simulation     *simulation
-	core           *router.ClientConnection
+	connection     *router.ClientConnection
 	number         int
 	effect         config.Effect
 	received       []byte
@@ -34,23 +34,23 @@
 	endedAt        int64
 	outcome        string
 	outcomeCount   int
-	requestID      string // that the router gave its request
-	decodeFinished bool   // a decode engine has sent its last event
-	retried        bool   // it has reconnected with the same request after it left
-	possibleRuns   int    // decode engines that may have run its request
+	requestID      string // assigned by the router
+	decodeFinished bool   // a decode engine has sent the last event of the stream
+	retried        bool   // the client reconnected with the same request after it disconnected
+	possibleRuns   int    // number of decode engines that may have run the request
 }
 
 // addClient opens a client's connection.
 func (s *simulation) addClient(effect config.Effect) *simulatedClient {
-	c := &simulatedClient{simulation: s, number: s.clientsJoined, effect: effect}
-	s.clientsJoined++
-	c.core = &router.ClientConnection{ID: int64(s.clientsJoined), Socket: c}
+	c := &simulatedClient{simulation: s, number: s.clientsOpened, effect: effect}
+	s.clientsOpened++
+	c.connection = &router.ClientConnection{ID: int64(s.clientsOpened), Socket: c}
 	s.clients = append(s.clients, c)
-	s.handle(func() { s.core.ClientOpened(c.core) })
+	s.handle(func() { s.core.ClientOpened(c.connection) })
 	return c
 }
 
-// clientOf finds the client of a request, or nil.
+// clientOf returns the client of a request, or nil.
 func (s *simulation) clientOf(requestID string) *simulatedClient {
 	for _, c := range s.clients {
 		if c.requestID == requestID {
@@ -66,32 +66,32 @@
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":[{"role":"user","content":"x"}]}`, c.effect)
 	call, err := chat.ParseRequest(body, nil)
 	if err != nil {
-		panic(err) // of a constant
+		panic(err) // cannot fail: the body is fixed
 	}
 	r, _ := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	s.requestsSent[s.incarnation]++
 	c.requestID = fmt.Sprintf("%s-%x-%d", s.deployment.NodeName, s.incarnation, s.requestsSent[s.incarnation])
 	openBefore := s.core.InFlight().Requests
 	s.handle(func() {
-		s.core.ReceiveRequest(c.core, &router.ClientRequest{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)})
+		s.core.ReceiveRequest(c.connection, &router.ClientRequest{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)})
 	})
 	if c.endedAt > 0 && !strings.Contains(string(c.received), chat.HeaderRequestID) { // rejected before it was admitted
 		s.requestsSent[s.incarnation]--
 		c.requestID = ""
 		if s.world.MaxOpenRequests == 0 || openBefore < s.world.MaxOpenRequests {
-			s.violated.add("P13 client %d is rejected with %d requests open", c.number, openBefore)
+			s.violationLog.add("P13 client %d is rejected with %d requests open", c.number, openBefore)
 		}
 	}
 }
 
-// markRun notes that a decode engine may have run a request.
-func (s *simulation) markRun(r *engineRequest) {
+// recordPossibleRun records that a decode engine may have run a request.
+func (s *simulation) recordPossibleRun(r *engineRequest) {
 	if c := s.clientOf(r.requestID); c != nil && !r.firstTokenSent {
 		c.possibleRuns++
 	}
 }
 
-// isWaiting reports whether the client has sent its request and has no outcome.
+// isWaiting reports whether the client has sent its request and has no outcome yet.
 func (c *simulatedClient) isWaiting() bool { return c.requested && c.endedAt == 0 }
 
 // disconnect ends the client's connection without a response.
@@ -99,34 +99,34 @@
 	c.disconnected, c.endedAt, c.outcome = true, c.simulation.now, outcome
 }
 
-// isStreaming reports whether the client has its first token: its timeout does not apply any more.
+// isStreaming reports whether the client has received its first token, after which its timeout no longer applies.
 func (c *simulatedClient) isStreaming() bool {
 	return strings.HasPrefix(string(c.received), streamStatus)
 }
 
-// Send takes bytes of a response.
+// Send receives bytes of a response.
 func (c *simulatedClient) Send(data []byte) error {
 	c.received = append(c.received, data...)
 	c.countOutcomes()
 	return nil
 }
 
-// Flushed reports that the client reads at once.
+// Flushed returns true: the client reads immediately.
 func (c *simulatedClient) Flushed() bool { return true }
 
 // StopReading has no effect on a simulated client.
 func (c *simulatedClient) StopReading() {}
 
-// Disconnected reports whether the client has gone.
+// Disconnected reports whether the client has disconnected.
 func (c *simulatedClient) Disconnected() bool { return c.disconnected }
 
-// CloseIfIdle reports that the connection could be closed.
+// CloseIfIdle returns true: an idle connection can always be closed.
 func (c *simulatedClient) CloseIfIdle() bool { return true }
 
 // Close has no effect on a simulated client.
 func (c *simulatedClient) Close() {}
 
-// Marks in the bytes of a response.
+// Substrings by which the client recognizes the parts of a response.
 const (
 	responseStart = "HTTP/1.1 "
 	streamStatus  = "HTTP/1.1 200"
@@ -135,7 +135,7 @@
 	lastChunk     = "\r\n0\r\n\r\n"
 )
 
-// countOutcomes counts the final responses in what the client has received.
+// countOutcomes counts the final responses in the bytes that the client has received.
 func (c *simulatedClient) countOutcomes() {
 	text := string(c.received)
 	count, outcome := strings.Count(text, responseStart), ""
@@ -152,18 +152,18 @@
 		c.simulation.checkOutcome(c)
 	}
 	if count > 1 && c.outcomeCount <= 1 {
-		c.simulation.violated.add("P1 client %d has %d final responses", c.number, count)
+		c.simulation.violationLog.add("P1 client %d has %d final responses", c.number, count)
 	}
 	c.outcomeCount = count
 }
 
-// streamOutcomes counts the ends of a stream, and what follows it.
+// streamOutcomes counts the final events of a stream and the responses that follow it, and returns the stream's outcome.
 func (c *simulatedClient) streamOutcomes(text string) (count int, outcome string) {
 	done, failed := strings.Count(text, streamDone), strings.Count(text, streamError)
 	count = done + failed + strings.Count(text, responseStart) - 1
 	end := strings.Index(text, lastChunk)
 	if done+failed == 0 && end >= 0 {
-		c.simulation.violated.add("P1 client %d's stream ends with neither its last event nor an error", c.number)
+		c.simulation.violationLog.add("P1 stream of client %d ends without a last event and without an error", c.number)
 	}
 	if done > 0 {
 		outcome = outcomeCompleted
@@ -171,7 +171,7 @@
 		outcome = outcomeErrored
 	}
 	if count > 0 && end >= 0 && end+len(lastChunk) < len(text) {
-		c.simulation.violated.add("P1 client %d receives more after the end of its stream", c.number)
+		c.simulation.violationLog.add("P1 client %d receives more after the end of its stream", c.number)
 	}
 	return count, outcome
 }
--- a/internal/modelcheck/connection.go
+++ b/internal/modelcheck/connection.go
@@ -12,18 +12,18 @@
 	"sandcourse/internal/router"
 )
 
-// engineRequest is one request to an engine that has been written and whose response is not complete.
+// engineRequest is a request that the router has written to an engine and whose response is not complete.
 type engineRequest struct {
 	connection      *simulatedConnection
 	requestID       string // empty for a health check
 	kind            RequestKind
-	attempt         int  // of a prefill or a release: which
-	unresponsive    bool // nothing arrives until the engine is responsive again
+	attempt         int  // number of the attempt, for a prefill or a release
+	unresponsive    bool // the engine sends nothing for the request until it is responsive again
 	firstTokenSent  bool
 	secondTokenSent bool
 }
 
-// describe names the request in events.
+// describe returns the name of the request in event names.
 func (r *engineRequest) describe() string {
 	if r.requestID == "" {
 		return r.kind.String()
@@ -36,37 +36,37 @@
 
 // simulatedConnection is a connection of the router to an engine.
 type simulatedConnection struct {
-	core          *router.EngineConnection
-	simulation    *simulation
-	established   bool
-	closed        bool
-	partlyWritten bool  // the kernel has not taken the whole of the last request
-	unreadRest    bool  // bytes of a response that is over are unread
-	hangingSince  int64 // when its dial began to hang; 0 if it does not
-	request       *engineRequest
+	engineConnection *router.EngineConnection
+	simulation       *simulation
+	established      bool
+	closed           bool
+	partlyWritten    bool  // the kernel has accepted only part of the last request
+	hasUnreadBytes   bool  // the router has not read the remaining bytes of a finished response
+	hangingSince     int64 // when the dial began to hang; 0 if it does not hang
+	request          *engineRequest
 }
 
-// requestLimits bound the requests that a router writes.
+// requestLimits limit the size of the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
-// remotePrefill marks the body of a decode request.
+// remotePrefill occurs in the body of every decode request and of no other.
 var remotePrefill = []byte(`"do_remote_prefill":true`)
 
-// Write takes one whole request from the router.
+// Write receives one complete request from the router.
 func (c *simulatedConnection) Write(data []byte) error {
 	s := c.simulation
 	if c.closed || !c.established {
-		s.violated.add("P8 a closed connection is written to")
+		s.violationLog.add("P8 router writes to a closed connection")
 		return io.ErrClosedPipe
 	}
 	parser := httpframing.NewParser(httpframing.Requests, requestLimits)
 	parts, err := parser.Feed(data)
 	if err != nil || len(parts) == 0 || !parser.AtBoundary() {
-		s.violated.add("P8 what is written is not one complete request: %v", err)
+		s.violationLog.add("P8 written bytes are not one complete request: %v", err)
 		return nil
 	}
-	if c.request != nil || c.unreadRest {
-		s.violated.add("P8 connection to %s is written to while it is in use", c.core.Engine)
+	if c.request != nil || c.hasUnreadBytes {
+		s.violationLog.add("P8 router writes to a connection to %s that is in use", c.engineConnection.Engine)
 	}
 	r := readEngineRequest(parts)
 	r.connection = c
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// readEngineRequest tells from a request's bytes what the router asks for.
+// readEngineRequest determines the kind and the IDs of a request that the router has written.
 func readEngineRequest(parts []httpframing.Part) *engineRequest {
 	head := parts[0].Request
 	var body []byte
@@ -97,7 +97,7 @@
 			Attempt   int    `json:"send"`
 		}
 		if err := json.Unmarshal(body, &release); err != nil {
-			panic(err) // the router's own request
+			panic(err) // the router wrote malformed JSON
 		}
 		r.requestID, r.attempt = release.RequestID, release.Attempt
 	default:
@@ -110,56 +110,56 @@
 	return r
 }
 
-// RequestWritten reports whether the kernel has taken the whole of the last request.
+// RequestWritten reports whether the kernel has accepted the last request completely.
 func (c *simulatedConnection) RequestWritten() bool { return !c.partlyWritten }
 
-// Close ends the connection from the router's side.
+// Close closes the connection from the router's side.
 func (c *simulatedConnection) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	if c.request != nil {
-		c.simulation.requestDropped(c.request)
+		c.simulation.handleAbortedRequest(c.request)
 	}
 	c.request = nil
 }
 
-// decodeWritten reports whether a decode request is with the engine completely.
+// decodeWritten reports whether the engine has received a complete decode request.
 func (c *simulatedConnection) decodeWritten() bool {
 	return c.request != nil && c.request.kind == DecodeRequest && !c.partlyWritten
 }
 
-// requestDropped is what becomes of a request whose connection the router closes: a prefill may still complete and
-// leave a reservation, and a decode engine may have run it.
-func (s *simulation) requestDropped(r *engineRequest) {
-	if !r.connection.partlyWritten { // an engine does not begin on a part
+// handleAbortedRequest records the possible effects of a request whose connection the router closes: a prefill may still
+// complete and leave a reservation, a decode may have run, and a release is lost.
+func (s *simulation) handleAbortedRequest(r *engineRequest) {
+	if !r.connection.partlyWritten { // an engine does not start a request that it has received in part
 		switch r.kind {
 		case PrefillRequest:
 			s.reservations.add(r, s.now)
 		case DecodeRequest:
-			s.markRun(r)
+			s.recordPossibleRun(r)
 		case ReleaseRequest:
-			s.reservations.releaseLost(r)
+			s.reservations.recordLostRelease(r)
 		}
 	}
 	s.reservations.restartIdleTime(r.requestID, s.now)
 }
 
-// resetConnection breaks a connection from the engine's side.
+// resetConnection closes a connection from the engine's side.
 func (s *simulation) resetConnection(c *simulatedConnection) {
 	r := c.request
 	c.closed, c.request = true, nil
 	if r != nil {
 		s.reservations.restartIdleTime(r.requestID, s.now)
 		if r.kind == ReleaseRequest {
-			s.reservations.releaseLost(r)
+			s.reservations.recordLostRelease(r)
 		}
 	}
-	s.handle(func() { s.core.EngineDisconnected(c.core) })
+	s.handle(func() { s.core.EngineDisconnected(c.engineConnection) })
 }
 
-// attemptsInFlight counts the attempts of a request that are with engines.
+// attemptsInFlight counts the attempts of a request that engines have received and not finished.
 func (s *simulation) attemptsInFlight(requestID string) (count int) {
 	for _, c := range s.connections {
 		if !c.closed && c.request != nil && c.request.requestID == requestID && c.request.isAttempt() {
--- a/internal/modelcheck/copystate.go
+++ b/internal/modelcheck/copystate.go
@@ -12,46 +12,47 @@
 	"sandcourse/internal/routing"
 )
 
-// sharedTypes are the immutable types, which copies of a state share. A state is copied field by field, so that its
-// events need not each replay its path from the start. A copy must share nothing that changes: every pointer is followed
-// unless its type is listed here. A kind of field that cannot be copied exactly panics, rather than to allow a false
-// proof.
+// sharedTypes are the immutable types whose values copies of a state share. A state is copied field by field, which is
+// faster than to replay its path for each event. A copy must not share mutable data with the original, so every pointer
+// is followed unless its type is listed here. The copy panics on a kind of field that cannot be copied exactly, because an
+// inexact copy could hide a violation.
 var sharedTypes = map[reflect.Type]bool{
-	reflect.TypeFor[*config.Deployment](): true, // fixed from the start
-	reflect.TypeFor[*http.Request]():      true, // requests and response heads are read only
+	reflect.TypeFor[*config.Deployment](): true, // not modified after the start
+	reflect.TypeFor[*http.Request]():      true, // requests and response heads are not modified
 	reflect.TypeFor[*http.Response]():     true,
 	reflect.TypeFor[*protocol.Request]():  true,
 	reflect.TypeFor[*chatapi.Codec]():     true,
-	reflect.TypeFor[*routing.Config]():    true, // fixed while a policy lives
+	reflect.TypeFor[*routing.Config]():    true, // not modified after the policy is created
 }
 
-// copiedPointers are the copies of what pointers of a state point to, so that two pointers to the same stay so.
+// copiedPointers maps each pointer of a state to its copy, so that equal pointers remain equal in the copy.
 type copiedPointers map[unsafe.Pointer]reflect.Value
 
-// copyFunc copies what lies at from to what lies at to, which is its flat copy already.
+// copyFunc turns the value at to, a shallow copy of the value at from, into a deep copy.
 type copyFunc func(to, from unsafe.Pointer, copied copiedPointers)
 
-// copyFuncs are by type; nil where a flat copy is enough. Each worker has its own.
+// copyFuncs maps types to their functions; nil means that a shallow copy suffices. Each worker has a map of its own.
 type copyFuncs map[reflect.Type]copyFunc
 
-// copyOf is an exact copy of a state that shares nothing changing with it.
+// copyOf returns an exact copy of a state that shares no mutable data with it.
 func (cf copyFuncs) copyOf(s execution) execution {
 	copied := copiedPointers{}
 	v := reflect.ValueOf(s)
 	to, from := reflect.New(v.Type()), reflect.New(v.Type())
 	to.Elem().Set(v)
 	from.Elem().Set(v)
-	cf.of(v.Type())(to.UnsafePointer(), from.UnsafePointer(), copied)
+	cf.forType(v.Type())(to.UnsafePointer(), from.UnsafePointer(), copied)
 	return to.Elem().Interface().(execution)
 }
 
-// of is the function that copies values of a type, or nil.
-func (cf copyFuncs) of(t reflect.Type) copyFunc {
+// forType returns the function that copies values of a type, or nil.
+func (cf copyFuncs) forType(t reflect.Type) copyFunc {
 	if c, ok := cf[t]; ok {
 		return c
 	}
 	var built copyFunc
-	// A type may contain itself; until its function is built, calls are indirect. A flat one never contains itself.
+	// A recursive type refers to its function before it is built, so this function forwards the call. Types for which a
+	// shallow copy suffices are never recursive.
 	cf[t] = func(to, from unsafe.Pointer, copied copiedPointers) {
 		if built != nil {
 			built(to, from, copied)
@@ -92,7 +93,7 @@
 }
 
 func (cf copyFuncs) buildPointer(t reflect.Type) copyFunc {
-	elem := cf.of(t.Elem())
+	elem := cf.forType(t.Elem())
 	return func(to, from unsafe.Pointer, copied copiedPointers) {
 		if v := valueAt(t, from); !v.IsNil() {
 			valueAt(t, to).Set(copied.copyPointer(v, elem))
@@ -107,7 +108,7 @@
 	}
 	var fields []field
 	for i := range t.NumField() {
-		if c := cf.of(t.Field(i).Type); c != nil {
+		if c := cf.forType(t.Field(i).Type); c != nil {
 			fields = append(fields, field{t.Field(i).Offset, c})
 		}
 	}
@@ -122,19 +123,19 @@
 }
 
 func (cf copyFuncs) buildArray(t reflect.Type) copyFunc {
-	elem, size, n := cf.of(t.Elem()), t.Elem().Size(), t.Len()
+	elem, size, length := cf.forType(t.Elem()), t.Elem().Size(), t.Len()
 	if elem == nil {
 		return nil
 	}
 	return func(to, from unsafe.Pointer, copied copiedPointers) {
-		for i := range n {
+		for i := range length {
 			elem(unsafe.Add(to, uintptr(i)*size), unsafe.Add(from, uintptr(i)*size), copied)
 		}
 	}
 }
 
 func (cf copyFuncs) buildSlice(t reflect.Type) copyFunc {
-	elem := cf.of(t.Elem())
+	elem := cf.forType(t.Elem())
 	return func(to, from unsafe.Pointer, copied copiedPointers) {
 		v := valueAt(t, from)
 		if v.IsNil() {
@@ -150,7 +151,7 @@
 }
 
 func (cf copyFuncs) buildMap(t reflect.Type) copyFunc {
-	key, value := cf.of(t.Key()), cf.of(t.Elem())
+	key, value := cf.forType(t.Key()), cf.forType(t.Elem())
 	return func(to, from unsafe.Pointer, copied copiedPointers) {
 		v := valueAt(t, from)
 		if v.IsNil() {
@@ -171,11 +172,11 @@
 			return
 		}
 		inner := v.Elem()
-		valueAt(t, to).Set(copyValue(inner, cf.of(inner.Type()), copied))
+		valueAt(t, to).Set(copyValue(inner, cf.forType(inner.Type()), copied))
 	}
 }
 
-// copyValue copies one value that has no address.
+// copyValue returns a copy of a value that is not addressable.
 func copyValue(v reflect.Value, c copyFunc, copied copiedPointers) reflect.Value {
 	if c == nil {
 		return v
@@ -187,7 +188,7 @@
 	return to.Elem()
 }
 
-// copyPointer copies what a pointer points to, once.
+// copyPointer returns a pointer to a copy of the pointer's target; the target is copied once per state.
 func (copied copiedPointers) copyPointer(v reflect.Value, elem copyFunc) reflect.Value {
 	if done, ok := copied[v.UnsafePointer()]; ok {
 		return done
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -9,10 +9,10 @@
 	"sandcourse/internal/routing"
 )
 
-// Coverage is which transitions of the state machines fired, one bit each.
+// Coverage records which transitions of each state machine have fired, one bit each.
 type Coverage struct{ Routing, Attempt, Connections, Assignment uint64 }
 
-// Add joins two.
+// Add adds the transitions that have fired in other.
 func (c *Coverage) Add(other Coverage) {
 	c.Routing |= other.Routing
 	c.Attempt |= other.Attempt
@@ -31,7 +31,7 @@
 		{c.Connections, connpool.TransitionNames()}, {c.Assignment, assignment.TransitionNames()}}
 }
 
-// Unfired names the transitions that never fired.
+// Unfired returns the names of the transitions that have not fired.
 func (c Coverage) Unfired() (names []string) {
 	for _, m := range c.machines() {
 		for i, name := range m.transitions {
@@ -43,7 +43,7 @@
 	return names
 }
 
-// Fired counts the transitions that fired, and all transitions.
+// Fired returns the number of transitions that have fired, and the number of all transitions.
 func (c Coverage) Fired() (fired, total int) {
 	for _, m := range c.machines() {
 		fired += bits.OnesCount64(m.fired)
--- a/internal/modelcheck/crowd.go
+++ b/internal/modelcheck/crowd.go
@@ -8,25 +8,25 @@
 	"sandcourse/internal/config"
 )
 
-// warmRate is how many attempts a second each engine of a crowd does when warm. The budget of a warming one is a part
-// of it.
+// warmRate is the number of attempts per second that a warm engine of a crowd serves. The slow-start budget of an engine
+// is a share of it.
 const warmRate = 60.0
 
 const (
 	crowdLength       = 24 * time.Second
 	crowdStep         = 5 * time.Millisecond
-	crowdLoad         = 0.75 // of what warm engines can do: a crowd that measures less of its engines grants less
-	crowdBurst        = 3    // times the rate, after a restart
+	crowdLoad         = 0.75 // of the capacity of warm engines; routers that measure a lower rate grant a smaller budget
+	crowdBurst        = 3    // multiple of the arrival rate after a restart
 	crowdBurstLength  = 3 * time.Second
-	crowdEngineSlots  = 8 // responses that an engine can give at once
+	crowdEngineSlots  = 8 // maximum number of responses that an engine gives at once
 	crowdFirstRestart = 6 * time.Second
 	crowdNextRestart  = 15 * time.Second
 )
 
-// SimulateCrowd runs many routers for a while: steady arrivals at all, then an engine of each role restarts and warms
-// up, twice, and for three seconds arrivals come at three times the rate, as returning clients cause it. The network has
-// no faults and engines respond as fast as they can when warm, so that all that protects a warming engine is what the
-// routers decide, each on its own.
+// SimulateCrowd simulates a large fleet of routers with steady arrivals. Twice, an engine of each role restarts and warms
+// up, and requests arrive at three times the rate for three seconds, as when clients return after an outage. The network
+// has no faults and engines respond at their warm rate, so a warming engine is protected only by the decisions that the
+// routers make independently of each other.
 func SimulateCrowd(w World, seed uint64, stop func() bool) (r Result) {
 	c := &crowd{fleet: newFleet(w), random: rand.New(rand.NewPCG(seed, 300)), capacity: map[string]float64{}}
 	r.World = w
@@ -56,21 +56,21 @@
 	return r
 }
 
-// crowd is a fleet under steady arrivals.
+// crowd is a large fleet with steady arrivals.
 type crowd struct {
 	fleet    *fleet
 	random   *rand.Rand
-	capacity map[string]float64 // responses that each engine can give now
+	capacity map[string]float64 // number of responses that each engine can give now
 }
 
-// addCapacity grants engines what they can do in one step.
+// addCapacity adds to each engine the capacity of one step.
 func (c *crowd) addCapacity() {
 	for _, e := range c.fleet.endpoints.Entries {
 		c.capacity[e.ID] = min(c.capacity[e.ID]+warmRate*crowdStep.Seconds(), crowdEngineSlots)
 	}
 }
 
-// stepRouter runs one router up to now, with arrivals at a rate, and counts its events.
+// stepRouter runs one router up to now with requests that arrive at a rate, and returns the number of events.
 func (c *crowd) stepRouter(s *simulation, now int64, rate float64) (events int) {
 	active := len(s.clients) > 0
 	if s.core.NextDue() <= now || active {
@@ -94,7 +94,7 @@
 	return events
 }
 
-// nextHealthyEvent is the next event at a router that is no fault, with engines responding no faster than they can.
+// nextHealthyEvent returns the first event at a router that is not a fault and that the capacity of the engines allows.
 func (c *crowd) nextHealthyEvent(s *simulation) (next Event, ok bool) {
 	list, pending := s.routerEvents()
 	if !pending {
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Action is what an event does, for callers that replay a path elsewhere.
+// Action identifies what an event does, for callers that replay a path outside the model checker.
 type Action uint8
 
-// The actions. OtherAction is one that has no counterpart outside the model checker.
+// The actions. OtherAction marks an event that cannot be replayed outside the model checker.
 const (
 	OtherAction Action = iota
 	TimePasses
@@ -15,7 +15,7 @@
 	DrainEngine
 	RestartEngine
 	EstablishConnection
-	DeliverUnreadRest
+	DeliverUnreadBytes
 	CompletePrefill
 	TruncatePrefill
 	OmitReservation
@@ -33,10 +33,10 @@
 	BecomeResponsive
 )
 
-// responseTexts say what an engine does about a request.
-var responseTexts = map[Action]string{
+// actionDescriptions describe in event names what happens to a request at an engine.
+var actionDescriptions = map[Action]string{
 	CompletePrefill:      "completes",
-	TruncatePrefill:      "completes, and half of its response arrives",
+	TruncatePrefill:      "completes, and its response is truncated",
 	OmitReservation:      "completes, and its response names no reservation",
 	SendFirstToken:       "sends its first token",
 	SendAnotherToken:     "sends another token",
@@ -52,7 +52,7 @@
 	BecomeResponsive:     "becomes responsive again",
 }
 
-// RequestKind is what a router asks of an engine.
+// RequestKind is the kind of a request that a router sends to an engine.
 type RequestKind uint8
 
 // The kinds of request.
@@ -64,37 +64,37 @@
 	HealthCheckRequest
 )
 
-// String names the kind in events.
+// String returns the name of the kind in event names. Fingerprints of states contain it.
 func (k RequestKind) String() string {
 	return [...]string{"none", "prefill", "decode", "release", "health check"}[k]
 }
 
-// Event is one thing that the adversary may do.
+// Event is one step that the adversary may take.
 type Event struct {
 	Name    string
 	Action  Action
-	Engine  string      // concerned, if any
-	Request RequestKind // concerned, if any
-	Client  int         // concerned, for actions of clients
+	Engine  string      // engine that the event concerns, if any
+	Request RequestKind // kind of the request that the event concerns, if any
+	Client  int         // number of the client, for actions of clients
 	fault   FaultKind
 	apply   func()
 }
 
-// eventList collects the events that are enabled in one state, in an order that depends on the state alone.
+// eventList collects the events that are enabled in one state, in an order that depends only on the state.
 type eventList struct {
 	world      World
 	faultsUsed int
 	events     []Event
 }
 
-// add appends an event, unless it is a fault that the adversary may not inject any more.
+// add appends an event, unless the event is a fault that the world does not permit or that exceeds its number of faults.
 func (l *eventList) add(e Event) {
 	if l.world.mayInject(e.fault, l.faultsUsed) {
 		l.events = append(l.events, e)
 	}
 }
 
-// addNamed appends an event that concerns nothing but its name.
+// addNamed appends an event that has a name and no action, engine, request or client.
 func (l *eventList) addNamed(fault FaultKind, apply func(), format string, args ...any) {
 	l.add(Event{Name: fmt.Sprintf(format, args...), fault: fault, apply: apply})
 }
--- a/internal/modelcheck/events.go
+++ b/internal/modelcheck/events.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/endpoint"
 )
 
-// enabledEvents lists what may happen now, in an order that depends on the state alone.
+// enabledEvents lists the events that are possible now, in an order that depends only on the state.
 func (s *simulation) enabledEvents() []Event {
 	list, pending := s.routerEvents()
 	if s.inFleet {
@@ -18,11 +18,11 @@
 		if e.State != endpoint.Ready {
 			continue
 		}
-		list.add(Event{Name: drainName(e.ID), Action: DrainEngine, Engine: e.ID, fault: FaultDrain, apply: func() {
+		list.add(Event{Name: drainEventName(e.ID), Action: DrainEngine, Engine: e.ID, fault: FaultDrain, apply: func() {
 			s.endpoints = withDraining(s.endpoints, i)
 			s.updateEndpoints()
 		}})
-		list.add(Event{Name: restartName(e.ID), Action: RestartEngine, Engine: e.ID, fault: FaultRestart, apply: func() {
+		list.add(Event{Name: restartEventName(e.ID), Action: RestartEngine, Engine: e.ID, fault: FaultRestart, apply: func() {
 			s.endpoints = withRestarted(s.endpoints, i, s.now)
 			s.restartEngine(e.ID)
 		}})
@@ -30,17 +30,19 @@
 	if !pending && !s.isQuiescent() {
 		due := max(s.core.NextDue(), s.now)
 		list.add(Event{Name: "time passes", Action: TimePasses, apply: func() { s.advanceTo(due) }})
-		list.add(Event{Name: lateTimerName, Action: TimePasses, fault: FaultLate, apply: func() { s.advanceTo(due + int64(timerDelay)) }})
+		list.add(Event{Name: lateTimersEventName, Action: TimePasses, fault: FaultDelay, apply: func() { s.advanceTo(due + int64(timerDelay)) }})
 	}
 	return list.events
 }
 
-var lateTimerName = fmt.Sprintf("time passes, and timers fire %v late", timerDelay)
+var lateTimersEventName = fmt.Sprintf("time passes, and timers fire %v late", timerDelay)
 
-func drainName(engine string) string   { return "the endpoint list marks " + engine + " as draining" }
-func restartName(engine string) string { return engine + " restarts and warms up" }
+func drainEventName(engine string) string {
+	return "the endpoint list marks " + engine + " as draining"
+}
+func restartEventName(engine string) string { return engine + " restarts and warms up" }
 
-// withDraining is the next revision of an endpoint list, with one engine draining.
+// withDraining returns the next revision of an endpoint list, with one engine draining.
 func withDraining(list endpoint.List, i int) endpoint.List {
 	list.Revision++
 	list.Entries = slices.Clone(list.Entries)
@@ -48,7 +50,7 @@
 	return list
 }
 
-// withRestarted is the next revision of an endpoint list, with one engine restarted.
+// withRestarted returns the next revision of an endpoint list, with one engine restarted.
 func withRestarted(list endpoint.List, i int, now int64) endpoint.List {
 	list.Revision++
 	list.Entries = slices.Clone(list.Entries)
@@ -56,8 +58,8 @@
 	return list
 }
 
-// routerEvents lists what may happen at this router and on its connections. Pending reports whether some of it happens
-// by itself before time passes.
+// routerEvents lists the events that are possible at this router and on its connections. Pending reports whether one of
+// them has to happen before time passes.
 func (s *simulation) routerEvents() (list *eventList, pending bool) {
 	list = &eventList{world: s.world, faultsUsed: s.faultsUsed}
 	for _, c := range s.clients {
@@ -81,12 +83,12 @@
 			apply: func() { s.sendRequest(c) }})
 		return true
 	case c.endedAt == 0 && !c.disconnected:
-		list.add(Event{Name: fmt.Sprintf("client %d disconnects", c.number), Action: DisconnectClient, Client: c.number, fault: FaultLeave,
+		list.add(Event{Name: fmt.Sprintf("client %d disconnects", c.number), Action: DisconnectClient, Client: c.number, fault: FaultDisconnect,
 			apply: func() {
-				c.disconnect(outcomeLeft)
-				s.handle(func() { s.core.ClientDisconnected(c.core) })
+				c.disconnect(outcomeAbandoned)
+				s.handle(func() { s.core.ClientDisconnected(c.connection) })
 			}})
-	case c.outcome == outcomeLeft && !c.retried:
+	case c.outcome == outcomeAbandoned && !c.retried:
 		list.add(Event{Name: fmt.Sprintf("client %d reconnects and repeats its request", c.number), Action: RepeatRequest, Client: c.number,
 			fault: FaultRetry, apply: func() {
 				c.retried = true
@@ -102,18 +104,18 @@
 		list.addNamed(noFault, func() {
 			c.hangingSince = 0
 			s.establish(c)
-		}, "connection to %s is established after a delay", c.core.Engine)
+		}, "connection to %s is established after a delay", c.engineConnection.Engine)
 		return false
 	case !c.established:
 		s.addDialEvents(list, c)
 		return true
-	case c.unreadRest && r == nil:
-		s.addUnreadRestEvents(list, c)
+	case c.hasUnreadBytes && r == nil:
+		s.addUnreadBytesEvents(list, c)
 		return true
 	case r == nil:
 		list.addNamed(FaultGarbled, func() {
-			s.handle(func() { s.core.ResponseHead(c.core, okHead(), nil) })
-		}, "unexpected bytes arrive from %s on an idle connection", c.core.Engine)
+			s.handle(func() { s.core.ResponseHead(c.engineConnection, okHead(), nil) })
+		}, "unexpected bytes arrive from %s on an idle connection", c.engineConnection.Engine)
 		return false
 	case c.partlyWritten:
 		s.addPartialWriteEvents(list, c)
@@ -130,14 +132,14 @@
 // establish completes a dial.
 func (s *simulation) establish(c *simulatedConnection) {
 	c.established = true
-	s.handle(func() { s.core.EngineConnected(c.core, c, nil) })
+	s.handle(func() { s.core.EngineConnected(c.engineConnection, c, nil) })
 }
 
 func (s *simulation) addDialEvents(list *eventList, c *simulatedConnection) {
-	engine := c.core.Engine
+	engine := c.engineConnection.Engine
 	list.addNamed(FaultConnect, func() {
 		c.hangingSince = s.now
-		s.reservations.dialUnanswered(engine)
+		s.reservations.recordUnansweredDial(engine)
 	}, "connection to %s hangs", engine)
 	list.addNamed(FaultPartialWrite, func() {
 		c.partlyWritten = true
@@ -147,24 +149,24 @@
 		apply: func() { s.establish(c) }})
 	list.addNamed(FaultConnect, func() {
 		c.closed = true
-		s.reservations.dialUnanswered(engine)
-		s.handle(func() { s.core.EngineConnected(c.core, nil, io.ErrUnexpectedEOF) })
+		s.reservations.recordUnansweredDial(engine)
+		s.handle(func() { s.core.EngineConnected(c.engineConnection, nil, io.ErrUnexpectedEOF) })
 	}, "connection to %s fails", engine)
 }
 
-func (s *simulation) addUnreadRestEvents(list *eventList, c *simulatedConnection) {
-	name := "the rest of the response from " + c.core.Engine + " arrives"
-	list.add(Event{Name: name + ", and unexpected bytes", Action: DeliverUnreadRest, Engine: c.core.Engine, fault: FaultGarbled, apply: func() {
-		s.handle(func() { s.core.ResponseComplete(c.core, nil, false) })
+func (s *simulation) addUnreadBytesEvents(list *eventList, c *simulatedConnection) {
+	name := "the rest of the response from " + c.engineConnection.Engine + " arrives"
+	list.add(Event{Name: name + ", and unexpected bytes", Action: DeliverUnreadBytes, Engine: c.engineConnection.Engine, fault: FaultGarbled, apply: func() {
+		s.handle(func() { s.core.ResponseComplete(c.engineConnection, nil, false) })
 	}})
-	list.add(Event{Name: name, Action: DeliverUnreadRest, Engine: c.core.Engine, apply: func() {
-		c.unreadRest = false
-		s.handle(func() { s.core.ResponseComplete(c.core, nil, true) })
+	list.add(Event{Name: name, Action: DeliverUnreadBytes, Engine: c.engineConnection.Engine, apply: func() {
+		c.hasUnreadBytes = false
+		s.handle(func() { s.core.ResponseComplete(c.engineConnection, nil, true) })
 	}})
 }
 
 func (s *simulation) addPartialWriteEvents(list *eventList, c *simulatedConnection) {
-	r, engine := c.request, c.core.Engine
+	r, engine := c.request, c.engineConnection.Engine
 	if !r.unresponsive {
 		list.addNamed(noFault, func() { c.partlyWritten = false }, "the rest of the request to %s is sent", engine)
 		list.addNamed(noFault, func() { r.unresponsive = true }, "the rest of the request to %s is delayed", engine)
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Path is a sequence of events, each by its index among those that were enabled.
+// Path is a sequence of events, each given as its index in the list of enabled events.
 type Path []uint8
 
-// execution is a run between two events: of one router, of several, or of the planner.
+// execution is the state of a run of one router, of several routers or of the planner, between two events.
 type execution interface {
-	enabledEvents() []Event // in an order that depends on the state alone
+	enabledEvents() []Event // in an order that depends only on the state
 	apply(e Event)
-	isTerminal() bool // nothing can happen any more
+	isTerminal() bool // no event is enabled
 	checkTerminal()
 	fingerprint() uint64
 	violations() []string
@@ -29,18 +29,19 @@
 	return newSimulation(w, tracing)
 }
 
-// replayPath runs a path from the start. It stops early, with ok false, where the path does not fit.
-func replayPath(w World, path Path, tracing bool) (x execution, ok bool) {
-	x = newExecution(w, tracing)
+// replayPath runs a path from the initial state. It stops, with ok false, at an index that is out of range, and after the
+// first violation.
+func replayPath(w World, path Path, tracing bool) (exec execution, ok bool) {
+	exec = newExecution(w, tracing)
 	for _, n := range path {
-		enabled := x.enabledEvents()
+		enabled := exec.enabledEvents()
 		if int(n) >= len(enabled) {
-			return x, false
+			return exec, false
 		}
-		x.apply(enabled[n])
-		if len(x.violations()) > 0 {
+		exec.apply(enabled[n])
+		if len(exec.violations()) > 0 {
 			break
 		}
 	}
-	return x, true
+	return exec, true
 }
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -6,98 +6,99 @@
 	"sync/atomic"
 )
 
-// Limits end an exploration.
+// Limits are the workers and the limits of an exploration; a limit of 0 means none.
 type Limits struct {
 	Workers, MaxStates, MaxDepth int
-	Stop                         func() bool // polled between levels and now and then within; true ends it
-	ReplayPaths                  bool        // replays each path from the start, which is slow and trusts no copy
+	Stop                         func() bool // polled between and within levels; true stops the exploration
+	ReplayPaths                  bool        // replay each path from the initial state instead of copying states; slow
 }
 
-// stopPollInterval is after how many states of a level Stop is polled.
+// stopPollInterval is the number of states of a level between two polls of Stop.
 const stopPollInterval = 64
 
-// reached reports whether an exploration has to end here.
+// reached reports whether an exploration has reached a limit or has been stopped.
 func (l Limits) reached(r *Result) bool {
-	return l.MaxDepth > 0 && r.Depth >= l.MaxDepth || l.MaxStates > 0 && r.States >= l.MaxStates || l.stopped()
+	return l.MaxDepth > 0 && r.Depth >= l.MaxDepth || l.MaxStates > 0 && r.States >= l.MaxStates || l.stopRequested()
 }
 
-func (l Limits) stopped() bool { return l.Stop != nil && l.Stop() }
+func (l Limits) stopRequested() bool { return l.Stop != nil && l.Stop() }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	World       World    `json:"world"`
 	States      int      `json:"states"`
 	Transitions int      `json:"transitions"`
 	Merged      int      `json:"merged"`
-	Ends        int      `json:"ends"` // different states in which nothing can happen any more
+	Ends        int      `json:"ends"` // number of distinct terminal states, in which no event is enabled
 	Depth       int      `json:"depth"`
 	Complete    bool     `json:"complete"`
 	Violations  []string `json:"broken,omitempty"`
-	Path        Path     `json:"path,omitempty"` // to the violations
+	Path        Path     `json:"path,omitempty"` // path to the violations
 	Coverage    Coverage `json:"-"`
-	// EndsChecksum differs for different sets of ends, whatever the order in which they were found.
-	EndsChecksum    uint64 `json:"ends_sum"`
-	MaxColdAttempts int    `json:"cold"` // the most attempts that a warming engine of a crowd had in one window
+	// TerminalStatesChecksum is a checksum of the set of terminal states. It does not depend on the order in which they
+	// were found.
+	TerminalStatesChecksum uint64 `json:"ends_sum"`
+	MaxColdAttempts        int    `json:"cold"` // maximum number of attempts to a warming engine of a crowd in one window
 }
 
-// violatedBy keeps the first violation and the path to it.
-func (r *Result) violatedBy(violations []string, path Path) {
+// recordFirstViolation records violations and the path to them, unless a path has been recorded.
+func (r *Result) recordFirstViolation(violations []string, path Path) {
 	if len(violations) > 0 && r.Path == nil {
 		r.Violations, r.Path = violations, path
 	}
 }
 
-// Snapshot is an exploration between two levels, which can be resumed.
+// Snapshot is the state of an exploration between two levels, from which it can be resumed.
 type Snapshot struct {
-	World     World
-	Frontier  []Path
-	Visited   map[uint64]struct{} // fingerprints of states
-	EndStates map[uint64]struct{} // fingerprints of ends
-	Result    Result
-	finished  bool
+	World          World
+	Frontier       []Path
+	Visited        map[uint64]struct{} // fingerprints of all states
+	TerminalStates map[uint64]struct{} // fingerprints of terminal states
+	Result         Result
+	finished       bool
 }
 
-// NewSnapshot is a snapshot before the first level.
+// NewSnapshot returns the snapshot of an exploration that has not started.
 func NewSnapshot(w World) *Snapshot {
-	x := newExecution(w, false)
-	return &Snapshot{World: w, Frontier: []Path{{}}, Visited: map[uint64]struct{}{x.fingerprint(): {}},
-		EndStates: map[uint64]struct{}{}, Result: Result{World: w, States: 1}}
+	exec := newExecution(w, false)
+	return &Snapshot{World: w, Frontier: []Path{{}}, Visited: map[uint64]struct{}{exec.fingerprint(): {}},
+		TerminalStates: map[uint64]struct{}{}, Result: Result{World: w, States: 1}}
 }
 
-// successor is one state reached from a state of the frontier.
+// successor is a state that one event reaches from a state of the frontier.
 type successor struct {
 	fingerprint uint64
 	event       uint8
 	violations  []string
 }
 
-// expansion is all successors of one state, or what was found at an end.
+// expansion contains all successors of one state, or the violations in a terminal state.
 type expansion struct {
 	successors  []successor
-	terminal    bool
-	fingerprint uint64   // of the end
-	violations  []string // at the end
+	isTerminal  bool
+	fingerprint uint64   // of a terminal state
+	violations  []string // in a terminal state
 	coverage    Coverage
 }
 
-// expand tries every event of one state: the path is replayed once, and each event is applied to a copy.
-func expand(w World, path Path, copies copyFuncs) (e expansion) {
-	x, _ := replayPath(w, path, false)
-	n := len(x.enabledEvents())
+// expand replays the path to a state and applies each enabled event to a copy of the state.
+func expand(w World, path Path, copiers copyFuncs) (e expansion) {
+	exec, _ := replayPath(w, path, false)
+	n := len(exec.enabledEvents())
 	if n == 0 {
-		if x.isTerminal() { // otherwise another order of the same events goes on
-			x.checkTerminal()
-			e.terminal, e.violations, e.fingerprint = true, x.violations(), x.fingerprint()
+		if exec.isTerminal() { // otherwise the order reduction continues from another interleaving
+			exec.checkTerminal()
+			e.isTerminal, e.violations, e.fingerprint = true, exec.violations(), exec.fingerprint()
 		}
-		e.coverage = x.coverage()
+		e.coverage = exec.coverage()
 		return e
 	}
 	for i := range n {
-		next := x
-		if copies == nil {
+		next := exec
+		if copiers == nil {
 			next, _ = replayPath(w, path, false)
-		} else if i < n-1 { // the last event uses the state itself
-			next = copies.copyOf(x)
+		} else if i < n-1 { // the last event needs no copy
+			next = copiers.copyOf(exec)
 		}
 		next.apply(next.enabledEvents()[i])
 		e.successors = append(e.successors, successor{next.fingerprint(), uint8(i), next.violations()})
@@ -106,9 +107,9 @@
 	return e
 }
 
-// Explore explores level by level, so that a violation is found by a shortest path. States of a level are distributed
-// over workers and merged in order, so the verdict does not depend on the number of workers. Report is called after
-// each level, with the size of the next.
+// Explore runs a breadth-first search, so that the path to a violation is a shortest one. The states of a level are
+// distributed over workers and their successors are merged in order, so the result does not depend on the number of
+// workers. Report, if set, is called after each level with the size of the next one.
 func (s *Snapshot) Explore(limits Limits, report func(r Result, frontier int)) Result {
 	r := &s.Result
 	for len(s.Frontier) > 0 && !s.finished {
@@ -117,7 +118,7 @@
 		}
 		expansions, ok := s.expandFrontier(limits)
 		if !ok {
-			return *r // whoever resumes begins the level anew
+			return *r // a resumed exploration repeats this level
 		}
 		s.merge(expansions)
 		if report != nil {
@@ -132,7 +133,7 @@
 	return *r
 }
 
-// expandFrontier expands all states of the frontier. It reports false if it was stopped before the last.
+// expandFrontier expands all states of the frontier. It returns false if it was stopped before the last one.
 func (s *Snapshot) expandFrontier(limits Limits) (expansions []expansion, ok bool) {
 	expansions = make([]expansion, len(s.Frontier))
 	var next atomic.Int64
@@ -140,20 +141,20 @@
 	var workers sync.WaitGroup
 	for range max(1, limits.Workers) {
 		workers.Go(func() {
-			var copies copyFuncs
+			var copiers copyFuncs
 			if !limits.ReplayPaths {
-				copies = copyFuncs{}
+				copiers = copyFuncs{}
 			}
 			for {
 				i := int(next.Add(1)) - 1
 				if i >= len(expansions) || stopped.Load() {
 					return
 				}
-				if i%stopPollInterval == 0 && limits.stopped() {
+				if i%stopPollInterval == 0 && limits.stopRequested() {
 					stopped.Store(true)
 					return
 				}
-				expansions[i] = expand(s.World, s.Frontier[i], copies)
+				expansions[i] = expand(s.World, s.Frontier[i], copiers)
 			}
 		})
 	}
@@ -161,20 +162,20 @@
 	return expansions, !stopped.Load()
 }
 
-// merge adds the expansions of the frontier to the result, in order, and makes the next frontier.
+// merge adds the expansions of the frontier to the result, in order, and sets the next frontier.
 func (s *Snapshot) merge(expansions []expansion) {
 	r := &s.Result
 	var frontier []Path
 	for i, e := range expansions {
 		path := s.Frontier[i]
 		r.Coverage.Add(e.coverage)
-		if e.terminal {
-			s.mergeEnd(e, path)
+		if e.isTerminal {
+			s.mergeTerminalState(e, path)
 		}
 		for _, next := range e.successors {
 			r.Transitions++
 			longer := append(slices.Clone(path), next.event)
-			r.violatedBy(next.violations, longer)
+			r.recordFirstViolation(next.violations, longer)
 			if _, ok := s.Visited[next.fingerprint]; ok {
 				r.Merged++
 				continue
@@ -188,11 +189,11 @@
 	r.Depth++
 }
 
-func (s *Snapshot) mergeEnd(e expansion, path Path) {
-	if _, ok := s.EndStates[e.fingerprint]; !ok {
-		s.EndStates[e.fingerprint] = struct{}{}
+func (s *Snapshot) mergeTerminalState(e expansion, path Path) {
+	if _, ok := s.TerminalStates[e.fingerprint]; !ok {
+		s.TerminalStates[e.fingerprint] = struct{}{}
 		s.Result.Ends++
-		s.Result.EndsChecksum ^= e.fingerprint
+		s.Result.TerminalStatesChecksum ^= e.fingerprint
 	}
-	s.Result.violatedBy(e.violations, slices.Clone(path))
+	s.Result.recordFirstViolation(e.violations, slices.Clone(path))
 }
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fingerprint is the same for states from which the same may follow.
+// fingerprint returns a hash that is equal for states with the same possible continuations.
 func (s *simulation) fingerprint() uint64 {
 	h := xxhash.New()
 	s.core.Fingerprint(h)
@@ -34,7 +34,7 @@
 	return h.Sum64()
 }
 
-// fingerprintConnections writes the open connections, whatever their order.
+// fingerprintConnections writes the open connections to the hash, independently of their order.
 func (s *simulation) fingerprintConnections(h io.Writer) {
 	var lines []string
 	for _, c := range s.connections {
@@ -45,7 +45,7 @@
 		if c.hangingSince > 0 {
 			hanging = 1 + s.now - c.hangingSince
 		}
-		line := fmt.Sprint(c.core.Engine, c.established, c.unreadRest, c.partlyWritten, hanging)
+		line := fmt.Sprint(c.engineConnection.Engine, c.established, c.hasUnreadBytes, c.partlyWritten, hanging)
 		if r := c.request; r != nil {
 			line += fmt.Sprint(r.requestID, r.kind, r.attempt, r.unresponsive, r.firstTokenSent, r.secondTokenSent)
 		}
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// mutation is one deliberate defect: in file, old becomes new. World is where it is caught, by one of the
-// properties named.
+// mutation is a deliberate defect: it replaces the text old with new in a file. The model checker must find a violation of
+// one of the properties in the world.
 type mutation struct {
 	name, file, old, new, world, properties string
 }
 
-// mutations are applied through an overlay of the build, so no shipped binary knows of them.
+// mutations are applied through a build overlay, so released binaries do not contain them.
 var mutations = []mutation{
 	{"an attempt whose connection breaks counts as not run", "internal/attempt/transitions.go",
 		"{from: []State{AwaitingResponse, Responding, Streaming}, event: ConnectionReset, next: Ended,\n\t\tverdict: routing.ConnectionLost",
@@ -40,7 +40,7 @@
 		"\t\tr.write(client, append(last[:len(last)-5:len(last)-5], last...))", "one", "P1"},
 	{"the connection of a canceled attempt stays open", "internal/router/attempts.go", "case result.Connection == attempt.MustClose:", "case result.Connection == attempt.MustClose && event != attempt.Canceled:",
 		"one", "P2 P5 P6 P8 P9 P10"},
-	{"an unread rest of a response is ignored", "internal/router/engine_responses.go", "if !clean {", "if false {", "two", "P8"},
+	{"unread bytes of a response are ignored", "internal/router/engine_responses.go", "if !clean {", "if false {", "two", "P8"},
 	{"a connection in use counts as idle", "internal/connpool/state.go", "{[]State{Idle}, Acquired, Busy, NoAction}", "{[]State{Idle}, Acquired, Idle, NoAction}",
 		"two", "P8 P12"},
 	{"a busy connection is reused", "internal/connpool/acquire.go", "case c.state != Idle:", "case c.state != Idle && c.state != Busy:", "two", "P8"},
@@ -53,14 +53,14 @@
 	{"a stream ends without an error", "internal/router/request_outcomes.go", "\t\tr.write(client, last)", "\t\tr.write(client, last[len(last)-5:])", "single", "P1"},
 	{"finished requests are not forgotten", "internal/router/policy.go", "\t\tfor _, req := range r.requests.justFinished {\n\t\t\tr.forgetRequest(req)\n\t\t}", "", "single", "P9 P10"},
 	{"a stream goes on after its client disconnected", "internal/router/request_outcomes.go", "r.handleAttemptEvent(att, attempt.Canceled, reasonClientDisconnected)", "_, _ = att, attempt.Canceled", "single", "P6 P9 P10"},
-	{"bytes that the kernel takes last are ignored", "internal/router/attempts.go", "conn.socket.RequestWritten() {\n\t\t\tr.transition", "false {\n\t\t\tr.transition", "one", "P3 P5 P9 P10 P11"},
+	{"the complete write of a request is ignored", "internal/router/attempts.go", "conn.socket.RequestWritten() {\n\t\t\tr.transition", "false {\n\t\t\tr.transition", "one", "P3 P5 P9 P10 P11"},
 	{"a request that may have run is retried", "internal/routing/retry.go", "\t\tif att.neverRan || !att.decode {\n\t\t\tcontinue\n\t\t}", "\t\tif true {\n\t\t\tcontinue\n\t\t}", "pair", "P3"},
 	{"a request that may have run is shed", "internal/routing/retry.go", "if mayShed || !ran {", "if true || mayShed || !ran {", "one", "P3"},
-	{"no timer for the timeout", "internal/routing/policy.go", "p.startTimer(req.RequestID, deadlineNear,", "p.startTimer(req.RequestID, noTrigger,", "one", "P4 P9 P10"},
+	{"the timer for the timeout is missing", "internal/routing/policy.go", "p.startTimer(req.RequestID, deadlineNear,", "p.startTimer(req.RequestID, noTrigger,", "one", "P4 P9 P10"},
 	{"the final response is late", "internal/routing/retry.go", "return 3 * p.config.Tick", "return -60 * p.config.Tick", "one", "P4 P5"},
 	{"reservations are held past their limit", "internal/config/routing.go", "d.Rules.ReservationLimit * 5 / 8", "d.Rules.ReservationLimit * 4", "one", "P5"},
 	{"reservations are not released at the end", "internal/routing/retry.go", "\tp.act(Release{req.RequestID})\n\treturn noTrigger", "\treturn noTrigger", "one", "P5 P9 P10"},
-	{"every router has a share of the slow start", "internal/routing/slowstart.go", "math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5", "first+rest >= 0", "crowd-300", "P14"},
+	{"every router may use the slow-start budget", "internal/routing/slowstart.go", "math.Mod(float64(p.config.Node)+first, nodes) < rest*nodes/7.5", "first+rest >= 0", "crowd-300", "P14"},
 	{"the slow-start budget is six times as large", "internal/routing/slowstart.go", "places := 1.2 *", "places := 6 * 1.2 *", "crowd-300", "P14"},
 	{"a router rejects too early", "internal/admission/admit.go", "ct.openRequests >= ct.limits.OpenRequests", "ct.openRequests+1 >= ct.limits.OpenRequests", "limit", "P13"},
 	{"an order is sent before it is persisted", "internal/planner/assignment/output.go", "return append(actions, out.actions...)", "return append(out.actions, actions...)", "roles-one", "R6"},
@@ -68,8 +68,8 @@
 	{"a rollback keeps the epoch", "internal/planner/assignment/transitions.go", "max(engine.Epoch, engine.NextEpoch, engine.report.Epoch)+1, c.now", "max(engine.Epoch, 1), c.now", "roles-one", "R1 R2 R7"},
 	{"a drain never times out", "internal/planner/assignment/transitions.go", "case Draining:\n\t\treturn c.config.DrainTimeout", "case Draining:\n\t\treturn 0", "roles", "R7"},
 	{"a load never times out", "internal/planner/assignment/transitions.go", "case Loading, RollingBack:\n\t\treturn c.config.LoadTimeout", "case Loading, RollingBack:\n\t\treturn 0", "roles-one", "R7"},
-	{"a lost end of a drain is not ordered again", "internal/planner/assignment/report.go", "case report.Draining: // its", "case false: // its", "roles", "R7"},
-	{"no minimum of serving engines", "internal/planner/assignment/eligibility.go", "return c.floorReason(engine)", "return \"\"", "roles-last", "R3"},
+	{"the order that ends a drain is not repeated after a loss", "internal/planner/assignment/report.go", "case report.Draining: // its", "case false: // its", "roles", "R7"},
+	{"the minimum of serving engines is not checked", "internal/planner/assignment/eligibility.go", "return c.floorReason(engine)", "return \"\"", "roles-last", "R3"},
 	{"an engine that changes its role stays in the plan", "internal/planner/assignment/plan.go", "case Ordered, Loading, RollingBack, InTrial, Quarantined:\n\t\t\tcontinue",
 		"case Quarantined:\n\t\t\tcontinue", "roles-one", "R8"},
 	{"a restarted planner forgets its records", "internal/planner/assignment/controller.go", "c.engines.byAddress[record.Engine] = &engineRecord{Record: record, roleKnown: true, changeStartedAt: record.StateSince}", "c.engines.byAddress[record.Engine] = &engineRecord{Record: Record{Engine: record.Engine, Role: record.Role}, roleKnown: true, changeStartedAt: record.StateSince}", "roles", "R1 R2 R4 R5 R6 R7 R8"},
@@ -77,7 +77,7 @@
 		"holdsCurrentRole := !report.Changing", "roles", "R1 R2 R7"},
 }
 
-// moduleRoot is the directory that the files of mutations are relative to.
+// moduleRoot returns the directory to which the file names of mutations are relative.
 func moduleRoot(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -87,9 +87,9 @@
 	return root
 }
 
-// Every mutation has to find the text that it changes, so that a change of that text is seen at once and not by the full
-// run alone.
-func TestMutationsFindTheirText(t *testing.T) {
+// Every mutation must find the text that it replaces. This check is fast, so that a change of the source is noticed without
+// the full run of mutations.
+func TestMutationsMatchSource(t *testing.T) {
 	root := moduleRoot(t)
 	for _, m := range mutations {
 		text, err := os.ReadFile(filepath.Join(root, m.file))
@@ -98,13 +98,13 @@
 			continue
 		}
 		if !strings.Contains(string(text), m.old) {
-			t.Errorf("%s: %s has no such text any more: %q", m.name, m.file, m.old)
+			t.Errorf("%s: %s no longer contains %q", m.name, m.file, m.old)
 		}
 	}
 }
 
-// Each defect must be caught by a property that is named for it. To build a binary for each takes minutes, so CI takes
-// three of them and SANDCOURSE_MUTATIONS=all the rest.
+// The model checker must catch each mutation by one of its properties. The builds of all mutations take minutes, so only
+// three are tested unless SANDCOURSE_MUTATIONS=all.
 func TestMutationsAreCaught(t *testing.T) {
 	root := moduleRoot(t)
 	list := mutations
@@ -124,15 +124,15 @@
 			if !strings.Contains(" "+m.properties+" ", " "+property+" ") {
 				t.Errorf("caught by %q, not by one of %s", violation, m.properties)
 			}
-			t.Logf("%s after some %d steps: %s", m.name, strings.Count(string(out), ". "), violation)
+			t.Logf("%s after about %d steps: %s", m.name, strings.Count(string(out), ". "), violation)
 		})
 	}
 }
 
-// buildOverlay is the file that replaces sources for a build.
+// buildOverlay is the content of the file for the -overlay flag of go build.
 type buildOverlay struct{ Replace map[string]string }
 
-// build builds the program with the defect, and returns its path.
+// build builds the program with the mutation, and returns its path.
 func (m mutation) build(t *testing.T, root string) (program string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), m.old) {
-		t.Fatalf("%s has no such text any more: %q", m.file, m.old)
+		t.Fatalf("%s no longer contains %q", m.file, m.old)
 	}
 	changed, overlayFile := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
 	if err := os.WriteFile(changed, []byte(strings.ReplaceAll(string(text), m.old, m.new)), 0o644); err != nil {
@@ -159,7 +159,7 @@
 	build := exec.Command("go", "build", "-overlay", overlayFile, "-o", program, "./cmd/sandcourse")
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("does not build: %s", out)
+		t.Fatalf("build failed: %s", out)
 	}
 	return program
 }
--- a/internal/modelcheck/observer.go
+++ b/internal/modelcheck/observer.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/routing"
 )
 
-// violationObserver turns what the router reports about itself into violations.
+// violationObserver records violations that the router itself reports.
 type violationObserver struct{ simulation *simulation }
 
 // AroundStep runs a step of the policy.
@@ -16,53 +16,53 @@
 
 // PolicyPanicked is a violation: the policy must handle every event.
 func (o violationObserver) PolicyPanicked(p any, in routing.Event, _ []byte) {
-	o.simulation.violated.add("P12 the routing policy panics on %T: %v", in, p)
+	o.simulation.violationLog.add("P12 the routing policy panics on %T: %v", in, p)
 }
 
-// AttemptBlocked is a violation where the policy asks for what would be a second run, or for two attempts at once.
+// AttemptBlocked is a violation if the policy requests a second run, or a second attempt while one is in flight.
 func (o violationObserver) AttemptBlocked(request string, reason invariant.Reason) {
 	switch reason {
 	case invariant.MayHaveRun:
-		o.simulation.violated.add("P3 the routing policy asks for an attempt of %s, though %s", request, reason)
+		o.simulation.violationLog.add("P3 the routing policy requests an attempt of %s: %s", request, reason)
 	case invariant.AttemptInFlight:
-		o.simulation.violated.add("P2 the routing policy asks for an attempt of %s, though %s", request, reason)
+		o.simulation.violationLog.add("P2 the routing policy requests an attempt of %s: %s", request, reason)
 	}
 }
 
-// InvariantViolated is a violation: the run-time monitor must find nothing where nothing is wrong.
+// InvariantViolated is a violation: the run-time monitor must not report an invariant that holds.
 func (o violationObserver) InvariantViolated(v invariant.Violation) {
-	o.simulation.violated.add("P15 the run-time monitor reports of %s: %s %s", v.Request, v.Rule, v.Detail)
+	o.simulation.violationLog.add("P15 the run-time monitor reports a violation for %s: %s %s", v.Request, v.Rule, v.Detail)
 }
 
-// Rejected is a violation: nothing exceeds the limits of a world but where P13 looks at it.
+// Rejected is a violation: only the limit of open requests may be exceeded in a world, and P13 checks that case.
 func (o violationObserver) Rejected(reason router.RejectReason) {
-	o.simulation.violated.add("P12 rejected: %s", reason)
+	o.simulation.violationLog.add("P12 rejected: %s", reason)
 }
 
-// ReservationChanged is a violation where the router itself has to release what the policy should have released.
+// ReservationChanged is a violation if the router has to release a reservation that the policy should have released.
 func (o violationObserver) ReservationChanged(event router.ReservationEvent) {
 	if event == router.ReleaseOverdue {
-		o.simulation.violated.add("P5 the routing policy keeps a reservation until the router releases it")
+		o.simulation.violationLog.add("P5 the routing policy keeps a reservation until the router releases it")
 	}
 }
 
-// RequestFinished is not of interest.
+// RequestFinished is ignored.
 func (o violationObserver) RequestFinished(router.RequestSummary) {}
 
-// RequestShed is not of interest.
+// RequestShed is ignored.
 func (o violationObserver) RequestShed(router.ShedRequest) {}
 
-// AttemptEnded is not of interest.
+// AttemptEnded is ignored.
 func (o violationObserver) AttemptEnded(router.AttemptSummary) {}
 
-// ClientClosed is not of interest.
+// ClientClosed is ignored.
 func (o violationObserver) ClientClosed(int64, router.CloseReason) {}
 
-// ConnectionChanged is not of interest.
+// ConnectionChanged is ignored.
 func (o violationObserver) ConnectionChanged(string, router.ConnectionEvent) {}
 
-// FirstToken is not of interest.
+// FirstToken is ignored.
 func (o violationObserver) FirstToken(string, time.Duration, int) {}
 
-// EndpointsUpdated is not of interest.
+// EndpointsUpdated is ignored.
 func (o violationObserver) EndpointsUpdated(int64, int, []string) {}
--- a/internal/modelcheck/plannerengine.go
+++ b/internal/modelcheck/plannerengine.go
@@ -5,21 +5,21 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// simulatedEngine is the truth about an engine that can change its role.
+// simulatedEngine is the actual state of an engine that can change its role.
 type simulatedEngine struct {
 	name          string
 	role          string
-	claimedRole   string
+	claimedRole   string // role that the engine reports
 	epoch         int64
 	term          int64
 	loading       bool
 	draining      bool
-	lost          bool // it does not come back
-	keepsOldRole  bool // it claims a role and keeps the old one
+	lost          bool // loading never ends
+	keepsOldRole  bool // the engine reports the new role and keeps the old one
 	openRequests  int
-	requestsStuck bool // open requests do not end
+	requestsStuck bool // open requests never end
 	incarnation   int64
-	roleByEpoch   map[int64]string // the role that it had under each epoch
+	roleByEpoch   map[int64]string // actual role in each epoch
 }
 
 func (e *simulatedEngine) report() planapi.EngineReport {
@@ -27,7 +27,7 @@
 		UptimeMillis: 0, Changing: e.loading, Draining: e.draining, OpenRequests: e.openRequests}
 }
 
-// handleOrder does what an engine does about an order of the planner.
+// handleOrder handles an order of the planner.
 func (e *simulatedEngine) handleOrder(o planapi.RoleOrder) {
 	switch {
 	case o.Term < e.term || o.Epoch < e.epoch:
@@ -55,25 +55,25 @@
 	e.roleByEpoch[e.epoch] = e.role
 }
 
-// resetToFirstRole is a crash after which the engine starts in the role of its configuration, with all else forgotten.
-func (e *simulatedEngine) resetToFirstRole() {
+// restartInInitialRole simulates a crash after which the engine starts in its configured role, without any other state.
+func (e *simulatedEngine) restartInInitialRole() {
 	e.role, e.claimedRole = e.roleByEpoch[1], e.roleByEpoch[1]
 	e.epoch, e.term, e.draining, e.openRequests = 1, 0, false, 0
 	e.incarnation++
 }
 
-// passesTrial reports whether an engine can serve a trial: in the role that it has, if the epoch fits.
-func (e *simulatedEngine) passesTrial(t assignment.StartTrial) bool {
-	return e.role == t.Role && e.epoch == t.Epoch && !e.loading
+// passesTrial reports whether the engine can serve a trial, that is, has its role and epoch and is not loading.
+func (e *simulatedEngine) passesTrial(trial assignment.StartTrial) bool {
+	return e.role == trial.Role && e.epoch == trial.Epoch && !e.loading
 }
 
-// isBusy reports whether the engine goes on by itself.
+// isBusy reports whether the engine's state changes without further orders.
 func (e *simulatedEngine) isBusy() bool {
 	return e.loading && !e.lost || e.openRequests > 0 && !e.requestsStuck
 }
 
-// isSettledAs reports whether the engine is as its record says, or is quarantined for what it did.
-func (e *simulatedEngine) isSettledAs(r assignment.Record) bool {
+// matchesRecord reports whether the engine's state matches its record, or the engine is quarantined for its own fault.
+func (e *simulatedEngine) matchesRecord(r assignment.Record) bool {
 	if r.State == assignment.Quarantined {
 		return e.lost || e.keepsOldRole
 	}
--- a/internal/modelcheck/plannerevents.go
+++ b/internal/modelcheck/plannerevents.go
@@ -7,8 +7,8 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// enabledEvents lists what may happen now. The actions of the planner come before anything else, and the operator
-// before the engines, so that fewer orders have to be tried.
+// enabledEvents lists the events that are possible now. The planner's actions precede all other events, and the operator's
+// moves precede those of the engines, to reduce the number of interleavings.
 func (s *plannerSimulation) enabledEvents() []Event {
 	list := &eventList{world: s.world, faultsUsed: s.faultsUsed}
 	switch {
@@ -16,7 +16,7 @@
 		s.addReadmissions(list)
 	case !s.running:
 		list.addNamed(noFault, s.startPlanner, "the planner restarts")
-		if s.ticksWithoutPlanner < maxPlannerDown {
+		if s.ticksWithoutPlanner < maxTicksWithoutPlanner {
 			list.addNamed(noFault, func() { s.ticksWithoutPlanner++; s.advance() }, "time passes without a planner")
 		}
 	case len(s.queue) > 0:
@@ -41,9 +41,9 @@
 func (s *plannerSimulation) addReadmissions(list *eventList) {
 	for _, engine := range s.engines {
 		if s.stored[engine.name].State == assignment.Quarantined {
-			list.addNamed(FaultLeave, func() {
+			list.addNamed(FaultDisconnect, func() {
 				engine.lost, engine.keepsOldRole = false, false
-				s.operate("readmit", engine.name)
+				s.applyOperatorOrder("readmit", engine.name)
 			}, "an operator repairs and readmits %s", engine.name)
 		}
 	}
@@ -55,7 +55,7 @@
 		if i == 0 || i == s.world.PrefillEngines {
 			list.addNamed(noFault, func() {
 				s.operatorMoves--
-				s.operate("move", engine.name)
+				s.applyOperatorOrder("move", engine.name)
 			}, "an operator moves %s", engine.name)
 		}
 	}
@@ -68,7 +68,7 @@
 		list.addNamed(noFault, func() { remove(); s.engine(o.engine).handleOrder(o.order) }, "%s arrives", name)
 		list.addNamed(FaultReset, remove, "%s is lost", name)
 		if o.delayedTicks == 0 {
-			list.addNamed(FaultLate, func() { s.orders[i].delayedTicks = orderDelayTicks }, "%s is delayed", name)
+			list.addNamed(FaultDelay, func() { s.orders[i].delayedTicks = orderDelayTicks }, "%s is delayed", name)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		remove := func() { s.trials = slices.Delete(s.trials, i, i+1) }
 		list.addNamed(noFault, func() {
 			remove()
-			s.decide(assignment.TrialEnded{Engine: t.Engine, Number: t.Number, OK: passed, Reason: "no"})
+			s.stepController(assignment.TrialEnded{Engine: t.Engine, Number: t.Number, OK: passed, Reason: "no"})
 		}, "the trial of %s ends", t.Engine)
 		list.addNamed(FaultReset, remove, "the trial of %s is lost", t.Engine)
 	}
@@ -87,16 +87,16 @@
 
 func (s *plannerSimulation) addEngineEvents(list *eventList, e *simulatedEngine) {
 	if e.loading && !e.lost {
-		list.addNamed(noFault, e.finishLoading, "%s has loaded", e.name)
-		list.addNamed(FaultSilent, func() { e.lost = true }, "%s never comes back", e.name)
+		list.addNamed(noFault, e.finishLoading, "%s finishes loading", e.name)
+		list.addNamed(FaultUnresponsive, func() { e.lost = true }, "%s never finishes loading", e.name)
 		if !e.keepsOldRole && e.claimedRole != e.role {
-			list.addNamed(FaultGarbled, func() { e.keepsOldRole = true; e.finishLoading() }, "%s claims the role and keeps the old one", e.name)
+			list.addNamed(FaultGarbled, func() { e.keepsOldRole = true; e.finishLoading() }, "%s reports the new role and keeps the old one", e.name)
 		}
 	}
 	s.addCrashes(list, e)
 	if e.openRequests > 0 && !e.requestsStuck {
 		list.addNamed(noFault, func() { e.openRequests = 0 }, "open requests at %s end", e.name)
-		list.addNamed(FaultSilent, func() { e.requestsStuck = true }, "open requests at %s do not end", e.name)
+		list.addNamed(FaultUnresponsive, func() { e.requestsStuck = true }, "open requests at %s do not end", e.name)
 	}
 }
 
@@ -108,7 +108,7 @@
 		list.addNamed(FaultRestart, func() { e.incarnation++; e.draining, e.openRequests = false, 0 }, "%s crashes and restarts", e.name)
 	}
 	if e.epoch > 1 && !e.loading {
-		list.addNamed(FaultRestart, e.resetToFirstRole, "%s crashes and restarts in its first role, with all else forgotten", e.name)
+		list.addNamed(FaultRestart, e.restartInInitialRole, "%s crashes and restarts in its initial role, without any other state", e.name)
 	}
 }
 
@@ -120,11 +120,11 @@
 	}
 }
 
-// addTick lets time pass where nothing else happens by itself.
+// addTick lets time pass if no other event is due.
 func (s *plannerSimulation) addTick(list *eventList) {
 	orderIsDue := func(o pendingOrder) bool { return o.delayedTicks <= 1 }
 	if slices.ContainsFunc(s.orders, orderIsDue) || len(s.trials) > 0 || slices.ContainsFunc(s.engines, (*simulatedEngine).isBusy) ||
-		s.edgeIsBehind() {
+		s.hasOutdatedEdge() {
 		return
 	}
 	list.addNamed(noFault, func() {
@@ -133,7 +133,7 @@
 		for _, engine := range s.engines {
 			s.sendReport(engine, requestedAt)
 		}
-		s.decide(assignment.Tick{})
+		s.stepController(assignment.Tick{})
 	}, "time passes and all engines are polled")
 }
 
@@ -141,21 +141,21 @@
 	if s.meta.Stopped || s.stopped {
 		return
 	}
-	list.addNamed(FaultLeave, func() {
+	list.addNamed(FaultDisconnect, func() {
 		s.stopped = true
-		s.operate("stop", "")
+		s.applyOperatorOrder("stop", "")
 	}, "an operator stops all changes")
 }
 
-// addStaleAttempts lets an edge with an older plan send an attempt to an engine that drains.
+// addStaleAttempts lets an edge with an older plan send an attempt to a draining engine.
 func (s *plannerSimulation) addStaleAttempts(list *eventList) {
 	for _, engine := range s.engines {
 		if s.stored[engine.name].State == assignment.Draining && engine.openRequests == 0 {
-			list.addNamed(FaultLate, func() {
+			list.addNamed(FaultDelay, func() {
 				if !engine.draining {
 					engine.openRequests = 1
 				}
-			}, "an attempt by an older plan is open at %s", engine.name)
+			}, "%s receives an attempt from an edge with an older plan", engine.name)
 		}
 	}
 }
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -12,54 +12,54 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// plannerSimulation is the planner's role assignment with a store, some engines and edges. Each action of the planner is
-// an event of its own, so that it may be killed between any two; its orders may be lost or delayed, its engines may
-// crash, claim what they are not, or never come back; edges may receive plans late.
+// plannerSimulation is one execution of the planner's role assignment with a store, engines and edges. Each action of the
+// planner is a separate event, so that the planner may be killed between any two actions. Orders may be lost or delayed;
+// engines may crash, report a false role or never finish loading; edges may receive plans late.
 type plannerSimulation struct {
 	world               World
 	now                 int64
 	controller          *assignment.Controller
-	queue               []assignment.Action // decided and not executed yet
+	queue               []assignment.Action // actions that are decided and not executed yet
 	stored              map[string]assignment.Record
 	meta                assignment.Meta
 	term                int64
 	running             bool
 	engines             []*simulatedEngine
-	orders              []pendingOrder // in flight
+	orders              []pendingOrder // role orders in flight
 	trials              []assignment.StartTrial
-	plan                planapi.Plan // the newest published
+	plan                planapi.Plan // newest published plan
 	edges               []planapi.Plan
-	operatorMoves       int // that the operator may still order
+	operatorMoves       int // number of moves that the operator may still order
 	faultsUsed          int
 	stopped             bool
 	ticksWithoutPlanner int
-	violated            violationLog
+	violationLog        violationLog
 	earlierCoverage     uint64
 }
 
-// pendingOrder is a role order on its way to an engine.
+// pendingOrder is a role order in flight to an engine.
 type pendingOrder struct {
 	engine       string
 	order        planapi.RoleOrder
-	delayedTicks int // for which it may still be in flight; 0 for one that is not delayed
+	delayedTicks int // ticks for which a delayed order may remain in flight; 0 for an order that is not delayed
 }
 
-// The times of role changes. A delayed order takes longer than any step of a change, so that it arrives in the middle
-// of another.
+// The durations of role changes. A delayed order is in flight for longer than any step of a role change takes, so that it
+// arrives during a later step or change.
 const (
-	roleDrainTimeout = 400 * time.Millisecond
-	roleOrderTimeout = 300 * time.Millisecond
-	roleLoadTimeout  = 600 * time.Millisecond
-	roleTrialTimeout = 300 * time.Millisecond
-	roleWarmUp       = 200 * time.Millisecond
-	roleCooldown     = 500 * time.Millisecond
-	roleTick         = 100 * time.Millisecond
-	roleHorizon      = 20 * time.Second // by which every change must have ended
-	orderDelayTicks  = 10
-	maxPlannerDown   = 4 // ticks
-	startupRounds    = 3 // of reports, until every engine is known
-	operatorName     = "w"
-	operatorReason   = "y"
+	roleDrainTimeout       = 400 * time.Millisecond
+	roleOrderTimeout       = 300 * time.Millisecond
+	roleLoadTimeout        = 600 * time.Millisecond
+	roleTrialTimeout       = 300 * time.Millisecond
+	roleWarmUp             = 200 * time.Millisecond
+	roleCooldown           = 500 * time.Millisecond
+	roleTick               = 100 * time.Millisecond
+	roleChangeTimeLimit    = 20 * time.Second // time after which every change must have ended
+	orderDelayTicks        = 10
+	maxTicksWithoutPlanner = 4 // ticks
+	startupReportRounds    = 3 // rounds of reports after which the planner knows every engine
+	operatorName           = "w"
+	operatorReason         = "y"
 )
 
 func newPlannerSimulation(w World) *plannerSimulation {
@@ -71,7 +71,7 @@
 	}
 	s.edges = make([]planapi.Plan, max(1, w.Routers))
 	s.startPlanner()
-	for range startupRounds {
+	for range startupReportRounds {
 		for _, engine := range s.engines {
 			s.sendReport(engine, s.now)
 			s.executeAll()
@@ -83,7 +83,7 @@
 	return s
 }
 
-// listedRole is the role in which the endpoint list names an engine.
+// listedRole returns the role of an engine in the endpoint list.
 func (w World) listedRole(i int) string {
 	if i < w.PrefillEngines {
 		return planapi.Prefill
@@ -97,7 +97,7 @@
 		DrainGrace: drainGrace}
 }
 
-// startPlanner starts the planner with what is stored.
+// startPlanner starts the planner from the stored records.
 func (s *plannerSimulation) startPlanner() {
 	var records []assignment.Record
 	for _, id := range slices.Sorted(maps.Keys(s.stored)) {
@@ -111,7 +111,7 @@
 		listed = append(listed, assignment.ListedEngine{Engine: engine.name, Role: s.world.listedRole(i), Weight: 1, Ready: true,
 			CanChange: true, Kinds: map[string]string{planapi.Prefill: planapi.Prefill, planapi.Decode: planapi.Decode}})
 	}
-	s.decide(assignment.EnginesListed{Engines: listed})
+	s.stepController(assignment.EnginesListed{Engines: listed})
 }
 
 func (s *plannerSimulation) killPlanner() {
@@ -119,13 +119,13 @@
 	s.running, s.queue, s.trials = false, nil, nil
 }
 
-// decide passes an event to the planner, and queues the actions that it decides.
-func (s *plannerSimulation) decide(event assignment.Event) {
+// stepController passes an event to the planner and queues the resulting actions.
+func (s *plannerSimulation) stepController(event assignment.Event) {
 	s.queue = append(s.queue, s.controller.Step(s.now, event)...)
 }
 
-// operate passes an operator's order to the planner. One that is refused has no effect.
-func (s *plannerSimulation) operate(operation, engine string) {
+// applyOperatorOrder passes an operator's order to the planner. An order that the planner refuses has no effect.
+func (s *plannerSimulation) applyOperatorOrder(operation, engine string) {
 	order := planapi.Order{Operation: operation, Engine: engine, Operator: operatorName, Reason: operatorReason}
 	if _, actions, err := s.controller.ApplyOrder(s.now, order); err == nil {
 		s.queue = append(s.queue, actions...)
@@ -138,7 +138,7 @@
 	}
 }
 
-// executeNext executes the action that was decided first.
+// executeNext executes the oldest queued action.
 func (s *plannerSimulation) executeNext() {
 	action := s.queue[0]
 	s.queue = s.queue[1:]
@@ -150,7 +150,7 @@
 		}
 		s.meta = a.Meta
 	case assignment.PublishPlan:
-		s.checkNewer(a.Plan)
+		s.checkPlanOrder(a.Plan)
 		s.plan = a.Plan
 		s.checkPlan()
 	case assignment.SendRoleOrder:
@@ -169,37 +169,37 @@
 	return s.engines[i]
 }
 
-// sendReport passes an engine's report, as it is now, in response to a poll of requestedAt.
+// sendReport passes the current report of an engine to the planner, as the response to a poll sent at requestedAt.
 func (s *plannerSimulation) sendReport(engine *simulatedEngine, requestedAt int64) {
-	s.decide(assignment.EngineReported{RequestedAt: requestedAt, Report: engine.report()})
+	s.stepController(assignment.EngineReported{RequestedAt: requestedAt, Report: engine.report()})
 }
 
-// advance lets one tick pass.
+// advance advances the time by one tick.
 func (s *plannerSimulation) advance() {
 	s.now += int64(roleTick)
 	for i := range s.orders {
-		if s.orders[i].delayedTicks > 1 { // the last tick makes it due
+		if s.orders[i].delayedTicks > 1 { // an order with one tick left is due
 			s.orders[i].delayedTicks--
 		}
 	}
 }
 
-// isSettled reports whether nothing is left to happen: all engines serve, or are quarantined for what they did.
+// isSettled reports whether no action, order or change is left, and every engine serves or is quarantined for its own fault.
 func (s *plannerSimulation) isSettled() bool {
 	if !s.running || len(s.queue) > 0 || len(s.orders)+len(s.trials) > 0 || s.operatorMoves > 0 {
 		return false
 	}
 	for _, engine := range s.engines {
 		record, ok := s.stored[engine.name]
-		if engine.isBusy() || ok && !engine.isSettledAs(record) {
+		if engine.isBusy() || ok && !engine.matchesRecord(record) {
 			return false
 		}
 	}
-	return !s.edgeIsBehind()
+	return !s.hasOutdatedEdge()
 }
 
-// edgeIsBehind reports whether an edge has not received the newest plan.
-func (s *plannerSimulation) edgeIsBehind() bool {
+// hasOutdatedEdge reports whether an edge has not received the newest plan.
+func (s *plannerSimulation) hasOutdatedEdge() bool {
 	return slices.ContainsFunc(s.edges, func(p planapi.Plan) bool { return s.plan.Newer(p) })
 }
 
@@ -213,7 +213,7 @@
 
 func (s *plannerSimulation) isTerminal() bool       { return len(s.enabledEvents()) == 0 }
 func (s *plannerSimulation) checkTerminal()         {}
-func (s *plannerSimulation) violations() []string   { return s.violated.texts }
+func (s *plannerSimulation) violations() []string   { return s.violationLog.texts }
 func (s *plannerSimulation) elapsed() time.Duration { return time.Duration(s.now - startTime) }
 
 func (s *plannerSimulation) coverage() Coverage {
@@ -229,12 +229,12 @@
 
 func (s *plannerSimulation) describe() (lines []string) {
 	for _, e := range s.engines {
-		lines = append(lines, fmt.Sprintf("%s is %s (claims %s) of epoch %d, loading %v, draining %v", e.name, e.role, e.claimedRole,
+		lines = append(lines, fmt.Sprintf("%s has role %s (reports %s), epoch %d, loading %v, draining %v", e.name, e.role, e.claimedRole,
 			e.epoch, e.loading, e.draining))
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.stored)) {
 		r := s.stored[id]
-		lines = append(lines, fmt.Sprintf("record of %s: %s, %s of %d, next %s of %d", id, r.State, r.Role, r.Epoch, r.NextRole, r.NextEpoch))
+		lines = append(lines, fmt.Sprintf("record of %s: %s, role %s, epoch %d, next role %s, next epoch %d", id, r.State, r.Role, r.Epoch, r.NextRole, r.NextEpoch))
 	}
 	return lines
 }
@@ -257,7 +257,7 @@
 		fmt.Fprintf(h, "%T", action)
 	}
 	for _, p := range append(slices.Clone(s.edges), s.plan) {
-		fmt.Fprintln(h, p.Engines, s.plan.Newer(p)) // two plans may be equal and yet two
+		fmt.Fprintln(h, p.Engines, s.plan.Newer(p)) // plans with equal engines may differ in age
 	}
 	return h.Sum64()
 }
--- a/internal/modelcheck/randomwalk.go
+++ b/internal/modelcheck/randomwalk.go
@@ -9,29 +9,29 @@
 
 const (
 	maxWalkLength     = 2000
-	faultKindShare    = 0.5 // of the kinds of fault that a walk may inject
-	faultRedrawChance = 0.7 // that a fault which was drawn is drawn again
+	faultKindShare    = 0.5 // probability that a walk may inject a kind of fault
+	faultRedrawChance = 0.7 // probability that a drawn fault is replaced by another draw
 )
 
-// walk is one random path.
+// walk is the result of one random walk.
 type walk struct {
-	world      World // with the kinds of fault that this walk may inject
-	path       Path
-	violations []string
-	coverage   Coverage
-	terminal   bool
+	world           World // with only the kinds of fault that this walk may inject
+	path            Path
+	violations      []string
+	coverage        Coverage
+	reachedTerminal bool
 }
 
-// RandomWalks walks at random from seeds, deep into worlds that are too large to be explored exhaustively.
+// RandomWalks runs a number of seeded random walks in a world that is too large to be explored exhaustively.
 func RandomWalks(w World, seed uint64, count, workers int, stop func() bool) (r Result) {
 	r.World = w
 	walks := make([]walk, count)
-	var next atomic.Int64
-	var all sync.WaitGroup
+	var nextWalk atomic.Int64
+	var workersDone sync.WaitGroup
 	for range max(1, workers) {
-		all.Go(func() {
+		workersDone.Go(func() {
 			for {
-				i := int(next.Add(1)) - 1
+				i := int(nextWalk.Add(1)) - 1
 				if i >= count || stop != nil && stop() {
 					return
 				}
@@ -39,12 +39,12 @@
 			}
 		})
 	}
-	all.Wait()
+	workersDone.Wait()
 	for _, walked := range walks {
 		r.Transitions += len(walked.path)
 		r.Coverage.Add(walked.coverage)
 		r.Depth = max(r.Depth, len(walked.path))
-		if walked.terminal {
+		if walked.reachedTerminal {
 			r.Ends++
 		}
 		if len(walked.violations) > 0 && r.Path == nil {
@@ -55,39 +55,39 @@
 	return r
 }
 
-// randomWalk walks until nothing can happen any more, a property is violated, or the walk is long enough.
+// randomWalk applies random events until no event is enabled, a property is violated or the walk has its maximum length.
 func randomWalk(w World, random *rand.Rand) (result walk) {
 	result.world = withSomeFaultKinds(w, random)
-	x := newExecution(result.world, false)
+	exec := newExecution(result.world, false)
 	for range maxWalkLength {
-		enabled := x.enabledEvents()
+		enabled := exec.enabledEvents()
 		if len(enabled) == 0 {
-			if x.isTerminal() {
-				x.checkTerminal()
-				result.terminal = true
+			if exec.isTerminal() {
+				exec.checkTerminal()
+				result.reachedTerminal = true
 			}
 			break
 		}
 		n := random.IntN(len(enabled))
-		// Faults are one kind of event among many in a large world: choose them less often.
+		// Many of the enabled events of a large world are faults: choose them less often.
 		if enabled[n].fault != noFault && random.Float64() < faultRedrawChance {
 			n = random.IntN(len(enabled))
 		}
 		result.path = append(result.path, uint8(n))
-		x.apply(enabled[n])
-		if len(x.violations()) > 0 {
+		exec.apply(enabled[n])
+		if len(exec.violations()) > 0 {
 			break
 		}
 	}
-	result.violations, result.coverage = x.violations(), x.coverage()
+	result.violations, result.coverage = exec.violations(), exec.coverage()
 	if len(result.violations) > 0 {
 		result.path = shrink(result.world, result.path)
 	}
 	return result
 }
 
-// withSomeFaultKinds leaves out some kinds of fault: walks that may each do less find more than walks that may do
-// everything.
+// withSomeFaultKinds returns the world with a random subset of its kinds of fault. Walks with different subsets find more
+// violations than walks that may inject every kind (swarm testing).
 func withSomeFaultKinds(w World, random *rand.Rand) World {
 	limited := w
 	for _, kind := range FaultKinds() {
@@ -98,17 +98,17 @@
 	return limited
 }
 
-// shrink leaves out events that a violation does not need.
+// shrink removes events from a path as long as the path still violates the same property.
 func shrink(w World, path Path) Path {
-	full, _ := replayPath(w, path, false)
-	if len(full.violations()) == 0 {
+	original, _ := replayPath(w, path, false)
+	if len(original.violations()) == 0 {
 		return path
 	}
-	property := propertyName(full.violations()[0])
+	property := propertyName(original.violations()[0])
 	for size := len(path) / 2; size > 0; size /= 2 {
 		for i := 0; i+size <= len(path); {
 			shorter := slices.Delete(slices.Clone(path), i, i+size)
-			if x, ok := replayPath(w, shorter, false); ok && len(x.violations()) > 0 && propertyName(x.violations()[0]) == property {
+			if exec, ok := replayPath(w, shorter, false); ok && len(exec.violations()) > 0 && propertyName(exec.violations()[0]) == property {
 				path = shorter
 			} else {
 				i += size
--- a/internal/modelcheck/reservations.go
+++ b/internal/modelcheck/reservations.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// reservationLedger is the ground truth about the reservations that prefill engines hold.
+// reservationLedger contains the reservations that prefill engines actually hold.
 type reservationLedger struct{ held []heldReservation }
 
 // heldReservation is one reservation of a prefill engine.
 type heldReservation struct {
 	requestID, engine string
 	attempt           int
-	lostReleases      int   // releases of it that the network has lost
-	idleSince         int64 // the last time at which an attempt of its request was in flight
+	lostReleases      int   // number of releases of this reservation that the network has lost
+	idleSince         int64 // when an attempt of the request was last in flight
 }
 
-// belongsTo reports whether the reservation is the one that a request made or releases.
+// belongsTo reports whether a prefill made this reservation, or a release names it.
 func (h heldReservation) belongsTo(r *engineRequest) bool {
-	return h.requestID == r.requestID && h.engine == r.connection.core.Engine && h.attempt == r.attempt
+	return h.requestID == r.requestID && h.engine == r.connection.engineConnection.Engine && h.attempt == r.attempt
 }
 
-// add notes the reservation of a prefill.
+// add adds the reservation of a prefill.
 func (l *reservationLedger) add(r *engineRequest, now int64) {
-	l.held = append(l.held, heldReservation{requestID: r.requestID, engine: r.connection.core.Engine, attempt: r.attempt, idleSince: now})
+	l.held = append(l.held, heldReservation{requestID: r.requestID, engine: r.connection.engineConnection.Engine, attempt: r.attempt, idleSince: now})
 }
 
-// release drops the reservation that a release names.
+// release removes the reservation that a release names.
 func (l *reservationLedger) release(r *engineRequest) {
 	l.held = slices.DeleteFunc(l.held, func(h heldReservation) bool { return h.belongsTo(r) })
 }
 
-// releaseLost notes that the network has lost a release.
-func (l *reservationLedger) releaseLost(r *engineRequest) {
+// recordLostRelease records that the network has lost a release.
+func (l *reservationLedger) recordLostRelease(r *engineRequest) {
 	for i, h := range l.held {
 		if h.belongsTo(r) {
 			l.held[i].lostReleases++
@@ -37,8 +37,9 @@
 	}
 }
 
-// dialUnanswered notes a dial that an engine did not answer, for all that it holds: it may have been for a release.
-func (l *reservationLedger) dialUnanswered(engine string) {
+// recordUnansweredDial counts a failed or hanging dial as a lost release of every reservation of the engine, as the dial
+// may have been for a release.
+func (l *reservationLedger) recordUnansweredDial(engine string) {
 	for i := range l.held {
 		if l.held[i].engine == engine {
 			l.held[i].lostReleases++
@@ -46,7 +47,7 @@
 	}
 }
 
-// restartIdleTime restarts the idle time of a request's reservations, as an attempt of it is or was in flight.
+// restartIdleTime restarts the idle time of the reservations of a request, because an attempt is or was in flight.
 func (l *reservationLedger) restartIdleTime(requestID string, now int64) {
 	for i := range l.held {
 		if l.held[i].requestID == requestID {
@@ -55,8 +56,8 @@
 	}
 }
 
-// fetchNewest takes the newest reservation of a request, which is the one that the router names to a decode engine.
-func (l *reservationLedger) fetchNewest(requestID string) {
+// removeNewest removes the newest reservation of a request, which is the one that a decode engine fetches.
+func (l *reservationLedger) removeNewest(requestID string) {
 	for i := len(l.held) - 1; i >= 0; i-- {
 		if l.held[i].requestID == requestID {
 			l.held = slices.Delete(l.held, i, i+1)
@@ -65,7 +66,7 @@
 	}
 }
 
-// dropEngine forgets what an engine held.
-func (l *reservationLedger) dropEngine(engine string) {
+// removeEngine removes all reservations of an engine.
+func (l *reservationLedger) removeEngine(engine string) {
 	l.held = slices.DeleteFunc(l.held, func(h heldReservation) bool { return h.engine == engine })
 }
--- a/internal/modelcheck/responses.go
+++ b/internal/modelcheck/responses.go
@@ -12,7 +12,7 @@
 // tokenEvent is a stream event that carries a token.
 var tokenEvent = []byte(`{"choices":[]}`)
 
-// responseHead is the head of an engine's response. Rejected is the reason that it names, if any.
+// responseHead returns the head of an engine's response. Rejected is the reason of a rejection, or empty.
 func responseHead(status int, contentType, rejected string) *http.Response {
 	h := http.Header{"Content-Type": {contentType}}
 	if rejected != "" {
@@ -24,14 +24,14 @@
 func okHead() *http.Response     { return responseHead(http.StatusOK, "application/json", "") }
 func streamHead() *http.Response { return responseHead(http.StatusOK, "text/event-stream", "") }
 
-// addResponse adds one thing that an engine, or the network, may do about a request.
+// addResponse adds one possible reaction of an engine or the network to a request.
 func addResponse(list *eventList, r *engineRequest, action Action, fault FaultKind, apply func()) {
-	engine := r.connection.core.Engine
-	list.add(Event{Name: r.describe() + " at " + engine + " " + responseTexts[action], Action: action, Engine: engine, Request: r.kind,
+	engine := r.connection.engineConnection.Engine
+	list.add(Event{Name: r.describe() + " at " + engine + " " + actionDescriptions[action], Action: action, Engine: engine, Request: r.kind,
 		fault: fault, apply: apply})
 }
 
-// addResponses adds the ways in which an engine, or the network, may go on with a request.
+// addResponses adds the possible reactions of an engine or the network to a request.
 func (s *simulation) addResponses(list *eventList, r *engineRequest) {
 	switch {
 	case !r.isAttempt():
@@ -50,30 +50,30 @@
 	if r.isAttempt() {
 		s.addFailures(list, r)
 	}
-	addResponse(list, r, BecomeUnresponsive, FaultSilent, func() { r.unresponsive = true })
+	addResponse(list, r, BecomeUnresponsive, FaultUnresponsive, func() { r.unresponsive = true })
 }
 
-// addFailures adds the ways in which any attempt may fail.
+// addFailures adds the failures that are possible for every attempt.
 func (s *simulation) addFailures(list *eventList, r *engineRequest) {
 	if !r.firstTokenSent {
-		addResponse(list, r, RejectFull, FaultFull, func() {
+		addResponse(list, r, RejectFull, FaultNoCapacity, func() {
 			s.handle(func() { s.reject(r, http.StatusTooManyRequests, engineapi.RejectedFull) })
 		})
 		addResponse(list, r, FailWithoutReason, FaultError, func() {
-			s.mayHaveTakenEffect(r)
+			s.recordPossibleEffect(r)
 			s.handle(func() { s.reject(r, http.StatusServiceUnavailable, "") })
 		})
 	}
 	addResponse(list, r, LoseConnection, FaultReset, func() {
-		s.mayHaveTakenEffect(r)
+		s.recordPossibleEffect(r)
 		s.resetConnection(r.connection)
 	})
 }
 
-// mayHaveTakenEffect notes what an attempt that failed may have left behind.
-func (s *simulation) mayHaveTakenEffect(r *engineRequest) {
+// recordPossibleEffect records the possible effect of a failed attempt: a run of a decode, a reservation of a prefill.
+func (s *simulation) recordPossibleEffect(r *engineRequest) {
 	if r.kind == DecodeRequest {
-		s.markRun(r)
+		s.recordPossibleRun(r)
 	} else {
 		s.reservations.add(r, s.now)
 	}
@@ -83,11 +83,11 @@
 	c := r.connection
 	addResponse(list, r, CompletePrefill, noFault, func() {
 		s.reservations.add(r, s.now)
-		s.handle(func() { s.respondPrefill(r, prefillResponse(c.core.Engine, r.requestID)) })
+		s.handle(func() { s.respondPrefill(r, prefillResponse(c.engineConnection.Engine, r.requestID)) })
 	})
-	addResponse(list, r, TruncatePrefill, FaultHalf, func() {
+	addResponse(list, r, TruncatePrefill, FaultTruncated, func() {
 		s.reservations.add(r, s.now)
-		s.handle(func() { s.core.ResponseHead(c.core, okHead(), nil) })
+		s.handle(func() { s.core.ResponseHead(c.engineConnection, okHead(), nil) })
 		s.resetConnection(c)
 	})
 	addResponse(list, r, OmitReservation, FaultGarbled, func() {
@@ -99,23 +99,23 @@
 func (s *simulation) addFirstTokenResponses(list *eventList, r *engineRequest) {
 	c := r.connection
 	addResponse(list, r, SendFirstToken, noFault, func() {
-		s.markRun(r)
-		s.reservations.fetchNewest(r.requestID)
+		s.recordPossibleRun(r)
+		s.reservations.removeNewest(r.requestID)
 		r.firstTokenSent = true
 		s.handle(func() {
-			s.core.ResponseHead(c.core, streamHead(), nil)
-			s.core.StreamEvent(c.core, tokenEvent)
+			s.core.ResponseHead(c.engineConnection, streamHead(), nil)
+			s.core.StreamEvent(c.engineConnection, tokenEvent)
 		})
 	})
 	addResponse(list, r, RejectNoReservation, FaultNoReservation, func() {
-		s.reservations.fetchNewest(r.requestID)
+		s.reservations.removeNewest(r.requestID)
 		s.handle(func() { s.reject(r, http.StatusConflict, engineapi.RejectedNoReservation) })
 	})
 	addResponse(list, r, RepeatResponseHead, FaultGarbled, func() {
-		s.markRun(r)
+		s.recordPossibleRun(r)
 		s.handle(func() {
-			s.core.ResponseHead(c.core, streamHead(), nil)
-			s.core.ResponseHead(c.core, streamHead(), nil)
+			s.core.ResponseHead(c.engineConnection, streamHead(), nil)
+			s.core.ResponseHead(c.engineConnection, streamHead(), nil)
 		})
 	})
 }
@@ -123,52 +123,52 @@
 func (s *simulation) addStreamResponses(list *eventList, r *engineRequest) {
 	c := r.connection
 	addResponse(list, r, CompleteStream, noFault, func() {
-		c.request, c.unreadRest = nil, true
+		c.request, c.hasUnreadBytes = nil, true
 		if client := s.clientOf(r.requestID); client != nil {
 			client.decodeFinished = true
 		}
 		s.reservations.restartIdleTime(r.requestID, s.now)
-		s.handle(func() { s.core.StreamEvent(c.core, []byte(chat.Done)) })
+		s.handle(func() { s.core.StreamEvent(c.engineConnection, []byte(chat.Done)) })
 	})
 	if !r.secondTokenSent {
 		addResponse(list, r, SendAnotherToken, noFault, func() {
 			r.secondTokenSent = true
-			s.handle(func() { s.core.StreamEvent(c.core, tokenEvent) })
+			s.handle(func() { s.core.StreamEvent(c.engineConnection, tokenEvent) })
 		})
 	}
-	addResponse(list, r, EndStreamEarly, FaultHalf, func() {
+	addResponse(list, r, EndStreamEarly, FaultTruncated, func() {
 		c.request = nil
 		s.reservations.restartIdleTime(r.requestID, s.now)
-		s.handle(func() { s.core.ResponseComplete(c.core, nil, true) })
+		s.handle(func() { s.core.ResponseComplete(c.engineConnection, nil, true) })
 	})
 }
 
-// respond passes a complete response to the router, which reads it in one go.
+// respond passes a complete response to the router, which reads it at once.
 func (s *simulation) respond(r *engineRequest, head *http.Response, body []byte) {
 	c := r.connection
 	c.request = nil
 	s.reservations.restartIdleTime(r.requestID, s.now)
-	s.core.ResponseHead(c.core, head, nil)
+	s.core.ResponseHead(c.engineConnection, head, nil)
 	if !c.closed {
-		s.core.ResponseComplete(c.core, body, true)
+		s.core.ResponseComplete(c.engineConnection, body, true)
 	}
 }
 
-// reject passes a complete response that is a failure.
+// reject passes a complete response with a failure status to the router.
 func (s *simulation) reject(r *engineRequest, status int, rejected string) {
 	s.respond(r, responseHead(status, "application/json", rejected), nil)
 }
 
-// respondPrefill passes the response to a prefill. The router sees its head while the request is still in flight.
+// respondPrefill passes the response to a prefill. The router receives its head while the request is still in flight.
 func (s *simulation) respondPrefill(r *engineRequest, body []byte) {
 	c := r.connection
-	s.core.ResponseHead(c.core, okHead(), nil)
+	s.core.ResponseHead(c.engineConnection, okHead(), nil)
 	c.request = nil
 	s.reservations.restartIdleTime(r.requestID, s.now)
-	s.core.ResponseComplete(c.core, body, true)
+	s.core.ResponseComplete(c.engineConnection, body, true)
 }
 
-// prefillResponse is the body that names a reservation.
+// prefillResponse returns the body of a prefill response that names a reservation.
 func prefillResponse(engine, reservation string) []byte {
 	host, port, _ := strings.Cut(engine, ":")
 	return fmt.Appendf(nil, `{"kv_transfer_params":{"do_remote_prefill":true,"remote_engine_id":%q,"remote_host":%q,"remote_port":%s}}`,
--- a/internal/modelcheck/routerfleet.go
+++ b/internal/modelcheck/routerfleet.go
@@ -10,17 +10,17 @@
 	"sandcourse/internal/endpoint"
 )
 
-// fleet is several routers on the same engines. They share engines, endpoint list and time, and nothing else: events of
-// two routers commute. So, unless the world asks for all orders, between two shared events those of a router of lower
-// number come first. That leaves out orders, never states; TestRouterOrderReductionIsComplete compares with the search
-// of all orders.
+// fleet is several routers on the same engines. The routers share only the engines, the endpoint list and the time, so
+// events of two routers commute. Unless World.AllOrders is set, events between two shared events are therefore explored
+// only in the order of router index (a partial-order reduction). It skips interleavings but no states;
+// TestRouterOrderReductionIsComplete compares it with the search of all interleavings.
 type fleet struct {
 	world           World
 	routers         []*simulation
 	endpoints       endpoint.List
-	nextRouter      int // no event of a router below this number before the next shared one
-	violated        violationLog
-	maxColdAttempts int // to a warming engine in one window
+	nextRouter      int // routers below this index have no more events until the next shared event
+	violationLog    violationLog
+	maxColdAttempts int // maximum number of attempts to a warming engine in one window
 }
 
 func newFleet(w World) *fleet {
@@ -32,32 +32,32 @@
 	return f
 }
 
-func (f *fleet) enabledEvents() []Event { return f.enabledFrom(f.nextRouter) }
+func (f *fleet) enabledEvents() []Event { return f.enabledEventsFrom(f.nextRouter) }
 
-// enabledFrom lists what may happen, at routers from a number on.
-func (f *fleet) enabledFrom(first int) []Event {
+// enabledEventsFrom lists the enabled events of the routers from an index on, and the shared events.
+func (f *fleet) enabledEventsFrom(first int) []Event {
 	list := &eventList{world: f.world, faultsUsed: f.routers[0].faultsUsed}
 	pending, quiescent := false, true
 	for i, s := range f.routers {
-		own, busy := s.routerEvents()
+		events, busy := s.routerEvents()
 		pending, quiescent = pending || busy, quiescent && s.isQuiescent()
 		if s.endpoints.Revision < f.endpoints.Revision {
-			own.addNamed(noFault, func() {
+			events.addNamed(noFault, func() {
 				s.endpoints = f.endpoints
 				s.updateEndpoints()
 			}, "receives the endpoint list")
 		}
 		if i >= first || f.world.AllOrders {
-			list.events = append(list.events, f.ofRouter(i, own.events)...)
+			list.events = append(list.events, f.labelRouterEvents(i, events.events)...)
 		}
 	}
 	f.addSharedEvents(list, !pending && !quiescent)
 	return list.events
 }
 
-// ofRouter is the events of one router as those of the fleet.
-func (f *fleet) ofRouter(i int, own []Event) (events []Event) {
-	for _, e := range own {
+// labelRouterEvents returns the events of one router as events of the fleet, with the router's index in their names.
+func (f *fleet) labelRouterEvents(i int, routerEvents []Event) (events []Event) {
+	for _, e := range routerEvents {
 		apply := e.apply
 		e.Name = fmt.Sprintf("router %d: %s", i, e.Name)
 		e.apply = func() { f.nextRouter = i; apply() }
@@ -66,7 +66,7 @@
 	return events
 }
 
-// addSharedEvents adds the events that concern all routers.
+// addSharedEvents adds the events that affect all routers.
 func (f *fleet) addSharedEvents(list *eventList, timeMayPass bool) {
 	add := func(name string, fault FaultKind, apply func()) {
 		list.add(Event{Name: name, fault: fault, apply: func() { f.nextRouter = 0; apply() }})
@@ -75,8 +75,8 @@
 		if e.State != endpoint.Ready {
 			continue
 		}
-		add(drainName(e.ID), FaultDrain, func() { f.endpoints = withDraining(f.endpoints, i) })
-		add(restartName(e.ID), FaultRestart, func() { f.restartEngine(i) })
+		add(drainEventName(e.ID), FaultDrain, func() { f.endpoints = withDraining(f.endpoints, i) })
+		add(restartEventName(e.ID), FaultRestart, func() { f.restartEngine(i) })
 	}
 	if !timeMayPass {
 		return
@@ -87,7 +87,7 @@
 	}
 	due = max(due, f.routers[0].now)
 	add("time passes", noFault, func() { f.advanceTo(due) })
-	add(lateTimerName, FaultLate, func() { f.advanceTo(due + int64(timerDelay)) })
+	add(lateTimersEventName, FaultDelay, func() { f.advanceTo(due + int64(timerDelay)) })
 }
 
 func (f *fleet) restartEngine(i int) {
@@ -105,12 +105,12 @@
 }
 
 func (f *fleet) apply(e Event) {
-	used := f.routers[0].faultsUsed
+	faultsUsed := f.routers[0].faultsUsed
 	if e.fault != noFault {
-		used++
+		faultsUsed++
 	}
-	for _, s := range f.routers { // what the adversary injects at one router it has used up at all
-		s.faultsUsed = used
+	for _, s := range f.routers { // the number of faults is limited for the whole fleet
+		s.faultsUsed = faultsUsed
 	}
 	e.apply()
 	for _, s := range f.routers {
@@ -119,10 +119,10 @@
 	f.checkColdBudget()
 }
 
-// budgetSlack is how many attempts beyond the budget are no violation: attempts are whole, the budget is not.
+// budgetSlack is the number of attempts by which the budget may be exceeded: attempts are whole numbers, the budget is not.
 const budgetSlack = 2
 
-// checkColdBudget adds up what all routers sent each warming engine within one window.
+// checkColdBudget checks the number of attempts that all routers sent to each warming engine within one window.
 func (f *fleet) checkColdBudget() {
 	rules := f.routers[0].deployment.Rules
 	budget := rules.OverloadMultiple*rules.SlowStartShare*warmRate*rules.OverloadWindow.Seconds() + budgetSlack
@@ -140,13 +140,13 @@
 		}
 		f.maxColdAttempts = max(f.maxColdAttempts, count)
 		if float64(count) > budget {
-			f.violated.add("P14 %s is warming up and gets %d attempts in %v, budget %.0f", e.ID, count, rules.OverloadWindow, budget)
+			f.violationLog.add("P14 %s is warming up and gets %d attempts in %v, budget %.0f", e.ID, count, rules.OverloadWindow, budget)
 		}
 	}
 }
 
 func (f *fleet) violations() (texts []string) {
-	texts = append(texts, f.violated.texts...)
+	texts = append(texts, f.violationLog.texts...)
 	for i, s := range f.routers {
 		for _, violation := range s.violations() {
 			texts = append(texts, fmt.Sprintf("%s (router %d)", violation, i))
@@ -155,7 +155,7 @@
 	return texts
 }
 
-func (f *fleet) isTerminal() bool { return len(f.enabledFrom(0)) == 0 }
+func (f *fleet) isTerminal() bool { return len(f.enabledEventsFrom(0)) == 0 }
 
 func (f *fleet) checkTerminal() {
 	for _, s := range f.routers {
@@ -163,7 +163,7 @@
 	}
 }
 
-// fingerprint leaves out the order of routers at an end, where nothing depends on it any more.
+// fingerprint omits nextRouter in terminal states, which do not depend on the order of routers.
 func (f *fleet) fingerprint() uint64 {
 	h := xxhash.New()
 	for _, s := range f.routers {
--- a/internal/modelcheck/simulation.go
+++ b/internal/modelcheck/simulation.go
@@ -11,7 +11,7 @@
 	"sandcourse/internal/router"
 )
 
-// simulation is one execution of one router.
+// simulation is one execution of a single router.
 type simulation struct {
 	world           World
 	deployment      *config.Deployment
@@ -22,17 +22,17 @@
 	reservations    reservationLedger
 	faultsUsed      int
 	endpoints       endpoint.List
-	drainNotifiedAt map[string]int64 // when the router was told that an engine drains
-	violated        violationLog
+	drainNotifiedAt map[string]int64 // when the router was notified that an engine drains
+	violationLog    violationLog
 	trace           []string
 	tracing         bool
-	incarnation     int           // of the router: it may be killed and restarted
-	earlierCoverage Coverage      // of earlier incarnations
-	requestsSent    map[int]int   // by incarnation
-	clientsJoined   int           // so far
-	routerIndex     int           // among several
-	coldAttempts    []coldAttempt // sent to engines that have restarted
-	inFleet         bool          // one of several routers: list, restarts and time are the fleet's
+	incarnation     int           // of the router, which may be killed and restarted
+	earlierCoverage Coverage      // coverage of earlier incarnations
+	requestsSent    map[int]int   // number of requests by incarnation
+	clientsOpened   int           // number of clients opened so far
+	routerIndex     int           // index of this router in its fleet
+	coldAttempts    []coldAttempt // attempts sent to engines that have restarted
+	inFleet         bool          // the fleet manages the endpoint list, engine restarts and time
 }
 
 // coldAttempt is one attempt sent to an engine that had restarted at startedAt.
@@ -43,7 +43,7 @@
 
 func newSimulation(w World, tracing bool) *simulation { return newRouterSimulation(w, 0, tracing) }
 
-// newRouterSimulation is one router of a world, by its number.
+// newRouterSimulation returns the simulation of the router of an index in a world.
 func newRouterSimulation(w World, index int, tracing bool) *simulation {
 	s := &simulation{world: w, deployment: w.Deployment(), now: startTime, drainNotifiedAt: map[string]int64{}, tracing: tracing,
 		requestsSent: map[int]int{}, routerIndex: index, inFleet: w.Routers > 1 || w.Crowd}
@@ -67,23 +67,23 @@
 	return s
 }
 
-// chatProtocol is the chat API's codec, which keeps no state.
+// chatProtocol is the codec of the chat API. It is stateless, so all simulations share it.
 var chatProtocol = chatapi.NewCodec(nil)
 
-// startRouter starts an incarnation of the router.
+// startRouter starts a new incarnation of the router.
 func (s *simulation) startRouter() {
 	s.incarnation++
 	seed := uint64(s.incarnation + 16*s.routerIndex)
 	s.core = router.New(s.deployment, chatProtocol, seed, int64(s.incarnation), s.now, s, violationObserver{s})
 }
 
-// killRouter ends the router at once and restarts it with its last endpoint list. Its clients lose what it held, and
-// its engines have to expire it; nothing more may be sent for it.
+// killRouter kills the router and restarts it with its last endpoint list. Clients lose their open requests, and engines
+// expire the reservations of these requests; the restarted router must send nothing more for them.
 func (s *simulation) killRouter() {
 	s.earlierCoverage.Add(s.coverage())
 	for _, c := range s.connections {
 		if !c.closed && c.decodeWritten() {
-			s.markRun(c.request)
+			s.recordPossibleRun(c.request)
 		}
 		c.closed, c.request = true, nil
 	}
@@ -97,42 +97,42 @@
 	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 	for _, c := range s.clients {
 		if !c.requested {
-			s.handle(func() { s.core.ClientOpened(c.core) })
+			s.handle(func() { s.core.ClientOpened(c.connection) })
 		}
 	}
 }
 
-// handle passes an event to the core as the event loop of the edge does.
+// handle passes an event to the core in the same way as the event loop of the edge.
 func (s *simulation) handle(event func()) {
 	s.core.SetTime(s.now)
 	event()
 	s.core.RunDue(s.now)
 }
 
-// CatchUp has nothing to do: no time passes while a decision is made.
+// CatchUp has no effect: no simulated time passes during a step of the core.
 func (s *simulation) CatchUp() {}
 
-// SendToPeer drops gossip: routers of a fleet share nothing but engines.
+// SendToPeer drops gossip: simulated routers do not exchange messages.
 func (s *simulation) SendToPeer(int, string) {}
 
-// Dial begins a connection that the adversary decides about.
+// Dial starts a dial whose result the adversary chooses.
 func (s *simulation) Dial(core *router.EngineConnection) {
-	s.connections = append(s.connections, &simulatedConnection{core: core, simulation: s})
+	s.connections = append(s.connections, &simulatedConnection{engineConnection: core, simulation: s})
 }
 
-// advanceTo moves the clock, and ends dials that have hung for too long.
+// advanceTo advances the clock, and fails dials that have hung for the dial timeout.
 func (s *simulation) advanceTo(to int64) {
 	s.now = to
 	for _, c := range s.connections {
 		if !c.closed && c.hangingSince > 0 && s.now-c.hangingSince >= int64(s.deployment.Connections.DialTimeout) {
 			c.closed = true
-			s.handle(func() { s.core.EngineConnected(c.core, nil, io.ErrUnexpectedEOF) })
+			s.handle(func() { s.core.EngineConnected(c.engineConnection, nil, io.ErrUnexpectedEOF) })
 		}
 	}
 	s.handle(func() {})
 }
 
-// updateEndpoints passes the endpoint list to the router, and notes when it learned of a drain.
+// updateEndpoints passes the endpoint list to the router, and records when the router was first notified of each drain.
 func (s *simulation) updateEndpoints() {
 	for _, e := range s.endpoints.Entries {
 		if _, ok := s.drainNotifiedAt[e.ID]; !ok && e.State == endpoint.Draining {
@@ -142,13 +142,13 @@
 	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 }
 
-// restartEngine ends an engine with all that it holds, as the endpoint list says already.
+// restartEngine drops the connections and reservations of an engine that the endpoint list already names as restarted.
 func (s *simulation) restartEngine(name string) {
-	s.reservations.dropEngine(name)
+	s.reservations.removeEngine(name)
 	for _, c := range s.connections {
-		if c.core.Engine == name && c.established && !c.closed {
+		if c.engineConnection.Engine == name && c.established && !c.closed {
 			if c.decodeWritten() {
-				s.markRun(c.request)
+				s.recordPossibleRun(c.request)
 			}
 			s.resetConnection(c)
 		}
@@ -156,7 +156,7 @@
 	s.updateEndpoints()
 }
 
-// isQuiescent reports whether nothing is left to happen.
+// isQuiescent reports whether all clients have their outcome and neither the router nor an engine holds anything.
 func (s *simulation) isQuiescent() bool {
 	h := s.core.InFlight()
 	if h.Requests > 0 || h.ControlRequests > 0 || h.Reservations > 0 || len(s.reservations.held) > 0 {
@@ -182,7 +182,7 @@
 }
 
 func (s *simulation) isTerminal() bool       { return len(s.enabledEvents()) == 0 }
-func (s *simulation) violations() []string   { return s.violated.texts }
+func (s *simulation) violations() []string   { return s.violationLog.texts }
 func (s *simulation) elapsed() time.Duration { return time.Duration(s.now - startTime) }
 
 func (s *simulation) coverage() (c Coverage) {
--- a/internal/modelcheck/snapshot.go
+++ b/internal/modelcheck/snapshot.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/config"
 )
 
-// The stored form of a snapshot. The names of the fields are those of the files and must not change.
+// The stored form of a snapshot. Encoding/gob writes the names of the fields to files, so they must not change.
 type (
 	storedSnapshot struct {
 		World  storedWorld
@@ -42,35 +42,35 @@
 	storedCoverage struct{ Brain, Attempt, Conns, Roles uint64 }
 )
 
-// ErrNoFrontier is of a stored snapshot with nothing to resume: it was stored by another version.
-var ErrNoFrontier = errors.New("a stored snapshot without a frontier")
+// ErrNoFrontier is returned for a stored snapshot without a frontier, which another version of the code has stored.
+var ErrNoFrontier = errors.New("stored snapshot has no frontier")
 
-// Encode writes the snapshot, to be resumed later.
+// Encode writes the snapshot in its stored form.
 func (s *Snapshot) Encode(w io.Writer) error {
 	world, r := storeWorld(s.World), s.Result
-	return gob.NewEncoder(w).Encode(storedSnapshot{World: world, Front: s.Frontier, Seen: s.Visited, Ended: s.EndStates,
+	return gob.NewEncoder(w).Encode(storedSnapshot{World: world, Front: s.Frontier, Seen: s.Visited, Ended: s.TerminalStates,
 		Result: storedResult{World: world, States: r.States, Transitions: r.Transitions, Merged: r.Merged, Ends: r.Ends, Depth: r.Depth,
 			Complete: r.Complete, Broken: r.Violations, Path: r.Path, Took: storeCoverage(r.Coverage),
-			EndsSum: r.EndsChecksum, Cold: r.MaxColdAttempts}})
+			EndsSum: r.TerminalStatesChecksum, Cold: r.MaxColdAttempts}})
 }
 
-// DecodeSnapshot reads a snapshot that Encode wrote. The error is ErrNoFrontier, or one of the decoder.
-func DecodeSnapshot(from io.Reader) (*Snapshot, error) {
+// DecodeSnapshot reads a snapshot that Encode has written. The error is ErrNoFrontier or an error of the decoder.
+func DecodeSnapshot(reader io.Reader) (*Snapshot, error) {
 	var stored storedSnapshot
-	if err := gob.NewDecoder(from).Decode(&stored); err != nil {
-		return nil, fmt.Errorf("decode a snapshot: %w", err)
+	if err := gob.NewDecoder(reader).Decode(&stored); err != nil {
+		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
 	if len(stored.Front) == 0 {
 		return nil, ErrNoFrontier
 	}
-	if stored.Ended == nil { // empty maps are not stored
+	if stored.Ended == nil { // encoding/gob omits empty maps
 		stored.Ended = map[uint64]struct{}{}
 	}
 	w, r := stored.World.restore(), stored.Result
 	result := Result{World: w, States: r.States, Transitions: r.Transitions, Merged: r.Merged, Ends: r.Ends, Depth: r.Depth,
-		Complete: r.Complete, Violations: r.Broken, Path: r.Path, EndsChecksum: r.EndsSum, MaxColdAttempts: r.Cold,
+		Complete: r.Complete, Violations: r.Broken, Path: r.Path, TerminalStatesChecksum: r.EndsSum, MaxColdAttempts: r.Cold,
 		Coverage: Coverage{Routing: r.Took.Brain, Attempt: r.Took.Attempt, Connections: r.Took.Conns, Assignment: r.Took.Roles}}
-	return &Snapshot{World: w, Frontier: stored.Front, Visited: stored.Seen, EndStates: stored.Ended, Result: result}, nil
+	return &Snapshot{World: w, Frontier: stored.Front, Visited: stored.Seen, TerminalStates: stored.Ended, Result: result}, nil
 }
 
 func storeCoverage(c Coverage) storedCoverage {
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -8,49 +8,51 @@
 	"time"
 )
 
-// ErrPathMismatch is of a path that was found by another version of the code, or in another world.
-var ErrPathMismatch = errors.New("the path does not fit this version")
+// ErrPathMismatch is returned for a path that does not exist in the world: another version of the code or another world
+// produced it.
+var ErrPathMismatch = errors.New("path does not match this version of the code")
 
-// violationMark begins the lines of a description that name a violation.
-const violationMark = "BROKEN "
+// violationPrefix begins each line of a description that contains a violation.
+const violationPrefix = "BROKEN "
 
-// Describe describes a path as numbered steps with what changes at each, and the violations at its end.
+// Describe returns a description of a path, with numbered steps, the changes that each step causes and the violations, and
+// also the violations alone.
 func Describe(w World, path Path) (lines []string, violations []string) {
-	x := newExecution(w, true)
+	exec := newExecution(w, true)
 	lines = append(lines, fmt.Sprintf("world %s: %d prefill engines, %d decode engines, requests %v", w.Name, w.PrefillEngines,
 		w.DecodeEngines, w.Effects))
-	before := x.describe()
+	before := exec.describe()
 	for i, n := range path {
-		enabled := x.enabledEvents()
+		enabled := exec.enabledEvents()
 		if int(n) >= len(enabled) {
 			return append(lines, ErrPathMismatch.Error()), nil
 		}
-		x.apply(enabled[n])
+		exec.apply(enabled[n])
 		lines = append(lines, fmt.Sprintf("%2d. %s", i+1, enabled[n].Name))
-		after := x.describe()
+		after := exec.describe()
 		for _, line := range after {
 			if !slices.Contains(before, line) {
 				lines = append(lines, "      "+line)
 			}
 		}
 		before = after
-		if len(x.violations()) > 0 {
+		if len(exec.violations()) > 0 {
 			break
 		}
 	}
-	if len(x.violations()) == 0 && x.isTerminal() {
-		x.checkTerminal()
+	if len(exec.violations()) == 0 && exec.isTerminal() {
+		exec.checkTerminal()
 	}
-	for _, violation := range x.violations() {
-		lines = append(lines, violationMark+violation)
+	for _, violation := range exec.violations() {
+		lines = append(lines, violationPrefix+violation)
 	}
-	return lines, x.violations()
+	return lines, exec.violations()
 }
 
 func (s *simulation) describe() (lines []string) {
 	for _, c := range s.clients {
 		if c.requested {
-			lines = append(lines, fmt.Sprintf("client %d, request %s: %s, perhaps run by %d engines", c.number, c.requestID,
+			lines = append(lines, fmt.Sprintf("client %d, request %s: %s, may have run at %d engines", c.number, c.requestID,
 				cmp.Or(c.outcome, "open"), c.possibleRuns))
 		}
 	}
@@ -67,43 +69,44 @@
 	return append(lines, fmt.Sprintf("%v have passed", s.elapsed()))
 }
 
-// Step is one event of a path, for callers that replay it elsewhere.
+// Step is one event of a path, for callers that replay the path outside the model checker.
 type Step struct {
 	Event
 	At time.Duration // since the start
 }
 
-// TraceSteps are the events of a path, and the outcome of each client (empty while it waits). The error is
+// TraceSteps returns the events of a path, and the outcome of each client (empty while the client waits). The error is
 // ErrPathMismatch.
 func TraceSteps(w World, path Path) (steps []Step, outcomes []string, err error) {
-	x := newExecution(w, true)
+	exec := newExecution(w, true)
 	for i, n := range path {
-		enabled := x.enabledEvents()
+		enabled := exec.enabledEvents()
 		if int(n) >= len(enabled) {
 			return nil, nil, fmt.Errorf("step %d of world %s: %w", i+1, w.Name, ErrPathMismatch)
 		}
-		x.apply(enabled[n])
-		steps = append(steps, Step{enabled[n], x.elapsed()})
+		exec.apply(enabled[n])
+		steps = append(steps, Step{enabled[n], exec.elapsed()})
 	}
-	return steps, x.clientOutcomes(), nil
+	return steps, exec.clientOutcomes(), nil
 }
 
-// ShortestEndPaths are paths to the first different ends of a world, at most so many, ordered by length.
-func ShortestEndPaths(w World, most int) (paths []Path) {
+// ShortestTerminalPaths returns paths to the terminal states that a breadth-first search reaches first, at most limit of
+// them, ordered by length.
+func ShortestTerminalPaths(w World, limit int) (paths []Path) {
 	visited := map[uint64]bool{}
 	frontier := []Path{{}}
-	for len(frontier) > 0 && len(paths) < most {
+	for len(frontier) > 0 && len(paths) < limit {
 		var next []Path
 		for _, path := range frontier {
-			x, _ := replayPath(w, path, false)
-			n := len(x.enabledEvents())
+			exec, _ := replayPath(w, path, false)
+			n := len(exec.enabledEvents())
 			if n == 0 {
 				paths = append(paths, path)
 			}
 			for i := range n {
 				longer := append(slices.Clone(path), uint8(i))
-				x, _ := replayPath(w, longer, false)
-				if fingerprint := x.fingerprint(); !visited[fingerprint] {
+				exec, _ := replayPath(w, longer, false)
+				if fingerprint := exec.fingerprint(); !visited[fingerprint] {
 					visited[fingerprint] = true
 					next = append(next, longer)
 				}
@@ -111,5 +114,5 @@
 		}
 		frontier = next
 	}
-	return paths[:min(len(paths), most)]
+	return paths[:min(len(paths), limit)]
 }
--- a/internal/modelcheck/violations.go
+++ b/internal/modelcheck/violations.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// violationLog is the violations of an execution, each once. A text begins with the name of its property.
+// violationLog collects the distinct violations of an execution. Each text begins with the name of the property.
 type violationLog struct{ texts []string }
 
 func (l *violationLog) add(format string, args ...any) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// propertyName is the property that a violation's text begins with.
+// propertyName returns the name of the violated property, with which the text begins.
 func propertyName(violation string) string {
 	name, _, _ := strings.Cut(violation, " ")
 	return name
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -1,7 +1,8 @@
-// Package modelcheck explores the states of a router exhaustively in search of a way to violate a property. A world is
-// the production code of the router core with its routing policy, attempts, connection pool and admission, and a small
-// adversary that plays the engines, the network, the endpoint list, the clients and the clock. Every event that the
-// adversary may cause is tried from every state; equal states are expanded once. It does no I/O.
+// Package modelcheck is an explicit-state model checker: it explores all reachable states of a router and reports paths
+// that violate a property. A world runs the production code of the router core, with its routing policy, attempts,
+// connection pool and admission, against an adversary that simulates the engines, the network, the endpoint list, the
+// clients and the clock. Every enabled event is tried in every state; equal states are expanded once. The package does
+// no I/O.
 package modelcheck
 
 import (
@@ -12,65 +13,65 @@
 	"sandcourse/internal/config"
 )
 
-// World is what is explored: engines, clients and the faults that the adversary may inject.
+// World is a configuration to explore: its engines and clients, and the faults that the adversary may inject.
 type World struct {
 	Name                 string          `json:"name"`
 	About                string          `json:"about"`
 	PrefillEngines       int             `json:"readers"`
 	DecodeEngines        int             `json:"writers"`
 	Effects              []config.Effect `json:"effects"` // one request for each
-	Faults               int             `json:"faults"`  // how many the adversary may inject
-	FaultKinds           []FaultKind     `json:"kinds"`   // that it may inject; all if empty
+	Faults               int             `json:"faults"`  // maximum number that the adversary may inject
+	FaultKinds           []FaultKind     `json:"kinds"`   // kinds that the adversary may inject; all if empty
 	ConnectionsPerEngine int             `json:"lines_per_engine"`
-	HealthChecks         bool            `json:"probes"` // engines are polled for their load
-	MaxOpenRequests      int             `json:"open"`   // that a router admits at once; 0 for no limit
-	Routers              int             `json:"nodes"`  // on the same engines, each with these requests; 0 and 1 are the same
-	AllOrders            bool            `json:"plain"`  // every order of events of different routers is tried
-	RoleChanges          bool            `json:"roles"`  // the planner and engines that change role, and no requests
-	Crowd                bool            `json:"crowd"`  // not explored: one long seeded run, see SimulateCrowd
+	HealthChecks         bool            `json:"probes"` // the router polls the load of engines
+	MaxOpenRequests      int             `json:"open"`   // maximum number of admitted requests per router; 0 for no limit
+	Routers              int             `json:"nodes"`  // routers that share the engines, each with these requests; 0 means 1
+	AllOrders            bool            `json:"plain"`  // try all interleavings of events of different routers
+	RoleChanges          bool            `json:"roles"`  // simulate the planner and role changes, without requests
+	Crowd                bool            `json:"crowd"`  // run one long seeded simulation instead, see SimulateCrowd
 }
 
 // FaultKind names a kind of fault that the adversary may inject.
 type FaultKind string
 
-// The kinds of fault; noFault marks an event that is none.
+// The kinds of fault; noFault marks an event that is not a fault.
 const (
 	noFault            FaultKind = ""
 	FaultConnect       FaultKind = "connect"  // a connection hangs or fails
 	FaultDrain         FaultKind = "drain"    // an engine drains
-	FaultError         FaultKind = "error"    // an engine fails without a reason
-	FaultFull          FaultKind = "full"     // an engine rejects for want of capacity
-	FaultGarbled       FaultKind = "garbled"  // bytes or claims that make no sense
-	FaultHalf          FaultKind = "half"     // a response stops in its middle
-	FaultKill          FaultKind = "kill"     // a process is killed
-	FaultLate          FaultKind = "late"     // a timer or message is delayed
-	FaultLeave         FaultKind = "leave"    // a client disconnects, or an operator intervenes
-	FaultNoReservation FaultKind = "no-state" // a decode engine finds no reservation
+	FaultError         FaultKind = "error"    // an engine responds with an error that names no reason
+	FaultNoCapacity    FaultKind = "full"     // an engine rejects an attempt because it is at capacity
+	FaultGarbled       FaultKind = "garbled"  // an engine sends malformed bytes or a false report
+	FaultTruncated     FaultKind = "half"     // a response is truncated
+	FaultKill          FaultKind = "kill"     // the router or the planner is killed
+	FaultDelay         FaultKind = "late"     // a timer or message is delayed
+	FaultDisconnect    FaultKind = "leave"    // a client disconnects, or an operator intervenes
+	FaultNoReservation FaultKind = "no-state" // a decode engine does not find the reservation
 	FaultPartialWrite  FaultKind = "part"     // a connection accepts part of a request
 	FaultReset         FaultKind = "reset"    // a connection or message is lost
 	FaultRestart       FaultKind = "restart"  // an engine restarts
-	FaultRetry         FaultKind = "retry"    // a client repeats its request
-	FaultSilent        FaultKind = "silent"   // something becomes unresponsive
+	FaultRetry         FaultKind = "retry"    // a client sends its request again
+	FaultUnresponsive  FaultKind = "silent"   // an engine stops responding
 )
 
-// FaultKinds lists the kinds of fault by name.
+// FaultKinds returns all kinds of fault, ordered by name.
 func FaultKinds() []FaultKind {
-	return []FaultKind{FaultConnect, FaultDrain, FaultError, FaultFull, FaultGarbled, FaultHalf, FaultKill, FaultLate, FaultLeave,
-		FaultNoReservation, FaultPartialWrite, FaultReset, FaultRestart, FaultRetry, FaultSilent}
+	return []FaultKind{FaultConnect, FaultDrain, FaultError, FaultNoCapacity, FaultGarbled, FaultTruncated, FaultKill, FaultDelay, FaultDisconnect,
+		FaultNoReservation, FaultPartialWrite, FaultReset, FaultRestart, FaultRetry, FaultUnresponsive}
 }
 
-// allows reports whether the adversary may inject faults of a kind at all.
+// allows reports whether the world permits faults of a kind.
 func (w World) allows(kind FaultKind) bool {
 	return len(w.FaultKinds) == 0 || slices.Contains(w.FaultKinds, kind)
 }
 
-// mayInject reports whether a fault of a kind may follow after used others.
+// mayInject reports whether the adversary may inject a fault of a kind after it has injected used faults.
 func (w World) mayInject(kind FaultKind, used int) bool {
 	return kind == noFault || used < w.Faults && w.allows(kind)
 }
 
-// The times of all worlds are short, so that few timers lie between a request and its end. Their order is that of the
-// defaults: tick below drain grace below reservation limit below client timeout.
+// The durations in all worlds are short, so that few timers fire between the start and the end of a request. Their order
+// is that of the defaults: tick < drain grace < reservation limit < client timeout.
 const (
 	clientTimeout      = 300 * time.Millisecond
 	firstTokenTarget   = 100 * time.Millisecond
@@ -82,16 +83,16 @@
 	dialTimeout        = 100 * time.Millisecond
 	dedupWindow        = time.Second
 	defaultPerEngine   = 4 // connections
-	timeoutMarginTicks = 4 // ticks before a client's timeout at which a response may give up on it
-	// timerDelay is how late a loaded machine may run a timer: more than a tick, less than the margin before a
-	// client's timeout, which is three ticks.
+	timeoutMarginTicks = 4 // ticks before the client's timeout from which an error response is allowed
+	// timerDelay is the simulated delay of a timer on a loaded machine: more than one tick, but less than the three ticks
+	// that the router leaves before a client's timeout.
 	timerDelay = 12 * time.Millisecond
 )
 
-// startTime is the clock of every world at its start, in nanoseconds.
+// startTime is the initial time of every world, in nanoseconds.
 const startTime = int64(1000 * time.Second)
 
-// Deployment is the configuration that a world's routers run with.
+// Deployment returns the configuration of the routers of a world.
 func (w World) Deployment() *config.Deployment {
 	d := config.Defaults()
 	d.NodeName, d.TickInterval, d.StallTimeout, d.HealthChecks = "n", tick, stallTimeout, w.HealthChecks
@@ -113,7 +114,7 @@
 	return d
 }
 
-// EngineNames are the engines of a world as its events name them, prefill engines first.
+// EngineNames returns the names of the engines as they appear in events, prefill engines first.
 func (w World) EngineNames() (names []string) {
 	for i := range w.PrefillEngines + w.DecodeEngines {
 		names = append(names, w.engineName(i))
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -147,7 +147,7 @@
 		p.engines.resetAll(e.Engine)
 		p.updateEngine(e.Engine, func(entry *endpoint.Entry) { entry.StartedAtMs = time.Now().UnixMilli() })
 		return nil
-	case modelcheck.TimePasses, modelcheck.EstablishConnection, modelcheck.DeliverUnreadRest:
+	case modelcheck.TimePasses, modelcheck.EstablishConnection, modelcheck.DeliverUnreadBytes:
 		return nil // sockets and clock do this by themselves
 	}
 	respond, ok := responses[e.Action]
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -11,9 +11,9 @@
 // The shortest paths of the smallest world, without the faults that sockets cannot replay, have the same outcome on sockets.
 func TestPathsHaveSameOutcomeOnSockets(t *testing.T) {
 	w := modelcheck.World{Name: "small", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
-		FaultKinds: []modelcheck.FaultKind{modelcheck.FaultReset, modelcheck.FaultHalf, modelcheck.FaultFull, modelcheck.FaultError,
+		FaultKinds: []modelcheck.FaultKind{modelcheck.FaultReset, modelcheck.FaultTruncated, modelcheck.FaultNoCapacity, modelcheck.FaultError,
 			modelcheck.FaultNoReservation}}
-	paths := modelcheck.ShortestEndPaths(w, 40)
+	paths := modelcheck.ShortestTerminalPaths(w, 40)
 	if len(paths) < 5 {
 		t.Fatalf("only %d paths", len(paths))
 	}
