--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -1,4 +1,5 @@
-// Command sandcourse-sim runs routing policies in the simulator: one line of events in, one line of actions out.
+// Command sandcourse-sim runs the routing policies of simulated nodes: it reads one batch of events per line from standard
+// input and writes one line of actions for each batch.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	inputBufferSize = 1 << 20
 )
 
-// errNotCreated is an event of a node that was never created.
+// errNotCreated is returned for an event of a node that was never created.
 var errNotCreated = errors.New("was never created")
 
 func main() {
@@ -29,10 +30,10 @@
 	}
 }
 
-// run answers each line of the input until its end.
+// run handles the batches of the input, one per line, until its end.
 func run(in io.Reader, out, log io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferSize)
-	nodes := fleet{}
+	nodes := nodePolicies{}
 	for lineNumber := 1; ; lineNumber++ {
 		line, err := input.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
@@ -54,16 +55,16 @@
 	}
 }
 
-// fleet is the policy of each node that was created; nil while the node is down.
-type fleet map[string]*routing.Policy
+// nodePolicies maps the name of each created node to its policy, which is nil while the node is down.
+type nodePolicies map[string]*routing.Policy
 
-// reply is the answer to a batch.
+// reply is the response to a batch.
 type reply struct {
 	Actions []simproto.Action `json:"out"`
 }
 
-// handleBatch answers one batch, and returns the types of events that it does not know.
-func (f fleet) handleBatch(line []byte) (answer []byte, unknown []string, err error) {
+// handleBatch handles one batch and returns its reply, and the types of the events that are unknown.
+func (f nodePolicies) handleBatch(line []byte) (encodedReply []byte, unknown []string, err error) {
 	now, events, err := simproto.Decode(line)
 	if err != nil {
 		return nil, nil, err
@@ -81,15 +82,15 @@
 		case event.Down:
 			f[event.Node] = nil
 		case policy != nil:
-			actions = append(actions, step(policy, event.Node, now, event.Payload)...)
+			actions = append(actions, stepPolicy(policy, event.Node, now, event.Payload)...)
 		}
 	}
-	answer, err = json.Marshal(reply{actions})
-	return answer, unknown, err
+	encodedReply, err = json.Marshal(reply{actions})
+	return encodedReply, unknown, err
 }
 
-// step is one step of a node's policy. A panic ends the node, not the program.
-func step(policy *routing.Policy, node string, now time.Duration, event routing.Event) (actions []simproto.Action) {
+// stepPolicy runs one step of a node's policy. A panic is reported as a failure of the node and does not end the program.
+func stepPolicy(policy *routing.Policy, node string, now time.Duration, event routing.Event) (actions []simproto.Action) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			actions = []simproto.Action{simproto.NodeFailed(node, fmt.Sprint(reason))}
--- a/cmd/sandcourse-sim/main_test.go
+++ b/cmd/sandcourse-sim/main_test.go
@@ -11,7 +11,7 @@
 	"sandcourse/internal/simproto"
 )
 
-func TestRecordedBatchesAreAnsweredAsRecorded(t *testing.T) {
+func TestRepliesToRecordedBatchesAreUnchanged(t *testing.T) {
 	in, err := os.Open("../../.ci/plain.in.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("answered %s", out.Bytes())
+		t.Errorf("unexpected replies: %s", out.Bytes())
 	}
 	if !strings.Contains(log.String(), `type="mystery"`) {
-		t.Errorf("the log does not name the unknown event: %s", log.String())
+		t.Errorf("log does not name the unknown event: %s", log.String())
 	}
 }
 
-func TestWrongBatchEndsTheProgram(t *testing.T) {
+func TestInvalidBatchEndsTheProgram(t *testing.T) {
 	for line, want := range map[string]error{
 		`{"wall_us":1,"inbox":[{"t":"ring","i":"n","ctx":1}]}`: errNotCreated,
 		`{"wall_us":1,"inbox":[{"t":"ring","i":"n"}]}`:         simproto.ErrMissing,
@@ -46,7 +46,7 @@
 }
 
 // A node that is down ignores events until it is created again.
-func TestNodeThatIsDownIsSilent(t *testing.T) {
+func TestNodeThatIsDownIgnoresEvents(t *testing.T) {
 	const create = `{"t":"create","i":"n","random_seed":1,"params":{"discovery":"subscribe"}}`
 	const timer, down = `{"t":"ring","i":"n","ctx":1}`, `{"t":"down","i":"n"}`
 	for inbox, want := range map[string]string{
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		if got := strings.TrimSpace(out.String()); got != want {
-			t.Errorf("%s is answered with %s", inbox, got)
+			t.Errorf("reply to %s is %s", inbox, got)
 		}
 	}
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks the five rules from what fake engines and test clients saw on their own sockets. The edge's own
-// log and metrics are not consulted. It does no I/O.
+// Package audit checks the five rules of the router against the records of fake engines and test clients, which observe the
+// router from outside. It does not use the log and the metrics of the edge, and does no I/O.
 package audit
 
 import (
@@ -10,42 +10,43 @@
 	"time"
 )
 
-// Rule is the number of a rule, as it is printed in verdicts.
+// Rule is the number of a rule, which is printed in violations.
 type Rule int
 
 // The rules.
 const (
-	// RuleOneOutcome: each request ends with one final response before its deadline, and no attempt follows it.
+	// RuleOneOutcome requires that each request has one final response before its deadline, and no attempt after it.
 	RuleOneOutcome Rule = iota + 1
-	// RuleOneExecution: a non-retriable request is executed at most once, and attempts of one request do not overlap.
+	// RuleOneExecution requires that a non-retriable request is executed at most once, and that the attempts of a request
+	// do not overlap.
 	RuleOneExecution
-	// RuleDrain: a draining engine is sent no more requests.
+	// RuleDrain requires that a draining engine receives no more attempts.
 	RuleDrain
-	// RuleSlowStart: no engine is overloaded while it warms up.
+	// RuleSlowStart requires that no engine is overloaded while it warms up.
 	RuleSlowStart
-	// RuleReservation: no reservation outlives its limit while no attempt of its request is in flight.
+	// RuleReservation requires that no reservation is held past its limit while no attempt of its request is in flight.
 	RuleReservation
 )
 
-// Rules are the durations and routes to check by.
+// Rules contains the durations and routes that the checks use.
 type Rules struct {
-	NonRetriable     map[string]bool // routes
+	NonRetriable     map[string]bool // by name of the route
 	DrainGrace       time.Duration
-	ListDelay        time.Duration // between publishing a change of the endpoint list and an edge receiving it
+	ListDelay        time.Duration // between the publication of an endpoint list and its arrival at an edge
 	ReservationLimit time.Duration
-	Tolerance        time.Duration // what the network and a loaded test machine may add
+	Tolerance        time.Duration // additional delay that the network and a loaded test machine may cause
 }
 
-// Violation is a rule that was broken once.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule      Rule
 	Text      string
-	RequestID string // empty where no single request is concerned
+	RequestID string // empty if the violation does not concern a single request
 }
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Text) }
 
-// Check returns all violations of the five rules, ordered by rule and text. The records end at until.
+// Check returns all violations of the five rules, ordered by rule and text. Until is the end of the recorded time.
 func (l *Log) Check(rules Rules, until time.Time) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,19 +66,19 @@
 	return c.violations
 }
 
-// attemptSpan is the time in which an engine had an attempt in flight.
+// attemptSpan is the time during which an attempt was in flight at an engine.
 type attemptSpan struct {
 	from, to time.Time
 	engine   string
 }
 
-// checker is the state of one check. The caller of Check holds the log's lock.
+// checker is the state of one call of Check, which holds the lock of the log.
 type checker struct {
 	rules      Rules
 	until      time.Time
 	log        *Log
-	records    []EngineRecord           // in order of time
-	spans      map[string][]attemptSpan // of each request ID
+	records    []EngineRecord           // ordered by time
+	spans      map[string][]attemptSpan // by request ID
 	violations []Violation
 }
 
@@ -85,30 +86,31 @@
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...), requestID})
 }
 
-// attemptSpans returns the attempts of each request that engines saw.
+// attemptSpans returns the attempts that engines recorded, by request ID.
 func (c *checker) attemptSpans() map[string][]attemptSpan {
 	spans := map[string][]attemptSpan{}
-	for i, s := range c.records {
-		if s.Event != AttemptStarted || s.RequestID == "" {
+	for i, record := range c.records {
+		if record.Event != AttemptStarted || record.RequestID == "" {
 			continue
 		}
-		spans[s.RequestID] = append(spans[s.RequestID], attemptSpan{s.At, c.endOf(i, AttemptEnded), s.Engine})
+		spans[record.RequestID] = append(spans[record.RequestID], attemptSpan{record.At, c.endOf(i, AttemptEnded), record.Engine})
 	}
 	return spans
 }
 
-// endOf returns when what record i began ended: by an event of the same request, or by a crash of the engine.
+// endOf returns the time of the end event that follows record i for the same request and engine, or of a crash of the
+// engine if that is earlier, or until if there is neither.
 func (c *checker) endOf(i int, end EngineEvent) time.Time {
 	start := c.records[i]
-	for _, s := range c.records[i+1:] {
-		if s.Engine == start.Engine && (s.Event == Crashed || s.Event == end && s.RequestID == start.RequestID) {
-			return s.At
+	for _, record := range c.records[i+1:] {
+		if record.Engine == start.Engine && (record.Event == Crashed || record.Event == end && record.RequestID == start.RequestID) {
+			return record.At
 		}
 	}
 	return c.until
 }
 
-// wasDown is whether an edge was down at any moment between from and to.
+// wasDown reports whether an edge was down at any time between from and to.
 func (c *checker) wasDown(edge string, from, to time.Time) bool {
 	return slices.ContainsFunc(c.log.outages, func(o Outage) bool {
 		return o.Edge == edge && o.From.Before(to) && from.Before(o.To)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// testRules are the rules of all tests here.
+// testRules are the rules of all tests in this file.
 var testRules = Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 100 * time.Millisecond, ListDelay: 100 * time.Millisecond,
 	ReservationLimit: time.Second, Tolerance: 100 * time.Millisecond}
 
-// testLog is a log whose records are at durations after its start.
+// testLog is a log whose records are given by their time since its start.
 type testLog struct {
 	Log
 	start time.Time
@@ -18,12 +18,12 @@
 
 func newTestLog() *testLog { return &testLog{start: time.Now()} }
 
-func (l *testLog) engine(after time.Duration, engine string, event EngineEvent) {
+func (l *testLog) addEngineEvent(after time.Duration, engine string, event EngineEvent) {
 	l.RecordEngine(EngineRecord{At: l.start.Add(after), Engine: engine, Event: event, RequestID: "edge-1", ClientRequestID: "c1"})
 }
 
-// client records a request of a non-retriable route that is sent at the start and has a deadline after a second.
-func (l *testLog) client(end time.Duration, outcome Outcome, outcomes int) {
+// addClientRecord adds a request of a non-retriable route that is sent at the start and has its deadline one second later.
+func (l *testLog) addClientRecord(end time.Duration, outcome Outcome, outcomes int) {
 	l.RecordClient(ClientRecord{ClientRequestID: "c1", RequestID: "edge-1", Route: "alert", Edge: "edge", Sent: l.start,
 		End: l.start.Add(end), Deadline: l.start.Add(time.Second), Outcome: outcome, OutcomeCount: outcomes})
 }
@@ -35,7 +35,7 @@
 	return texts
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckReportsViolationsOfEachRule(t *testing.T) {
 	const second = time.Second
 	for _, c := range []struct {
 		name   string
@@ -43,60 +43,60 @@
 		want   []string
 	}{
 		{"completed in time", func(l *testLog) {
-			l.engine(0, "a", AttemptStarted)
-			l.engine(0, "a", Executed)
-			l.engine(second/2, "a", AttemptEnded)
-			l.client(second/2, OutcomeCompleted, 1)
+			l.addEngineEvent(0, "a", AttemptStarted)
+			l.addEngineEvent(0, "a", Executed)
+			l.addEngineEvent(second/2, "a", AttemptEnded)
+			l.addClientRecord(second/2, OutcomeCompleted, 1)
 		}, nil},
-		{"lost", func(l *testLog) { l.client(0, OutcomeLost, 0) }, []string{"rule 1: c1 (edge-1) got no final answer from edge: "}},
+		{"lost", func(l *testLog) { l.addClientRecord(0, OutcomeLost, 0) }, []string{"rule 1: c1 (edge-1) got no final answer from edge: "}},
 		{"lost at a killed edge", func(l *testLog) {
-			l.client(0, OutcomeLost, 0)
+			l.addClientRecord(0, OutcomeLost, 0)
 			l.RecordOutage(Outage{Edge: "edge", From: l.start.Add(-second), To: l.start.Add(second)})
 		}, nil},
-		{"two outcomes", func(l *testLog) { l.client(0, OutcomeCompleted, 2) }, []string{"rule 1: c1 (edge-1) got 2 final answers"}},
-		{"late", func(l *testLog) { l.client(2*second, OutcomeShed, 1) }, []string{"rule 1: c1 (edge-1) was shed 1s after its client gave up"}},
+		{"two outcomes", func(l *testLog) { l.addClientRecord(0, OutcomeCompleted, 2) }, []string{"rule 1: c1 (edge-1) got 2 final answers"}},
+		{"late", func(l *testLog) { l.addClientRecord(2*second, OutcomeShed, 1) }, []string{"rule 1: c1 (edge-1) was shed 1s after its client's deadline"}},
 		{"attempt after the outcome", func(l *testLog) {
-			l.client(0, OutcomeErrored, 1)
-			l.engine(second, "a", AttemptStarted)
+			l.addClientRecord(0, OutcomeErrored, 1)
+			l.addEngineEvent(second, "a", AttemptStarted)
 		}, []string{"rule 1: c1 (edge-1) was sent to a 1s after it was errored"}},
 		{"two executions", func(l *testLog) {
-			l.client(0, OutcomeCompleted, 1)
-			l.engine(0, "a", Executed)
-			l.engine(0, "b", Executed)
+			l.addClientRecord(0, OutcomeCompleted, 1)
+			l.addEngineEvent(0, "a", Executed)
+			l.addEngineEvent(0, "b", Executed)
 		}, []string{"rule 2: c1 is non-retriable and ran at a and b"}},
 		{"attempts overlap", func(l *testLog) {
-			l.engine(0, "a", AttemptStarted)
-			l.engine(second, "b", AttemptStarted)
-			l.engine(2*second, "a", AttemptEnded)
-		}, []string{"rule 2: edge-1 was out at a and b at once"}},
+			l.addEngineEvent(0, "a", AttemptStarted)
+			l.addEngineEvent(second, "b", AttemptStarted)
+			l.addEngineEvent(2*second, "a", AttemptEnded)
+		}, []string{"rule 2: edge-1 had attempts in flight at a and b at the same time"}},
 		{"attempt follows a crash", func(l *testLog) {
-			l.engine(0, "a", AttemptStarted)
-			l.engine(second/2, "a", Crashed)
-			l.engine(second, "b", AttemptStarted)
+			l.addEngineEvent(0, "a", AttemptStarted)
+			l.addEngineEvent(second/2, "a", Crashed)
+			l.addEngineEvent(second, "b", AttemptStarted)
 		}, nil},
 		{"attempt at a draining engine", func(l *testLog) {
 			l.RecordReadiness(ReadinessChange{At: l.start, Engine: "a"})
-			l.engine(second, "a", AttemptStarted)
-		}, []string{"rule 3: edge-1 was sent to a 1s after it was told to drain"}},
+			l.addEngineEvent(second, "a", AttemptStarted)
+		}, []string{"rule 3: edge-1 was sent to a 1s after the drain of the engine was published"}},
 		{"attempt within the grace", func(l *testLog) {
 			l.RecordReadiness(ReadinessChange{At: l.start, Engine: "a"})
-			l.engine(300*time.Millisecond, "a", AttemptStarted)
+			l.addEngineEvent(300*time.Millisecond, "a", AttemptStarted)
 		}, nil},
 		{"ready again", func(l *testLog) {
 			l.RecordReadiness(ReadinessChange{At: l.start, Engine: "a"})
 			l.RecordReadiness(ReadinessChange{At: l.start.Add(second / 2), Engine: "a", Ready: true})
-			l.engine(second, "a", AttemptStarted)
+			l.addEngineEvent(second, "a", AttemptStarted)
 		}, nil},
-		{"overloaded", func(l *testLog) { l.engine(0, "a", Overloaded) }, []string{"rule 4: a was pushed over while cold: "}},
+		{"overloaded", func(l *testLog) { l.addEngineEvent(0, "a", Overloaded) }, []string{"rule 4: a was overloaded while it warmed up: "}},
 		{"reservation outlives its limit", func(l *testLog) {
-			l.engine(0, "a", Reserved)
-			l.engine(2*second, "a", Released)
-		}, []string{"rule 5: a held a state of edge-1 for 2s with no send out"}},
+			l.addEngineEvent(0, "a", Reserved)
+			l.addEngineEvent(2*second, "a", Released)
+		}, []string{"rule 5: a held a reservation of edge-1 for 2s with no attempt in flight"}},
 		{"reservation beside an attempt", func(l *testLog) {
-			l.engine(0, "a", Reserved)
-			l.engine(second/2, "b", AttemptStarted)
-			l.engine(3*second, "b", AttemptEnded)
-			l.engine(3*second, "a", Released)
+			l.addEngineEvent(0, "a", Reserved)
+			l.addEngineEvent(second/2, "b", AttemptStarted)
+			l.addEngineEvent(3*second, "b", AttemptEnded)
+			l.addEngineEvent(3*second, "a", Released)
 		}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,11 +109,11 @@
 	}
 }
 
-func TestTrace(t *testing.T) {
+func TestTraceOrdersRecordsByTime(t *testing.T) {
 	l := newTestLog()
-	l.client(time.Second, OutcomeShed, 1)
-	l.engine(time.Second/2, "a", AttemptStarted)
-	want := []string{"   0.000s client c1 asks", "   0.500s a began ", "   1.000s client c1 has shed "}
+	l.addClientRecord(time.Second, OutcomeShed, 1)
+	l.addEngineEvent(time.Second/2, "a", AttemptStarted)
+	want := []string{"   0.000s client c1 sends its request", "   0.500s a began ", "   1.000s client c1 receives its outcome: shed "}
 	if got := l.Trace("edge-1"); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/audit/checks.go
+++ b/internal/audit/checks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkOutcomes checks rule 1.
+// checkOutcomes checks RuleOneOutcome.
 func (c *checker) checkOutcomes() {
 	for _, r := range c.log.clientRecords {
 		if c.wasDown(r.Edge, r.Sent, r.End.Add(c.rules.Tolerance)) {
@@ -19,26 +19,26 @@
 		case r.Outcome != OutcomeAbandoned && r.OutcomeCount != 1:
 			c.report(RuleOneOutcome, r.RequestID, "%s got %d final answers", name, r.OutcomeCount)
 		case r.Outcome != OutcomeAbandoned && r.FirstToken == 0 && r.End.After(r.Deadline.Add(c.rules.Tolerance)):
-			c.report(RuleOneOutcome, r.RequestID, "%s was %s %v after its client gave up", name, r.Outcome, r.End.Sub(r.Deadline))
+			c.report(RuleOneOutcome, r.RequestID, "%s was %s %v after its client's deadline", name, r.Outcome, r.End.Sub(r.Deadline))
 		}
-		for _, s := range c.spans[r.RequestID] {
-			if r.RequestID != "" && s.from.After(r.End.Add(c.rules.Tolerance)) {
-				c.report(RuleOneOutcome, r.RequestID, "%s was sent to %s %v after it was %s", name, s.engine, s.from.Sub(r.End), r.Outcome)
+		for _, span := range c.spans[r.RequestID] {
+			if r.RequestID != "" && span.from.After(r.End.Add(c.rules.Tolerance)) {
+				c.report(RuleOneOutcome, r.RequestID, "%s was sent to %s %v after it was %s", name, span.engine, span.from.Sub(r.End), r.Outcome)
 			}
 		}
 	}
 }
 
-// checkExecutions checks the first half of rule 2: non-retriable requests are executed at most once.
+// checkExecutions checks the first part of RuleOneExecution: non-retriable requests are executed at most once.
 func (c *checker) checkExecutions() {
 	nonRetriable := map[string]bool{}
 	for _, r := range c.log.clientRecords {
 		nonRetriable[r.ClientRequestID] = c.rules.NonRetriable[r.Route]
 	}
 	executedBy := map[string][]string{}
-	for _, s := range c.records {
-		if s.Event == Executed && nonRetriable[s.ClientRequestID] {
-			executedBy[s.ClientRequestID] = append(executedBy[s.ClientRequestID], s.Engine)
+	for _, record := range c.records {
+		if record.Event == Executed && nonRetriable[record.ClientRequestID] {
+			executedBy[record.ClientRequestID] = append(executedBy[record.ClientRequestID], record.Engine)
 		}
 	}
 	for request, engines := range executedBy {
@@ -48,35 +48,36 @@
 	}
 }
 
-// checkOverlaps checks the second half of rule 2: a request has one attempt in flight at a time.
+// checkOverlaps checks the second part of RuleOneExecution: a request has at most one attempt in flight at a time.
 func (c *checker) checkOverlaps() {
-	for name, spans := range c.spans {
+	for requestID, spans := range c.spans {
 		slices.SortFunc(spans, func(a, b attemptSpan) int { return a.from.Compare(b.from) })
 		for i := 1; i < len(spans); i++ {
 			if spans[i].from.Add(c.rules.Tolerance).Before(spans[i-1].to) {
-				c.report(RuleOneExecution, name, "%s was out at %s and %s at once", name, spans[i-1].engine, spans[i].engine)
+				c.report(RuleOneExecution, requestID, "%s had attempts in flight at %s and %s at the same time", requestID, spans[i-1].engine, spans[i].engine)
 			}
 		}
 	}
 }
 
-// checkDrains checks rule 3.
+// checkDrains checks RuleDrain.
 func (c *checker) checkDrains() {
 	changes := slices.Clone(c.log.readinessChanges)
 	slices.SortStableFunc(changes, func(a, b ReadinessChange) int { return a.At.Compare(b.At) })
-	for _, s := range c.records {
-		if s.Event != AttemptStarted {
+	for _, record := range c.records {
+		if record.Event != AttemptStarted {
 			continue
 		}
-		since := drainingSince(changes, s.Engine, s.At)
-		late := s.At.Sub(since) - c.rules.DrainGrace - c.rules.ListDelay - c.rules.Tolerance
+		since := drainingSince(changes, record.Engine, record.At)
+		late := record.At.Sub(since) - c.rules.DrainGrace - c.rules.ListDelay - c.rules.Tolerance
 		if !since.IsZero() && late > 0 {
-			c.report(RuleDrain, s.RequestID, "%s was sent to %s %v after it was told to drain", s.RequestID, s.Engine, s.At.Sub(since))
+			c.report(RuleDrain, record.RequestID, "%s was sent to %s %v after the drain of the engine was published", record.RequestID, record.Engine, record.At.Sub(since))
 		}
 	}
 }
 
-// drainingSince returns since when an engine was published as not ready at a moment; zero where it was ready.
+// drainingSince returns the time from which on the engine was published as not ready until at, or the zero time if it was
+// published as ready at that time.
 func drainingSince(changes []ReadinessChange, engine string, at time.Time) (since time.Time) {
 	for _, change := range changes {
 		if change.Engine != engine || change.At.After(at) {
@@ -92,34 +93,34 @@
 	return since
 }
 
-// checkSlowStarts checks rule 4.
+// checkSlowStarts checks RuleSlowStart.
 func (c *checker) checkSlowStarts() {
-	for _, s := range c.records {
-		if s.Event == Overloaded {
-			c.report(RuleSlowStart, "", "%s was pushed over while cold: %s", s.Engine, s.Detail)
+	for _, record := range c.records {
+		if record.Event == Overloaded {
+			c.report(RuleSlowStart, "", "%s was overloaded while it warmed up: %s", record.Engine, record.Detail)
 		}
 	}
 }
 
-// checkReservations checks rule 5. It looks for a gap, in the time of each reservation, in which no attempt of its request
-// was in flight.
+// checkReservations checks RuleReservation: it searches the time of each reservation for a gap between attempts of its
+// request that exceeds the limit.
 func (c *checker) checkReservations() {
-	for i, s := range c.records {
-		if s.Event != Reserved {
+	for i, record := range c.records {
+		if record.Event != Reserved {
 			continue
 		}
 		end := c.endOf(i, Released)
-		edge, _, _ := strings.Cut(s.RequestID, "-")
-		if c.wasDown(edge, s.At, end) {
-			continue // a killed edge can't release its reservations
+		edge, _, _ := strings.Cut(record.RequestID, "-")
+		if c.wasDown(edge, record.At, end) {
+			continue // a killed edge cannot release its reservations
 		}
-		idleSince := s.At
-		for _, attempt := range append(slices.Clone(c.spans[s.RequestID]), attemptSpan{from: end, to: end}) {
+		idleSince := record.At
+		for _, attempt := range append(slices.Clone(c.spans[record.RequestID]), attemptSpan{from: end, to: end}) {
 			if attempt.from.After(end) {
 				attempt.from = end
 			}
 			if gap := attempt.from.Sub(idleSince); gap > c.rules.ReservationLimit+c.rules.Tolerance {
-				c.report(RuleReservation, s.RequestID, "%s held a state of %s for %v with no send out", s.Engine, s.RequestID, gap)
+				c.report(RuleReservation, record.RequestID, "%s held a reservation of %s for %v with no attempt in flight", record.Engine, record.RequestID, gap)
 				break
 			}
 			if attempt.to.After(idleSince) {
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -16,14 +16,14 @@
 	outages          []Outage
 }
 
-// RecordEngine adds an event of an engine.
+// RecordEngine adds a record of an engine.
 func (l *Log) RecordEngine(record EngineRecord) {
 	l.mu.Lock()
 	l.engineRecords = append(l.engineRecords, record)
 	l.mu.Unlock()
 }
 
-// RecordClient adds a request of a client.
+// RecordClient adds a record of a client's request.
 func (l *Log) RecordClient(record ClientRecord) {
 	l.mu.Lock()
 	l.clientRecords = append(l.clientRecords, record)
@@ -37,35 +37,35 @@
 	l.mu.Unlock()
 }
 
-// RecordOutage adds a time in which an edge was down.
+// RecordOutage adds an outage of an edge.
 func (l *Log) RecordOutage(outage Outage) {
 	l.mu.Lock()
 	l.outages = append(l.outages, outage)
 	l.mu.Unlock()
 }
 
-// ReadinessChanges returns a copy of the changes of engines' readiness.
+// ReadinessChanges returns a copy of all changes of the readiness of engines.
 func (l *Log) ReadinessChanges() []ReadinessChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.readinessChanges)
 }
 
-// ClientRecords returns a copy of the clients' records.
+// ClientRecords returns a copy of all records of clients.
 func (l *Log) ClientRecords() []ClientRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.clientRecords)
 }
 
-// EngineRecords returns a copy of the engines' records.
+// EngineRecords returns a copy of all records of engines.
 func (l *Log) EngineRecords() []EngineRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.engineRecords)
 }
 
-// Trace returns, one line each and in order of time, what engines and clients saw of a request.
+// Trace returns the records of a request as lines of text, ordered by time.
 func (l *Log) Trace(requestID string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,15 +74,15 @@
 		text string
 	}
 	var entries []entry
-	for _, s := range l.engineRecords {
-		if s.RequestID == requestID {
-			entries = append(entries, entry{s.At, fmt.Sprintf("%s %s %s", s.Engine, s.Event, s.Detail)})
+	for _, record := range l.engineRecords {
+		if record.RequestID == requestID {
+			entries = append(entries, entry{record.At, fmt.Sprintf("%s %s %s", record.Engine, record.Event, record.Detail)})
 		}
 	}
 	for _, c := range l.clientRecords {
 		if c.RequestID == requestID {
-			entries = append(entries, entry{c.Sent, "client " + c.ClientRequestID + " asks"},
-				entry{c.End, fmt.Sprintf("client %s has %s %s", c.ClientRequestID, c.Outcome, c.Reason)})
+			entries = append(entries, entry{c.Sent, "client " + c.ClientRequestID + " sends its request"},
+				entry{c.End, fmt.Sprintf("client %s receives its outcome: %s %s", c.ClientRequestID, c.Outcome, c.Reason)})
 		}
 	}
 	slices.SortStableFunc(entries, func(a, b entry) int { return a.at.Compare(b.at) })
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// EngineEvent is what an engine saw. Its text is printed in traces.
+// EngineEvent is an event at an engine. Its value is printed in traces.
 type EngineEvent string
 
 // The events of an engine.
 const (
-	AttemptStarted EngineEvent = "began"   // a request has arrived in full
-	AttemptEnded   EngineEvent = "ended"   // its response has been sent, or its connection is closed
-	Executed       EngineEvent = "ran"     // it took effect: the first token was generated
-	Deduplicated   EngineEvent = "repeat"  // it would have been executed, but its idempotency key was known
-	Reserved       EngineEvent = "holds"   // a prefill engine holds a reservation
-	Released       EngineEvent = "let go"  // the reservation was fetched, released, or dropped by the engine itself
-	Overloaded     EngineEvent = "fell"    // an engine that was warming up failed under its load
+	AttemptStarted EngineEvent = "began"   // the engine has received an attempt completely
+	AttemptEnded   EngineEvent = "ended"   // the response has been sent, or the connection is closed
+	Executed       EngineEvent = "ran"     // the request took effect: the first token was generated
+	Deduplicated   EngineEvent = "repeat"  // the request was not executed because its idempotency key was known
+	Reserved       EngineEvent = "holds"   // a prefill engine made a reservation
+	Released       EngineEvent = "let go"  // the reservation was fetched, released, or dropped by the engine
+	Overloaded     EngineEvent = "fell"    // an engine that was warming up failed because of its load
 	Started        EngineEvent = "up"      // the engine started
-	Crashed        EngineEvent = "crashed" // the engine is gone with all its reservations
+	Crashed        EngineEvent = "crashed" // the engine crashed and lost all its reservations
 )
 
-// Outcome is how a client's request ended, as the client saw it. Its text is printed in verdicts and summaries.
+// Outcome is the outcome of a request as its client recorded it. Its value is printed in violations and summaries.
 type Outcome string
 
 // The outcomes of a request.
@@ -35,35 +35,35 @@
 	At              time.Time
 	Engine          string
 	Event           EngineEvent
-	RequestID       string // as the router named the request
-	ClientRequestID string // as the client named it
+	RequestID       string // ID that the router assigned
+	ClientRequestID string // ID that the client assigned
 	Decode          bool
 	Detail          string
 }
 
-// ClientRecord is one request of a client, as the client saw it.
+// ClientRecord is the record of one request by its client.
 type ClientRecord struct {
-	ClientRequestID string // the same for all retries of one client
+	ClientRequestID string // the same for all retries of a request
 	Route           string
 	Edge            string
-	RequestID       string // as the response named it, empty if there was none
+	RequestID       string // ID that the router assigned; empty without a response
 	Sent, End       time.Time
 	Deadline        time.Time
 	Outcome         Outcome // empty while the request is open
-	OutcomeCount    int     // how many final responses the client received
+	OutcomeCount    int     // number of final responses that the client received
 	FirstToken      time.Duration
 	Tokens          int
 	Reason          string
 }
 
-// ReadinessChange is a change of an engine's readiness, as it was published.
+// ReadinessChange is a published change of the readiness of an engine.
 type ReadinessChange struct {
 	At     time.Time
 	Engine string
 	Ready  bool
 }
 
-// Outage is a time in which an edge was killed and not yet restarted.
+// Outage is the time between the kill and the restart of an edge.
 type Outage struct {
 	Edge     string
 	From, To time.Time
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -18,70 +18,70 @@
 	bytesPerToken = 4
 )
 
-// Marks in the bytes of a response.
+// Substrings by which the client recognizes the parts of a response.
 const (
 	streamStatus = "HTTP/1.1 200"
 	streamDone   = "data: [DONE]"
 	streamError  = `data: {"error"`
 )
 
-// clientRequest is one request of a client, with its retries.
+// clientRequest is a request of a client, including its retries.
 type clientRequest struct {
-	emulation       *emulation
-	session         session
-	id              string
-	promptTokens    float64
-	answerTokens    float64
-	firstSentAt     int64 // the first attempt
-	sentAt          int64 // this attempt
-	firstTokenAt    int64
-	attempt         int
-	router          *simulatedRouter
-	client          *router.ClientConnection
-	responseHead    []byte
-	streaming       bool
-	ended           bool
-	runs            int
-	prefilledTokens float64 // that no first token came of so far
+	emulation        *emulation
+	session          session
+	id               string
+	promptTokens     float64
+	answerTokens     float64
+	firstSentAt      int64 // when the first attempt was sent
+	sentAt           int64 // when the current attempt was sent
+	firstTokenAt     int64
+	attempt          int
+	router           *simulatedRouter
+	clientConnection *router.ClientConnection
+	responseHead     []byte
+	streaming        bool
+	ended            bool
+	runCount         int
+	prefilledTokens  float64 // tokens prefilled that have not led to a first token yet
 }
 
 func (r *clientRequest) route() Route { return r.emulation.scenario.Routes[r.session.route] }
 
-// send sends one attempt, to a router that a load balancer picks.
+// send sends one attempt to a random router, as a load balancer does.
 func (r *clientRequest) send() {
 	em, route := r.emulation, r.route()
 	target := em.routers[em.random.IntN(len(em.routers))]
-	em.records.result.Attempts++
-	r.id = fmt.Sprint(r.id, "'") // each attempt has an ID of its own, as engines know it
+	em.recorder.result.Attempts++
+	r.id = fmt.Sprint(r.id, "'") // engines identify attempts by it, so each attempt has its own ID
 	em.requests[r.id] = r
 	r.router, r.sentAt, r.responseHead, r.streaming, r.ended = target, em.now, nil, false, false
 	target.clientCount++
-	client := &router.ClientConnection{ID: target.clientCount}
-	client.Socket = &clientSocket{request: r, client: client}
-	r.client = client
+	conn := &router.ClientConnection{ID: target.clientCount}
+	conn.Socket = &clientSocket{request: r, connection: conn}
+	r.clientConnection = conn
 	httpRequest, err := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // cannot fail: the arguments are constants
 	}
-	request := &router.ClientRequest{Request: httpRequest, Call: chatapi.ToRequest(r.call()), Bytes: bytesPerToken * int(r.promptTokens),
+	request := &router.ClientRequest{Request: httpRequest, Call: chatapi.ToRequest(r.chatRequest()), Bytes: bytesPerToken * int(r.promptTokens),
 		Caller: r.session.name}
-	em.after(networkDelay, func() {
+	em.scheduleAfter(networkDelay, func() {
 		target.handle(func(core *router.Router) {
-			core.ClientOpened(client)
-			core.ReceiveRequest(client, request)
+			core.ClientOpened(conn)
+			core.ReceiveRequest(conn, request)
 		})
 	})
 	attempt := r.attempt
-	em.after(route.Timeout, func() {
+	em.scheduleAfter(route.Timeout, func() {
 		if !r.ended && !r.streaming && r.attempt == attempt {
-			r.finish(outcomeLeft)
-			target.handle(func(core *router.Router) { core.ClientDisconnected(client) })
+			r.finish(outcomeAbandoned)
+			target.handle(func(core *router.Router) { core.ClientDisconnected(conn) })
 		}
 	})
 }
 
-// call is the request as the chat API carries it.
-func (r *clientRequest) call() *chat.Request {
+// chatRequest returns the request in the form of the chat API.
+func (r *clientRequest) chatRequest() *chat.Request {
 	return &chat.Request{Model: r.route().Name, Session: r.session.name, PrefixHash: r.session.prefix, PromptTokens: int(r.promptTokens),
 		PrefixTokens: int(r.emulation.scenario.PrefixTokens), MaxOutputTokens: int(r.answerTokens) + 1, Stream: true,
 		ClientRequestID: r.id, FirstTokenTimeout: r.route().Timeout, RetryCount: r.attempt}
@@ -90,7 +90,7 @@
 // receive handles bytes of a response.
 func (r *clientRequest) receive(data []byte) {
 	if r.responseHead == nil {
-		r.responseHead = append(r.responseHead, data...) // the head says all but the end
+		r.responseHead = append(r.responseHead, data...) // the head determines the outcome, except for the end of a stream
 	}
 	text := string(data)
 	if !strings.HasPrefix(string(r.responseHead), streamStatus) {
@@ -115,68 +115,68 @@
 		return
 	}
 	if !strings.Contains(text, chat.HeaderRequestID) {
-		r.emulation.records.result.Rejected++
+		r.emulation.recorder.result.Rejected++
 	}
 	r.finish(outcomeShed)
 }
 
 func (r *clientRequest) recordFirstToken() {
 	em := r.emulation
-	em.records.firstTokenTimes = append(em.records.firstTokenTimes, em.now-r.sentAt)
+	em.recorder.firstTokenTimes = append(em.recorder.firstTokenTimes, em.now-r.sentAt)
 	r.firstTokenAt, r.prefilledTokens = em.now, 0
 }
 
-// finish ends one attempt. The client retries where that is harmless, as often as the scenario says.
+// finish ends the current attempt. The client retries if that is safe, up to the scenario's number of retries.
 func (r *clientRequest) finish(outcome string) {
 	em, route := r.emulation, r.route()
 	r.ended = true
-	em.records.result.Outcomes[outcome]++
-	em.records.result.WastedTokens += r.prefilledTokens
+	em.recorder.result.Outcomes[outcome]++
+	em.recorder.result.WastedTokens += r.prefilledTokens
 	r.prefilledTokens = 0
-	client, target := r.client, r.router
-	em.after(networkDelay, func() { target.handle(func(core *router.Router) { core.ClientDisconnected(client) }) })
+	conn, target := r.clientConnection, r.router
+	em.scheduleAfter(networkDelay, func() { target.handle(func(core *router.Router) { core.ClientDisconnected(conn) }) })
 	if outcome == outcomeCompleted {
-		// In time is by the first attempt: the client has been waiting since.
+		// The first token target counts from the first attempt, because the client has been waiting since then.
 		if time.Duration(r.firstTokenAt-r.firstSentAt) <= route.FirstTokenTarget {
-			em.records.completedInTime(route, r.firstSentAt)
+			em.recorder.recordCompletedInTime(route, r.firstSentAt)
 		}
 		return
 	}
-	harmless := outcome == outcomeShed || route.Effect == config.EffectRetriable
-	if !harmless || r.attempt >= em.scenario.Retries {
+	safeToRetry := outcome == outcomeShed || route.Effect == config.EffectRetriable
+	if !safeToRetry || r.attempt >= em.scenario.Retries {
 		return
 	}
-	pause := retryPause + time.Duration(em.random.IntN(retryJitter))*time.Millisecond
-	em.after(pause, func() {
+	delay := retryPause + time.Duration(em.random.IntN(retryJitter))*time.Millisecond
+	em.scheduleAfter(delay, func() {
 		r.attempt++
 		r.send()
 	})
 }
 
-// clientSocket is a client's end of the connection of one attempt.
+// clientSocket is the client's side of the connection of one attempt.
 type clientSocket struct {
-	request *clientRequest
-	client  *router.ClientConnection
+	request    *clientRequest
+	connection *router.ClientConnection
 }
 
-// Send takes what the router sends to the client. What comes after the end, or of an earlier attempt, is dropped.
+// Send receives bytes from the router. Bytes after the end of the attempt, or of an earlier attempt, are dropped.
 func (c *clientSocket) Send(data []byte) error {
-	if !c.request.ended && c.request.client == c.client {
+	if !c.request.ended && c.request.clientConnection == c.connection {
 		c.request.receive(data)
 	}
 	return nil
 }
 
-// Flushed reports that the client reads at once.
+// Flushed returns true: the client reads immediately.
 func (c *clientSocket) Flushed() bool { return true }
 
 // StopReading has no effect on an emulated client.
 func (c *clientSocket) StopReading() {}
 
-// Disconnected reports that the client is there until it says otherwise.
+// Disconnected returns false: disconnects are passed to the router as events.
 func (c *clientSocket) Disconnected() bool { return false }
 
-// CloseIfIdle reports that the connection could be closed.
+// CloseIfIdle returns true: an idle connection can always be closed.
 func (c *clientSocket) CloseIfIdle() bool { return true }
 
 // Close has no effect on an emulated client.
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -8,28 +8,30 @@
 // startTime is the clock at the start of a run, in nanoseconds.
 const startTime = int64(1000 * time.Second)
 
-// clock is simulated time, with what is scheduled in it.
+// clock is the simulated time and the queue of scheduled events.
 type clock struct {
 	now      int64
 	sequence int64
 	queue    eventQueue
 }
 
-// after schedules what happens some time from now.
-func (c *clock) after(d time.Duration, run func()) { c.at(c.now+int64(max(0, d)), run) }
+// scheduleAfter schedules an event after a delay.
+func (c *clock) scheduleAfter(delay time.Duration, run func()) {
+	c.scheduleAt(c.now+int64(max(0, delay)), run)
+}
 
-// at schedules what happens at a time. Events of the same time happen in the order in which they were scheduled.
-func (c *clock) at(t int64, run func()) {
-	heap.Push(&c.queue, event{max(t, c.now), c.nextSequence(), run})
+// scheduleAt schedules an event at a time. Events at the same time run in the order in which they were scheduled.
+func (c *clock) scheduleAt(at int64, run func()) {
+	heap.Push(&c.queue, event{max(at, c.now), c.nextSequence(), run})
 }
 
-// nextSequence is a number that orders events and connections.
+// nextSequence returns the next number by which events and connections are ordered.
 func (c *clock) nextSequence() int64 {
 	c.sequence++
 	return c.sequence
 }
 
-// runNext advances to the next event and runs it. It reports false if there is none until end.
+// runNext advances the time to the next event and runs the event. It returns false if there is no event until end.
 func (c *clock) runNext(end int64) bool {
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		return false
@@ -40,14 +42,14 @@
 	return true
 }
 
-// event is something that is scheduled.
+// event is a scheduled event.
 type event struct {
 	at       int64
 	sequence int64
 	run      func()
 }
 
-// eventQueue is a heap of events by time.
+// eventQueue is a heap of events, ordered by time and sequence number.
 type eventQueue []event
 
 // Len implements heap.Interface.
--- a/internal/emulator/comparison.go
+++ b/internal/emulator/comparison.go
@@ -10,42 +10,42 @@
 
 const (
 	bootstrapSamples = 2000
-	bootstrapLow     = 25 // of 1000 samples
-	bootstrapHigh    = 975
-	recoveredShare   = 0.9 // of the value in time, for three windows
+	bootstrapLow     = 25  // 1/1000 quantile: lower end of the 95% interval
+	bootstrapHigh    = 975 // 1/1000 quantile: upper end of the 95% interval
+	recoveredShare   = 0.9 // minimum share completed in time, in three consecutive windows
 )
 
-// neverRecovered is the recovery time of a run that did not recover.
+// neverRecovered is the recovery time of a run that does not recover.
 const neverRecovered = time.Duration(-1)
 
-// Comparison is the outcome of one arm, against the first.
+// Comparison is the result of one arm, compared with the first arm.
 type Comparison struct {
 	Name         string
 	Results      []Result
-	Share        float64       // of the value in time, mean over seeds
-	Difference   float64       // to the first arm, paired by seed
-	Low, High    float64       // of the difference, 95 of 100 by bootstrap
-	WorstWindow  float64       // share in time, mean over seeds
-	RecoveryTime time.Duration // from the end of the last fault until three windows are good, median; -1 for never
-	ByWindow     []float64     // share in time, mean over seeds
+	Share        float64       // share completed in time, mean over seeds
+	Difference   float64       // difference of Share to the first arm, mean over paired seeds
+	Low, High    float64       // 95% bootstrap interval of Difference
+	WorstWindow  float64       // lowest share completed in time of a window, mean over seeds
+	RecoveryTime time.Duration // from the end of the last fault, median over seeds; neverRecovered if it does not recover
+	ByWindow     []float64     // share completed in time by window, mean over seeds
 }
 
-// Compare compares the arms with the first. Results are by arm and seed.
+// Compare compares each arm with the first one. Results are indexed by arm and seed.
 func (x *Experiment) Compare(results [][]Result) (comparisons []Comparison) {
 	random := rand.New(rand.NewPCG(9, 9))
 	for i, arm := range x.Arms {
 		c := Comparison{Name: arm.Name, Results: results[i], ByWindow: meanByWindow(results[i])}
-		var shares, differences, worst, recovery []float64
+		var shares, differences, worstWindows, recoveryTimes []float64
 		for seed, r := range results[i] {
 			shares = append(shares, r.Share)
 			differences = append(differences, r.Share-results[0][seed].Share)
-			worst = append(worst, slices.Min(r.Windows))
-			recovery = append(recovery, float64(recoveryTime(arm.Scenario, r)))
+			worstWindows = append(worstWindows, slices.Min(r.Windows))
+			recoveryTimes = append(recoveryTimes, float64(recoveryTime(arm.Scenario, r)))
 		}
-		c.Share, c.Difference, c.WorstWindow = stat.Mean(shares, nil), stat.Mean(differences, nil), stat.Mean(worst, nil)
+		c.Share, c.Difference, c.WorstWindow = stat.Mean(shares, nil), stat.Mean(differences, nil), stat.Mean(worstWindows, nil)
 		c.Low, c.High = bootstrapMean(differences, random)
-		slices.Sort(recovery)
-		c.RecoveryTime = time.Duration(recovery[len(recovery)/2])
+		slices.Sort(recoveryTimes)
+		c.RecoveryTime = time.Duration(recoveryTimes[len(recoveryTimes)/2])
 		comparisons = append(comparisons, c)
 	}
 	return comparisons
@@ -53,17 +53,17 @@
 
 func meanByWindow(results []Result) (means []float64) {
 	for _, r := range results {
-		for k, share := range r.Windows {
-			if k >= len(means) {
+		for window, share := range r.Windows {
+			if window >= len(means) {
 				means = append(means, 0)
 			}
-			means[k] += share / float64(len(results))
+			means[window] += share / float64(len(results))
 		}
 	}
 	return means
 }
 
-// bootstrapMean is an interval of the mean of some values, by resampling.
+// bootstrapMean returns a 95% bootstrap interval of the mean of values.
 func bootstrapMean(values []float64, random *rand.Rand) (low, high float64) {
 	means := make([]float64, bootstrapSamples)
 	for i := range means {
@@ -77,15 +77,16 @@
 	return means[len(means)*bootstrapLow/1000], means[len(means)*bootstrapHigh/1000]
 }
 
-// recoveryTime is how long after its last fault a run was good again.
-func recoveryTime(s Scenario, r Result) time.Duration {
+// recoveryTime returns the time from the end of the last fault to the first of three consecutive windows with at least
+// recoveredShare completed in time.
+func recoveryTime(scenario Scenario, r Result) time.Duration {
 	end := time.Duration(0)
-	for _, f := range s.Faults {
+	for _, f := range scenario.Faults {
 		end = max(end, f.At+f.Duration)
 	}
-	for k := int(end / windowLength); k+2 < len(r.Windows); k++ {
-		if min(r.Windows[k], r.Windows[k+1], r.Windows[k+2]) >= recoveredShare {
-			return max(0, time.Duration(k)*windowLength-end)
+	for window := int(end / windowLength); window+2 < len(r.Windows); window++ {
+		if min(r.Windows[window], r.Windows[window+1], r.Windows[window+2]) >= recoveredShare {
+			return max(0, time.Duration(window)*windowLength-end)
 		}
 	}
 	return neverRecovered
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -16,39 +16,39 @@
 	"sandcourse/internal/router"
 )
 
-// The errors of what a router writes to an engine.
+// Errors for invalid bytes that a router writes to an engine.
 var (
-	errNoRequest      = errors.New("emulator: the router wrote no complete request")
-	errUnknownRequest = errors.New("emulator: an attempt of a request that no client sent")
+	errNoRequest      = errors.New("emulator: router did not write a complete request")
+	errUnknownRequest = errors.New("emulator: attempt belongs to no client's request")
 )
 
-// requestLimits bound the requests that a router writes.
+// requestLimits limit the size of the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
-// remotePrefill marks the body of a decode request.
+// remotePrefill occurs in the body of every decode request and of no other.
 var remotePrefill = []byte(`"do_remote_prefill":true`)
 
 // connection is a connection of a router to an engine.
 type connection struct {
-	id      int64
-	core    *router.EngineConnection
-	router  *simulatedRouter
-	engine  *engine
-	closed  bool
-	request *engineRequest
+	id               int64
+	engineConnection *router.EngineConnection
+	router           *simulatedRouter
+	engine           *engine
+	closed           bool
+	request          *engineRequest
 }
 
-// engineRequest is one request to an engine.
+// engineRequest is a request to an engine.
 type engineRequest struct {
 	connection    *connection
-	clientRequest *clientRequest // of an attempt
+	clientRequest *clientRequest // nil for a control request
 	requestID     string
 	attempt       string
-	reservation   string // that a decode has to fetch
+	reservation   string // key of the reservation that a decode fetches
 	prefillEngine *engine
 	decode        bool
 	finished      bool
-	incarnation   int // of the engine that accepted it
+	incarnation   int // incarnation of the engine that accepted the request
 }
 
 func sortedByID(set map[*connection]bool) (list []*connection) {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// Write takes one complete request from the router.
+// Write receives one complete request from the router.
 func (c *connection) Write(data []byte) error {
 	if c.closed {
 		return io.ErrClosedPipe
@@ -82,19 +82,19 @@
 		attempt: head.Header.Get(engineapi.HeaderAttempt)}
 	switch head.URL.Path {
 	case engineapi.LoadPath:
-		c.control(func() {})
+		c.answerControlRequest(func() {})
 		return nil
 	case engineapi.ReleasePath:
-		return c.writeRelease(body)
+		return c.handleRelease(body)
 	default:
-		return c.writeAttempt(head, body)
+		return c.handleAttempt(head, body)
 	}
 }
 
-// control does what a control request asks for, and answers it.
-func (c *connection) control(perform func()) {
+// answerControlRequest performs a control request and sends its response.
+func (c *connection) answerControlRequest(perform func()) {
 	r, em := c.request, c.router.emulation
-	em.after(networkDelay, func() {
+	em.scheduleAfter(networkDelay, func() {
 		c.engine.respond(c.engine.incarnation, func() {
 			perform()
 			r.complete(responseHead(http.StatusOK, c.engine.loadReport()), []byte("{}"))
@@ -102,19 +102,19 @@
 	})
 }
 
-// writeRelease handles a release. One that cannot be read is not answered.
-func (c *connection) writeRelease(body []byte) error {
+// handleRelease handles a release request. A request that cannot be parsed is not answered.
+func (c *connection) handleRelease(body []byte) error {
 	var release struct {
 		RequestID string `json:"inference"`
 		Attempt   int    `json:"send"`
 	}
 	if json.Unmarshal(body, &release) == nil {
-		c.control(func() { delete(c.engine.reservations, fmt.Sprint(release.RequestID, "/", release.Attempt)) })
+		c.answerControlRequest(func() { delete(c.engine.reservations, fmt.Sprint(release.RequestID, "/", release.Attempt)) })
 	}
 	return nil
 }
 
-func (c *connection) writeAttempt(head *http.Request, body []byte) error {
+func (c *connection) handleAttempt(head *http.Request, body []byte) error {
 	r, em := c.request, c.router.emulation
 	r.clientRequest = em.requests[head.Header.Get(chat.HeaderClientRequestID)]
 	if r.clientRequest == nil {
@@ -131,18 +131,18 @@
 		r.reservation = prefilled.Transfer.Engine
 		r.prefillEngine = em.engineByName[fmt.Sprint(prefilled.Transfer.Host, ":", prefilled.Transfer.Port)]
 	}
-	em.after(networkDelay, func() {
-		if !c.closed && c.engine.up {
+	em.scheduleAfter(networkDelay, func() {
+		if !c.closed && c.engine.isUp {
 			c.engine.accept(r)
 		}
 	})
 	return nil
 }
 
-// RequestWritten reports that the kernel takes requests at once.
+// RequestWritten returns true: requests are always written completely.
 func (c *connection) RequestWritten() bool { return true }
 
-// Close ends the connection, and aborts what the engine does for it.
+// Close closes the connection and aborts its request.
 func (c *connection) Close() {
 	c.closed = true
 	delete(c.engine.connections, c)
@@ -151,23 +151,23 @@
 	}
 }
 
-// resetByEngine breaks the connection from the engine's side.
+// resetByEngine closes the connection from the engine's side.
 func (c *connection) resetByEngine() {
 	if c.closed {
 		return
 	}
 	c.Close()
-	c.router.emulation.after(networkDelay, func() {
-		c.router.handle(func(core *router.Router) { core.EngineDisconnected(c.core) })
+	c.router.emulation.scheduleAfter(networkDelay, func() {
+		c.router.handle(func(core *router.Router) { core.EngineDisconnected(c.engineConnection) })
 	})
 }
 
-// responseHead is the head of an engine's response.
+// responseHead returns the head of an engine's response.
 func responseHead(status int, h http.Header) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Header: h}
 }
 
-// complete passes a complete response to the router, which reads it in one go.
+// complete passes a complete response to the router, which reads it at once.
 func (r *engineRequest) complete(head *http.Response, body []byte) {
 	if r.finished {
 		return
@@ -175,9 +175,9 @@
 	c := r.connection
 	r.finished, c.request = true, nil
 	c.router.handle(func(core *router.Router) {
-		core.ResponseHead(c.core, head, nil)
+		core.ResponseHead(c.engineConnection, head, nil)
 		if !c.closed {
-			core.ResponseComplete(c.core, body, true)
+			core.ResponseComplete(c.engineConnection, body, true)
 		}
 	})
 }
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// networkDelay is how long a message takes between any two hosts of one data centre.
+	// networkDelay is the delay of a message between two hosts of a data center.
 	networkDelay = 200 * time.Microsecond
-	// listDelay and listJitter are how late a router learns of a change of the endpoint list.
+	// listDelay and listJitter determine the delay with which a router receives a change of the endpoint list.
 	listDelay  = 400 * time.Millisecond
 	listJitter = 200 // milliseconds
-	// settleTime is for how long after the last client's timeout a run goes on, so that reservations are released.
+	// settleTime is the time that a run continues after the timeout of the last client, so that reservations are released.
 	settleTime  = 10 * time.Second
 	dedupWindow = 5 * time.Second
 )
 
-// emulation is one run.
+// emulation is the state of one run.
 type emulation struct {
 	clock
 	scenario     Scenario
@@ -30,41 +30,41 @@
 	routers      []*simulatedRouter
 	engines      []*engine
 	engineByName map[string]*engine
-	requests     map[string]*clientRequest // by the client's ID for the attempt
-	rateFactor   float64                   // of arrivals
+	requests     map[string]*clientRequest // by the ID that the client assigns to the attempt
+	rateFactor   float64                   // multiple of the scenario's request rate
 	listRevision int64
-	records      *recorder
+	recorder     *recorder
 }
 
-// Run runs a scenario.
+// Run runs a scenario and returns its result.
 func Run(s Scenario) Result {
 	em := &emulation{clock: clock{now: startTime}, scenario: s, random: rand.New(rand.NewPCG(s.Seed, 0x1ab)),
-		engineByName: map[string]*engine{}, requests: map[string]*clientRequest{}, rateFactor: 1, records: newRecorder(s.Length)}
+		engineByName: map[string]*engine{}, requests: map[string]*clientRequest{}, rateFactor: 1, recorder: newRecorder(s.Length)}
 	em.addEngines()
 	em.addRouters()
-	em.publish()
+	em.publishEndpoints()
 	for _, f := range s.Faults {
-		em.at(startTime+int64(f.At), func() { em.injectFault(f) })
+		em.scheduleAt(startTime+int64(f.At), func() { em.injectFault(f) })
 	}
-	em.nextArrival(0)
+	em.scheduleArrival(0)
 	longest := time.Duration(0)
-	for _, r := range s.Routes {
-		longest = max(longest, r.Timeout)
+	for _, route := range s.Routes {
+		longest = max(longest, route.Timeout)
 	}
 	for em.runNext(em.endTime() + int64(longest+settleTime)) {
-		em.records.result.Events++
+		em.recorder.result.Events++
 	}
-	held := 0
+	heldReservations := 0
 	for _, e := range em.engines {
-		held += len(e.reservations)
+		heldReservations += len(e.reservations)
 	}
-	return em.records.summarize(held)
+	return em.recorder.summarize(heldReservations)
 }
 
-// endTime is when the last client arrives at the latest.
+// endTime returns the time after which no new sessions or turns start.
 func (em *emulation) endTime() int64 { return startTime + int64(em.scenario.Length) }
 
-// deployment is the configuration of the routers.
+// deployment returns the configuration of the routers.
 func (em *emulation) deployment() *config.Deployment {
 	d, model := config.Defaults(), em.scenario.Engine
 	d.NodeCount, d.Limits.RetryShare = em.scenario.Routers, em.scenario.RetryBudget
@@ -94,20 +94,21 @@
 func (em *emulation) addRouters() {
 	d := em.deployment()
 	for i := range em.scenario.Routers {
-		own := *d
-		own.NodeNumber, own.NodeName = i, fmt.Sprint("n", i)
+		routerDeployment := *d
+		routerDeployment.NodeNumber, routerDeployment.NodeName = i, fmt.Sprint("n", i)
 		r := &simulatedRouter{emulation: em}
-		r.core = router.New(&own, chatapi.NewCodec(nil), em.scenario.Seed*1000+uint64(i), 1, em.now, r, ignoreObservations{})
+		r.core = router.New(&routerDeployment, chatapi.NewCodec(nil), em.scenario.Seed*1000+uint64(i), 1, em.now, r, noopObserver{})
 		em.routers = append(em.routers, r)
 	}
 }
 
-// publish passes the endpoint list to all routers: the first at once, later ones after a delay, not to all at once.
-func (em *emulation) publish() {
+// publishEndpoints passes the endpoint list to all routers: the first revision without delay, later ones after a random delay
+// for each router.
+func (em *emulation) publishEndpoints() {
 	em.listRevision++
 	list := endpoint.List{Revision: em.listRevision, Entries: []endpoint.Entry{}}
 	for _, e := range em.engines {
-		if !e.unlisted {
+		if !e.isUnlisted {
 			list.Entries = append(list.Entries, e.entry())
 		}
 	}
@@ -116,6 +117,6 @@
 		if em.listRevision > 1 {
 			delay = listDelay + time.Duration(em.random.IntN(listJitter))*time.Millisecond
 		}
-		em.after(delay, func() { r.handle(func(core *router.Router) { core.UpdateEndpoints(list) }) })
+		em.scheduleAfter(delay, func() { r.handle(func(core *router.Router) { core.UpdateEndpoints(list) }) })
 	}
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// overloadMultiple is how many times what it can do pushes a warming engine over, and overloadSlack how many
-	// attempts beyond that do not.
+	// overloadMultiple is the multiple of its current capacity at which a warming engine fails, and overloadSlack the
+	// number of additional attempts that it tolerates in a window.
 	overloadMultiple = 3
 	overloadSlack    = 2
 	overloadWindow   = time.Second
-	// maxCachedPrefixes is as much as an engine's memory keeps; beyond it, the cache is cleared.
+	// maxCachedPrefixes is the maximum size of a prefix cache; the cache is cleared when it grows beyond it.
 	maxCachedPrefixes = 4000
 )
 
-// engine is one engine.
+// engine is a simulated engine.
 type engine struct {
-	emulation    *emulation
-	name         string
-	role         config.Role
-	up           bool
-	unlisted     bool
-	draining     bool
-	unresponsive bool
-	slowdown     float64
-	incarnation  int
-	coldSince    int64 // when it began to warm up, 0 for an engine that started warm
+	emulation      *emulation
+	name           string
+	role           config.Role
+	isUp           bool
+	isUnlisted     bool
+	isDraining     bool
+	isUnresponsive bool
+	slowdown       float64
+	incarnation    int
+	coldSince      int64 // when the engine began to warm up; 0 if it started warm
 
 	busySlots           int
 	queue               []*engineRequest
-	delayed             []func() // until it is responsive again
+	delayedActions      []func() // run when the engine is responsive again
 	usedTokens          float64
 	queuedPrefillTokens float64
-	reservations        map[string]float64 // tokens, by request and attempt
-	cached              map[string]float64 // tokens, by prefix and session
+	reservations        map[string]float64 // tokens, by reservation key
+	prefixCache         map[string]float64 // tokens, by prefix or session
 	recentAttempts      []int64
 	connections         map[*connection]bool
 }
 
-// entry is the engine in the endpoint list.
+// entry returns the engine's entry in the endpoint list.
 func (e *engine) entry() endpoint.Entry {
 	entry := endpoint.Entry{ID: e.name, Kind: "prefill", Weight: 1, State: endpoint.Ready, StartedAtMs: e.coldSince / 1e6}
 	if e.role == config.RoleDecode {
 		entry.Kind = "decode"
 	}
-	if e.draining {
+	if e.isDraining {
 		entry.State = endpoint.Draining
 	}
 	return entry
@@ -63,7 +63,7 @@
 	return e.emulation.scenario.Engine.DecodeSlots
 }
 
-// speed is the share of its work that it can do now.
+// speed returns the current speed relative to that of a warm engine.
 func (e *engine) speed() float64 {
 	model, share := e.emulation.scenario.Engine, 1.0
 	if since := time.Duration(e.emulation.now - e.coldSince); e.coldSince > 0 && since < model.WarmUp {
@@ -72,50 +72,50 @@
 	return share / max(1, e.slowdown)
 }
 
-// start begins an incarnation. All but the first have to warm up.
+// start starts a new incarnation. Each incarnation after the first has to warm up.
 func (e *engine) start() {
-	e.up, e.unresponsive, e.incarnation = true, false, e.incarnation+1
-	e.busySlots, e.queue, e.delayed, e.usedTokens, e.queuedPrefillTokens = 0, nil, nil, 0, 0
-	e.reservations, e.cached, e.recentAttempts = map[string]float64{}, map[string]float64{}, nil
+	e.isUp, e.isUnresponsive, e.incarnation = true, false, e.incarnation+1
+	e.busySlots, e.queue, e.delayedActions, e.usedTokens, e.queuedPrefillTokens = 0, nil, nil, 0, 0
+	e.reservations, e.prefixCache, e.recentAttempts = map[string]float64{}, map[string]float64{}, nil
 	if e.incarnation > 1 {
 		e.coldSince = e.emulation.now
 	}
 }
 
 func (e *engine) crash() {
-	if !e.up {
+	if !e.isUp {
 		return
 	}
-	e.up = false
+	e.isUp = false
 	clear(e.reservations)
 	for _, c := range sortedByID(e.connections) {
 		c.resetByEngine()
 	}
 }
 
-// resume ends a time in which the engine was unresponsive.
+// resume makes an unresponsive engine responsive again and runs the delayed actions.
 func (e *engine) resume() {
-	e.unresponsive = false
-	delayed := e.delayed
-	e.delayed = nil
+	e.isUnresponsive = false
+	delayed := e.delayedActions
+	e.delayedActions = nil
 	for _, run := range delayed {
 		run()
 	}
 }
 
-// respond runs what an incarnation of the engine says: now, or once it is responsive again.
+// respond runs an action of an incarnation of the engine: immediately, or when the engine is responsive again.
 func (e *engine) respond(incarnation int, run func()) {
-	if e.incarnation != incarnation || !e.up {
+	if e.incarnation != incarnation || !e.isUp {
 		return
 	}
-	if e.unresponsive {
-		e.delayed = append(e.delayed, func() { e.respond(incarnation, run) })
+	if e.isUnresponsive {
+		e.delayedActions = append(e.delayedActions, func() { e.respond(incarnation, run) })
 		return
 	}
 	run()
 }
 
-// loadReport is the headers in which the engine reports its load.
+// loadReport returns the headers in which the engine reports its load.
 func (e *engine) loadReport() http.Header {
 	h := http.Header{}
 	h.Set(engineapi.HeaderMemoryShare, strconv.FormatFloat(e.usedTokens/e.emulation.scenario.Engine.MemoryTokens, 'f', 3, 64))
@@ -124,8 +124,8 @@
 	return h
 }
 
-// countAttempt counts an attempt. An engine that gets too many while it warms up crashes, as the fake engines do; what
-// it can do when warm is computed from its slots and the mean work of the scenario.
+// countAttempt records the arrival of an attempt. Like the fake engines, an engine that receives too many attempts while it
+// warms up crashes; its capacity is computed from its slots and the mean work of the scenario.
 func (e *engine) countAttempt() {
 	em := e.emulation
 	e.recentAttempts = append(e.recentAttempts, em.now)
@@ -136,12 +136,12 @@
 		return
 	}
 	if float64(len(e.recentAttempts)) > overloadMultiple*em.scenario.warmRate(e.role)*e.speed()+overloadSlack {
-		em.records.result.Overloaded++
+		em.recorder.result.Overloaded++
 		e.crash()
 	}
 }
 
-// warmRate is how many attempts a second a warm engine of a role can do of the scenario's mix.
+// warmRate returns the number of attempts per second, in the scenario's mix of routes, that a warm engine of a role serves.
 func (s Scenario) warmRate(role config.Role) float64 {
 	work, shares, slots := 0.0, 0.0, s.Engine.PrefillSlots
 	if role != config.RolePrefill {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -8,41 +8,41 @@
 	"sandcourse/internal/config/script"
 )
 
-// Arm is one variant of a scenario that is compared with others on the same seeds.
+// Arm is a variant of a scenario that is compared with other variants on the same seeds.
 type Arm struct {
 	Name     string
-	Scenario Scenario // but for its seed
+	Scenario Scenario // without its seed
 }
 
-// Experiment is scenarios of several arms on paired seeds.
+// Experiment is a set of arms that run on the same seeds.
 type Experiment struct {
 	Seeds int
 	Arms  []Arm
 }
 
-// defaultSeeds is how many seeds an experiment has that names none.
+// defaultSeeds is the number of seeds of an experiment that does not set it.
 const defaultSeeds = 5
 
-// ParseExperiment runs a script: day, route, trouble, engine, and arms, each of which may set what a day may. The error
-// is of type script.Faults.
+// ParseExperiment runs a script with the functions day, route, trouble, engine and arm. An arm accepts the scenario arguments
+// of day. The error is of type script.Faults.
 func ParseExperiment(name string, text []byte) (*Experiment, error) {
 	p := &experimentParser{experiment: &Experiment{Seeds: defaultSeeds}, scenario: Defaults()}
 	functions := map[string]script.Function{"day": p.day, "engine": p.engine, "route": p.route, "trouble": p.fault, "arm": p.arm}
-	if err := script.Run(name, text, functions, p.finish); err != nil {
+	if err := script.Run(name, text, functions, p.completeArms); err != nil {
 		return nil, err
 	}
 	return p.experiment, nil
 }
 
-// experimentParser collects what a script calls.
+// experimentParser collects the calls of a script.
 type experimentParser struct {
-	experiment *Experiment
-	scenario   Scenario
-	routes     []Route
-	bases      []Scenario // the scenario as it was when each arm was read
+	experiment    *Experiment
+	scenario      Scenario
+	routes        []Route
+	baseScenarios []Scenario // the scenario at the time when each arm was read
 }
 
-// scenarioArguments are the arguments that a day and an arm have.
+// scenarioArguments returns the arguments that day and arm have in common.
 func scenarioArguments(s *Scenario) []script.Argument {
 	return []script.Argument{
 		script.Number("nodes", &s.Routers, 1, 300),
@@ -105,23 +105,23 @@
 	}, func(script.ReportFault) { p.scenario.Faults = append(p.scenario.Faults, f) }
 }
 
-// arm reads an arm as changes of the scenario so far. They are applied once the script has run, as what stands below an
-// arm holds for it too.
+// arm reads an arm as changes to the scenario so far. The changes are applied after the script has run, because calls that
+// follow an arm apply to it too.
 func (p *experimentParser) arm() ([]script.Argument, func(script.ReportFault)) {
 	base := p.scenario
 	arm := &Arm{Scenario: base}
 	arguments := append([]script.Argument{script.Text("name", &arm.Name).Required()}, scenarioArguments(&arm.Scenario)...)
 	return arguments, func(report script.ReportFault) {
 		if slices.ContainsFunc(p.experiment.Arms, func(other Arm) bool { return other.Name == arm.Name }) {
-			report("name", "arm %q stands twice", arm.Name)
+			report("name", "arm %q is defined twice", arm.Name)
 		}
 		p.experiment.Arms = append(p.experiment.Arms, *arm)
-		p.bases = append(p.bases, base)
+		p.baseScenarios = append(p.baseScenarios, base)
 	}
 }
 
-// finish makes the scenarios of the arms whole. Without an arm, the scenario is the only one.
-func (p *experimentParser) finish(report script.ReportScriptFault) {
+// completeArms completes the scenarios of the arms. Without arms, the scenario itself is the only arm.
+func (p *experimentParser) completeArms(report script.ReportScriptFault) {
 	if len(p.routes) > 0 {
 		p.scenario.Routes = p.routes
 	}
@@ -131,18 +131,18 @@
 	}
 	for i := range p.experiment.Arms {
 		arm := &p.experiment.Arms[i]
-		complete := p.scenario
-		applyChanges(&complete, p.bases[i], arm.Scenario)
-		arm.Scenario = complete
+		completeScenario := p.scenario
+		applyChanges(&completeScenario, p.baseScenarios[i], arm.Scenario)
+		arm.Scenario = completeScenario
 	}
 	for _, f := range p.scenario.Faults {
 		if f.At > p.scenario.Length {
-			report("trouble: %s begins %v into a day of %v", f.Kind, f.At, p.scenario.Length)
+			report("trouble: %s begins at %v, after the end of a day of %v", f.Kind, f.At, p.scenario.Length)
 		}
 	}
 }
 
-// applyChanges sets what an arm changed of the scenario on which it was read.
+// applyChanges applies the differences between the base and the changed scenario.
 func applyChanges(to *Scenario, base, changed Scenario) {
 	applyChange(&to.Routers, base.Routers, changed.Routers)
 	applyChange(&to.PrefillEngines, base.PrefillEngines, changed.PrefillEngines)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,47 +2,47 @@
 
 import "math"
 
-// injectFault begins a fault, and ends it after its time.
+// injectFault starts a fault, and ends it after its duration.
 func (em *emulation) injectFault(f Fault) {
 	if f.Kind == FaultBurst {
 		em.rateFactor *= f.Fraction
-		em.after(f.Duration, func() { em.rateFactor /= f.Fraction })
+		em.scheduleAfter(f.Duration, func() { em.rateFactor /= f.Fraction })
 		return
 	}
-	for _, e := range em.affectedBy(f) {
+	for _, e := range em.affectedEngines(f) {
 		switch f.Kind {
 		case FaultRestart:
 			e.crash()
-			em.after(f.Duration, func() { e.start(); em.publish() })
-		case FaultLost:
+			em.scheduleAfter(f.Duration, func() { e.start(); em.publishEndpoints() })
+		case FaultUnlisted:
 			e.crash()
-			e.unlisted = true
-			em.publish()
-			em.after(f.Duration, func() { e.unlisted = false; e.start(); em.publish() })
+			e.isUnlisted = true
+			em.publishEndpoints()
+			em.scheduleAfter(f.Duration, func() { e.isUnlisted = false; e.start(); em.publishEndpoints() })
 		case FaultSlow:
 			e.slowdown = f.Fraction
-			em.after(f.Duration, func() { e.slowdown = 1 })
-		case FaultSilent:
-			e.unresponsive = true
-			em.after(f.Duration, e.resume)
+			em.scheduleAfter(f.Duration, func() { e.slowdown = 1 })
+		case FaultUnresponsive:
+			e.isUnresponsive = true
+			em.scheduleAfter(f.Duration, e.resume)
 		case FaultDrain:
-			e.draining = true
-			em.publish()
-			em.after(f.Duration, func() { e.draining = false; em.publish() })
-		case FaultForget:
-			clear(e.cached)
+			e.isDraining = true
+			em.publishEndpoints()
+			em.scheduleAfter(f.Duration, func() { e.isDraining = false; em.publishEndpoints() })
+		case FaultCacheLoss:
+			clear(e.prefixCache)
 		}
 	}
 }
 
-// affectedBy is the engines that a fault concerns: the first of its role, as many as it says.
-func (em *emulation) affectedBy(f Fault) (affected []*engine) {
+// affectedEngines returns the engines that a fault affects: the first ones of its role, up to its fraction.
+func (em *emulation) affectedEngines(f Fault) (affected []*engine) {
 	for _, e := range em.engines {
 		if f.Role == "" || f.Role == e.role {
 			affected = append(affected, e)
 		}
 	}
-	if f.Kind == FaultSlow { // its fraction is the factor
+	if f.Kind == FaultSlow { // Fraction is the factor, and all engines are affected
 		return affected
 	}
 	count := int(math.Ceil(f.Fraction * float64(len(affected))))
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -8,39 +8,39 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// Result is the outcome of a run. Values are in priority weight.
+// Result is the result of a run. The value of a request is the priority weight of its route.
 type Result struct {
-	Offered         float64            `json:"offered"` // by first attempts
-	CompletedInTime float64            `json:"in_time"`
-	Share           float64            `json:"share"`   // completed in time of what was offered
-	Routes          map[string]float64 `json:"routes"`  // share in time of each
-	Windows         []float64          `json:"windows"` // share in time of each five seconds, by when the client sent its first attempt
+	Offered         float64            `json:"offered"` // total value of all requests
+	CompletedInTime float64            `json:"in_time"` // value of the requests whose first token met the target
+	Share           float64            `json:"share"`   // CompletedInTime divided by Offered
+	Routes          map[string]float64 `json:"routes"`  // share completed in time by route
+	Windows         []float64          `json:"windows"` // share completed in time of the requests first sent in each window
 	Outcomes        map[string]int     `json:"finals"`
 	Attempts        int                `json:"tries"`
-	Rejected        int                `json:"refused"` // before they were admitted
+	Rejected        int                `json:"refused"` // attempts rejected before admission
 	PrefillTokens   float64            `json:"read_tokens"`
-	CachedTokens    float64            `json:"kept_tokens"`   // of the prompts
-	WastedTokens    float64            `json:"wasted_tokens"` // prefilled for what got no first token
-	RanTwice        int                `json:"ran_twice"`     // non-retriable requests
-	Overloaded      int                `json:"pushed_over"`   // engines that were warming up
-	HeldAtEnd       int                `json:"held_at_end"`   // reservations
+	CachedTokens    float64            `json:"kept_tokens"`   // prompt tokens found in prefix caches
+	WastedTokens    float64            `json:"wasted_tokens"` // tokens prefilled for attempts without a first token
+	RanTwice        int                `json:"ran_twice"`     // non-retriable requests that ran at least twice
+	Overloaded      int                `json:"pushed_over"`   // crashes of engines that were overloaded while they warmed up
+	HeldAtEnd       int                `json:"held_at_end"`   // reservations still held at the end of the run
 	Events          int                `json:"events"`
 	FirstTokenP50   time.Duration      `json:"first_p50"`
 	FirstTokenP99   time.Duration      `json:"first_p99"`
 }
 
-// The outcomes of an attempt of a client, in the words of the chat API; a client that gave up has left.
+// The outcomes of a client's attempt: those of the chat API, and abandoned if the client disconnected at its timeout.
 const (
 	outcomeCompleted = chat.OutcomeCompleted
 	outcomeErrored   = chat.OutcomeErrored
 	outcomeShed      = chat.OutcomeShed
-	outcomeLeft      = "left"
+	outcomeAbandoned = "left"
 )
 
 // windowLength is the length of the windows of a result.
 const windowLength = 5 * time.Second
 
-// recorder adds up a result during a run.
+// recorder accumulates the result during a run.
 type recorder struct {
 	result          Result
 	offeredByWindow []float64
@@ -61,22 +61,22 @@
 	return min(int((sentAt-startTime)/int64(windowLength)), len(r.offeredByWindow)-1)
 }
 
-// offered records the first attempt of a request.
-func (r *recorder) offered(route Route, sentAt int64) {
+// recordOffered records the first attempt of a request.
+func (r *recorder) recordOffered(route Route, sentAt int64) {
 	r.result.Offered += route.PriorityWeight
 	r.offeredByRoute[route.Name] += route.PriorityWeight
 	r.offeredByWindow[r.windowOf(sentAt)] += route.PriorityWeight
 }
 
-// completedInTime records a request whose first token came in time after its first attempt.
-func (r *recorder) completedInTime(route Route, sentAt int64) {
+// recordCompletedInTime records a completed request whose first token met the target, counted from the first attempt.
+func (r *recorder) recordCompletedInTime(route Route, sentAt int64) {
 	r.result.CompletedInTime += route.PriorityWeight
 	r.inTimeByRoute[route.Name] += route.PriorityWeight
 	r.inTimeByWindow[r.windowOf(sentAt)] += route.PriorityWeight
 }
 
-// summarize is the result, with the reservations that are still held.
-func (r *recorder) summarize(held int) Result {
+// summarize returns the result of the run, given the number of reservations that are still held.
+func (r *recorder) summarize(heldReservations int) Result {
 	sum := r.result
 	for i, offered := range r.offeredByWindow {
 		if offered > 0 {
@@ -87,7 +87,7 @@
 		sum.Routes[name] = r.inTimeByRoute[name] / offered
 	}
 	sum.Share = sum.CompletedInTime / math.Max(sum.Offered, 1e-9)
-	sum.HeldAtEnd = held
+	sum.HeldAtEnd = heldReservations
 	if n := len(r.firstTokenTimes); n > 0 {
 		slices.Sort(r.firstTokenTimes)
 		sum.FirstTokenP50 = time.Duration(r.firstTokenTimes[n/2])
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -7,33 +7,33 @@
 	"sandcourse/internal/router"
 )
 
-// unansweredDialTime is after how long a dial to an unresponsive engine fails.
+// unansweredDialTime is the time after which a dial to an unresponsive engine fails.
 const unansweredDialTime = 250 * time.Millisecond
 
-// The errors of a dial.
+// Errors of a dial.
 var (
 	errDialRefused    = errors.New("connection refused")
 	errDialUnanswered = errors.New("dial timed out")
 	errDialReset      = errors.New("connection reset")
 )
 
-// simulatedRouter is the production core of a router on simulated sockets.
+// simulatedRouter runs the production core of a router on simulated sockets.
 type simulatedRouter struct {
 	emulation   *emulation
 	core        *router.Router
-	wakeAt      int64 // when its next timer is scheduled, 0 for none
+	nextTimerAt int64 // when the next timer is scheduled; 0 if none is
 	pending     []func(core *router.Router)
-	handling    bool
+	isHandling  bool
 	clientCount int64
 }
 
-// handle passes an event to the core and schedules its next timer. Events that the event itself causes wait for it.
+// handle passes an event to the core and schedules the next timer. Events that occur during the call are queued.
 func (r *simulatedRouter) handle(event func(core *router.Router)) {
 	r.pending = append(r.pending, event)
-	if r.handling {
+	if r.isHandling {
 		return
 	}
-	r.handling = true
+	r.isHandling = true
 	for len(r.pending) > 0 {
 		next := r.pending[0]
 		r.pending = r.pending[1:]
@@ -41,53 +41,53 @@
 		next(r.core)
 		r.core.RunDue(r.emulation.now)
 	}
-	r.handling = false
+	r.isHandling = false
 	r.scheduleTimer()
 }
 
 func (r *simulatedRouter) scheduleTimer() {
 	due := max(r.core.NextDue(), r.emulation.now+1)
-	if r.wakeAt != 0 && due >= r.wakeAt {
+	if r.nextTimerAt != 0 && due >= r.nextTimerAt {
 		return
 	}
-	r.wakeAt = due
-	r.emulation.at(due, func() {
-		if r.wakeAt == due {
-			r.wakeAt = 0
+	r.nextTimerAt = due
+	r.emulation.scheduleAt(due, func() {
+		if r.nextTimerAt == due {
+			r.nextTimerAt = 0
 			r.handle(func(*router.Router) {})
 		}
 	})
 }
 
-// CatchUp has nothing to do: no time passes while a decision is made.
+// CatchUp has no effect: no simulated time passes during a step of the core.
 func (r *simulatedRouter) CatchUp() {}
 
-// SendToPeer drops gossip: emulated routers share nothing but engines.
+// SendToPeer drops gossip: simulated routers do not exchange messages.
 func (r *simulatedRouter) SendToPeer(int, string) {}
 
 // Dial connects to an engine.
-func (r *simulatedRouter) Dial(core *router.EngineConnection) {
-	e := r.emulation.engineByName[core.Engine]
+func (r *simulatedRouter) Dial(conn *router.EngineConnection) {
+	e := r.emulation.engineByName[conn.Engine]
 	switch {
-	case e == nil || !e.up:
-		r.failDial(core, networkDelay, errDialRefused)
-	case e.unresponsive:
-		r.failDial(core, unansweredDialTime, errDialUnanswered)
+	case e == nil || !e.isUp:
+		r.failDial(conn, networkDelay, errDialRefused)
+	case e.isUnresponsive:
+		r.failDial(conn, unansweredDialTime, errDialUnanswered)
 	default:
-		c := &connection{id: r.emulation.nextSequence(), core: core, router: r, engine: e}
+		c := &connection{id: r.emulation.nextSequence(), engineConnection: conn, router: r, engine: e}
 		e.connections[c] = true
-		r.emulation.after(networkDelay, func() {
+		r.emulation.scheduleAfter(networkDelay, func() {
 			if c.closed {
-				r.handle(func(o *router.Router) { o.EngineConnected(core, nil, errDialReset) })
+				r.handle(func(core *router.Router) { core.EngineConnected(conn, nil, errDialReset) })
 				return
 			}
-			r.handle(func(o *router.Router) { o.EngineConnected(core, c, nil) })
+			r.handle(func(core *router.Router) { core.EngineConnected(conn, c, nil) })
 		})
 	}
 }
 
-func (r *simulatedRouter) failDial(core *router.EngineConnection, after time.Duration, err error) {
-	r.emulation.after(after, func() {
-		r.handle(func(o *router.Router) { o.EngineConnected(core, nil, err) })
+func (r *simulatedRouter) failDial(conn *router.EngineConnection, after time.Duration, err error) {
+	r.emulation.scheduleAfter(after, func() {
+		r.handle(func(core *router.Router) { core.EngineConnected(conn, nil, err) })
 	})
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,6 +1,6 @@
-// Package emulator emulates the whole system in simulated time: clients, routers that run the production core with its
-// routing policy, admission and connection pool, and engines with slots, queues, memory, cached prefixes and warm-up.
-// It has one seed and one goroutine: a run is the same to the byte whatever else the machine does. It does no I/O.
+// Package emulator simulates the whole system in discrete-event time: clients, routers that run the production core with
+// its routing policy, admission and connection pool, and engines with slots, queues, memory, prefix caches and warm-up.
+// A run has one seed and one goroutine, so its result depends only on the scenario. The package does no I/O.
 package emulator
 
 import (
@@ -9,77 +9,77 @@
 	"sandcourse/internal/config"
 )
 
-// Route is one model route and its clients.
+// Route is a model route and the requests of its clients.
 type Route struct {
 	Name             string        `json:"name"`
 	Effect           config.Effect `json:"effect"`
-	Share            float64       `json:"share"` // of the requests
+	Share            float64       `json:"share"` // relative share of the sessions
 	PriorityWeight   float64       `json:"value"`
 	FirstTokenTarget time.Duration `json:"target"`
 	Timeout          time.Duration `json:"timeout"`
-	PromptTokens     float64       `json:"prompt"` // of a user's own part, on average
-	AnswerTokens     float64       `json:"answer"` // on average
+	PromptTokens     float64       `json:"prompt"` // mean of the user's part of the prompt, without the context
+	AnswerTokens     float64       `json:"answer"` // mean
 }
 
-// FaultKind is a kind of fault, as scripts spell it.
+// FaultKind is a kind of fault. Scripts use its value.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	FaultBurst   FaultKind = "burst"   // requests arrive Fraction times as fast
-	FaultRestart FaultKind = "restart" // engines are down, and warm up after it
-	FaultSlow    FaultKind = "slow"    // engines are Fraction times slower
-	FaultSilent  FaultKind = "silent"  // engines are unresponsive
-	FaultDrain   FaultKind = "drain"   // engines drain
-	FaultForget  FaultKind = "forget"  // engines lose their cached prefixes
-	FaultLost    FaultKind = "lost"    // engines are down and not listed, and warm up after it
+	FaultBurst        FaultKind = "burst"   // the arrival rate is multiplied by Fraction
+	FaultRestart      FaultKind = "restart" // engines are down, then start and warm up
+	FaultSlow         FaultKind = "slow"    // engines are slower by the factor Fraction
+	FaultUnresponsive FaultKind = "silent"  // engines are unresponsive
+	FaultDrain        FaultKind = "drain"   // engines drain
+	FaultCacheLoss    FaultKind = "forget"  // engines lose their prefix caches
+	FaultUnlisted     FaultKind = "lost"    // engines are down and not listed, then start and warm up
 )
 
 // FaultKinds are all kinds of fault.
-var FaultKinds = []FaultKind{FaultBurst, FaultRestart, FaultSlow, FaultSilent, FaultDrain, FaultForget, FaultLost}
+var FaultKinds = []FaultKind{FaultBurst, FaultRestart, FaultSlow, FaultUnresponsive, FaultDrain, FaultCacheLoss, FaultUnlisted}
 
-// Fault is one thing that goes wrong for a time.
+// Fault is a fault of limited duration.
 type Fault struct {
 	Kind     FaultKind     `json:"kind"`
 	At       time.Duration `json:"at"`
 	Duration time.Duration `json:"for"`
-	Fraction float64       `json:"part"` // of the engines, or the factor of a burst or a slowdown
-	Role     config.Role   `json:"role"` // of the engines; both if empty
+	Fraction float64       `json:"part"` // share of the engines, or the factor of a burst or a slowdown
+	Role     config.Role   `json:"role"` // role of the engines; both roles if empty
 }
 
-// Scenario is what is emulated.
+// Scenario is the configuration of a run.
 type Scenario struct {
 	Routers, PrefillEngines, DecodeEngines int
 	Length                                 time.Duration
-	RequestRate                            float64 // first attempts of clients a second
+	RequestRate                            float64 // new sessions per second
 	Routes                                 []Route
-	Prefixes                               int     // shared, used by Zipf's law
-	PrefixTokens                           float64 // of each
-	Turns                                  int     // of a session
-	Retries                                int     // of a client, after failures
-	RetryBudget                            float64 // share of a router's arrivals that may be retries; 0 for any
+	Prefixes                               int     // number of shared prefixes for each route, chosen by Zipf's law
+	PrefixTokens                           float64 // length of each shared prefix
+	Turns                                  int     // number of turns of a session
+	Retries                                int     // maximum number of retries of a client after failures
+	RetryBudget                            float64 // share of a router's arrivals that may be retries; 0 for no limit
 	Engine                                 EngineModel
 	Faults                                 []Fault
 	Seed                                   uint64
 }
 
-// EngineModel is what each engine can do. The defaults are of the order that published work on disaggregated serving
-// gives for models of some tens of billions of parameters on one host with eight accelerators: 10,000 to 20,000 prompt
-// tokens and some thousand output tokens a second, 20 to 50 ms a token (DistServe, Zhong et al. 2024; Splitwise, Patel
-// et al. 2024).
+// EngineModel is the performance model of an engine. The defaults are of the order of magnitude that publications on
+// disaggregated serving report for models of some tens of billions of parameters on a host with eight accelerators:
+// 10,000 to 20,000 prompt tokens and some thousand output tokens per second, 20 to 50 ms per token (DistServe, Zhong et al.
+// 2024; Splitwise, Patel et al. 2024).
 type EngineModel struct {
 	PrefillSlots, DecodeSlots int
-	PrefillRate               float64       // prompt tokens a second of one slot
-	TokenTime                 time.Duration // of one output token in an empty batch
-	BatchSlowdown             float64       // how much longer a token takes in a full batch
+	PrefillRate               float64       // prompt tokens per second and slot
+	TokenTime                 time.Duration // time of an output token in an empty batch
+	BatchSlowdown             float64       // relative increase of TokenTime in a full batch
 	QueueLimit                int
-	MemoryTokens              float64 // that a decode engine holds
-	TransferRate              float64 // tokens a second of a KV transfer
+	MemoryTokens              float64 // capacity of a decode engine
+	TransferRate              float64 // tokens per second of a KV transfer
 	WarmUp                    time.Duration
-	WarmUpShare               float64 // of its speed that an engine has as it starts to warm up
+	WarmUpShare               float64 // share of its speed that an engine has when it starts to warm up
 }
 
-// Defaults is a small fleet with two routes.
+// Defaults returns the scenario of a small fleet with two routes.
 func Defaults() Scenario {
 	return Scenario{Routers: 4, PrefillEngines: 6, DecodeEngines: 6, Length: 60 * time.Second, RequestRate: 40, Prefixes: 20,
 		PrefixTokens: 800, Turns: 3, Retries: 2,
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -14,22 +14,22 @@
 
 const (
 	prefillOverhead    = 2 * time.Millisecond
-	reservationTimeout = 8 * time.Second // after which an engine drops a reservation by itself
+	reservationTimeout = 8 * time.Second // after which a reservation expires at its engine
 	maxStreamPause     = time.Second     // between two events of a stream
 )
 
 // tokenEvent is a stream event that carries a token.
 var tokenEvent = []byte(`{"choices":[]}`)
 
-// accept handles an attempt that has arrived.
+// accept queues or rejects an attempt that has arrived.
 func (e *engine) accept(r *engineRequest) {
 	e.countAttempt()
-	if !e.up {
+	if !e.isUp {
 		return
 	}
 	r.incarnation = e.incarnation
 	switch {
-	case e.draining:
+	case e.isDraining:
 		e.reject(r, http.StatusServiceUnavailable, engineapi.RejectedDraining)
 	case r.decode != (e.role == config.RoleDecode):
 		e.reject(r, http.StatusConflict, engineapi.RejectedRole)
@@ -44,18 +44,18 @@
 	}
 }
 
-// reject answers an attempt that the engine does not run.
+// reject sends the response to an attempt that the engine does not run.
 func (e *engine) reject(r *engineRequest, status int, reason string) {
 	h := e.loadReport()
 	h.Set(engineapi.HeaderRejected, reason)
 	e.respond(r.incarnation, func() { r.complete(responseHead(status, h), nil) })
 }
 
-// startQueued starts queued attempts in order, as far as slots and memory reach.
+// startQueued starts queued attempts in order while slots and memory are free.
 func (e *engine) startQueued() {
-	for e.up && !e.unresponsive && e.busySlots < e.slots() && len(e.queue) > 0 {
+	for e.isUp && !e.isUnresponsive && e.busySlots < e.slots() && len(e.queue) > 0 {
 		r := e.queue[0]
-		if r.decode && e.usedTokens > 0 && e.usedTokens+r.tokens() > e.emulation.scenario.Engine.MemoryTokens {
+		if r.decode && e.usedTokens > 0 && e.usedTokens+r.memoryTokens() > e.emulation.scenario.Engine.MemoryTokens {
 			return
 		}
 		e.queue = e.queue[1:]
@@ -72,9 +72,9 @@
 			e.prefill(r)
 		}
 	}
-	if e.unresponsive && len(e.queue) > 0 {
+	if e.isUnresponsive && len(e.queue) > 0 {
 		incarnation := e.incarnation
-		e.delayed = append(e.delayed, func() {
+		e.delayedActions = append(e.delayedActions, func() {
 			if e.incarnation == incarnation {
 				e.startQueued()
 			}
@@ -82,53 +82,53 @@
 	}
 }
 
-// tokens is the memory that a decode takes.
-func (r *engineRequest) tokens() float64 {
+// memoryTokens returns the memory that a decode occupies.
+func (r *engineRequest) memoryTokens() float64 {
 	return r.clientRequest.promptTokens + r.clientRequest.answerTokens
 }
 
-// reservationKey names the reservation of a prefill.
+// reservationKey returns the key of the reservation of a prefill.
 func (r *engineRequest) reservationKey() string { return r.requestID + "/" + r.attempt }
 
-// prefill computes what is not cached of a prompt, and then holds a reservation.
+// prefill computes the tokens of a prompt that are not cached, and then makes a reservation.
 func (e *engine) prefill(r *engineRequest) {
-	em, client := e.emulation, r.clientRequest
-	cached := e.cachedTokens(client)
-	took := time.Duration((client.promptTokens - cached) / (em.scenario.Engine.PrefillRate * e.speed()) * 1e9)
-	em.after(took+prefillOverhead, func() {
+	em, request := e.emulation, r.clientRequest
+	cached := e.cachedTokens(request)
+	duration := time.Duration((request.promptTokens - cached) / (em.scenario.Engine.PrefillRate * e.speed()) * 1e9)
+	em.scheduleAfter(duration+prefillOverhead, func() {
 		e.respond(r.incarnation, func() {
 			e.busySlots--
-			e.queuedPrefillTokens -= client.promptTokens
+			e.queuedPrefillTokens -= request.promptTokens
 			defer e.startQueued()
-			if r.finished && r.connection.closed { // the router has closed the connection: a prefill that runs completes
+			if r.finished && r.connection.closed { // a running prefill completes even if the router has closed its connection
 				e.reserve(r)
 				return
 			}
-			em.records.result.PrefillTokens += client.promptTokens - cached
-			em.records.result.CachedTokens += cached
-			client.prefilledTokens += client.promptTokens - cached
-			e.cache(client)
+			em.recorder.result.PrefillTokens += request.promptTokens - cached
+			em.recorder.result.CachedTokens += cached
+			request.prefilledTokens += request.promptTokens - cached
+			e.cachePrompt(request)
 			e.reserve(r)
 			r.complete(responseHead(http.StatusOK, e.loadReport()), e.prefillResponse(r, cached))
 		})
 	})
 }
 
-// cachedTokens is how much of a prompt is cached.
+// cachedTokens returns the number of tokens of a prompt that are cached.
 func (e *engine) cachedTokens(r *clientRequest) (cached float64) {
-	if e.cached[r.session.prefix] > 0 {
+	if e.prefixCache[r.session.prefix] > 0 {
 		cached = e.emulation.scenario.PrefixTokens
 	}
-	if tokens := e.cached[r.session.name]; tokens > 0 {
+	if tokens := e.prefixCache[r.session.name]; tokens > 0 {
 		cached = max(cached, min(tokens, r.promptTokens))
 	}
 	return cached
 }
 
-func (e *engine) cache(r *clientRequest) {
-	e.cached[r.session.prefix], e.cached[r.session.name] = e.emulation.scenario.PrefixTokens, r.promptTokens
-	if len(e.cached) > maxCachedPrefixes {
-		clear(e.cached)
+func (e *engine) cachePrompt(r *clientRequest) {
+	e.prefixCache[r.session.prefix], e.prefixCache[r.session.name] = e.emulation.scenario.PrefixTokens, r.promptTokens
+	if len(e.prefixCache) > maxCachedPrefixes {
+		clear(e.prefixCache)
 	}
 }
 
@@ -138,92 +138,95 @@
 		`"remote_engine_id":%q,"remote_host":%q,"remote_port":%s}}`, int(cached), r.reservationKey(), host, port)
 }
 
-// reserve holds the result of a prefill until it is fetched, released or expired.
+// reserve holds the result of a prefill until it is fetched or released, or expires.
 func (e *engine) reserve(r *engineRequest) {
 	key := r.reservationKey()
 	e.reservations[key] = r.clientRequest.promptTokens
 	incarnation := e.incarnation
-	e.emulation.after(reservationTimeout, func() {
+	e.emulation.scheduleAfter(reservationTimeout, func() {
 		if e.incarnation == incarnation {
 			delete(e.reservations, key)
 		}
 	})
 }
 
-// decode fetches the reservation of an attempt and streams its answer.
+// decode fetches the reservation of an attempt and streams the answer.
 func (e *engine) decode(r *engineRequest) {
-	e.usedTokens += r.tokens()
+	e.usedTokens += r.memoryTokens()
 	incarnation := e.incarnation
-	done := func() {
+	finish := func() {
 		if e.incarnation == incarnation {
 			e.busySlots--
-			e.usedTokens -= r.tokens()
+			e.usedTokens -= r.memoryTokens()
 			e.startQueued()
 		}
 	}
 	tokens, ok := 0.0, false
-	if r.prefillEngine != nil && r.prefillEngine.up {
+	if r.prefillEngine != nil && r.prefillEngine.isUp {
 		tokens, ok = r.prefillEngine.reservations[r.reservation]
 	}
 	if !ok {
 		h := e.loadReport()
 		h.Set(engineapi.HeaderRejected, engineapi.RejectedNoReservation)
-		e.respond(incarnation, func() { r.complete(responseHead(http.StatusConflict, h), nil); done() })
+		e.respond(incarnation, func() { r.complete(responseHead(http.StatusConflict, h), nil); finish() })
 		return
 	}
-	e.emulation.after(time.Duration(tokens/e.emulation.scenario.Engine.TransferRate*1e9), func() {
+	e.emulation.scheduleAfter(time.Duration(tokens/e.emulation.scenario.Engine.TransferRate*1e9), func() {
 		if e.incarnation != incarnation {
 			return
 		}
 		delete(r.prefillEngine.reservations, r.reservation)
 		if r.finished {
-			done()
+			finish()
 			return
 		}
-		e.streamTokens(r, 0, done)
+		e.streamTokens(r, 0, finish)
 	})
 }
 
-// streamTokens streams an answer in parts: its first token, then some at a time, at least one part each second.
-func (e *engine) streamTokens(r *engineRequest, sent int, done func()) {
+// streamTokens streams an answer in parts: the first token, and then as many tokens at a time as the engine
+// generates in maxStreamPause, at least one.
+func (e *engine) streamTokens(r *engineRequest, sent int, finish func()) {
 	model, answerTokens := e.emulation.scenario.Engine, int(r.clientRequest.answerTokens)
 	slowdown := model.BatchSlowdown * float64(e.busySlots) / float64(e.slots())
 	tokenTime := time.Duration(float64(model.TokenTime) * (1 + slowdown) / e.speed())
-	left := answerTokens - sent
+	remaining := answerTokens - sent
 	if sent == 0 {
-		left = 1
+		remaining = 1
 	}
-	part := max(1, min(left, int(maxStreamPause/max(tokenTime, 1))))
-	e.emulation.after(time.Duration(part)*tokenTime, func() {
+	partTokens := max(1, min(remaining, int(maxStreamPause/max(tokenTime, 1))))
+	e.emulation.scheduleAfter(time.Duration(partTokens)*tokenTime, func() {
 		e.respond(r.incarnation, func() {
 			if r.finished {
-				done()
+				finish()
 				return
 			}
 			if sent == 0 {
 				e.startStream(r)
 			}
-			r.toRouter(func(core *router.Router) { core.StreamEvent(r.connection.core, tokenEvent) })
-			if sent += part; sent < answerTokens {
-				e.streamTokens(r, sent, done)
+			r.sendToRouter(func(core *router.Router) { core.StreamEvent(r.connection.engineConnection, tokenEvent) })
+			if sent += partTokens; sent < answerTokens {
+				e.streamTokens(r, sent, finish)
 				return
 			}
 			r.completeStream()
-			done()
+			finish()
 		})
 	})
 }
 
-// startStream sends the head of a stream: from here, the request has run.
+// startStream sends the head of a stream. From this time on the request has run.
 func (e *engine) startStream(r *engineRequest) {
-	client := r.clientRequest
-	client.runs++
-	if client.runs == 2 && client.route().Effect == config.EffectNonRetriable {
-		e.emulation.records.result.RanTwice++
+	request := r.clientRequest
+	request.runCount++
+	if request.runCount == 2 && request.route().Effect == config.EffectNonRetriable {
+		e.emulation.recorder.result.RanTwice++
 	}
 	h := e.loadReport()
 	h.Set("Content-Type", "text/event-stream")
-	r.toRouter(func(core *router.Router) { core.ResponseHead(r.connection.core, responseHead(http.StatusOK, h), nil) })
+	r.sendToRouter(func(core *router.Router) {
+		core.ResponseHead(r.connection.engineConnection, responseHead(http.StatusOK, h), nil)
+	})
 }
 
 // completeStream sends the last event of a stream, unless the router has closed the connection.
@@ -233,12 +236,14 @@
 	}
 	c := r.connection
 	r.finished, c.request = true, nil
-	r.toRouter(func(core *router.Router) {
-		core.StreamEvent(c.core, []byte(chat.Done))
+	r.sendToRouter(func(core *router.Router) {
+		core.StreamEvent(c.engineConnection, []byte(chat.Done))
 		if !c.closed {
-			core.ResponseComplete(c.core, nil, true)
+			core.ResponseComplete(c.engineConnection, nil, true)
 		}
 	})
 }
 
-func (r *engineRequest) toRouter(event func(core *router.Router)) { r.connection.router.handle(event) }
+func (r *engineRequest) sendToRouter(event func(core *router.Router)) {
+	r.connection.router.handle(event)
+}
--- a/internal/replay/engines.go
+++ b/internal/replay/engines.go
@@ -16,29 +16,29 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// pollInterval is how often awaitRequest looks by itself.
+// pollInterval is the interval at which awaitRequest checks for requests without a signal.
 const pollInterval = 2 * time.Millisecond
 
-// engineRequest is one request that an engine has received and not answered completely.
+// engineRequest is a request that an engine has received and whose response is not complete.
 type engineRequest struct {
 	kind   modelcheck.RequestKind
 	engine string
 	conn   net.Conn
-	done   chan struct{} // closed when its response is complete and the connection may carry another
+	done   chan struct{} // closed when the request is finished
 }
 
-// scriptedEngines are all engines of a path. They respond when they are told.
+// scriptedEngines simulates all engines of a path. An engine responds only when the path says so.
 type scriptedEngines struct {
 	mu       sync.Mutex
 	requests []*engineRequest
-	arrived  chan struct{} // has capacity for one: a request has arrived
+	arrived  chan struct{} // signals that a request has arrived; capacity 1
 }
 
 func newScriptedEngines() *scriptedEngines {
 	return &scriptedEngines{arrived: make(chan struct{}, 1)}
 }
 
-// listen serves the connections of one engine.
+// listen accepts and serves the connections of one engine.
 func (s *scriptedEngines) listen(l net.Listener, engine string) {
 	for {
 		conn, err := l.Accept()
@@ -49,12 +49,12 @@
 	}
 }
 
-// serve reads requests, each after the response to the one before.
+// serve reads requests from a connection, each after the previous one is finished.
 func (s *scriptedEngines) serve(conn net.Conn, engine string) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		httpRequest, err := http.ReadRequest(in)
+		httpRequest, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -62,7 +62,7 @@
 		if err != nil {
 			return
 		}
-		r := &engineRequest{kind: kindOf(httpRequest.URL.Path, body), engine: engine, conn: conn, done: make(chan struct{})}
+		r := &engineRequest{kind: requestKind(httpRequest.URL.Path, body), engine: engine, conn: conn, done: make(chan struct{})}
 		s.mu.Lock()
 		s.requests = append(s.requests, r)
 		s.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-func kindOf(path string, body []byte) modelcheck.RequestKind {
+func requestKind(path string, body []byte) modelcheck.RequestKind {
 	switch {
 	case path == engineapi.ReleasePath:
 		return modelcheck.ReleaseRequest
@@ -86,8 +86,8 @@
 	return modelcheck.PrefillRequest
 }
 
-// find is the first open request of a kind at an engine, or nil; of any kind if that is NoRequest.
-func (s *scriptedEngines) find(kind modelcheck.RequestKind, engine string) *engineRequest {
+// findRequest returns the first open request of a kind at an engine, or nil. The kind NoRequest matches every request.
+func (s *scriptedEngines) findRequest(kind modelcheck.RequestKind, engine string) *engineRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.requests {
@@ -101,7 +101,7 @@
 // awaitRequest waits for a request of a kind at an engine.
 func (s *scriptedEngines) awaitRequest(ctx context.Context, kind modelcheck.RequestKind, engine string) (*engineRequest, error) {
 	for {
-		if r := s.find(kind, engine); r != nil {
+		if r := s.findRequest(kind, engine); r != nil {
 			return r, nil
 		}
 		select {
@@ -113,21 +113,21 @@
 	}
 }
 
-// finish ends a request; its connection carries the next one, or is reset.
-func (s *scriptedEngines) finish(r *engineRequest, reset bool) {
+// finishRequest removes a request, and resets its connection or lets it carry the next request.
+func (s *scriptedEngines) finishRequest(r *engineRequest, reset bool) {
 	s.mu.Lock()
 	s.requests = slices.DeleteFunc(s.requests, func(other *engineRequest) bool { return other == r })
 	s.mu.Unlock()
 	if reset {
-		_ = r.conn.(*net.TCPConn).SetLinger(0) // a connection that has ended needs no reset
+		_ = r.conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection, which needs no reset
 		r.conn.Close()
 	}
 	close(r.done)
 }
 
-// resetAll resets the connections of all requests that are open at an engine.
+// resetAll resets the connections of all open requests at an engine.
 func (s *scriptedEngines) resetAll(engine string) {
-	for r := s.find(modelcheck.NoRequest, engine); r != nil; r = s.find(modelcheck.NoRequest, engine) {
-		s.finish(r, true)
+	for r := s.findRequest(modelcheck.NoRequest, engine); r != nil; r = s.findRequest(modelcheck.NoRequest, engine) {
+		s.finishRequest(r, true)
 	}
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay replays a path of the model checker through a real edge on sockets: with engines that do what the path
-// says and nothing else, a client for each request, and an endpoint list that changes when told.
+// Package replay replays a path of the model checker on a real edge with sockets: with scripted engines that respond as the
+// path says, a client for each request, and an endpoint list that changes as in the path.
 package replay
 
 import (
@@ -21,25 +21,25 @@
 	"sandcourse/internal/modelcheck"
 )
 
-// The errors of a path or world that cannot be replayed on sockets.
+// Errors for a world or a path that cannot be replayed on sockets.
 var (
-	ErrWorld  = errors.New("a world for sockets has one prefill engine and one decode engine")
-	ErrAction = errors.New("cannot be replayed on sockets")
+	ErrUnsupportedWorld  = errors.New("replay on sockets requires exactly one prefill engine and one decode engine")
+	ErrUnsupportedAction = errors.New("event cannot be replayed on sockets")
 )
 
 const (
 	replayTimeout  = 10 * time.Second
-	requestTimeout = 2 * time.Second       // for a request of the edge to arrive
-	clientsTimeout = 2 * time.Second       // for clients to end after the last step
-	listDelay      = 20 * time.Millisecond // until the edge has the first endpoint list
-	stepDelay      = 3 * time.Millisecond  // until what was written has been read
+	requestTimeout = 2 * time.Second       // for an expected request of the edge to arrive
+	clientsTimeout = 2 * time.Second       // for clients to receive their responses after the last step
+	listDelay      = 20 * time.Millisecond // for the edge to receive the first endpoint list
+	stepDelay      = 3 * time.Millisecond  // for the edge and the clients to read the bytes written in a step
 	maxTokens      = 5
 )
 
-// endpointUpdates is a source of endpoint lists, which passes them on as they are sent.
+// endpointUpdates is a source of endpoint lists, which are sent on a channel.
 type endpointUpdates chan endpoint.List
 
-// Run passes lists on until the context ends.
+// Run passes the endpoint lists to update until the context is canceled.
 func (u endpointUpdates) Run(ctx context.Context, update func(endpoint.List), _ func(error)) {
 	for {
 		select {
@@ -51,32 +51,33 @@
 	}
 }
 
-// player replays one path.
-type player struct {
+// replayer replays one path.
+type replayer struct {
 	world      modelcheck.World
 	deployment *config.Deployment
 	engines    *scriptedEngines
-	node       *edge.Edge
+	edge       *edge.Edge
 	updates    endpointUpdates
-	list       endpoint.List
+	endpoints  endpoint.List
 	client     *loadgen.Client
 	clients    sync.WaitGroup
 	records    []audit.ClientRecord
-	disconnect []context.CancelFunc // of each client
+	disconnect []context.CancelFunc // of each client, by its number
 }
 
-// Play replays a path through a real edge and returns what each client saw, beside the outcomes of the model checker's
-// clients (empty while one waits). Worlds must have one engine of each role: with more, routing depends on the engines'
-// names, which differ on sockets. The error is ErrWorld, ErrAction, modelcheck.ErrPathMismatch, or one of the network.
+// Play replays a path on a real edge and returns the record of each client, and the outcomes of the clients in the model
+// checker (empty for a client that still waits). The world must have one engine of each role: with more, routing depends
+// on the names of the engines, which are different on sockets. The error is ErrUnsupportedWorld, ErrUnsupportedAction,
+// modelcheck.ErrPathMismatch or a network error.
 func Play(w modelcheck.World, path modelcheck.Path) (records []audit.ClientRecord, outcomes []string, err error) {
 	if w.PrefillEngines != 1 || w.DecodeEngines != 1 {
-		return nil, nil, fmt.Errorf("world %s has %d prefill and %d decode engines: %w", w.Name, w.PrefillEngines, w.DecodeEngines, ErrWorld)
+		return nil, nil, fmt.Errorf("world %s has %d prefill and %d decode engines: %w", w.Name, w.PrefillEngines, w.DecodeEngines, ErrUnsupportedWorld)
 	}
 	steps, outcomes, err := modelcheck.TraceSteps(w, path)
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &player{world: w, deployment: w.Deployment(), engines: newScriptedEngines(), updates: make(endpointUpdates, 100),
+	p := &replayer{world: w, deployment: w.Deployment(), engines: newScriptedEngines(), updates: make(endpointUpdates, 100),
 		client: loadgen.NewClient(), records: make([]audit.ClientRecord, len(w.Effects)),
 		disconnect: make([]context.CancelFunc, len(w.Effects))}
 	defer p.client.Close()
@@ -91,7 +92,7 @@
 	for _, step := range steps {
 		time.Sleep(step.At - elapsed)
 		elapsed = step.At
-		if err := p.perform(ctx, step.Event); err != nil {
+		if err := p.performEvent(ctx, step.Event); err != nil {
 			return nil, nil, fmt.Errorf("step %q: %w", step.Name, err)
 		}
 		time.Sleep(stepDelay)
@@ -100,39 +101,39 @@
 	return p.records, outcomes, nil
 }
 
-// start starts the engines and the edge, which has the first endpoint list when it returns. Stop ends them; it is set
-// in any case.
-func (p *player) start() (stop func(), err error) {
-	var stops []func()
+// start starts the engines and the edge, and waits until the edge has received the first endpoint list. Stop stops them;
+// it is never nil.
+func (p *replayer) start() (stop func(), err error) {
+	var stopFuncs []func()
 	stop = func() {
-		for _, f := range slices.Backward(stops) {
+		for _, f := range slices.Backward(stopFuncs) {
 			f()
 		}
 	}
-	p.list.Revision = 1
+	p.endpoints.Revision = 1
 	for i, name := range p.world.EngineNames() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return stop, err
 		}
-		stops = append(stops, func() { l.Close() })
+		stopFuncs = append(stopFuncs, func() { l.Close() })
 		go p.engines.listen(l, name)
-		p.list.Entries = append(p.list.Entries, endpoint.Entry{ID: l.Addr().String(), Kind: p.deployment.Kinds[i].Name, Weight: 1,
+		p.endpoints.Entries = append(p.endpoints.Entries, endpoint.Entry{ID: l.Addr().String(), Kind: p.deployment.Kinds[i].Name, Weight: 1,
 			State: endpoint.Ready})
 	}
 	p.deployment.ChatAddress = "127.0.0.1:0"
-	p.node = edge.New(p.deployment, zap.NewNop(), p.updates, 1)
-	if err := p.node.Start(); err != nil {
+	p.edge = edge.New(p.deployment, zap.NewNop(), p.updates, 1)
+	if err := p.edge.Start(); err != nil {
 		return stop, err
 	}
-	stops = append(stops, func() { p.node.Stop() })
-	p.updates <- p.list
+	stopFuncs = append(stopFuncs, func() { p.edge.Stop() })
+	p.updates <- p.endpoints
 	time.Sleep(listDelay)
 	return stop, nil
 }
 
-// perform does what one event of a path says.
-func (p *player) perform(ctx context.Context, e modelcheck.Event) error {
+// performEvent performs one event of a path.
+func (p *replayer) performEvent(ctx context.Context, e modelcheck.Event) error {
 	switch e.Action {
 	case modelcheck.SendRequest, modelcheck.RepeatRequest:
 		p.sendRequest(ctx, e.Client)
@@ -148,11 +149,11 @@
 		p.updateEngine(e.Engine, func(entry *endpoint.Entry) { entry.StartedAtMs = time.Now().UnixMilli() })
 		return nil
 	case modelcheck.TimePasses, modelcheck.EstablishConnection, modelcheck.DeliverUnreadBytes:
-		return nil // sockets and clock do this by themselves
+		return nil // sockets and the clock need no action
 	}
 	respond, ok := responses[e.Action]
 	if !ok {
-		return ErrAction
+		return ErrUnsupportedAction
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -164,11 +165,11 @@
 	return nil
 }
 
-// sendRequest starts a client with its request.
-func (p *player) sendRequest(ctx context.Context, number int) {
+// sendRequest starts a client that sends one request.
+func (p *replayer) sendRequest(ctx context.Context, number int) {
 	ctx, p.disconnect[number] = context.WithCancel(ctx)
 	p.clients.Go(func() {
-		record, _ := p.client.Do(ctx, p.node.Addr(), loadgen.Request{Route: string(p.world.Effects[number]), RequestID: fmt.Sprint("p", number),
+		record, _ := p.client.Do(ctx, p.edge.Addr(), loadgen.Request{Route: string(p.world.Effects[number]), RequestID: fmt.Sprint("p", number),
 			Timeout: p.deployment.Routes[0].Timeout, MaxTokens: maxTokens, Messages: []loadgen.Message{{Role: "user", Content: "x"}}})
 		if ctx.Err() != nil && record.Outcome == audit.OutcomeLost {
 			record.Outcome = audit.OutcomeAbandoned
@@ -178,15 +179,16 @@
 }
 
 // updateEngine publishes the next revision of the endpoint list, with one entry changed.
-func (p *player) updateEngine(engine string, change func(*endpoint.Entry)) {
-	p.list.Revision++
-	p.list.Entries = slices.Clone(p.list.Entries)
-	change(&p.list.Entries[slices.Index(p.world.EngineNames(), engine)])
-	p.updates <- p.list
+func (p *replayer) updateEngine(engine string, change func(*endpoint.Entry)) {
+	p.endpoints.Revision++
+	p.endpoints.Entries = slices.Clone(p.endpoints.Entries)
+	change(&p.endpoints.Entries[slices.Index(p.world.EngineNames(), engine)])
+	p.updates <- p.endpoints
 }
 
-// awaitClients waits until all clients have ended. A path may end before its clients do: those are canceled.
-func (p *player) awaitClients(cancel context.CancelFunc) {
+// awaitClients waits until all clients have ended, and cancels those that are still waiting after clientsTimeout, as a path
+// may end before its clients.
+func (p *replayer) awaitClients(cancel context.CancelFunc) {
 	ended := make(chan struct{})
 	go func() { p.clients.Wait(); close(ended) }()
 	select {
--- a/internal/replay/responses.go
+++ b/internal/replay/responses.go
@@ -17,23 +17,23 @@
 	truncatedBody = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 100\r\n\r\n{"
 	tokenEvent    = `{"choices":[]}`
 	reservation   = `{"kv_transfer_params":{"do_remote_prefill":true,"remote_engine_id":"x","remote_host":"127.0.0.1","remote_port":9}}`
-	// resetDelay keeps a reset from overtaking what was written before it.
+	// resetDelay is the time between a write and a reset, so that the reset does not discard the written bytes.
 	resetDelay = 2 * time.Millisecond
 )
 
-// responses are what engines do about a request, by the action of a path.
+// responses maps each action of a path to the reaction of an engine to a request.
 var responses = map[modelcheck.Action]func(s *scriptedEngines, r *engineRequest){
 	modelcheck.TruncatePrefill: func(s *scriptedEngines, r *engineRequest) {
 		fmt.Fprint(r.conn, truncatedBody)
 		time.Sleep(resetDelay)
-		s.finish(r, true)
+		s.finishRequest(r, true)
 	},
-	modelcheck.CompletePrefill:      complete(http.StatusOK, "", reservation),
-	modelcheck.OmitReservation:      complete(http.StatusOK, "", "{}"),
-	modelcheck.AnswerControlRequest: complete(http.StatusOK, "", "{}"),
-	modelcheck.RejectNoReservation:  complete(http.StatusConflict, engineapi.RejectedNoReservation, "{}"),
-	modelcheck.RejectFull:           complete(http.StatusTooManyRequests, engineapi.RejectedFull, "{}"),
-	modelcheck.FailWithoutReason:    complete(http.StatusServiceUnavailable, "", "{}"),
+	modelcheck.CompletePrefill:      respondWith(http.StatusOK, "", reservation),
+	modelcheck.OmitReservation:      respondWith(http.StatusOK, "", "{}"),
+	modelcheck.AnswerControlRequest: respondWith(http.StatusOK, "", "{}"),
+	modelcheck.RejectNoReservation:  respondWith(http.StatusConflict, engineapi.RejectedNoReservation, "{}"),
+	modelcheck.RejectFull:           respondWith(http.StatusTooManyRequests, engineapi.RejectedFull, "{}"),
+	modelcheck.FailWithoutReason:    respondWith(http.StatusServiceUnavailable, "", "{}"),
 	modelcheck.SendFirstToken: func(_ *scriptedEngines, r *engineRequest) {
 		fmt.Fprint(r.conn, streamHead)
 		writeEvent(r.conn, tokenEvent)
@@ -42,19 +42,19 @@
 	modelcheck.CompleteStream: func(s *scriptedEngines, r *engineRequest) {
 		writeEvent(r.conn, chat.Done)
 		fmt.Fprint(r.conn, lastChunk)
-		s.finish(r, false)
+		s.finishRequest(r, false)
 	},
 	modelcheck.EndStreamEarly: func(s *scriptedEngines, r *engineRequest) {
 		fmt.Fprint(r.conn, lastChunk)
-		s.finish(r, false)
+		s.finishRequest(r, false)
 	},
-	modelcheck.LoseConnection:     func(s *scriptedEngines, r *engineRequest) { s.finish(r, true) },
+	modelcheck.LoseConnection:     func(s *scriptedEngines, r *engineRequest) { s.finishRequest(r, true) },
 	modelcheck.BecomeUnresponsive: func(*scriptedEngines, *engineRequest) {},
 	modelcheck.BecomeResponsive:   func(*scriptedEngines, *engineRequest) {},
 }
 
-// complete writes a complete response and goes on with the connection.
-func complete(status int, rejected, body string) func(*scriptedEngines, *engineRequest) {
+// respondWith returns a reaction that writes a complete response and keeps the connection.
+func respondWith(status int, rejected, body string) func(*scriptedEngines, *engineRequest) {
 	return func(s *scriptedEngines, r *engineRequest) {
 		fmt.Fprintf(r.conn, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status,
 			http.StatusText(status), len(body))
@@ -62,7 +62,7 @@
 			fmt.Fprintf(r.conn, "%s: %s\r\n", engineapi.HeaderRejected, rejected)
 		}
 		fmt.Fprintf(r.conn, "\r\n%s", body)
-		s.finish(r, false)
+		s.finishRequest(r, false)
 	}
 }
 
--- a/internal/simproto/actions.go
+++ b/internal/simproto/actions.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/routing"
 )
 
-// Action is one action of a reply.
+// Action is an action in the form in which the simulator reads it.
 type Action struct {
 	Type         string  `json:"t"`
 	Node         string  `json:"i"`
@@ -18,16 +18,16 @@
 	Attempt      *int    `json:"seq_no,omitempty"`
 	TimerToken   *int64  `json:"ctx,omitempty"`
 	AfterUs      *int64  `json:"in_us,omitempty"`
-	Peer         *int    `json:"dest,omitempty"` // none for all
+	Peer         *int    `json:"dest,omitempty"` // omitted for all peers
 	Content      string  `json:"content,omitempty"`
 	Want         *bool   `json:"want,omitempty"`
 	Reason       *string `json:"body_text,omitempty"`
 }
 
-// NodeFailed reports that a node's policy has panicked.
+// NodeFailed returns the action that reports a panic of a node's policy.
 func NodeFailed(node, reason string) Action { return Action{Type: "die", Node: node, Reason: &reason} }
 
-// Encode turns an action of a node's policy into the simulator's.
+// Encode converts an action of a node's policy to the simulator's form.
 func Encode(node string, action routing.Action) Action {
 	switch a := action.(type) {
 	case routing.Send:
@@ -61,7 +61,7 @@
 	panic(fmt.Sprintf("simproto: no action for %T", action))
 }
 
-// toMicroseconds rounds up, so that no timer fires early.
+// toMicroseconds converts a duration to microseconds, rounded up so that no timer fires early.
 func toMicroseconds(d time.Duration) int64 {
 	return int64((d + time.Microsecond - 1) / time.Microsecond)
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -1,5 +1,5 @@
-// Package simproto reads and writes the messages of the simulator: batches of events come in, actions go out.
-// It renames fields and converts units, and decides nothing. It does no I/O.
+// Package simproto decodes the simulator's batches of events and encodes the actions of policies. It only maps fields and
+// converts units, and does no I/O.
 package simproto
 
 import (
@@ -13,7 +13,7 @@
 	"sandcourse/internal/routing"
 )
 
-// The ways in which a batch can be wrong.
+// Errors for an invalid batch.
 var (
 	ErrNotABatch    = errors.New("not a batch")
 	ErrMissing      = errors.New("is missing")
@@ -21,29 +21,28 @@
 	ErrUnknownValue = errors.New("has an unknown value")
 )
 
-// FieldError is a field of an event that is wrong.
+// FieldError is the error of an invalid field of an event.
 type FieldError struct {
 	Event, Field string
 	Err          error // wraps one of the errors above
 }
 
-// Error names the event, the field and what is wrong.
+// Error returns a text with the event, the field and the error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: field %s %v", e.Event, e.Field, e.Err) }
 
-// Unwrap is what is wrong with the field.
+// Unwrap returns the error of the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Event is one event of a batch. Exactly one of Payload, Create and Down is set; an unknown event sets
-// Unknown.
+// Event is one event of a batch. Exactly one of Payload, Create, Down and Unknown is set.
 type Event struct {
 	Node    string
 	Payload routing.Event
 	Create  *NodeCreated
 	Down    bool
-	Unknown string // its type
+	Unknown string // type of an unknown event
 }
 
-// NodeCreated starts a node.
+// NodeCreated contains the seed and the configuration of a new node.
 type NodeCreated struct {
 	Seed   uint64
 	Config routing.Config
@@ -54,7 +53,7 @@
 	Node *string `json:"i"`
 }
 
-// rawEvent holds the fields of all events.
+// rawEvent contains the fields of all types of event.
 type rawEvent struct {
 	RandomSeed      uint64             `json:"random_seed"`
 	Params          map[string]any     `json:"params"`
@@ -92,8 +91,8 @@
 	Engine      string  `json:"engine"`
 }
 
-// The numbers by which the simulator names what an endpoint list is, an endpoint's state and the answer to a
-// reservation, the bits that mark a request, and the note of a lost reservation.
+// The simulator's numeric codes for the kind of an endpoint update, the state of an endpoint, the result of a reservation,
+// the flags of a request and the note of a lost reservation.
 const (
 	updateSnapshot = 1
 	updateReplaced = 2
@@ -115,7 +114,7 @@
 	"R": routing.ConnectionLost, "X": routing.Canceled, "N": routing.NotSent, "READ": routing.PrefillDone,
 }
 
-// eventTypes are the known events: the fields without which they make no sense, and what they set.
+// eventTypes maps the type of each known event to its required fields and to the function that sets the fields of its Event.
 var eventTypes = map[string]struct {
 	required []string
 	set      func(*Event, *rawEvent, routing.Verdict)
@@ -133,7 +132,7 @@
 	"reserved":    {[]string{"call", "engine", "what"}, setReservation},
 }
 
-// Decode reads one batch. Its errors name the event and the field that is wrong.
+// Decode decodes one batch. Its errors name the event and the invalid field.
 func Decode(line []byte) (now time.Duration, events []Event, err error) {
 	var batch struct {
 		NowUs *int64             `json:"wall_us"`
--- a/internal/simproto/events_test.go
+++ b/internal/simproto/events_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestDecodeNamesTheWrongField(t *testing.T) {
+func TestDecodeErrorsNameTheInvalidField(t *testing.T) {
 	for line, want := range map[string]FieldError{
 		`{"t":"req","i":"n","call":1}`:                                         {"req", "give_up_at_us", ErrMissing},
 		`{"t":"expired","i":"n","call":"x"}`:                                   {"expired", "call", ErrWrongType},
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsNoBatch(t *testing.T) {
+func TestDecodeRejectsInvalidBatches(t *testing.T) {
 	for _, line := range []string{"", "[]", "{}", `{"wall_us":1}`, `{"inbox":[]}`} {
 		if _, _, err := Decode([]byte(line)); !errors.Is(err, ErrNotABatch) {
 			t.Errorf("%q: %v", line, err)
@@ -47,6 +47,6 @@
 func TestTimersNeverFireEarly(t *testing.T) {
 	action := Encode("n", routing.StartTimer{Token: 1, After: time.Microsecond + 1})
 	if *action.AfterUs != 2 {
-		t.Errorf("after %d us", *action.AfterUs)
+		t.Errorf("timer of 1.001 us is encoded as %d us", *action.AfterUs)
 	}
 }
