--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -113,7 +113,7 @@
 	l := newTestLog()
 	l.addClientRecord(time.Second, OutcomeShed, 1)
 	l.addEngineEvent(time.Second/2, "a", AttemptStarted)
-	want := []string{"   0.000s client c1 sends its request", "   0.500s a began ", "   1.000s client c1 receives its outcome: shed "}
+	want := []string{"   0.000s client c1 sends its request", "   0.500s a began ", "   1.000s client c1 ends with outcome shed "}
 	if got := l.Trace("edge-1"); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -82,7 +82,7 @@
 	for _, c := range l.clientRecords {
 		if c.RequestID == requestID {
 			entries = append(entries, entry{c.Sent, "client " + c.ClientRequestID + " sends its request"},
-				entry{c.End, fmt.Sprintf("client %s receives its outcome: %s %s", c.ClientRequestID, c.Outcome, c.Reason)})
+				entry{c.End, fmt.Sprintf("client %s ends with outcome %s %s", c.ClientRequestID, c.Outcome, c.Reason)})
 		}
 	}
 	slices.SortStableFunc(entries, func(a, b entry) int { return a.at.Compare(b.at) })
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -23,8 +23,8 @@
 
 // scheduleArrival schedules the next session by a Poisson process of the current arrival rate.
 func (em *emulation) scheduleArrival(number int) {
-	gap := em.random.ExpFloat64() / max(em.scenario.RequestRate*em.rateFactor, minRequestRate)
-	em.scheduleAfter(time.Duration(gap*1e9), func() {
+	interval := em.random.ExpFloat64() / max(em.scenario.RequestRate*em.rateFactor, minRequestRate)
+	em.scheduleAfter(time.Duration(interval*1e9), func() {
 		if em.now >= em.endTime() {
 			return
 		}
@@ -44,11 +44,11 @@
 
 // drawRoute draws the index of a route with a probability proportional to its share.
 func (em *emulation) drawRoute() int {
-	shares := 0.0
+	totalShare := 0.0
 	for _, r := range em.scenario.Routes {
-		shares += r.Share
+		totalShare += r.Share
 	}
-	draw := em.random.Float64() * shares
+	draw := em.random.Float64() * totalShare
 	for i, r := range em.scenario.Routes {
 		if draw -= r.Share; draw < 0 {
 			return i
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -18,8 +18,8 @@
 
 // Errors for invalid bytes that a router writes to an engine.
 var (
-	errNoRequest      = errors.New("emulator: router did not write a complete request")
-	errUnknownRequest = errors.New("emulator: attempt belongs to no client's request")
+	errIncompleteRequest = errors.New("emulator: router did not write a complete request")
+	errUnknownRequest    = errors.New("emulator: attempt belongs to no client's request")
 )
 
 // requestLimits limit the size of the requests that a router writes.
@@ -66,10 +66,10 @@
 	}
 	parts, err := httpframing.NewParser(httpframing.Requests, requestLimits).Feed(data)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNoRequest, err)
+		return fmt.Errorf("%w: %w", errIncompleteRequest, err)
 	}
 	if len(parts) == 0 {
-		return errNoRequest
+		return errIncompleteRequest
 	}
 	var body []byte
 	for _, p := range parts {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -143,17 +143,17 @@
 
 // warmRate returns the number of attempts per second, in the scenario's mix of routes, that a warm engine of a role serves.
 func (s Scenario) warmRate(role config.Role) float64 {
-	work, shares, slots := 0.0, 0.0, s.Engine.PrefillSlots
+	work, totalShare, slots := 0.0, 0.0, s.Engine.PrefillSlots
 	if role != config.RolePrefill {
 		slots = s.Engine.DecodeSlots
 	}
 	for _, r := range s.Routes {
-		shares += r.Share
+		totalShare += r.Share
 		if role == config.RolePrefill {
 			work += r.Share * (r.PromptTokens + s.PrefixTokens/4) / s.Engine.PrefillRate
 		} else {
 			work += r.Share * r.AnswerTokens * s.Engine.TokenTime.Seconds() * (1 + s.Engine.BatchSlowdown)
 		}
 	}
-	return float64(slots) * shares / work
+	return float64(slots) * totalShare / work
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -27,7 +27,7 @@
 // of day. The error is of type script.Faults.
 func ParseExperiment(name string, text []byte) (*Experiment, error) {
 	p := &experimentParser{experiment: &Experiment{Seeds: defaultSeeds}, scenario: Defaults()}
-	functions := map[string]script.Function{"day": p.day, "engine": p.engine, "route": p.route, "trouble": p.fault, "arm": p.arm}
+	functions := map[string]script.Function{"day": p.day, "engine": p.engine, "route": p.route, "trouble": p.trouble, "arm": p.arm}
 	if err := script.Run(name, text, functions, p.completeArms); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	}, func(script.ReportFault) { p.routes = append(p.routes, r) }
 }
 
-func (p *experimentParser) fault() ([]script.Argument, func(script.ReportFault)) {
+func (p *experimentParser) trouble() ([]script.Argument, func(script.ReportFault)) {
 	f := Fault{Duration: 10 * time.Second, Fraction: 0.25}
 	return []script.Argument{
 		script.OneOf("kind", &f.Kind, FaultKinds...).Required(),
@@ -120,7 +120,7 @@
 	}
 }
 
-// completeArms completes the scenarios of the arms. Without arms, the scenario itself is the only arm.
+// completeArms applies the changes of each arm to the final scenario. Without arms, the scenario itself is the only arm.
 func (p *experimentParser) completeArms(report script.ReportScriptFault) {
 	if len(p.routes) > 0 {
 		p.scenario.Routes = p.routes
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -35,7 +35,7 @@
 	FaultUnlisted     FaultKind = "lost"    // engines are down and not listed, then start and warm up
 )
 
-// FaultKinds are all kinds of fault.
+// FaultKinds lists all kinds of fault.
 var FaultKinds = []FaultKind{FaultBurst, FaultRestart, FaultSlow, FaultUnresponsive, FaultDrain, FaultCacheLoss, FaultUnlisted}
 
 // Fault is a fault of limited duration.
--- a/internal/modelcheck/crowd.go
+++ b/internal/modelcheck/crowd.go
@@ -16,7 +16,7 @@
 	crowdLength       = 24 * time.Second
 	crowdStep         = 5 * time.Millisecond
 	crowdLoad         = 0.75 // of the capacity of warm engines; routers that measure a lower rate grant a smaller budget
-	crowdBurst        = 3    // multiple of the arrival rate after a restart
+	crowdBurstFactor  = 3    // multiple of the arrival rate after a restart
 	crowdBurstLength  = 3 * time.Second
 	crowdEngineSlots  = 8 // maximum number of responses that an engine gives at once
 	crowdFirstRestart = 6 * time.Second
@@ -42,7 +42,7 @@
 		}
 		rate := crowdLoad * warmCapacity / float64(w.Routers)
 		if at < burstEnd {
-			rate *= crowdBurst
+			rate *= crowdBurstFactor
 		}
 		c.addCapacity()
 		for _, s := range c.fleet.routers {
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -174,15 +174,15 @@
 		}
 		for _, next := range e.successors {
 			r.Transitions++
-			longer := append(slices.Clone(path), next.event)
-			r.recordFirstViolation(next.violations, longer)
+			extendedPath := append(slices.Clone(path), next.event)
+			r.recordFirstViolation(next.violations, extendedPath)
 			if _, ok := s.Visited[next.fingerprint]; ok {
 				r.Merged++
 				continue
 			}
 			s.Visited[next.fingerprint] = struct{}{}
 			r.States++
-			frontier = append(frontier, longer)
+			frontier = append(frontier, extendedPath)
 		}
 	}
 	s.Frontier = frontier
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -46,13 +46,13 @@
 func TestResultDoesNotDependOnWorkersOrInterruption(t *testing.T) {
 	w, _ := FindWorld("one")
 	w.Faults = 1
-	one := NewSnapshot(w).Explore(Limits{Workers: 1}, nil)
-	four := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
+	withOneWorker := NewSnapshot(w).Explore(Limits{Workers: 1}, nil)
+	withFourWorkers := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 	stopped := NewSnapshot(w)
 	stopped.Explore(Limits{Workers: 2, MaxDepth: 9}, nil)
 	resumed := stopped.Explore(Limits{Workers: 3}, nil)
-	if !reflect.DeepEqual(one, four) || !reflect.DeepEqual(one, resumed) || !one.Complete {
-		t.Errorf("%+v\n%+v\n%+v", one, four, resumed)
+	if !reflect.DeepEqual(withOneWorker, withFourWorkers) || !reflect.DeepEqual(withOneWorker, resumed) || !withOneWorker.Complete {
+		t.Errorf("%+v\n%+v\n%+v", withOneWorker, withFourWorkers, resumed)
 	}
 }
 
--- a/internal/modelcheck/plannerengine.go
+++ b/internal/modelcheck/plannerengine.go
@@ -14,7 +14,7 @@
 	term          int64
 	loading       bool
 	draining      bool
-	lost          bool // loading never ends
+	loadingStuck  bool // loading never ends
 	keepsOldRole  bool // the engine reports the new role and keeps the old one
 	openRequests  int
 	requestsStuck bool // open requests never end
@@ -69,13 +69,13 @@
 
 // isBusy reports whether the engine's state changes without further orders.
 func (e *simulatedEngine) isBusy() bool {
-	return e.loading && !e.lost || e.openRequests > 0 && !e.requestsStuck
+	return e.loading && !e.loadingStuck || e.openRequests > 0 && !e.requestsStuck
 }
 
 // matchesRecord reports whether the engine's state matches its record, or the engine is quarantined for its own fault.
 func (e *simulatedEngine) matchesRecord(r assignment.Record) bool {
 	if r.State == assignment.Quarantined {
-		return e.lost || e.keepsOldRole
+		return e.loadingStuck || e.keepsOldRole
 	}
 	return r.State == assignment.Serving && r.Role == e.role && r.Epoch == e.epoch && !e.draining
 }
--- a/internal/modelcheck/plannerevents.go
+++ b/internal/modelcheck/plannerevents.go
@@ -42,7 +42,7 @@
 	for _, engine := range s.engines {
 		if s.stored[engine.name].State == assignment.Quarantined {
 			list.addNamed(FaultDisconnect, func() {
-				engine.lost, engine.keepsOldRole = false, false
+				engine.loadingStuck, engine.keepsOldRole = false, false
 				s.applyOperatorOrder("readmit", engine.name)
 			}, "an operator repairs and readmits %s", engine.name)
 		}
@@ -86,9 +86,9 @@
 }
 
 func (s *plannerSimulation) addEngineEvents(list *eventList, e *simulatedEngine) {
-	if e.loading && !e.lost {
+	if e.loading && !e.loadingStuck {
 		list.addNamed(noFault, e.finishLoading, "%s finishes loading", e.name)
-		list.addNamed(FaultUnresponsive, func() { e.lost = true }, "%s never finishes loading", e.name)
+		list.addNamed(FaultUnresponsive, func() { e.loadingStuck = true }, "%s never finishes loading", e.name)
 		if !e.keepsOldRole && e.claimedRole != e.role {
 			list.addNamed(FaultGarbled, func() { e.keepsOldRole = true; e.finishLoading() }, "%s reports the new role and keeps the old one", e.name)
 		}
@@ -102,7 +102,7 @@
 
 func (s *plannerSimulation) addCrashes(list *eventList, e *simulatedEngine) {
 	if e.loading {
-		list.addNamed(FaultRestart, func() { e.lost = false; e.finishLoading(); e.incarnation++ },
+		list.addNamed(FaultRestart, func() { e.loadingStuck = false; e.finishLoading(); e.incarnation++ },
 			"%s crashes and restarts in the role that it was loading", e.name)
 	} else if record, ok := s.stored[e.name]; ok && record.State != assignment.Serving {
 		list.addNamed(FaultRestart, func() { e.incarnation++; e.draining, e.openRequests = false, 0 }, "%s crashes and restarts", e.name)
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -56,7 +56,7 @@
 	roleTick               = 100 * time.Millisecond
 	roleChangeTimeLimit    = 20 * time.Second // time after which every change must have ended
 	orderDelayTicks        = 10
-	maxTicksWithoutPlanner = 4 // ticks
+	maxTicksWithoutPlanner = 4
 	startupReportRounds    = 3 // rounds of reports after which the planner knows every engine
 	operatorName           = "w"
 	operatorReason         = "y"
@@ -155,8 +155,8 @@
 		s.checkPlan()
 	case assignment.SendRoleOrder:
 		s.checkOrder(a)
-		same := func(o pendingOrder) bool { return o.engine == a.Engine && o.order == a.Order }
-		if !slices.ContainsFunc(s.orders, same) {
+		isSameOrder := func(o pendingOrder) bool { return o.engine == a.Engine && o.order == a.Order }
+		if !slices.ContainsFunc(s.orders, isSameOrder) {
 			s.orders = append(s.orders, pendingOrder{engine: a.Engine, order: a.Order})
 		}
 	case assignment.StartTrial:
@@ -248,7 +248,7 @@
 		fmt.Fprintln(h, record)
 	}
 	for _, e := range s.engines {
-		fmt.Fprintln(h, e.role, e.claimedRole, e.epoch, e.term-s.term, e.loading, e.draining, e.lost, e.keepsOldRole, e.openRequests,
+		fmt.Fprintln(h, e.role, e.claimedRole, e.epoch, e.term-s.term, e.loading, e.draining, e.loadingStuck, e.keepsOldRole, e.openRequests,
 			e.requestsStuck, e.incarnation)
 	}
 	fmt.Fprintf(h, "%v %v %v %v %v %v %v %v\n", s.running, s.ticksWithoutPlanner, len(s.queue), s.orders, s.trials, s.operatorMoves,
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -72,7 +72,7 @@
 // Step is one event of a path, for callers that replay the path outside the model checker.
 type Step struct {
 	Event
-	At time.Duration // since the start
+	At time.Duration // simulated time since the start
 }
 
 // TraceSteps returns the events of a path, and the outcome of each client (empty while the client waits). The error is
@@ -104,11 +104,11 @@
 				paths = append(paths, path)
 			}
 			for i := range n {
-				longer := append(slices.Clone(path), uint8(i))
-				exec, _ := replayPath(w, longer, false)
+				extendedPath := append(slices.Clone(path), uint8(i))
+				exec, _ := replayPath(w, extendedPath, false)
 				if fingerprint := exec.fingerprint(); !visited[fingerprint] {
 					visited[fingerprint] = true
-					next = append(next, longer)
+					next = append(next, extendedPath)
 				}
 			}
 		}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -19,7 +19,7 @@
 	About                string          `json:"about"`
 	PrefillEngines       int             `json:"readers"`
 	DecodeEngines        int             `json:"writers"`
-	Effects              []config.Effect `json:"effects"` // one request for each
+	Effects              []config.Effect `json:"effects"` // effect of each request, one request per client
 	Faults               int             `json:"faults"`  // maximum number that the adversary may inject
 	FaultKinds           []FaultKind     `json:"kinds"`   // kinds that the adversary may inject; all if empty
 	ConnectionsPerEngine int             `json:"lines_per_engine"`
@@ -73,17 +73,17 @@
 // The durations in all worlds are short, so that few timers fire between the start and the end of a request. Their order
 // is that of the defaults: tick < drain grace < reservation limit < client timeout.
 const (
-	clientTimeout      = 300 * time.Millisecond
-	firstTokenTarget   = 100 * time.Millisecond
-	tick               = 5 * time.Millisecond
-	drainGrace         = 50 * time.Millisecond
-	reservationLimit   = 200 * time.Millisecond
-	stallTimeout       = 100 * time.Millisecond
-	idleTimeout        = 150 * time.Millisecond
-	dialTimeout        = 100 * time.Millisecond
-	dedupWindow        = time.Second
-	defaultPerEngine   = 4 // connections
-	timeoutMarginTicks = 4 // ticks before the client's timeout from which an error response is allowed
+	clientTimeout               = 300 * time.Millisecond
+	firstTokenTarget            = 100 * time.Millisecond
+	tick                        = 5 * time.Millisecond
+	drainGrace                  = 50 * time.Millisecond
+	reservationLimit            = 200 * time.Millisecond
+	stallTimeout                = 100 * time.Millisecond
+	idleTimeout                 = 150 * time.Millisecond
+	dialTimeout                 = 100 * time.Millisecond
+	dedupWindow                 = time.Second
+	defaultConnectionsPerEngine = 4
+	timeoutMarginTicks          = 4 // ticks before the client's timeout from which an error response is allowed
 	// timerDelay is the simulated delay of a timer on a loaded machine: more than one tick, but less than the three ticks
 	// that the router leaves before a client's timeout.
 	timerDelay = 12 * time.Millisecond
@@ -100,7 +100,7 @@
 	d.Connections.IdleTimeout, d.Connections.DialTimeout = idleTimeout, dialTimeout
 	d.Connections.PerEngine = max(1, w.ConnectionsPerEngine)
 	if w.ConnectionsPerEngine == 0 {
-		d.Connections.PerEngine = defaultPerEngine
+		d.Connections.PerEngine = defaultConnectionsPerEngine
 	}
 	if w.MaxOpenRequests > 0 {
 		d.Limits.OpenRequests = w.MaxOpenRequests
--- a/internal/replay/engines.go
+++ b/internal/replay/engines.go
@@ -38,8 +38,8 @@
 	return &scriptedEngines{arrived: make(chan struct{}, 1)}
 }
 
-// listen accepts and serves the connections of one engine.
-func (s *scriptedEngines) listen(l net.Listener, engine string) {
+// acceptConnections accepts and serves the connections of one engine.
+func (s *scriptedEngines) acceptConnections(l net.Listener, engine string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -117,7 +117,7 @@
 			return stop, err
 		}
 		stopFuncs = append(stopFuncs, func() { l.Close() })
-		go p.engines.listen(l, name)
+		go p.engines.acceptConnections(l, name)
 		p.endpoints.Entries = append(p.endpoints.Entries, endpoint.Entry{ID: l.Addr().String(), Kind: p.deployment.Kinds[i].Name, Weight: 1,
 			State: endpoint.Ready})
 	}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -24,7 +24,7 @@
 // FieldError is the error of an invalid field of an event.
 type FieldError struct {
 	Event, Field string
-	Err          error // wraps one of the errors above
+	Err          error // wraps ErrMissing, ErrWrongType or ErrUnknownValue
 }
 
 // Error returns a text with the event, the field and the error.
