--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -1,5 +1,4 @@
-// Command sandcourse-sim runs the routing policies of simulated nodes: it reads one batch of events per line from standard
-// input and writes one line of actions for each batch.
+// Command sandcourse-sim runs routing policies for a simulator: it reads a batch of events per line and writes its actions.
 package main
 
 import (
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -17,8 +17,7 @@
 const (
 	// RuleOneOutcome requires that each request has one final response before its deadline, and no attempt after it.
 	RuleOneOutcome Rule = iota + 1
-	// RuleOneExecution requires that a non-retriable request is executed at most once, and that the attempts of a request
-	// do not overlap.
+	// RuleOneExecution requires that a non-retriable request is executed at most once, and that attempts do not overlap.
 	RuleOneExecution
 	// RuleDrain requires that a draining engine receives no more attempts.
 	RuleDrain
@@ -98,8 +97,7 @@
 	return spans
 }
 
-// endOf returns the time of the end event that follows record i for the same request and engine, or of a crash of the
-// engine if that is earlier, or until if there is neither.
+// endOf returns the time of the end event of record i's request at its engine, or of an earlier crash, or else c.until.
 func (c *checker) endOf(i int, end EngineEvent) time.Time {
 	start := c.records[i]
 	for _, record := range c.records[i+1:] {
--- a/internal/audit/checks.go
+++ b/internal/audit/checks.go
@@ -76,8 +76,7 @@
 	}
 }
 
-// drainingSince returns the time from which on the engine was published as not ready until at, or the zero time if it was
-// published as ready at that time.
+// drainingSince returns since when an engine was published as not ready at a time, or the zero time if it was ready.
 func drainingSince(changes []ReadinessChange, engine string, at time.Time) (since time.Time) {
 	for _, change := range changes {
 		if change.Engine != engine || change.At.After(at) {
--- a/internal/emulator/comparison.go
+++ b/internal/emulator/comparison.go
@@ -10,8 +10,8 @@
 
 const (
 	bootstrapSamples = 2000
-	bootstrapLow     = 25  // 1/1000 quantile: lower end of the 95% interval
-	bootstrapHigh    = 975 // 1/1000 quantile: upper end of the 95% interval
+	bootstrapLow     = 25  // per mille of the samples
+	bootstrapHigh    = 975 // per mille of the samples
 	recoveredShare   = 0.9 // minimum share completed in time, in three consecutive windows
 )
 
@@ -77,8 +77,7 @@
 	return means[len(means)*bootstrapLow/1000], means[len(means)*bootstrapHigh/1000]
 }
 
-// recoveryTime returns the time from the end of the last fault to the first of three consecutive windows with at least
-// recoveredShare completed in time.
+// recoveryTime returns the time from the end of the last fault to three consecutive windows with at least recoveredShare.
 func recoveryTime(scenario Scenario, r Result) time.Duration {
 	end := time.Duration(0)
 	for _, f := range scenario.Faults {
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -102,8 +102,7 @@
 	}
 }
 
-// publishEndpoints passes the endpoint list to all routers: the first revision without delay, later ones after a random delay
-// for each router.
+// publishEndpoints passes the endpoint list to all routers: the first at once, later ones after a random delay per router.
 func (em *emulation) publishEndpoints() {
 	em.listRevision++
 	list := endpoint.List{Revision: em.listRevision, Entries: []endpoint.Entry{}}
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -21,7 +21,7 @@
 type simulatedRouter struct {
 	emulation   *emulation
 	core        *router.Router
-	nextTimerAt int64 // when the next timer is scheduled; 0 if none is
+	nextTimerAt int64 // time of the scheduled timer; 0 for none
 	pending     []func(core *router.Router)
 	isHandling  bool
 	clientCount int64
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -53,10 +53,10 @@
 	Length                                 time.Duration
 	RequestRate                            float64 // new sessions per second
 	Routes                                 []Route
-	Prefixes                               int     // number of shared prefixes for each route, chosen by Zipf's law
+	Prefixes                               int     // shared prefixes per route, chosen by Zipf's law
 	PrefixTokens                           float64 // length of each shared prefix
-	Turns                                  int     // number of turns of a session
-	Retries                                int     // maximum number of retries of a client after failures
+	Turns                                  int     // of a session, at least one
+	Retries                                int     // maximum of retries per request
 	RetryBudget                            float64 // share of a router's arrivals that may be retries; 0 for no limit
 	Engine                                 EngineModel
 	Faults                                 []Fault
@@ -76,7 +76,7 @@
 	MemoryTokens              float64 // capacity of a decode engine
 	TransferRate              float64 // tokens per second of a KV transfer
 	WarmUp                    time.Duration
-	WarmUpShare               float64 // share of its speed that an engine has when it starts to warm up
+	WarmUpShare               float64 // share of the speed when the engine starts to warm up
 }
 
 // Defaults returns the scenario of a small fleet with two routes.
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -184,8 +184,7 @@
 	})
 }
 
-// streamTokens streams an answer in parts: the first token, and then as many tokens at a time as the engine
-// generates in maxStreamPause, at least one.
+// streamTokens streams an answer in parts: the first token, then the tokens of each maxStreamPause, at least one.
 func (e *engine) streamTokens(r *engineRequest, sent int, finish func()) {
 	model, answerTokens := e.emulation.scenario.Engine, int(r.clientRequest.answerTokens)
 	slowdown := model.BatchSlowdown * float64(e.busySlots) / float64(e.slots())
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -12,8 +12,7 @@
 	return verdict == router.VerdictFull || verdict == router.VerdictNotConnected || verdict == router.VerdictNotSent
 }
 
-// executionTimeLimit is the time after which every request must have ended: the client's timeout, a stall and six
-// releases, doubled.
+// executionTimeLimit limits the time of an execution: the client's timeout, a stall and six releases, doubled.
 const executionTimeLimit = 3 * time.Second
 
 // maxLostReleases is the number of lost releases after which a reservation may still be held.
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -37,7 +37,7 @@
 	requestID      string // assigned by the router
 	decodeFinished bool   // a decode engine has sent the last event of the stream
 	retried        bool   // the client reconnected with the same request after it disconnected
-	possibleRuns   int    // number of decode engines that may have run the request
+	possibleRuns   int    // decode engines that may have run the request
 }
 
 // addClient opens a client's connection.
--- a/internal/modelcheck/copystate.go
+++ b/internal/modelcheck/copystate.go
@@ -51,8 +51,7 @@
 		return c
 	}
 	var built copyFunc
-	// A recursive type refers to its function before it is built, so this function forwards the call. Types for which a
-	// shallow copy suffices are never recursive.
+	// Recursive types call their function indirectly until it is built. Types that need no deep copy are never recursive.
 	cf[t] = func(to, from unsafe.Pointer, copied copiedPointers) {
 		if built != nil {
 			built(to, from, copied)
--- a/internal/modelcheck/crowd.go
+++ b/internal/modelcheck/crowd.go
@@ -18,7 +18,7 @@
 	crowdLoad         = 0.75 // of the capacity of warm engines; routers that measure a lower rate grant a smaller budget
 	crowdBurstFactor  = 3    // multiple of the arrival rate after a restart
 	crowdBurstLength  = 3 * time.Second
-	crowdEngineSlots  = 8 // maximum number of responses that an engine gives at once
+	crowdEngineSlots  = 8 // responses that an engine can give at once
 	crowdFirstRestart = 6 * time.Second
 	crowdNextRestart  = 15 * time.Second
 )
@@ -60,7 +60,7 @@
 type crowd struct {
 	fleet    *fleet
 	random   *rand.Rand
-	capacity map[string]float64 // number of responses that each engine can give now
+	capacity map[string]float64 // responses that each engine can give now
 }
 
 // addCapacity adds to each engine the capacity of one step.
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -73,9 +73,9 @@
 type Event struct {
 	Name    string
 	Action  Action
-	Engine  string      // engine that the event concerns, if any
-	Request RequestKind // kind of the request that the event concerns, if any
-	Client  int         // number of the client, for actions of clients
+	Engine  string      // concerned engine, if any
+	Request RequestKind // kind of the concerned request, if any
+	Client  int         // concerned client, for actions of clients
 	fault   FaultKind
 	apply   func()
 }
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -29,8 +29,7 @@
 	return newSimulation(w, tracing)
 }
 
-// replayPath runs a path from the initial state. It stops, with ok false, at an index that is out of range, and after the
-// first violation.
+// replayPath runs a path from the initial state up to a violation. It returns false if an event of the path is not enabled.
 func replayPath(w World, path Path, tracing bool) (exec execution, ok bool) {
 	exec = newExecution(w, tracing)
 	for _, n := range path {
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Limits are the workers and the limits of an exploration; a limit of 0 means none.
+// Limits are the limits of an exploration; 0 means no limit.
 type Limits struct {
 	Workers, MaxStates, MaxDepth int
 	Stop                         func() bool // polled between and within levels; true stops the exploration
@@ -29,16 +29,15 @@
 	States      int      `json:"states"`
 	Transitions int      `json:"transitions"`
 	Merged      int      `json:"merged"`
-	Ends        int      `json:"ends"` // number of distinct terminal states, in which no event is enabled
+	Ends        int      `json:"ends"` // number of terminal states, in which no event is enabled
 	Depth       int      `json:"depth"`
 	Complete    bool     `json:"complete"`
 	Violations  []string `json:"broken,omitempty"`
 	Path        Path     `json:"path,omitempty"` // path to the violations
 	Coverage    Coverage `json:"-"`
-	// TerminalStatesChecksum is a checksum of the set of terminal states. It does not depend on the order in which they
-	// were found.
+	// TerminalStatesChecksum is a checksum of the set of terminal states, independent of the order of the search.
 	TerminalStatesChecksum uint64 `json:"ends_sum"`
-	MaxColdAttempts        int    `json:"cold"` // maximum number of attempts to a warming engine of a crowd in one window
+	MaxColdAttempts        int    `json:"cold"` // maximum of attempts to a warming engine of a crowd in one window
 }
 
 // recordFirstViolation records violations and the path to them, unless a path has been recorded.
@@ -107,9 +106,9 @@
 	return e
 }
 
-// Explore runs a breadth-first search, so that the path to a violation is a shortest one. The states of a level are
-// distributed over workers and their successors are merged in order, so the result does not depend on the number of
-// workers. Report, if set, is called after each level with the size of the next one.
+// Explore runs a breadth-first search, so that the path to a violation is a shortest one. Workers share the states of a
+// level; successors are merged in order, so the result does not depend on the number of workers. Report, if set, is
+// called after each level with the size of the next one.
 func (s *Snapshot) Explore(limits Limits, report func(r Result, frontier int)) Result {
 	r := &s.Result
 	for len(s.Frontier) > 0 && !s.finished {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A copy of a state must have the same continuations as the state: an exploration that copies states has the same counts and
-// terminal states as one that replays every path from the initial state.
+// A copy of a state must have the same continuations as the state: an exploration by copies has the same counts and terminal
+// states as one that replays every path.
 func TestCopiedStatesMatchReplayedPaths(t *testing.T) {
 	for _, name := range []string{"single", "limit", "nodes-two", "roles-one"} {
 		w, _ := FindWorld(name)
@@ -69,8 +69,7 @@
 	}
 }
 
-// Events of different routers commute: an exploration in router order finds the same terminal states and violations as one
-// of all interleavings.
+// Events of different routers commute: exploration in router order finds the same terminal states as all interleavings.
 func TestRouterOrderReductionIsComplete(t *testing.T) {
 	for _, kinds := range [][]FaultKind{{FaultDrain}, {FaultRestart, FaultReset}, {FaultDisconnect, FaultNoCapacity, FaultDelay}} {
 		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2, FaultKinds: kinds}
@@ -86,7 +85,7 @@
 	}
 }
 
-// Fleets of 1 to 300 routers send attempts to a warming engine, but together no more than its slow-start budget.
+// Fleets of 1 to 300 routers send attempts to a warming engine, within its slow-start budget.
 func TestCrowdsStayWithinSlowStartBudget(t *testing.T) {
 	for _, w := range CrowdWorlds {
 		r := SimulateCrowd(w, 7, nil)
@@ -96,8 +95,7 @@
 	}
 }
 
-// Merging equal states must not lose terminal states: a search of a small world without merging finds several outcomes, and
-// no violation.
+// Merging equal states must not lose terminal states: all paths of a small world have several outcomes and no violation.
 func TestMergingStatesIsComplete(t *testing.T) {
 	w := World{Name: "tiny", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1,
 		FaultKinds: []FaultKind{FaultReset, FaultNoCapacity, FaultDisconnect, FaultConnect}}
--- a/internal/modelcheck/plannerchecks.go
+++ b/internal/modelcheck/plannerchecks.go
@@ -62,8 +62,7 @@
 	}
 }
 
-// checkState checks that no edge, by the plan that it holds, can send an attempt that an engine of another role accepts, and
-// that role changes end in time.
+// checkState checks that no engine of another role would accept an attempt of an edge, and that role changes end in time.
 func (s *plannerSimulation) checkState() {
 	for i, p := range s.edges {
 		for _, e := range p.Engines {
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -19,7 +19,7 @@
 	world               World
 	now                 int64
 	controller          *assignment.Controller
-	queue               []assignment.Action // actions that are decided and not executed yet
+	queue               []assignment.Action // decided and not executed yet
 	stored              map[string]assignment.Record
 	meta                assignment.Meta
 	term                int64
@@ -29,7 +29,7 @@
 	trials              []assignment.StartTrial
 	plan                planapi.Plan // newest published plan
 	edges               []planapi.Plan
-	operatorMoves       int // number of moves that the operator may still order
+	operatorMoves       int // moves that the operator may still order
 	faultsUsed          int
 	stopped             bool
 	ticksWithoutPlanner int
@@ -54,10 +54,10 @@
 	roleWarmUp             = 200 * time.Millisecond
 	roleCooldown           = 500 * time.Millisecond
 	roleTick               = 100 * time.Millisecond
-	roleChangeTimeLimit    = 20 * time.Second // time after which every change must have ended
+	roleChangeTimeLimit    = 20 * time.Second // every change must have ended by then
 	orderDelayTicks        = 10
 	maxTicksWithoutPlanner = 4
-	startupReportRounds    = 3 // rounds of reports after which the planner knows every engine
+	startupReportRounds    = 3 // until the planner knows every engine
 	operatorName           = "w"
 	operatorReason         = "y"
 )
--- a/internal/modelcheck/reservations.go
+++ b/internal/modelcheck/reservations.go
@@ -9,7 +9,7 @@
 type heldReservation struct {
 	requestID, engine string
 	attempt           int
-	lostReleases      int   // number of releases of this reservation that the network has lost
+	lostReleases      int   // releases that the network has lost
 	idleSince         int64 // when an attempt of the request was last in flight
 }
 
@@ -37,8 +37,7 @@
 	}
 }
 
-// recordUnansweredDial counts a failed or hanging dial as a lost release of every reservation of the engine, as the dial
-// may have been for a release.
+// recordUnansweredDial records a lost release of each reservation of an engine: the dial may have been for a release.
 func (l *reservationLedger) recordUnansweredDial(engine string) {
 	for i := range l.held {
 		if l.held[i].engine == engine {
--- a/internal/modelcheck/routerfleet.go
+++ b/internal/modelcheck/routerfleet.go
@@ -20,7 +20,7 @@
 	endpoints       endpoint.List
 	nextRouter      int // routers below this index have no more events until the next shared event
 	violationLog    violationLog
-	maxColdAttempts int // maximum number of attempts to a warming engine in one window
+	maxColdAttempts int // maximum of attempts to a warming engine in one window
 }
 
 func newFleet(w World) *fleet {
--- a/internal/modelcheck/simulation.go
+++ b/internal/modelcheck/simulation.go
@@ -26,12 +26,12 @@
 	violationLog    violationLog
 	trace           []string
 	tracing         bool
-	incarnation     int           // of the router, which may be killed and restarted
-	earlierCoverage Coverage      // coverage of earlier incarnations
-	requestsSent    map[int]int   // number of requests by incarnation
-	clientsOpened   int           // number of clients opened so far
-	routerIndex     int           // index of this router in its fleet
-	coldAttempts    []coldAttempt // attempts sent to engines that have restarted
+	incarnation     int         // of the router, which may be killed and restarted
+	earlierCoverage Coverage    // of earlier incarnations
+	requestsSent    map[int]int // by incarnation
+	clientsOpened   int
+	routerIndex     int           // in its fleet
+	coldAttempts    []coldAttempt // attempts to engines that have restarted
 	inFleet         bool          // the fleet manages the endpoint list, engine restarts and time
 }
 
@@ -142,7 +142,7 @@
 	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 }
 
-// restartEngine drops the connections and reservations of an engine that the endpoint list already names as restarted.
+// restartEngine drops the connections and reservations of an engine. The endpoint list already contains the restart.
 func (s *simulation) restartEngine(name string) {
 	s.reservations.removeEngine(name)
 	for _, c := range s.connections {
--- a/internal/modelcheck/snapshot.go
+++ b/internal/modelcheck/snapshot.go
@@ -42,7 +42,7 @@
 	storedCoverage struct{ Brain, Attempt, Conns, Roles uint64 }
 )
 
-// ErrNoFrontier is returned for a stored snapshot without a frontier, which another version of the code has stored.
+// ErrNoFrontier is returned for a stored snapshot without a frontier, which another version has stored.
 var ErrNoFrontier = errors.New("stored snapshot has no frontier")
 
 // Encode writes the snapshot in its stored form.
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -8,15 +8,13 @@
 	"time"
 )
 
-// ErrPathMismatch is returned for a path that does not exist in the world: another version of the code or another world
-// produced it.
+// ErrPathMismatch is returned for a path of another version of the code or of another world.
 var ErrPathMismatch = errors.New("path does not match this version of the code")
 
 // violationPrefix begins each line of a description that contains a violation.
 const violationPrefix = "BROKEN "
 
-// Describe returns a description of a path, with numbered steps, the changes that each step causes and the violations, and
-// also the violations alone.
+// Describe returns the numbered steps of a path, with the changes of each step and the violations, and the violations alone.
 func Describe(w World, path Path) (lines []string, violations []string) {
 	exec := newExecution(w, true)
 	lines = append(lines, fmt.Sprintf("world %s: %d prefill engines, %d decode engines, requests %v", w.Name, w.PrefillEngines,
@@ -90,8 +88,7 @@
 	return steps, exec.clientOutcomes(), nil
 }
 
-// ShortestTerminalPaths returns paths to the terminal states that a breadth-first search reaches first, at most limit of
-// them, ordered by length.
+// ShortestTerminalPaths returns paths to the first terminal states of a breadth-first search, at most limit of them.
 func ShortestTerminalPaths(w World, limit int) (paths []Path) {
 	visited := map[uint64]bool{}
 	frontier := []Path{{}}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -1,8 +1,7 @@
-// Package modelcheck is an explicit-state model checker: it explores all reachable states of a router and reports paths
-// that violate a property. A world runs the production code of the router core, with its routing policy, attempts,
-// connection pool and admission, against an adversary that simulates the engines, the network, the endpoint list, the
-// clients and the clock. Every enabled event is tried in every state; equal states are expanded once. The package does
-// no I/O.
+// Package modelcheck is an explicit-state model checker that searches for violations of properties of a router. A world runs
+// the production code of the router core, with its routing policy, attempts, connection pool and admission, against an
+// adversary that simulates the engines, the network, the endpoint list, the clients and the clock. Every enabled event is
+// tried in every state; equal states are expanded once. It does no I/O.
 package modelcheck
 
 import (
@@ -20,11 +19,11 @@
 	PrefillEngines       int             `json:"readers"`
 	DecodeEngines        int             `json:"writers"`
 	Effects              []config.Effect `json:"effects"` // effect of each request, one request per client
-	Faults               int             `json:"faults"`  // maximum number that the adversary may inject
+	Faults               int             `json:"faults"`  // maximum that the adversary may inject
 	FaultKinds           []FaultKind     `json:"kinds"`   // kinds that the adversary may inject; all if empty
 	ConnectionsPerEngine int             `json:"lines_per_engine"`
 	HealthChecks         bool            `json:"probes"` // the router polls the load of engines
-	MaxOpenRequests      int             `json:"open"`   // maximum number of admitted requests per router; 0 for no limit
+	MaxOpenRequests      int             `json:"open"`   // maximum of admitted requests per router; 0 for no limit
 	Routers              int             `json:"nodes"`  // routers that share the engines, each with these requests; 0 means 1
 	AllOrders            bool            `json:"plain"`  // try all interleavings of events of different routers
 	RoleChanges          bool            `json:"roles"`  // simulate the planner and role changes, without requests
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -65,10 +65,9 @@
 	disconnect []context.CancelFunc // of each client, by its number
 }
 
-// Play replays a path on a real edge and returns the record of each client, and the outcomes of the clients in the model
-// checker (empty for a client that still waits). The world must have one engine of each role: with more, routing depends
-// on the names of the engines, which are different on sockets. The error is ErrUnsupportedWorld, ErrUnsupportedAction,
-// modelcheck.ErrPathMismatch or a network error.
+// Play replays a path on a real edge and returns the record of each client and its outcome in the model checker (empty if it
+// still waits). The world must have one engine of each role: with more, routing depends on the names of the engines, which
+// differ on sockets. The error is ErrUnsupportedWorld, ErrUnsupportedAction, modelcheck.ErrPathMismatch or a network error.
 func Play(w modelcheck.World, path modelcheck.Path) (records []audit.ClientRecord, outcomes []string, err error) {
 	if w.PrefillEngines != 1 || w.DecodeEngines != 1 {
 		return nil, nil, fmt.Errorf("world %s has %d prefill and %d decode engines: %w", w.Name, w.PrefillEngines, w.DecodeEngines, ErrUnsupportedWorld)
@@ -186,8 +185,7 @@
 	p.updates <- p.endpoints
 }
 
-// awaitClients waits until all clients have ended, and cancels those that are still waiting after clientsTimeout, as a path
-// may end before its clients.
+// awaitClients waits until all clients have ended. A path may end before its clients; those are canceled after a timeout.
 func (p *replayer) awaitClients(cancel context.CancelFunc) {
 	ended := make(chan struct{})
 	go func() { p.clients.Wait(); close(ended) }()
