--- a/internal/protocol/chat/completion.go
+++ b/internal/protocol/chat/completion.go
@@ -107,7 +107,7 @@
 	return body
 }
 
-// apiError is an error object as OpenAI-style clients expect it.
+// apiError is an error object in the form that OpenAI-style clients expect.
 type apiError struct {
 	Code    string  `json:"code"`
 	Message string  `json:"message"`
--- a/internal/protocol/chat/completion_test.go
+++ b/internal/protocol/chat/completion_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// The bytes of complete responses, which clients may depend on.
-func TestBodies(t *testing.T) {
+// The bytes of complete responses and errors stay the same, as clients may depend on them.
+func TestBodiesAreUnchanged(t *testing.T) {
 	request := parse(t, `{"model":"m","messages":[{"role":"user","content":"abcd"}]}`)
 	b := NewCompletionBuilder(100)
 	if err := b.Add([]byte(`{"id":"i","choices":[{"index":0,"delta":{"content":"<Go>"}}]}`)); err != nil {
--- a/internal/protocol/chat/decoder.go
+++ b/internal/protocol/chat/decoder.go
@@ -5,28 +5,28 @@
 	"errors"
 )
 
-// ErrEventTooLong refuses an event that is over the decoder's limit.
-var ErrEventTooLong = errors.New("event of the stream is over its bound")
+// ErrEventTooLong reports an event that is over the decoder's limit.
+var ErrEventTooLong = errors.New("stream event is over its size limit")
 
-// Decoder splits a stream into events. Only the data field is kept; other fields are skipped, and comments too where no
-// OnComment is set.
+// Decoder splits a stream into events. It keeps only the data field; it skips other fields, and also comments if OnComment is
+// not set.
 type Decoder struct {
-	OnComment func(text []byte) // called with each comment, if set; it may keep the slice
+	OnComment func(text []byte) // called for each comment if set; it may retain the slice
 
 	maxBytes int
-	line     []byte // present line, as far as it has come
-	data     []byte // of the present event
-	hasData  bool   // the present event has a data field
-	afterCR  bool   // the last byte was a carriage return; a line feed that follows belongs to it
-	started  bool   // the first line, which may have a byte order mark, is past
+	line     []byte // bytes of the current line so far
+	data     []byte // data of the current event
+	hasData  bool   // whether the current event has a data field
+	afterCR  bool   // whether the last byte was a carriage return; a line feed after it belongs to the same line end
+	started  bool   // whether the first line, which may have a byte order mark, was handled
 	err      error
 }
 
-// NewDecoder makes a decoder that holds at most so many bytes of one event.
+// NewDecoder returns a decoder that holds at most maxBytes bytes of one event.
 func NewDecoder(maxBytes int) *Decoder { return &Decoder{maxBytes: maxBytes} }
 
-// Feed decodes the next bytes and calls emit with the data of each complete event; emit may keep the slice. After an error
-// the decoder accepts no more.
+// Feed decodes the next bytes and calls emit with the data of each complete event; emit may retain the slice. After an error
+// the decoder accepts no more bytes.
 func (d *Decoder) Feed(in []byte, emit func(data []byte)) error {
 	for len(in) > 0 && d.err == nil {
 		if d.afterCR {
@@ -51,7 +51,7 @@
 	return d.err
 }
 
-// AtBoundary is whether no event is incomplete.
+// AtBoundary reports whether no event is incomplete.
 func (d *Decoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
 
 func (d *Decoder) appendToLine(more []byte) {
--- a/internal/protocol/chat/decoder_test.go
+++ b/internal/protocol/chat/decoder_test.go
@@ -47,7 +47,7 @@
 			t.Fatal("an event over the limit was emitted")
 		}
 		if next := d.Feed([]byte("data: x\n\n"), func([]byte) {}); err != nil && !errors.Is(next, err) {
-			t.Fatal("accepts more after an error")
+			t.Fatal("decoder accepts more bytes after an error")
 		}
 	})
 }
--- a/internal/protocol/chat/events.go
+++ b/internal/protocol/chat/events.go
@@ -10,8 +10,8 @@
 // Done is the data of the event that ends a stream.
 const Done = "[DONE]"
 
-// AppendEvent appends one event of a stream with this data. A line end in the data begins a new data line, as the
-// event-stream format has it (HTML standard, section 9.2).
+// AppendEvent appends one event with the given data to a stream. As the event-stream format requires (HTML standard, section
+// 9.2), each line of the data becomes a data field of its own.
 func AppendEvent(to []byte, data []byte) []byte {
 	for line := range bytes.Lines(normalizeLineEnds(data)) {
 		to = append(to, "data: "...)
@@ -31,12 +31,12 @@
 	return append(append(fmt.Appendf(make([]byte, 0, len(data)+16), "%x\r\n", len(data)), data...), '\r', '\n')
 }
 
-// IsEventStream is whether the header of a response announces a stream of events.
+// IsEventStream reports whether the content type in the header of a response is that of an event stream.
 func IsEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// normalizeLineEnds makes all line ends line feeds.
+// normalizeLineEnds replaces all line ends by line feeds.
 func normalizeLineEnds(data []byte) []byte {
 	if bytes.IndexByte(data, '\r') < 0 {
 		return data
--- a/internal/protocol/chat/prompt.go
+++ b/internal/protocol/chat/prompt.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Message is one message of a prompt. Its content is kept as it came: a text or parts.
+// Message is one message of a prompt. Its content, a string or a list of parts, is kept undecoded.
 type Message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// tokensPerMessage is what role and separators take in common chat templates.
+// tokensPerMessage is the number of tokens of a message's role and separators in common chat templates.
 const tokensPerMessage = 4
 
-// roles are the values of a message's role.
+// roles are the valid roles of a message.
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// measureMessages counts the tokens of the prompt and hashes its prefix: the messages before the first that is not an
-// instruction, as those are what many sessions have in common.
+// measureMessages counts the tokens of the prompt and hashes its prefix. The prefix is all messages before the first one that
+// is not an instruction, as many sessions have the same instructions.
 func (r *Request) measureMessages(messages []Message) error {
 	hash, leading := xxhash.New(), true
 	for i, message := range messages {
@@ -34,7 +34,7 @@
 		r.PromptTokens += tokens
 		leading = leading && (message.Role == "system" || message.Role == "developer")
 		if leading {
-			// Length first, so that no two lists of messages have the same hash by moving text from one to the next.
+			// The length is hashed first, so that moving text from one message to the next changes the hash.
 			fmt.Fprintf(hash, "%s %d:", message.Role, len(message.Content))
 			hash.Write(message.Content)
 			r.PrefixTokens += tokens
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// EstimateTokens estimates the tokens of a text: one for four bytes of ASCII, two for three letters of other scripts.
-// Against common byte-pair vocabularies it is within a third for English prose and within a half for Nepali.
+// EstimateTokens estimates the number of tokens of a text: one for four bytes of ASCII, two for three letters of other
+// scripts. Compared with common byte-pair vocabularies, the error is up to a third for English prose and up to a half for
+// Nepali.
 func EstimateTokens(text []byte) int {
 	ascii, other := 0, 0
 	for _, r := range string(text) {
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -15,32 +15,32 @@
 // Limits of one request beyond its size in bytes.
 const (
 	maxMessages            = 4096
-	maxIDBytes             = 256     // of a session, an idempotency key, a request ID, a model
-	maxTokens              = 1 << 20 // asked for by max_tokens
+	maxIDBytes             = 256     // of a session, an idempotency key, a request ID or a model
+	maxTokens              = 1 << 20 // in the field max_tokens
 	maxFirstTokenTimeoutMs = 3_600_000
 	maxRetryCount          = 1_000_000
 )
 
-// Request is a request for a completion as its client sends it.
+// Request is a completion request of a client.
 type Request struct {
 	Model             string
-	Session           string // empty where the client names none
-	PrefixHash        string // of the leading messages that sessions may share; empty for none
-	PromptTokens      int    // as EstimateTokens counts
+	Session           string // empty if the client sent none
+	PrefixHash        string // of the leading messages that sessions may share; empty if there are none
+	PromptTokens      int    // estimated by EstimateTokens
 	PrefixTokens      int    // of the leading messages
 	MaxOutputTokens   int
 	Stream            bool
 	IdempotencyKey    string
 	ClientRequestID   string        // the client's own ID of the request
-	RetryCount        int           // attempts of the client before this one; 0 where it does not say
-	FirstTokenTimeout time.Duration // how long the client waits for a first token; 0 where it does not say
+	RetryCount        int           // number of the client's earlier attempts; 0 if unspecified
+	FirstTokenTimeout time.Duration // how long the client waits for the first token; 0 if unspecified
 	fields            map[string]json.RawMessage
 }
 
-// InvalidRequestError is what a client must change.
+// InvalidRequestError reports what the client must change in a request.
 type InvalidRequestError struct {
-	Status int    // of the response
-	Param  string // the field or header
+	Status int    // status of the response
+	Param  string // name of the invalid field or header
 	Reason string
 }
 
@@ -51,7 +51,7 @@
 	return &InvalidRequestError{http.StatusBadRequest, param, fmt.Sprintf(format, args...)}
 }
 
-// ParseRequest decodes a request. Errors are of type *InvalidRequestError.
+// ParseRequest decodes and validates a request. Errors are of type *InvalidRequestError.
 func ParseRequest(body []byte, header http.Header) (*Request, error) {
 	if !utf8.Valid(body) {
 		return nil, invalid("body", "it is not UTF-8")
@@ -80,15 +80,15 @@
 	return r, r.measureMessages(decoded.messages)
 }
 
-// decodedFields are fields of the body that a Request does not keep as they are.
+// decodedFields are the fields of the body that a Request does not store unchanged.
 type decodedFields struct {
 	user                string
 	maxTokens           *int
-	maxCompletionTokens *int // replaces maxTokens where it is given
+	maxCompletionTokens *int // replaces maxTokens if present
 	messages            []Message
 }
 
-// decodeFields decodes the fields of the body that the router reads.
+// decodeFields decodes the fields of the body that the router uses.
 func (r *Request) decodeFields() (decoded decodedFields, err error) {
 	for _, field := range []struct {
 		name string
@@ -121,7 +121,7 @@
 	return protocol.DefaultMaxOutputTokens
 }
 
-// parseHeaders reads the headers of the API. The body's user is the session where the header names none.
+// parseHeaders parses the headers of the API. If there is no session header, the user in the body is the session.
 func (r *Request) parseHeaders(header http.Header, user string) error {
 	for _, field := range []struct {
 		name string
@@ -138,19 +138,19 @@
 	if len(r.Session) > maxIDBytes {
 		return invalid("user", "it must be at most %d bytes", maxIDBytes)
 	}
-	timeoutMs, err := numberIn(header, HeaderFirstTokenTimeout, 1, maxFirstTokenTimeoutMs, " milliseconds")
+	timeoutMs, err := parseNumberHeader(header, HeaderFirstTokenTimeout, 1, maxFirstTokenTimeoutMs, " milliseconds")
 	if err != nil {
 		return err
 	}
 	r.FirstTokenTimeout = time.Duration(timeoutMs) * time.Millisecond
-	r.RetryCount, err = numberIn(header, HeaderRetryCount, 0, maxRetryCount, "")
+	r.RetryCount, err = parseNumberHeader(header, HeaderRetryCount, 0, maxRetryCount, "")
 	return err
 }
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// numberIn reads a number in a header; it is 0 where the header is absent.
-func numberIn(header http.Header, name string, least, most int, unit string) (int, error) {
+// parseNumberHeader returns the number in a header, or 0 if the header is absent.
+func parseNumberHeader(header http.Header, name string, least, most int, unit string) (int, error) {
 	text := header.Get(name)
 	if text == "" {
 		return 0, nil
@@ -162,10 +162,10 @@
 	return n, nil
 }
 
-// Replacements are fields for the body of a request to an engine; nil removes a field.
+// Replacements are new values for fields of a request body; nil removes a field.
 type Replacements map[string]any
 
-// RewrittenBody is the body of the request with some fields replaced.
+// RewrittenBody returns the body of the request with the given fields replaced.
 func (r *Request) RewrittenBody(replacements Replacements) ([]byte, error) {
 	fields := make(map[string]any, len(r.fields)+len(replacements))
 	for name, raw := range r.fields {
--- a/internal/protocol/chatapi/client.go
+++ b/internal/protocol/chatapi/client.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// Paths beside that of completions.
+// Paths other than that of completions.
 const (
 	modelsPath    = "/v1/models"
 	livenessPath  = "/healthz"
@@ -30,7 +30,7 @@
 	typeUnavailable    = "unavailable"
 )
 
-// maxCollectedBytes bounds the text of a response to a client that takes no stream.
+// maxCollectedBytes bounds the text of a response that is not streamed.
 const maxCollectedBytes = 1 << 20
 
 func jsonResponse(status int, body []byte, headers ...protocol.Header) protocol.Response {
@@ -79,8 +79,8 @@
 	return jsonResponse(status, chat.ErrorBody(typeInvalidRequest, code, param, reason))
 }
 
-// ShedResponse implements protocol.ClientCodec. It tells clients to wait for at least a second, in whole seconds; those that
-// know Retry-After-Ms get the exact time.
+// ShedResponse implements protocol.ClientCodec. Retry-After is rounded up to whole seconds and at least one second; clients
+// that support Retry-After-Ms get the exact time.
 func (*Codec) ShedResponse(status int, requestID, reason string, retryAfter time.Duration) protocol.Response {
 	seconds := int64(math.Ceil(max(1, retryAfter.Seconds())))
 	headers := []protocol.Header{{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)},
@@ -130,8 +130,8 @@
 // StreamEvent implements protocol.ClientCodec.
 func (*Codec) StreamEvent(event []byte) []byte { return chat.EncodeChunk(event) }
 
-// StreamEnd implements protocol.ClientCodec. A stream that is cut short ends with an error object as its last event.
-func (*Codec) StreamEnd(completed bool, reason string) (data []byte, keep bool) {
+// StreamEnd implements protocol.ClientCodec. The last event of a truncated stream is an error object.
+func (*Codec) StreamEnd(completed bool, reason string) (data []byte, keepAlive bool) {
 	last := chat.EncodeChunk([]byte(chat.Done))
 	if !completed {
 		last = chat.EncodeChunk(chat.ErrorBody(typeServerError, "errored", "", reason))
--- a/internal/protocol/chatapi/codec.go
+++ b/internal/protocol/chatapi/codec.go
@@ -1,5 +1,5 @@
-// Package chatapi is the codec of the open protocol: the chat API towards clients (package chat), and the published form of
-// prefill/decode disaggregation towards engines (package engineapi). It does no I/O.
+// Package chatapi implements the codec of the open protocol: the chat API towards clients (package chat), and the published
+// form of prefill/decode disaggregation towards engines (package engineapi). It does no I/O.
 package chatapi
 
 import (
@@ -11,12 +11,12 @@
 
 // Codec implements protocol.Codec.
 type Codec struct {
-	models []byte // response of the list of models
+	models []byte // body of the response to a request for the list of models
 }
 
 var _ protocol.Codec = (*Codec)(nil)
 
-// modelList is the list of models as OpenAI-style clients expect it.
+// modelList is the list of models in the form that OpenAI-style clients expect.
 type modelList struct {
 	Data   []model `json:"data"`
 	Object string  `json:"object"`
@@ -28,7 +28,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// NewCodec makes the codec of a node that serves these model routes.
+// NewCodec returns the codec of a node that serves the given model routes.
 func NewCodec(routes []string) *Codec {
 	list := modelList{Object: "list"}
 	for _, route := range routes {
@@ -38,7 +38,7 @@
 	return &Codec{models}
 }
 
-// ToRequest converts a chat request into the form that the core takes.
+// ToRequest converts a chat request into a request of package protocol.
 func ToRequest(request *chat.Request) *protocol.Request {
 	return &protocol.Request{
 		Route:             request.Model,
--- a/internal/protocol/chatapi/engine.go
+++ b/internal/protocol/chatapi/engine.go
@@ -15,7 +15,7 @@
 	return engineapi.Request{Chat: request.ProtocolData.(*chat.Request), ID: requestID}
 }
 
-// MixedEnginePrefillsOnDecode is false: a request says whether the engine has to prefill or to decode.
+// MixedEnginePrefillsOnDecode returns false: each request tells the engine either to prefill or to decode.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return false }
 
 // PrefillRequest implements protocol.EngineCodec.
@@ -25,9 +25,9 @@
 }
 
 // DecodeRequest implements protocol.EngineCodec.
-func (*Codec) DecodeRequest(request *protocol.Request, requestID string, to protocol.Target, from protocol.ReservationHandle,
+func (*Codec) DecodeRequest(request *protocol.Request, requestID string, to protocol.Target, reservation protocol.ReservationHandle,
 	_ time.Duration) ([]byte, error) {
-	transfer, _ := from.(engineapi.KVTransfer)
+	transfer, _ := reservation.(engineapi.KVTransfer)
 	return engineRequest(request, requestID).Decode(to.Address, to.RoleEpoch, transfer)
 }
 
@@ -39,10 +39,11 @@
 	return engineapi.Release(to.Address, requestID, attemptIndex)
 }
 
-// ReleaseReachesAllEngines is false: an engine releases its own reservations only.
+// ReleaseReachesAllEngines returns false: an engine releases only its own reservations.
 func (*Codec) ReleaseReachesAllEngines() bool { return false }
 
-// ClassifyResponse implements protocol.EngineCodec. An accepted decode streams, an accepted prefill does not.
+// ClassifyResponse implements protocol.EngineCodec. The response to an accepted decode request is a stream, that to an accepted
+// prefill request is not.
 func (*Codec) ClassifyResponse(head *http.Response, decode bool) attempt.Event {
 	event := engineapi.ClassifyHead(head)
 	if event == attempt.SuccessStatus && decode != chat.IsEventStream(head.Header) {
@@ -56,18 +57,18 @@
 	return engineapi.ParsePrefillResponse(body)
 }
 
-// ParseLoadReport implements protocol.EngineCodec. Reports are in the header of every response.
+// ParseLoadReport implements protocol.EngineCodec. Every response has the load report in its header.
 func (*Codec) ParseLoadReport(head *http.Response, _ []byte) *routing.LoadReport {
 	return engineapi.ParseLoadReport(head.Header)
 }
 
-// ParseLoadComment returns nil: streams carry no reports in comments.
+// ParseLoadComment returns nil: comments in streams have no load reports.
 func (*Codec) ParseLoadComment([]byte) *routing.LoadReport { return nil }
 
 // IsFinalEvent implements protocol.EngineCodec.
 func (*Codec) IsFinalEvent(event []byte) bool { return string(event) == chat.Done }
 
-// ClassifyStreamEnd is a reset, as a complete stream has a final event.
+// ClassifyStreamEnd returns attempt.ConnectionReset, as a complete stream has a final event.
 func (*Codec) ClassifyStreamEnd(bool) (event attempt.Event, reason string) {
-	return attempt.ConnectionReset, "the stream ended without its last event"
+	return attempt.ConnectionReset, "stream ended without its final event"
 }
--- a/internal/protocol/chatapi/golden_test.go
+++ b/internal/protocol/chatapi/golden_test.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// wireLog collects what a codec encodes and decodes.
+// wireLog records the encoded and decoded messages of a codec.
 type wireLog struct{ strings.Builder }
 
 func (l *wireLog) line(what string, value any) { fmt.Fprintf(l, "%s: %v\n", what, value) }
@@ -61,8 +61,8 @@
 	log.bytes("head", c.StreamHead("n-1"))
 	log.bytes("event", c.StreamEvent([]byte("{}")))
 	for _, completed := range []bool{true, false} {
-		data, keep := c.StreamEnd(completed, "the reason")
-		log.bytes(fmt.Sprintf("end, completed %v, keep %v", completed, keep), data)
+		data, keepAlive := c.StreamEnd(completed, "the reason")
+		log.bytes(fmt.Sprintf("end, completed %v, keep %v", completed, keepAlive), data)
 	}
 	log.response("invalid", c.InvalidRequestResponse(400, "code", "param", "the reason"))
 	log.response("shed early", c.ShedResponse(503, "", "the reason", 0))
@@ -78,7 +78,7 @@
 	golden.Check(t, "wire.golden", log.String())
 }
 
-// What clients get that ask for no completion, or for one in a wrong way.
+// The responses to requests that are not for a completion or are invalid.
 func TestGoldenRejections(t *testing.T) {
 	c, log := NewCodec([]string{"chat", "alert"}), &wireLog{}
 	for _, r := range [][2]string{{"GET", "/v1/models"}, {"GET", "/healthz"}, {"GET", "/readyz"}, {"POST", "/readyz"},
@@ -114,7 +114,7 @@
 	golden.Check(t, "rejections.golden", log.String())
 }
 
-// What responses of engines mean.
+// How the codec classifies and decodes the responses of engines.
 func TestGoldenEngineResponses(t *testing.T) {
 	c, log := NewCodec(nil), &wireLog{}
 	log.heads(c)
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,5 +1,6 @@
-// Package protocol is what the core of a router needs of a protocol: the interface of a codec, and the messages between the
-// core and a codec. The core decides what is sent when and to whom; a codec knows the encoding. It does no I/O.
+// Package protocol defines what the core of a router requires of a protocol: the interface of a codec, and the messages
+// between the core and a codec. The core decides what is sent, when and to whom; a codec only encodes and decodes. The package
+// does no I/O.
 package protocol
 
 import (
@@ -10,7 +11,7 @@
 	"sandcourse/internal/routing"
 )
 
-// Codec is one protocol, towards clients and towards engines.
+// Codec encodes and decodes one protocol, towards clients and towards engines.
 type Codec interface {
 	ClientCodec
 	EngineCodec
@@ -18,61 +19,64 @@
 
 // ClientCodec decodes the requests of clients and encodes the responses to them.
 type ClientCodec interface {
-	// ParseRequest decodes a request of a client and names the tenant that sends it, empty for none. An invalid request
-	// gets the rejection. Where request and rejection are nil, AuxiliaryResponse answers.
+	// ParseRequest decodes a client's request and returns the tenant that sends it, or an empty tenant if there is none. For an
+	// invalid request it returns a rejection instead. If both request and rejection are nil, the request is no completion
+	// request, and AuxiliaryResponse returns its response.
 	ParseRequest(r *http.Request, body []byte) (request *Request, tenant string, rejection *Response)
-	// AuxiliaryResponse answers what asks for no completion, such as a health check. NotReady is the reason why the node
-	// can't serve, empty where it can.
+	// AuxiliaryResponse returns the response to a request that is not for a completion, such as a health check. NotReady is
+	// the reason why the node cannot serve requests, or empty if it can.
 	AuxiliaryResponse(r *http.Request, notReady string) Response
 
-	// InvalidRequestResponse rejects what a client must change before a retry.
+	// InvalidRequestResponse rejects a request that the client must change before it retries.
 	InvalidRequestResponse(status int, code, param, reason string) Response
-	// ShedResponse rejects what nothing was done for, so that a retry is safe. The request ID is empty where the request
-	// has none yet; retryAfter is 0 for no advice.
+	// ShedResponse rejects a request of which no part has run, so that a retry is safe. The request ID is empty if the request
+	// has none yet; retryAfter is 0 to suggest no delay.
 	ShedResponse(status int, requestID, reason string, retryAfter time.Duration) Response
-	// ErrorResponse ends a request that may have run.
+	// ErrorResponse reports the failure of a request that may have run.
 	ErrorResponse(requestID, reason string, timedOut bool) Response
 
-	// NewCollector returns nil where the client takes the stream itself.
+	// NewCollector returns a collector for the response, or nil if the client requested a stream.
 	NewCollector(request *Request) Collector
-	// CompleteResponse is the response of what a collector has taken.
+	// CompleteResponse returns the response made of the events in a collector.
 	CompleteResponse(request *Request, requestID string, collected Collector) Response
 
 	// StreamHead, StreamEvent and StreamEnd encode a streamed response.
 	StreamHead(requestID string) []byte
 	StreamEvent(event []byte) []byte
-	// StreamEnd also returns whether the connection may be kept, which may be false where the stream was cut short.
-	StreamEnd(completed bool, reason string) (data []byte, keep bool)
+	// StreamEnd also returns whether the connection can stay open. After a truncated stream that may be impossible.
+	StreamEnd(completed bool, reason string) (data []byte, keepAlive bool)
 }
 
 // EngineCodec encodes the requests to engines and decodes their responses.
 type EngineCodec interface {
-	// MixedEnginePrefillsOnDecode is whether an engine of both roles that gets a decode request without a reservation runs
-	// the prefill too. Else it gets a prefill request first, as a prefill engine does.
+	// MixedEnginePrefillsOnDecode reports whether an engine of both roles also runs the prefill if it receives a decode request
+	// without a reservation. Otherwise it needs a prefill request first, as a prefill engine does.
 	MixedEnginePrefillsOnDecode() bool
-	// PrefillRequest asks for a prefill. The attempt index counts the attempts of the request; remaining is how long the
-	// client still waits.
+	// PrefillRequest encodes a prefill request. The attempt index numbers the attempts of the request; remaining is how long
+	// the client will still wait.
 	PrefillRequest(request *Request, requestID string, to Target, attemptIndex int, remaining time.Duration) ([]byte, error)
-	// DecodeRequest asks for the stream from a reservation.
-	DecodeRequest(request *Request, requestID string, to Target, from ReservationHandle, remaining time.Duration) ([]byte, error)
-	// HealthCheckRequest also asks for a load report, where the protocol has them.
+	// DecodeRequest encodes a request to stream the output from a reservation.
+	DecodeRequest(request *Request, requestID string, to Target, reservation ReservationHandle, remaining time.Duration) ([]byte, error)
+	// HealthCheckRequest encodes a health check, which also requests a load report if the protocol has load reports.
 	HealthCheckRequest(to Target) []byte
-	// ReleaseRequest releases the reservation of an attempt.
+	// ReleaseRequest encodes a request to release the reservation of an attempt.
 	ReleaseRequest(to Target, requestID string, attemptIndex int) []byte
-	// ReleaseReachesAllEngines is whether a release request to any engine releases the reservations of the others, too.
+	// ReleaseReachesAllEngines reports whether a release request to any engine also releases the reservations at all others.
 	ReleaseReachesAllEngines() bool
 
 	// ClassifyResponse maps the head of a response to an event of the attempt's state machine.
 	ClassifyResponse(head *http.Response, decode bool) attempt.Event
-	// ParseReservation decodes the response of a prefill engine: the reservation, and the number of prompt tokens that
-	// were cached.
+	// ParseReservation decodes the response of a prefill engine. It returns the reservation and the number of prompt tokens
+	// that were cached.
 	ParseReservation(body []byte) (handle ReservationHandle, cachedTokens int, err error)
-	// ParseLoadReport decodes the load report of a response, nil for none. The body is given for health checks only.
+	// ParseLoadReport decodes the load report of a response, or returns nil if it has none. The body is nil except for health
+	// checks.
 	ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport
-	// ParseLoadComment decodes a load report in a comment line of a stream, nil for none.
+	// ParseLoadComment decodes a load report in a comment line of a stream, or returns nil if the comment is none.
 	ParseLoadComment(line []byte) *routing.LoadReport
-	// IsFinalEvent is whether an event ends its stream and is not forwarded.
+	// IsFinalEvent reports whether an event ends its stream and must not be forwarded.
 	IsFinalEvent(event []byte) bool
-	// ClassifyStreamEnd is the meaning of a stream whose framing ends and that had no final event, and the reason.
+	// ClassifyStreamEnd maps the end of a stream's framing without a final event to an event of the attempt's state machine,
+	// and returns the reason if that is a failure.
 	ClassifyStreamEnd(hasEvents bool) (event attempt.Event, reason string)
 }
--- a/internal/protocol/engineapi/api.go
+++ b/internal/protocol/engineapi/api.go
@@ -1,20 +1,20 @@
-// Package engineapi is the protocol to engines: prefill and decode requests, health checks and releases, and how the
-// responses are read. It does no I/O. docs/engine-protocol.md says which part is the publicly known form of prefill/decode
-// disaggregation and which is this project's extension.
+// Package engineapi implements the protocol towards engines: it encodes prefill and decode requests, health checks and
+// releases, and decodes the responses. It does no I/O. docs/engine-protocol.md describes which part is the published form of
+// prefill/decode disaggregation and which part is an extension of this project.
 package engineapi
 
-// Paths and headers. Those that begin with X-Sandcourse or /sandcourse are extensions.
+// Paths and headers of the protocol. Names that begin with X-Sandcourse or /sandcourse are extensions.
 const (
 	ChatPath    = "/v1/chat/completions"
 	LoadPath    = "/sandcourse/load"
 	ReleasePath = "/sandcourse/release"
 
-	HeaderRejected      = "X-Sandcourse-Refused" // the reason why an engine did not start an attempt
+	HeaderRejected      = "X-Sandcourse-Refused" // reason why an engine did not start an attempt
 	HeaderMemoryShare   = "X-Sandcourse-Memory"  // share of KV memory in use, 0 to 1
-	HeaderWaitingTokens = "X-Sandcourse-Waiting" // thousands of prompt tokens that wait for prefill or transfer
+	HeaderWaitingTokens = "X-Sandcourse-Waiting" // thousands of prompt tokens waiting for prefill or transfer
 	HeaderOpenRequests  = "X-Sandcourse-Open"    // number of requests in flight
-	HeaderAttempt       = "X-Sandcourse-Send"    // attempt index of a prefill; its reservation is known by request and attempt
-	HeaderRoleEpoch     = "X-Sandcourse-Epoch"   // of the engine's role, as the router knows it
+	HeaderAttempt       = "X-Sandcourse-Send"    // attempt index of a prefill; the request ID and this index identify the reservation
+	HeaderRoleEpoch     = "X-Sandcourse-Epoch"   // epoch of the engine's role that the router expects
 )
 
 // The values of HeaderRejected.
@@ -22,8 +22,8 @@
 	RejectedFull          = "full"
 	RejectedDraining      = "draining"
 	RejectedNoReservation = "no-state"
-	RejectedRoleEpoch     = "epoch" // the engine's role has another epoch by now, or the engine loads for the next one
-	RejectedRole          = "role"  // the engine has no epochs, or the same, and another role
+	RejectedRoleEpoch     = "epoch" // the engine's role has another epoch, or the engine is loading for the next epoch
+	RejectedRole          = "role"  // the engine has another role, and either no epochs or the expected epoch
 )
 
 // KVTransfer is kv_transfer_params: it identifies the KV state that a decode engine fetches from a prefill engine.
--- a/internal/protocol/engineapi/request.go
+++ b/internal/protocol/engineapi/request.go
@@ -8,17 +8,17 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// Request is a client's request on its way to engines.
+// Request is a client's request that is sent to engines.
 type Request struct {
 	Chat *chat.Request
-	ID   string // unique over nodes and their restarts
+	ID   string // request ID, unique over nodes and their restarts
 }
 
-// noAttempt marks a request that has no reservation of its own.
+// noAttempt is the attempt index of requests that make no reservation.
 const noAttempt = -1
 
-// Prefill encodes a prefill request. The role epoch is 0 where the engine's role never changes; the attempt index counts
-// the attempts of the request.
+// Prefill encodes a prefill request. The role epoch is 0 if the engine's role never changes; the attempt index numbers the
+// attempts of the request.
 func (r Request) Prefill(host string, roleEpoch int64, attemptIndex int) ([]byte, error) {
 	return r.encode(host, roleEpoch, attemptIndex, chat.Replacements{"stream": false, "stream_options": nil, "max_tokens": 1,
 		"max_completion_tokens": nil, "kv_transfer_params": KVTransfer{RemoteDecode: true}})
@@ -67,7 +67,8 @@
 	AttemptIndex int    `json:"send"`
 }
 
-// Release encodes the request to a prefill engine to release the reservation of an attempt, also one that it makes later.
+// Release encodes a request to a prefill engine to release the reservation of an attempt. It is also valid for a reservation
+// that the engine makes only later.
 func Release(host, requestID string, attemptIndex int) []byte {
 	body, _ := json.Marshal(releaseBody{requestID, attemptIndex})
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
--- a/internal/protocol/engineapi/response.go
+++ b/internal/protocol/engineapi/response.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/routing"
 )
 
-// ErrNoReservation refuses the response of a prefill engine that does not say where its KV state is.
+// ErrNoReservation reports a prefill response that does not identify the KV state.
 var ErrNoReservation = errors.New("prefill response names no KV state")
 
 // ClassifyHead maps the head of a response to an event of the attempt's state machine.
@@ -28,11 +28,11 @@
 	case rejection == RejectedFull, rejection == RejectedDraining, rejection == RejectedRoleEpoch, rejection == RejectedRole:
 		return attempt.Rejected
 	}
-	// A status alone, even 503, does not say that nothing ran.
+	// A status alone, even 503, does not prove that no part of the request ran.
 	return attempt.ErrorStatus
 }
 
-// prefillResponse is what the router reads of a prefill engine's response.
+// prefillResponse has the fields of a prefill response that the router uses.
 type prefillResponse struct {
 	Transfer *KVTransfer `json:"kv_transfer_params"`
 	Usage    struct {
@@ -42,8 +42,8 @@
 	} `json:"usage"`
 }
 
-// ParsePrefillResponse decodes the body of a prefill engine's response: where the KV state is, and how many prompt tokens
-// were cached.
+// ParsePrefillResponse decodes the body of a prefill response. It returns the location of the KV state and the number of
+// prompt tokens that were cached.
 func ParsePrefillResponse(body []byte) (transfer KVTransfer, cachedTokens int, err error) {
 	var response prefillResponse
 	if err := json.Unmarshal(body, &response); err != nil {
@@ -56,26 +56,26 @@
 	return *t, max(0, response.Usage.Details.CachedTokens), nil
 }
 
-// Limits of the figures of a load report.
+// Limits of the values in a load report.
 const (
 	maxMemoryShare = 4
 	maxQueuedWork  = 1e6
 )
 
-// ParseLoadReport decodes the load report in the header of a response. A report that lacks a figure, or has one out of
-// range, counts as none: a missing figure would be taken for zero.
+// ParseLoadReport decodes the load report in the header of a response. It returns nil if a value is missing or out of range,
+// because otherwise a missing value would be taken for zero.
 func ParseLoadReport(header http.Header) *routing.LoadReport {
-	memoryShare, hasMemory := parseFigure(header, HeaderMemoryShare, maxMemoryShare)
-	waiting, hasWaiting := parseFigure(header, HeaderWaitingTokens, maxQueuedWork)
-	_, hasOpen := parseFigure(header, HeaderOpenRequests, maxQueuedWork)
+	memoryShare, hasMemory := parseNumberHeader(header, HeaderMemoryShare, maxMemoryShare)
+	waiting, hasWaiting := parseNumberHeader(header, HeaderWaitingTokens, maxQueuedWork)
+	_, hasOpen := parseNumberHeader(header, HeaderOpenRequests, maxQueuedWork)
 	if !hasMemory || !hasWaiting || !hasOpen {
 		return nil
 	}
 	return &routing.LoadReport{MemoryShare: memoryShare, QueuedWork: waiting}
 }
 
-// parseFigure reads a header's number, if it is one from 0 to the limit.
-func parseFigure(header http.Header, name string, limit float64) (v float64, ok bool) {
+// parseNumberHeader returns the number in a header. It returns false if there is no number from 0 to the limit.
+func parseNumberHeader(header http.Header, name string, limit float64) (v float64, ok bool) {
 	v, err := strconv.ParseFloat(header.Get(name), 64)
 	return v, err == nil && v >= 0 && v <= limit
 }
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrMalformedPrefillResponse is wrapped by the errors of ParseReservation for a body that can't be decoded.
+// ErrMalformedPrefillResponse is wrapped by the errors that ParseReservation returns for a body that cannot be decoded.
 var ErrMalformedPrefillResponse = errors.New("prefill response is not JSON")
--- a/internal/protocol/httpframing/body.go
+++ b/internal/protocol/httpframing/body.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxLineBytes bounds a chunk's size line and a trailer line: sixteen digits and some extension.
+// maxLineBytes bounds a chunk-size line and a trailer line. A chunk-size line has sixteen digits and possibly extensions.
 const maxLineBytes = 1024
 
-// parseData parses what there is of a body with a length, or of a chunk.
+// parseData parses the available bytes of a body with a length, or of a chunk.
 func (p *Parser) parseData(in []byte) (*Part, int, error) {
 	n := min(len(in), p.remaining)
 	switch {
@@ -71,7 +71,7 @@
 	return messageError(http.StatusRequestEntityTooLarge, "body over %d bytes", p.limits.BodyBytes)
 }
 
-// parseLine returns the first line without its end; it uses no bytes where the line is not complete.
+// parseLine returns the first line without its line end. If the line is incomplete, it consumes no bytes.
 func parseLine(in []byte) (line []byte, used int, err error) {
 	i := bytes.IndexByte(in, '\n')
 	switch {
--- a/internal/protocol/httpframing/head.go
+++ b/internal/protocol/httpframing/head.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// maxInterimResponses bounds the interim responses before a final one; common servers send one or two.
+// maxInterimResponses bounds the interim responses before a final response; common servers send one or two.
 const maxInterimResponses = 16
 
-// bodyFraming is how the end of a body is known.
+// bodyFraming describes how the end of a body is determined.
 type bodyFraming struct {
-	length  int64 // negative for none
+	length  int64 // negative if there is none
 	chunked bool
 }
 
@@ -63,12 +63,12 @@
 	return &Part{Kind: Head, Request: request}, bodyFraming{request.ContentLength, len(request.TransferEncoding) > 0}, nil
 }
 
-// decodeResponse returns no part for an interim response. A client must be able to skip those that it did not ask for
-// (RFC 9110, section 15.2); after a change of protocol the rest would be no HTTP.
+// decodeResponse returns no part for an interim response, as a client must be able to skip interim responses that it did not
+// request (RFC 9110, section 15.2). It refuses a switch of protocols, after which the remaining bytes would not be HTTP.
 func (p *Parser) decodeResponse(head *bufio.Reader) (*Part, bodyFraming, error) {
 	response, err := http.ReadResponse(head, nil)
 	if err != nil {
-		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "answer's head: %w", err)
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "response head: %w", err)
 	}
 	status := response.StatusCode
 	interim := status < http.StatusOK
@@ -78,17 +78,17 @@
 	}
 	p.interimResponses = 0
 	if interim {
-		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "interim answer %d was not asked for", status)
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "interim response %d was not requested", status)
 	}
 	framing := bodyFraming{response.ContentLength, len(response.TransferEncoding) > 0}
 	if framing.length < 0 && !framing.chunked && status != http.StatusNoContent {
-		// The end of the connection may be the end of the body, or a fault.
-		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "answer has neither a length nor chunks")
+		// Without a length, the end of the connection may be the end of the body or a broken connection.
+		return nil, bodyFraming{}, messageError(http.StatusBadGateway, "response has neither a content length nor chunked encoding")
 	}
 	return &Part{Kind: Head, Response: response}, framing, nil
 }
 
-// validateHead refuses what two parties may read differently. The head ends with the end of its last line.
+// validateHead rejects heads that two parties may interpret differently. The head includes the line end of its last line.
 func validateHead(head []byte) error {
 	lengths, codings := 0, 0
 	for n, line := range bytes.Split(head[:len(head)-2], []byte("\r\n")) {
--- a/internal/protocol/httpframing/message.go
+++ b/internal/protocol/httpframing/message.go
@@ -5,22 +5,22 @@
 	"net/http"
 )
 
-// Direction is which messages a connection carries towards this program.
+// Direction tells which messages the parser receives from the connection.
 type Direction uint8
 
-// The directions: requests from a client, responses from an engine.
+// The directions. Requests are received from clients, responses from engines.
 const (
 	Requests Direction = iota
 	Responses
 )
 
-// Limits are the most bytes that one head and one body may have.
+// Limits are the maximum sizes of one head and one body.
 type Limits struct{ HeadBytes, BodyBytes int }
 
 // PartKind is the kind of a part.
 type PartKind uint8
 
-// The parts of a message: one head, any number of body parts, one end.
+// The kinds of parts. A message has one head, any number of body parts and one end.
 const (
 	Head PartKind = iota
 	Body
@@ -30,14 +30,14 @@
 // Part is one part of a message. Data is valid until the next Feed.
 type Part struct {
 	Kind     PartKind
-	Request  *http.Request  // of a head of a request
-	Response *http.Response // of a head of a response
-	Data     []byte         // of a body
+	Request  *http.Request  // set for the head of a request
+	Response *http.Response // set for the head of a response
+	Data     []byte         // bytes of a body part
 }
 
-// MessageError refuses a message.
+// MessageError reports an invalid message.
 type MessageError struct {
-	Status int // with which a server should respond
+	Status int // that a server should send as its response
 	Err    error
 }
 
--- a/internal/protocol/httpframing/parser.go
+++ b/internal/protocol/httpframing/parser.go
@@ -1,12 +1,13 @@
-// Package httpframing splits the bytes of one HTTP/1.1 connection into heads, parts of bodies and ends. It does no I/O.
+// Package httpframing splits the bytes of one HTTP/1.1 connection into heads, body parts and ends of messages. It does no I/O.
 //
-// Heads are decoded by net/http; what this package adds is the strictness that a router needs between two parties that may
-// see a message differently (RFC 9112, section 11.2): one length or chunked, never both, never two.
+// Heads are decoded by net/http. This package adds the strictness that a router needs because the parties before and after it
+// may interpret a message differently (RFC 9112, section 11.2): a message has one length or chunked encoding, but neither both
+// nor two lengths.
 package httpframing
 
 import "bytes"
 
-// parserState is the part of a message that comes next.
+// parserState is the part of a message that the parser expects next.
 type parserState uint8
 
 const (
@@ -24,25 +25,25 @@
 	limits           Limits
 	state            parserState
 	unparsed         []byte
-	remaining        int // bytes of the body or chunk still to come
-	bodyBytes        int // of the present message so far, by its chunk sizes
+	remaining        int // bytes of the body or chunk that have not arrived
+	bodyBytes        int // sum of the chunk sizes of the current message so far
 	trailerBytes     int
-	interimResponses int // before the final one
+	interimResponses int // before the next final response
 	err              error
 }
 
-// NewParser makes a parser for one connection.
+// NewParser returns a parser for one connection.
 func NewParser(direction Direction, limits Limits) *Parser {
 	return &Parser{direction: direction, limits: limits}
 }
 
-// AtBoundary is whether no message is incomplete and no bytes are left over, so that the connection can be reused.
+// AtBoundary reports whether no message is incomplete and no bytes are buffered, so that the connection can be reused.
 func (p *Parser) AtBoundary() bool { return p.state == inHead && len(p.unparsed) == 0 && p.err == nil }
 
-// Buffered is how many bytes are left over.
+// Buffered returns the number of bytes that are buffered and not parsed yet.
 func (p *Parser) Buffered() int { return len(p.unparsed) }
 
-// Feed parses the next bytes. After an error, which is a *MessageError, the connection is of no further use.
+// Feed parses the next bytes. Errors are of type *MessageError; after an error the connection must not be used any more.
 func (p *Parser) Feed(data []byte) (parts []Part, err error) {
 	if p.err != nil {
 		return nil, p.err
@@ -61,13 +62,13 @@
 			break
 		}
 	}
-	// The parts refer to the bytes that were parsed, so the others need memory of their own.
+	// The parts refer to memory of the parsed bytes, so the remaining bytes need memory of their own.
 	p.unparsed = bytes.Clone(in)
 	p.err = err
 	return parts, err
 }
 
-// next parses one step. It uses no bytes and returns no part where more bytes are needed.
+// next parses one step. If more bytes are needed, it consumes no bytes and returns no part.
 func (p *Parser) next(in []byte) (part *Part, used int, err error) {
 	switch p.state {
 	case inHead:
--- a/internal/protocol/httpframing/parser_test.go
+++ b/internal/protocol/httpframing/parser_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-var small = Limits{HeadBytes: 512, BodyBytes: 1024}
+var smallLimits = Limits{HeadBytes: 512, BodyBytes: 1024}
 
-// read parses messages that come in slices and returns their bodies.
-func read(direction Direction, slices ...[]byte) (bodies []string, parser *Parser, err error) {
-	parser = NewParser(direction, small)
+// parseSlices parses the messages in the slices, which may split them anywhere, and returns their bodies.
+func parseSlices(direction Direction, slices ...[]byte) (bodies []string, parser *Parser, err error) {
+	parser = NewParser(direction, smallLimits)
 	var body []byte
 	for _, slice := range slices {
 		parts, err := parser.Feed(slice)
@@ -60,16 +60,16 @@
 			slices = append(slices, bytes.Clone(rest[:n]))
 			rest = rest[n:]
 		}
-		got, parser, err := read(Requests, slices...)
+		got, parser, err := parseSlices(Requests, slices...)
 		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !parser.AtBoundary() {
 			t.Fatalf("%q, %v; want %q", got, err, want)
 		}
 	})
 }
 
-// Interim responses are skipped, whatever they say of a length.
-func TestInterimResponses(t *testing.T) {
-	got, parser, err := read(Responses, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
+// Interim responses have no body and are skipped, whatever their header fields are.
+func TestInterimResponsesAreSkipped(t *testing.T) {
+	got, parser, err := parseSlices(Responses, []byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"+
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	if err != nil || fmt.Sprint(got) != "[ok]" || !parser.AtBoundary() {
 		t.Fatal(got, err)
@@ -99,13 +99,13 @@
 		"endless interim":   {Responses, strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", maxInterimResponses+1), 502},
 		"other protocol":    {Responses, "HTTP/1.1 101 Switching\r\n\r\n", 502},
 	} {
-		_, parser, err := read(c.direction, []byte(c.wire))
-		var refused *MessageError
-		if !errors.As(err, &refused) || refused.Status != c.status {
+		_, parser, err := parseSlices(c.direction, []byte(c.wire))
+		var rejection *MessageError
+		if !errors.As(err, &rejection) || rejection.Status != c.status {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, next := parser.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); next == nil || parser.AtBoundary() {
-			t.Errorf("%s: parses more after an error", name)
+			t.Errorf("%s: the parser accepts more bytes after an error", name)
 		}
 	}
 }
@@ -115,14 +115,14 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 9)
 	f.Fuzz(func(t *testing.T, wire []byte, cut int) {
 		for _, direction := range []Direction{Requests, Responses} {
-			whole, _, errWhole := read(direction, wire)
+			whole, _, errWhole := parseSlices(direction, wire)
 			cut := min(len(wire), max(0, cut))
-			parts, parser, errParts := read(direction, wire[:cut], wire[cut:])
+			parts, parser, errParts := parseSlices(direction, wire[:cut], wire[cut:])
 			if (errWhole == nil) != (errParts == nil) || fmt.Sprint(whole) != fmt.Sprint(parts) {
 				t.Fatalf("split at %d: %q %v against %q %v", cut, parts, errParts, whole, errWhole)
 			}
-			if parser.Buffered() > small.HeadBytes+small.BodyBytes+4096 && parser.Buffered() > len(wire) {
-				t.Fatal("buffers more than it was given")
+			if parser.Buffered() > smallLimits.HeadBytes+smallLimits.BodyBytes+4096 && parser.Buffered() > len(wire) {
+				t.Fatal("parser buffers more bytes than it was fed")
 			}
 		}
 	})
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Request is a request for a completion as its client sends it, whatever the protocol.
+// Request is a completion request of a client, independent of the protocol.
 type Request struct {
-	ID                string // by which engines shall know it; empty where the node has to choose one
+	ID                string // request ID to use at engines; empty if the node must generate one
 	Route             string
-	Session           string        // for affinity; empty where the client names none
-	Prefix            string        // identifies the shared prefix of the prompt; empty for none
-	PromptTokens      int           // all of the prompt
-	PrefixTokens      int           // of the shared prefix
-	MaxOutputTokens   int           // that the client wants at most
-	Stream            bool          // the client takes a stream
-	Idempotent        bool          // engines can recognize a repetition by its key
-	Resumes           bool          // it asks for the rest of a stream that was cut short
-	Retried           bool          // its client has sent it before
-	FirstTokenTimeout time.Duration // how long the client waits for a first token; 0 where it does not say
-	ProtocolData      any           // of the codec that has made it; nobody else reads it
+	Session           string        // key of session affinity; empty if the client sent none
+	Prefix            string        // identifies the shared prefix of the prompt; empty if there is none
+	PromptTokens      int           // tokens of the complete prompt
+	PrefixTokens      int           // tokens of the shared prefix
+	MaxOutputTokens   int           // limit of output tokens
+	Stream            bool          // the client requested a streamed response
+	Idempotent        bool          // engines recognize a repeated request by its key
+	Resumes           bool          // the request is for the rest of a truncated stream
+	Retried           bool          // the client has sent the request before
+	FirstTokenTimeout time.Duration // how long the client waits for the first token; 0 if unspecified
+	ProtocolData      any           // private data of the codec that parsed the request
 }
 
 // Response is a complete response to a client.
 type Response struct {
 	Status      int
 	ContentType string
-	Headers     []Header // beside those of every response
+	Headers     []Header // in addition to those of every response
 	Body        []byte
 }
 
 // Header is one header field.
 type Header struct{ Name, Value string }
 
-// Target is the engine that a request goes to.
+// Target is the engine that a request is sent to.
 type Target struct {
 	Address   string // host:port
-	RoleEpoch int64  // 0 where the role never changes
+	RoleEpoch int64  // 0 if the role never changes
 }
 
-// Collector makes one complete response of the events of a stream, for a client that takes no stream.
+// Collector assembles the events of a stream into one complete response, for a client that did not request a stream.
 type Collector interface {
-	// Add takes the next event. An error ends the collection.
+	// Add appends the next event. After an error the collector must not be used.
 	Add(event []byte) error
 }
 
-// ReservationHandle identifies the KV state that a prefill engine holds for a request, in the terms of the codec; nil for none.
+// ReservationHandle identifies the KV state that a prefill engine holds for a request. Its type depends on the codec; nil means
+// that there is no reservation.
 type ReservationHandle any
 
-// DefaultMaxOutputTokens is the output length of clients that ask for none: what most of them mean. Engines stop earlier by
-// themselves.
+// DefaultMaxOutputTokens is the limit of output tokens for requests that set none; it suits most clients. Engines usually stop
+// earlier, at the end of the output.
 const DefaultMaxOutputTokens = 512
--- a/internal/protocol/platform/codec.go
+++ b/internal/protocol/platform/codec.go
@@ -1,5 +1,5 @@
-// Package platform is the codec of the operators' platform: what clients and engines send there, and how a node is
-// configured. It does no I/O.
+// Package platform implements the codec of the operators' platform: the messages of its clients and engines, and the
+// configuration of a node. The package does no I/O.
 package platform
 
 import "sandcourse/internal/protocol"
@@ -7,7 +7,7 @@
 // Paths of the protocol.
 const (
 	CompletionsPath  = "/v1/chat/completions"
-	HealthPath       = "/_health" // of the node
+	HealthPath       = "/_health" // health check of the node
 	LoadReportPath   = "/_load"
 	PingPath         = "/ping"
 	ReservationsPath = "/v1/holds/"
@@ -27,10 +27,10 @@
 
 // Codec implements protocol.Codec.
 type Codec struct {
-	reportFields []string // that a load report has to have; none where there are no reports
+	reportFields []string // required fields of a load report; empty if engines send no load reports
 }
 
 var _ protocol.Codec = (*Codec)(nil)
 
-// NewCodec makes the codec of a deployment whose load reports have these fields.
+// NewCodec returns the codec of a deployment whose load reports have the given fields.
 func NewCodec(reportFields []string) *Codec { return &Codec{reportFields} }
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/netaddr"
 )
 
-// MaxConfigBytes bounds a configuration.
+// MaxConfigBytes is the maximum size of a configuration.
 const MaxConfigBytes = 16 << 20
 
 const (
@@ -18,48 +18,48 @@
 	defaultMemoryBytes = 192 << 20
 )
 
-// NodeConfig is the configuration that the platform hands to a node at its start, and again when the node has to reload it.
-// Keys match in any case; the tags have the spelling that refusals print.
+// NodeConfig is the configuration that the platform passes to a node when it starts, and again when it must reload. Keys are
+// not case-sensitive; the tags have the spelling that error messages print.
 type NodeConfig struct {
 	Name                 string          `json:"Name"`
 	ListenAddress        string          `json:"Listen"`
 	DiscoveryAddress     string          `json:"Discovery"`
 	Seed                 string          `json:"Seed"` // hexadecimal
 	Limits               ResourceLimits  `json:"Limits"`
-	PeerListenAddress    string          `json:"peer_listen"` // empty for no gossip
-	Peers                []string        `json:"Peers"`       // addresses of all nodes, this one too, by their numbers
-	PeerBroadcastAddress string          `json:"peers_all"`   // reaches all nodes; empty for none
-	CachedEndpoints      json.RawMessage `json:"Known"`       // the snapshot that the node last had of discovery
+	PeerListenAddress    string          `json:"peer_listen"` // empty to disable gossip
+	Peers                []string        `json:"Peers"`       // addresses of all nodes including this one, indexed by node number
+	PeerBroadcastAddress string          `json:"peers_all"`   // address that reaches all nodes; empty if there is none
+	CachedEndpoints      json.RawMessage `json:"Known"`       // the last discovery snapshot that the node received
 	Settings             map[string]any  `json:"Settings"`
 }
 
-// ResourceLimits are what a node may use; 0 for the default.
+// ResourceLimits bounds the resources of a node; 0 selects the default.
 type ResourceLimits struct {
 	Cores    float64 `json:"Cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"Sockets"`
 }
 
-// ParseNodeConfig decodes a configuration and validates all of it. The error, if any, is of type script.Faults.
+// ParseNodeConfig decodes and validates a configuration. The error, if any, is of type script.Faults and has all faults.
 func ParseNodeConfig(file string, data []byte) (*NodeConfig, error) {
 	var c NodeConfig
 	var faults script.Faults
-	refuse := func(format string, args ...any) {
+	addFault := func(format string, args ...any) {
 		faults = append(faults, &script.Fault{File: file, Err: fmt.Errorf(format, args...)})
 	}
 	if err := json.Unmarshal(data, &c); err != nil {
-		refuse("it is no JSON object of the known form: %w", err)
+		addFault("configuration is not a JSON object of the expected form: %w", err)
 		return nil, faults
 	}
-	c.checkAddresses(refuse)
+	c.checkAddresses(addFault)
 	if c.Settings == nil {
-		refuse("settings: they are missing; an object is needed")
+		addFault("settings: missing; an object is required")
 	}
 	if c.Limits.Sockets < minSockets && c.Limits.Sockets != 0 {
-		refuse("limits.sockets: %d is under %d, which a node needs", c.Limits.Sockets, minSockets)
+		addFault("limits.sockets: %d is less than the minimum of %d", c.Limits.Sockets, minSockets)
 	}
 	if c.Limits.MemoryMB < 0 || c.Limits.Cores < 0 {
-		refuse("limits: memory_mb and cores must not be negative")
+		addFault("limits: memory_mb and cores must not be negative")
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -67,10 +67,10 @@
 	return &c, nil
 }
 
-func (c *NodeConfig) checkAddresses(refuse func(format string, args ...any)) {
+func (c *NodeConfig) checkAddresses(addFault func(format string, args ...any)) {
 	check := func(name, address string) {
 		if err := netaddr.Check(address); err != nil {
-			refuse("%s: %w", name, err)
+			addFault("%s: %w", name, err)
 		}
 	}
 	checkOptional := func(name, address string) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// SeedValue is the seed as a number. A seed that is not hexadecimal counts as the length of its text.
+// SeedValue returns the seed as a number. For a seed that is not hexadecimal it returns the length of the text.
 func (c *NodeConfig) SeedValue() uint64 {
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// LoadReportFields are the fields of load reports; none where the deployment has no reports.
+// LoadReportFields returns the fields of load reports, or nil if the deployment has no load reports.
 func (c *NodeConfig) LoadReportFields() (fields []string) {
 	s := params.Flatten(c.Settings)
 	if mode := s.Text("report.how"); mode == "" || mode == "off" {
@@ -110,7 +110,7 @@
 	return fields
 }
 
-// MemoryBytes is how many bytes the node may use.
+// MemoryBytes returns the number of bytes that the node may use.
 func (c *NodeConfig) MemoryBytes() int {
 	if c.Limits.MemoryMB == 0 {
 		return defaultMemoryBytes
--- a/internal/protocol/platform/config_golden_test.go
+++ b/internal/protocol/platform/config_golden_test.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/golden"
 )
 
-// The keys of a configuration, and what its values become.
+// The values that the keys of a configuration set in NodeConfig and Deployment.
 func TestGoldenNodeConfig(t *testing.T) {
 	c, err := ParseNodeConfig("test", []byte(`{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:10","seed":"ff",
 		"limits":{"cores":2.5,"memory_mb":300,"sockets":777},"peer_listen":"127.0.0.1:11","peers":["127.0.0.1:12","127.0.0.1:13"],
--- a/internal/protocol/platform/config_test.go
+++ b/internal/protocol/platform/config_test.go
@@ -19,8 +19,8 @@
  "family_info":{"stage_of_kind":["read","write"],"pin_limit_us":1000000,"kind_memory_tokens":[10,20]},
  "classes":[{"name":"chat","effect":"fragile","worth":5,"objective_us":800000,"deadline_us":3000000}]}}`
 
-// Decisions see the settings by the same conversion as the simulator's, and what a node may hold fits its limits.
-func TestDeployment(t *testing.T) {
+// Routing decisions get the settings converted as in the simulator, and the node's connections and buffers fit its limits.
+func TestDeploymentConvertsSettingsAndFitsLimits(t *testing.T) {
 	node, err := ParseNodeConfig("c", []byte(sampleConfig))
 	if err != nil {
 		t.Fatal(err)
@@ -35,25 +35,25 @@
 		t.Errorf("%+v %+v", d, c)
 	}
 	if c.ReservationLimit != 625*time.Millisecond {
-		t.Errorf("decisions may use a reservation for %v, which leaves no time to release it", c.ReservationLimit)
+		t.Errorf("routing decisions may use a reservation for %v, which leaves no time to release it", c.ReservationLimit)
 	}
 	if d.Limits.Connections+d.Connections.Total+reservedSockets > 256 || d.Limits.Connections < 256/3 || d.Limits.BufferedBytes+d.QueueBytes > 16<<20 {
-		t.Errorf("%+v %+v do not fit", d.Limits, d.Connections)
+		t.Errorf("%+v %+v do not fit the limits of the node", d.Limits, d.Connections)
 	}
 }
 
 func TestInvalidConfigReportsAllFaults(t *testing.T) {
-	for old, with := range map[string]string{`"pin_limit_us":1000000`: `"pin_limit_us":0`, `"pin_limit_us":1000000,`: `"pin_limit_us":-5,`,
+	for old, replacement := range map[string]string{`"pin_limit_us":1000000`: `"pin_limit_us":0`, `"pin_limit_us":1000000,`: `"pin_limit_us":-5,`,
 		`"tick_us":4000`: `"tick_us":200000`, `_limit_us":1000000`: `_limit_us":"long"`, `limit_us":1000000`: `limit_us":1000`,
 		`"127.0.0.4:3000"`: `"nowhere"`, `"fragile"`: `"odd"`, `"sockets":256`: `"sockets":9`,
 		`["read","write"]`: `["read","read"]`, `"settings":{`: `"else":{`, `{"name"`: `{`, `"index":1`: `"index":7`} {
-		node, err := ParseNodeConfig("c", []byte(strings.Replace(sampleConfig, old, with, 1)))
+		node, err := ParseNodeConfig("c", []byte(strings.Replace(sampleConfig, old, replacement, 1)))
 		if err == nil {
 			_, err = node.Deployment("c")
 		}
 		var faults script.Faults
 		if !errors.As(err, &faults) || !strings.HasPrefix(faults[0].Error(), "c: ") {
-			t.Errorf("%s: %v", with, err)
+			t.Errorf("%s: %v", replacement, err)
 		}
 	}
 }
--- a/internal/protocol/platform/deployment.go
+++ b/internal/protocol/platform/deployment.go
@@ -12,23 +12,23 @@
 	"sandcourse/internal/invariant"
 )
 
-// Times that the platform's own times leave to a node.
+// Time limits of a node, derived from the time limits of the platform.
 const (
-	// reuseDelay is how long a connection that carried a stream rests, as a second response may come some
-	// milliseconds behind the stream. Twenty is a round trip on a loaded machine.
+	// reuseDelay is how long a connection that carried a stream is not reused, as a second response may arrive some
+	// milliseconds after the stream. A round trip on a loaded machine takes 20 ms.
 	reuseDelay = 20 * time.Millisecond
-	// firstRequestTimeout is half a second under the three that the platform waits for a response to an incomplete request.
+	// firstRequestTimeout is 0.5 s less than the 3 s that the platform waits for a response to an incomplete request.
 	firstRequestTimeout = 2500 * time.Millisecond
-	// stallTimeout is a second under the five after which a client without news has lost its stream.
+	// stallTimeout is 1 s less than the 5 s after which a client that receives nothing gives up its stream.
 	stallTimeout = 4 * time.Second
-	// acceptAfterSignal covers the 0.4 s for which connections still come after the signal to stop.
+	// acceptAfterSignal covers the 0.4 s during which connections still arrive after the signal to stop.
 	acceptAfterSignal = 600 * time.Millisecond
 	// maxRetryAfter bounds the Retry-After of shed requests.
 	maxRetryAfter = 500 * time.Millisecond
 )
 
-// The kill of a node comes killMargin after the longest timeout of a route, or after maxKillWait if that is shorter. What
-// happens before it is timed backward from it.
+// The platform kills a stopping node killMargin after the longest timeout of a route, but no later than killMargin after
+// maxKillWait. The steps of a graceful shutdown are scheduled backward from the kill.
 const (
 	maxKillWait        = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
@@ -36,21 +36,21 @@
 	handoverBeforeKill = 400 * time.Millisecond
 )
 
-// Sizes of a node.
+// Resources of a node.
 const (
 	defaultSockets = 1024
-	// reservedSockets are descriptors for neither clients nor engines: pollers, listeners, discovery, peers, logs.
+	// reservedSockets are descriptors used neither for clients nor for engines: pollers, listeners, discovery, peers, logs.
 	reservedSockets = 32
 	maxBodyBytes    = 256 << 10
 	maxHeadBytes    = 16 << 10
 )
 
-// Deployment converts the configuration into that of a router. The error, if any, is of type script.Faults.
+// Deployment converts the node's configuration into that of a router. The error, if any, is of type script.Faults.
 func (c *NodeConfig) Deployment(file string) (*config.Deployment, error) {
 	d := config.Defaults()
 	s := params.Flatten(c.Settings)
-	decisions := s.RoutingConfig()
-	d.File, d.NodeName, d.ChatAddress, d.PlatformRouting = file, c.Name, c.ListenAddress, &decisions
+	routingConfig := s.RoutingConfig()
+	d.File, d.NodeName, d.ChatAddress, d.PlatformRouting = file, c.Name, c.ListenAddress, &routingConfig
 	d.NodeNumber, d.NodeCount = int(s.Number("me", 0)), max(1, int(s.Number("nodes", 1)))
 	for i := range s.Count("zones") {
 		d.Zones = append(d.Zones, s.Text(fmt.Sprintf("zones.%d", i)))
@@ -91,7 +91,7 @@
 			PriorityWeight:         s.Number(name("value"), 1),
 			FirstTokenObjective:    s.Duration(name("first_token_target"), time.Second),
 			ObjectivePer1000Tokens: s.Duration(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
-			// A client's own timeout is valid even if it is longer than the route's.
+			// A client may set a timeout that is longer than its route's.
 			Timeout:     maxTimeout,
 			DedupWindow: s.Duration(name("dedup_window"), 0),
 			DedupGroup:  config.DedupGroup(s.Text(name("dedup_group"))),
@@ -100,8 +100,8 @@
 	return routes
 }
 
-// applyConnectionTimes sets the times of connections to engines. An engine closes an idle one at the latest after the time
-// in the settings, so nothing is written to one that has been idle for nearly as long.
+// applyConnectionTimes sets the time limits of connections to engines. An engine closes an idle connection at the latest after
+// the time in the settings, so the node stops using a connection some time before.
 func applyConnectionTimes(d *config.Deployment, s params.Settings) {
 	d.Connections.DialTimeout = s.Duration("limits.dial_timeout", d.Connections.DialTimeout)
 	idle := s.Duration("limits.conn_idle", d.Connections.IdleTimeout)
@@ -110,17 +110,18 @@
 	d.Connections.NonIdempotentIdleTimeout = min(d.Connections.NonIdempotentIdleTimeout, d.Connections.IdleTimeout)
 }
 
-// applyResourceLimits fits what the node holds into its limits.
+// applyResourceLimits divides the node's sockets and memory among connections, buffers and queues.
 func applyResourceLimits(d *config.Deployment, sockets, memoryBytes int) {
 	sockets = cmp.Or(sockets, defaultSockets) - reservedSockets
-	// A request has a client's connection and at most one to an engine, and idle connections are closed at need.
+	// A request uses a client's connection and at most one connection to an engine; idle connections are closed when sockets
+	// run short.
 	d.Limits.Connections, d.Connections.Total = sockets*46/100, sockets/2
 	d.Limits.OpenRequests = d.Limits.Connections
 	d.Limits.BufferedBytes, d.QueueBytes = memoryBytes/6, memoryBytes/16
 	d.MaxBodyBytes, d.MaxHeadBytes = maxBodyBytes, maxHeadBytes
 }
 
-// applyRequestTimes sets the times of requests and reservations.
+// applyRequestTimes sets the time limits of requests and reservations.
 func applyRequestTimes(d *config.Deployment, s params.Settings) {
 	d.Limits.FirstRequestTimeout = firstRequestTimeout
 	d.Limits.HeaderTimeout, d.Limits.BodyTimeout = d.Limits.FirstRequestTimeout, d.Limits.FirstRequestTimeout
@@ -130,12 +131,12 @@
 	if s.Flag("limits.retry_after") {
 		d.MaxRetryAfter = min(maxRetryAfter, s.Duration("limits.max_retry_after", 0))
 	}
-	// For as long as long prefills in a queue take.
+	// The repetition must last as long as queued long prefills can take.
 	d.ReleaseRepeatTime = 3 * d.Rules.ReservationLimit
 }
 
-// applyShutdownTimes sets the times of a graceful shutdown. Streams that are cut short go on at another node only where
-// clients ask for the rest.
+// applyShutdownTimes sets the times of a graceful shutdown. A truncated stream can continue at another node only if clients
+// request the rest of it.
 func applyShutdownTimes(d *config.Deployment, s params.Settings) {
 	d.ShutdownAcceptTime = acceptAfterSignal
 	d.ShutdownTimeout = time.Minute
@@ -146,25 +147,25 @@
 	for i := range d.Routes {
 		longest = max(longest, s.Duration(fmt.Sprintf("routes.%d.route_timeout", i), 0))
 	}
-	kill := min(longest, maxKillWait) + killMargin
-	d.ShutdownStayTime, d.ShutdownHandoverTime = max(d.ShutdownAcceptTime, kill-stayBeforeKill), max(d.ShutdownAcceptTime, kill-handoverBeforeKill)
+	killTime := min(longest, maxKillWait) + killMargin
+	d.ShutdownStayTime, d.ShutdownHandoverTime = max(d.ShutdownAcceptTime, killTime-stayBeforeKill), max(d.ShutdownAcceptTime, killTime-handoverBeforeKill)
 }
 
 func deploymentFaults(d *config.Deployment, s params.Settings, file string) (faults script.Faults) {
-	refuse := func(format string, args ...any) {
+	addFault := func(format string, args ...any) {
 		faults = append(faults, &script.Fault{File: file, Err: fmt.Errorf("settings: %w", fmt.Errorf(format, args...))})
 	}
-	// A limit that is no number must not count as absent, for which there is a default.
+	// A limit that is not a number is a fault. It must not count as absent, as an absent limit gets a default.
 	if pin, given := s["engine_facts.pin"]; given {
 		if _, ok := pin.(float64); !ok {
-			refuse("family_info: pin_limit %v is no number", pin)
+			addFault("family_info: pin_limit %v is not a number", pin)
 		}
 	}
 	for i, route := range d.Routes {
 		if !slices.Contains(config.Effects, route.Effect) {
-			refuse("route %d: effect %q is none of %q", i, route.Effect, config.Effects)
+			addFault("route %d: effect %q is not one of %q", i, route.Effect, config.Effects)
 		}
 	}
-	d.Check(refuse)
+	d.Check(addFault)
 	return faults
 }
--- a/internal/protocol/platform/engine.go
+++ b/internal/protocol/platform/engine.go
@@ -12,10 +12,10 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// ErrNoCachedTokens refuses the response of a prefill engine without a count of cached tokens.
+// ErrNoCachedTokens reports a prefill response without a count of cached tokens.
 var ErrNoCachedTokens = errors.New("prefill response has no number of cached tokens")
 
-// MixedEnginePrefillsOnDecode is true: a mixed engine without a reservation runs the prefill and streams the output.
+// MixedEnginePrefillsOnDecode returns true: a mixed engine without a reservation runs the prefill and streams the output.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return true }
 
 // PrefillRequest implements protocol.EngineCodec.
@@ -24,7 +24,7 @@
 	return request.ProtocolData.(*forwardedRequest).encode(requestID, to, remaining), nil
 }
 
-// DecodeRequest implements protocol.EngineCodec. The decode engine finds the reservation by the request's ID.
+// DecodeRequest implements protocol.EngineCodec. The decode engine looks up the reservation by the request's ID.
 func (*Codec) DecodeRequest(request *protocol.Request, requestID string, to protocol.Target, _ protocol.ReservationHandle,
 	remaining time.Duration) ([]byte, error) {
 	return request.ProtocolData.(*forwardedRequest).encode(requestID, to, remaining), nil
@@ -39,15 +39,16 @@
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, to.Address)
 }
 
-// ReleaseRequest releases all reservations of a request, whichever attempt made them.
+// ReleaseRequest implements protocol.EngineCodec. It releases the reservations of all attempts of the request.
 func (*Codec) ReleaseRequest(to protocol.Target, requestID string, _ int) []byte {
 	return fmt.Appendf(nil, "DELETE %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", ReservationsPath, requestID, to.Address)
 }
 
-// ReleaseReachesAllEngines is true: any engine accepts a release of what the others hold for the request.
+// ReleaseReachesAllEngines returns true: any engine accepts the release of reservations that other engines hold.
 func (*Codec) ReleaseReachesAllEngines() bool { return true }
 
-// ClassifyResponse implements protocol.EngineCodec. Nothing ran only where the engine says so itself.
+// ClassifyResponse implements protocol.EngineCodec. Only the header Not-Started proves that the engine has run no part of the
+// request.
 func (*Codec) ClassifyResponse(head *http.Response, decode bool) attempt.Event {
 	notStarted := head.Header.Get(HeaderNotStarted) == "1"
 	switch {
@@ -65,7 +66,7 @@
 	return attempt.ErrorStatus
 }
 
-// reservationByRequestID is the handle of a reservation that engines know by the request's ID.
+// reservationByRequestID is the handle of a reservation that engines look up by the request's ID.
 type reservationByRequestID struct{}
 
 // ParseReservation implements protocol.EngineCodec.
@@ -82,13 +83,13 @@
 	return reservationByRequestID{}, *response.CachedTokens, nil
 }
 
-// IsFinalEvent is false: the event that says that a stream is done goes to the client, too.
+// IsFinalEvent returns false: the event that marks the end of a stream is forwarded to the client, too.
 func (*Codec) IsFinalEvent([]byte) bool { return false }
 
-// ClassifyStreamEnd implements protocol.EngineCodec. Only a complete stream has the last chunk that ends its framing.
+// ClassifyStreamEnd implements protocol.EngineCodec. Only a complete stream has the last chunk, which ends the framing.
 func (*Codec) ClassifyStreamEnd(hasEvents bool) (event attempt.Event, reason string) {
 	if !hasEvents {
-		return attempt.MalformedResponse, "the stream has no event"
+		return attempt.MalformedResponse, "stream has no events"
 	}
 	return attempt.DecodeCompleted, ""
 }
--- a/internal/protocol/platform/engine_test.go
+++ b/internal/protocol/platform/engine_test.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/attempt"
 )
 
-// Nothing ran only where the engine says so itself, whatever the status.
+// Only the header Not-Started proves that the engine has run no part of a request, whatever the status.
 func TestClassifyResponse(t *testing.T) {
 	for _, c := range []struct {
 		status             int
--- a/internal/protocol/platform/forward.go
+++ b/internal/protocol/platform/forward.go
@@ -11,20 +11,20 @@
 	"sandcourse/internal/protocol"
 )
 
-// forwardedRequest is what of a client's request goes to engines unchanged.
+// forwardedRequest holds the parts of a client's request that are forwarded to engines unchanged.
 type forwardedRequest struct {
 	requestLine  string // method and target
-	headerFields []byte // as they are written
+	headerFields []byte // encoded
 	body         []byte
 }
 
-// notForwarded are the header fields of one connection (RFC 9110, section 7.6.1), and those that the node writes itself.
+// notForwarded has the hop-by-hop header fields (RFC 9110, section 7.6.1) and the fields that the node writes itself.
 var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Expect": true, "Host": true, "Content-Length": true, HeaderRequestID: true, HeaderTimeout: true}
 
-// forwardedFields encodes the header fields that go to engines, sorted by name. A deployment's engines may need fields that
-// this program does not know, such as an idempotency key.
+// forwardedFields encodes the header fields that are forwarded to engines, sorted by name. Engines may need fields that the
+// node does not use itself, such as an idempotency key.
 func forwardedFields(header http.Header) (out []byte) {
 	hopByHop := map[string]bool{}
 	for _, listed := range header.Values("Connection") {
@@ -43,10 +43,10 @@
 	return out
 }
 
-// minForwardedTimeout is the least timeout that engines are told.
+// minForwardedTimeout is the least timeout that is sent to engines.
 const minForwardedTimeout = time.Millisecond
 
-// encode makes the request to an engine. Prefill and decode requests are the same.
+// encode encodes the request to an engine. Prefill and decode requests are the same.
 func (f *forwardedRequest) encode(requestID string, to protocol.Target, remaining time.Duration) []byte {
 	b := make([]byte, 0, len(f.headerFields)+len(f.body)+512)
 	b = fmt.Appendf(b, "%s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %.3f\r\nContent-Length: %d\r\n", f.requestLine, to.Address,
--- a/internal/protocol/platform/forward_test.go
+++ b/internal/protocol/platform/forward_test.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// A request reaches an engine unchanged, and decisions see the lengths that the client reports.
+// A request reaches an engine unchanged, and routing decisions use the lengths that the client sent.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	const body = `{"model":"chat","max_tokens":800}`
 	request, rejection := parse(t, sampleHead+"Client-Retry: again\r\n", body)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Engines may need fields that the node does not know, such as an idempotency key. Those of one connection are not
-// forwarded, and none is written twice.
+// Header fields that the node does not use are forwarded, as engines may need them (such as an idempotency key). Hop-by-hop
+// fields are not forwarded, and no field is written twice.
 func TestHeaderFieldsAreForwarded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`X-[a-z]{1,8}`).Draw(t, "name")
@@ -68,11 +68,11 @@
 		for field, want := range map[string][]string{"Idempotency-Key": {`"8e03978e"`}, "Content-Type": {"application/json"},
 			"Request-Id": {"9b1f03aa5c7e2d41"}, "Request-Timeout": {"1.000"}, "Te": nil, "Keep-Alive": nil, "Connection": nil} {
 			if got := sent.Header.Values(field); !slices.Equal(got, want) {
-				t.Errorf("%s: %q, not %q", field, got, want)
+				t.Errorf("%s: got %q, want %q", field, got, want)
 			}
 		}
 		if got := sent.Header.Get(name); (got == value) == listed {
-			t.Errorf("%s: %q of %q, listed %v", name, got, value, listed)
+			t.Errorf("%s: got %q, sent %q, listed in Connection: %v", name, got, value, listed)
 		}
 	})
 }
--- a/internal/protocol/platform/loadreport.go
+++ b/internal/protocol/platform/loadreport.go
@@ -17,7 +17,7 @@
 	maxReportValue = 1e9
 )
 
-// ParseLoadReport implements protocol.EngineCodec. The header comes before the body.
+// ParseLoadReport implements protocol.EngineCodec. The header takes precedence over the body.
 func (c *Codec) ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport {
 	if report := c.parseReportText(head.Header.Get(HeaderLoadReport)); report != nil {
 		return report
@@ -25,7 +25,7 @@
 	return c.parseReportText(string(body))
 }
 
-// ParseLoadComment implements protocol.EngineCodec. A report in a comment looks like the header.
+// ParseLoadComment implements protocol.EngineCodec. A load report in a comment has the form of the header field.
 func (c *Codec) ParseLoadComment(line []byte) *routing.LoadReport {
 	name, value, _ := strings.Cut(string(line), ":")
 	if !strings.EqualFold(strings.TrimSpace(name), HeaderLoadReport) {
@@ -34,7 +34,7 @@
 	return c.parseReportText(value)
 }
 
-// parseReportText decodes the text of a load report. One that lacks a field, or has a value out of range, counts as none.
+// parseReportText decodes the text of a load report. It returns nil if a field is missing or a value is out of range.
 func (c *Codec) parseReportText(text string) *routing.LoadReport {
 	text = strings.TrimSpace(text)
 	if len(c.reportFields) == 0 || text == "" || len(text) > maxReportBytes {
--- a/internal/protocol/platform/loadreport_test.go
+++ b/internal/protocol/platform/loadreport_test.go
@@ -18,6 +18,6 @@
 		}
 	}
 	if codec.ParseLoadComment([]byte(" keep-alive")) != nil || NewCodec(nil).ParseLoadComment([]byte(" Server-Load: TEXT x0=1, x1=1")) != nil {
-		t.Error("a comment that is no report counts as one")
+		t.Error("a comment that is not a load report is parsed as one")
 	}
 }
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -16,13 +16,13 @@
 	"sandcourse/internal/routing"
 )
 
-// goTypeNames are where the JSON decoder's texts name structs of this program, which may change. What is compared is the path
-// of the field, and its type if that is a plain one.
+// goTypeNames match the Go type names in errors of the JSON decoder. The names may change, so they are removed; the test
+// compares the path of the field, and its type if that is a basic type.
 var goTypeNames = []*regexp.Regexp{regexp.MustCompile(`(?m)(Go value of type )[a-z]+\.[A-Za-z]+$`),
 	regexp.MustCompile(`(Go struct field )[A-Za-z]*\.`),
 	regexp.MustCompile(`(?m)( of type )(?:struct \{.*\}|[a-z]+\.[A-Za-z]+)$`)}
 
-// The refusal of each invalid configuration, which is the sample with one text in it replaced by another.
+// The faults of invalid configurations. Each is the sample configuration with one text replaced by another.
 func TestGoldenRefusals(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{sampleConfig, ""}, {sampleConfig, "{"}, {sampleConfig, "[]"}, {sampleConfig, "null"}, {sampleConfig, "{}"}, {sampleConfig, "x"}, {`{"name"`, `{`},
@@ -46,32 +46,32 @@
 		{`"index":1,"peers_total":2,"tick_us":4000,"flavors":["prefill","decode"]`, `"index":9,"tick_us":900000,"flavors":[]`},
 	} {
 		if !strings.Contains(sampleConfig, c[0]) {
-			t.Errorf("the sample has no %s", c[0])
+			t.Errorf("the sample configuration does not contain %s", c[0])
 		}
-		m, err := ParseNodeConfig("c.json", []byte(strings.Replace(sampleConfig, c[0], c[1], 1)))
+		node, err := ParseNodeConfig("c.json", []byte(strings.Replace(sampleConfig, c[0], c[1], 1)))
 		if err == nil {
-			_, err = m.Deployment("c.json")
+			_, err = node.Deployment("c.json")
 		}
 		var faults script.Faults
 		if err != nil && !errors.As(err, &faults) {
-			t.Errorf("%s: the error is not of the type for operators: %v", c[1], err)
+			t.Errorf("%s: the error is not of type script.Faults: %v", c[1], err)
 		}
-		old, answer := c[0], "taken"
-		if old == sampleConfig {
-			old = "(all)"
+		replaced, result := c[0], "taken"
+		if replaced == sampleConfig {
+			replaced = "(all)"
 		}
 		if err != nil {
-			answer = err.Error()
+			result = err.Error()
 			for _, names := range goTypeNames {
-				answer = names.ReplaceAllString(answer, "$1")
+				result = names.ReplaceAllString(result, "$1")
 			}
 		}
-		fmt.Fprintf(&b, "%s -> %s\n\t| %s\n\n", old, c[1], strings.ReplaceAll(answer, "\n", "\n\t| "))
+		fmt.Fprintf(&b, "%s -> %s\n\t| %s\n\n", replaced, c[1], strings.ReplaceAll(result, "\n", "\n\t| "))
 	}
 	golden.Check(t, "refusals.golden", b.String())
 }
 
-// fullConfig names all that a configuration may say to this program, in the platform's words.
+// fullConfig has every key of a configuration that this program reads, under the platform's names.
 const fullConfig = `{"name":"n4","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"ff","limits":{"cores":2,"memory_mb":96,
  "sockets":512},"peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],"peers_all":"127.0.0.9:7946","known":{"generation":3},
  "settings":{"areas":["dc1","dc2"],"zone":1,"index":2,"peers_total":3,"tick_us":5000,"flavors":["read","write","mixed"],
@@ -85,26 +85,26 @@
  "streamed":true},{"name":"alert","effect":"dedup","worth":5,"memory_span_us":7000000,"dedup_scope":"zone"},
  {"name":"pay","effect":"fragile","worth_by":[1,2]}]}}`
 
-// What an accepted configuration comes to: what the decision module is handed, and what the node keeps to.
+// The routing configuration and the deployment that result from a valid configuration.
 func TestGoldenDeployment(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{"sample", sampleConfig}, {"full", fullConfig}} {
-		m, err := ParseNodeConfig("c.json", []byte(c[1]))
+		node, err := ParseNodeConfig("c.json", []byte(c[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := m.Deployment("c.json")
+		d, err := node.Deployment("c.json")
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "%s\n\nfacts\n", c[0])
-		lines := settingLines(t, params.Flatten(m.Settings), d.RoutingConfig())
+		lines := settingLines(t, params.Flatten(node.Settings), d.RoutingConfig())
 		for _, name := range slices.Sorted(maps.Keys(lines)) {
 			fmt.Fprintf(&b, "%s = %s\n", name, lines[name])
 		}
 		fmt.Fprintf(&b, "\ntold\nname = %s\nlisten = %s\ndiscovery = %s\nseed = %d\npeer_listen = %s\npeers = %q\npeers_all = %s\n"+
-			"known = %s\nmemory = %d\nreports = %q\n", m.Name, m.ListenAddress, m.DiscoveryAddress, m.SeedValue(), m.PeerListenAddress, m.Peers,
-			m.PeerBroadcastAddress, m.CachedEndpoints, m.MemoryBytes(), m.LoadReportFields())
+			"known = %s\nmemory = %d\nreports = %q\n", node.Name, node.ListenAddress, node.DiscoveryAddress, node.SeedValue(), node.PeerListenAddress, node.Peers,
+			node.PeerBroadcastAddress, node.CachedEndpoints, node.MemoryBytes(), node.LoadReportFields())
 		fmt.Fprintf(&b, "\nnode\nnode = %s\nchat = %s\nme = %d of %d\nzones = %q\nsends = %d\ntick = %v\nprobes = %v\n",
 			d.NodeName, d.ChatAddress, d.NodeNumber, d.NodeCount, d.Zones, d.MaxAttempts, d.TickInterval, d.HealthChecks)
 		for _, k := range d.Kinds {
@@ -128,26 +128,26 @@
 	golden.Check(t, "deployment.golden", b.String())
 }
 
-// settingLines are the settings as they were sent, with those that decisions depend on as the routing configuration has
-// them. What the program sets itself stands there even if it was not sent.
+// settingLines returns the settings by name. A setting that routing decisions depend on has the value of the routing
+// configuration instead of the sent value. Settings that the program computes are included even if they were not sent.
 func settingLines(t *testing.T, sent params.Settings, c routing.Config) map[string]string {
 	t.Helper()
-	lines, decided := map[string]string{}, golden.RoutingSettings(c)
+	lines, routingSettings := map[string]string{}, golden.RoutingSettings(c)
 	for name, v := range sent {
-		if lines[name] = value(t, v); decided[name] != "" {
-			lines[name] = decided[name]
+		if lines[name] = formatValue(t, v); routingSettings[name] != "" {
+			lines[name] = routingSettings[name]
 		}
 	}
-	lines["engine_facts.pin"] = decided["engine_facts.pin"]
+	lines["engine_facts.pin"] = routingSettings["engine_facts.pin"]
 	for i := range c.Routes {
 		name := fmt.Sprintf("routes.%d.dedup_window", i)
-		lines[name] = decided[name]
+		lines[name] = routingSettings[name]
 	}
 	return lines
 }
 
-// value is a setting's value as text: a number in full, true or false, or a quoted word.
-func value(t *testing.T, v any) string {
+// formatValue formats a setting's value: a number without an exponent, true or false, or a quoted string.
+func formatValue(t *testing.T, v any) string {
 	t.Helper()
 	switch v := v.(type) {
 	case float64:
@@ -157,6 +157,6 @@
 	case string:
 		return strconv.Quote(v)
 	}
-	t.Errorf("a setting is neither a number, a word nor true or false: %v", v)
+	t.Errorf("a setting is neither a number, a string nor a boolean: %v", v)
 	return ""
 }
--- a/internal/protocol/platform/request.go
+++ b/internal/protocol/platform/request.go
@@ -15,24 +15,25 @@
 
 // Limits of a request beyond its size in bytes.
 const (
-	maxIDBytes = 128              // of a request ID, an affinity key, a prefix
-	maxTokens  = 1 << 24          // of any length in tokens
-	maxTimeout = 10 * time.Minute // that a client may wait
+	maxIDBytes = 128              // of a request ID, an affinity key or a prefix
+	maxTokens  = 1 << 24          // in any field that counts tokens
+	maxTimeout = 10 * time.Minute // of a client's request
 )
 
-// bytesPerToken estimates the length of a prompt whose client does not say it.
+// bytesPerToken is used to estimate the length of a prompt if the client does not send it.
 const bytesPerToken = 4
 
-// resumeRetry is the value of HeaderClientRetry that asks for the rest of a stream.
+// resumeRetry is the value of HeaderClientRetry that requests the rest of a truncated stream.
 const resumeRetry = "again"
 
-// errNotObject refuses a body that no engine can use; the engine's error would look like its own fault.
+// errNotObject reports a body that no engine can use. If the body were forwarded, the engine's error response would look like
+// a fault of the engine.
 var errNotObject = errors.New("the body is no JSON object")
 
-// HeaderError refuses the value of a header of a client's request.
+// HeaderError reports an invalid header of a client's request.
 type HeaderError struct {
-	Header  string // may go on with the name of a part: "Request-Info: prefix"
-	Problem string // the value that is allowed
+	Header  string // name, and the field within it if there are several: "Request-Info: prefix"
+	Problem string // what is wrong or which values are allowed
 }
 
 // Error returns the header and the problem.
@@ -42,7 +43,7 @@
 	return &HeaderError{header, fmt.Sprintf(format, args...)}
 }
 
-// ParseRequest implements protocol.ClientCodec. The platform names no tenants.
+// ParseRequest implements protocol.ClientCodec. Requests of the platform have no tenant.
 func (c *Codec) ParseRequest(r *http.Request, body []byte) (*protocol.Request, string, *protocol.Response) {
 	if r.URL.Path != CompletionsPath || r.Method != http.MethodPost {
 		return nil, "", nil
@@ -55,7 +56,7 @@
 	return request, "", nil
 }
 
-// singleHeaders may stand once in a request.
+// singleHeaders are the headers that a request must not repeat.
 var singleHeaders = []string{HeaderRequestID, HeaderRequestClass, HeaderAffinityKey, HeaderTimeout, HeaderRequestInfo,
 	HeaderClientRetry}
 
@@ -99,13 +100,13 @@
 	return request, nil
 }
 
-// validRequestID is whether an ID can stand in a path and in a header as it is.
+// validRequestID reports whether an ID can be used in a path and in a header without escaping.
 func validRequestID(id string) bool {
-	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, isReserved) && strings.Trim(id, ".") != ""
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, needsEscape) && strings.Trim(id, ".") != ""
 }
 
-// isReserved is whether a character has to be escaped in a path (RFC 3986, section 2.3).
-func isReserved(r rune) bool {
+// needsEscape reports whether a character must be escaped in a path (RFC 3986, section 2.3).
+func needsEscape(r rune) bool {
 	return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.~", r))
 }
 
@@ -117,7 +118,7 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// parseRequestInfo reads the lengths and the prefix that a client reports; unknown parts are skipped.
+// parseRequestInfo parses the lengths and the prefix that a client sends; unknown fields are skipped.
 func parseRequestInfo(request *protocol.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/protocol/platform/response.go
+++ b/internal/protocol/platform/response.go
@@ -49,10 +49,10 @@
 	return textResponse(http.StatusBadGateway, reason)
 }
 
-// NewCollector returns nil: all clients take streams.
+// NewCollector returns nil: all responses are streamed.
 func (*Codec) NewCollector(*protocol.Request) protocol.Collector { return nil }
 
-// CompleteResponse is an error, as nothing is collected.
+// CompleteResponse returns an error response, as responses are never collected.
 func (c *Codec) CompleteResponse(*protocol.Request, string, protocol.Collector) protocol.Response {
 	return c.ErrorResponse("", "no whole answers are given here", false)
 }
@@ -65,8 +65,8 @@
 // StreamEvent implements protocol.ClientCodec.
 func (*Codec) StreamEvent(event []byte) []byte { return chat.EncodeChunk(event) }
 
-// StreamEnd implements protocol.ClientCodec. A stream that is cut short ends with its connection.
-func (*Codec) StreamEnd(completed bool, _ string) (data []byte, keep bool) {
+// StreamEnd implements protocol.ClientCodec. A truncated stream ends with its connection.
+func (*Codec) StreamEnd(completed bool, _ string) (data []byte, keepAlive bool) {
 	if !completed {
 		return nil, false
 	}
--- a/internal/protocol/platform/response_test.go
+++ b/internal/protocol/platform/response_test.go
@@ -9,13 +9,13 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// The events of a stream are forwarded unchanged, and a stream that is cut short has no last chunk.
-func TestEventsUnchanged(t *testing.T) {
+// The events of a stream are forwarded unchanged, and a truncated stream has no last chunk.
+func TestEventsAreForwardedUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		codec := NewCodec(nil)
 		data := rapid.StringMatching(`[ -~]{0,40}`).Draw(t, "event")
 		completed := rapid.Bool().Draw(t, "completed")
-		last, keep := codec.StreamEnd(completed, "reason")
+		last, keepAlive := codec.StreamEnd(completed, "reason")
 		wire := append(append(codec.StreamHead("n"), codec.StreamEvent([]byte(data))...), last...)
 		parts, err := httpframing.NewParser(httpframing.Responses, largeLimits).Feed(wire)
 		var body []byte
@@ -24,8 +24,8 @@
 			body = append(body, p.Data...)
 			ended = ended || p.Kind == httpframing.End
 		}
-		if err != nil || string(body) != "data: "+data+"\n\n" || ended != completed || keep != completed {
-			t.Fatalf("%q, ended %v, kept %v, %v", body, ended, keep, err)
+		if err != nil || string(body) != "data: "+data+"\n\n" || ended != completed || keepAlive != completed {
+			t.Fatalf("%q, ended %v, kept %v, %v", body, ended, keepAlive, err)
 		}
 		events := 0
 		if chat.NewDecoder(1<<10).Feed(body, func([]byte) { events++ }) != nil || events != 1 {
--- a/internal/protocol/platform/wire_golden_test.go
+++ b/internal/protocol/platform/wire_golden_test.go
@@ -37,8 +37,8 @@
 		c.ReleaseRequest(to, "n-1", 2))
 	fmt.Fprintf(out, "head: %q\nevent: %q\n", c.StreamHead("n-1"), c.StreamEvent([]byte("a\nb")))
 	for _, completed := range []bool{true, false} {
-		data, keep := c.StreamEnd(completed, "the reason")
-		fmt.Fprintf(out, "end, completed %v, keep %v: %q\n", completed, keep, data)
+		data, keepAlive := c.StreamEnd(completed, "the reason")
+		fmt.Fprintf(out, "end, completed %v, keep %v: %q\n", completed, keepAlive, data)
 	}
 	writeResponse(out, "invalid", c.InvalidRequestResponse(400, "code", "param", "the reason"))
 	writeResponse(out, "shed", c.ShedResponse(503, "n-1", "the reason", 0))
@@ -48,7 +48,7 @@
 	golden.Check(t, "wire.golden", out.String())
 }
 
-// What clients get that ask for no completion, or for one in a wrong way.
+// The responses to requests that are not for a completion or are invalid.
 func TestGoldenRejections(t *testing.T) {
 	c, out := NewCodec(nil), &strings.Builder{}
 	for _, r := range [][2]string{{"GET", HealthPath}, {"POST", HealthPath}, {"GET", CompletionsPath}, {"GET", "/else"}} {
