--- a/internal/discovery/catalog/catalog.go
+++ b/internal/discovery/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the state of the operators' discovery as one node has received it: snapshots and changes go in,
-// the present endpoint list comes out. It does no I/O.
+// Package catalog maintains the endpoint list of one node from the snapshots and changes that the operators' discovery service
+// sends. It does no I/O.
 package catalog
 
 import (
@@ -11,29 +11,29 @@
 	"sandcourse/internal/endpoint"
 )
 
-// MaxResponseBytes bounds a response of discovery.
+// MaxResponseBytes is the maximum size of a response of the discovery service.
 const MaxResponseBytes = endpoint.MaxListBytes
 
-// Catalog is the state that is known of discovery. The zero value knows nothing.
+// Catalog is the last state received from the discovery service. The zero value has received none.
 type Catalog struct {
 	generation    int64
 	entries       map[string]endpoint.Entry // by ID; nil before the first snapshot
-	ids           []string                  // of the entries, sorted; renewed by List where idsStale is set
+	ids           []string                  // sorted IDs of the entries; List updates it if idsStale is set
 	idsStale      bool
-	needsSnapshot bool // discovery's history is another one than that of the entries
+	needsSnapshot bool // the entries are not from the current history of the discovery service
 }
 
-// Update is what a response has brought.
+// Update is the result of applying a response.
 type Update struct {
-	Changed bool     // there is a new list
-	Invalid []string // IDs of the instances that were left out; an ID is empty where the instance shows none
+	Changed bool     // whether the list has changed
+	Invalid []string // IDs of invalid instances, which were left out; an ID is empty if the instance has none
 }
 
-// Apply handles a response of discovery. An error leaves the state as it was.
+// Apply updates the catalog with a response of the discovery service. If it returns an error, the catalog is unchanged.
 //
-// A generation that has gone back is that of a store which was restored: its changes do not follow what is known, so the
-// next query asks for a snapshot. An invalid instance is left out as if it were gone, so that it does not hide the drain of
-// another one.
+// A generation lower than the last one shows that the store of the discovery service was restored. Its changes do not apply to
+// the known entries, so the next query requests a snapshot. An invalid instance is removed like a deleted one instead of
+// failing the whole response, which may report that another instance is draining.
 func (c *Catalog) Apply(body []byte) (Update, error) {
 	r, err := parseResponse(body)
 	if err != nil {
@@ -47,18 +47,18 @@
 	}
 	if r.Generation <= c.generation {
 		c.needsSnapshot = r.Generation < c.generation
-		return Update{}, nil // nothing new, or changes that are known
+		return Update{}, nil // no changes, or changes that were applied before
 	}
 	c.generation, c.needsSnapshot = r.Generation, false
 	return Update{Changed: true, Invalid: c.applyInstances(r)}, nil
 }
 
 func (c *Catalog) applySnapshot(r *response) Update {
-	before, lastGeneration := c.entries, c.generation
+	lastEntries, lastGeneration := c.entries, c.generation
 	c.generation, c.needsSnapshot = r.Generation, false
 	c.entries, c.idsStale = map[string]endpoint.Entry{}, true
 	invalid := c.applyInstances(r)
-	changed := before == nil || c.generation != lastGeneration || !maps.Equal(before, c.entries)
+	changed := lastEntries == nil || c.generation != lastGeneration || !maps.Equal(lastEntries, c.entries)
 	return Update{Changed: changed, Invalid: invalid}
 }
 
@@ -75,15 +75,15 @@
 			delete(c.entries, in.ID)
 			c.idsStale = true
 		default:
-			known := len(c.entries)
+			previousCount := len(c.entries)
 			c.entries[in.ID] = in.entry()
-			c.idsStale = c.idsStale || len(c.entries) > known
+			c.idsStale = c.idsStale || len(c.entries) > previousCount
 		}
 	}
 	return invalid
 }
 
-// List is the present list, sorted by ID.
+// List returns the current list, sorted by ID.
 func (c *Catalog) List() endpoint.List {
 	if c.idsStale {
 		c.ids, c.idsStale = slices.Sorted(maps.Keys(c.entries)), false
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Query is the query of the next request: for a watch event within the wait, or empty for a snapshot.
+// Query returns the query of the next request: either a watch with the given wait, or an empty query for a snapshot.
 func (c *Catalog) Query(wait time.Duration) string {
 	if c.entries == nil || c.needsSnapshot {
 		return ""
--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -20,28 +20,28 @@
 	return fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, generation, snapshot, strings.Join(instances, ","))
 }
 
-// checkEntries fails the test if a list does not have the engines of these lifecycles by their numbers.
-func checkEntries(t *rapid.T, entries []endpoint.Entry, truth map[int]lifecycle) {
+// checkEntries fails the test if the entries do not match the expected lifecycles by instance number.
+func checkEntries(t *rapid.T, entries []endpoint.Entry, expected map[int]lifecycle) {
 	t.Helper()
-	if len(entries) != len(truth) {
-		t.Fatalf("%+v, want %v", entries, truth)
+	if len(entries) != len(expected) {
+		t.Fatalf("%+v, want %v", entries, expected)
 	}
 	for _, e := range entries {
 		var id int
 		fmt.Sscanf(e.ID, "s-%d", &id)
-		if (e.State == endpoint.Draining) != (truth[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
-			t.Fatalf("%+v, want %s", e, truth[id])
+		if (e.State == endpoint.Draining) != (expected[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
+			t.Fatalf("%+v, want %s", e, expected[id])
 		}
 	}
 }
 
-// Whether a generation comes as a snapshot or as changes, late or twice, the list is that of the last generation received.
-func TestChangesAndSnapshots(t *testing.T) {
+// The list is that of the last generation received, whether responses are snapshots or changes, outdated or duplicated.
+func TestListIsThatOfTheLastGeneration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth, catalog, generation := map[int]lifecycle{}, &Catalog{}, 1
+		expected, catalog, generation := map[int]lifecycle{}, &Catalog{}, 1
 		snapshot := func() []byte {
 			var instances []string
-			for id, state := range truth {
+			for id, state := range expected {
 				instances = append(instances, instanceJSON(id, state, 5))
 			}
 			return responseJSON(generation, true, instances...)
@@ -56,29 +56,29 @@
 			for id := range rapid.IntRange(0, 4).Draw(t, "changes") {
 				state := rapid.SampledFrom([]lifecycle{serving, draining, deleted}).Draw(t, "state")
 				instances = append(instances, instanceJSON(id, state, 5))
-				if truth[id] = state; state == deleted {
-					delete(truth, id)
+				if expected[id] = state; state == deleted {
+					delete(expected, id)
 				}
 			}
 			latest := responseJSON(generation, false, instances...)
 			if rapid.IntRange(0, 3).Draw(t, "behind") == 0 {
 				latest = snapshot()
 			}
-			for _, a := range [][]byte{latest, latest, last} { // again, and an old one
-				if a != nil && !strings.Contains(string(a), `"reset":true`) || string(a) == string(latest) {
-					if update, err := catalog.Apply(a); err != nil || len(update.Invalid) > 0 {
+			for _, response := range [][]byte{latest, latest, last} { // the latest response, a duplicate and an outdated response
+				if response != nil && !strings.Contains(string(response), `"reset":true`) || string(response) == string(latest) {
+					if update, err := catalog.Apply(response); err != nil || len(update.Invalid) > 0 {
 						t.Fatal(update, err)
 					}
 				}
 			}
 			last = latest
-			checkEntries(t, catalog.List().Entries, truth)
+			checkEntries(t, catalog.List().Entries, expected)
 		}
 	})
 }
 
-// An invalid instance is not listed, and does not hide a change of another one.
-func TestInvalidInstanceHidesNothingElse(t *testing.T) {
+// An invalid instance is removed from the list, and the change of another instance in the same response is applied.
+func TestInvalidInstanceDoesNotAffectOthers(t *testing.T) {
 	c := &Catalog{}
 	c.Apply(responseJSON(1, true, instanceJSON(0, serving, 0), instanceJSON(1, serving, 0)))
 	update, err := c.Apply(responseJSON(2, false, strings.Replace(instanceJSON(0, serving, 0), ":3000", "", 1), instanceJSON(1, draining, 0)))
@@ -92,10 +92,10 @@
 	f.Add(responseJSON(1, true, instanceJSON(0, serving, 0)), responseJSON(2, false, instanceJSON(0, deleted, 0)))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		c := &Catalog{}
-		for _, a := range [][]byte{first, second} {
+		for _, response := range [][]byte{first, second} {
 			before := fmt.Sprint(c.List())
-			if _, err := c.Apply(a); err != nil && fmt.Sprint(c.List()) != before {
-				t.Fatal("a response that is refused changes the list")
+			if _, err := c.Apply(response); err != nil && fmt.Sprint(c.List()) != before {
+				t.Fatal("a rejected response changes the list")
 			}
 		}
 		for _, e := range c.List().Entries {
@@ -106,26 +106,26 @@
 	})
 }
 
-// Whatever is wrong with an instance, the drain of another one is applied.
-func TestInvalidInstancesAreLeftOutSingly(t *testing.T) {
-	for _, bad := range []string{`7`, `null`, `"s-1"`, `[]`, `{}`, `{"instanceId":"s-1","weight":"heavy"}`,
+// However an instance is invalid, only this instance is left out, and the drain of another instance is applied.
+func TestOnlyInvalidInstancesAreLeftOut(t *testing.T) {
+	for _, invalid := range []string{`7`, `null`, `"s-1"`, `[]`, `{}`, `{"instanceId":"s-1","weight":"heavy"}`,
 		`{"instanceId":"s-1","hostPort":"127.0.1.1:3000","lifecycle":"SERVING","startedAtMs":"now"}`,
 		`{"instanceId":"s-1","hostPort":7,"lifecycle":"SERVING"}`} {
 		c := &Catalog{}
 		if _, err := c.Apply(responseJSON(1, true, instanceJSON(1, serving, 0), instanceJSON(2, serving, 0))); err != nil {
 			t.Fatal(err)
 		}
-		if update, err := c.Apply(responseJSON(2, false, bad, instanceJSON(2, draining, 0))); err != nil || len(update.Invalid) != 1 {
-			t.Errorf("%s: left out %q, %v", bad, update.Invalid, err)
+		if update, err := c.Apply(responseJSON(2, false, invalid, instanceJSON(2, draining, 0))); err != nil || len(update.Invalid) != 1 {
+			t.Errorf("%s: left out %q, %v", invalid, update.Invalid, err)
 		}
 		list := c.List().Entries
 		if i := len(list) - 1; i < 0 || list[i].ID != "s-2" || list[i].State != endpoint.Draining {
-			t.Errorf("%s: the drain of the other instance is lost: %v", bad, list)
+			t.Errorf("%s: the drain of the other instance is lost: %v", invalid, list)
 		}
 	}
 }
 
-func TestRefusedResponses(t *testing.T) {
+func TestInvalidResponsesAreRejected(t *testing.T) {
 	var size *endpoint.SizeError
 	if _, err := new(Catalog).Apply(make([]byte, MaxResponseBytes+1)); !errors.As(err, &size) {
 		t.Errorf("a response over the limit: %v", err)
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -23,12 +23,12 @@
 	}
 	report()
 	for _, response := range []string{
-		string(responseJSON(4, false, instanceJSON(0, serving, 5))), // changes before a whole list
+		string(responseJSON(4, false, instanceJSON(0, serving, 5))), // changes without a snapshot
 		"{", "[]", `{"reset":true,"instances":[]}`,
 		string(responseJSON(5, true, instanceJSON(0, serving, 5), instanceJSON(1, serving, 6))),
 		string(responseJSON(5, false)),
 		string(responseJSON(6, false, instanceJSON(1, draining, 6), instanceJSON(2, serving, 7))),
-		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // known already
+		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // applied before
 		string(responseJSON(7, false, instanceJSON(0, deleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
 		`{"generation":8,"reset":false,"instances":[{"instanceId":"s-3","hostPort":"127.0.0.1:1","lifecycle":"SERVING","weight":-1}]}`,
 		string(responseJSON(3, false, instanceJSON(4, serving, 1))), // the store was restored
@@ -38,7 +38,7 @@
 		string(responseJSON(9, true)),
 	} {
 		update, err := c.Apply([]byte(response))
-		fmt.Fprintf(&out, "response %s\n    news %v, left out %q, refused %v\n", response, update.Changed, update.Invalid, err != nil)
+		fmt.Fprintf(&out, "response %s\n    changed %v, invalid %q, rejected %v\n", response, update.Changed, update.Invalid, err != nil)
 		report()
 	}
 	golden.Check(t, "queries.golden", out.String())
--- a/internal/discovery/catalog/response.go
+++ b/internal/discovery/catalog/response.go
@@ -9,17 +9,17 @@
 	"sandcourse/internal/netaddr"
 )
 
-// Reasons why a response is refused, beside its size (*endpoint.SizeError) and form (endpoint.ErrMalformed).
+// Reasons why a response is rejected, in addition to its size (*endpoint.SizeError) and syntax (endpoint.ErrMalformed).
 var (
 	ErrNoGeneration = errors.New("list has no generation")
-	ErrNoSnapshot   = errors.New("changes came before a whole list")
+	ErrNoSnapshot   = errors.New("changes arrived before a snapshot")
 )
 
-// response is one response of discovery: a snapshot, or the changes since a generation.
+// response is one response of the discovery service: a snapshot, or the changes since a generation.
 type response struct {
 	Generation int64
 	Snapshot   bool
-	Instances  []json.RawMessage // decoded one by one, so that an invalid one concerns no other
+	Instances  []json.RawMessage // decoded one by one, so that an invalid instance does not affect the others
 }
 
 func parseResponse(body []byte) (*response, error) {
@@ -40,7 +40,7 @@
 	return &response{*r.Generation, r.Snapshot, r.Instances}, nil
 }
 
-// lifecycle is the state of an instance as discovery names it.
+// lifecycle is the state of an instance under its name in the discovery service.
 type lifecycle string
 
 const (
@@ -49,7 +49,7 @@
 	deleted  lifecycle = "DELETED"
 )
 
-// instance is one engine as discovery describes it.
+// instance is one engine in a response of the discovery service.
 type instance struct {
 	ID          string      `json:"instanceId"`
 	Address     string      `json:"hostPort"`
@@ -61,8 +61,8 @@
 	StartedAtMs int64       `json:"startedAtMs"`
 }
 
-// parseInstance decodes one instance. One that can't be decoded has no lifecycle, which makes it invalid, but may have its
-// ID: a field of a wrong type leaves the other fields as they are read.
+// parseInstance decodes one instance. If the decoding fails, the lifecycle is empty, which makes the instance invalid. The ID
+// may still be set, as a field of a wrong type does not prevent the decoding of the other fields.
 func parseInstance(raw json.RawMessage) instance {
 	var in instance
 	if json.Unmarshal(raw, &in) != nil {
@@ -71,7 +71,7 @@
 	return in
 }
 
-// valid is whether an instance can be listed or removed.
+// valid reports whether an instance can be added, updated or deleted.
 func (in *instance) valid() bool {
 	switch in.Lifecycle {
 	case deleted:
@@ -82,7 +82,7 @@
 	return false
 }
 
-// entry is a valid instance as an entry of the endpoint list.
+// entry converts a valid instance to an entry of the endpoint list.
 func (in *instance) entry() endpoint.Entry {
 	state := endpoint.Ready
 	if in.Lifecycle == draining {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery is the client of the operators' discovery: it follows, over HTTP, an agent that answers a request when
-// the endpoint list has changed.
+// Package discovery implements the client of the operators' discovery service. It watches the endpoint list with long-polling
+// HTTP requests to an agent, which responds when the list has changed.
 package discovery
 
 import (
@@ -12,31 +12,32 @@
 	"sandcourse/internal/endpoint"
 )
 
-// MembersPath is the path of the endpoint list at an agent.
+// MembersPath is the path of the agent's endpoint list.
 const MembersPath = "/catalog/members"
 
 const (
-	// watchWait is how long an agent may hold a request back. What an agent has to report while a connection is dead counts as
-	// reported two seconds after the wait ends, so short waits find out soon.
+	// watchWait is how long an agent may delay its response to wait for a change. A change counts as delivered two seconds
+	// after the end of the wait even if the connection is dead, so short waits are needed to detect a dead connection early.
 	watchWait = 1500 * time.Millisecond
 
-	// minRequestInterval is between the starts of two requests if the first one failed or brought nothing new. An agent is on
-	// the node's own machine, and a watch goes on if the next request arrives within twice that time.
+	// minRequestInterval is the least interval between the starts of two requests if the first one failed or returned no
+	// changes. The agent is on the node's own machine, and it continues a watch if the next request arrives within twice that
+	// interval.
 	minRequestInterval = 100 * time.Millisecond
 )
 
-// Client is an endpoint.Source that follows the agent at the last of the addresses.
+// Client is an endpoint.Source that watches the agent at the last address received from Addresses.
 type Client struct {
-	Addresses <-chan string // of the agent; each replaces the one before
-	Cached    []byte        // the snapshot that the node last had; empty for none
+	Addresses <-chan string // addresses of the agent; each replaces the previous one
+	Cached    []byte        // the last snapshot that the node received; empty if there is none
 }
 
-// InvalidInstancesError reports instances that are left out of a list.
+// InvalidInstancesError reports invalid instances, which are left out of a list.
 type InvalidInstancesError struct {
-	IDs []string // empty where an instance shows no ID
+	IDs []string // an ID is empty if the instance has none
 }
 
-// Error names the instances.
+// Error returns a message with the IDs of the instances.
 func (e *InvalidInstancesError) Error() string {
 	return fmt.Sprintf("entries that make no sense are left out: %q", e.IDs)
 }
@@ -46,7 +47,7 @@
 	w := &watcher{onList: onList, onError: onError}
 	if len(c.Cached) > 0 {
 		if _, err := w.apply(c.Cached); err != nil {
-			onError(fmt.Errorf("the list known from before: %w", err))
+			onError(fmt.Errorf("cached endpoint list: %w", err))
 		}
 	}
 	for address := ""; ; {
@@ -72,14 +73,14 @@
 	}
 }
 
-// watcher follows one agent at a time. What it knows outlives the agents.
+// watcher watches one agent at a time. Its catalog is kept when the agent changes.
 type watcher struct {
 	catalog catalog.Catalog
 	onList  func(endpoint.List)
 	onError func(error)
 }
 
-// apply updates the catalog with a response and reports a list that has changed.
+// apply updates the catalog with a response and passes the list to onList if it has changed.
 func (w *watcher) apply(body []byte) (changed bool, err error) {
 	update, err := w.catalog.Apply(body)
 	if len(update.Invalid) > 0 {
@@ -91,8 +92,7 @@
 	return update.Changed, err
 }
 
-// watch follows one agent until ctx ends. The first request is for a snapshot, whatever is known. An error that lasts is
-// reported once.
+// watch watches one agent until ctx ends. The first request is always for a snapshot. A persistent error is reported once.
 func (w *watcher) watch(ctx context.Context, address string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -107,23 +107,23 @@
 		if ctx.Err() != nil {
 			return
 		}
-		pause := minRequestInterval
+		delay := minRequestInterval
 		switch {
 		case err == nil:
 			query, lastError = w.catalog.Query(watchWait), ""
-			if pause -= time.Since(started); changed {
-				pause = 0
+			if delay -= time.Since(started); changed {
+				delay = 0
 			}
 		case err.Error() != lastError:
 			lastError = err.Error()
 			w.onError(fmt.Errorf("discovery %s: %w; the list before stays", address, err))
 		}
-		if pause <= 0 {
+		if delay <= 0 {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -40,7 +40,7 @@
 
 func ignoreError(error) {}
 
-// addressOf is the channel of a client whose agent never moves.
+// addressOf returns the address channel of a client whose agent never changes.
 func addressOf(address string) <-chan string {
 	addresses := make(chan string, 1)
 	addresses <- address
@@ -56,11 +56,12 @@
 			t.Fatalf("%s, want %s", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("no list %s", want)
+		t.Fatalf("timeout waiting for the list %s", want)
 	}
 }
 
-// The cached list, a snapshot, a change, an agent that becomes unresponsive, and another one that replaces it.
+// A client reports the cached list, a snapshot and a change. If its agent becomes unresponsive, it retries, and then follows
+// the agent that replaces it.
 func TestClientFollowsAgents(t *testing.T) {
 	lists := make(chan endpoint.List, 8)
 	addresses := make(chan string, 1)
@@ -98,19 +99,19 @@
 	expectList(t, lists, "7b ready")
 }
 
-// runClient follows an agent at one address until the test ends; its lists go to the channel.
+// runClient runs a client of the agent at one address until the test ends; its lists are sent to the channel.
 func runClient(t *testing.T, address string) (lists chan endpoint.List) {
 	lists = make(chan endpoint.List, 64)
 	startClient(t, Client{Addresses: addressOf(address)}, func(l endpoint.List) {
 		select {
 		case lists <- l:
-		default: // the test has seen enough
+		default: // the test needs no more lists
 		}
 	}, ignoreError)
 	return lists
 }
 
-// An overloaded agent sends its list steadily, and needs longer for it than a request may be held back.
+// An overloaded agent sends its list slowly but steadily, so that the response takes longer than the wait of the watch.
 func TestSlowResponseIsAccepted(t *testing.T) {
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
 		if query != "" {
@@ -127,11 +128,11 @@
 	select {
 	case <-runClient(t, address):
 	case <-time.After(8 * time.Second):
-		t.Fatal("a list that arrives steadily is never accepted")
+		t.Fatal("a list that arrives slowly but steadily is never accepted")
 	}
 }
 
-// A response that stalls in its middle is abandoned soon, and the request is retried.
+// A response whose body stalls is abandoned after bodyIdleTimeout, and the request is retried.
 func TestStalledResponseIsRetried(t *testing.T) {
 	var requests atomic.Int64
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// An agent that responds at once with nothing new gets no requests without a pause, whether it sends no changes, the same
-// snapshot again, or changes of a generation that has gone back.
+// A client limits its request rate to an agent that responds immediately without changes: with no instances, with the same
+// snapshot again, or with an older generation.
 func TestResponsesWithoutChangesAreRateLimited(t *testing.T) {
 	for name, response := range map[string]string{
 		"nothing":        `{"generation":5,"reset":false,"instances":[]}`,
@@ -179,7 +180,7 @@
 	}
 }
 
-// The store of discovery was restored: its generation has gone back, and its present list is valid.
+// The store of the discovery service was restored, so its generation is lower than before. Its current list is accepted.
 func TestGenerationRollback(t *testing.T) {
 	var restored atomic.Bool
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -208,8 +209,8 @@
 	}
 }
 
-// Errors are typed, the errors of an agent say which one it was, and one that lasts is reported once.
-func TestErrors(t *testing.T) {
+// Errors are typed, errors of an agent have its address, and a persistent error is reported once.
+func TestErrorsAreTypedAndReportedOnce(t *testing.T) {
 	address := startAgent(t, func(query string, w http.ResponseWriter, _ *http.Request) {
 		if query == "" {
 			fmt.Fprint(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"a"}]}`)
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// responseGrace is how long after the wait the response of a working agent may begin.
+	// responseGrace is how long after the end of the wait the response of a working agent may begin.
 	responseGrace = 400 * time.Millisecond
 
-	// bodyIdleTimeout is how long a response that has begun may bring nothing, and responseTimeout bounds it in all: an
-	// overloaded agent takes its time for a long list.
+	// bodyIdleTimeout is the maximum time without new bytes of a response that has begun. responseTimeout bounds the complete
+	// response, as an overloaded agent may send a long list slowly.
 	bodyIdleTimeout = time.Second
 	responseTimeout = 30 * time.Second
 )
 
-// StatusError reports a response with a status other than 200.
+// StatusError reports a response whose status is not 200.
 type StatusError struct {
-	Status string // with its number, such as "503 Service Unavailable"
+	Status string // code and text, such as "503 Service Unavailable"
 }
 
 // Error returns the status.
-func (e *StatusError) Error() string { return "it answers " + e.Status }
+func (e *StatusError) Error() string { return "unexpected response status " + e.Status }
 
-// fetch makes one request. The agent has the time of the watch to begin its response; after that the response may take
-// longer, as long as it goes on.
+// fetch sends one request and returns the body of the response. The response must begin soon after the wait of the watch; from
+// then on it may take longer, as long as bytes keep arriving.
 func fetch(ctx context.Context, client *http.Client, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
@@ -54,7 +54,7 @@
 	return body, nil
 }
 
-// progressReader restarts the idle timer at each read that brings something.
+// progressReader restarts the idle timer at each read that returns bytes.
 type progressReader struct {
 	source    io.Reader
 	idleTimer *time.Timer
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/golden"
 )
 
-// goldenAgent sends the responses in order, byte for byte, and passes on each request as it came.
+// goldenAgent starts an agent that sends the given responses in order, and sends the bytes of each request to the channel.
 func goldenAgent(t *testing.T, responses []string) (address string, requests chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 					select {
 					case response := <-next:
 						fmt.Fprint(c, response)
-					default: // unresponsive after the last one
+					default: // unresponsive after the last response
 					}
 				}
 			}()
@@ -66,15 +66,15 @@
 	const ok = "200 OK"
 	responses := []string{
 		response("503 Service Unavailable", "not yet"),
-		response(ok, listJSON(4, false, "a", "SERVING")), // changes before a snapshot
+		response(ok, listJSON(4, false, "a", "SERVING")), // changes without a snapshot
 		response(ok, listJSON(5, true, "a", "SERVING")),
 		response(ok, listJSON(6, false, "a", "DRAINING")),
 		response(ok, `{"generation":6,"reset":false,"instances":[]}`),
 		response(ok, "{"),
 		response("500 Internal Server Error", ""),
 		response(ok, listJSON(7, false, "b", "SERVING")),
-		"", // none until the deadline
-		response(ok, listJSON(3, false, "a", "DELETED")), // a store that was restored
+		"", // no response until the deadline
+		response(ok, listJSON(3, false, "a", "DELETED")), // generation of a restored store
 		response(ok, listJSON(3, true, "c", "SERVING")),
 		response(ok, listJSON(4, false, "c", "DELETED")),
 	}
--- a/internal/endpoint/file.go
+++ b/internal/endpoint/file.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// defaultPollInterval is a fifth of the shortest drain grace that operators have asked for.
+// defaultPollInterval is a fifth of the shortest drain grace that operators have requested.
 const defaultPollInterval = 50 * time.Millisecond
 
-// WriteFile replaces the list in the file at path atomically.
+// WriteFile atomically replaces the list in the file at path.
 func WriteFile(path string, list List) error {
 	data, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
@@ -34,13 +34,13 @@
 	return os.Rename(file.Name(), path)
 }
 
-// FileSource is the Source that polls a file.
+// FileSource is a Source that polls a file.
 type FileSource struct {
 	Path         string
 	PollInterval time.Duration // 0 for 50 ms
 }
 
-// Run implements Source. An error that lasts is reported once.
+// Run implements Source. A persistent error is reported once.
 func (f FileSource) Run(ctx context.Context, onList func(List), onError func(error)) {
 	interval := f.PollInterval
 	if interval <= 0 {
@@ -68,14 +68,14 @@
 	}
 }
 
-// fileReader knows the last valid list of a file.
+// fileReader reads a list from a file and detects whether it has changed.
 type fileReader struct {
 	path     string
-	data     []byte
-	revision int64 // -1 before the first list
+	data     []byte // of the last valid list
+	revision int64  // of the last valid list; -1 before the first list
 }
 
-// read returns the list of the file if it is valid and differs from the last one that was.
+// read returns the list in the file if it is valid and differs from the last valid list.
 func (r *fileReader) read() (list List, changed bool, err error) {
 	data, err := os.ReadFile(r.path)
 	if err != nil || bytes.Equal(data, r.data) {
--- a/internal/endpoint/file_test.go
+++ b/internal/endpoint/file_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestTruncatedListIsRefusedAtEveryByte(t *testing.T) {
+func TestListTruncatedAtAnyByteIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	want := List{Revision: 3, Entries: []Entry{{ID: "127.0.0.1:9", Kind: "decode", State: Ready},
 		{ID: "127.0.0.1:8", Kind: "prefill", State: Draining, Weight: 2, StartedAtMs: 5}}}
@@ -24,9 +24,9 @@
 	if got, err := Parse(text); err != nil || len(got.Entries) != 2 || got.Entries[1] != want.Entries[1] {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	for i := range len(text) - 2 { // the last two are the brace and the line's end
+	for i := range len(text) - 2 { // the last two bytes are the brace and the line end
 		if _, err := Parse(text[:i]); err == nil {
-			t.Errorf("accepted when cut at %d", i)
+			t.Errorf("a list truncated at byte %d is accepted", i)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	}()
 	defer func() { cancel(); <-done }()
 	if err := <-errs; !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("there is no file yet: %v", err)
+		t.Errorf("a missing file: %v", err)
 	}
 	write := func(revision int64) {
 		if err := WriteFile(path, List{Revision: revision, Entries: []Entry{}}); err != nil {
--- a/internal/endpoint/parse.go
+++ b/internal/endpoint/parse.go
@@ -8,10 +8,10 @@
 	"sandcourse/internal/netaddr"
 )
 
-// MaxListBytes bounds a list in any encoding; one of ten thousand engines has about three million bytes.
+// MaxListBytes is the maximum size of an encoded list; a list of ten thousand engines has about three million bytes.
 const MaxListBytes = 4 << 20
 
-// CheckSize refuses what is over MaxListBytes with a *SizeError.
+// CheckSize returns a *SizeError if data is larger than MaxListBytes.
 func CheckSize(data []byte) error {
 	if len(data) > MaxListBytes {
 		return &SizeError{len(data), MaxListBytes}
@@ -19,7 +19,8 @@
 	return nil
 }
 
-// Parse decodes and validates a list in JSON. One invalid entry makes all of it doubtful, so the whole list is refused.
+// Parse decodes and validates a list in JSON. If any entry is invalid, the rest cannot be trusted either, so the whole list is
+// rejected.
 func Parse(data []byte) (List, error) {
 	var list List
 	if err := CheckSize(data); err != nil {
