--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -1,5 +1,5 @@
-// Package config reads an operator's script, checks it as a whole and turns it into the configuration of one program: a
-// Deployment for a router (what it listens on, its model routes, rules, limits and engines) or a Planner for a planner.
+// Package config reads and validates an operator's script and converts it into the configuration of one program: a Deployment
+// for a router (its addresses, model routes, rules, limits and engines) or a Planner for a planner.
 package config
 
 import (
@@ -11,33 +11,33 @@
 	"sandcourse/internal/routing"
 )
 
-// Effect is what a second run of a request does, as a route's settings name it.
+// Effect is the effect of running a request of a route a second time. Its values are those of the settings.
 type Effect string
 
-// The effects.
+// The effects of a second run.
 const (
 	EffectRetriable    Effect = "retriable"     // idempotent
 	EffectDeduped      Effect = "deduped"       // idempotent with an idempotency key, within the route's window and group
 	EffectNonRetriable Effect = "non-retriable" // not idempotent
 )
 
-// Effects are all effects that a route may have.
+// Effects has all valid effects.
 var Effects = []Effect{EffectRetriable, EffectDeduped, EffectNonRetriable}
 
-// DedupGroup is the set of engines that know of one another's idempotency keys, as a route's settings name it.
+// DedupGroup is the set of engines that share idempotency keys for deduplication. Its values are those of the settings.
 type DedupGroup string
 
-// The groups.
+// The deduplication groups.
 const (
 	DedupGroupAll  DedupGroup = "all"
 	DedupGroupZone DedupGroup = "zone"
 	DedupGroupCell DedupGroup = "cell"
 )
 
-// Role is the role of a kind of engine, as settings name it.
+// Role is the role of a kind of engine. Its values are those of the settings.
 type Role string
 
-// The roles.
+// The roles of engines.
 const (
 	RolePrefill Role = planapi.Prefill
 	RoleDecode  Role = planapi.Decode
@@ -50,7 +50,7 @@
 	Effect                 Effect
 	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective of the first token
-	ObjectivePer1000Tokens time.Duration // added to it for each 1,000 prompt tokens
+	ObjectivePer1000Tokens time.Duration // added to the objective for each 1,000 prompt tokens
 	Timeout                time.Duration
 	DedupWindow            time.Duration
 	DedupGroup             DedupGroup
@@ -66,64 +66,64 @@
 // ConnectionLimits bounds a router's connections to engines.
 type ConnectionLimits struct {
 	PerEngine                int
-	Total                    int // to all engines together; 0 for no bound
+	Total                    int // to all engines together; 0 for no limit
 	ConcurrentDials          int
 	DialTimeout              time.Duration
-	IdleTimeout              time.Duration // how long an idle connection may be used again
-	NonIdempotentIdleTimeout time.Duration // the same, for requests that are not idempotent
-	ReuseDelay               time.Duration // how long a connection that carried a stream is not used again
+	IdleTimeout              time.Duration // how long an idle connection may be reused
+	NonIdempotentIdleTimeout time.Duration // IdleTimeout for requests that are not idempotent
+	ReuseDelay               time.Duration // how long a connection that carried a stream is not reused
 }
 
-// Rules are the figures of the routing rules.
+// Rules has the parameters of the routing rules.
 type Rules struct {
 	DrainGrace       time.Duration
-	ReservationLimit time.Duration // how long an engine may hold the KV state of a request for the next step
-	SlowStart        time.Duration // how long an engine that has started is warming up
-	SlowStartShare   float64       // of its capacity that it has at the start of that
+	ReservationLimit time.Duration // how long an engine may hold the KV state of a request for the decode
+	SlowStart        time.Duration // how long an engine is warming up after its start
+	SlowStartShare   float64       // share of an engine's capacity at the start of its warm-up
 	OverloadWindow   time.Duration
 	OverloadMultiple float64
 }
 
 // Deployment is the configuration of one router.
 type Deployment struct {
-	File                  string // the script that it was read from
+	File                  string // file name of the script
 	NodeName              string
-	NodeNumber, NodeCount int // this router's number among all routers
+	NodeNumber, NodeCount int // this router's number, and the number of routers
 	Zone                  string
 	ChatAddress           string
 	MetricsAddress        string
 	EndpointFile          string
-	PlannerAddress        string // its plans take the place of the endpoint file
+	PlannerAddress        string // if set, plans of the planner replace the endpoint file
 	Engines               []endpoint.Entry
 	Kinds                 []EngineKind
 	Routes                []Route
 	Rules                 Rules
 	Connections           ConnectionLimits
 	Limits                admission.Limits
-	MaxBodyBytes          int // of a client's request
-	MaxHeadBytes          int
-	ClientBufferBytes     int // of a response that wait for a slow client
-	MaxAttempts           int // of one request
+	MaxBodyBytes          int // of a request body
+	MaxHeadBytes          int // of a request head
+	ClientBufferBytes     int // bytes of a response that may be buffered for a slow client
+	MaxAttempts           int // of each request
 	TickInterval          time.Duration
 	StallTimeout          time.Duration
 	MaxRetryAfter         time.Duration
-	ShutdownTimeout       time.Duration // how long open requests may go on once the router was told to stop
+	ShutdownTimeout       time.Duration // how long open requests may continue after the signal to stop
 	HealthChecks          bool
 
-	// The fields below are set by a platform's configuration only.
+	// The fields below are set only from the configuration of a platform.
 
-	PlatformRouting      *routing.Config // of routing decisions, before what the deployment adds
-	Zones                []string        // the names of zones by their numbers
-	ShutdownAcceptTime   time.Duration   // how long a router that was told to stop accepts connections
-	ShutdownStayTime     time.Duration   // how long it keeps its clients if it hears of no peer
-	ShutdownHandoverTime time.Duration   // when it hands over requests that came later than it had to accept them
-	QueueBytes           int             // of events that wait for the router's core
-	// ReleaseRepeatTime is for how long releases are repeated after an attempt was abandoned, where engines forget them:
-	// an attempt that goes on after its connection ended reserves its state, or gives it back, later.
+	PlatformRouting      *routing.Config // routing configuration from the platform, to which the deployment adds its own settings
+	Zones                []string        // names of the zones, indexed by zone number
+	ShutdownAcceptTime   time.Duration   // how long a router accepts connections after the signal to stop
+	ShutdownStayTime     time.Duration   // how long it keeps client connections if no gossip of a peer arrives
+	ShutdownHandoverTime time.Duration   // when it hands over requests that arrived after it was no longer required to accept them
+	QueueBytes           int             // maximum size of events queued for the router's core
+	// ReleaseRepeatTime is how long releases are repeated after an attempt was abandoned, for engines that do not remember
+	// releases. Such an attempt may continue after its connection ended, and make or return its reservation only later.
 	ReleaseRepeatTime time.Duration
 }
 
-// Defaults is a deployment with no route, kind or engine.
+// Defaults returns a deployment with default values and without routes, kinds and engines.
 func Defaults() *Deployment {
 	return &Deployment{
 		NodeName:    "edge",
@@ -157,7 +157,7 @@
 		MaxHeadBytes:      16 << 10,
 		ClientBufferBytes: 48 << 10,
 		MaxAttempts:       4,
-		TickInterval:      5 * time.Millisecond, // routing answers three ticks before a client's timeout
+		TickInterval:      5 * time.Millisecond, // routing responds three ticks before a client's timeout
 		StallTimeout:      5 * time.Second,
 		MaxRetryAfter:     time.Second,
 		QueueBytes:        16 << 20,
--- a/internal/config/deployment_check.go
+++ b/internal/config/deployment_check.go
@@ -7,42 +7,42 @@
 	"sandcourse/internal/config/script"
 )
 
-// A reservation limit must leave time for a release to reach the engine on a loaded machine, and for routing to see that
-// one is needed, at a tick.
+// The minimum of the reservation limit. It must leave time for routing to detect at a tick that a release is needed, and for
+// the release to reach the engine on a loaded machine.
 const (
 	minReservationLimit      = 20 * time.Millisecond
 	minReservationLimitTicks = 8
 )
 
-// Check reports the faults that no single value has.
+// Check reports faults that involve more than one value.
 func (d *Deployment) Check(report script.ReportScriptFault) {
 	if len(d.Routes) == 0 {
-		report("route: none is given; at least one is needed")
+		report("route: at least one route is required")
 	}
 	prefills := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RoleDecode })
 	decodes := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RolePrefill })
 	if !prefills || !decodes {
-		report("kind: there must be one that reads and one that writes")
+		report("kind: at least one kind with role read or both, and one with role write or both, is required")
 	}
 	if d.NodeNumber >= d.NodeCount {
-		report("node: number %d must be under nodes, which is %d", d.NodeNumber, d.NodeCount)
+		report("node: number %d must be less than nodes, which is %d", d.NodeNumber, d.NodeCount)
 	}
 	if least := max(minReservationLimit, minReservationLimitTicks*d.TickInterval); d.Rules.ReservationLimit < least {
-		report("rules: pin is %v; it must be at least %v: eight ticks, and %v", d.Rules.ReservationLimit, least,
+		report("rules: pin is %v, but must be at least %v: the larger of eight ticks and %v", d.Rules.ReservationLimit, least,
 			minReservationLimit)
 	}
 }
 
-// CheckScript reports the faults of a script that no single call has.
+// CheckScript reports faults of a script that involve more than one call.
 func (d *Deployment) CheckScript(report script.ReportScriptFault) {
 	d.Check(report)
 	sources := 0
-	for _, given := range []bool{d.EndpointFile != "", d.PlannerAddress != "", len(d.Engines) > 0} {
-		if given {
+	for _, isSet := range []bool{d.EndpointFile != "", d.PlannerAddress != "", len(d.Engines) > 0} {
+		if isSet {
 			sources++
 		}
 	}
 	if sources != 1 {
-		report("roster, planner or engine: one of them is needed, and only one")
+		report("roster, planner or engine: exactly one of these sources of engines is required")
 	}
 }
--- a/internal/config/deployment_script.go
+++ b/internal/config/deployment_script.go
@@ -9,10 +9,10 @@
 	"sandcourse/internal/endpoint"
 )
 
-// maxEngines is the most engines that one script may list.
+// maxEngines is the maximum number of engines in one script.
 const maxEngines = 20_000
 
-// Load reads a deployment's script from a file. The path of the endpoint file is relative to the script's directory.
+// Load reads and runs a deployment's script from a file. The path of the endpoint file is relative to the script's directory.
 func Load(path string) (*Deployment, error) {
 	text, err := script.ReadFile(path)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return d, err
 }
 
-// relativeTo is the path of a file that is named in the script at scriptPath.
+// relativeTo resolves the path of a file that the script at scriptPath refers to.
 func relativeTo(scriptPath, file string) string {
 	if filepath.IsAbs(file) {
 		return file
@@ -33,7 +33,7 @@
 	return filepath.Join(filepath.Dir(scriptPath), file)
 }
 
-// Read runs a deployment's script. The error, if any, is of type script.Faults.
+// Read runs a deployment's script and returns the deployment. The error, if any, is of type script.Faults.
 func Read(name string, text []byte) (*Deployment, error) {
 	d := Defaults()
 	d.File = name
@@ -43,24 +43,24 @@
 	return d, nil
 }
 
-// ScriptFunctions are the functions that a deployment's script can call. They store what they are given in d.
+// ScriptFunctions returns the functions that a deployment's script can call. They store their arguments in d.
 func (d *Deployment) ScriptFunctions() map[string]script.Function {
 	return map[string]script.Function{
-		"node":    fixed(d.nodeArguments()),
-		"listen":  fixed(d.listenArguments()),
-		"roster":  fixed([]script.Argument{script.Text("file", &d.EndpointFile).Required()}),
-		"planner": fixed([]script.Argument{script.Address("at", &d.PlannerAddress).Required()}),
+		"node":    fixedArguments(d.nodeArguments()),
+		"listen":  fixedArguments(d.listenArguments()),
+		"roster":  fixedArguments([]script.Argument{script.Text("file", &d.EndpointFile).Required()}),
+		"planner": fixedArguments([]script.Argument{script.Address("at", &d.PlannerAddress).Required()}),
 		"kind":    d.addKind,
 		"route":   d.addRoute,
 		"engine":  d.addEngine,
-		"rules":   fixed(d.rulesArguments()),
-		"lines":   fixed(d.connectionArguments()),
-		"limits":  fixed(d.limitsArguments()),
+		"rules":   fixedArguments(d.rulesArguments()),
+		"lines":   fixedArguments(d.connectionArguments()),
+		"limits":  fixedArguments(d.limitsArguments()),
 	}
 }
 
-// fixed is a function that sets the same values in each call, the last one counts.
-func fixed(arguments []script.Argument) script.Function {
+// fixedArguments returns a function whose calls all set the same fields, so that the last call takes effect.
+func fixedArguments(arguments []script.Argument) script.Function {
 	return func() ([]script.Argument, func(script.ReportFault)) { return arguments, nil }
 }
 
@@ -89,7 +89,7 @@
 	}
 	return arguments, func(report script.ReportFault) {
 		if slices.ContainsFunc(d.Kinds, func(other EngineKind) bool { return other.Name == kind.Name }) {
-			report("name", "kind %q stands twice", kind.Name)
+			report("name", "kind %q is declared twice", kind.Name)
 		}
 		d.Kinds = append(d.Kinds, kind)
 	}
@@ -110,10 +110,10 @@
 	}
 	return arguments, func(report script.ReportFault) {
 		if d.Route(route.Name) >= 0 {
-			report("name", "route %q stands twice", route.Name)
+			report("name", "route %q is declared twice", route.Name)
 		}
 		if route.Timeout < route.FirstTokenObjective {
-			report("route_timeout", "%v is under the first-token target of %v", route.Timeout, route.FirstTokenObjective)
+			report("route_timeout", "%v is less than first_token_target, which is %v", route.Timeout, route.FirstTokenObjective)
 		}
 		d.Routes = append(d.Routes, route)
 	}
@@ -130,14 +130,14 @@
 	}
 	return arguments, func(report script.ReportFault) {
 		if len(d.Engines) >= maxEngines {
-			report("", "more than %d engines", maxEngines)
+			report("", "at most %d engines are allowed", maxEngines)
 			return
 		}
 		if slices.ContainsFunc(d.Engines, func(other endpoint.Entry) bool { return other.ID == entry.ID }) {
-			report("at", "engine %s stands twice", entry.ID)
+			report("at", "engine %s is declared twice", entry.ID)
 		}
 		if !slices.ContainsFunc(d.Kinds, func(kind EngineKind) bool { return kind.Name == entry.Kind }) {
-			report("kind", "%q is no kind named above", entry.Kind)
+			report("kind", "%q is not a kind declared above", entry.Kind)
 		}
 		d.Engines = append(d.Engines, entry)
 	}
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestAllFaultsAtOnceWithTheirLines(t *testing.T) {
+func TestAllFaultsAreReportedWithTheirLines(t *testing.T) {
 	_, err := Read("s.star", []byte(`kind(name = "a",
      role = "reads")
 route(name = "r", effect = "retriable", value = -1,
@@ -48,11 +48,11 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		`s.star:2: role: it must be one of read, write, both, not "reads"`, `s.star:3: value: it must be a number of 0.001`,
-		`s.star:4: route_timeout: it must be a time of 0.05s`, `s.star:5: colour: unknown key of route; it has name`,
-		`s.star:6: at: it must be address:port`, `s.star:6: kind: "b" is no kind named above`,
-		`s.star:7: open: it must be a whole number`, `s.star:8: chat: it must be a text`,
-		`s.star:9: route needs the key name`, `s.star:10: rules takes keys only`,
+		`s.star:2: role: must be one of read, write, both, not "reads"`, `s.star:3: value: must be a number from 0.001`,
+		`s.star:4: route_timeout: must be a duration from 0.05s`, `s.star:5: colour: unknown argument of route; known arguments are name`,
+		`s.star:6: at: must be address:port`, `s.star:6: kind: "b" is not a kind declared above`,
+		`s.star:7: open: must be an integer`, `s.star:8: chat: must be a string`,
+		`s.star:9: route requires the argument name`, `s.star:10: rules takes named arguments only`,
 	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("missing: %s\nin:\n%s", want, err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestEndpointListToEvent(t *testing.T) {
+func TestEndpointUpdateOfList(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -79,10 +79,10 @@
 		{ID: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, StartedAtMs: 7},
 		{ID: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
 		{ID: "c:1", Kind: "mixed", State: endpoint.Ready}}})
-	for i := range update.Engines { // zones and cells that the settings do not name have any number, but one of their own
+	for i := range update.Engines { // zones and cells outside the settings have arbitrary but distinct numbers
 		e := &update.Engines[i]
 		if e.Engine == "a:1" && (e.Zone == 0 || e.Cell == update.Engines[1].Cell) {
-			t.Errorf("another zone or cell has the number of the first: %+v", update.Engines)
+			t.Errorf("two zones or two cells have the same number: %+v", update.Engines)
 		}
 		e.Cell = 0
 		if e.Engine == "a:1" {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Found by random settings: cells were numbered list by list, so one that left gave its number to another, and a request that
-// may have run at an engine of it was retried in that other cell, which did not know it.
+// Random settings found this fault: cells were numbered anew in each list, so the number of a removed cell passed to another
+// cell. A request that may have run in the removed cell was then retried in the other cell, which had no record of it.
 func TestZoneAndCellNumbersAreStable(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
@@ -134,29 +134,29 @@
 }
 
 func TestPlannerScript(t *testing.T) {
-	good := `planner(listen = "127.0.0.1:0", store = "s", roster = "r")
+	valid := `planner(listen = "127.0.0.1:0", store = "s", roster = "r")
 kind(name = "p", role = "read")
 kind(name = "d", role = "write")
 pair(read = "p", write = "d")
 changes(floor = 2, drain_time = "3s")
 `
-	p, err := ReadPlanner("p.star", []byte(good))
+	p, err := ReadPlanner("p.star", []byte(valid))
 	if err != nil || p.Assignment.MinServing != 2 || p.Assignment.DrainTimeout != 3*time.Second ||
 		p.RolePairs[0] != (RolePair{PrefillKind: "p", DecodeKind: "d"}) {
 		t.Errorf("%+v %v", p, err)
 	}
-	for script, want := range map[string]string{
-		good + `pair(read = "p", write = "d")`:                                  "p.star:6: read: \"p\" is in a pair already",
-		good + `pair(read = "d", write = "p")`:                                  "p.star:6: read: \"d\" is no kind named above with the role read",
-		good + `changes(floor = 0)`:                                             "p.star:6: floor: it must be a whole number of 1 to 10000",
-		good + `changes(flor = 1)`:                                              "p.star:6: flor: unknown key of changes",
-		good + `value(route = "a")`:                                             "p.star:6: value needs the key value",
-		`kind(name = "p", role = "read")`:                                       "planner: it is missing",
+	for text, want := range map[string]string{
+		valid + `pair(read = "p", write = "d")`:                                 "p.star:6: read: \"p\" is already in a pair",
+		valid + `pair(read = "d", write = "p")`:                                 "p.star:6: read: \"d\" is not a kind declared above with the role read",
+		valid + `changes(floor = 0)`:                                            "p.star:6: floor: must be an integer from 1 to 10000",
+		valid + `changes(flor = 1)`:                                             "p.star:6: flor: unknown argument of changes",
+		valid + `value(route = "a")`:                                            "p.star:6: value requires the argument value",
+		`kind(name = "p", role = "read")`:                                       "planner: a call with the arguments store and roster is required",
 		`planner(listen = "nowhere", store = "s", roster = "r")`:                "address:port",
-		`planner(listen = "127.0.0.1:1", store = "s", roster = "r", edges = 1)`: "unknown key of planner",
+		`planner(listen = "127.0.0.1:1", store = "s", roster = "r", edges = 1)`: "unknown argument of planner",
 	} {
-		if _, err := ReadPlanner("p.star", []byte(script)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, not %q", script, err, want)
+		if _, err := ReadPlanner("p.star", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v, want %q", text, err, want)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,16 +13,17 @@
 	"sandcourse/settings"
 )
 
-// sampleScript is a script without a fault, part by part.
+// sampleScript is a valid script, split into named parts.
 var sampleScript = [][2]string{{"kinds", "kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"},
 	{"route", "route(name = \"r\", effect = \"retriable\")\n"}, {"roster", "roster(file = \"roster.json\")\n"}}
 
-// sampleWithout is the sample with a part left out or another put in its place.
-func sampleWithout(part, instead string) string {
+// sampleReplacing returns the sample script with a part replaced by other text, which may be empty. An unknown part changes
+// nothing.
+func sampleReplacing(part, replacement string) string {
 	var b strings.Builder
 	for _, p := range sampleScript {
 		if p[0] == part {
-			b.WriteString(instead)
+			b.WriteString(replacement)
 		} else {
 			b.WriteString(p[1])
 		}
@@ -30,15 +31,15 @@
 	return b.String()
 }
 
-// refusals are the faults of scripts, each under the script that it is of.
-func refusals[T any](t *testing.T, read func(string, []byte) (T, error), scripts []string) string {
+// listFaults returns the scripts, each followed by its faults.
+func listFaults[T any](t *testing.T, read func(string, []byte) (T, error), scripts []string) string {
 	t.Helper()
 	var b strings.Builder
 	for _, text := range scripts {
 		_, err := read("s.star", []byte(text))
 		var faults script.Faults
 		if !errors.As(err, &faults) {
-			t.Errorf("%s\nhas the error %v", text, err)
+			t.Errorf("%s\nunexpected error %v", text, err)
 			continue
 		}
 		shown := strings.TrimRight(text, "\n")
@@ -50,30 +51,30 @@
 	return b.String()
 }
 
-// Each invalid script is rejected with these texts: the line, the argument, what is allowed and what was given.
+// Each invalid script is rejected with messages that have the line, the argument, and the allowed and given values.
 func TestGoldenRefusals(t *testing.T) {
-	good := sampleWithout("", "")
-	if _, err := Read("s.star", []byte(good)); err != nil {
+	valid := sampleReplacing("", "")
+	if _, err := Read("s.star", []byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	scripts := []string{"", "(", "nonsense(1)\n", "node(name = 1 / 0)\n", "load(\"x.star\", \"y\")\n", "while True:\n    pass\n",
 		"for i in range(10000000):\n    x = i\n", "def f():\n    node(name = \"\")\nf()\n", strings.Repeat("#", script.MaxBytes+1),
-		sampleWithout("kinds", ""), sampleWithout("route", ""), sampleWithout("roster", ""),
-		sampleWithout("kinds", "kind(name = \"a\", role = \"read\")\n"), sampleWithout("kinds", "kind(name = \"b\", role = \"write\")\n"),
-		sampleWithout("kinds", "kind(name = \"a\", role = \"both\")\nkind(name = \"a\", role = \"cook\", memory = 0)\n"),
-		sampleWithout("route", "route()\n"), sampleWithout("route", "route(name = \"r\", effect = \"fragile\")\n"),
-		sampleWithout("route", "route(name = \"r\", effect = \"retriable\")\nroute(name = \"r\", effect = \"deduped\", dedup_group = \"town\")\n"),
-		sampleWithout("route", "route(name = \"r\", effect = \"retriable\", first_token_target = \"2s\", route_timeout = \"1s\")\n"),
-		good + "planner(at = \"127.0.0.1:9090\")\n", good + "planner()\n", good + "planner(at = \"nowhere\")\n",
-		good + "engine(at = \"127.0.0.1:1\", kind = \"c\")\n", good + "engine(at = \"x\", kind = \"a\", weight = -1)\n",
-		good + "engine(at = \"127.0.0.1:1\", kind = \"a\")\nengine(at = \"127.0.0.1:1\", kind = \"a\")\n",
-		good + "node(number = 2, nodes = 2)\n", good + "node(number = -1, nodes = 0, zone = 7, name = \"\")\n",
-		good + "rules(pin = \"100ms\")\nlimits(tick = \"50ms\")\n", good + "rules(\"x\")\n", good + "roster(file = \"other.json\")\nroster()\n",
-		good + "listen(chat = 8080, metrics = \"localhost\")\n", good + "listen(colour = \"red\")\n",
-		good + "route(name = \"q\",\n      effect = \"retriable\",\n      value = -1,\n      colour = \"red\",\n      dedup_window = 5)\n" +
+		sampleReplacing("kinds", ""), sampleReplacing("route", ""), sampleReplacing("roster", ""),
+		sampleReplacing("kinds", "kind(name = \"a\", role = \"read\")\n"), sampleReplacing("kinds", "kind(name = \"b\", role = \"write\")\n"),
+		sampleReplacing("kinds", "kind(name = \"a\", role = \"both\")\nkind(name = \"a\", role = \"cook\", memory = 0)\n"),
+		sampleReplacing("route", "route()\n"), sampleReplacing("route", "route(name = \"r\", effect = \"fragile\")\n"),
+		sampleReplacing("route", "route(name = \"r\", effect = \"retriable\")\nroute(name = \"r\", effect = \"deduped\", dedup_group = \"town\")\n"),
+		sampleReplacing("route", "route(name = \"r\", effect = \"retriable\", first_token_target = \"2s\", route_timeout = \"1s\")\n"),
+		valid + "planner(at = \"127.0.0.1:9090\")\n", valid + "planner()\n", valid + "planner(at = \"nowhere\")\n",
+		valid + "engine(at = \"127.0.0.1:1\", kind = \"c\")\n", valid + "engine(at = \"x\", kind = \"a\", weight = -1)\n",
+		valid + "engine(at = \"127.0.0.1:1\", kind = \"a\")\nengine(at = \"127.0.0.1:1\", kind = \"a\")\n",
+		valid + "node(number = 2, nodes = 2)\n", valid + "node(number = -1, nodes = 0, zone = 7, name = \"\")\n",
+		valid + "rules(pin = \"100ms\")\nlimits(tick = \"50ms\")\n", valid + "rules(\"x\")\n", valid + "roster(file = \"other.json\")\nroster()\n",
+		valid + "listen(chat = 8080, metrics = \"localhost\")\n", valid + "listen(colour = \"red\")\n",
+		valid + "route(name = \"q\",\n      effect = \"retriable\",\n      value = -1,\n      colour = \"red\",\n      dedup_window = 5)\n" +
 			"limits(open = 1.5,\n       probes = 1)\nlines(dials = 0)\n"}
-	// Each argument of each function: with a value of a type that no argument has, with numbers out of range, and with a text
-	// that only a name may be.
+	// Each argument of each function is set to a value of a type that no argument has, to numbers out of range, and to a
+	// string that is valid only for arguments that accept any string.
 	d := Defaults()
 	for _, function := range slices.Sorted(maps.Keys(d.ScriptFunctions())) {
 		arguments, _ := d.ScriptFunctions()[function]()
@@ -85,10 +86,10 @@
 			scripts = append(scripts, fmt.Sprintf("%s(%s)\n", function, strings.Join(all, ",\n    ")))
 		}
 	}
-	golden.Check(t, "refusals.golden", refusals(t, Read, scripts))
+	golden.Check(t, "refusals.golden", listFaults(t, Read, scripts))
 }
 
-// The same for scripts of planners.
+// Each invalid script of a planner is rejected with messages of the same form.
 func TestGoldenPlannerRefusals(t *testing.T) {
 	const files, kinds = "planner(store = \"p.db\", roster = \"roster.json\")\n",
 		"kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"
@@ -109,10 +110,11 @@
 		}
 		scripts = append(scripts, fmt.Sprintf("%s%schanges(%s)\n", files, kinds, strings.Join(all, ",\n    ")))
 	}
-	golden.Check(t, "planner-refusals.golden", refusals(t, ReadPlanner, scripts))
+	golden.Check(t, "planner-refusals.golden", listFaults(t, ReadPlanner, scripts))
 }
 
-// The configuration of routing decisions for the demo's script, and for one that names all that a script can.
+// The routing configurations of the demo's script, of a script that sets every argument that routing depends on, and of a script
+// that disables Retry-After.
 func TestGoldenRoutingConfig(t *testing.T) {
 	const all = `node(name = "edge3", zone = "z2", number = 3, nodes = 5)
 listen(chat = "127.0.0.1:8081", metrics = "127.0.0.1:8082")
@@ -128,7 +130,7 @@
 `
 	var b strings.Builder
 	for _, c := range [][2]string{{"demo.star", settings.Demo}, {"all.star", all},
-		{"no-retry.star", sampleWithout("", "") + "limits(max_retry_after = \"0s\")\n"}} {
+		{"no-retry.star", sampleReplacing("", "") + "limits(max_retry_after = \"0s\")\n"}} {
 		d, err := Read(c[0], []byte(c[1]))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/params/params_test.go
+++ b/internal/config/params/params_test.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/routing"
 )
 
-func TestSettingsThatNameNothingHaveTheDefaults(t *testing.T) {
+func TestEmptySettingsHaveTheDefaults(t *testing.T) {
 	c, want := Flatten(nil).RoutingConfig(), routing.DefaultConfig()
 	if c.Tick != want.Tick || c.Nodes != want.Nodes || c.MaxAttempts != want.MaxAttempts || c.ReservationLimit != 0 ||
 		c.DecodeResponseTimeout != want.DecodeResponseTimeout || c.SlowStart != want.SlowStart || c.Routes != nil || c.Kinds != nil {
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestSettingsAreTranslated(t *testing.T) {
+func TestSettingsAreConverted(t *testing.T) {
 	c := Flatten(map[string]any{
 		"ceilings": map[string]any{"try_limit": 5.0, "max_retry_after_us": 2.0}, "discovery": "subscribe",
 		"family_info": map[string]any{"pin_limit_us": 900.0, "stage_of_kind": []any{"read", "write", "cook"},
@@ -39,7 +39,7 @@
 
 func TestLoadReport(t *testing.T) {
 	if LoadReport(nil) != nil {
-		t.Error("no figures are taken for a report")
+		t.Error("an empty load report is not nil")
 	}
 	for _, c := range []struct {
 		telemetry map[string]float64
--- a/internal/config/params/report.go
+++ b/internal/config/params/report.go
@@ -6,7 +6,7 @@
 	"sandcourse/internal/routing"
 )
 
-// The wire's names of the figures in a load report.
+// Names of the values in a load report on the wire.
 const (
 	fieldMemoryShare   = "x0"
 	fieldQueuedTokens  = "x1" // in thousands
@@ -14,7 +14,7 @@
 	fieldRecentLatency = "avg_ms"
 )
 
-// LoadReport reads the figures of a load report; nil if there are none.
+// LoadReport converts the values of a load report, or returns nil if there are none.
 func LoadReport(telemetry map[string]float64) *routing.LoadReport {
 	if len(telemetry) == 0 {
 		return nil
--- a/internal/config/params/settings.go
+++ b/internal/config/params/settings.go
@@ -1,5 +1,5 @@
-// Package params turns a deployment's settings, as the simulator and the platform send them, into the
-// configuration of routing decisions, and load reports into their typed form. It does no I/O.
+// Package params converts the settings of a deployment, as sent by the simulator and the platform, into a routing configuration,
+// and load reports into their typed form. It does no I/O.
 package params
 
 import (
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// Settings are a deployment's settings by dotted name, such as "routes.0.value". Each value is a float64, a
-// string or a bool; times are in nanoseconds.
+// Settings are the settings of a deployment by dotted name, such as "routes.0.value". Each value is a float64, a string or a
+// bool; durations are in nanoseconds.
 type Settings map[string]any
 
-// Number is a setting that is a number, or absent where there is none of that name.
-func (s Settings) Number(name string, absent float64) float64 {
+// Number returns a setting that is a number, or fallback if there is none with the name.
+func (s Settings) Number(name string, fallback float64) float64 {
 	if v, ok := s[name].(float64); ok {
 		return v
 	}
-	return absent
+	return fallback
 }
 
-// Duration is a setting that is a time, or absent where there is none of that name. What is too long for its
-// type is the longest time.
-func (s Settings) Duration(name string, absent time.Duration) time.Duration {
-	v := s.Number(name, float64(absent))
+// Duration returns a setting that is a duration, or fallback if there is none with the name. Values that overflow time.Duration are
+// replaced by its maximum.
+func (s Settings) Duration(name string, fallback time.Duration) time.Duration {
+	v := s.Number(name, float64(fallback))
 	if v >= math.MaxInt64 {
 		return math.MaxInt64
 	}
 	return time.Duration(v)
 }
 
-// Text is a setting that is a text; empty where there is none of that name.
+// Text returns a setting that is a string, or "" if there is none with the name.
 func (s Settings) Text(name string) string { v, _ := s[name].(string); return v }
 
-// Flag is a setting that is true or false; false where there is none of that name.
+// Flag returns a setting that is a boolean, or false if there is none with the name.
 func (s Settings) Flag(name string) bool { v, _ := s[name].(bool); return v }
 
-// Count is how many items a setting that is a list has.
+// Count returns the number of items of a setting that is a list.
 func (s Settings) Count(name string) int { return int(s.Number(name+".count", 0)) }
 
-// settingNames maps the wire's names in settings to this program's; names not here stay as they are.
+// settingNames maps setting names on the wire to the names of this program; other names stay unchanged.
 var settingNames = map[string]string{
 	"accounts": "tenants", "areas": "zones", "ceilings": "limits", "classes": "routes", "flavors": "kinds",
 	"obligations": "rules", "family_info": "engine_facts", "peers_total": "nodes", "index": "me",
@@ -52,20 +52,20 @@
 	"kind_memory_tokens": "memory_of_kind",
 }
 
-// settingValues maps the wire's words in setting values to this program's.
+// settingValues maps setting values on the wire to the values of this program; other values stay unchanged.
 var settingValues = map[string]string{
 	"retryable": "retriable", "dedup": "deduped", "fragile": "non-retriable", "subscribe": "watch",
 }
 
-// Flatten gives nested settings their dotted names and this program's words and units.
+// Flatten converts nested settings to dotted names, and to the names, values and units of this program.
 func Flatten(params map[string]any) Settings {
 	out := Settings{}
 	out.add("", 1, params)
 	return out
 }
 
-// add flattens a value under a name. Numbers are multiplied by scale, which turns the unit of the name's
-// suffix into nanoseconds.
+// add flattens a value and adds it under a name. Numbers are multiplied by scale, which converts the unit in the suffix of the
+// name to nanoseconds.
 func (s Settings) add(name string, scale float64, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -74,12 +74,12 @@
 			if known, ok := settingNames[key]; ok {
 				key = known
 			}
-			s.add(join(name, key), unit, inner)
+			s.add(joinNames(name, key), unit, inner)
 		}
 	case []any:
-		s[join(name, "count")] = float64(len(v))
+		s[joinNames(name, "count")] = float64(len(v))
 		for i, inner := range v {
-			s.add(join(name, strconv.Itoa(i)), scale, inner)
+			s.add(joinNames(name, strconv.Itoa(i)), scale, inner)
 		}
 	case float64:
 		s[name] = v * scale
@@ -93,25 +93,25 @@
 	}
 }
 
-// splitUnit takes the unit out of a key, and returns what a number under it is to be multiplied by.
-func splitUnit(key string, scale float64) (bare string, unit float64) {
+// splitUnit removes the unit from a key, and returns the factor by which numbers under the key must be multiplied.
+func splitUnit(key string, scale float64) (name string, unit float64) {
 	const microsecond = float64(time.Microsecond)
-	if bare, ok := strings.CutSuffix(key, "_us"); ok {
-		return bare, microsecond
+	if name, ok := strings.CutSuffix(key, "_us"); ok {
+		return name, microsecond
 	}
 	if !strings.Contains(key, "_us_per_") {
 		return key, scale
 	}
-	bare = strings.Replace(key, "_us_per_", "_per_", 1)
+	name = strings.Replace(key, "_us_per_", "_per_", 1)
 	if strings.HasPrefix(key, "cpu") {
-		return bare, scale
+		return name, scale
 	}
-	return bare, microsecond
+	return name, microsecond
 }
 
-func join(a, b string) string {
-	if a == "" {
-		return b
+func joinNames(prefix, name string) string {
+	if prefix == "" {
+		return name
 	}
-	return a + "." + b
+	return prefix + "." + name
 }
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -10,23 +10,23 @@
 
 // Planner is the configuration of one planner.
 type Planner struct {
-	File         string // the script that it was read from
+	File         string // file name of the script
 	Listen       string
 	Store        string // path of the durable store
 	EndpointFile string
-	TakeOver     bool // begin a new store though engines follow another planner; set by the command line
+	TakeOver     bool // start a new store even if engines follow another planner; set by the command line
 	Kinds        []EngineKind
 	RolePairs    []RolePair
 	Assignment   assignment.Config
 }
 
-// RolePair names two kinds that are the two roles of the same engines.
+// RolePair is two kinds that stand for the two roles of the same engines.
 type RolePair struct{ PrefillKind, DecodeKind string }
 
-// Has is whether a kind is one of the two.
+// Has reports whether a kind is one of the pair.
 func (p RolePair) Has(kind string) bool { return kind == p.PrefillKind || kind == p.DecodeKind }
 
-// LoadPlanner reads a planner's script from a file. Paths in it are relative to the script's directory.
+// LoadPlanner reads and runs a planner's script from a file. Paths in the script are relative to its directory.
 func LoadPlanner(path string) (*Planner, error) {
 	text, err := script.ReadFile(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return p, nil
 }
 
-// DefaultPlanner is the configuration of a script that names its files and kinds only.
+// DefaultPlanner returns a configuration with default values and without kinds. A script must set at least its files and kinds.
 func DefaultPlanner() *Planner {
 	return &Planner{
 		Listen: "127.0.0.1:9090",
@@ -61,13 +61,13 @@
 	}
 }
 
-// ReadPlanner runs a planner's script. The error, if any, is of type script.Faults.
+// ReadPlanner runs a planner's script and returns the configuration. The error, if any, is of type script.Faults.
 func ReadPlanner(name string, text []byte) (*Planner, error) {
 	p := DefaultPlanner()
 	p.File = name
 	kinds := Defaults()
 	functions := map[string]script.Function{
-		"planner": fixed(p.fileArguments()),
+		"planner": fixedArguments(p.fileArguments()),
 		"kind":    kinds.addKind,
 		"pair":    func() ([]script.Argument, func(script.ReportFault)) { return p.addRolePair(kinds) },
 		"value":   p.addRouteValue,
@@ -75,10 +75,10 @@
 	}
 	err := script.Run(name, text, functions, func(report script.ReportScriptFault) {
 		if p.EndpointFile == "" {
-			report("planner: it is missing; it names listen, store and roster")
+			report("planner: a call with the arguments store and roster is required")
 		}
 		if len(kinds.Kinds) == 0 {
-			report("kind: none is given")
+			report("kind: at least one kind is required")
 		}
 	})
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// addRolePair adds a pair of the kinds that were named so far.
+// addRolePair adds a pair of kinds that were declared before.
 func (p *Planner) addRolePair(kinds *Deployment) ([]script.Argument, func(script.ReportFault)) {
 	var pair RolePair
 	arguments := []script.Argument{
@@ -106,10 +106,10 @@
 	return arguments, func(report script.ReportFault) {
 		checkKind := func(role Role, kind string, paired func(RolePair) bool) {
 			if kind != "" && kinds.Role(kind) != role {
-				report(string(role), "%q is no kind named above with the role %s", kind, role)
+				report(string(role), "%q is not a kind declared above with the role %s", kind, role)
 			}
 			if slices.ContainsFunc(p.RolePairs, paired) {
-				report(string(role), "%q is in a pair already", kind)
+				report(string(role), "%q is already in a pair", kind)
 			}
 		}
 		checkKind(RolePrefill, pair.PrefillKind, func(other RolePair) bool { return other.PrefillKind == pair.PrefillKind })
@@ -118,7 +118,7 @@
 	}
 }
 
-// addRouteValue sets what a completed request of a route is worth.
+// addRouteValue sets the value of a completed request of a route.
 func (p *Planner) addRouteValue() ([]script.Argument, func(script.ReportFault)) {
 	route, value := "", 1.0
 	arguments := []script.Argument{
@@ -128,7 +128,7 @@
 	return arguments, func(script.ReportFault) { p.Assignment.RouteValues[route] = value }
 }
 
-// changeArguments set the bounds of role changes.
+// changeArguments returns the arguments that limit role changes.
 func (p *Planner) changeArguments() ([]script.Argument, func(script.ReportFault)) {
 	a := &p.Assignment
 	explainOnly := false
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -11,28 +11,28 @@
 	"sandcourse/internal/routing"
 )
 
-// RoutingConfig is the part of the deployment that routing decisions depend on.
+// RoutingConfig returns the part of the deployment that routing decisions depend on.
 func (d *Deployment) RoutingConfig() routing.Config {
 	c := d.platformOrScriptConfig()
-	// Decisions may use a reservation for five eighths of its limit. The rest is for releasing it: one
-	// attempt to tell the engine may hang for a quarter, and another follows.
+	// Routing decisions may use a reservation for five eighths of its limit. The rest is needed to release it: a release
+	// request may hang for a quarter of the limit before it is retried.
 	c.SetReservationLimit(d.Rules.ReservationLimit * 5 / 8)
-	// The dedup windows are those that the node's gate keeps to, so that no decision asks for what the gate
-	// holds back.
+	// The dedup windows are those that the node's gate enforces, so that no routing decision requests an attempt that the
+	// gate blocks.
 	for i, route := range d.Routes {
 		c.Routes[i].DedupWindow = max(0, route.DedupWindow-invariant.MaxDelay)
 	}
 	return c
 }
 
-// platformOrScriptConfig is the configuration as the platform gave it, or else as the script comes to.
+// platformOrScriptConfig returns the routing configuration of the platform if there is one, otherwise that of the script.
 func (d *Deployment) platformOrScriptConfig() routing.Config {
 	if d.PlatformRouting != nil {
 		c := *d.PlatformRouting
 		c.Routes = slices.Clone(c.Routes)
 		return c
 	}
-	c := routing.Config{Node: d.NodeNumber, Nodes: d.NodeCount, Zone: indexOf(d.zones(), d.Zone), Tick: d.TickInterval,
+	c := routing.Config{Node: d.NodeNumber, Nodes: d.NodeCount, Zone: indexOrZero(d.zones(), d.Zone), Tick: d.TickInterval,
 		MaxAttempts: d.MaxAttempts, Cancel: true, HealthChecks: d.HealthChecks, SuggestRetryAfter: d.MaxRetryAfter > 0,
 		MaxRetryAfter: d.MaxRetryAfter, SlowStart: routing.SlowStart{Duration: d.Rules.SlowStart,
 			Share: d.Rules.SlowStartShare, Multiple: d.Rules.OverloadMultiple, Window: d.Rules.OverloadWindow}}
@@ -45,7 +45,7 @@
 	return c
 }
 
-// routing is the route as decisions know it. The words of the settings are checked when they are read.
+// routing converts the route for routing decisions. Its strings were validated when the settings were read.
 func (r Route) routing() routing.Route {
 	effect, _ := routing.ParseEffect(string(r.Effect))
 	group, _ := routing.ParseDedupGroup(string(r.DedupGroup))
@@ -53,15 +53,14 @@
 		FirstTokenObjective: r.FirstTokenObjective, ObjectivePer1000Tokens: r.ObjectivePer1000Tokens}
 }
 
-// routing is the kind of engine as decisions know it. The words of the settings are checked when they are
-// read.
+// routing converts the kind for routing decisions. Its role was validated when the settings were read.
 func (k EngineKind) routing() routing.EngineKind {
 	role, _ := routing.ParseRole(string(k.Role))
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
-// EndpointUpdate turns an endpoint list into the event that routing decisions learn it by. Entries of a kind that the
-// settings do not name cannot be sent to; their IDs are returned.
+// EndpointUpdate converts an endpoint list into the event that passes it to routing. Entries of an unknown kind are left out, as
+// no request can be sent to them; EndpointUpdate returns their IDs.
 func (d *Deployment) EndpointUpdate(list endpoint.List) (update routing.EndpointUpdate, unknown []string) {
 	update.Complete = true
 	update.Engines = make([]routing.Endpoint, 0, len(list.Entries))
@@ -73,26 +72,26 @@
 			continue
 		}
 		update.Engines = append(update.Engines, routing.Endpoint{Engine: e.ID, Weight: e.Weight, Kind: kind,
-			Zone: zoneIndex(zones, e.Zone), Cell: placeID(e.Zone + "/" + e.Cell),
+			Zone: zoneIndex(zones, e.Zone), Cell: locationID(e.Zone + "/" + e.Cell),
 			StartedAt: time.Duration(e.StartedAtMs) * time.Millisecond,
 			Ready:     e.State == endpoint.Ready, Draining: e.State == endpoint.Draining})
 	}
 	return update, unknown
 }
 
-// zoneIndex is the zone's index among those of the settings, or the number that its name gives.
+// zoneIndex returns the zone's index in zones, or a number derived from its name if it is not in zones.
 func zoneIndex(zones []string, zone string) int {
 	if i := slices.Index(zones, zone); i >= 0 {
 		return i
 	}
-	return placeID(zone)
+	return locationID(zone)
 }
 
-// placeID numbers a zone or cell by its name, so that it has the same number in every list. Numbers in the order of a
-// list would change with it, and a retry could go to a cell that does not know the first attempt.
-func placeID(name string) int { return int(xxhash.Sum64String(name) >> 1) }
+// locationID returns a number for a zone or cell that depends only on its name, so that it is the same in every list. Numbers in
+// list order would change with the list, and a retry could be sent to a cell that has no record of the first attempt.
+func locationID(name string) int { return int(xxhash.Sum64String(name) >> 1) }
 
-// zones are the numbered zones, or else the node's own.
+// zones returns the numbered zones if they are set, otherwise the node's own zone.
 func (d *Deployment) zones() []string {
 	if len(d.Zones) > 0 {
 		return slices.Clone(d.Zones)
@@ -100,15 +99,15 @@
 	return []string{d.Zone}
 }
 
-// indexOf is 0 for a name that is not among them.
-func indexOf(names []string, name string) int { return max(0, slices.Index(names, name)) }
+// indexOrZero returns the index of a name, or 0 if it is not in names.
+func indexOrZero(names []string, name string) int { return max(0, slices.Index(names, name)) }
 
-// Route is the index of a model route by name; -1 if there is none.
+// Route returns the index of the model route with the given name, or -1 if there is none.
 func (d *Deployment) Route(name string) int {
 	return slices.IndexFunc(d.Routes, func(t Route) bool { return t.Name == name })
 }
 
-// Role is the role of a kind of engine; empty for a kind that is not known.
+// Role returns the role of a kind of engine, or an empty role if the kind is unknown.
 func (d *Deployment) Role(kind string) Role {
 	if i := slices.IndexFunc(d.Kinds, func(k EngineKind) bool { return k.Name == kind }); i >= 0 {
 		return d.Kinds[i].Role
--- a/internal/config/script/argument.go
+++ b/internal/config/script/argument.go
@@ -10,32 +10,32 @@
 	"sandcourse/internal/netaddr"
 )
 
-// maxTextBytes is the most bytes of an argument that is a text.
+// maxTextBytes is the maximum size of a string argument.
 const maxTextBytes = 256
 
-// Argument is a named argument of a function. Text, OneOf, Address, Bool and Number make one.
+// Argument is a named argument of a function. Text, OneOf, Address, Bool and Number return arguments.
 type Argument struct {
 	Name     string
 	required bool
-	// set stores a value. If the value is not allowed it stores nothing, and says what is allowed.
+	// set stores a value. If the value is not allowed, it stores nothing and returns a description of the allowed values.
 	set func(starlark.Value) (allowed string, ok bool)
 }
 
-// Required returns the argument as one that each call must have.
+// Required returns a copy of the argument that each call must have.
 func (a Argument) Required() Argument {
 	a.required = true
 	return a
 }
 
-// Text is an argument that is any text of 1 to 256 bytes.
+// Text returns an argument that is any string of 1 to 256 bytes.
 func Text(name string, target *string) Argument {
 	return text(name, target, func(string) (string, bool) { return "", true })
 }
 
-// OneOf is an argument that is one of some words.
+// OneOf returns an argument that is one of the given words.
 func OneOf[T ~string](name string, target *T, words ...T) Argument {
 	return text(name, target, func(s T) (string, bool) {
-		allowed := "it must be one of"
+		allowed := "must be one of"
 		for i, word := range words {
 			if i > 0 {
 				allowed += ","
@@ -46,19 +46,19 @@
 	})
 }
 
-// Address is an argument that is an IP address and a port.
+// Address returns an argument that is an IP address and a port.
 func Address(name string, target *string) Argument {
 	return text(name, target, func(s string) (string, bool) {
-		return `it must be address:port, such as "127.0.0.1:8080"`, netaddr.CheckListen(s) == nil
+		return `must be address:port, such as "127.0.0.1:8080"`, netaddr.CheckListen(s) == nil
 	})
 }
 
-// text is an argument that is a text which check allows.
+// text returns an argument that is a string accepted by check.
 func text[T ~string](name string, target *T, check func(T) (allowed string, ok bool)) Argument {
 	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
 		s, ok := starlark.AsString(value)
 		if !ok || s == "" || len(s) > maxTextBytes {
-			return fmt.Sprintf("it must be a text of 1 to %d bytes", maxTextBytes), false
+			return fmt.Sprintf("must be a string of 1 to %d bytes", maxTextBytes), false
 		}
 		if allowed, ok := check(T(s)); !ok {
 			return allowed, false
@@ -68,19 +68,19 @@
 	}}
 }
 
-// Bool is an argument that is True or False.
+// Bool returns an argument that is True or False.
 func Bool(name string, target *bool) Argument {
 	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
 		b, ok := value.(starlark.Bool)
 		if !ok {
-			return "it must be True or False", false
+			return "must be True or False", false
 		}
 		*target = bool(b)
 		return "", true
 	}}
 }
 
-// Number is an argument that is a number or a time of least to most. Times are bounded in seconds.
+// Number returns an argument that is a number or a duration from least to most. The bounds of a duration are in seconds.
 func Number[T int | float64 | time.Duration](name string, target *T, least, most float64) Argument {
 	bounds := bounds{least, most}
 	return Argument{Name: name, set: func(value starlark.Value) (string, bool) {
@@ -92,11 +92,11 @@
 		case *time.Duration:
 			return bounds.setDuration(target, value)
 		}
-		panic("script: a number of a type that Number does not allow")
+		panic("script: target has a type that Number does not support")
 	}}
 }
 
-// bounds are the least and the most that a number may be.
+// bounds are the least and the greatest allowed value of a number.
 type bounds struct{ least, most float64 }
 
 func (b bounds) include(value float64) bool { return value >= b.least && value <= b.most }
@@ -104,7 +104,7 @@
 func (b bounds) setInt(target *int, value starlark.Value) (string, bool) {
 	var n int
 	if err := starlark.AsInt(value, &n); err != nil || !b.include(float64(n)) {
-		return fmt.Sprintf("it must be a whole number of %.0f to %.0f", b.least, b.most), false
+		return fmt.Sprintf("must be an integer from %.0f to %.0f", b.least, b.most), false
 	}
 	*target = n
 	return "", true
@@ -113,7 +113,7 @@
 func (b bounds) setFloat(target *float64, value starlark.Value) (string, bool) {
 	f, ok := starlark.AsFloat(value)
 	if !ok || !b.include(f) {
-		return fmt.Sprintf("it must be a number of %g to %g", b.least, b.most), false
+		return fmt.Sprintf("must be a number from %g to %g", b.least, b.most), false
 	}
 	*target = f
 	return "", true
@@ -123,7 +123,7 @@
 	s, _ := starlark.AsString(value)
 	duration, err := time.ParseDuration(s)
 	if err != nil || !b.include(duration.Seconds()) {
-		return fmt.Sprintf(`it must be a time of %gs to %gs, such as "250ms"`, b.least, b.most), false
+		return fmt.Sprintf(`must be a duration from %gs to %gs, such as "250ms"`, b.least, b.most), false
 	}
 	*target = duration
 	return "", true
--- a/internal/config/script/fault.go
+++ b/internal/config/script/fault.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Faults are all faults of a configuration, in the order of its lines.
+// Faults has all faults of a configuration, ordered by line.
 type Faults []error
 
-// Error returns the faults, one a line.
+// Error returns the messages of the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -17,78 +17,78 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.Is and errors.As look into each fault.
+// Unwrap returns the faults, so that errors.Is and errors.As examine each of them.
 func (f Faults) Unwrap() []error { return f }
 
-// Fault is one fault of a script and the place where it is.
+// Fault is one fault of a script with its location.
 type Fault struct {
 	File     string
-	Line     int32  // 0 if the fault is not of one line
-	Argument string // empty if the fault is not of one argument
+	Line     int32  // 0 if the fault does not belong to one line
+	Argument string // empty if the fault does not belong to one argument
 	Err      error
 }
 
-// Error returns the place and the fault.
+// Error returns the location and the message of the fault.
 func (f *Fault) Error() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", place, f.Line)
+		location = fmt.Sprintf("%s:%d", location, f.Line)
 	}
 	if f.Argument != "" {
-		place += ": " + f.Argument
+		location += ": " + f.Argument
 	}
-	return fmt.Sprintf("%s: %v", place, f.Err)
+	return fmt.Sprintf("%s: %v", location, f.Err)
 }
 
-// Unwrap returns the fault without its place.
+// Unwrap returns the error without the location.
 func (f *Fault) Unwrap() error { return f.Err }
 
-// TooLargeError says that a script has more bytes than are read.
+// TooLargeError reports a script that is larger than MaxBytes.
 type TooLargeError struct{ Bytes int64 }
 
-// Error returns the size and the bound.
+// Error returns a message with the size and the limit.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("has %d bytes, at most %d are read", e.Bytes, MaxBytes)
+	return fmt.Sprintf("script has %d bytes, at most %d are allowed", e.Bytes, MaxBytes)
 }
 
-// ValueError says which values an argument can have, and which one was given.
+// ValueError reports an argument with a value that is not allowed.
 type ValueError struct {
 	Allowed string
 	Given   string
 }
 
-// Error returns what is allowed and what was given.
+// Error returns a message with the allowed values and the given value.
 func (e *ValueError) Error() string { return fmt.Sprintf("%s, not %s", e.Allowed, e.Given) }
 
-// UnknownArgumentError says that a function has no argument of a given name.
+// UnknownArgumentError reports an argument that a function does not have.
 type UnknownArgumentError struct {
 	Function string
 	Known    []string
 }
 
-// Error returns the names that the function knows.
+// Error returns a message with the arguments that the function has.
 func (e *UnknownArgumentError) Error() string {
-	return fmt.Sprintf("unknown key of %s; it has %s", e.Function, strings.Join(e.Known, ", "))
+	return fmt.Sprintf("unknown argument of %s; known arguments are %s", e.Function, strings.Join(e.Known, ", "))
 }
 
-// MissingArgumentError says that a call lacks a required argument.
+// MissingArgumentError reports a call without a required argument.
 type MissingArgumentError struct{ Function, Argument string }
 
-// Error returns the function and the argument that it needs.
+// Error returns a message with the function and the required argument.
 func (e *MissingArgumentError) Error() string {
-	return fmt.Sprintf("%s needs the key %s", e.Function, e.Argument)
+	return fmt.Sprintf("%s requires the argument %s", e.Function, e.Argument)
 }
 
-// PositionalArgumentError says that a call has an argument without a name.
+// PositionalArgumentError reports a call with an argument without a name.
 type PositionalArgumentError struct{ Function string }
 
-// Error returns how the function is called.
+// Error returns a message with the correct form of a call.
 func (e *PositionalArgumentError) Error() string {
-	return fmt.Sprintf("%s takes keys only, such as %s(name = ...)", e.Function, e.Function)
+	return fmt.Sprintf("%s takes named arguments only, such as %s(name = ...)", e.Function, e.Function)
 }
 
-// LoadError says that a script loads another one.
+// LoadError reports a script that loads another script.
 type LoadError struct{ Module string }
 
-// Error returns what the script tried to load.
-func (e *LoadError) Error() string { return fmt.Sprintf("load(%q): a script is one file", e.Module) }
+// Error returns a message with the script that was to be loaded.
+func (e *LoadError) Error() string { return fmt.Sprintf("load(%q) is not supported", e.Module) }
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -1,5 +1,5 @@
-// Package script runs the operators' scripts, which are Starlark. A script only calls functions with named arguments.
-// Each argument is checked for its type and range, and all faults are reported at once with file, line and argument.
+// Package script runs scripts of operators, which are written in Starlark. A script calls functions with named arguments. The
+// type and range of each argument are checked, and all faults are reported together with file, line and argument.
 package script
 
 import (
@@ -13,14 +13,14 @@
 	"go.starlark.net/syntax"
 )
 
-// Bounds of a script: a fleet of thousands of engines listed by loops stays far under these.
+// Limits of a script. A script that lists thousands of engines in loops stays far below them.
 const (
 	MaxBytes = 1 << 20
 	maxSteps = 5_000_000
 )
 
-// Function is one function that a script can call. It makes a new set of arguments for each call. If done is not nil, it
-// runs once the arguments are set, and may report further faults.
+// Function is a function that a script can call. It returns a new set of arguments for each call. If done is not nil, it is
+// called after the arguments are set, and may report further faults.
 type Function func() (arguments []Argument, done func(ReportFault))
 
 // ReportFault reports a fault of one argument of a call, or of the whole call if argument is empty.
@@ -29,7 +29,7 @@
 // ReportScriptFault reports a fault of a script as a whole.
 type ReportScriptFault func(format string, args ...any)
 
-// ReadFile reads a script's text. The error, if any, is of type Faults.
+// ReadFile reads the text of a script. The error, if any, is of type Faults.
 func ReadFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > MaxBytes {
@@ -45,8 +45,8 @@
 	return text, nil
 }
 
-// Run runs a script. Check, if not nil, runs after a script that ended without an error and reports what no single call can.
-// The error, if any, is of type Faults.
+// Run runs a script. If check is not nil, Run calls it after the script has ended without an execution error, to report faults
+// that involve more than one call. The error, if any, is of type Faults.
 func Run(name string, text []byte, functions map[string]Function, check func(ReportScriptFault)) error {
 	if len(text) > MaxBytes {
 		return Faults{&Fault{File: name, Err: &TooLargeError{Bytes: int64(len(text))}}}
@@ -60,9 +60,9 @@
 	syntax.Walk(file, in.recordArguments)
 	if err := in.execute(options, text); err != nil {
 		in.addExecutionFault(err)
-	} else if check != nil { // what a script lacks that did not run to its end is not known
+	} else if check != nil { // what a script lacks is unknown if it did not run to its end
 		check(func(format string, args ...any) {
-			in.faults = append(in.faults, located{0, &Fault{File: name, Err: fmt.Errorf(format, args...)}})
+			in.faults = append(in.faults, locatedFault{0, &Fault{File: name, Err: fmt.Errorf(format, args...)}})
 		})
 	}
 	return in.sortedFaults()
@@ -72,17 +72,17 @@
 type interpreter struct {
 	name              string
 	functions         map[string]Function
-	faults            []located
-	argumentPositions map[syntax.Position]map[string]syntax.Position // by a call's opening bracket, then by argument
+	faults            []locatedFault
+	argumentPositions map[syntax.Position]map[string]syntax.Position // by position of the call's opening parenthesis, then by argument
 }
 
-// located is a fault and the line that it is sorted by; 0 for the script as a whole.
-type located struct {
+// locatedFault is a fault with the line that it is sorted by, which is 0 for faults of the whole script.
+type locatedFault struct {
 	line int32
 	err  error
 }
 
-// execute runs the script's text with the functions predeclared.
+// execute runs the text of the script with the functions predeclared.
 func (in *interpreter) execute(options *syntax.FileOptions, text []byte) error {
 	thread := &starlark.Thread{Name: in.name, Print: func(*starlark.Thread, string) {},
 		Load: func(_ *starlark.Thread, module string) (starlark.StringDict, error) {
@@ -97,24 +97,24 @@
 	return err
 }
 
-// addExecutionFault records why a script did not run to its end.
+// addExecutionFault records the error that ended the execution of the script.
 func (in *interpreter) addExecutionFault(err error) {
 	var evalError *starlark.EvalError
 	if !errors.As(err, &evalError) || len(evalError.CallStack) == 0 {
-		in.faults = append(in.faults, located{0, err})
+		in.faults = append(in.faults, locatedFault{0, err})
 		return
 	}
 	line := evalError.CallStack[0].Pos.Line
-	in.faults = append(in.faults, located{line, &Fault{File: in.name, Line: line, Err: errors.New(evalError.Msg)}})
+	in.faults = append(in.faults, locatedFault{line, &Fault{File: in.name, Line: line, Err: errors.New(evalError.Msg)}})
 }
 
-// sortedFaults returns all faults by line, those that are the same once.
+// sortedFaults returns all faults ordered by line, without duplicates.
 func (in *interpreter) sortedFaults() error {
 	if len(in.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(in.faults, func(a, b located) int { return cmp.Compare(a.line, b.line) })
-	unique := slices.CompactFunc(in.faults, func(a, b located) bool {
+	slices.SortStableFunc(in.faults, func(a, b locatedFault) int { return cmp.Compare(a.line, b.line) })
+	unique := slices.CompactFunc(in.faults, func(a, b locatedFault) bool {
 		return a.line == b.line && a.err.Error() == b.err.Error()
 	})
 	var faults Faults
@@ -124,7 +124,7 @@
 	return faults
 }
 
-// recordArguments records the position of each argument of each call, which the interpreter does not tell.
+// recordArguments records the position of each argument of a call, which the Starlark interpreter does not provide.
 func (in *interpreter) recordArguments(n syntax.Node) bool {
 	call, ok := n.(*syntax.CallExpr)
 	if !ok {
@@ -142,21 +142,22 @@
 	return true
 }
 
-// withoutFile returns a position that is comparable: the interpreter's positions point to names of files.
+// withoutFile returns a position without a file name. It can be compared with ==, while positions of the Starlark interpreter
+// have a pointer to the file name.
 func withoutFile(p syntax.Position) syntax.Position {
 	return syntax.MakePosition(nil, p.Line, p.Col)
 }
 
-// addFault records a fault of a call, at the line of the argument if there is one.
+// addFault records a fault of a call. Its line is that of the argument if the call has it, otherwise that of the call.
 func (in *interpreter) addFault(call syntax.Position, argument string, err error) {
 	line := call.Line
 	if position, ok := in.argumentPositions[withoutFile(call)][argument]; ok {
 		line = position.Line
 	}
-	in.faults = append(in.faults, located{line, &Fault{File: in.name, Line: line, Argument: argument, Err: err}})
+	in.faults = append(in.faults, locatedFault{line, &Fault{File: in.name, Line: line, Argument: argument, Err: err}})
 }
 
-// call is what runs for each call of a function by the script.
+// call runs for each function call of the script.
 func (in *interpreter) call(thread *starlark.Thread, function *starlark.Builtin, args starlark.Tuple,
 	kwargs []starlark.Tuple) (starlark.Value, error) {
 	position := thread.CallFrame(1).Pos
@@ -185,7 +186,7 @@
 	return starlark.None, nil
 }
 
-// setArgument stores the value of the argument of that name.
+// setArgument sets the argument with the given name to a value.
 func setArgument(function string, arguments []Argument, name string, value starlark.Value) error {
 	i := slices.IndexFunc(arguments, func(a Argument) bool { return a.Name == name })
 	if i < 0 {
--- a/internal/config/script/script_test.go
+++ b/internal/config/script/script_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Each fault has its place and a type of its own, and nothing that is not allowed is stored.
-func TestFaultsAreTyped(t *testing.T) {
+// Each fault has its location and an error type of its own, and no invalid value is stored.
+func TestFaultsAreTypedAndLocated(t *testing.T) {
 	count, duration, word := 5, time.Second, "a"
 	functions := map[string]Function{"f": func() ([]Argument, func(ReportFault)) {
 		return []Argument{Number("count", &count, 1, 10).Required(), Number("time", &duration, 0.5, 2), OneOf("word", &word, "a", "b")}, nil
@@ -36,7 +36,7 @@
 	}
 }
 
-// A script that is too large is not parsed, and one that can't be read is a fault as well.
+// A script that is too large is not parsed, and a file that cannot be read is reported as Faults.
 func TestScriptIsBounded(t *testing.T) {
 	var tooLarge *TooLargeError
 	if err := Run("s.star", make([]byte, MaxBytes+1), nil, nil); !errors.As(err, &tooLarge) || tooLarge.Bytes != MaxBytes+1 {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -221,7 +221,7 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	for _, want := range []string{"d.star:10: kind: it must be one of ageing", "d.star:10: at: it must be a time"} {
+	for _, want := range []string{"d.star:10: kind: must be one of ageing", "d.star:10: at: must be a duration"} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%q lacks %q", err, want)
 		}
