--- a/internal/config/deployment_check.go
+++ b/internal/config/deployment_check.go
@@ -14,14 +14,14 @@
 	minReservationLimitTicks = 8
 )
 
-// Check reports faults that involve more than one value.
+// Check reports faults that do not belong to a single value.
 func (d *Deployment) Check(report script.ReportScriptFault) {
 	if len(d.Routes) == 0 {
 		report("route: at least one route is required")
 	}
-	prefills := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RoleDecode })
-	decodes := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RolePrefill })
-	if !prefills || !decodes {
+	hasPrefill := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RoleDecode })
+	hasDecode := slices.ContainsFunc(d.Kinds, func(k EngineKind) bool { return k.Role != RolePrefill })
+	if !hasPrefill || !hasDecode {
 		report("kind: at least one kind with role read or both, and one with role write or both, is required")
 	}
 	if d.NodeNumber >= d.NodeCount {
@@ -33,7 +33,7 @@
 	}
 }
 
-// CheckScript reports faults of a script that involve more than one call.
+// CheckScript reports faults of a script that do not belong to a single call.
 func (d *Deployment) CheckScript(report script.ReportScriptFault) {
 	d.Check(report)
 	sources := 0
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -106,7 +106,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		zones, cells := map[string]int{}, map[string]int{}
-		owner := map[string]string{}
+		cellOfNumber := map[string]string{}
 		for range 5 {
 			var list endpoint.List
 			for i := range rapid.IntRange(0, 6).Draw(t, "engines") {
@@ -124,10 +124,10 @@
 				if n, ok := cells[cell]; ok && n != e.Cell {
 					t.Fatalf("cell %s is %d, was %d", cell, e.Cell, n)
 				}
-				if was, ok := owner[fmt.Sprint(e.Cell)]; ok && was != cell {
-					t.Fatalf("cells %s and %s are both %d", was, cell, e.Cell)
+				if previous, ok := cellOfNumber[fmt.Sprint(e.Cell)]; ok && previous != cell {
+					t.Fatalf("cells %s and %s are both %d", previous, cell, e.Cell)
 				}
-				zones[zone], cells[cell], owner[fmt.Sprint(e.Cell)] = e.Zone, e.Cell, cell
+				zones[zone], cells[cell], cellOfNumber[fmt.Sprint(e.Cell)] = e.Zone, e.Cell, cell
 			}
 		}
 	})
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -42,11 +42,11 @@
 			t.Errorf("%s\nunexpected error %v", text, err)
 			continue
 		}
-		shown := strings.TrimRight(text, "\n")
-		if len(shown) > 2000 {
-			shown = fmt.Sprintf("(%d bytes) %s", len(text), shown[:40])
+		displayed := strings.TrimRight(text, "\n")
+		if len(displayed) > 2000 {
+			displayed = fmt.Sprintf("(%d bytes) %s", len(text), displayed[:40])
 		}
-		fmt.Fprintf(&b, "%s\n\t| %s\n\n", shown, strings.ReplaceAll(err.Error(), "\n", "\n\t| "))
+		fmt.Fprintf(&b, "%s\n\t| %s\n\n", displayed, strings.ReplaceAll(err.Error(), "\n", "\n\t| "))
 	}
 	return b.String()
 }
@@ -113,8 +113,8 @@
 	golden.Check(t, "planner-refusals.golden", listFaults(t, ReadPlanner, scripts))
 }
 
-// The routing configurations of the demo's script, of a script that sets every argument that routing depends on, and of a script
-// that disables Retry-After.
+// The routing configurations stay the same for the demo's script, a script that sets every argument that routing depends on, and
+// a script that disables Retry-After.
 func TestGoldenRoutingConfig(t *testing.T) {
 	const all = `node(name = "edge3", zone = "z2", number = 3, nodes = 5)
 listen(chat = "127.0.0.1:8081", metrics = "127.0.0.1:8082")
--- a/internal/config/params/settings.go
+++ b/internal/config/params/settings.go
@@ -70,11 +70,11 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for key, inner := range v {
-			key, unit := splitUnit(key, scale)
+			key, factor := splitUnit(key, scale)
 			if known, ok := settingNames[key]; ok {
 				key = known
 			}
-			s.add(joinNames(name, key), unit, inner)
+			s.add(joinNames(name, key), factor, inner)
 		}
 	case []any:
 		s[joinNames(name, "count")] = float64(len(v))
@@ -94,7 +94,7 @@
 }
 
 // splitUnit removes the unit from a key, and returns the factor by which numbers under the key must be multiplied.
-func splitUnit(key string, scale float64) (name string, unit float64) {
+func splitUnit(key string, scale float64) (name string, factor float64) {
 	const microsecond = float64(time.Microsecond)
 	if name, ok := strings.CutSuffix(key, "_us"); ok {
 		return name, microsecond
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -65,11 +65,11 @@
 func ReadPlanner(name string, text []byte) (*Planner, error) {
 	p := DefaultPlanner()
 	p.File = name
-	kinds := Defaults()
+	deployment := Defaults()
 	functions := map[string]script.Function{
 		"planner": fixedArguments(p.fileArguments()),
-		"kind":    kinds.addKind,
-		"pair":    func() ([]script.Argument, func(script.ReportFault)) { return p.addRolePair(kinds) },
+		"kind":    deployment.addKind,
+		"pair":    func() ([]script.Argument, func(script.ReportFault)) { return p.addRolePair(deployment) },
 		"value":   p.addRouteValue,
 		"changes": p.changeArguments,
 	}
@@ -77,14 +77,14 @@
 		if p.EndpointFile == "" {
 			report("planner: a call with the arguments store and roster is required")
 		}
-		if len(kinds.Kinds) == 0 {
+		if len(deployment.Kinds) == 0 {
 			report("kind: at least one kind is required")
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	p.Kinds = kinds.Kinds
+	p.Kinds = deployment.Kinds
 	return p, nil
 }
 
@@ -97,7 +97,7 @@
 }
 
 // addRolePair adds a pair of kinds that were declared before.
-func (p *Planner) addRolePair(kinds *Deployment) ([]script.Argument, func(script.ReportFault)) {
+func (p *Planner) addRolePair(deployment *Deployment) ([]script.Argument, func(script.ReportFault)) {
 	var pair RolePair
 	arguments := []script.Argument{
 		script.Text(string(RolePrefill), &pair.PrefillKind).Required(),
@@ -105,7 +105,7 @@
 	}
 	return arguments, func(report script.ReportFault) {
 		checkKind := func(role Role, kind string, paired func(RolePair) bool) {
-			if kind != "" && kinds.Role(kind) != role {
+			if kind != "" && deployment.Role(kind) != role {
 				report(string(role), "%q is not a kind declared above with the role %s", kind, role)
 			}
 			if slices.ContainsFunc(p.RolePairs, paired) {
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -37,24 +37,24 @@
 		MaxRetryAfter: d.MaxRetryAfter, SlowStart: routing.SlowStart{Duration: d.Rules.SlowStart,
 			Share: d.Rules.SlowStartShare, Multiple: d.Rules.OverloadMultiple, Window: d.Rules.OverloadWindow}}
 	for _, r := range d.Routes {
-		c.Routes = append(c.Routes, r.routing())
+		c.Routes = append(c.Routes, r.toRouting())
 	}
 	for _, k := range d.Kinds {
-		c.Kinds = append(c.Kinds, k.routing())
+		c.Kinds = append(c.Kinds, k.toRouting())
 	}
 	return c
 }
 
-// routing converts the route for routing decisions. Its strings were validated when the settings were read.
-func (r Route) routing() routing.Route {
+// toRouting converts the route for routing decisions. Its strings were validated when the settings were read.
+func (r Route) toRouting() routing.Route {
 	effect, _ := routing.ParseEffect(string(r.Effect))
 	group, _ := routing.ParseDedupGroup(string(r.DedupGroup))
 	return routing.Route{Effect: effect, DedupGroup: group, PriorityWeight: r.PriorityWeight,
 		FirstTokenObjective: r.FirstTokenObjective, ObjectivePer1000Tokens: r.ObjectivePer1000Tokens}
 }
 
-// routing converts the kind for routing decisions. Its role was validated when the settings were read.
-func (k EngineKind) routing() routing.EngineKind {
+// toRouting converts the kind of engine for routing decisions. Its role was validated when the settings were read.
+func (k EngineKind) toRouting() routing.EngineKind {
 	role, _ := routing.ParseRole(string(k.Role))
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -46,7 +46,7 @@
 }
 
 // Run runs a script. If check is not nil, Run calls it after the script has ended without an execution error, to report faults
-// that involve more than one call. The error, if any, is of type Faults.
+// that do not belong to a single call. The error, if any, is of type Faults.
 func Run(name string, text []byte, functions map[string]Function, check func(ReportScriptFault)) error {
 	if len(text) > MaxBytes {
 		return Faults{&Fault{File: name, Err: &TooLargeError{Bytes: int64(len(text))}}}
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/golden"
 )
 
-// The next query and the list over a sequence of responses.
+// Each response of a sequence results in the same list and next query as before.
 func TestGoldenQueries(t *testing.T) {
 	c := &Catalog{}
 	var out strings.Builder
--- a/internal/protocol/chat/completion.go
+++ b/internal/protocol/chat/completion.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// CompletionChunk is what the router reads of a streamed event.
+// CompletionChunk has the fields of a streamed event that the router uses.
 type CompletionChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -27,10 +27,10 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// ErrCompletionTooLarge ends a CompletionBuilder whose limit is reached.
-var ErrCompletionTooLarge = errors.New("answer is over its bound")
+// ErrCompletionTooLarge reports that the text is over the limit of a CompletionBuilder.
+var ErrCompletionTooLarge = errors.New("completion is over its size limit")
 
-// CompletionBuilder makes one complete response of the events of a stream.
+// CompletionBuilder assembles the events of a stream into one complete response.
 type CompletionBuilder struct {
 	maxBytes     int
 	id           string
@@ -40,12 +40,12 @@
 	usage        *Usage
 }
 
-// NewCompletionBuilder makes a builder that holds at most so many bytes of text.
+// NewCompletionBuilder returns a builder that holds at most maxBytes bytes of text.
 func NewCompletionBuilder(maxBytes int) *CompletionBuilder {
 	return &CompletionBuilder{maxBytes: maxBytes, finishReason: "stop"}
 }
 
-// Add takes the next event.
+// Add appends the next event.
 func (b *CompletionBuilder) Add(data []byte) error {
 	var chunk CompletionChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// completion is a complete response. Keys are in alphabetical order, as clients have always got them.
+// completion is a complete response. The keys stay in alphabetical order, as clients have always received them.
 type completion struct {
 	Choices [1]completionChoice `json:"choices"`
 	ID      string              `json:"id"`
@@ -95,7 +95,7 @@
 	Role    string `json:"role"`
 }
 
-// Body is the body of the complete response.
+// Body returns the body of the complete response.
 func (b *CompletionBuilder) Body(request *Request) []byte {
 	usage := b.usage
 	if usage == nil {
@@ -115,7 +115,7 @@
 	Type    string  `json:"type"`
 }
 
-// ErrorBody is the body of an error response. The param is empty where the error concerns no parameter.
+// ErrorBody returns the body of an error response. The param is empty if the error is not about a parameter.
 func ErrorBody(kind, code, param, text string) []byte {
 	inner := apiError{Code: code, Message: text, Type: kind}
 	if param != "" {
--- a/internal/protocol/chatapi/engine.go
+++ b/internal/protocol/chatapi/engine.go
@@ -15,7 +15,7 @@
 	return engineapi.Request{Chat: request.ProtocolData.(*chat.Request), ID: requestID}
 }
 
-// MixedEnginePrefillsOnDecode returns false: each request tells the engine either to prefill or to decode.
+// MixedEnginePrefillsOnDecode returns false: each request is either for a prefill or for a decode.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return false }
 
 // PrefillRequest implements protocol.EngineCodec.
--- a/internal/protocol/chatapi/golden_test.go
+++ b/internal/protocol/chatapi/golden_test.go
@@ -16,12 +16,12 @@
 // wireLog records the encoded and decoded messages of a codec.
 type wireLog struct{ strings.Builder }
 
-func (l *wireLog) line(what string, value any) { fmt.Fprintf(l, "%s: %v\n", what, value) }
+func (l *wireLog) addLine(label string, value any) { fmt.Fprintf(l, "%s: %v\n", label, value) }
 
-func (l *wireLog) bytes(what string, data []byte) { fmt.Fprintf(l, "%s: %q\n", what, data) }
+func (l *wireLog) addBytes(label string, data []byte) { fmt.Fprintf(l, "%s: %q\n", label, data) }
 
-func (l *wireLog) response(what string, response protocol.Response) {
-	fmt.Fprintf(l, "%s: %d %s\n", what, response.Status, response.ContentType)
+func (l *wireLog) addResponse(label string, response protocol.Response) {
+	fmt.Fprintf(l, "%s: %d %s\n", label, response.Status, response.ContentType)
 	for _, header := range response.Headers {
 		fmt.Fprintf(l, "    %s: %s\n", header.Name, header.Value)
 	}
@@ -41,54 +41,54 @@
 	return r
 }
 
-// The bytes of requests to engines and of responses to clients.
+// The bytes of requests to engines and of responses to clients stay the same.
 func TestGoldenWire(t *testing.T) {
 	c, log := NewCodec([]string{"chat", "alert"}), &wireLog{}
 	const header = "Authorization: Bearer k\r\nX-Request-Id: own\r\nIdempotency-Key: key\r\nX-Give-Up-Ms: 1500\r\n"
 	request, tenant, _ := c.ParseRequest(parseHTTP(t, "POST", "/v1/chat/completions", header, sampleBody), []byte(sampleBody))
-	log.line("tenant", tenant)
-	log.line("prefix", request.Prefix)
-	log.line("tokens", fmt.Sprint(request.PromptTokens, request.PrefixTokens, request.MaxOutputTokens))
+	log.addLine("tenant", tenant)
+	log.addLine("prefix", request.Prefix)
+	log.addLine("tokens", fmt.Sprint(request.PromptTokens, request.PrefixTokens, request.MaxOutputTokens))
 	to := protocol.Target{Address: "10.0.0.1:7001", RoleEpoch: 3}
 	transfer := engineapi.KVTransfer{RemotePrefill: true, Engine: "e", Host: "10.0.0.2", Port: 9, Blocks: []int{1, 2}}
 	prefill, err := c.PrefillRequest(request, "n-1", to, 2, time.Second)
-	log.bytes("prefill", prefill)
+	log.addBytes("prefill", prefill)
 	decode, err2 := c.DecodeRequest(request, "n-1", protocol.Target{Address: "10.0.0.1:7001"}, transfer, time.Second)
-	log.bytes("decode", decode)
-	log.line("errors", fmt.Sprint(err, err2))
-	log.bytes("health check", c.HealthCheckRequest(to))
-	log.bytes("release", c.ReleaseRequest(to, "n-1", 2))
-	log.bytes("head", c.StreamHead("n-1"))
-	log.bytes("event", c.StreamEvent([]byte("{}")))
+	log.addBytes("decode", decode)
+	log.addLine("errors", fmt.Sprint(err, err2))
+	log.addBytes("health check", c.HealthCheckRequest(to))
+	log.addBytes("release", c.ReleaseRequest(to, "n-1", 2))
+	log.addBytes("head", c.StreamHead("n-1"))
+	log.addBytes("event", c.StreamEvent([]byte("{}")))
 	for _, completed := range []bool{true, false} {
 		data, keepAlive := c.StreamEnd(completed, "the reason")
-		log.bytes(fmt.Sprintf("end, completed %v, keep %v", completed, keepAlive), data)
+		log.addBytes(fmt.Sprintf("end, completed %v, keep %v", completed, keepAlive), data)
 	}
-	log.response("invalid", c.InvalidRequestResponse(400, "code", "param", "the reason"))
-	log.response("shed early", c.ShedResponse(503, "", "the reason", 0))
-	log.response("shed", c.ShedResponse(429, "n-1", "the reason", 1500*time.Millisecond))
-	log.response("error", c.ErrorResponse("n-1", "the reason", false))
-	log.response("timeout", c.ErrorResponse("n-1", "the reason", true))
+	log.addResponse("invalid", c.InvalidRequestResponse(400, "code", "param", "the reason"))
+	log.addResponse("shed early", c.ShedResponse(503, "", "the reason", 0))
+	log.addResponse("shed", c.ShedResponse(429, "n-1", "the reason", 1500*time.Millisecond))
+	log.addResponse("error", c.ErrorResponse("n-1", "the reason", false))
+	log.addResponse("timeout", c.ErrorResponse("n-1", "the reason", true))
 	request.Stream = false
 	collected := c.NewCollector(request)
 	if err := collected.Add([]byte(`{"id":"i","choices":[{"index":0,"delta":{"content":"<Go>"}}]}`)); err != nil {
 		t.Fatal(err)
 	}
-	log.response("complete", c.CompleteResponse(request, "n-1", collected))
+	log.addResponse("complete", c.CompleteResponse(request, "n-1", collected))
 	golden.Check(t, "wire.golden", log.String())
 }
 
-// The responses to requests that are not for a completion or are invalid.
+// Requests that are invalid or not for a completion get the same responses as before.
 func TestGoldenRejections(t *testing.T) {
 	c, log := NewCodec([]string{"chat", "alert"}), &wireLog{}
 	for _, r := range [][2]string{{"GET", "/v1/models"}, {"GET", "/healthz"}, {"GET", "/readyz"}, {"POST", "/readyz"},
 		{"GET", "/v1/chat/completions"}, {"POST", "/v1/models"}, {"GET", "/else"}} {
 		for _, notReady := range []string{"", "no endpoint list"} {
-			log.response(fmt.Sprintf("%s %s, not ready %q", r[0], r[1], notReady),
+			log.addResponse(fmt.Sprintf("%s %s, not ready %q", r[0], r[1], notReady),
 				c.AuxiliaryResponse(parseHTTP(t, r[0], r[1], "", ""), notReady))
 		}
 	}
-	log.response("no models", NewCodec(nil).AuxiliaryResponse(parseHTTP(t, "GET", "/v1/models", "", ""), ""))
+	log.addResponse("no models", NewCodec(nil).AuxiliaryResponse(parseHTTP(t, "GET", "/v1/models", "", ""), ""))
 	const valid = `{"model":"m","messages":[{"role":"user","content":"a"}]}`
 	for _, r := range []struct{ header, body string }{{"", ""}, {"", "null"}, {"", "[]"}, {"", "\xff"}, {"", "{}"},
 		{"", `{"model":3}`}, {"", `{"model":"m"}`}, {"", `{"model":"m","messages":[]}`}, {"", `{"model":"m","messages":{}}`},
@@ -104,33 +104,33 @@
 		{"X-Stainless-Retry-Count: -1\r\n", valid}, {"X-Stainless-Retry-Count: x\r\n", valid}, {"X-Stainless-Retry-Count: 2\r\n", valid},
 	} {
 		request, _, rejection := c.ParseRequest(parseHTTP(t, "POST", "/v1/chat/completions", r.header, r.body), []byte(r.body))
-		what := fmt.Sprintf("%.40q %.90q", r.header, r.body)
+		label := fmt.Sprintf("%.40q %.90q", r.header, r.body)
 		if rejection == nil {
-			log.line(what, fmt.Sprintf("accepted, retried %v, timeout %v", request.Retried, request.FirstTokenTimeout))
+			log.addLine(label, fmt.Sprintf("accepted, retried %v, timeout %v", request.Retried, request.FirstTokenTimeout))
 			continue
 		}
-		log.response(what, *rejection)
+		log.addResponse(label, *rejection)
 	}
 	golden.Check(t, "rejections.golden", log.String())
 }
 
-// How the codec classifies and decodes the responses of engines.
+// The responses of engines are classified and decoded as before.
 func TestGoldenEngineResponses(t *testing.T) {
 	c, log := NewCodec(nil), &wireLog{}
-	log.heads(c)
-	log.reservations(c)
-	log.loadReports(c)
+	log.addHeads(c)
+	log.addReservations(c)
+	log.addLoadReports(c)
 	for _, event := range []string{"[DONE]", "{}", ""} {
-		log.line(event, c.IsFinalEvent([]byte(event)))
+		log.addLine(event, c.IsFinalEvent([]byte(event)))
 	}
 	for _, hasEvents := range []bool{false, true} {
 		event, reason := c.ClassifyStreamEnd(hasEvents)
-		log.line(fmt.Sprint("end, events ", hasEvents), fmt.Sprintf("%v, %q", event, reason))
+		log.addLine(fmt.Sprint("end, events ", hasEvents), fmt.Sprintf("%v, %q", event, reason))
 	}
 	golden.Check(t, "engine_responses.golden", log.String())
 }
 
-func (l *wireLog) heads(c *Codec) {
+func (l *wireLog) addHeads(c *Codec) {
 	for _, status := range []int{200, 202, 204, 302, 400, 404, 410, 500, 503} {
 		for _, rejected := range []string{"", "full", "draining", "no-state", "epoch", "role", "else"} {
 			for _, contentType := range []string{"application/json", "text/event-stream"} {
@@ -138,14 +138,14 @@
 				if rejected != "" {
 					head.Header.Set("X-Sandcourse-Refused", rejected)
 				}
-				l.line(fmt.Sprintf("%d %q %s", status, rejected, contentType),
+				l.addLine(fmt.Sprintf("%d %q %s", status, rejected, contentType),
 					fmt.Sprintf("prefill %v, decode %v", c.ClassifyResponse(head, false), c.ClassifyResponse(head, true)))
 			}
 		}
 	}
 }
 
-func (l *wireLog) reservations(c *Codec) {
+func (l *wireLog) addReservations(c *Codec) {
 	for _, body := range []string{"", "7", "[]", "{}", `{"kv_transfer_params":{}}`,
 		`{"kv_transfer_params":{"do_remote_prefill":true,"remote_host":"h","remote_port":0}}`,
 		`{"kv_transfer_params":{"do_remote_prefill":true,"remote_host":"","remote_port":9}}`,
@@ -157,14 +157,14 @@
 		handle, cachedTokens, err := c.ParseReservation([]byte(body))
 		if err != nil {
 			text, _, _ := strings.Cut(err.Error(), ": json:")
-			l.line(body, text)
+			l.addLine(body, text)
 			continue
 		}
-		l.line(body, fmt.Sprint(handle, " ", cachedTokens))
+		l.addLine(body, fmt.Sprint(handle, " ", cachedTokens))
 	}
 }
 
-func (l *wireLog) loadReports(c *Codec) {
+func (l *wireLog) addLoadReports(c *Codec) {
 	for _, header := range []http.Header{{}, {"X-Sandcourse-Memory": {"0.5"}}, {"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}},
 		{"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"3"}},
 		{"X-Sandcourse-Memory": {"4.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"3"}},
@@ -173,9 +173,9 @@
 		{"X-Sandcourse-Memory": {"0.5"}, "X-Sandcourse-Waiting": {"2"}, "X-Sandcourse-Open": {"1e7"}}} {
 		report := c.ParseLoadReport(&http.Response{Header: header}, nil)
 		if report == nil {
-			l.line(fmt.Sprint(header), "none")
+			l.addLine(fmt.Sprint(header), "none")
 			continue
 		}
-		l.line(fmt.Sprint(header), fmt.Sprint(report.MemoryShare, " ", report.QueuedWork))
+		l.addLine(fmt.Sprint(header), fmt.Sprint(report.MemoryShare, " ", report.QueuedWork))
 	}
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -56,7 +56,8 @@
 	// the client will still wait.
 	PrefillRequest(request *Request, requestID string, to Target, attemptIndex int, remaining time.Duration) ([]byte, error)
 	// DecodeRequest encodes a request to stream the output from a reservation.
-	DecodeRequest(request *Request, requestID string, to Target, reservation ReservationHandle, remaining time.Duration) ([]byte, error)
+	DecodeRequest(request *Request, requestID string, to Target, reservation ReservationHandle,
+		remaining time.Duration) ([]byte, error)
 	// HealthCheckRequest encodes a health check, which also requests a load report if the protocol has load reports.
 	HealthCheckRequest(to Target) []byte
 	// ReleaseRequest encodes a request to release the reservation of an attempt.
--- a/internal/protocol/httpframing/body.go
+++ b/internal/protocol/httpframing/body.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxLineBytes bounds a chunk-size line and a trailer line. A chunk-size line has sixteen digits and possibly extensions.
+// maxLineBytes bounds a chunk-size line and a trailer line. A size line has up to sixteen digits and possibly an extension.
 const maxLineBytes = 1024
 
 // parseData parses the available bytes of a body with a length, or of a chunk.
--- a/internal/protocol/httpframing/message.go
+++ b/internal/protocol/httpframing/message.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Direction tells which messages the parser receives from the connection.
+// Direction is whether a parser receives requests or responses from its connection.
 type Direction uint8
 
 // The directions. Requests are received from clients, responses from engines.
@@ -37,7 +37,7 @@
 
 // MessageError reports an invalid message.
 type MessageError struct {
-	Status int // that a server should send as its response
+	Status int // status of the response that a server should send
 	Err    error
 }
 
--- a/internal/protocol/httpframing/parser.go
+++ b/internal/protocol/httpframing/parser.go
@@ -28,7 +28,7 @@
 	remaining        int // bytes of the body or chunk that have not arrived
 	bodyBytes        int // sum of the chunk sizes of the current message so far
 	trailerBytes     int
-	interimResponses int // before the next final response
+	interimResponses int // interim responses since the last final response
 	err              error
 }
 
--- a/internal/protocol/platform/config_golden_test.go
+++ b/internal/protocol/platform/config_golden_test.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/golden"
 )
 
-// The values that the keys of a configuration set in NodeConfig and Deployment.
+// Each key of a configuration sets the same values of NodeConfig and Deployment as before.
 func TestGoldenNodeConfig(t *testing.T) {
 	c, err := ParseNodeConfig("test", []byte(`{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:10","seed":"ff",
 		"limits":{"cores":2.5,"memory_mb":300,"sockets":777},"peer_listen":"127.0.0.1:11","peers":["127.0.0.1:12","127.0.0.1:13"],
@@ -28,13 +28,13 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	line := func(what string, value any) { fmt.Fprintf(&out, "%s: %v\n", what, value) }
+	line := func(label string, value any) { fmt.Fprintf(&out, "%s: %v\n", label, value) }
 	describeConfig(c, line)
 	describeDeployment(d, line)
 	golden.Check(t, "node_config.golden", out.String())
 }
 
-func describeConfig(c *NodeConfig, line func(what string, value any)) {
+func describeConfig(c *NodeConfig, line func(label string, value any)) {
 	line("name", c.Name)
 	line("listen", c.ListenAddress)
 	line("discovery", c.DiscoveryAddress)
@@ -49,7 +49,7 @@
 	line("fields of reports", c.LoadReportFields())
 }
 
-func describeDeployment(d *config.Deployment, line func(what string, value any)) {
+func describeDeployment(d *config.Deployment, line func(label string, value any)) {
 	line("own number", d.NodeNumber)
 	line("nodes", d.NodeCount)
 	line("zones", d.Zones)
--- a/internal/protocol/platform/deployment.go
+++ b/internal/protocol/platform/deployment.go
@@ -104,8 +104,8 @@
 // the time in the settings, so the node stops using a connection some time before.
 func applyConnectionTimes(d *config.Deployment, s params.Settings) {
 	d.Connections.DialTimeout = s.Duration("limits.dial_timeout", d.Connections.DialTimeout)
-	idle := s.Duration("limits.conn_idle", d.Connections.IdleTimeout)
-	d.Connections.IdleTimeout = max(0, min(idle*2/3, idle-invariant.MaxDelay))
+	idleTimeout := s.Duration("limits.conn_idle", d.Connections.IdleTimeout)
+	d.Connections.IdleTimeout = max(0, min(idleTimeout*2/3, idleTimeout-invariant.MaxDelay))
 	d.Connections.ReuseDelay = reuseDelay
 	d.Connections.NonIdempotentIdleTimeout = min(d.Connections.NonIdempotentIdleTimeout, d.Connections.IdleTimeout)
 }
@@ -143,12 +143,13 @@
 	if !s.Flag("engine_facts.resume") {
 		return
 	}
-	longest := time.Duration(0)
+	longestTimeout := time.Duration(0)
 	for i := range d.Routes {
-		longest = max(longest, s.Duration(fmt.Sprintf("routes.%d.route_timeout", i), 0))
+		longestTimeout = max(longestTimeout, s.Duration(fmt.Sprintf("routes.%d.route_timeout", i), 0))
 	}
-	killTime := min(longest, maxKillWait) + killMargin
-	d.ShutdownStayTime, d.ShutdownHandoverTime = max(d.ShutdownAcceptTime, killTime-stayBeforeKill), max(d.ShutdownAcceptTime, killTime-handoverBeforeKill)
+	killTime := min(longestTimeout, maxKillWait) + killMargin
+	d.ShutdownStayTime, d.ShutdownHandoverTime = max(d.ShutdownAcceptTime, killTime-stayBeforeKill),
+		max(d.ShutdownAcceptTime, killTime-handoverBeforeKill)
 }
 
 func deploymentFaults(d *config.Deployment, s params.Settings, file string) (faults script.Faults) {
@@ -156,9 +157,9 @@
 		faults = append(faults, &script.Fault{File: file, Err: fmt.Errorf("settings: %w", fmt.Errorf(format, args...))})
 	}
 	// A limit that is not a number is a fault. It must not count as absent, as an absent limit gets a default.
-	if pin, given := s["engine_facts.pin"]; given {
-		if _, ok := pin.(float64); !ok {
-			addFault("family_info: pin_limit %v is not a number", pin)
+	if limit, given := s["engine_facts.pin"]; given {
+		if _, ok := limit.(float64); !ok {
+			addFault("family_info: pin_limit %v is not a number", limit)
 		}
 	}
 	for i, route := range d.Routes {
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -22,7 +22,7 @@
 	regexp.MustCompile(`(Go struct field )[A-Za-z]*\.`),
 	regexp.MustCompile(`(?m)( of type )(?:struct \{.*\}|[a-z]+\.[A-Za-z]+)$`)}
 
-// The faults of invalid configurations. Each is the sample configuration with one text replaced by another.
+// Each configuration is the sample with one text replaced by another, and is rejected with the expected faults.
 func TestGoldenRefusals(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{sampleConfig, ""}, {sampleConfig, "{"}, {sampleConfig, "[]"}, {sampleConfig, "null"}, {sampleConfig, "{}"}, {sampleConfig, "x"}, {`{"name"`, `{`},
@@ -85,7 +85,7 @@
  "streamed":true},{"name":"alert","effect":"dedup","worth":5,"memory_span_us":7000000,"dedup_scope":"zone"},
  {"name":"pay","effect":"fragile","worth_by":[1,2]}]}}`
 
-// The routing configuration and the deployment that result from a valid configuration.
+// A valid configuration results in the same routing configuration and deployment as before.
 func TestGoldenDeployment(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{"sample", sampleConfig}, {"full", fullConfig}} {
--- a/internal/protocol/platform/request.go
+++ b/internal/protocol/platform/request.go
@@ -17,7 +17,7 @@
 const (
 	maxIDBytes = 128              // of a request ID, an affinity key or a prefix
 	maxTokens  = 1 << 24          // in any field that counts tokens
-	maxTimeout = 10 * time.Minute // of a client's request
+	maxTimeout = 10 * time.Minute // in HeaderTimeout
 )
 
 // bytesPerToken is used to estimate the length of a prompt if the client does not send it.
--- a/internal/protocol/platform/request_test.go
+++ b/internal/protocol/platform/request_test.go
@@ -49,14 +49,14 @@
 		}
 		return strings.Join(lines, "")
 	}
-	for what, head := range map[string]string{"no ID": with(HeaderRequestID, ""), "a path": with(HeaderRequestID, "../x"),
+	for name, head := range map[string]string{"no ID": with(HeaderRequestID, ""), "a path": with(HeaderRequestID, "../x"),
 		"long ID": with(HeaderRequestID, strings.Repeat("a", 200)), "two IDs": sampleHead + "Request-Id: b\r\n",
 		"no route": with(HeaderRequestClass, ""), "no timeout": with(HeaderTimeout, ""), "words": with(HeaderTimeout, "soon"),
 		"not a number": with(HeaderTimeout, "nan"), "endless": with(HeaderTimeout, "inf"), "past": with(HeaderTimeout, "-1"),
 		"negative length": with(HeaderRequestInfo, "prompt_len=-1"), "huge length": with(HeaderRequestInfo, "max_out=99999999999"),
 	} {
 		if request, rejection := parse(t, head, "{}"); rejection == nil || rejection.Status/100 != 4 {
-			t.Errorf("%s: accepted as %+v", what, request)
+			t.Errorf("%s: accepted as %+v", name, request)
 		}
 	}
 	for _, body := range []string{"", "[]", "{", "\xff", "null"} {
--- a/internal/protocol/platform/wire_golden_test.go
+++ b/internal/protocol/platform/wire_golden_test.go
@@ -12,15 +12,15 @@
 	"sandcourse/internal/protocol"
 )
 
-func writeResponse(out *strings.Builder, what string, response protocol.Response) {
-	fmt.Fprintf(out, "%s: %d %s\n", what, response.Status, response.ContentType)
+func writeResponse(out *strings.Builder, label string, response protocol.Response) {
+	fmt.Fprintf(out, "%s: %d %s\n", label, response.Status, response.ContentType)
 	for _, header := range response.Headers {
 		fmt.Fprintf(out, "    %s: %s\n", header.Name, header.Value)
 	}
 	fmt.Fprintf(out, "    %q\n", response.Body)
 }
 
-// The bytes of requests to engines and of responses to clients.
+// The bytes of requests to engines and of responses to clients stay the same.
 func TestGoldenWire(t *testing.T) {
 	c, out := NewCodec([]string{"x0", "x1"}), &strings.Builder{}
 	request, rejection := parse(t, sampleHead+"X-Other: b\r\nX-Other: a\r\nIdempotency-Key: k\r\nConnection: X-Dropped\r\nX-Dropped: d\r\n", "{}")
@@ -48,7 +48,7 @@
 	golden.Check(t, "wire.golden", out.String())
 }
 
-// The responses to requests that are not for a completion or are invalid.
+// Requests that are invalid or not for a completion get the same responses as before.
 func TestGoldenRejections(t *testing.T) {
 	c, out := NewCodec(nil), &strings.Builder{}
 	for _, r := range [][2]string{{"GET", HealthPath}, {"POST", HealthPath}, {"GET", CompletionsPath}, {"GET", "/else"}} {
@@ -80,12 +80,12 @@
 			t.Fatal(err)
 		}
 		request, rejection := parse(t, "POST "+CompletionsPath+" HTTP/1.1\r\nHost: h\r\n"+head.String(), r.body)
-		what := fmt.Sprintf("%s: %.30s %q", r.header, r.value, r.body)
+		label := fmt.Sprintf("%s: %.30s %q", r.header, r.value, r.body)
 		if rejection != nil {
-			writeResponse(out, what, *rejection)
+			writeResponse(out, label, *rejection)
 			continue
 		}
-		fmt.Fprintf(out, "%s: accepted, timeout %v, prompt %d, prefix %q of %d, output %d, retried %v, resumes %v, idempotent %v\n", what,
+		fmt.Fprintf(out, "%s: accepted, timeout %v, prompt %d, prefix %q of %d, output %d, retried %v, resumes %v, idempotent %v\n", label,
 			request.FirstTokenTimeout, request.PromptTokens, request.Prefix, request.PrefixTokens, request.MaxOutputTokens,
 			request.Retried, request.Resumes, request.Idempotent)
 	}
