--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -115,8 +115,8 @@
 	PlatformRouting      *routing.Config // routing configuration from the platform, to which the deployment adds its own settings
 	Zones                []string        // names of the zones, indexed by zone number
 	ShutdownAcceptTime   time.Duration   // how long a router accepts connections after the signal to stop
-	ShutdownStayTime     time.Duration   // how long it keeps client connections if no gossip of a peer arrives
-	ShutdownHandoverTime time.Duration   // when it hands over requests that arrived after it was no longer required to accept them
+	ShutdownStayTime     time.Duration   // how long a stopping router keeps client connections if no gossip of a peer arrives
+	ShutdownHandoverTime time.Duration   // when a stopping router hands over requests that it was no longer required to accept
 	QueueBytes           int             // maximum size of events queued for the router's core
 	// ReleaseRepeatTime is how long releases are repeated after an attempt was abandoned, for engines that do not remember
 	// releases. Such an attempt may continue after its connection ended, and make or return its reservation only later.
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -20,7 +20,7 @@
 	Assignment   assignment.Config
 }
 
-// RolePair is two kinds that stand for the two roles of the same engines.
+// RolePair pairs the kinds that the same engines have in the prefill role and in the decode role.
 type RolePair struct{ PrefillKind, DecodeKind string }
 
 // Has reports whether a kind is one of the pair.
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -25,7 +25,7 @@
 type Request struct {
 	Model             string
 	Session           string // empty if the client sent none
-	PrefixHash        string // of the leading messages that sessions may share; empty if there are none
+	PrefixHash        string // hash of the leading messages that sessions may share; empty if there are none
 	PromptTokens      int    // estimated by EstimateTokens
 	PrefixTokens      int    // of the leading messages
 	MaxOutputTokens   int
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -20,8 +20,8 @@
 // ClientCodec decodes the requests of clients and encodes the responses to them.
 type ClientCodec interface {
 	// ParseRequest decodes a client's request and returns the tenant that sends it, or an empty tenant if there is none. For an
-	// invalid request it returns a rejection instead. If both request and rejection are nil, the request is no completion
-	// request, and AuxiliaryResponse returns its response.
+	// invalid request it returns a rejection instead. If both request and rejection are nil, the request is not a
+	// completion request, and AuxiliaryResponse returns its response.
 	ParseRequest(r *http.Request, body []byte) (request *Request, tenant string, rejection *Response)
 	// AuxiliaryResponse returns the response to a request that is not for a completion, such as a health check. NotReady is
 	// the reason why the node cannot serve requests, or empty if it can.
@@ -73,7 +73,7 @@
 	// ParseLoadReport decodes the load report of a response, or returns nil if it has none. The body is nil except for health
 	// checks.
 	ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport
-	// ParseLoadComment decodes a load report in a comment line of a stream, or returns nil if the comment is none.
+	// ParseLoadComment decodes a load report in a comment line of a stream, or returns nil if the comment has none.
 	ParseLoadComment(line []byte) *routing.LoadReport
 	// IsFinalEvent reports whether an event ends its stream and must not be forwarded.
 	IsFinalEvent(event []byte) bool
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -56,7 +56,7 @@
 		if err != nil && !errors.As(err, &faults) {
 			t.Errorf("%s: the error is not of type script.Faults: %v", c[1], err)
 		}
-		replaced, result := c[0], "taken"
+		replaced, result := c[0], "accepted"
 		if replaced == sampleConfig {
 			replaced = "(all)"
 		}
