--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -14,7 +14,7 @@
 // none to pass the connection to the socket library. The clients have to wait, and must then be served.
 func TestClientIsServedAfterDescriptorsRunOut(t *testing.T) {
 	p, edge := startSingleEdge(t, nil)
-	restore, err := soak.LeaveDescriptors(edge.Process.Pid, 1)
+	restore, err := soak.LimitFreeDescriptors(edge.Process.Pid, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -182,7 +182,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "world\tstates\ttransitions\tmerged\tends\tdepth\tverdict")
 	for _, r := range e.results {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.World.Name, r.States, r.Transitions, r.Merged, r.Ends, r.Depth,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.World.Name, r.States, r.Transitions, r.Merged, r.TerminalStates, r.Depth,
 			verdict(r))
 	}
 	table.Flush()
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -65,13 +65,13 @@
 
 func TestUnavailableSinceKeepsTheFirstNotification(t *testing.T) {
 	unavailable := UnavailableSince{}
-	unavailable.Note("a", true, 5)
-	unavailable.Note("b", false, 5)
-	unavailable.Note("b", false, 9)
+	unavailable.Record("a", true, 5)
+	unavailable.Record("b", false, 5)
+	unavailable.Record("b", false, 9)
 	if unavailable["a"] != 0 || unavailable["b"] != 5 {
 		t.Errorf("got %v, want the time of the first notification of a drain", unavailable)
 	}
-	unavailable.Note("b", true, 10)
+	unavailable.Record("b", true, 10)
 	if unavailable["b"] != 0 {
 		t.Errorf("got %v, want no entry after a later notification that the engine is ready", unavailable)
 	}
--- a/internal/attempt/unavailable.go
+++ b/internal/attempt/unavailable.go
@@ -4,8 +4,8 @@
 // such engine. A later notification that the engine is ready removes the entry.
 type UnavailableSince map[string]int64
 
-// Note records a notification about one engine.
-func (u UnavailableSince) Note(engine string, ready bool, now int64) {
+// Record records a notification about one engine.
+func (u UnavailableSince) Record(engine string, ready bool, now int64) {
 	if ready {
 		delete(u, engine)
 	} else if u[engine] == 0 {
--- a/internal/config/deployment_script.go
+++ b/internal/config/deployment_script.go
@@ -109,7 +109,7 @@
 		script.OneOf("dedup_group", &route.DedupGroup, DedupGroupAll, DedupGroupZone, DedupGroupCell),
 	}
 	return arguments, func(report script.ReportFault) {
-		if d.Route(route.Name) >= 0 {
+		if d.RouteIndex(route.Name) >= 0 {
 			report("name", "route %q is declared twice", route.Name)
 		}
 		if route.Timeout < route.FirstTokenObjective {
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -103,7 +103,7 @@
 func indexOrZero(names []string, name string) int { return max(0, slices.Index(names, name)) }
 
 // Route returns the index of the model route with the given name, or -1 if there is none.
-func (d *Deployment) Route(name string) int {
+func (d *Deployment) RouteIndex(name string) int {
 	return slices.IndexFunc(d.Routes, func(t Route) bool { return t.Name == name })
 }
 
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -224,6 +224,6 @@
 // parseRequest parses a complete request with the edge's protocol codec. It runs on a poller.
 func (e *Edge) parseRequest(r *http.Request, body []byte) *router.ClientRequest {
 	request := &router.ClientRequest{Request: r, Bytes: len(body)}
-	request.Call, request.Caller, request.Rejection = e.protocol.ParseRequest(r, body)
+	request.Parsed, request.Tenant, request.Rejection = e.protocol.ParseRequest(r, body)
 	return request
 }
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -136,7 +136,7 @@
 	decode.SetFaults(engine.Faults{Slowdown: 3})
 	slow := make(chan audit.ClientRecord)
 	go func() { slow <- f.call(loadgen.Request{Route: "clip-summary", RequestID: "slow"}) }()
-	f.waitFor("the slow request is open", func() bool { return f.edges.Holding(context.Background()).Requests == 1 })
+	f.waitFor("the slow request is open", func() bool { return f.edges.InFlight(context.Background()).Requests == 1 })
 	stopped := make(chan struct{})
 	go func() { f.edges.Drain(0); close(stopped) }()
 	f.waitFor("new requests are shed", func() bool {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -45,7 +45,7 @@
 			if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "leaver", DisconnectAfter: c.after}); got.Outcome != "left" {
 				t.Errorf("%+v", got)
 			}
-			f.waitFor("no request is open", func() bool { return f.edges.Holding(context.Background()).Requests == 0 })
+			f.waitFor("no request is open", func() bool { return f.edges.InFlight(context.Background()).Requests == 0 })
 			prefill.SetFaults(engine.Faults{})
 			decode.SetFaults(engine.Faults{})
 			decode.Drain(false)
@@ -198,9 +198,9 @@
 			results <- f.call(loadgen.Request{Route: "fan-alert", RequestID: fmt.Sprint("p", i), Unary: i%2 == 0})
 		}()
 	}
-	f.waitFor("all requests are open", func() bool { return f.edges.Holding(context.Background()).Requests == 6 })
+	f.waitFor("all requests are open", func() bool { return f.edges.InFlight(context.Background()).Requests == 6 })
 	armed := true
-	f.edges.Node(0).PanicOn(func(event routing.Event) bool {
+	f.edges.Edge(0).PanicOn(func(event routing.Event) bool {
 		_, isUpdate := event.(routing.EndpointUpdate)
 		shouldPanic := armed && !isUpdate
 		armed = armed && !shouldPanic
@@ -227,7 +227,7 @@
 		}()
 	}
 	for range 5 {
-		f.edges.Node(0).PauseOwner(60 * time.Millisecond)
+		f.edges.Edge(0).PauseOwner(60 * time.Millisecond)
 		time.Sleep(20 * time.Millisecond)
 	}
 	for range 4 {
@@ -278,7 +278,7 @@
 		connections = append(connections, c)
 	}
 	f.waitFor("the limit holds and new clients are served", func() bool {
-		return f.edges.Holding(context.Background()).Clients <= 1500 &&
+		return f.edges.InFlight(context.Background()).Clients <= 1500 &&
 			f.call(loadgen.Request{Route: "clip-summary"}).Outcome == "completed"
 	})
 	f.checkInvariants()
@@ -326,9 +326,9 @@
 				t.Fatalf("%q: %v", got, err)
 			}
 		}
-		f.edges.Node(0).PauseOwner(5 * time.Millisecond) // the owner handles the close late
+		f.edges.Edge(0).PauseOwner(5 * time.Millisecond) // the owner handles the close late
 		c.Close()
 	}
-	f.waitFor("all client connections are closed", func() bool { return f.edges.Holding(context.Background()).Clients == 0 })
+	f.waitFor("all client connections are closed", func() bool { return f.edges.InFlight(context.Background()).Clients == 0 })
 	f.checkInvariants()
 }
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -98,7 +98,7 @@
 		}
 	}()
 	f.waitFor("edge and engines have no open requests or reservations", func() bool {
-		usage, heldReservations = f.edges.Holding(context.Background()), 0
+		usage, heldReservations = f.edges.InFlight(context.Background()), 0
 		for _, e := range f.fleet.Engines {
 			heldReservations += e.HeldReservations()
 		}
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -100,7 +100,7 @@
 
 // firstTokenObjective returns the latency objective for the first token, which grows with the length of the prompt.
 func (o observer) firstTokenObjective(route string, promptTokens int) time.Duration {
-	r := o.edge.deployment.Routes[o.edge.deployment.Route(route)]
+	r := o.edge.deployment.Routes[o.edge.deployment.RouteIndex(route)]
 	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(promptTokens)/1000)
 }
 
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -63,8 +63,8 @@
 	if err != nil {
 		panic(err) // cannot fail: the arguments are constants
 	}
-	request := &router.ClientRequest{Request: httpRequest, Call: chatapi.ToRequest(r.chatRequest()), Bytes: bytesPerToken * int(r.promptTokens),
-		Caller: r.session.name}
+	request := &router.ClientRequest{Request: httpRequest, Parsed: chatapi.ToRequest(r.chatRequest()), Bytes: bytesPerToken * int(r.promptTokens),
+		Tenant: r.session.name}
 	em.scheduleAfter(networkDelay, func() {
 		target.handle(func(core *router.Router) {
 			core.ClientOpened(conn)
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -32,7 +32,7 @@
 	OverloadWindow time.Duration
 	WarmUp         time.Duration // time from a cold start to full speed
 	WarmUpShare    float64       // share of full speed at a cold start
-	Reload         time.Duration // duration of a role change, in which the engine serves no role
+	RoleChangeTime time.Duration // duration of a role change, in which the engine serves no role
 }
 
 // capacity holds the defaults of a configuration that depend on the role.
@@ -60,7 +60,7 @@
 	c.OverloadWindow = cmp.Or(c.OverloadWindow, time.Second)
 	c.WarmUp = cmp.Or(c.WarmUp, 10*time.Second)
 	c.WarmUpShare = cmp.Or(c.WarmUpShare, 0.3)
-	c.Reload = cmp.Or(c.Reload, time.Second)
+	c.RoleChangeTime = cmp.Or(c.RoleChangeTime, time.Second)
 	return c
 }
 
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -87,7 +87,7 @@
 		return
 	}
 	incarnation, falseRole := e.incarnation.ctx, e.faults.FalseRole
-	time.AfterFunc(e.config.Reload, func() {
+	time.AfterFunc(e.config.RoleChangeTime, func() {
 		e.updateIfCurrent(incarnation, func() {
 			if e.role.epoch != order.Epoch {
 				return // superseded by the role change of a later order
--- a/internal/fake/engine/wire_test.go
+++ b/internal/fake/engine/wire_test.go
@@ -65,7 +65,7 @@
 	var engines []*Engine
 	for i, role := range []string{"read", "write"} {
 		e, err := Start(Config{Name: fmt.Sprint("e", i), Role: role, Seed: 7, TokenTime: 50 * time.Microsecond,
-			Reload: time.Millisecond}, log, keys)
+			RoleChangeTime: time.Millisecond}, log, keys)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -73,7 +73,7 @@
 	c.requestID = fmt.Sprintf("%s-%x-%d", s.deployment.NodeName, s.incarnation, s.requestsSent[s.incarnation])
 	openBefore := s.core.InFlight().Requests
 	s.handle(func() {
-		s.core.ReceiveRequest(c.connection, &router.ClientRequest{Request: r, Call: chatapi.ToRequest(call), Bytes: len(body)})
+		s.core.ReceiveRequest(c.connection, &router.ClientRequest{Request: r, Parsed: chatapi.ToRequest(call), Bytes: len(body)})
 	})
 	if c.endedAt > 0 && !strings.Contains(string(c.received), chat.HeaderRequestID) { // rejected before it was admitted
 		s.requestsSent[s.incarnation]--
--- a/internal/modelcheck/crowd.go
+++ b/internal/modelcheck/crowd.go
@@ -38,7 +38,7 @@
 			c.fleet.restartEngine(len(restarts) - 1)
 			c.fleet.restartEngine(w.PrefillEngines + len(restarts) - 1)
 			restarts, burstEnd = restarts[1:], at+crowdBurstLength
-			r.Ends++
+			r.TerminalStates++
 		}
 		rate := crowdLoad * warmCapacity / float64(w.Routers)
 		if at < burstEnd {
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -25,16 +25,16 @@
 
 // Result is the result of an exploration.
 type Result struct {
-	World       World    `json:"world"`
-	States      int      `json:"states"`
-	Transitions int      `json:"transitions"`
-	Merged      int      `json:"merged"`
-	Ends        int      `json:"ends"` // number of terminal states, in which no event is enabled
-	Depth       int      `json:"depth"`
-	Complete    bool     `json:"complete"`
-	Violations  []string `json:"broken,omitempty"`
-	Path        Path     `json:"path,omitempty"` // path to the violations
-	Coverage    Coverage `json:"-"`
+	World          World    `json:"world"`
+	States         int      `json:"states"`
+	Transitions    int      `json:"transitions"`
+	Merged         int      `json:"merged"`
+	TerminalStates int      `json:"ends"` // number of terminal states, in which no event is enabled
+	Depth          int      `json:"depth"`
+	Complete       bool     `json:"complete"`
+	Violations     []string `json:"broken,omitempty"`
+	Path           Path     `json:"path,omitempty"` // path to the violations
+	Coverage       Coverage `json:"-"`
 	// TerminalStatesChecksum is a checksum of the set of terminal states, independent of the order of the search.
 	TerminalStatesChecksum uint64 `json:"ends_sum"`
 	MaxColdAttempts        int    `json:"cold"` // maximum of attempts to a warming engine of a crowd in one window
@@ -191,7 +191,7 @@
 func (s *Snapshot) mergeTerminalState(e expansion, path Path) {
 	if _, ok := s.TerminalStates[e.fingerprint]; !ok {
 		s.TerminalStates[e.fingerprint] = struct{}{}
-		s.Result.Ends++
+		s.Result.TerminalStates++
 		s.Result.TerminalStatesChecksum ^= e.fingerprint
 	}
 	s.Result.recordFirstViolation(e.violations, slices.Clone(path))
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -27,7 +27,7 @@
 		w, _ := FindWorld(name)
 		r := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		reportViolations(t, r)
-		if !r.Complete || r.Ends == 0 {
+		if !r.Complete || r.TerminalStates == 0 {
 			t.Errorf("%s: not complete: %+v", name, r)
 		}
 		coverage.Add(r.Coverage)
@@ -78,7 +78,7 @@
 		full := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		reportViolations(t, reduced)
 		reportViolations(t, full)
-		if reduced.TerminalStatesChecksum != full.TerminalStatesChecksum || reduced.Ends != full.Ends || !full.Complete || full.Ends < 5 ||
+		if reduced.TerminalStatesChecksum != full.TerminalStatesChecksum || reduced.TerminalStates != full.TerminalStates || !full.Complete || full.TerminalStates < 5 ||
 			reduced.Transitions >= full.Transitions {
 			t.Errorf("%v: %+v\n%+v", kinds, reduced, full)
 		}
@@ -120,8 +120,8 @@
 		}
 	}
 	explorePath(nil)
-	if !merged.Complete || merged.Ends == 0 || terminalPaths < merged.Ends || len(outcomes) < 3 {
-		t.Errorf("%d terminal paths without merging, %d terminal states with merging, outcomes %v", terminalPaths, merged.Ends, outcomes)
+	if !merged.Complete || merged.TerminalStates == 0 || terminalPaths < merged.TerminalStates || len(outcomes) < 3 {
+		t.Errorf("%d terminal paths without merging, %d terminal states with merging, outcomes %v", terminalPaths, merged.TerminalStates, outcomes)
 	}
 }
 
--- a/internal/modelcheck/randomwalk.go
+++ b/internal/modelcheck/randomwalk.go
@@ -45,7 +45,7 @@
 		r.Coverage.Add(walked.coverage)
 		r.Depth = max(r.Depth, len(walked.path))
 		if walked.reachedTerminal {
-			r.Ends++
+			r.TerminalStates++
 		}
 		if len(walked.violations) > 0 && r.Path == nil {
 			r.World, r.Violations, r.Path = walked.world, walked.violations, walked.path
--- a/internal/modelcheck/snapshot.go
+++ b/internal/modelcheck/snapshot.go
@@ -49,7 +49,7 @@
 func (s *Snapshot) Encode(w io.Writer) error {
 	world, r := storeWorld(s.World), s.Result
 	return gob.NewEncoder(w).Encode(storedSnapshot{World: world, Front: s.Frontier, Seen: s.Visited, Ended: s.TerminalStates,
-		Result: storedResult{World: world, States: r.States, Transitions: r.Transitions, Merged: r.Merged, Ends: r.Ends, Depth: r.Depth,
+		Result: storedResult{World: world, States: r.States, Transitions: r.Transitions, Merged: r.Merged, Ends: r.TerminalStates, Depth: r.Depth,
 			Complete: r.Complete, Broken: r.Violations, Path: r.Path, Took: storeCoverage(r.Coverage),
 			EndsSum: r.TerminalStatesChecksum, Cold: r.MaxColdAttempts}})
 }
@@ -67,7 +67,7 @@
 		stored.Ended = map[uint64]struct{}{}
 	}
 	w, r := stored.World.restore(), stored.Result
-	result := Result{World: w, States: r.States, Transitions: r.Transitions, Merged: r.Merged, Ends: r.Ends, Depth: r.Depth,
+	result := Result{World: w, States: r.States, Transitions: r.Transitions, Merged: r.Merged, TerminalStates: r.Ends, Depth: r.Depth,
 		Complete: r.Complete, Violations: r.Broken, Path: r.Path, TerminalStatesChecksum: r.EndsSum, MaxColdAttempts: r.Cold,
 		Coverage: Coverage{Routing: r.Took.Brain, Attempt: r.Took.Attempt, Connections: r.Took.Conns, Assignment: r.Took.Roles}}
 	return &Snapshot{World: w, Frontier: stored.Front, Visited: stored.Seen, TerminalStates: stored.Ended, Result: result}, nil
--- a/internal/planner/assignment/eligibility.go
+++ b/internal/planner/assignment/eligibility.go
@@ -27,7 +27,7 @@
 	if reason := c.checkChangeBudget(engine); reason != "" {
 		return reason
 	}
-	return c.floorReason(engine)
+	return c.checkRemainingEngines(engine)
 }
 
 // checkEngineState returns a reason if the state of the engine itself prevents a change.
@@ -96,9 +96,9 @@
 	return count
 }
 
-// floorReason returns a reason if a change would leave too few serving engines of a role in the fleet, none in the zone
+// checkRemainingEngines returns a reason if a change would leave too few serving engines of a role in the fleet, none in the zone
 // or cell of the engine, or two thirds of the role's engines in the cell out of service.
-func (c *Controller) floorReason(engine *engineRecord) Reason {
+func (c *Controller) checkRemainingEngines(engine *engineRecord) Reason {
 	listed := &engine.listed
 	fleet := c.countRole(engine.Role, func(*ListedEngine) bool { return true })
 	if fleet.serving-1 < c.config.MinServing {
--- a/internal/planner/fleet_test.go
+++ b/internal/planner/fleet_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	f := &fleet{t: t}
 	var list endpoint.List
-	f.engines, list = startEngines(t, prefillEngines, decodeEngines, engine.Config{Reload: 50 * time.Millisecond})
+	f.engines, list = startEngines(t, prefillEngines, decodeEngines, engine.Config{RoleChangeTime: 50 * time.Millisecond})
 	directory := t.TempDir()
 	endpointFile := filepath.Join(directory, "roster.json")
 	if err := endpoint.WriteFile(endpointFile, list); err != nil {
--- a/internal/protocol/platform/config_test.go
+++ b/internal/protocol/platform/config_test.go
@@ -31,7 +31,7 @@
 	}
 	c := d.RoutingConfig()
 	if c.Routes[0].Effect != routing.NonRetriable || c.Routes[0].FirstTokenObjective != 800*time.Millisecond || c.Zone != 1 ||
-		d.Role("decode") != "write" || d.Route("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(node.LoadReportFields()) != "[x0 x1]" {
+		d.Role("decode") != "write" || d.RouteIndex("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(node.LoadReportFields()) != "[x0 x1]" {
 		t.Errorf("%+v %+v", d, c)
 	}
 	if c.ReservationLimit != 625*time.Millisecond {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -102,9 +102,9 @@
 	att := conn.attempt
 	req, timeout := att.request, r.advertisedTimeout(att.request)
 	if att.decode {
-		return r.protocol.DecodeRequest(req.received.Call, req.name, target, req.reservationHandle, timeout)
+		return r.protocol.DecodeRequest(req.received.Parsed, req.name, target, req.reservationHandle, timeout)
 	}
-	return r.protocol.PrefillRequest(req.received.Call, req.name, target, att.index, timeout)
+	return r.protocol.PrefillRequest(req.received.Parsed, req.name, target, att.index, timeout)
 }
 
 // advertisedTimeout returns the timeout that is sent to an engine.
@@ -235,7 +235,7 @@
 	if req.forwardsTokens() {
 		r.write(req.client, r.protocol.StreamHead(req.name))
 	}
-	r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Call.PromptTokens)
+	r.observer.FirstToken(r.config.Routes[req.route].Name, time.Duration(r.now-req.arrivedAt), req.received.Parsed.PromptTokens)
 	r.notifyPolicy(routing.FirstToken{RequestID: req.id, Attempt: att.index, Engine: att.engine,
 		Latency: r.attemptLatency(att)})
 }
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -21,8 +21,8 @@
 // ClientRequest is one complete HTTP request of a client.
 type ClientRequest struct {
 	Request   *http.Request
-	Call      *protocol.Request  // the decoded request; nil if the router itself answers it
-	Caller    string             // tenant whose quota the request counts against; empty if the connection has its own quota
+	Parsed    *protocol.Request  // the decoded request; nil if the router itself answers it
+	Tenant    string             // tenant whose quota the request counts against; empty if the connection has its own quota
 	Bytes     int                // size of the request
 	Rejection *protocol.Response // the answer to an invalid request
 
@@ -104,8 +104,8 @@
 		received := client.waiting[0]
 		client.waiting = client.waiting[1:]
 		client.serving = true
-		if received.Caller == "" {
-			received.Caller = fmt.Sprintf("c%d", client.ID)
+		if received.Tenant == "" {
+			received.Tenant = fmt.Sprintf("c%d", client.ID)
 		}
 		r.serve(client, received)
 	}
@@ -134,7 +134,7 @@
 		r.reply(client, nil, *received.Rejection)
 	case received.Rejection != nil:
 		r.reply(client, received, *received.Rejection)
-	case received.Call != nil:
+	case received.Parsed != nil:
 		r.admitRequest(client, received)
 	default:
 		r.reply(client, received, r.protocol.AuxiliaryResponse(received.Request, r.notReadyReason()))
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -113,13 +113,13 @@
 	for i := range listed {
 		engine := &listed[i]
 		e.lastListedIn[engine.Engine] = e.listCount
-		e.drains.Note(engine.Engine, engine.Ready, now)
+		e.drains.Record(engine.Engine, engine.Ready, now)
 	}
 	for engine, list := range e.lastListedIn {
 		if list == e.listCount {
 			continue
 		}
-		e.drains.Note(engine, false, now)
+		e.drains.Record(engine, false, now)
 		if now-e.drains[engine] > departedRetention {
 			delete(e.lastListedIn, engine)
 			delete(e.drains, engine)
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -358,7 +358,7 @@
 				c.body = append(c.body, p.Data...)
 			case httpframing.End:
 				received := &router.ClientRequest{Request: c.head, Bytes: len(c.body)}
-				received.Call, received.Caller, received.Rejection = c.r.protocol.ParseRequest(c.head, c.body)
+				received.Parsed, received.Tenant, received.Rejection = c.r.protocol.ParseRequest(c.head, c.body)
 				core.ReceiveRequest(c.connection, received)
 			}
 		}
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -34,7 +34,7 @@
 		s.t.Fatal(err)
 	}
 	received := &router.ClientRequest{Request: r, Bytes: 2}
-	received.Call, received.Caller, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
+	received.Parsed, received.Tenant, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
 	s.clients = append(s.clients, c)
 	s.do(func() { s.core.ClientOpened(c.client); s.core.ReceiveRequest(c.client, received) })
 }
--- a/internal/router/request_admission.go
+++ b/internal/router/request_admission.go
@@ -14,7 +14,7 @@
 
 // admitRequest passes a request to the policy, or answers the request itself if it is invalid, forbidden or over a limit.
 func (r *Router) admitRequest(client *ClientConnection, received *ClientRequest) {
-	route := r.config.Route(received.Call.Route)
+	route := r.config.RouteIndex(received.Parsed.Route)
 	if !r.validateRequest(client, received, route) || !r.checkAcceptance(client, received) || !r.acquireCapacity(client, received) {
 		return
 	}
@@ -31,7 +31,7 @@
 func (r *Router) validateRequest(client *ClientConnection, received *ClientRequest, route int) bool {
 	if route < 0 {
 		r.reply(client, received, r.protocol.InvalidRequestResponse(http.StatusNotFound, "model_not_found", "model",
-			fmt.Sprintf("there is no model route %q", received.Call.Route)))
+			fmt.Sprintf("there is no model route %q", received.Parsed.Route)))
 		return false
 	}
 	if !received.Request.ProtoAtLeast(1, 1) {
@@ -45,7 +45,7 @@
 // checkAcceptance reports whether the invariants allow a request to start. If they do, its name is taken from now on;
 // otherwise the request is answered.
 func (r *Router) checkAcceptance(client *ClientConnection, received *ClientRequest) bool {
-	name := received.Call.ID
+	name := received.Parsed.ID
 	arrival := invariant.Arrival{DuplicateID: r.requests.isKnown(name), Accepting: r.acceptsRequests()}
 	switch reason := invariant.MayAccept(arrival); reason {
 	case invariant.Allowed:
@@ -69,10 +69,10 @@
 	if received.exceedsPipeline {
 		r.observer.Rejected(RejectPipelined)
 		reason = shedPipelined
-	} else if !r.admission.retries.Allow(r.now, received.Call.Retried) {
+	} else if !r.admission.retries.Allow(r.now, received.Parsed.Retried) {
 		reason = shedRetryBudget
 	} else {
-		switch r.admission.Admit(client.ID, received.Caller) {
+		switch r.admission.Admit(client.ID, received.Tenant) {
 		case admission.QuotaExceeded:
 			status, reason = http.StatusTooManyRequests, shedQuota
 		case admission.CapacityExceeded, admission.BufferFull:
@@ -89,25 +89,25 @@
 	r.requests.lastID++
 	id := r.requests.lastID
 	timeout := r.config.Routes[route].Timeout
-	if received.Call.FirstTokenTimeout > 0 {
-		timeout = min(timeout, received.Call.FirstTokenTimeout)
+	if received.Parsed.FirstTokenTimeout > 0 {
+		timeout = min(timeout, received.Parsed.FirstTokenTimeout)
 	}
 	return &request{
 		id:        id,
-		name:      cmp.Or(received.Call.ID, fmt.Sprintf("%s-%x-%d", r.config.NodeName, r.incarnation, id)),
+		name:      cmp.Or(received.Parsed.ID, fmt.Sprintf("%s-%x-%d", r.config.NodeName, r.incarnation, id)),
 		client:    client,
 		received:  received,
 		route:     route,
 		arrivedAt: r.eventTime(),
 		deadline:  r.arrivalTime() + int64(timeout),
-		collector: r.protocol.NewCollector(received.Call),
+		collector: r.protocol.NewCollector(received.Parsed),
 	}
 }
 
 // arrivalEvent returns the policy event for a new request. A request without a session gets a session of its own: the
 // policy must not treat unrelated clients as one session.
 func (r *Router) arrivalEvent(req *request) routing.RequestArrived {
-	call := req.received.Call
+	call := req.received.Parsed
 	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(call.Session, req.name), Prefix: call.Prefix,
 		Waited: time.Duration(r.now - req.arrivedAt), Deadline: time.Duration(req.deadline),
 		PromptTokens: float64(call.PromptTokens), PrefixTokens: float64(call.PrefixTokens),
@@ -117,10 +117,10 @@
 // shedOnArrival sheds a request before the policy sees it. A request that resumes a stream has run before, under another
 // name. If it must not run twice, it gets an error instead, since a shed answer says that a retry is safe.
 func (r *Router) shedOnArrival(client *ClientConnection, received *ClientRequest, status int, reason ShedReason, retryAfter time.Duration) {
-	call := received.Call
+	call := received.Parsed
 	r.observer.RequestShed(ShedRequest{Request: call.ID, Route: call.Route, Reason: reason, PromptTokens: call.PromptTokens})
 	var answer protocol.Response
-	if call.Resumes && !r.retriable(r.config.Route(call.Route)) {
+	if call.Resumes && !r.retriable(r.config.RouteIndex(call.Route)) {
 		answer = r.protocol.ErrorResponse("", string(reason), false)
 	} else {
 		answer = r.protocol.ShedResponse(status, "", string(reason), retryAfter)
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -24,7 +24,7 @@
 		r.monitor.RequestAnswered(req.id, r.now)
 	}
 	r.requests.justFinished = append(r.requests.justFinished, req)
-	r.admission.Release(req.client.ID, req.received.Caller)
+	r.admission.Release(req.client.ID, req.received.Tenant)
 	r.reportRequest(req, reason)
 	return true
 }
@@ -37,7 +37,7 @@
 	}
 	switch {
 	case outcome == OutcomeCompleted && req.collector != nil:
-		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Call, req.name, req.collector))
+		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Parsed, req.name, req.collector))
 	case req.streaming && req.collector == nil, outcome == OutcomeCompleted:
 		if !req.streaming { // an answer without tokens
 			r.write(client, r.protocol.StreamHead(req.name))
@@ -99,7 +99,7 @@
 
 // reportRequest reports the outcome of a request to the observer.
 func (r *Router) reportRequest(req *request, reason FailureReason) {
-	call := req.received.Call
+	call := req.received.Parsed
 	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: call.Session, Outcome: req.outcome,
 		Duration: time.Duration(r.now - req.arrivedAt), PromptTokens: call.PromptTokens, OutputTokens: req.tokens, Reason: reason, Cause: req.cause}
 	if req.streaming {
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -273,7 +273,7 @@
 		b.t.Fatal(err)
 	}
 	received := &router.ClientRequest{Request: r, Bytes: 2}
-	received.Call, received.Caller, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
+	received.Parsed, received.Tenant, received.Rejection = platform.NewCodec(nil).ParseRequest(r, []byte("{}"))
 	b.do(func() { b.core.ReceiveRequest(client, received) })
 }
 
--- a/internal/scenario/edges.go
+++ b/internal/scenario/edges.go
@@ -101,7 +101,7 @@
 }
 
 // Node returns an edge, or nil while it is down.
-func (es *Edges) Node(i int) *edge.Edge {
+func (es *Edges) Edge(i int) *edge.Edge {
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	return es.edges[i]
@@ -119,8 +119,8 @@
 	return e.Drain(context.Background())
 }
 
-// Holding returns the sum of the requests, connections and buffered bytes of all edges.
-func (es *Edges) Holding(ctx context.Context) (sum router.InFlight) {
+// InFlight returns the sum of the requests, connections and buffered bytes of all edges.
+func (es *Edges) InFlight(ctx context.Context) (sum router.InFlight) {
 	es.mu.Lock()
 	edges := slices.Clone(es.edges)
 	es.mu.Unlock()
@@ -174,7 +174,7 @@
 func awaitReleased(ctx context.Context, fleet *Fleet, edges *Edges) (held int) {
 	for range releasePolls {
 		held = fleet.heldReservations()
-		if held == 0 && edges.Holding(ctx).Requests == 0 {
+		if held == 0 && edges.InFlight(ctx).Requests == 0 {
 			break
 		}
 		time.Sleep(releasePollInterval)
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -63,7 +63,7 @@
 	c := engine.Config{Name: engineName(i), Role: string(config.RolePrefill), Seed: engineSeed, Slots: 2, OtherRoleSlots: 16, QueueLimit: 64,
 		PrefillRate: shiftPrefillRate, AttemptRate: 30, TokenTime: 10 * time.Millisecond, MemoryTokens: 400_000,
 		WarmUp: rules.SlowStart, WarmUpShare: rules.SlowStartShare, OverloadFactor: rules.OverloadMultiple,
-		OverloadWindow: rules.OverloadWindow, Reload: 300 * time.Millisecond}
+		OverloadWindow: rules.OverloadWindow, RoleChangeTime: 300 * time.Millisecond}
 	if i >= prefillCount {
 		c.Role, c.Slots, c.OtherRoleSlots = string(config.RoleDecode), 16, 2
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -76,7 +76,7 @@
 // routes returns the model routes as clients use them.
 func (s *Scenario) routes() (routes []loadgen.Route) {
 	for _, c := range s.Clients {
-		r := clientRoute(s.Deployment.Routes[s.Deployment.Route(c.Route)])
+		r := clientRoute(s.Deployment.Routes[s.Deployment.RouteIndex(c.Route)])
 		r.Share, r.MaxTokens = c.Share, c.MaxTokens
 		routes = append(routes, r)
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -69,7 +69,7 @@
 			script.Number("share", &c.Share, 0.0001, 1e6),
 			script.Number("max_tokens", &c.MaxTokens, 1, 4096),
 		}, func(report script.ReportFault) {
-			if c.Route != "" && s.Deployment.Route(c.Route) < 0 {
+			if c.Route != "" && s.Deployment.RouteIndex(c.Route) < 0 {
 				report("route", "%q is not a route that the script defines above", c.Route)
 			}
 			s.Clients = append(s.Clients, c)
--- a/internal/soak/descriptors.go
+++ b/internal/soak/descriptors.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// LeaveDescriptors lowers the descriptor limit of a process, so that the process can open only spare more descriptors until
+// LimitFreeDescriptors lowers the descriptor limit of a process, so that the process can open only spare more descriptors until
 // restore is called.
-func LeaveDescriptors(pid, spare int) (restore func() error, err error) {
+func LimitFreeDescriptors(pid, spare int) (restore func() error, err error) {
 	var original unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		return nil, fmt.Errorf("get descriptor limit of process %d: %w", pid, err)
@@ -60,7 +60,7 @@
 	p.mu.Lock()
 	pid := p.command.Process.Pid
 	p.mu.Unlock()
-	restore, err := LeaveDescriptors(pid, spare)
+	restore, err := LimitFreeDescriptors(pid, spare)
 	if err != nil {
 		return err
 	}
--- a/internal/soak/descriptors_test.go
+++ b/internal/soak/descriptors_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestProcessOpensNoMoreDescriptorsThanLeft(t *testing.T) {
-	restore, err := LeaveDescriptors(os.Getpid(), 2)
+	restore, err := LimitFreeDescriptors(os.Getpid(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
