--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -202,11 +202,11 @@
 		return tasks
 	}
 	c.ownerNotified = true
-	input, size := admission.HeaderStarted, len(c.body)+c.parser.Buffered()
+	event, size := admission.HeaderStarted, len(c.body)+c.parser.Buffered()
 	if headComplete {
-		input = admission.HeaderComplete
+		event = admission.HeaderComplete
 	}
-	return append(tasks, task{1, func() { c.edge.router.ReceivePartial(c.state, input, size) }})
+	return append(tasks, task{1, func() { c.edge.router.ReceivePartial(c.state, event, size) }})
 }
 
 // requestTask returns a task that answers input from the client. The connection must not be closed until the owner has
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -87,8 +87,8 @@
 	startAndAwaitReady(t, e)
 	client := idleClient(t, e)
 	waitFor(t, "only the client's connection is open", func() bool { // the owner pauses at the first connection it closes
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Clients == 1
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Clients == 1
 	})
 	pause.armed.Store(true)
 	drained := startDrain(e)
@@ -117,8 +117,8 @@
 	text := requestText("b", "alert")
 	client.send(text[:len(text)-40])
 	waitFor(t, "a part of the request is read", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Bytes > 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Bytes > 0
 	})
 	drained := startDrain(e)
 	waitFor(t, "the edge drains", func() bool { return isStopping(e) })
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -100,13 +100,13 @@
 
 // dialOnce connects, and converts the connection to one of the socket library.
 func (s *engineSide) dialOnce(ctx context.Context, address string) (*nbio.Conn, error) {
-	dialled, err := s.dial(ctx, address)
+	dialed, err := s.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := nbio.NBConn(dialled)
+	conn, err := nbio.NBConn(dialed)
 	if err != nil {
-		dialled.Close()
+		dialed.Close()
 		return nil, err
 	}
 	return conn, nil
--- a/internal/edge/leak_test.go
+++ b/internal/edge/leak_test.go
@@ -63,8 +63,8 @@
 	e := startPlatformEdge(t, 1024, shortIdleTimeouts, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	defer e.Stop()
 	isIdle := func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.EngineConnections == 0 && h.Clients == 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.EngineConnections == 0 && usage.Clients == 0
 	}
 	const requests = 500
 	for i := range requests {
--- a/internal/edge/messages_test.go
+++ b/internal/edge/messages_test.go
@@ -119,8 +119,8 @@
 	first := requestText("a", "chat")
 	client.send(first[:20])
 	waitFor(t, "the owner is notified of the first half", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Clients == 1 && h.Bytes > 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Clients == 1 && usage.Bytes > 0
 	})
 	client.send(first[20:] + requestText("b", "chat")[:20])
 	if status, _ := client.readResponse(); status != 200 {
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -26,7 +26,7 @@
 	listTasks          []queuedTask // tasks of this turn; the memory of all three slices is reused
 	engineTasks        []queuedTask
 	clientTasks        []queuedTask
-	nextClient         int  // index of the first of clientTasks that has not been run
+	nextClientTask     int  // index of the first of clientTasks that has not been run
 	isRunningListTasks bool // runListTasks is running
 	delay              delayReport
 	pauses             localpause.Detector
@@ -97,17 +97,17 @@
 
 // runClientTasks runs tasks from clients until engine tasks wait or maxTurnDelay has passed. It reports whether any waited.
 func (l *ownerLoop) runClientTasks() bool {
-	if l.nextClient == len(l.clientTasks) {
+	if l.nextClientTask == len(l.clientTasks) {
 		before := l.now()
-		l.clientTasks, l.nextClient = l.edge.inbox.takeAll(clientLane, l.clientTasks), 0
+		l.clientTasks, l.nextClientTask = l.edge.inbox.takeAll(clientLane, l.clientTasks), 0
 		if len(l.clientTasks) == 0 {
 			l.observed.Clients = max(l.observed.Clients, l.pauses.ObservedUntil(before))
 			return false
 		}
 	}
-	for l.nextClient < len(l.clientTasks) {
-		task := l.clientTasks[l.nextClient]
-		l.nextClient++
+	for l.nextClientTask < len(l.clientTasks) {
+		task := l.clientTasks[l.nextClientTask]
+		l.nextClientTask++
 		l.observed.Clients = max(l.observed.Clients, l.pauses.ObservedUntil(task.queuedAt))
 		l.runTask(clientLane, task)
 		if l.edge.inbox.hasTasks(engineLane) || l.now()-l.turnStartedAt >= maxTurnDelay {
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -43,8 +43,8 @@
 		}
 		release()
 		waitFor(t, "the edge has no open requests", func() bool {
-			h, err := e.Usage(context.Background())
-			return err == nil && h.Requests == 0 && h.ControlRequests == 0
+			usage, err := e.Usage(context.Background())
+			return err == nil && usage.Requests == 0 && usage.ControlRequests == 0
 		})
 		e.Stop()
 		if prefill.countRequests("POST") != wantPrefills || decode.countRequests("POST") != 0 {
@@ -94,14 +94,14 @@
 	pause.wait(t)
 	client.conn.Close()
 	waitFor(t, "the owner is notified of the disconnect", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Clients == 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Clients == 0
 	})
 	close(pause.resume)
 	waitFor(t, "the reservation is released", func() bool { return prefill.countRequests("DELETE /v1/holds/a") > 0 })
 	waitFor(t, "the edge has no open requests", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Requests == 0 && h.ControlRequests == 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Requests == 0 && usage.ControlRequests == 0
 	})
 	if prefill.countRequests("POST") != 1 || decode.countRequests("POST") != 0 {
 		t.Errorf("%d prefills, %d decodes", prefill.countRequests("POST"), decode.countRequests("POST"))
--- a/internal/edge/scripted_engine_test.go
+++ b/internal/edge/scripted_engine_test.go
@@ -17,7 +17,7 @@
 	addr        string
 	mu          sync.Mutex
 	requests    []string // method, path and name of each request
-	reply       func(n int, r *http.Request) (wire string, hangUp bool)
+	reply       func(n int, r *http.Request) (wire string, disconnect bool)
 	singleUse   bool   // a second request on a connection closes it
 	trailer     string // sent some milliseconds after each response to a chat request
 	closeOnName string // the connection is closed without a response at the first request with this name
@@ -67,9 +67,9 @@
 		if closeNow {
 			return
 		}
-		wire, hangUp := "HTTP/1.1 204 No Content\r\n\r\n", false
+		wire, disconnect := "HTTP/1.1 204 No Content\r\n\r\n", false
 		if r.Method == http.MethodPost {
-			wire, hangUp = e.reply(n, r)
+			wire, disconnect = e.reply(n, r)
 		} else if r.Method == http.MethodGet {
 			wire = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nTEXT x0=0.1, x1=0.0\n"
 		}
@@ -77,7 +77,7 @@
 		if r.Method == http.MethodPost && e.trailer != "" {
 			time.AfterFunc(3*time.Millisecond, func() { io.WriteString(c, e.trailer) })
 		}
-		if hangUp {
+		if disconnect {
 			return
 		}
 	}
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -58,10 +58,10 @@
 	f.checkInvariants()
 	// Idle connections are closed within 15 s; after that the edge must hold no connections, requests or bytes.
 	time.Sleep(20 * time.Second)
-	h := f.edges.InFlight(context.Background())
+	usage := f.edges.InFlight(context.Background())
 	t.Logf("idle: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
-		runtime.NumGoroutine(), h, len(f.log.EngineRecords()))
-	if h.Clients+h.Requests+h.EngineConnections+h.Bytes+h.ControlRequests > 0 {
+		runtime.NumGoroutine(), usage, len(f.log.EngineRecords()))
+	if usage.Clients+usage.Requests+usage.EngineConnections+usage.Bytes+usage.ControlRequests > 0 {
 		t.Error("the edge still holds something")
 	}
 }
--- a/internal/edge/start.go
+++ b/internal/edge/start.go
@@ -74,6 +74,6 @@
 		apply(endpoint.List{Revision: 1, Entries: e.deployment.Engines})
 		return
 	}
-	failed := func(err error) { e.log.Warn("endpoint list unavailable", zap.Error(err)) }
-	e.goroutines.Go(func() { e.endpoints.Run(e.lifetime, apply, failed) })
+	reportFailure := func(err error) { e.log.Warn("endpoint list unavailable", zap.Error(err)) }
+	e.goroutines.Go(func() { e.endpoints.Run(e.lifetime, apply, reportFailure) })
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -29,7 +29,7 @@
 	responseHeads     int
 	token             []byte // the stream event that is being handled
 	lastTokenAt       int64
-	relay             Relay // relay of the attempt's stream; nil if there is none
+	relay             Relay // relay of the attempt's stream; nil without a stream
 	cachedTokens      float64
 	reservationHandle protocol.ReservationHandle
 	loadReport        *routing.LoadReport
@@ -61,13 +61,13 @@
 		return
 	}
 	if !r.dispatch(action.Engine, att, nil) {
-		// The connection limit is the router's own and says nothing about the engine.
+		// The connection limit is the router's own, so the failure does not count against the engine.
 		r.handleAttemptEvent(att, attempt.EngineUnavailable, reasonConnectionLimit)
 	}
 }
 
-// checkAttempt returns why the invariants forbid an attempt, or Allowed. It is called before the attempt has a connection,
-// with conn nil, and again on the connection.
+// checkAttempt returns why the invariants forbid an attempt, or Allowed. It is called with a nil conn when the attempt
+// starts, and again with the attempt's connection before the request is written.
 func (r *Router) checkAttempt(att *engineAttempt, conn *EngineConnection) invariant.Reason {
 	req := att.request
 	candidate := invariant.Attempt{
@@ -173,7 +173,7 @@
 	if req.outcome != "" {
 		r.releaseReservations(req)
 	}
-	r.forgetRequest(req)
+	r.removeIfFinished(req)
 }
 
 // releaseConnection returns the connection of an attempt to the pool, closes it, or lets it drain the rest of the response.
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/invariant"
 )
 
-// The timeout that is sent to an engine is what remains when the request is written: after a slow dial, between prefill and
-// decode, and for a retry. After a dial of a quarter second an engine was once sent a timeout that was too long by as much.
+// The timeout that is sent to an engine is the time that remains when the request is written: after a slow dial, for a decode
+// after its prefill, and for a retry. After a dial of 0.25 s an engine was once sent a timeout that was 0.25 s too long.
 func TestEngineGetsRemainingTimeout(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r", "w", "w2")
@@ -110,8 +110,8 @@
 	}
 }
 
-// If the process did not run for a while, requests have waited for it. Their timeouts count from when they may have
-// arrived.
+// If the process did not run for a while, requests may have waited unread. Their timeouts count from the earliest time at
+// which they may have arrived.
 func TestDeadlineIncludesTimeTheProcessDidNotRun(t *testing.T) {
 	b := newTestbed(t)
 	lastClockRead := b.now
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -49,7 +49,7 @@
 	return count
 }
 
-// closeState returns the state that the invariant on closed connections is checked against.
+// closeState returns the state of the connection for the check of the invariant on closing connections.
 func (c *ClientConnection) closeState() invariant.Connection {
 	return invariant.Connection{
 		ClientGone:     c.disconnected || c.Socket.Disconnected(),
@@ -59,7 +59,8 @@
 	}
 }
 
-// closeReason returns why a connection is closed whose last answer was flushed, or was not read in time.
+// closeReason returns why a connection is closed after its last answer. If the answer was not flushed, the client did not
+// read it in time.
 func (c *ClientConnection) closeReason(flushed bool) CloseReason {
 	switch {
 	case c.aborted:
@@ -158,8 +159,8 @@
 	r.flush(client)
 }
 
-// closeFlushed closes, in the order of their IDs, the closing connections whose output is written and those whose clients
-// do not read it in time.
+// closeFlushed closes, in the order of their IDs, the connections whose output is written and that their clients do not
+// close themselves in time, and those whose clients do not read the output in time.
 func (r *Router) closeFlushed() {
 	for _, id := range slices.Sorted(maps.Keys(r.clients.closingSince)) {
 		client, since := r.clients.byID[id], r.clients.closingSince[id]
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -14,8 +14,8 @@
 // the connection instead would leave the requests that were read without an answer.
 const maxPipelined = 4
 
-// maxReadAhead is how many requests of one connection are read before their turn. No more are read after that many, and the
-// connection is closed once they are answered.
+// maxReadAhead is how many requests may be read on one connection before their turn. Once that many wait, no more are read,
+// and the connection is closed after their answers.
 const maxReadAhead = 64
 
 // ClientRequest is one complete HTTP request of a client.
@@ -26,7 +26,7 @@
 	Bytes     int                // size of the request
 	Rejection *protocol.Response // the answer to an invalid request
 
-	exceedsPipeline bool // too many requests wait before this one
+	exceedsPipeline bool // too many requests wait ahead of this one
 	terminal        bool // no request after this one can be read
 }
 
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -5,8 +5,8 @@
 // reapInterval is how often the router checks the time limits that have no timer of their own.
 const reapInterval = int64(25 * time.Millisecond)
 
-// delayThreshold is how late an event may be handled before the timeout of its request counts from the earliest time at
-// which the event may have happened. Shorter delays are those of a router under little load.
+// delayThreshold is the longest gap between the earliest possible arrival of a request and the time at which it was read
+// for which the timeout of the request counts from the read. A router under little load has such short gaps, too.
 const delayThreshold = 4 * reapInterval
 
 // clock holds the time that was last passed to the router, in nanoseconds.
@@ -18,8 +18,8 @@
 	reapedAt      int64
 }
 
-// ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Any missing
-// input was sent later than that and may still be unread. 0 stands for the current time.
+// ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Input that was
+// sent later may still be unread. 0 stands for the current time.
 type ObservedTimes struct{ Engines, Clients int64 }
 
 // SetTime sets the time of the events that follow.
--- a/internal/router/control_requests_test.go
+++ b/internal/router/control_requests_test.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/routing"
 )
 
-// A health check for which this machine has no descriptor says nothing about the engine: the check counts neither as timed
-// out nor as failed.
+// A health check that fails because this machine has no descriptor left counts neither as timed out nor as failed at the
+// engine.
 func TestHealthCheckThatFailsLocally(t *testing.T) {
 	b := newTestbed(t)
 	b.healthCheck("r")
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -15,7 +15,7 @@
 )
 
 // departedRetention is how long the router remembers an engine that has left the endpoint list. A minute is several times
-// as long as a pending dial to the engine may take; after that no request is written to the engine.
+// the longest dial: no connection that was dialed before the engine left can still become ready for a request.
 const departedRetention = int64(time.Minute)
 
 // drainRetention is how long a drain takes precedence over an endpoint list of an older revision. Discovery agents lag by
@@ -28,10 +28,10 @@
 	positions      map[string]int // index into the entries of current, by engine
 	history        listHistory
 	starts         engineStarts
-	drains         attempt.UnavailableSince
-	listCount      uint64            // number of lists received
-	lastListedIn   map[string]uint64 // number of the last list that had an engine; kept for departedRetention
-	lastResponseAt map[string]int64  // when an engine's last response began
+	drains         attempt.UnavailableSince // since when engines are draining or not listed
+	listCount      uint64                   // number of lists received
+	lastListedIn   map[string]uint64        // number of the last list that had an engine; kept for departedRetention
+	lastResponseAt map[string]int64         // when an engine's last response began
 }
 
 // listHistory detects lists that are older than one received before.
@@ -73,8 +73,8 @@
 	return endpoint.Entry{}
 }
 
-// target returns the address of an engine as seen from this router, which is the engine's ID unless the list has another
-// one, and the engine's role epoch.
+// target returns the role epoch of an engine and its address for this router, which is the engine's ID unless the list has
+// an address.
 func (e *endpointState) target(engine string) protocol.Target {
 	entry := e.find(engine)
 	return protocol.Target{Address: cmp.Or(entry.Address, engine), RoleEpoch: entry.RoleEpoch}
@@ -92,7 +92,7 @@
 	return list
 }
 
-// keepDrains returns the entries of an older list, with those engines draining that were drained or removed recently.
+// keepDrains returns the entries of an older list, in which engines that were drained or removed recently are draining.
 func (e *endpointState) keepDrains(entries []endpoint.Entry, now int64) []endpoint.Entry {
 	entries = slices.Clone(entries)
 	for i := range entries {
@@ -150,7 +150,7 @@
 }
 
 // closeIdleToOldAddresses closes the idle connections to addresses that their engines no longer have: another engine may
-// listen there now. Busy connections are closed once their request has ended.
+// listen there now. A busy connection is discarded before its next attempt, or closed with a later list.
 func (r *Router) closeIdleToOldAddresses() {
 	for _, id := range r.connections.IDs() {
 		conn := r.connections.byID[id]
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// entries returns a list in which w is ready, and r has the given state and start. If the state is empty, r is not listed.
+// entries returns a list in which w is ready, and r has the given state and start time. If the state is empty, r is not
+// listed.
 func entries(state string, startedAtMs int64) []endpoint.Entry {
 	list := []endpoint.Entry{{ID: "w", Address: "127.0.0.1:1", Kind: "m2", Zone: "a", Weight: 1, State: endpoint.Ready}}
 	if state != "" {
@@ -76,8 +77,8 @@
 	return dialed
 }
 
-// When discovery moves to an agent that lags, an older list must not undo a drain. An older list that persists, as after a
-// store was restored, takes effect after some seconds.
+// When discovery moves to an agent that lags, an older list must not undo a drain. An older list that stays, as after the
+// restore of a store, takes effect after some seconds.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
 	b := newTestbed(t)
 	b.publish(5, entries(endpoint.Draining, 0))
@@ -91,7 +92,7 @@
 	}
 	b.advance(15 * time.Second)
 	if !b.forwardsToR() {
-		t.Error("no attempt is sent 15 s after an older list that persists")
+		t.Error("no attempt is sent 15 s after an older list that has the engine as ready")
 	}
 	b.publish(6, entries(endpoint.Draining, 0))
 	b.publish(7, entries(endpoint.Ready, 0))
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -15,8 +15,8 @@
 // must be released even while all other connections carry prefills.
 const spareConnections = 2
 
-// staleConnectionWindow is how soon after a write a reused connection breaks if the engine had closed it before the write:
-// one round trip.
+// staleConnectionWindow is the time after a write, one round trip, within which the break of a reused connection means that
+// the engine had closed the connection before the write.
 const staleConnectionWindow = int64(20 * time.Millisecond)
 
 // responseDrainTimeout is how long the rest of a response may take after its attempt has ended. The rest is the end of a
@@ -60,7 +60,7 @@
 	idle := r.config.Connections.IdleTimeout
 	switch {
 	case att != nil:
-		repeatable := !att.decode || r.retriable(att.request.route)
+		repeatable := !att.decode || r.isRetriable(att.request.route)
 		if !repeatable {
 			idle = r.config.Connections.NonIdempotentIdleTimeout
 		}
@@ -125,7 +125,7 @@
 	r.writeRequest(conn)
 }
 
-// handleDialFailure ends a connection whose dial failed. A local cause says nothing about the engine.
+// handleDialFailure ends a connection whose dial failed. A dial that failed locally does not count against the engine.
 func (r *Router) handleDialFailure(conn *EngineConnection, err error) {
 	r.connections.Handle(conn.ID, connpool.DialFailed, r.now)
 	delete(r.connections.byID, conn.ID)
--- a/internal/router/engine_responses.go
+++ b/internal/router/engine_responses.go
@@ -61,8 +61,9 @@
 	}
 }
 
-// ResponseComplete handles the end of a response; clean is false if more bytes followed it.
-func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, clean bool) {
+// ResponseComplete handles the end of a response. The connection is not reusable if more bytes followed the response, or if
+// the engine closes the connection after it.
+func (r *Router) ResponseComplete(conn *EngineConnection, body []byte, reusable bool) {
 	if att := conn.attempt; att != nil {
 		r.handleAttemptResponse(att, body)
 	}
@@ -75,7 +76,7 @@
 		return
 	}
 	conn.drainingResponseSince = 0
-	if !clean {
+	if !reusable {
 		r.discardConnection(conn)
 		return
 	}
--- a/internal/router/engine_starts.go
+++ b/internal/router/engine_starts.go
@@ -10,7 +10,7 @@
 
 // maxReportedAge is the maximum age of an engine start that is first reported while this router runs: lists arrive seconds
 // late, and discovery may be down for longer. A start that seems older was stamped by a clock that differs from this
-// router's. It counts from when it was first reported, so that the engine counts as warming up.
+// router's. The engine then counts as started when the start was first reported, so that it counts as warming up.
 const maxReportedAge = 30 * time.Second
 
 // nanosPerMilli converts between the time units of endpoint lists and of the router.
@@ -28,7 +28,7 @@
 // clock only once, when it is first reported; later it is only compared with the start that was reported before.
 type engineStarts struct {
 	byEngine    map[string]engineStart
-	initialized bool // a list was received: starts that are first reported after it happened while this router ran
+	initialized bool // a list was received; engines whose starts are first reported later started while this router ran
 }
 
 // normalize returns the entries with start times of the router's clock, and forgets engines that left long ago.
@@ -51,7 +51,7 @@
 	return normalized
 }
 
-// isRestart reports whether an entry has a start of its engine that was not reported before.
+// isRestart reports whether the start time of an entry differs from the one that was reported before for its engine.
 func (s *engineStarts) isRestart(entry endpoint.Entry) bool {
 	return entry.StartedAtMs > 0 && s.byEngine[entry.ID].reported != entry.StartedAtMs
 }
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// schedule schedules an event of the connection, which is skipped if the connection is closed by then.
+// schedule schedules an event of the connection. The event is skipped if the connection is closed by then.
 func (e *goldenEngine) schedule(d time.Duration, event func()) {
 	e.r.schedule(d, func() {
 		if !e.closed {
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -15,7 +15,7 @@
 	lastMessageAt int64 // when the last message from a peer was received
 }
 
-// heardRecently reports whether a message from a peer was received recently.
+// hasRecentMessage reports whether a message from a peer was received recently.
 func (g *gossipState) hasRecentMessage(now int64) bool { return now-g.lastMessageAt <= peerFreshness }
 
 // ReceivePeerMessage handles a message from another router.
--- a/internal/router/interfaces.go
+++ b/internal/router/interfaces.go
@@ -4,7 +4,7 @@
 
 // Transport is the network interface of a router. Its methods, except CatchUp, must not call back into the router.
 type Transport interface {
-	// CatchUp is called after each decision of the policy, which may have taken a while, and before the decision is
+	// CatchUp is called after each decision of the policy, which may have taken a while, and before the resulting actions are
 	// performed. CatchUp may call SetTime, and UpdateEndpoints with lists that arrived in the meantime.
 	CatchUp()
 	// Dial connects to an engine. Router.EngineConnected is called in a later event.
@@ -40,8 +40,8 @@
 	Close()
 }
 
-// Relay forwards the tokens of a stream from an engine to a client without the router, once the router has forwarded the
-// earlier ones.
+// Relay forwards the tokens of a stream from an engine to a client without involving the router, once the router has
+// forwarded the earlier ones.
 type Relay interface {
 	// Forwarded records that the router has forwarded one token. The relay may call flush before it sends to the client
 	// itself.
@@ -54,6 +54,6 @@
 	Tokens() int
 }
 
-// ErrLocal marks a failed dial that says nothing about the engine: this machine has no descriptors or ports left, or the
-// router is shutting down.
+// ErrLocal marks a dial that failed for a reason on this machine, not at the engine: no descriptors or ports are left, the
+// process was paused, or the router is shutting down.
 var ErrLocal = errors.New("the connection could not be made on this machine")
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -15,7 +15,7 @@
 	PolicyPanicked(p any, event routing.Event, stack []byte)
 	// RequestFinished reports the outcome of a request.
 	RequestFinished(summary RequestSummary)
-	// RequestShed reports a request that was shed before the policy saw it.
+	// RequestShed reports a request that was shed before it was passed to the policy.
 	RequestShed(shed ShedRequest)
 	// FirstToken reports the first token of a request.
 	FirstToken(route string, after time.Duration, promptTokens int)
@@ -49,7 +49,7 @@
 	PromptTokens, OutputTokens int
 }
 
-// ShedRequest describes a request that was shed before the policy saw it.
+// ShedRequest describes a request that was shed before it was passed to the policy.
 type ShedRequest struct {
 	Request, Route string
 	Reason         ShedReason
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -51,7 +51,7 @@
 		}
 		// Requests are removed only after all actions are performed, as a release follows the answer.
 		for _, req := range r.requests.justFinished {
-			r.forgetRequest(req)
+			r.removeIfFinished(req)
 		}
 		r.requests.justFinished = r.requests.justFinished[:0]
 	}
@@ -66,7 +66,7 @@
 	r.readAt, r.earliestEvent = readAt, earliestEvent
 }
 
-// runPolicy is the only function that calls the policy. A panic of the policy must not end the whole router.
+// runPolicy is the only function that runs a step of the policy. A panic of the policy must not end the whole router.
 func (r *Router) runPolicy(event routing.Event) (actions []routing.Action, ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -79,10 +79,10 @@
 }
 
 // restartPolicy answers all open requests with an error, since the old policy's state of them is lost, and starts a new
-// policy from the current endpoint list. Attempts in flight may have run, so the answers do not say that a retry is safe.
+// policy from the current endpoint list. Attempts in flight may have run, so the answers must not imply that a retry is safe.
 func (r *Router) restartPolicy() {
 	r.policy.restart(r.config)
-	if r.endpoints.current != nil { // queued first, before the requests that are served after the answers below
+	if r.endpoints.current != nil { // queued first: the answers below let pipelined requests start
 		update, _ := r.config.EndpointUpdate(*r.endpoints.current)
 		r.policy.pending = append(r.policy.pending, update)
 	}
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -17,13 +17,13 @@
 
 // checkAttempt checks the invariants of an attempt that an engine receives: the client still waits for it, the engine does
 // not drain, and no earlier attempt may have run if the request must not run twice.
-func (s *simulation) checkAttempt(c *simulatedClient, p *receivedAttempt) {
+func (s *simulation) checkAttempt(c *simulatedClient, received *receivedAttempt) {
 	if c.disconnected || c.respondedAt > 0 {
 		s.t.Fatalf("%s: an attempt after the client has disconnected (%v) or been answered (%v)", c.name, c.disconnected,
 			c.respondedAt > 0)
 	}
-	if drainNotifiedAt := s.drainNotifiedAt[p.engine]; drainNotifiedAt > 0 && s.now-drainNotifiedAt > int64(s.deployment.Rules.DrainGrace) {
-		s.t.Fatalf("%s: an attempt at %s %v after its drain was published", c.name, p.engine, time.Duration(s.now-drainNotifiedAt))
+	if drainNotifiedAt := s.drainNotifiedAt[received.engine]; drainNotifiedAt > 0 && s.now-drainNotifiedAt > int64(s.deployment.Rules.DrainGrace) {
+		s.t.Fatalf("%s: an attempt at %s %v after its drain was published", c.name, received.engine, time.Duration(s.now-drainNotifiedAt))
 	}
 	for _, prior := range c.attempts {
 		if prior.inFlight && !prior.cancelled {
@@ -33,17 +33,17 @@
 			continue
 		}
 		inWindow := c.route.Effect == "deduped" && s.now-prior.receivedAt < int64(c.route.DedupWindow)
-		deduplicates := inWindow && (p.prefill || c.route.DedupGroup == "all" ||
-			c.route.DedupGroup == "zone" && s.endpoints[p.engine].Zone == s.endpoints[prior.engine].Zone ||
-			c.route.DedupGroup == "cell" && s.endpoints[p.engine].Cell == s.endpoints[prior.engine].Cell)
+		deduplicates := inWindow && (received.prefill || c.route.DedupGroup == "all" ||
+			c.route.DedupGroup == "zone" && s.endpoints[received.engine].Zone == s.endpoints[prior.engine].Zone ||
+			c.route.DedupGroup == "cell" && s.endpoints[received.engine].Cell == s.endpoints[prior.engine].Cell)
 		if !deduplicates {
 			s.t.Fatalf("%s (%s, %s, %v): an attempt at %s, although one may have run at %s %v before", c.name, c.route.Effect,
-				c.route.DedupGroup, c.route.DedupWindow, p.engine, prior.engine, time.Duration(s.now-prior.receivedAt))
+				c.route.DedupGroup, c.route.DedupWindow, received.engine, prior.engine, time.Duration(s.now-prior.receivedAt))
 		}
 	}
 }
 
-// checkReservations checks the answers so far, and that no reservation is kept for too long.
+// checkReservations checks the answers so far, and that engines keep no reservation for too long.
 func (s *simulation) checkReservations() {
 	for _, c := range s.clients {
 		s.checkResponse(c)
@@ -52,7 +52,7 @@
 		s.reservations = nil // no release can reach an engine, so engines must drop these reservations themselves
 	}
 	for _, reserved := range s.reservations {
-		if slices.ContainsFunc(reserved.client.attempts, func(p *receivedAttempt) bool { return p.inFlight }) {
+		if slices.ContainsFunc(reserved.client.attempts, func(a *receivedAttempt) bool { return a.inFlight }) {
 			reserved.attemptInFlightAt = s.now
 		}
 		if s.now-reserved.attemptInFlightAt > int64(s.deployment.Rules.ReservationLimit+reservationSlack) {
@@ -72,7 +72,7 @@
 	return false
 }
 
-// checkResponse checks that a client is answered in time, and that no answer says that a retry is safe when it is not.
+// checkResponse checks that a client is answered in time, and is not shed if its request may have run and must not run twice.
 func (s *simulation) checkResponse(c *simulatedClient) {
 	if c.respondedAt > 0 || c.disconnected {
 		return
@@ -90,7 +90,7 @@
 	c.respondedAt = s.now
 	shed := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests
 	repeatable := c.route.Effect == "retriable" || c.route.Effect == "deduped" && c.route.DedupGroup == "all"
-	ran := c.resumed || slices.ContainsFunc(c.attempts, func(p *receivedAttempt) bool { return !p.prefill && !p.neverRan })
+	ran := c.resumed || slices.ContainsFunc(c.attempts, func(a *receivedAttempt) bool { return !a.prefill && !a.neverRan })
 	if shed && ran && !repeatable {
 		s.t.Fatalf("%s (%s): shed, though it may have run", c.name, c.route.Effect)
 	}
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -109,7 +109,7 @@
 		s.do(func() { e.respondWith(202, `{"cached_tokens":0}`) })
 	default:
 		e.responding, e.attempt.streaming = true, true
-		s.reservations = slices.DeleteFunc(s.reservations, func(h *simulatedReservation) bool { return h.client == e.client })
+		s.reservations = slices.DeleteFunc(s.reservations, func(reserved *simulatedReservation) bool { return reserved.client == e.client })
 		s.do(func() {
 			e.sendHead(200, "Content-Type", "text/event-stream")
 			s.core.StreamEvent(e.conn, []byte(`{"choices":[1]}`))
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -18,8 +18,8 @@
 	"sandcourse/internal/routing"
 )
 
-// simulation runs a router with clients and engines that behave at random. It checks the invariants only by what reached
-// clients and engines.
+// simulation runs a router with clients and engines that behave at random. It checks the invariants by the messages that
+// reach clients and engines, independently of the router's state.
 type simulation struct {
 	noopObserver
 	t               *rapid.T
@@ -36,7 +36,7 @@
 	// noticed the close.
 	unnoticedCloses []*simulatedConnection
 	unreachable     map[string]bool // partitioned engines; their connections stay open
-	delay           time.Duration   // how late the current event is handled, as the process did not run in the meantime
+	delay           time.Duration   // how late the current event is handled, because the process did not run
 }
 
 // simulatedClient is one client with one request.
@@ -66,7 +66,7 @@
 }
 
 // mayClaim reports whether an attempt may still claim a reservation.
-func (p *receivedAttempt) mayClaim() bool { return p.inFlight && !p.prefill && !p.streaming }
+func (a *receivedAttempt) mayClaim() bool { return a.inFlight && !a.prefill && !a.streaming }
 
 // simulatedConnection is a connection to an engine, with the request that the engine must answer.
 type simulatedConnection struct {
@@ -146,8 +146,8 @@
 
 // releaseReservations releases the reservations of a request, unless an attempt may claim them.
 func (s *simulation) releaseReservations(name string) {
-	s.reservations = slices.DeleteFunc(s.reservations, func(h *simulatedReservation) bool {
-		return h.client.name == name && !slices.ContainsFunc(h.client.attempts, (*receivedAttempt).mayClaim)
+	s.reservations = slices.DeleteFunc(s.reservations, func(reserved *simulatedReservation) bool {
+		return reserved.client.name == name && !slices.ContainsFunc(reserved.client.attempts, (*receivedAttempt).mayClaim)
 	})
 }
 
@@ -183,7 +183,7 @@
 	s.checkReservations()
 }
 
-// simulatedDialTime is how long a dial takes that no other event ends; releases need connections, too.
+// simulatedDialTime is after how long pending dials succeed if no random event ends them: releases need connections, too.
 const simulatedDialTime = 20 * time.Millisecond
 
 func (s *simulation) advance(d time.Duration) {
--- a/internal/router/reference_test.go
+++ b/internal/router/reference_test.go
@@ -17,9 +17,9 @@
 	"sandcourse/internal/routing"
 )
 
-// The tests in this file compare what the router finds through its indexes with a scan of all data.
+// The tests in this file compare the results of the router's indexed lookups with those of a scan of all data.
 
-// fleetSimulation holds the router's state of a fleet that changes at random.
+// fleetSimulation applies random changes of a fleet to the endpoint state and the connection pool of a router.
 type fleetSimulation struct {
 	router *Router
 	now    int64
@@ -143,8 +143,8 @@
 	})
 }
 
-// checkDrain compares the time since when an engine is not ready with the test's own record. Engines that left long ago are
-// forgotten.
+// checkDrain compares the router's record of when an engine was first not ready with the test's record. The router forgets
+// engines that left long ago.
 func checkDrain(t *rapid.T, s *fleetSimulation, id string, entry endpoint.Entry, since map[string]int64) {
 	drainedAt := s.router.endpoints.drains[id]
 	switch {
@@ -155,11 +155,11 @@
 	}
 	forgotten := entry.ID == "" && drainedAt == 0
 	if drainedAt != since[id] && !forgotten {
-		t.Fatalf("%s, %q, is not ready since %d, want %d", id, entry.State, drainedAt, since[id])
+		t.Fatalf("%s, state %q: recorded as not ready since %d, want %d", id, entry.State, drainedAt, since[id])
 	}
 	if entry.State == endpoint.Draining && drainedAt == 0 ||
 		entry.ID == "" && drainedAt == 0 && since[id] != 0 && s.now-since[id] <= departedRetention {
-		t.Fatalf("%s, %q, counts as ready", id, entry.State)
+		t.Fatalf("%s, state %q: counts as ready", id, entry.State)
 	}
 	if forgotten {
 		delete(since, id)
--- a/internal/router/request_admission.go
+++ b/internal/router/request_admission.go
@@ -24,7 +24,7 @@
 	r.monitor.RequestAccepted(req.id, invariant.AcceptedRequest{Name: req.name, Effect: r.effect(route),
 		DedupWindow: r.config.Routes[route].DedupWindow, Deadline: req.deadline})
 	r.notifyPolicy(r.arrivalEvent(req))
-	r.forgetRequest(req)
+	r.removeIfFinished(req)
 }
 
 // validateRequest reports whether a request can be served at all. If not, the request is answered.
@@ -42,8 +42,8 @@
 	return true
 }
 
-// checkAcceptance reports whether the invariants allow a request to start. If they do, its name is taken from now on;
-// otherwise the request is answered.
+// checkAcceptance reports whether the invariants allow a request to start. If so, the name of the request is recorded; if
+// not, the request is answered.
 func (r *Router) checkAcceptance(client *ClientConnection, received *ClientRequest) bool {
 	name := received.Parsed.ID
 	arrival := invariant.Arrival{DuplicateID: r.requests.isKnown(name), Accepting: r.acceptsRequests()}
@@ -107,20 +107,20 @@
 // arrivalEvent returns the policy event for a new request. A request without a session gets a session of its own: the
 // policy must not treat unrelated clients as one session.
 func (r *Router) arrivalEvent(req *request) routing.RequestArrived {
-	call := req.received.Parsed
-	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(call.Session, req.name), Prefix: call.Prefix,
+	parsed := req.received.Parsed
+	return routing.RequestArrived{RequestID: req.id, Route: req.route, Session: cmp.Or(parsed.Session, req.name), Prefix: parsed.Prefix,
 		Waited: time.Duration(r.now - req.arrivedAt), Deadline: time.Duration(req.deadline),
-		PromptTokens: float64(call.PromptTokens), PrefixTokens: float64(call.PrefixTokens),
-		MaxOutputTokens: float64(call.MaxOutputTokens), ClientRetry: call.Idempotent, Resumed: call.Resumes}
+		PromptTokens: float64(parsed.PromptTokens), PrefixTokens: float64(parsed.PrefixTokens),
+		MaxOutputTokens: float64(parsed.MaxOutputTokens), ClientRetry: parsed.Idempotent, Resumed: parsed.Resumes}
 }
 
-// shedOnArrival sheds a request before the policy sees it. A request that resumes a stream has run before, under another
-// name. If it must not run twice, it gets an error instead, since a shed answer says that a retry is safe.
+// shedOnArrival sheds a request before it is passed to the policy. A request that resumes a stream has run before, under
+// another name. If it must not run twice, it gets an error instead, since a shed answer implies that a retry is safe.
 func (r *Router) shedOnArrival(client *ClientConnection, received *ClientRequest, status int, reason ShedReason, retryAfter time.Duration) {
-	call := received.Parsed
-	r.observer.RequestShed(ShedRequest{Request: call.ID, Route: call.Route, Reason: reason, PromptTokens: call.PromptTokens})
+	parsed := received.Parsed
+	r.observer.RequestShed(ShedRequest{Request: parsed.ID, Route: parsed.Route, Reason: reason, PromptTokens: parsed.PromptTokens})
 	var answer protocol.Response
-	if call.Resumes && !r.retriable(r.config.RouteIndex(call.Route)) {
+	if parsed.Resumes && !r.isRetriable(r.config.RouteIndex(parsed.Route)) {
 		answer = r.protocol.ErrorResponse("", string(reason), false)
 	} else {
 		answer = r.protocol.ShedResponse(status, "", string(reason), retryAfter)
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -9,7 +9,7 @@
 )
 
 // A soak test found a non-retriable request that was shed after it may have run. A client requests the rest of a broken
-// stream under a new name; whichever limit rejects that request, a shed answer would say that a retry is safe.
+// stream under a new name; whichever limit rejects that request, a shed answer would imply that a retry is safe.
 func TestResumedStreamIsNotShedAsIfItNeverRan(t *testing.T) {
 	for _, at := range []struct{ route, retry, status string }{
 		{"chat", "", "503"}, {"alert", "", "503"}, {"alert", "Client-Retry: 1\r\n", "503"},
@@ -46,8 +46,7 @@
 	}
 }
 
-// Engines know a request by its name for as long as an attempt is in flight, however many other names arrive in the
-// meantime.
+// The name of a request is taken for as long as an attempt is in flight, however many other names arrive in the meantime.
 func TestNameOfAnOpenRequestSurvivesAFloodOfNames(t *testing.T) {
 	b := newTestbed(t)
 	b.request("a1", "alert")
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/routing"
 )
 
-// endRequest sets the outcome of a request, and reports whether the request had none before. A later call has no effect. No
+// endRequest sets the outcome of a request, and reports whether the request was still open. A second call has no effect. No
 // token is forwarded after the outcome is set.
 func (r *Router) endRequest(req *request, outcome RequestOutcome, reason FailureReason) bool {
 	if req.outcome != "" {
@@ -65,7 +65,7 @@
 
 // shedRequest answers a request that the policy sheds.
 func (r *Router) shedRequest(req *request, retryAfter int64) {
-	if req.streaming { // the policy never sheds a stream; it would be too late then to say that a retry is safe
+	if req.streaming { // the policy never sheds a stream; a shed answer would imply that a retry is safe
 		r.finishRequest(req, OutcomeErrored, reasonStreamShed)
 		return
 	}
@@ -85,10 +85,10 @@
 		}
 	}
 	r.releaseReservations(req)
-	if !req.wasSent() {
+	if !req.wasWritten() {
 		r.requests.recentNames.remove(req.name)
 	}
-	r.forgetRequest(req)
+	r.removeIfFinished(req)
 }
 
 // abortRequest answers a request with an error and cancels its attempts.
@@ -99,9 +99,9 @@
 
 // reportRequest reports the outcome of a request to the observer.
 func (r *Router) reportRequest(req *request, reason FailureReason) {
-	call := req.received.Parsed
-	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: call.Session, Outcome: req.outcome,
-		Duration: time.Duration(r.now - req.arrivedAt), PromptTokens: call.PromptTokens, OutputTokens: req.tokens, Reason: reason, Cause: req.cause}
+	parsed := req.received.Parsed
+	summary := RequestSummary{Request: req.name, Route: r.config.Routes[req.route].Name, Session: parsed.Session, Outcome: req.outcome,
+		Duration: time.Duration(r.now - req.arrivedAt), PromptTokens: parsed.PromptTokens, OutputTokens: req.tokens, Reason: reason, Cause: req.cause}
 	if req.streaming {
 		summary.TimeToFirstToken = time.Duration(req.firstTokenAt - req.arrivedAt)
 	}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -23,7 +23,7 @@
 	collector         protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
 	streaming         bool                       // the first token was received
 	firstTokenAt      int64
-	mayStillRunUntil  int64          // until when a cancelled attempt may still run at its engine; 0 if there is none
+	mayStillRunUntil  int64          // until when an attempt that ended with an unknown outcome may still run; 0 if no attempt did
 	tokens            int            // forwarded by the router; relays count theirs separately
 	outcome           RequestOutcome // empty until the request has ended
 	cause             string         // why the policy ended the request; empty if it did not
@@ -32,13 +32,13 @@
 // forwardsTokens reports whether tokens are forwarded to the client as they arrive.
 func (req *request) forwardsTokens() bool { return req.collector == nil && req.outcome == "" }
 
-// inFlight reports whether an attempt of the request has not ended.
-func (req *request) inFlight() bool {
+// hasAttemptInFlight reports whether an attempt of the request has not ended.
+func (req *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool { return !att.ended })
 }
 
-// wasSent reports whether any part of the request was written to an engine.
-func (req *request) wasSent() bool {
+// wasWritten reports whether any part of the request was written to an engine.
+func (req *request) wasWritten() bool {
 	return slices.ContainsFunc(req.attempts, func(att *engineAttempt) bool { return att.writtenAt > 0 })
 }
 
@@ -81,17 +81,17 @@
 	return invariant.ParseEffect(string(r.config.Routes[route].Effect))
 }
 
-// retriable reports whether the requests of a route may run twice.
-func (r *Router) retriable(route int) bool { return r.effect(route) == invariant.Retriable }
+// isRetriable reports whether the requests of a route may run twice.
+func (r *Router) isRetriable(route int) bool { return r.effect(route) == invariant.Retriable }
 
 // deadlinePassed reports whether the deadline of a request has passed or is about to pass.
 func (r *Router) deadlinePassed(req *request) bool {
 	return r.now >= req.deadline-4*int64(r.config.TickInterval)
 }
 
-// forgetRequest removes a request that is answered and has no attempt in flight.
-func (r *Router) forgetRequest(req *request) {
-	if req.outcome != "" && !req.inFlight() {
+// removeIfFinished removes a request if it has an outcome and no attempt in flight.
+func (r *Router) removeIfFinished(req *request) {
+	if req.outcome != "" && !req.hasAttemptInFlight() {
 		r.removeRequest(req)
 	}
 }
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -11,7 +11,7 @@
 )
 
 // reservationsPerRequest limits the tracked reservations, as a multiple of the open requests that are allowed: a request
-// may have two prefills, and as many requests that have ended may still have reservations to release.
+// may have two prefills, and just as many ended requests may still have reservations to release.
 const reservationsPerRequest = 4
 
 // parallelReleases is how many engines a release is sent to at a time if any engine can handle it: an engine that hangs
@@ -23,17 +23,17 @@
 		reservationsPerRequest*cfg.Limits.OpenRequests))
 }
 
-// recordReservation records what the outcome of an attempt means for the reservation that the attempt made or claimed.
+// recordReservation updates the reservation that an attempt made or claimed according to the outcome of the attempt.
 func (r *Router) recordReservation(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	req := att.request
-	cancelled := result.MayLeaveReservation && event != attempt.ErrorStatus // the engine sent no response
-	if cancelled && r.config.ReleaseRepeatTime > 0 {
-		// Engines know the timeout of a request, and need some time to detect that it has passed.
+	outcomeUnknown := result.MayLeaveReservation && event != attempt.ErrorStatus // no status of the engine was received
+	if outcomeUnknown && r.config.ReleaseRepeatTime > 0 {
+		// Engines receive the timeout of a request, and need some time to detect that it has passed.
 		req.mayStillRunUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
 	}
 	switch {
 	case att.decode:
-		r.updateReservations(req, claimEvent(result.Verdict, cancelled))
+		r.updateReservations(req, claimEvent(result.Verdict, outcomeUnknown))
 	case result.Verdict == routing.PrefillDone:
 		r.addReservation(att, reservation.PrefillDone)
 	case result.MayLeaveReservation:
@@ -52,14 +52,14 @@
 	r.advanceReservation(reserved)
 }
 
-// claimEvent returns what the verdict of a decode means for the reservation that the decode may have claimed.
-func claimEvent(verdict routing.Verdict, cancelled bool) reservation.Event {
+// claimEvent returns the reservation event that follows from the verdict of a decode, which may have claimed the reservation.
+func claimEvent(verdict routing.Verdict, outcomeUnknown bool) reservation.Event {
 	switch {
 	case verdict == routing.Completed:
 		return reservation.Consumed
 	case verdict == routing.NotConnected || verdict == routing.NotSent:
 		return reservation.AttemptUnsent
-	case cancelled:
+	case outcomeUnknown:
 		return reservation.AttemptAbandoned
 	}
 	return reservation.AttemptRejected
@@ -131,8 +131,8 @@
 	return []string{reserved.Engine, connectedEngine}
 }
 
-// latestConnectedResponder returns the engine that responded last, of those with an idle connection other than except;
-// empty if there is none.
+// latestConnectedResponder returns, of the listed engines with an idle connection, the one that responded last; empty if no
+// engine other than except has one.
 func (r *Router) latestConnectedResponder(except string) (last string) {
 	for _, engine := range r.connections.ReusableEngines(r.now, r.config.Connections.IdleTimeout) {
 		if engine != except && r.endpoints.isListed(engine) && (last == "" || r.endpoints.respondedLater(engine, last)) {
@@ -169,7 +169,7 @@
 	return candidates
 }
 
-// nextReleaseCandidate returns the first listed engine that is not excluded; empty if there is none.
+// nextReleaseCandidate returns the first listed engine that is not excluded; empty if all are excluded.
 func (r *Router) nextReleaseCandidate(holder string, excluded map[string]bool) (next string) {
 	isCandidate := func(engine string) bool { return !excluded[engine] && r.endpoints.isListed(engine) }
 	if isCandidate(holder) {
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -31,7 +31,7 @@
 		releases[s.conn.Engine] += strings.Count(s.written.String(), "DELETE /v1/holds/a1 ")
 	}
 	if releases["r"] == 0 || releases["w"] == 0 || releases["w2"] == 0 {
-		t.Errorf("releases by engine: %v", releases)
+		t.Errorf("releases by engine: %v, want some at each of r, w and w2", releases)
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 }
 
-// The age of a reservation counts from the end of its prefill, not from when a delayed process handles that.
+// The age of a reservation counts from the end of its prefill, not from when a delayed process handles the response.
 func TestReservationReportedLateIsReleasedInTime(t *testing.T) {
 	b := newTestbed(t)
 	b.setEndpoints("r") // no decode engine is listed
@@ -146,12 +146,12 @@
 		b.setEndpoints("r", "w")
 		b.advance(600 * time.Millisecond)
 		if n := b.countReleases("a1"); n == 0 || b.core.InFlight().Requests != 0 {
-			t.Errorf("%s: %d releases, %+v", at, n, b.core.InFlight())
+			t.Errorf("policy panicked in phase %s: %d releases, in flight: %+v", at, n, b.core.InFlight())
 		}
 	}
 }
 
-// unacknowledged are the answers to a release that do not acknowledge it.
+// unacknowledged holds the responses to a release that do not acknowledge it.
 var unacknowledged = map[string]func(b *testbed, s *fakeEngineSocket){
 	"404": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 404, nil, "") },
 	"500": func(b *testbed, s *fakeEngineSocket) { b.respond(s, 500, nil, "") },
@@ -165,7 +165,7 @@
 	"reset":     func(b *testbed, s *fakeEngineSocket) { b.do(func() { b.core.EngineDisconnected(s.conn) }) },
 }
 
-// A release without an acknowledgement is sent to other engines, and is abandoned in the end.
+// A release without an acknowledgement is sent to other engines, and abandoned after some time.
 func TestUnacknowledgedReleasesAreAbandoned(t *testing.T) {
 	for name, answer := range unacknowledged {
 		b, client, _ := testbedWithDecodeInFlight(t, "chat")
@@ -185,7 +185,7 @@
 			b.advance(5 * time.Millisecond)
 		}
 		if n := b.countReleases("a1"); n < 10 || n > 100 || len(engines) != 3 || b.core.InFlight().Reservations != 0 {
-			t.Errorf("%s: %d releases to %d engines, %+v", name, n, len(engines), b.core.InFlight())
+			t.Errorf("%s: %d releases to %d engines, in flight: %+v", name, n, len(engines), b.core.InFlight())
 		}
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,8 @@
 // Package router implements the core of one router, without sockets. Events on the connections of clients and engines
 // arrive as method calls. The router passes them to the packages that decide (routing, attempt, connpool, reservation,
-// admission, invariant) and turns the decisions into bytes for clients and engines. The package does no I/O: sockets, the
-// clock and the log are behind interfaces, so that the edge, the emulator and the model checker run the same code.
+// admission, invariant) and turns the decisions into bytes for clients and engines. The package does no I/O and reads no
+// clock: sockets and logs are behind interfaces, and the caller sets the time. The edge, the emulator and the model checker
+// thus run the same code.
 package router
 
 import (
@@ -87,8 +88,8 @@
 	return min(r.nextReapAt(), r.reservations.NextDue(), r.policy.timers.next())
 }
 
-// reap ends connections and requests that have exceeded a time limit and have no timer of their own: stalled streams, slow
-// clients, idle connections.
+// reap enforces the time limits that have no timer of their own: those of stalled streams, slow clients, idle connections,
+// shutdowns and drains.
 func (r *Router) reap() {
 	r.drainClients()
 	r.abandonLateRequests()
@@ -114,7 +115,7 @@
 
 	// ControlRequests counts health checks and releases in flight, and reservations that are not released yet.
 	ControlRequests   int
-	Reservations      int           // held by engines, or possibly held
+	Reservations      int           // reservations that engines hold or may hold
 	OldestReservation time.Duration // time since the oldest reservation became known
 	Lingering         bool          // whether the router is shutting down and still accepts requests
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -9,20 +9,20 @@
 	clientsDrained bool // set when the idle connections of clients are closed
 }
 
-// accepts reports whether requests are still accepted: those that were in transit when the shutdown was requested, and all
-// until clients are drained.
+// accepts reports whether requests are still accepted. After a shutdown is requested, requests in transit are accepted for
+// ShutdownAcceptTime and, unless that is 0, all requests until clients are drained.
 func (s *shutdownState) accepts(cfg *config.Deployment, now int64) bool {
 	return !s.requested || now-s.requestedAt < int64(cfg.ShutdownAcceptTime) || cfg.ShutdownAcceptTime > 0 && !s.clientsDrained
 }
 
-// handoverDue reports whether requests that arrived late must end now, so that their clients can retry at another router
+// isHandoverDue reports whether requests that arrived late must end now, so that their clients can retry at another router
 // before this one is killed.
-func (s *shutdownState) handoverDue(cfg *config.Deployment, now int64) bool {
+func (s *shutdownState) isHandoverDue(cfg *config.Deployment, now int64) bool {
 	return s.requested && cfg.ShutdownStayTime != 0 && now-s.requestedAt >= int64(cfg.ShutdownHandoverTime)
 }
 
-// Shutdown begins a graceful shutdown. If the settings let the router linger, requests in transit are still accepted for
-// that time, and then clients are drained.
+// Shutdown begins a graceful shutdown. If the settings have a ShutdownAcceptTime, requests are accepted for that time, and
+// until clients are drained.
 func (r *Router) Shutdown() {
 	if !r.shutdown.requested {
 		r.shutdown.requested, r.shutdown.requestedAt = true, r.now
@@ -59,7 +59,7 @@
 // abandonLateRequests ends the requests that arrived too late in a shutdown to complete reliably before the process is
 // killed: the client of a stream resumes it at another router, and other clients get an answer while there is time for one.
 func (r *Router) abandonLateRequests() {
-	if !r.shutdown.handoverDue(r.config, r.now) {
+	if !r.shutdown.isHandoverDue(r.config, r.now) {
 		return
 	}
 	for _, id := range r.requests.ids() {
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// noopObserver ignores the notifications that the tests do not check.
+// noopObserver ignores the notifications and the transport calls that the tests do not check.
 type noopObserver struct{}
 
 func (noopObserver) CatchUp()                                         {}
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -26,7 +26,7 @@
 	heap.Push(&q.heap, t)
 }
 
-// next returns when the next timer is due; math.MaxInt64 if there is none.
+// next returns when the next timer is due; math.MaxInt64 if no timer is set.
 func (q *timerQueue) next() int64 {
 	if len(q.heap) == 0 {
 		return math.MaxInt64
