--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -132,7 +132,8 @@
 	}
 	d.EndpointFile, d.ChatAddress, d.Connections.PerEngine, d.Connections.ConcurrentDials = "", "127.0.0.1:0", 8000, 8000
 	d.Limits.OpenRequests, d.Limits.Connections = 20000, 20000
-	// The policy tracks each decode engine's memory; thousands of streams would need more engines, so its size is unknown here.
+	// The policy limits the streams of a decode engine by the size of its memory; with an unknown size, thousands of streams
+	// need only a few engines.
 	for i := range d.Kinds {
 		d.Kinds[i].MemoryTokens = 0
 	}
@@ -190,7 +191,7 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// measureStreams keeps a number of streams open for a time; each stream that ends is followed by another.
+// measureStreams keeps a number of streams open for a time: a stream that ends is replaced by another.
 func measureStreams(addr string, direct bool, streams int, length time.Duration) (firstTokens, tokenAges *hdrhistogram.Histogram, done int, err error) {
 	firstTokens, tokenAges = newHistogram(), newHistogram()
 	var mu sync.Mutex
@@ -228,7 +229,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkAddedLatency compares streams through the edge with streams directly from the decode engine, in one run.
+// BenchmarkAddedLatency compares, in one run, streams through the edge with streams directly from the decode engine.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, streams := range []int{100, 1000, 4500} { // four descriptors per stream, 20,000 available
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
--- a/internal/edge/client_accept.go
+++ b/internal/edge/client_accept.go
@@ -21,9 +21,9 @@
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// connectionLimit bounds the number of open client connections at accept time: a burst of connections must not use up
-// the process's file descriptors before the owner has processed the first of them. Connections over the limit wait in the
-// kernel's accept queue. A connectionLimit is safe for concurrent use.
+// connectionLimit limits the number of open client connections: the listener accepts no more while the limit is reached, so
+// that a burst of connections does not use up the process's file descriptors before the owner has handled the first of them.
+// Connections over the limit wait in the kernel's accept queue. A connectionLimit is safe for concurrent use.
 type connectionLimit struct {
 	mu       sync.Mutex
 	released *sync.Cond
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -85,7 +85,7 @@
 func (c *clientConnection) Close() { c.conn.Close() }
 
 // CloseIfIdle closes the connection unless a request has been read, in whole or in part, and is not answered yet. The owner
-// calls it between requests. Reading and this decision are mutually exclusive, so a request is either read and answered, or
+// calls it between requests. The lock excludes reads while the owner decides, so a request is either read and answered, or
 // never read; in the second case the client notices the close and retries elsewhere.
 func (c *clientConnection) CloseIfIdle() bool {
 	tasks, ok := c.decideClose()
@@ -100,7 +100,7 @@
 	return true
 }
 
-// decideClose reports whether the connection may be closed; if not, it returns the tasks for input read during the check.
+// decideClose reports whether the connection is to be closed; if not, it returns the tasks for input read during the check.
 func (c *clientConnection) decideClose() (tasks []task, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +194,7 @@
 	return c.requestTask(request.Bytes, func() { c.edge.router.ReceiveRequest(c.state, request) })
 }
 
-// appendProgress appends a task that notifies the owner of how far an unfinished request has been read: once for its
+// appendProgress appends a task that notifies the owner of how much of an unfinished request has been read: once for its
 // head, and for each part of its body. The caller holds mu.
 func (c *clientConnection) appendProgress(tasks []task) []task {
 	headComplete := c.request != nil
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/router"
 )
 
-// clientSide has the listener and the pollers of the client connections. Its callbacks run on the pollers.
+// clientSide holds the listener and the pollers of the client connections. Its callbacks run on the pollers.
 type clientSide struct {
 	edge             *Edge
 	listener         net.Listener
@@ -61,7 +61,8 @@
 }
 
 // stop closes all connections and stops the pollers. The socket library closes only the connections that are registered when
-// it begins to stop, and waits for all; one accepted at that moment is registered later, so stop closes repeatedly.
+// it begins to stop, and then waits until all are closed. A connection accepted at that moment is registered later, so stop
+// closes the open connections repeatedly.
 func (s *clientSide) stop() {
 	stopped := make(chan struct{})
 	go func() {
@@ -132,7 +133,7 @@
 // errPeerClosed means that the peer has closed its sending side of the connection.
 var errPeerClosed = errors.New("connection closed by peer")
 
-// readOnce reads available bytes without blocking; size is 0 if there are none.
+// readOnce reads available bytes without blocking; size is 0 if no bytes are available.
 func readOnce(conn *nbio.Conn, buffer []byte) (size int, err error) {
 	size, err = conn.Read(buffer)
 	switch {
--- a/internal/edge/delay_report.go
+++ b/internal/edge/delay_report.go
@@ -10,7 +10,8 @@
 const LogOwnerLate = "events wait for the owner"
 
 const (
-	// lateThreshold is the queueing delay from which a task is late: a third of the limit for forwarding a stream's event.
+	// lateThreshold is the queueing delay from which a task counts as late: a third of the time limit for forwarding an event
+	// of a stream.
 	lateThreshold = int64(100 * time.Millisecond)
 	// lateLogInterval is the minimum interval between log lines about late tasks.
 	lateLogInterval = int64(time.Second)
--- a/internal/edge/dial_test.go
+++ b/internal/edge/dial_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// A dial that fails because of a short lack of resources on this machine is not a fault of the engine: it is retried
+// A dial that fails because this machine lacks resources for a moment is not a fault of the engine: the dial is retried
 // shortly after, and no engine counts as failed.
 func TestLocalDialFailureIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EMFILE} {
@@ -33,7 +33,7 @@
 		startAndAwaitReady(t, e)
 		for i := range 3 {
 			if status, body, err := postChat(t, e, fmt.Sprint("a", i), "alert"); status != 200 || err != nil || body != streamEvents {
-				t.Errorf("%v: request %d: %d %q %v", errno, i, status, body, err)
+				t.Errorf("%v: request %d: status %d, body %q, error %v", errno, i, status, body, err)
 			}
 		}
 		if dials.Load() <= 3 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A local shortage that lasts longer than the dial timeout ends the attempt, but is not a fault of the engine either.
+// A lack of local resources that lasts longer than the dial timeout ends the attempt, but is not a fault of the engine either.
 func TestLocalDialFailureUntilTimeoutIsNotEngineFault(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// clientCloseTimeout is how long an edge that has answered all requests waits for clients that have sent a part of a
+	// clientCloseTimeout is how long an edge that has answered all requests waits for clients that have sent only part of a
 	// request, or do not read their responses. The platform kills the edge 0.7 s after the longest client timeout.
 	clientCloseTimeout = time.Second
 	// abandonTimeout bounds the wait for the owner to answer open requests with an error.
@@ -23,8 +23,9 @@
 	closePollInterval = 10 * time.Millisecond
 )
 
-// Drain accepts no new requests and waits until the open ones are answered. After the configured finish time, or when ctx
-// is done, the rest get an error. Then the edge stops. Drain returns an error if requests were abandoned.
+// Drain shuts the edge down gracefully: it accepts no new requests after the configured linger time, and waits until the open
+// ones are answered. After the configured shutdown timeout, or when ctx is done, it answers the rest with an error. Then it
+// stops the edge. Drain returns an error if requests were abandoned.
 func (e *Edge) Drain(ctx context.Context) error {
 	e.log.Info("draining", zap.Duration("linger", e.deployment.ShutdownAcceptTime))
 	e.inbox.put(clientLane, 0, func() { e.router.Shutdown() })
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -23,8 +23,8 @@
 	d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 0, 0
 }
 
-// isStopping reports whether an edge's health check fails, or it accepts no connections. Its owner has handled its clients
-// by then.
+// isStopping reports whether an edge's health check fails, or the edge accepts no connections. Its owner has then already
+// closed the idle client connections.
 func isStopping(e *edge.Edge) bool {
 	once := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 100 * time.Millisecond}
 	r, err := once.Get("http://" + e.Addr() + "/_health")
@@ -46,7 +46,7 @@
 }
 
 // Drain begins when a request on an idle connection has been read but the owner has not been notified of it. The request
-// has been accepted, so it must get a response before the connection is closed. Closing the connection at once lost it.
+// has been accepted, so it must get a response before the connection is closed. The edge once closed the connection at once.
 func TestRequestReadBeforeDrainIsAnswered(t *testing.T) {
 	for _, requests := range [][]string{{"b"}, {"b", "c", "d"}} {
 		prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
@@ -99,7 +99,7 @@
 	waitFor(t, "the poller has left the request unread", func() bool { return pause.readableCount.Load() >= before+2 })
 	close(pause.resume)
 	if _, err := client.reader.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("closing with unread bytes must reset the connection; it ended with %v", err)
+		t.Errorf("a close with unread bytes ended the connection with %v, want a reset", err)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
@@ -149,7 +149,7 @@
 	<-stopped
 }
 
-// A draining edge answers requests that arrive while it lingers, and then stops without further action.
+// A draining edge answers requests that arrive while it lingers, and then stops without any further call.
 func TestPlatformServesDuringLinger(t *testing.T) {
 	e := startPlatformEdge(t, 1024, func(d *config.Deployment) { d.ShutdownAcceptTime = 300 * time.Millisecond },
 		newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
@@ -197,7 +197,7 @@
 		go func() { drained <- e.Drain(context.Background()) }()
 		served, servedFor := callRepeatedly(e, fmt.Sprint("h", withoutPeer))
 		if stayed := servedFor > 400*time.Millisecond; served == 0 || stayed != withoutPeer {
-			t.Errorf("without peer %v: %d served over %v", withoutPeer, served, servedFor)
+			t.Errorf("without peer %v: %d requests served over %v", withoutPeer, served, servedFor)
 		}
 		if err := <-drained; err != nil {
 			t.Error(err)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -21,7 +21,7 @@
 	for _, unary := range []bool{false, true} {
 		got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "one", Unary: unary})
 		if got.Outcome != "completed" || got.Tokens == 0 || got.RequestID == "" {
-			t.Errorf("unary %v: %+v", unary, got)
+			t.Errorf("unary %v: got %+v, want a completed request with tokens and its ID", unary, got)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 			f, prefill, decode := singlePairFixture(t, nil)
 			c.fault(prefill, decode)
 			if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "leaver", DisconnectAfter: c.after}); got.Outcome != "left" {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want outcome left", got)
 			}
 			f.waitFor("no request is open", func() bool { return f.edges.InFlight(context.Background()).Requests == 0 })
 			prefill.SetFaults(engine.Faults{})
@@ -61,11 +61,11 @@
 			decode.SetFaults(faults)
 			got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "cut"})
 			if got.Outcome != "errored" || got.OutcomeCount != 1 || got.Tokens == 0 {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want some tokens and one error", got)
 			}
 			got = f.call(loadgen.Request{Route: "fan-alert", RequestID: "cut-unary", Unary: true})
 			if got.Outcome != "errored" || got.OutcomeCount != 1 {
-				t.Errorf("unary: %+v", got)
+				t.Errorf("unary: got %+v, want one error", got)
 			}
 			decode.SetFaults(engine.Faults{})
 			f.checkInvariants()
@@ -83,7 +83,7 @@
 			}
 			got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "once", Timeout: 900 * time.Millisecond})
 			if got.Outcome != "errored" || got.OutcomeCount != 1 {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want one error", got)
 			}
 			attempts := 0
 			for _, record := range f.log.EngineRecords() {
@@ -92,7 +92,7 @@
 				}
 			}
 			if attempts != 1 {
-				t.Errorf("%d attempts at decode engines", attempts)
+				t.Errorf("%d attempts at decode engines, want 1", attempts)
 			}
 			for _, e := range f.fleet.Engines {
 				e.SetFaults(engine.Faults{})
@@ -106,7 +106,7 @@
 	f, prefill, _ := singlePairFixture(t, nil)
 	prefill.SetFaults(engine.Faults{Slowdown: 400})
 	if got := f.call(loadgen.Request{Route: "fan-alert", RequestID: "late", Timeout: 150 * time.Millisecond}); got.OutcomeCount != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want one outcome", got)
 	}
 	prefill.SetFaults(engine.Faults{})
 	f.checkInvariants()
@@ -145,7 +145,7 @@
 	for _, route := range []string{"clip-summary", "fan-alert"} {
 		got := f.call(loadgen.Request{Route: route, RequestID: "unresponsive " + route, Timeout: 400 * time.Millisecond})
 		if got.OutcomeCount != 1 || got.Outcome == "completed" {
-			t.Errorf("all unresponsive: %+v", got)
+			t.Errorf("all engines unresponsive: got %+v, want one outcome that is not completed", got)
 		}
 	}
 	for _, e := range f.fleet.Engines {
@@ -170,10 +170,10 @@
 	if err := os.WriteFile(f.fleet.Path, text[:len(text)/2], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	// After two more reads of the file the edge must still serve.
+	// The edge must still serve after it has read the file twice more.
 	for range 4 {
 		if got := f.call(loadgen.Request{Route: "clip-summary"}); got.Outcome != "completed" {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want outcome completed", got)
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
@@ -209,7 +209,7 @@
 	f.call(loadgen.Request{Route: "fan-alert", RequestID: "seventh", Timeout: 100 * time.Millisecond})
 	for range 6 {
 		if got := <-results; got.Outcome != "errored" || got.OutcomeCount != 1 {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want one error", got)
 		}
 	}
 	decode.SetFaults(engine.Faults{})
@@ -232,7 +232,7 @@
 	}
 	for range 4 {
 		if got := <-done; got.OutcomeCount != 1 {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want one outcome", got)
 		}
 	}
 	decode.SetFaults(engine.Faults{})
@@ -255,7 +255,7 @@
 	}
 	for range 5 {
 		if got := f.call(loadgen.Request{Route: "fan-alert"}); got.Outcome != "completed" || got.FirstToken > 500*time.Millisecond {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, want completed with the first token within 500 ms", got)
 		}
 	}
 	c.Close()
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -20,7 +20,8 @@
 	maxStreamEvent  = 256 << 10
 )
 
-// errResponseTooLarge means that the body of a non-stream response exceeds maxCompleteBody. Its text may reach a client.
+// errResponseTooLarge means that the body of a non-stream response exceeds maxCompleteBody. The error text may be sent to a
+// client.
 var errResponseTooLarge = errors.New("answer is over its bound")
 
 // engineConnection is one connection to an engine; it implements router.EngineSocket. Its poller parses responses; the
@@ -52,7 +53,7 @@
 	c.bytesWritten.Store(0)
 	c.bytesToWrite = int64(len(request))
 	_, err := c.conn.Write(request)
-	if err != nil { // no close callback follows if the connection closed before its session was set
+	if err != nil { // if the connection closed before its session was set, no close callback follows
 		c.edge.inbox.put(engineLane, 0, func() { c.edge.router.EngineDisconnected(c.state) })
 	}
 	return err
--- a/internal/edge/engine_connection_test.go
+++ b/internal/edge/engine_connection_test.go
@@ -13,8 +13,8 @@
 	"sandcourse/internal/routing"
 )
 
-// Bytes on a connection beyond the response belong to no request: interim responses are skipped, and a second response
-// right after the first must not be attributed to the next request.
+// Responses beyond the one to a request belong to no request: interim responses are skipped, and a second response right
+// after the first must not be attributed to the next request.
 func TestPlatformUnsolicitedResponsesAreDiscarded(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+prefillDone))
 	unsolicited := strings.ReplaceAll(completeStream, "[1]", "[9]")
@@ -58,7 +58,7 @@
 		decode := newScriptedEngine(t, "127.0.0.3", func(int, *http.Request) (string, bool) { return wire, name == "a break" })
 		e := startPlatformEdge(t, 1024, nil, prefill, decode)
 		if status, body, err := postChat(t, e, "c1", "alert"); status != 200 || err == nil || !strings.Contains(body, "[1]") {
-			t.Errorf("%s: %d %q, ended with %v", name, status, body, err)
+			t.Errorf("%s: status %d, body %q, ended with %v", name, status, body, err)
 		}
 		e.Stop()
 	}
@@ -69,14 +69,14 @@
 		e := startPlatformEdge(t, 1024, nil, prefill, decode)
 		status, _, err := postChat(t, e, "c2", "alert")
 		if status != http.StatusBadGateway || err != nil || decode.countRequests("POST") != 1 {
-			t.Errorf("%s: %d %v, sent %d times", name, status, err, decode.countRequests("POST"))
+			t.Errorf("%s: status %d, error %v, sent %d times", name, status, err, decode.countRequests("POST"))
 		}
 		e.Stop()
 	}
 }
 
-// The engines close each connection after its first response. At most one request that is not idempotent may fail because
-// of that, not every one.
+// The engines close each connection after its first response. Because of that, at most one of the requests that are not
+// idempotent may fail.
 func TestPlatformRequestsSurviveSingleUseConnections(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
@@ -135,7 +135,7 @@
 			}
 			e.Stop()
 			if status != want || prefill.countRequests("POST /v1/chat/completions b") != 1 {
-				t.Errorf("%s, written first %v: status %d, body %q, prefills %d", route, written, status, body,
+				t.Errorf("%s, written before the close %v: status %d, body %q, %d prefills", route, written, status, body,
 					prefill.countRequests("POST /v1/chat/completions b"))
 			}
 		}
@@ -162,7 +162,7 @@
 		e := startPlatformEdge(t, 1024, nil, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), decode)
 		status, body, err := postChat(t, e, "a", "alert")
 		if status != c.status || (err == nil) != c.complete || decode.countRequests("POST") != 1 {
-			t.Errorf("%s: status %d, body %q, %v, %d attempts", c.name, status, body, err, decode.countRequests("POST"))
+			t.Errorf("%s: status %d, body %q, error %v, %d attempts", c.name, status, body, err, decode.countRequests("POST"))
 		}
 		e.Stop()
 	}
@@ -185,7 +185,7 @@
 	e := startPlatformEdge(t, 1024, nil, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), &scriptedEngine{addr: listener.Addr().String()})
 	defer e.Stop()
 	if status, body, err := postChat(t, e, "b", "alert"); err != nil || status < 400 {
-		t.Errorf("right after accept: status %d, body %q, %v", status, body, err)
+		t.Errorf("right after accept: status %d, body %q, error %v", status, body, err)
 	}
 }
 
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -14,13 +14,13 @@
 	"sandcourse/internal/router"
 )
 
-// A dial that failed because of a shortage on this machine is retried after a short backoff, which doubles each time.
+// A dial that failed for lack of resources on this machine is retried after a short backoff, which doubles each time.
 const (
 	dialBackoffMin = 5 * time.Millisecond
 	dialBackoffMax = 40 * time.Millisecond
 )
 
-// engineSide dials engines, and has the pollers of the engine connections. Its callbacks run on the pollers.
+// engineSide dials engines, and holds the pollers of the engine connections. Its callbacks run on the pollers.
 type engineSide struct {
 	edge    *Edge
 	pollers *nbio.Engine
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -82,7 +82,7 @@
 	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("not within 10 s: %s", what)
+			f.t.Fatalf("condition not met within 10 s: %s", what)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	heldReservations := 0
 	defer func() {
 		if f.t.Failed() {
-			f.t.Logf("the edge holds %+v, engines %d reservations", usage, heldReservations)
+			f.t.Logf("in flight at the edge: %+v; held by engines: %d reservations", usage, heldReservations)
 		}
 	}()
 	f.waitFor("edge and engines have no open requests or reservations", func() bool {
@@ -120,7 +120,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 10 s: %s", what)
+			t.Fatalf("condition not met within 10 s: %s", what)
 		}
 	}
 }
--- a/internal/edge/gossip.go
+++ b/internal/edge/gossip.go
@@ -23,7 +23,7 @@
 type gossip struct {
 	conn      *net.UDPConn
 	peers     []netip.AddrPort // addresses of all edges, including this one, by node number
-	broadcast netip.AddrPort   // address that reaches all edges; invalid if there is none
+	broadcast netip.AddrPort   // address that reaches all edges; invalid if not configured
 }
 
 // ListenForPeers starts the exchange of gossip with other edges. It does nothing if the listen address is empty. It must
@@ -80,7 +80,8 @@
 	}
 }
 
-// SendToPeer sends a message to the peer with a node number, or to all peers if the number is negative. The owner calls it.
+// SendToPeer sends a message to the peer with the given node number, or to all peers if the number is negative. The owner
+// calls it.
 func (e *Edge) SendToPeer(to int, text string) {
 	g := e.gossip
 	if g == nil || len(text) > maxGossipText {
@@ -96,7 +97,8 @@
 	}
 }
 
-// destinations returns the addresses for a message to the peer with a node number, or to all if the number is negative.
+// destinations returns the addresses for a message to the peer with the given node number, or to all peers if the number is
+// negative.
 func (g *gossip) destinations(to int) []netip.AddrPort {
 	switch {
 	case to >= len(g.peers):
--- a/internal/edge/inbox.go
+++ b/internal/edge/inbox.go
@@ -29,8 +29,8 @@
 }
 
 // inbox is the bounded queue of tasks from the sockets to the owner. A goroutine that adds a task with a weight blocks while
-// its lane is full, which slows the sockets down. Tasks that must not block, such as the close of a connection, have weight
-// 0; they occur at most once per connection or are added by the owner itself.
+// the lane is full, and reads no more from its sockets meanwhile. Tasks that must not block, such as the close of a
+// connection, have weight 0; they occur at most once per connection or are added by the owner itself.
 type inbox struct {
 	clock          func() int64
 	wake           chan struct{} // holds one item while tasks wait
--- a/internal/edge/late_owner_test.go
+++ b/internal/edge/late_owner_test.go
@@ -42,7 +42,8 @@
 	for i := range waiting {
 		dialRaw(t, e).send(requestText(fmt.Sprint("later", i), "chat"))
 	}
-	waitFor(t, "the requests wait for the owner", func() bool { return e.QueuedTasks() >= before+2*waiting }) // one task for the connection, one for the request
+	// Each client adds one task for its connection and one for its request.
+	waitFor(t, "the requests wait for the owner", func() bool { return e.QueuedTasks() >= before+2*waiting })
 	close(gate)
 	waitFor(t, "the stream waits for the owner", func() bool { return e.QueuedTasks() >= before+2*waiting+4 })
 	released := time.Now()
@@ -94,7 +95,7 @@
 			t.Errorf("%s: an attempt failed: %v", pausedStage, line.ContextMap())
 		}
 		if n, m := prefill.countRequests("POST"), decode.countRequests("POST"); n != 1 || m != 1 {
-			t.Errorf("%s: %d prefills and %d decodes", pausedStage, n, m)
+			t.Errorf("%s: %d prefills and %d decodes, want 1 each", pausedStage, n, m)
 		}
 	}
 }
@@ -130,7 +131,7 @@
 		t.Errorf("%d %q %v", status, body, err)
 	}
 	if n, m := old.countRequests("POST"), fresh.countRequests("POST"); n != 1 || m != 1 {
-		t.Errorf("%d prefills at the draining engine, one of them before the drain, %d at the other", n, m)
+		t.Errorf("%d prefills at the draining engine and %d at the other, want 1 before the drain and 1 after it", n, m)
 	}
 }
 
@@ -146,7 +147,7 @@
 		t.Errorf("a request that waited longer than its objective got status %d", status)
 	}
 	if n := prefill.countRequests("POST"); n != 0 {
-		t.Errorf("%d prefills for a request that was shed", n)
+		t.Errorf("%d prefills for a request that was shed, want 0", n)
 	}
 	next.send(requestText("next", "chat"))
 	if status, body := next.readResponse(); status != 200 || body != streamEvents {
--- a/internal/edge/leak_test.go
+++ b/internal/edge/leak_test.go
@@ -52,11 +52,11 @@
 	return m.HeapAlloc
 }
 
-// Ever new clients, sessions, prefixes and names leak nothing: descriptors are released, and the caches of an edge are
-// bounded. The largest caches are those of names and session affinities, some thousand entries of 100 to 200 bytes.
+// Clients, sessions, prefixes and names that are used only once must not leak: descriptors are released, and the caches of an
+// edge are bounded. The largest caches are those of names and session affinities, some thousand entries of 100 to 200 bytes.
 func TestShortLivedClientsDoNotLeak(t *testing.T) {
 	// Connections to engines stay open for a while, and their number depends on the load of the machine. They have to reach
-	// their idle timeout within the test, or they would look like a leak.
+	// their idle timeout within the test; otherwise they would look like a leak.
 	shortIdleTimeouts := func(d *config.Deployment) {
 		d.Connections.IdleTimeout, d.Connections.NonIdempotentIdleTimeout = 300*time.Millisecond, 300*time.Millisecond
 	}
--- a/internal/edge/messages_test.go
+++ b/internal/edge/messages_test.go
@@ -24,17 +24,17 @@
 		"two lengths": {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na", "400 "},
 		"length and chunked": {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 			"400 "},
-		"large body":   {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n", "413 "},
-		"large head":   {"GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 3000) + "\r\n\r\n", "431 "},
-		"garbage":      {"\x16\x03\x01\r\n\r\n", "400 "},
-		"slow head":    {"GET / HT", "408 "},
-		"slow body":    {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nabc", "408 "},
-		"no UTF-8":     {post("{\"model\":\"\xff\"}"), "400 "},
-		"no JSON":      {post("{"), "400 "},
-		"no route":     {post(`{"model":"nothing","messages":[{"role":"user","content":"a"}]}`), "404 "},
-		"no path":      {"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", "404 "},
-		"wrong method": {"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", "405 "},
-		"HTTP/1.0":     {strings.Replace(post(good), "HTTP/1.1", "HTTP/1.0", 1), "505 "},
+		"large body":    {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n", "413 "},
+		"large head":    {"GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 3000) + "\r\n\r\n", "431 "},
+		"garbage":       {"\x16\x03\x01\r\n\r\n", "400 "},
+		"slow head":     {"GET / HT", "408 "},
+		"slow body":     {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nabc", "408 "},
+		"invalid UTF-8": {post("{\"model\":\"\xff\"}"), "400 "},
+		"invalid JSON":  {post("{"), "400 "},
+		"unknown route": {post(`{"model":"nothing","messages":[{"role":"user","content":"a"}]}`), "404 "},
+		"unknown path":  {"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", "404 "},
+		"wrong method":  {"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", "405 "},
+		"HTTP/1.0":      {strings.Replace(post(good), "HTTP/1.1", "HTTP/1.0", 1), "505 "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := rawExchange(t, f.edges.Addrs()[0], c.send, 500*time.Millisecond)
@@ -45,7 +45,7 @@
 		})
 	}
 	if got := rawExchange(t, f.edges.Addrs()[0], post(good)+post(good), 700*time.Millisecond); strings.Count(got, "HTTP/1.1 200") != 2 {
-		t.Errorf("two pipelined requests: %q", got)
+		t.Errorf("two pipelined requests: got %q, want two responses with status 200", got)
 	}
 	if got := rawExchange(t, f.edges.Addrs()[0], strings.Repeat(post(good), 20), 700*time.Millisecond); strings.Count(got, "200 OK") > 5 {
 		t.Errorf("pipelining is not limited: %q", got)
@@ -106,8 +106,8 @@
 	}
 }
 
-// The end of one request and the start of the next arrive in one read, and the client sends no more: the partial request
-// must time out with an error like any other.
+// The end of one request and the start of the next arrive in one read, and the client sends no more. The partial request
+// must time out with an error like any other partial request.
 func TestPartialRequestAfterCompleteOneTimesOut(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	decode := newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
@@ -128,6 +128,6 @@
 	}
 	client.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if status, _ := client.readResponse(); status != http.StatusRequestTimeout {
-		t.Errorf("the partial request got status %d", status)
+		t.Errorf("partial request got status %d, want 408", status)
 	}
 }
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -31,7 +31,7 @@
 	step()
 }
 
-// PolicyPanicked logs a panic of the policy with its stack; all open requests have been answered with an error.
+// PolicyPanicked logs a panic of the policy with its stack; the router then answers all open requests with an error.
 func (o observer) PolicyPanicked(value any, event routing.Event, stack []byte) {
 	o.edge.metrics.decisionPanics.Inc()
 	o.edge.log.Error(LogPolicyPanicked, zap.Any("panic", value), zap.String("event", fmt.Sprintf("%T", event)),
@@ -104,7 +104,7 @@
 	return r.FirstTokenObjective + time.Duration(float64(r.ObjectivePer1000Tokens)*float64(promptTokens)/1000)
 }
 
-// Rejected counts a connection or a request that was rejected before it was admitted.
+// Rejected counts a connection or a request that was rejected before it was admitted, or a connection closed as too slow.
 func (o observer) Rejected(reason router.RejectReason) {
 	o.edge.metrics.rejected.WithLabelValues(string(reason)).Inc()
 }
@@ -156,7 +156,7 @@
 	o.edge.log.Debug("engine connection changed", zap.String("engine", engine), zap.String("event", string(event)))
 }
 
-// EndpointsUpdated records a new endpoint list, and those of its engines that are ignored.
+// EndpointsUpdated records a new endpoint list, and the engines in it that are ignored.
 func (o observer) EndpointsUpdated(revision int64, engines int, unknown []string) {
 	o.edge.metrics.engines.Set(float64(engines))
 	o.edge.log.Info("endpoint list applied", zap.Int64("revision", revision), zap.Int("engines", engines))
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -58,7 +58,7 @@
 }
 
 // runTasks runs all waiting tasks. Tasks from engines run before each task from a client: the next step of an attempt in
-// progress has a time limit, and the engine's work is lost if it is exceeded.
+// progress has a time limit, and the engine's work is lost if the limit is exceeded.
 func (l *ownerLoop) runTasks() {
 	for !l.edge.isStopped() {
 		l.beginTurn()
@@ -95,7 +95,8 @@
 	l.runDueTimers()
 }
 
-// runClientTasks runs tasks from clients until engine tasks wait or maxTurnDelay has passed. It reports whether any waited.
+// runClientTasks runs tasks from clients until engine tasks wait or maxTurnDelay has passed. It returns false if no task from
+// a client waited.
 func (l *ownerLoop) runClientTasks() bool {
 	if l.nextClientTask == len(l.clientTasks) {
 		before := l.now()
@@ -117,7 +118,8 @@
 	return true
 }
 
-// runTask runs a task after all new endpoint lists, and at least every maxTurnDelay also after the router's due timers.
+// runTask runs a task. All new endpoint lists are applied first, and at least every maxTurnDelay the router's due timers run
+// first, too.
 func (l *ownerLoop) runTask(taskLane lane, task queuedTask) {
 	if l.now()-l.dueTimersRanAt >= maxTurnDelay {
 		l.runDueTimers()
@@ -152,7 +154,7 @@
 }
 
 // CatchUp applies the waiting endpoint lists, so that a drain that was reported during a decision is taken into account
-// before the decision is carried out. The router calls it.
+// before the resulting actions are performed. The router calls it.
 func (e *Edge) CatchUp() {
 	e.router.SetTime(e.owner.now())
 	e.owner.runListTasks()
--- a/internal/edge/platform_edge_test.go
+++ b/internal/edge/platform_edge_test.go
@@ -54,7 +54,7 @@
 	return e
 }
 
-// newPlatformEdge returns an edge like that of startPlatformEdge, but does not start it.
+// newPlatformEdge returns an edge like startPlatformEdge, but does not start the edge.
 func newPlatformEdge(t *testing.T, sockets int, configure func(*config.Deployment), prefill, decode *scriptedEngine) *edge.Edge {
 	t.Helper()
 	return newPlatformEdgeFrom(t, sockets, configure, fixedSource{readyEntry("s-1", "m1", prefill), readyEntry("s-2", "m2", decode)})
@@ -65,7 +65,7 @@
 	return endpoint.Entry{ID: id, Address: engine.addr, Kind: kind, Zone: "a", Weight: 1, State: endpoint.Ready}
 }
 
-// newPlatformEdgeFrom returns an edge that uses the platform protocol and a given endpoint source; it does not start it.
+// newPlatformEdgeFrom returns an edge that uses the platform protocol and a given endpoint source. The edge is not started.
 func newPlatformEdgeFrom(t *testing.T, sockets int, configure func(*config.Deployment), source endpoint.Source) *edge.Edge {
 	t.Helper()
 	return newLoggedPlatformEdge(t, sockets, configure, source, zap.NewNop())
@@ -102,12 +102,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("edge not ready within 5 s")
+			t.Fatal("edge is not ready within 5 s")
 		}
 	}
 }
 
-// postChat sends one request, and reads until the end of the response or of the connection.
+// postChat sends one request, and reads until the response or the connection ends.
 func postChat(t *testing.T, e *edge.Edge, name, route string) (status int, body string, err error) {
 	t.Helper()
 	r, _ := http.NewRequest(http.MethodPost, "http://"+e.Addr()+"/v1/chat/completions", strings.NewReader(`{"model":"chat"}`))
@@ -123,7 +123,8 @@
 	return response.StatusCode, string(data), err
 }
 
-// callRepeatedly sends requests over one connection until one fails, and returns how many succeeded and for how long.
+// callRepeatedly sends requests over one connection until one fails, and returns how many succeeded, and the time until the
+// last success.
 func callRepeatedly(e *edge.Edge, namePrefix string) (served int, servedFor time.Duration) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 1}}
 	startedAt := time.Now()
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -10,8 +10,8 @@
 	"sandcourse/internal/endpoint"
 )
 
-// The poller has noticed that a client disconnected, but the owner has not been notified yet. The owner must not forward
-// the request any more, neither to prefill nor, after prefill, to decode.
+// The poller has detected that a client disconnected, but the owner has not been notified yet. The owner must forward the
+// request neither to prefill nor, after prefill, to decode.
 func TestClientDisconnectBeforeOwnerIsNotified(t *testing.T) {
 	for _, moment := range []string{"before prefill", "between prefill and decode"} {
 		gate := make(chan struct{})
@@ -110,7 +110,7 @@
 
 // An endpoint list marks the only prefill engine as draining and adds another, while a request waits for the owner. A list
 // in the inbox is applied before the request, even if it arrived later. A list that has been read but is not in the inbox
-// yet delays no request: the attempt goes to the draining engine, which the drain grace allows.
+// yet delays no request: the attempt is sent to the draining engine, which the drain grace allows.
 func TestDrainInListRacesAttempt(t *testing.T) {
 	for _, notified := range []bool{true, false} {
 		old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
--- a/internal/edge/reuse_guard.go
+++ b/internal/edge/reuse_guard.go
@@ -32,7 +32,7 @@
 
 	mu           sync.Mutex
 	newWaiters   []chan struct{} // added since the last event
-	olderWaiters []chan struct{} // added before the last event, so the next event belongs to a later batch
+	olderWaiters []chan struct{} // added before the last event, so that the next event belongs to a later batch
 }
 
 // eventfdConn is an eventfd as a net.Conn, which the socket library requires.
@@ -87,13 +87,14 @@
 	}
 }
 
-// waitForNewBatch returns once the poller of a newly established connection has no event from before that.
+// waitForNewBatch returns once the poller of a new connection has no pending event from before the connection was
+// established.
 func (g *reuseGuard) waitForNewBatch(conn *nbio.Conn) {
 	g.mu.Lock()
 	markers, stopped := g.markers, g.stopped
 	g.mu.Unlock()
 	if len(markers) == 0 {
-		return // these are the first connections: none has been closed yet
+		return // start has not finished: no connection has been closed yet
 	}
 	select {
 	case <-markers[conn.Hash()%len(markers)].notifyOnNewBatch():
--- a/internal/edge/reuse_guard_test.go
+++ b/internal/edge/reuse_guard_test.go
@@ -87,8 +87,8 @@
 	return &rawClient{t, conn, bufio.NewReader(conn)}
 }
 
-// While a poller handles the first event of a batch, the owner closes a connection whose close a later event of the batch
-// reports, and a new connection gets its descriptor. The stale event must not close the new connection.
+// While a poller handles the first event of a batch, the owner closes a connection, and a new connection gets its descriptor.
+// A later event of the batch reports the close of the old connection. This stale event must not close the new one.
 func TestReusedDescriptorIgnoresStaleEvent(t *testing.T) {
 	e := newPlatformEdge(t, 1024, func(d *config.Deployment) { d.Limits.IdleTimeout = time.Second },
 		newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
@@ -105,7 +105,7 @@
 	socket := reserveSocket(t)
 	poller.setEnabled(true)
 	earlier.send("P")
-	waitForSignal(t, poller.arrived) // paused in a batch of one event; the next batch has the other two, in this order
+	waitForSignal(t, poller.arrived) // paused in a batch of one event; the next batch has the events of first and leaving
 	first.send("P")
 	leaving.conn.Close()
 	poller.proceed <- struct{}{}
--- a/internal/edge/scripted_engine_test.go
+++ b/internal/edge/scripted_engine_test.go
@@ -20,11 +20,11 @@
 	reply       func(n int, r *http.Request) (wire string, disconnect bool)
 	singleUse   bool   // a second request on a connection closes it
 	trailer     string // sent some milliseconds after each response to a chat request
-	closeOnName string // the connection is closed without a response at the first request with this name
+	closeOnName string // the connection is closed without a response to the first request with this name
 	connections map[net.Conn]bool
 }
 
-// newScriptedEngine starts an engine at an IP address of 127.0.0.0/8, all of which the platform uses for engines.
+// newScriptedEngine starts an engine at an IP address of 127.0.0.0/8, the range that the platform uses for engines.
 func newScriptedEngine(t *testing.T, host string, reply func(n int, r *http.Request) (string, bool)) *scriptedEngine {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -94,7 +94,7 @@
 	return count
 }
 
-// closeOnRequest makes the engine close the connection without a response at the next request with a name.
+// closeOnRequest makes the engine close the connection without a response to the next request with the given name.
 func (e *scriptedEngine) closeOnRequest(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/edge/soak_test.go
+++ b/internal/edge/soak_test.go
@@ -59,9 +59,9 @@
 	// Idle connections are closed within 15 s; after that the edge must hold no connections, requests or bytes.
 	time.Sleep(20 * time.Second)
 	usage := f.edges.InFlight(context.Background())
-	t.Logf("idle: heap %.1f MiB, %d descriptors, %d goroutines; the edge holds %+v; records %d", heap(), descriptors(),
+	t.Logf("idle: heap %.1f MiB, %d descriptors, %d goroutines; in flight at the edge: %+v; %d engine records", heap(), descriptors(),
 		runtime.NumGoroutine(), usage, len(f.log.EngineRecords()))
 	if usage.Clients+usage.Requests+usage.EngineConnections+usage.Bytes+usage.ControlRequests > 0 {
-		t.Error("the edge still holds something")
+		t.Error("idle edge still holds connections, requests or bytes")
 	}
 }
--- a/internal/edge/startup_retry.go
+++ b/internal/edge/startup_retry.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/neterr"
 )
 
-// At startup the previous process may still use an address, or no file descriptor may be free for a moment. A step that
-// fails for such a reason is retried for some seconds; the platform waits 30 s for an edge to start.
+// At startup the previous process may still use an address, or no file descriptor may be free for a moment. A step of the
+// startup that fails for such a reason is retried for some seconds; the platform waits 30 s for an edge to start.
 const (
 	startupRetryTimeout  = 15 * time.Second
 	startupRetryInterval = 50 * time.Millisecond
--- a/internal/edge/sync_point.go
+++ b/internal/edge/sync_point.go
@@ -1,7 +1,7 @@
 package edge
 
-// SyncPoint is a point between two steps of one goroutine at which another goroutine may run in between. A test that
-// forces a race pauses a goroutine there; in production the points have no effect.
+// SyncPoint is a point between two steps of a goroutine at which a test can pause the goroutine, to let another one run in
+// between and so force a race. In production the points have no effect.
 type SyncPoint string
 
 // The sync points.
--- a/internal/edge/token_relay.go
+++ b/internal/edge/token_relay.go
@@ -19,7 +19,7 @@
 	closed         bool
 
 	forwarded     atomic.Int64 // number of tokens that bypassed the owner
-	lastForwarded atomic.Int64 // time at which the last token bypassed the owner, by the edge's clock
+	lastForwarded atomic.Int64 // time, by the edge's clock, at which the last token bypassed the owner
 }
 
 // forward handles a token on the engine's poller. It returns false if the token must be passed to the owner.
