--- a/internal/edge/session_fence.go
+++ b/internal/edge/session_fence.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// sessionFence orders the writes to a connection's session data when it opens before the reads of its poller. The socket
-// library relies on the kernel for that order, which the race detector does not observe.
+// sessionFence orders the writes to a connection's session data, which the socket library stores, before the reads of its
+// poller. The library relies on the kernel for that order, which the race detector does not observe.
 type sessionFence struct{ published atomic.Int64 }
 
 // publish is called after the last write to a new connection's session data.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -16,7 +16,7 @@
 // little time remains, the margin is a quarter of it.
 const deadlineMargin = 50 * time.Millisecond
 
-// engineAttempt is one attempt to have an engine serve a request.
+// engineAttempt is one attempt to serve a request, or its prefill, at an engine.
 type engineAttempt struct {
 	request           *request
 	index             int // position among the attempts of its request
@@ -44,7 +44,7 @@
 	return a.connection != nil && a.connection.attempt == a
 }
 
-// startAttempt starts an attempt to have an engine serve a request.
+// startAttempt starts the attempt that the policy has decided on.
 func (r *Router) startAttempt(action routing.Send) {
 	req := r.requests.byID[action.RequestID]
 	if req == nil {
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -159,8 +159,8 @@
 	r.flush(client)
 }
 
-// closeFlushed closes, in the order of their IDs, the connections whose output is written and that their clients do not
-// close themselves in time, and those whose clients do not read the output in time.
+// closeFlushed closes, in the order of their IDs, the closing connections that are due. If all output is written, the client
+// has clientCloseTimeout to close the connection itself, unless an answer was cut off; if not, it has DrainTimeout to read.
 func (r *Router) closeFlushed() {
 	for _, id := range slices.Sorted(maps.Keys(r.clients.closingSince)) {
 		client, since := r.clients.byID[id], r.clients.closingSince[id]
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -6,7 +6,7 @@
 const reapInterval = int64(25 * time.Millisecond)
 
 // delayThreshold is the longest gap between the earliest possible arrival of a request and the time at which it was read
-// for which the timeout of the request counts from the read. A router under little load has such short gaps, too.
+// for which the timeout of the request counts from the read. Shorter gaps occur even under little load.
 const delayThreshold = 4 * reapInterval
 
 // clock holds the time that was last passed to the router, in nanoseconds.
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -15,7 +15,7 @@
 )
 
 // departedRetention is how long the router remembers an engine that has left the endpoint list. A minute is several times
-// the longest dial: no connection that was dialed before the engine left can still become ready for a request.
+// the longest dial, so no dial from before the engine left is pending by then.
 const departedRetention = int64(time.Minute)
 
 // drainRetention is how long a drain takes precedence over an endpoint list of an older revision. Discovery agents lag by
--- a/internal/router/engine_starts.go
+++ b/internal/router/engine_starts.go
@@ -10,7 +10,7 @@
 
 // maxReportedAge is the maximum age of an engine start that is first reported while this router runs: lists arrive seconds
 // late, and discovery may be down for longer. A start that seems older was stamped by a clock that differs from this
-// router's. The engine then counts as started when the start was first reported, so that it counts as warming up.
+// router's. Such an engine counts as started when the start was first reported, and so as warming up.
 const maxReportedAge = 30 * time.Second
 
 // nanosPerMilli converts between the time units of endpoint lists and of the router.
--- a/internal/router/invariants.go
+++ b/internal/router/invariants.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/invariant"
 )
 
-// reservationCheckInterval is how often reservations are checked. More frequent checks would report violations hardly sooner.
+// reservationCheckInterval is how often reservations are checked. More frequent checks would hardly report violations sooner.
 const reservationCheckInterval = int64(200 * time.Millisecond)
 
 // invariantMonitor checks the invariants at run time.
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -9,7 +9,7 @@
 
 // Observer receives notifications for logs and metrics. No decision of the router depends on them.
 type Observer interface {
-	// AroundStep runs one step of the routing policy.
+	// AroundStep calls step, which runs one step of the routing policy.
 	AroundStep(event routing.Event, step func())
 	// PolicyPanicked reports a panic of the routing policy, which is then restarted.
 	PolicyPanicked(p any, event routing.Event, stack []byte)
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -14,7 +14,7 @@
 // may have two prefills, and just as many ended requests may still have reservations to release.
 const reservationsPerRequest = 4
 
-// parallelReleases is how many engines a release is sent to at a time if any engine can handle it: an engine that hangs
+// parallelReleases is how many engines a release is sent to at a time if every engine can handle it: an engine that hangs
 // must not delay the release at the next one.
 const parallelReleases = 2
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// releaseTargets returns the engines that a release is sent to now: the engine that holds the reservation alone, unless any
-// engine handles releases.
+// releaseTargets returns the engines that a release is sent to now: only the engine that holds the reservation, unless every
+// engine can handle the release.
 func (r *Router) releaseTargets(reserved *reservation.Reservation, first bool) []string {
 	if !r.protocol.ReleaseReachesAllEngines() || r.endpoints.current == nil {
 		return []string{reserved.Engine}
@@ -114,7 +114,7 @@
 	return r.targetsAmongAllEngines(reserved, first)
 }
 
-// targetsAmongAllEngines returns the targets of a release that any engine handles. The first release is sent to the engine
+// targetsAmongAllEngines returns the targets of a release that every engine can handle. The first release is sent to the engine
 // that holds the reservation and to one with an idle connection, later ones to those that responded last.
 func (r *Router) targetsAmongAllEngines(reserved *reservation.Reservation, first bool) []string {
 	if !first {
