--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -10,8 +10,8 @@
 	"sandcourse/internal/endpoint"
 )
 
-// The poller has noticed that a client disconnected, but the owner has not been notified yet. The owner must not forward
-// the request any more, neither to prefill nor, after prefill, to decode.
+// The poller has detected that a client disconnected, but the owner has not been notified yet. The owner must forward the
+// request neither to prefill nor, after prefill, to decode.
 func TestClientDisconnectBeforeOwnerIsNotified(t *testing.T) {
 	for _, moment := range []string{"before prefill", "between prefill and decode"} {
 		gate := make(chan struct{})
@@ -43,8 +43,8 @@
 		}
 		release()
 		waitFor(t, "the edge has no open requests", func() bool {
-			h, err := e.Usage(context.Background())
-			return err == nil && h.Requests == 0 && h.ControlRequests == 0
+			usage, err := e.Usage(context.Background())
+			return err == nil && usage.Requests == 0 && usage.ControlRequests == 0
 		})
 		e.Stop()
 		if prefill.countRequests("POST") != wantPrefills || decode.countRequests("POST") != 0 {
@@ -94,14 +94,14 @@
 	pause.wait(t)
 	client.conn.Close()
 	waitFor(t, "the owner is notified of the disconnect", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Clients == 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Clients == 0
 	})
 	close(pause.resume)
 	waitFor(t, "the reservation is released", func() bool { return prefill.countRequests("DELETE /v1/holds/a") > 0 })
 	waitFor(t, "the edge has no open requests", func() bool {
-		h, err := e.Usage(context.Background())
-		return err == nil && h.Requests == 0 && h.ControlRequests == 0
+		usage, err := e.Usage(context.Background())
+		return err == nil && usage.Requests == 0 && usage.ControlRequests == 0
 	})
 	if prefill.countRequests("POST") != 1 || decode.countRequests("POST") != 0 {
 		t.Errorf("%d prefills, %d decodes", prefill.countRequests("POST"), decode.countRequests("POST"))
@@ -110,7 +110,7 @@
 
 // An endpoint list marks the only prefill engine as draining and adds another, while a request waits for the owner. A list
 // in the inbox is applied before the request, even if it arrived later. A list that has been read but is not in the inbox
-// yet delays no request: the attempt goes to the draining engine, which the drain grace allows.
+// yet delays no request: the attempt is sent to the draining engine, which the drain grace allows.
 func TestDrainInListRacesAttempt(t *testing.T) {
 	for _, notified := range []bool{true, false} {
 		old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
--- a/internal/edge/scripted_engine_test.go
+++ b/internal/edge/scripted_engine_test.go
@@ -17,14 +17,14 @@
 	addr        string
 	mu          sync.Mutex
 	requests    []string // method, path and name of each request
-	reply       func(n int, r *http.Request) (wire string, hangUp bool)
+	reply       func(n int, r *http.Request) (wire string, disconnect bool)
 	singleUse   bool   // a second request on a connection closes it
 	trailer     string // sent some milliseconds after each response to a chat request
-	closeOnName string // the connection is closed without a response at the first request with this name
+	closeOnName string // the connection is closed without a response to the first request with this name
 	connections map[net.Conn]bool
 }
 
-// newScriptedEngine starts an engine at an IP address of 127.0.0.0/8, all of which the platform uses for engines.
+// newScriptedEngine starts an engine at an IP address of 127.0.0.0/8, the range that the platform uses for engines.
 func newScriptedEngine(t *testing.T, host string, reply func(n int, r *http.Request) (string, bool)) *scriptedEngine {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -67,9 +67,9 @@
 		if closeNow {
 			return
 		}
-		wire, hangUp := "HTTP/1.1 204 No Content\r\n\r\n", false
+		wire, disconnect := "HTTP/1.1 204 No Content\r\n\r\n", false
 		if r.Method == http.MethodPost {
-			wire, hangUp = e.reply(n, r)
+			wire, disconnect = e.reply(n, r)
 		} else if r.Method == http.MethodGet {
 			wire = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nTEXT x0=0.1, x1=0.0\n"
 		}
@@ -77,7 +77,7 @@
 		if r.Method == http.MethodPost && e.trailer != "" {
 			time.AfterFunc(3*time.Millisecond, func() { io.WriteString(c, e.trailer) })
 		}
-		if hangUp {
+		if disconnect {
 			return
 		}
 	}
@@ -94,7 +94,7 @@
 	return count
 }
 
-// closeOnRequest makes the engine close the connection without a response at the next request with a name.
+// closeOnRequest makes the engine close the connection without a response to the next request with the given name.
 func (e *scriptedEngine) closeOnRequest(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
