--- a/cmd/sandcourse-sim/main.go
+++ b/cmd/sandcourse-sim/main.go
@@ -1,4 +1,5 @@
-// Command sandcourse-sim runs routing policies for a simulator: it reads a batch of events per line and writes its actions.
+// Command sandcourse-sim runs routing policies for a simulator: it reads one batch of events per line and writes the resulting
+// actions.
 package main
 
 import (
@@ -62,24 +63,24 @@
 	Actions []simproto.Action `json:"out"`
 }
 
-// handleBatch handles one batch and returns its reply, and the types of the events that are unknown.
-func (f nodePolicies) handleBatch(line []byte) (encodedReply []byte, unknown []string, err error) {
+// handleBatch handles one batch and returns the encoded reply and the types of unknown events.
+func (policies nodePolicies) handleBatch(line []byte) (encodedReply []byte, unknown []string, err error) {
 	now, events, err := simproto.Decode(line)
 	if err != nil {
 		return nil, nil, err
 	}
 	actions := []simproto.Action{}
 	for i, event := range events {
-		policy, created := f[event.Node]
+		policy, created := policies[event.Node]
 		switch {
 		case event.Create != nil:
-			f[event.Node] = routing.New(event.Create.Seed, event.Create.Config)
+			policies[event.Node] = routing.New(event.Create.Seed, event.Create.Config)
 		case event.Unknown != "":
 			unknown = append(unknown, event.Unknown)
 		case !created:
 			return nil, nil, fmt.Errorf("event %d: field i: %q %w", i, event.Node, errNotCreated)
 		case event.Down:
-			f[event.Node] = nil
+			policies[event.Node] = nil
 		case policy != nil:
 			actions = append(actions, stepPolicy(policy, event.Node, now, event.Payload)...)
 		}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks the five rules of the router against the records of fake engines and test clients, which observe the
-// router from outside. It does not use the log and the metrics of the edge, and does no I/O.
+// Package audit checks whether the router kept its five rules, using the records of fake engines and test clients, which
+// observe the router from outside. It uses neither the logs nor the metrics of the edge, and does no I/O.
 package audit
 
 import (
@@ -19,7 +19,7 @@
 	RuleOneOutcome Rule = iota + 1
 	// RuleOneExecution requires that a non-retriable request is executed at most once, and that attempts do not overlap.
 	RuleOneExecution
-	// RuleDrain requires that a draining engine receives no more attempts.
+	// RuleDrain requires that a draining engine receives no more attempts after the drain grace.
 	RuleDrain
 	// RuleSlowStart requires that no engine is overloaded while it warms up.
 	RuleSlowStart
@@ -97,7 +97,7 @@
 	return spans
 }
 
-// endOf returns the time of the end event of record i's request at its engine, or of an earlier crash, or else c.until.
+// endOf returns the time at which the engine of record i recorded the end event for the request, or crashed, or else c.until.
 func (c *checker) endOf(i int, end EngineEvent) time.Time {
 	start := c.records[i]
 	for _, record := range c.records[i+1:] {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -54,11 +54,11 @@
 			l.RecordOutage(Outage{Edge: "edge", From: l.start.Add(-second), To: l.start.Add(second)})
 		}, nil},
 		{"two outcomes", func(l *testLog) { l.addClientRecord(0, OutcomeCompleted, 2) }, []string{"rule 1: c1 (edge-1) got 2 final answers"}},
-		{"late", func(l *testLog) { l.addClientRecord(2*second, OutcomeShed, 1) }, []string{"rule 1: c1 (edge-1) was shed 1s after its client's deadline"}},
+		{"late", func(l *testLog) { l.addClientRecord(2*second, OutcomeShed, 1) }, []string{"rule 1: c1 (edge-1) ended as shed 1s after its client's deadline"}},
 		{"attempt after the outcome", func(l *testLog) {
 			l.addClientRecord(0, OutcomeErrored, 1)
 			l.addEngineEvent(second, "a", AttemptStarted)
-		}, []string{"rule 1: c1 (edge-1) was sent to a 1s after it was errored"}},
+		}, []string{"rule 1: c1 (edge-1) was sent to a 1s after it ended as errored"}},
 		{"two executions", func(l *testLog) {
 			l.addClientRecord(0, OutcomeCompleted, 1)
 			l.addEngineEvent(0, "a", Executed)
@@ -92,7 +92,7 @@
 			l.addEngineEvent(0, "a", Reserved)
 			l.addEngineEvent(2*second, "a", Released)
 		}, []string{"rule 5: a held a reservation of edge-1 for 2s with no attempt in flight"}},
-		{"reservation beside an attempt", func(l *testLog) {
+		{"reservation during an attempt", func(l *testLog) {
 			l.addEngineEvent(0, "a", Reserved)
 			l.addEngineEvent(second/2, "b", AttemptStarted)
 			l.addEngineEvent(3*second, "b", AttemptEnded)
--- a/internal/audit/checks.go
+++ b/internal/audit/checks.go
@@ -19,11 +19,11 @@
 		case r.Outcome != OutcomeAbandoned && r.OutcomeCount != 1:
 			c.report(RuleOneOutcome, r.RequestID, "%s got %d final answers", name, r.OutcomeCount)
 		case r.Outcome != OutcomeAbandoned && r.FirstToken == 0 && r.End.After(r.Deadline.Add(c.rules.Tolerance)):
-			c.report(RuleOneOutcome, r.RequestID, "%s was %s %v after its client's deadline", name, r.Outcome, r.End.Sub(r.Deadline))
+			c.report(RuleOneOutcome, r.RequestID, "%s ended as %s %v after its client's deadline", name, r.Outcome, r.End.Sub(r.Deadline))
 		}
 		for _, span := range c.spans[r.RequestID] {
 			if r.RequestID != "" && span.from.After(r.End.Add(c.rules.Tolerance)) {
-				c.report(RuleOneOutcome, r.RequestID, "%s was sent to %s %v after it was %s", name, span.engine, span.from.Sub(r.End), r.Outcome)
+				c.report(RuleOneOutcome, r.RequestID, "%s was sent to %s %v after it ended as %s", name, span.engine, span.from.Sub(r.End), r.Outcome)
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-// drainingSince returns since when an engine was published as not ready at a time, or the zero time if it was ready.
+// drainingSince returns the time since which an engine was published as not ready, as of a time; it is zero if it was ready.
 func drainingSince(changes []ReadinessChange, engine string, at time.Time) (since time.Time) {
 	for _, change := range changes {
 		if change.Engine != engine || change.At.After(at) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// checkReservations checks RuleReservation: it searches the time of each reservation for a gap between attempts of its
-// request that exceeds the limit.
+// checkReservations checks RuleReservation: while a reservation is held, no gap between attempts of its request may exceed
+// the limit.
 func (c *checker) checkReservations() {
 	for i, record := range c.records {
 		if record.Event != Reserved {
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -27,7 +27,7 @@
 	OutcomeShed      Outcome = "shed"
 	OutcomeErrored   Outcome = "errored"
 	OutcomeAbandoned Outcome = "left" // the client disconnected
-	OutcomeLost      Outcome = "lost" // the connection broke without a response
+	OutcomeLost      Outcome = "lost" // the connection broke before a final response
 )
 
 // EngineRecord is one event of an engine.
@@ -43,10 +43,10 @@
 
 // ClientRecord is the record of one request by its client.
 type ClientRecord struct {
-	ClientRequestID string // the same for all retries of a request
+	ClientRequestID string // ID that the client assigned; equal for all retries of a request
 	Route           string
 	Edge            string
-	RequestID       string // ID that the router assigned; empty without a response
+	RequestID       string // ID that the router assigned; empty if no response arrived
 	Sent, End       time.Time
 	Deadline        time.Time
 	Outcome         Outcome // empty while the request is open
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -42,7 +42,7 @@
 	streaming        bool
 	ended            bool
 	runCount         int
-	prefilledTokens  float64 // tokens prefilled that have not led to a first token yet
+	prefilledTokens  float64 // prefilled tokens of attempts that have no first token yet
 }
 
 func (r *clientRequest) route() Route { return r.emulation.scenario.Routes[r.session.route] }
@@ -52,7 +52,7 @@
 	em, route := r.emulation, r.route()
 	target := em.routers[em.random.IntN(len(em.routers))]
 	em.recorder.result.Attempts++
-	r.id = fmt.Sprint(r.id, "'") // engines identify attempts by it, so each attempt has its own ID
+	r.id = fmt.Sprint(r.id, "'") // engines identify attempts by this ID, so each attempt has its own
 	em.requests[r.id] = r
 	r.router, r.sentAt, r.responseHead, r.streaming, r.ended = target, em.now, nil, false, false
 	target.clientCount++
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -31,7 +31,7 @@
 	return c.sequence
 }
 
-// runNext advances the time to the next event and runs the event. It returns false if there is no event until end.
+// runNext advances the time to the next event and runs the event. It returns false if no event is scheduled until end.
 func (c *clock) runNext(end int64) bool {
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		return false
--- a/internal/emulator/comparison.go
+++ b/internal/emulator/comparison.go
@@ -12,7 +12,7 @@
 	bootstrapSamples = 2000
 	bootstrapLow     = 25  // per mille of the samples
 	bootstrapHigh    = 975 // per mille of the samples
-	recoveredShare   = 0.9 // minimum share completed in time, in three consecutive windows
+	recoveredShare   = 0.9 // minimum share completed in time in each of three consecutive windows
 )
 
 // neverRecovered is the recovery time of a run that does not recover.
@@ -23,9 +23,9 @@
 	Name         string
 	Results      []Result
 	Share        float64       // share completed in time, mean over seeds
-	Difference   float64       // difference of Share to the first arm, mean over paired seeds
+	Difference   float64       // Share minus that of the first arm, mean over paired seeds
 	Low, High    float64       // 95% bootstrap interval of Difference
-	WorstWindow  float64       // lowest share completed in time of a window, mean over seeds
+	WorstWindow  float64       // lowest share completed in time in a window, mean over seeds
 	RecoveryTime time.Duration // from the end of the last fault, median over seeds; neverRecovered if it does not recover
 	ByWindow     []float64     // share completed in time by window, mean over seeds
 }
@@ -77,7 +77,8 @@
 	return means[len(means)*bootstrapLow/1000], means[len(means)*bootstrapHigh/1000]
 }
 
-// recoveryTime returns the time from the end of the last fault to three consecutive windows with at least recoveredShare.
+// recoveryTime returns the time from the end of the last fault to the first of three consecutive windows with at least
+// recoveredShare.
 func recoveryTime(scenario Scenario, r Result) time.Duration {
 	end := time.Duration(0)
 	for _, f := range scenario.Faults {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/router"
 )
 
-// Errors for invalid bytes that a router writes to an engine.
+// Errors for invalid requests that a router writes to an engine.
 var (
 	errIncompleteRequest = errors.New("emulator: router did not write a complete request")
 	errUnknownRequest    = errors.New("emulator: attempt belongs to no client's request")
@@ -25,7 +25,7 @@
 // requestLimits limit the size of the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
-// remotePrefill occurs in the body of every decode request and of no other.
+// remotePrefill occurs in the body of every decode request and of no other request.
 var remotePrefill = []byte(`"do_remote_prefill":true`)
 
 // connection is a connection of a router to an engine.
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -17,7 +17,7 @@
 	// listDelay and listJitter determine the delay with which a router receives a change of the endpoint list.
 	listDelay  = 400 * time.Millisecond
 	listJitter = 200 // milliseconds
-	// settleTime is the time that a run continues after the timeout of the last client, so that reservations are released.
+	// settleTime is the time for which a run continues after the last client's timeout, so that reservations are released.
 	settleTime  = 10 * time.Second
 	dedupWindow = 5 * time.Second
 )
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 func TestSameSeedGivesSameResult(t *testing.T) {
 	scenario := Defaults()
 	scenario.RequestRate, scenario.Length = 11, 20*time.Second
-	scenario.Faults = []Fault{{Kind: FaultRestart, At: 8 * time.Second, Duration: 3 * time.Second, Fraction: 0.4}}
+	scenario.Faults = []Fault{{Kind: FaultRestart, At: 8 * time.Second, Duration: 3 * time.Second, Magnitude: 0.4}}
 	first, second := Run(scenario), Run(scenario)
 	if !reflect.DeepEqual(first, second) {
 		t.Errorf("%+v\n%+v", first, second)
@@ -24,7 +24,7 @@
 
 // Without faults, a fleet with enough capacity serves all requests. Under each kind of fault, no non-retriable request runs
 // twice, each attempt has exactly one outcome, no warming engine is overloaded and no reservation is left.
-func TestFaultsLeaveNothingBehind(t *testing.T) {
+func TestRequestsEndUnderEachFault(t *testing.T) {
 	scenario := Defaults()
 	scenario.RequestRate, scenario.Length = 8, 20*time.Second
 	if r := Run(scenario); r.Share < 0.995 {
@@ -33,9 +33,9 @@
 	for _, kind := range FaultKinds {
 		scenario := Defaults()
 		scenario.RequestRate, scenario.Length, scenario.RetryBudget = 11, 30*time.Second, 0.1
-		scenario.Faults = []Fault{{Kind: kind, At: 8 * time.Second, Duration: 5 * time.Second, Fraction: 0.5}}
+		scenario.Faults = []Fault{{Kind: kind, At: 8 * time.Second, Duration: 5 * time.Second, Magnitude: 0.5}}
 		if kind == FaultBurst || kind == FaultSlow {
-			scenario.Faults[0].Fraction = 3
+			scenario.Faults[0].Magnitude = 3
 		}
 		r := Run(scenario)
 		ended := 0
@@ -53,15 +53,15 @@
 func TestRetryBudgetEndsRetryStorm(t *testing.T) {
 	scenario := Defaults()
 	scenario.RequestRate, scenario.Length, scenario.Retries = 12, 70*time.Second, 4
-	scenario.Faults = []Fault{{Kind: FaultRestart, At: 20 * time.Second, Duration: 10 * time.Second, Fraction: 0.5}}
+	scenario.Faults = []Fault{{Kind: FaultRestart, At: 20 * time.Second, Duration: 10 * time.Second, Magnitude: 0.5}}
 	withoutBudget := Run(scenario)
 	scenario.RetryBudget = 0.1
 	if withBudget := Run(scenario); withBudget.Share < withoutBudget.Share+0.1 {
-		t.Errorf("value in time %.3f with a budget, %.3f without", withBudget.Share, withoutBudget.Share)
+		t.Errorf("share completed in time is %.3f with a budget, %.3f without", withBudget.Share, withoutBudget.Share)
 	}
 }
 
-func TestParseExperimentAppliesArmsAndReportsFaults(t *testing.T) {
+func TestParseExperimentAppliesArmsAndReportsErrors(t *testing.T) {
 	experiment, err := ParseExperiment("e.star", []byte(`day(rate = 5, seeds = 2)
 arm(name = "a")
 arm(name = "b", retry_share = 0.2)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// overloadMultiple is the multiple of its current capacity at which a warming engine fails, and overloadSlack the
-	// number of additional attempts that it tolerates in a window.
+	// A warming engine crashes if it receives more attempts in a window than overloadMultiple times its current capacity plus
+	// overloadSlack.
 	overloadMultiple = 3
 	overloadSlack    = 2
 	overloadWindow   = time.Second
-	// maxCachedPrefixes is the maximum size of a prefix cache; the cache is cleared when it grows beyond it.
+	// maxCachedPrefixes is the maximum size of a prefix cache; the cache is cleared when it grows beyond this size.
 	maxCachedPrefixes = 4000
 )
 
@@ -103,7 +103,8 @@
 	}
 }
 
-// respond runs an action of an incarnation of the engine: immediately, or when the engine is responsive again.
+// respond runs an action of an incarnation of the engine: immediately, or when the engine is responsive again. If the
+// incarnation has ended, the action is dropped.
 func (e *engine) respond(incarnation int, run func()) {
 	if e.incarnation != incarnation || !e.isUp {
 		return
@@ -124,9 +125,9 @@
 	return h
 }
 
-// countAttempt records the arrival of an attempt. Like the fake engines, an engine that receives too many attempts while it
-// warms up crashes; its capacity is computed from its slots and the mean work of the scenario.
-func (e *engine) countAttempt() {
+// recordAttempt records the arrival of an attempt. Like a fake engine, an engine crashes if it receives too many attempts while
+// it warms up; its capacity is computed from its slots and the mean work of the scenario.
+func (e *engine) recordAttempt() {
 	em := e.emulation
 	e.recentAttempts = append(e.recentAttempts, em.now)
 	for len(e.recentAttempts) > 0 && em.now-e.recentAttempts[0] > int64(overloadWindow) {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -39,7 +39,7 @@
 	experiment    *Experiment
 	scenario      Scenario
 	routes        []Route
-	baseScenarios []Scenario // the scenario at the time when each arm was read
+	baseScenarios []Scenario // the scenario without the changes of each arm
 }
 
 // scenarioArguments returns the arguments that day and arm have in common.
@@ -95,18 +95,18 @@
 }
 
 func (p *experimentParser) trouble() ([]script.Argument, func(script.ReportFault)) {
-	f := Fault{Duration: 10 * time.Second, Fraction: 0.25}
+	f := Fault{Duration: 10 * time.Second, Magnitude: 0.25}
 	return []script.Argument{
 		script.OneOf("kind", &f.Kind, FaultKinds...).Required(),
 		script.Number("at", &f.At, 0, 36000),
 		script.Number("length", &f.Duration, 0, 36000),
-		script.Number("part", &f.Fraction, 0, 1000),
+		script.Number("part", &f.Magnitude, 0, 1000),
 		script.OneOf("role", &f.Role, config.RolePrefill, config.RoleDecode),
 	}, func(script.ReportFault) { p.scenario.Faults = append(p.scenario.Faults, f) }
 }
 
-// arm reads an arm as changes to the scenario so far. The changes are applied after the script has run, because calls that
-// follow an arm apply to it too.
+// arm reads an arm as changes to the scenario at its position in the script. The changes are applied after the script has run,
+// because calls that follow an arm apply to it too.
 func (p *experimentParser) arm() ([]script.Argument, func(script.ReportFault)) {
 	base := p.scenario
 	arm := &Arm{Scenario: base}
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// injectFault starts a fault, and ends it after its duration.
+// injectFault starts a fault, and schedules its end.
 func (em *emulation) injectFault(f Fault) {
 	if f.Kind == FaultBurst {
-		em.rateFactor *= f.Fraction
-		em.scheduleAfter(f.Duration, func() { em.rateFactor /= f.Fraction })
+		em.rateFactor *= f.Magnitude
+		em.scheduleAfter(f.Duration, func() { em.rateFactor /= f.Magnitude })
 		return
 	}
 	for _, e := range em.affectedEngines(f) {
@@ -20,7 +20,7 @@
 			em.publishEndpoints()
 			em.scheduleAfter(f.Duration, func() { e.isUnlisted = false; e.start(); em.publishEndpoints() })
 		case FaultSlow:
-			e.slowdown = f.Fraction
+			e.slowdown = f.Magnitude
 			em.scheduleAfter(f.Duration, func() { e.slowdown = 1 })
 		case FaultUnresponsive:
 			e.isUnresponsive = true
@@ -35,16 +35,16 @@
 	}
 }
 
-// affectedEngines returns the engines that a fault affects: the first ones of its role, up to its fraction.
+// affectedEngines returns the engines that a fault affects: the share Magnitude of the engines of its role, in their order.
 func (em *emulation) affectedEngines(f Fault) (affected []*engine) {
 	for _, e := range em.engines {
 		if f.Role == "" || f.Role == e.role {
 			affected = append(affected, e)
 		}
 	}
-	if f.Kind == FaultSlow { // Fraction is the factor, and all engines are affected
+	if f.Kind == FaultSlow { // all engines are affected, and Magnitude is the factor
 		return affected
 	}
-	count := int(math.Ceil(f.Fraction * float64(len(affected))))
+	count := int(math.Ceil(f.Magnitude * float64(len(affected))))
 	return affected[:min(count, len(affected))]
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -75,7 +75,7 @@
 	r.inTimeByWindow[r.windowOf(sentAt)] += route.PriorityWeight
 }
 
-// summarize returns the result of the run, given the number of reservations that are still held.
+// summarize returns the result of a run that ended with a number of reservations still held.
 func (r *recorder) summarize(heldReservations int) Result {
 	sum := r.result
 	for i, offered := range r.offeredByWindow {
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -7,21 +7,21 @@
 	"sandcourse/internal/router"
 )
 
-// unansweredDialTime is the time after which a dial to an unresponsive engine fails.
-const unansweredDialTime = 250 * time.Millisecond
+// dialTimeout is the time after which a dial to an unresponsive engine fails.
+const dialTimeout = 250 * time.Millisecond
 
 // Errors of a dial.
 var (
-	errDialRefused    = errors.New("connection refused")
-	errDialUnanswered = errors.New("dial timed out")
-	errDialReset      = errors.New("connection reset")
+	errDialRefused = errors.New("connection refused")
+	errDialTimeout = errors.New("dial timed out")
+	errDialReset   = errors.New("connection reset")
 )
 
 // simulatedRouter runs the production core of a router on simulated sockets.
 type simulatedRouter struct {
 	emulation   *emulation
 	core        *router.Router
-	nextTimerAt int64 // time of the scheduled timer; 0 for none
+	nextTimerAt int64 // time of the scheduled timer; 0 if none is scheduled
 	pending     []func(core *router.Router)
 	isHandling  bool
 	clientCount int64
@@ -72,7 +72,7 @@
 	case e == nil || !e.isUp:
 		r.failDial(conn, networkDelay, errDialRefused)
 	case e.isUnresponsive:
-		r.failDial(conn, unansweredDialTime, errDialUnanswered)
+		r.failDial(conn, dialTimeout, errDialTimeout)
 	default:
 		c := &connection{id: r.emulation.nextSequence(), engineConnection: conn, router: r, engine: e}
 		e.connections[c] = true
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,4 +1,4 @@
-// Package emulator simulates the whole system in discrete-event time: clients, routers that run the production core with
+// Package emulator is a discrete-event simulation of the whole system: clients, routers that run the production core with
 // its routing policy, admission and connection pool, and engines with slots, queues, memory, prefix caches and warm-up.
 // A run has one seed and one goroutine, so its result depends only on the scenario. The package does no I/O.
 package emulator
@@ -26,10 +26,10 @@
 
 // The kinds of fault.
 const (
-	FaultBurst        FaultKind = "burst"   // the arrival rate is multiplied by Fraction
+	FaultBurst        FaultKind = "burst"   // the arrival rate is multiplied by Magnitude
 	FaultRestart      FaultKind = "restart" // engines are down, then start and warm up
-	FaultSlow         FaultKind = "slow"    // engines are slower by the factor Fraction
-	FaultUnresponsive FaultKind = "silent"  // engines are unresponsive
+	FaultSlow         FaultKind = "slow"    // engines are slower by the factor Magnitude
+	FaultUnresponsive FaultKind = "silent"  // engines stop responding
 	FaultDrain        FaultKind = "drain"   // engines drain
 	FaultCacheLoss    FaultKind = "forget"  // engines lose their prefix caches
 	FaultUnlisted     FaultKind = "lost"    // engines are down and not listed, then start and warm up
@@ -40,11 +40,11 @@
 
 // Fault is a fault of limited duration.
 type Fault struct {
-	Kind     FaultKind     `json:"kind"`
-	At       time.Duration `json:"at"`
-	Duration time.Duration `json:"for"`
-	Fraction float64       `json:"part"` // share of the engines, or the factor of a burst or a slowdown
-	Role     config.Role   `json:"role"` // role of the engines; both roles if empty
+	Kind      FaultKind     `json:"kind"`
+	At        time.Duration `json:"at"`
+	Duration  time.Duration `json:"for"`
+	Magnitude float64       `json:"part"` // share of the engines, or the factor of a burst or slowdown
+	Role      config.Role   `json:"role"` // role of the engines; both roles if empty
 }
 
 // Scenario is the configuration of a run.
@@ -55,8 +55,8 @@
 	Routes                                 []Route
 	Prefixes                               int     // shared prefixes per route, chosen by Zipf's law
 	PrefixTokens                           float64 // length of each shared prefix
-	Turns                                  int     // of a session, at least one
-	Retries                                int     // maximum of retries per request
+	Turns                                  int     // turns per session, at least one
+	Retries                                int     // maximum number of retries per request
 	RetryBudget                            float64 // share of a router's arrivals that may be retries; 0 for no limit
 	Engine                                 EngineModel
 	Faults                                 []Fault
@@ -70,7 +70,7 @@
 type EngineModel struct {
 	PrefillSlots, DecodeSlots int
 	PrefillRate               float64       // prompt tokens per second and slot
-	TokenTime                 time.Duration // time of an output token in an empty batch
+	TokenTime                 time.Duration // time per output token in an empty batch
 	BatchSlowdown             float64       // relative increase of TokenTime in a full batch
 	QueueLimit                int
 	MemoryTokens              float64 // capacity of a decode engine
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -23,7 +23,7 @@
 
 // accept queues or rejects an attempt that has arrived.
 func (e *engine) accept(r *engineRequest) {
-	e.countAttempt()
+	e.recordAttempt()
 	if !e.isUp {
 		return
 	}
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -12,10 +12,11 @@
 	return verdict == router.VerdictFull || verdict == router.VerdictNotConnected || verdict == router.VerdictNotSent
 }
 
-// executionTimeLimit limits the time of an execution: the client's timeout, a stall and six releases, doubled.
+// executionTimeLimit limits the simulated duration of an execution: twice the time of the client's timeout, a stall and six
+// releases.
 const executionTimeLimit = 3 * time.Second
 
-// maxLostReleases is the number of lost releases after which a reservation may still be held.
+// maxLostReleases is the number of lost releases after which a reservation may be held longer than its limit.
 const maxLostReleases = 2
 
 // checkAttempt checks an attempt when the router writes it.
@@ -30,7 +31,7 @@
 		s.violationLog.add("P2 %s is sent to %s while %d attempts are in flight", r.requestID, engine, n)
 	}
 	if c.endedAt > 0 {
-		s.violationLog.add("P6 %s is sent to %s after it was %s", r.requestID, engine, c.outcome)
+		s.violationLog.add("P6 %s is sent to %s after it ended as %s", r.requestID, engine, c.outcome)
 	}
 	if c.mustNotRunAgain() && r.kind == DecodeRequest {
 		s.violationLog.add("P3 %s is non-retriable, may have run, and is sent to %s", r.requestID, engine)
@@ -71,13 +72,13 @@
 	cannotHaveRun := c.possibleRuns == 0 && s.attemptsInFlight(c.requestID) == 0 && c.effect == config.EffectNonRetriable
 	early := c.timeSinceTimeout() < -timeoutMarginTicks*tick
 	if c.outcome == outcomeErrored && early && cannotHaveRun && !c.isStreaming() {
-		s.violationLog.add("P11 %s is errored before its timeout, but cannot have run", c.requestID)
+		s.violationLog.add("P11 %s ends as errored before its timeout, but cannot have run", c.requestID)
 	}
 	if c.outcome == outcomeShed && c.mustNotRunAgain() {
 		s.violationLog.add("P3 %s is non-retriable, may have run, and is shed", c.requestID)
 	}
 	if !c.isStreaming() && c.timeSinceTimeout() > 0 {
-		s.violationLog.add("P4 client %d is %s %v after its timeout", c.number, c.outcome, c.timeSinceTimeout())
+		s.violationLog.add("P4 client %d ends as %s %v after its timeout", c.number, c.outcome, c.timeSinceTimeout())
 	}
 }
 
@@ -108,7 +109,7 @@
 func (s *simulation) checkReservations() {
 	for _, h := range s.reservations.held {
 		idle := time.Duration(s.now - h.idleSince)
-		// A release in flight counts as released, because the network delays it and not the router.
+		// A reservation whose release is in flight counts as released: the network delays the release, not the router.
 		if h.lostReleases < maxLostReleases && s.attemptsInFlight(h.requestID) == 0 && !s.releaseInFlight(h) && idle > reservationLimit {
 			s.violationLog.add("P5 %s holds the reservation of %s for %v with no attempt in flight", h.engine, h.requestID, idle)
 		}
@@ -157,9 +158,9 @@
 			s.violationLog.add("P10 client %d waits forever", c.number)
 		}
 	}
-	h := s.core.InFlight()
-	if h.Requests+h.ControlRequests+h.Reservations > 0 || s.core.BusyConnections() > 0 {
-		s.violationLog.add("P9 in a terminal state the router holds %d requests, %d control requests, %d reservations, %d busy connections", h.Requests,
-			h.ControlRequests, h.Reservations, s.core.BusyConnections())
+	inFlight := s.core.InFlight()
+	if inFlight.Requests+inFlight.ControlRequests+inFlight.Reservations > 0 || s.core.BusyConnections() > 0 {
+		s.violationLog.add("P9 in a terminal state the router holds %d requests, %d control requests, %d reservations, %d busy connections", inFlight.Requests,
+			inFlight.ControlRequests, inFlight.Reservations, s.core.BusyConnections())
 	}
 }
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -28,7 +28,7 @@
 	number         int
 	effect         config.Effect
 	received       []byte
-	requested      bool
+	requestSent    bool
 	disconnected   bool
 	sentAt         int64
 	endedAt        int64
@@ -62,7 +62,7 @@
 
 // sendRequest sends a client's request to the router.
 func (s *simulation) sendRequest(c *simulatedClient) {
-	c.requested, c.sentAt = true, s.now
+	c.requestSent, c.sentAt = true, s.now
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":[{"role":"user","content":"x"}]}`, c.effect)
 	call, err := chat.ParseRequest(body, nil)
 	if err != nil {
@@ -92,9 +92,9 @@
 }
 
 // isWaiting reports whether the client has sent its request and has no outcome yet.
-func (c *simulatedClient) isWaiting() bool { return c.requested && c.endedAt == 0 }
+func (c *simulatedClient) isWaiting() bool { return c.requestSent && c.endedAt == 0 }
 
-// disconnect ends the client's connection without a response.
+// disconnect ends the client's connection without a response and records the outcome.
 func (c *simulatedClient) disconnect(outcome string) {
 	c.disconnected, c.endedAt, c.outcome = true, c.simulation.now, outcome
 }
@@ -135,7 +135,7 @@
 	lastChunk     = "\r\n0\r\n\r\n"
 )
 
-// countOutcomes counts the final responses in the bytes that the client has received.
+// countOutcomes counts the final responses in the received bytes, and records the outcome at the first one.
 func (c *simulatedClient) countOutcomes() {
 	text := string(c.received)
 	count, outcome := strings.Count(text, responseStart), ""
@@ -163,7 +163,7 @@
 	count = done + failed + strings.Count(text, responseStart) - 1
 	end := strings.Index(text, lastChunk)
 	if done+failed == 0 && end >= 0 {
-		c.simulation.violationLog.add("P1 stream of client %d ends without a last event and without an error", c.number)
+		c.simulation.violationLog.add("P1 stream of client %d ends with neither a last event nor an error", c.number)
 	}
 	if done > 0 {
 		outcome = outcomeCompleted
@@ -171,7 +171,7 @@
 		outcome = outcomeErrored
 	}
 	if count > 0 && end >= 0 && end+len(lastChunk) < len(text) {
-		c.simulation.violationLog.add("P1 client %d receives more after the end of its stream", c.number)
+		c.simulation.violationLog.add("P1 client %d receives more bytes after the end of its stream", c.number)
 	}
 	return count, outcome
 }
--- a/internal/modelcheck/connection.go
+++ b/internal/modelcheck/connection.go
@@ -23,7 +23,7 @@
 	secondTokenSent bool
 }
 
-// describe returns the name of the request in event names.
+// describe returns the description of the request in event names.
 func (r *engineRequest) describe() string {
 	if r.requestID == "" {
 		return r.kind.String()
@@ -49,7 +49,7 @@
 // requestLimits limit the size of the requests that a router writes.
 var requestLimits = httpframing.Limits{HeadBytes: 1 << 16, BodyBytes: 1 << 20}
 
-// remotePrefill occurs in the body of every decode request and of no other.
+// remotePrefill occurs in the body of every decode request and of no other request.
 var remotePrefill = []byte(`"do_remote_prefill":true`)
 
 // Write receives one complete request from the router.
@@ -120,20 +120,20 @@
 	}
 	c.closed = true
 	if c.request != nil {
-		c.simulation.handleAbortedRequest(c.request)
+		c.simulation.recordAbortedRequest(c.request)
 	}
 	c.request = nil
 }
 
-// decodeWritten reports whether the engine has received a complete decode request.
-func (c *simulatedConnection) decodeWritten() bool {
+// hasReceivedDecode reports whether the engine has received a complete decode request.
+func (c *simulatedConnection) hasReceivedDecode() bool {
 	return c.request != nil && c.request.kind == DecodeRequest && !c.partlyWritten
 }
 
-// handleAbortedRequest records the possible effects of a request whose connection the router closes: a prefill may still
+// recordAbortedRequest records the possible effects of a request whose connection the router closes: a prefill may still
 // complete and leave a reservation, a decode may have run, and a release is lost.
-func (s *simulation) handleAbortedRequest(r *engineRequest) {
-	if !r.connection.partlyWritten { // an engine does not start a request that it has received in part
+func (s *simulation) recordAbortedRequest(r *engineRequest) {
+	if !r.connection.partlyWritten { // an engine does not start a request that it has received only in part
 		switch r.kind {
 		case PrefillRequest:
 			s.reservations.add(r, s.now)
--- a/internal/modelcheck/copystate.go
+++ b/internal/modelcheck/copystate.go
@@ -12,10 +12,10 @@
 	"sandcourse/internal/routing"
 )
 
-// sharedTypes are the immutable types whose values copies of a state share. A state is copied field by field, which is
-// faster than to replay its path for each event. A copy must not share mutable data with the original, so every pointer
-// is followed unless its type is listed here. The copy panics on a kind of field that cannot be copied exactly, because an
-// inexact copy could hide a violation.
+// sharedTypes are the immutable types whose values a copy of a state shares with the original. A state is copied field by
+// field, which is faster than replaying its path for each event. A copy must not share mutable data with the original, so
+// every pointer is followed unless its type is listed here. The copy panics on a kind of field that cannot be copied exactly,
+// because an inexact copy could hide a violation.
 var sharedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[*config.Deployment](): true, // not modified after the start
 	reflect.TypeFor[*http.Request]():      true, // requests and response heads are not modified
@@ -31,7 +31,7 @@
 // copyFunc turns the value at to, a shallow copy of the value at from, into a deep copy.
 type copyFunc func(to, from unsafe.Pointer, copied copiedPointers)
 
-// copyFuncs maps types to their functions; nil means that a shallow copy suffices. Each worker has a map of its own.
+// copyFuncs maps types to their copy functions; nil means that a shallow copy suffices. Each worker has its own map.
 type copyFuncs map[reflect.Type]copyFunc
 
 // copyOf returns an exact copy of a state that shares no mutable data with it.
@@ -84,7 +84,7 @@
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
 		return func(_, from unsafe.Pointer, _ copiedPointers) {
 			if !valueAt(t, from).IsZero() {
-				panic(fmt.Sprintf("modelcheck: a state holds a %v, which cannot be copied", t))
+				panic(fmt.Sprintf("modelcheck: a state contains a %v, which cannot be copied", t))
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	return to.Elem()
 }
 
-// copyPointer returns a pointer to a copy of the pointer's target; the target is copied once per state.
+// copyPointer returns a pointer to a copy of the pointer's target. A target with several pointers is copied only once.
 func (copied copiedPointers) copyPointer(v reflect.Value, elem copyFunc) reflect.Value {
 	if done, ok := copied[v.UnsafePointer()]; ok {
 		return done
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/routing"
 )
 
-// Coverage records which transitions of each state machine have fired, one bit each.
+// Coverage records which transitions of each state machine have fired, with one bit per transition.
 type Coverage struct{ Routing, Attempt, Connections, Assignment uint64 }
 
 // Add adds the transitions that have fired in other.
--- a/internal/modelcheck/crowd.go
+++ b/internal/modelcheck/crowd.go
@@ -9,16 +9,16 @@
 )
 
 // warmRate is the number of attempts per second that a warm engine of a crowd serves. The slow-start budget of an engine
-// is a share of it.
+// is a share of this rate.
 const warmRate = 60.0
 
 const (
 	crowdLength       = 24 * time.Second
 	crowdStep         = 5 * time.Millisecond
-	crowdLoad         = 0.75 // of the capacity of warm engines; routers that measure a lower rate grant a smaller budget
+	crowdLoad         = 0.75 // share of the capacity of warm engines; routers that measure a lower rate grant a smaller budget
 	crowdBurstFactor  = 3    // multiple of the arrival rate after a restart
 	crowdBurstLength  = 3 * time.Second
-	crowdEngineSlots  = 8 // responses that an engine can give at once
+	crowdEngineSlots  = 8 // maximum number of responses that an engine can send at once
 	crowdFirstRestart = 6 * time.Second
 	crowdNextRestart  = 15 * time.Second
 )
@@ -48,7 +48,7 @@
 		for _, s := range c.fleet.routers {
 			r.Transitions += c.stepRouter(s, startTime+int64(at), rate)
 		}
-		c.fleet.checkColdBudget()
+		c.fleet.checkSlowStartBudget()
 		r.Depth++
 	}
 	r.MaxColdAttempts, r.States, r.Violations, r.Coverage = c.fleet.maxColdAttempts, r.Transitions, c.fleet.violations(), c.fleet.coverage()
@@ -60,7 +60,7 @@
 type crowd struct {
 	fleet    *fleet
 	random   *rand.Rand
-	capacity map[string]float64 // responses that each engine can give now
+	capacity map[string]float64 // number of responses that each engine can send now
 }
 
 // addCapacity adds to each engine the capacity of one step.
@@ -70,7 +70,7 @@
 	}
 }
 
-// stepRouter runs one router up to now with requests that arrive at a rate, and returns the number of events.
+// stepRouter advances one router to now, with requests that arrive at a rate, and returns the number of events.
 func (c *crowd) stepRouter(s *simulation, now int64, rate float64) (events int) {
 	active := len(s.clients) > 0
 	if s.core.NextDue() <= now || active {
@@ -101,11 +101,11 @@
 		return Event{}, false
 	}
 	for _, e := range list.events {
-		takesCapacity := e.Action == CompletePrefill || e.Action == SendFirstToken
-		if e.fault != noFault || takesCapacity && c.capacity[e.Engine] < 1 {
+		usesCapacity := e.Action == CompletePrefill || e.Action == SendFirstToken
+		if e.fault != noFault || usesCapacity && c.capacity[e.Engine] < 1 {
 			continue
 		}
-		if takesCapacity {
+		if usesCapacity {
 			c.capacity[e.Engine]--
 		}
 		return e, true
--- a/internal/modelcheck/event.go
+++ b/internal/modelcheck/event.go
@@ -33,7 +33,7 @@
 	BecomeResponsive
 )
 
-// actionDescriptions describe in event names what happens to a request at an engine.
+// actionDescriptions are the parts of event names that describe the progress of a request at an engine.
 var actionDescriptions = map[Action]string{
 	CompletePrefill:      "completes",
 	TruncatePrefill:      "completes, and its response is truncated",
@@ -64,7 +64,7 @@
 	HealthCheckRequest
 )
 
-// String returns the name of the kind in event names. Fingerprints of states contain it.
+// String returns the name of the kind as it appears in event names. Fingerprints of states contain it.
 func (k RequestKind) String() string {
 	return [...]string{"none", "prefill", "decode", "release", "health check"}[k]
 }
@@ -73,28 +73,28 @@
 type Event struct {
 	Name    string
 	Action  Action
-	Engine  string      // concerned engine, if any
-	Request RequestKind // kind of the concerned request, if any
-	Client  int         // concerned client, for actions of clients
+	Engine  string      // name of the engine that the event concerns, if any
+	Request RequestKind // kind of the request that the event concerns, if any
+	Client  int         // number of the client, for actions of clients
 	fault   FaultKind
 	apply   func()
 }
 
 // eventList collects the events that are enabled in one state, in an order that depends only on the state.
 type eventList struct {
-	world      World
-	faultsUsed int
-	events     []Event
+	world          World
+	faultsInjected int
+	events         []Event
 }
 
 // add appends an event, unless the event is a fault that the world does not permit or that exceeds its number of faults.
 func (l *eventList) add(e Event) {
-	if l.world.mayInject(e.fault, l.faultsUsed) {
+	if l.world.mayInject(e.fault, l.faultsInjected) {
 		l.events = append(l.events, e)
 	}
 }
 
-// addNamed appends an event that has a name and no action, engine, request or client.
+// addNamed appends an event that has only a name: no action, engine, request or client.
 func (l *eventList) addNamed(fault FaultKind, apply func(), format string, args ...any) {
 	l.add(Event{Name: fmt.Sprintf(format, args...), fault: fault, apply: apply})
 }
--- a/internal/modelcheck/events.go
+++ b/internal/modelcheck/events.go
@@ -61,7 +61,7 @@
 // routerEvents lists the events that are possible at this router and on its connections. Pending reports whether one of
 // them has to happen before time passes.
 func (s *simulation) routerEvents() (list *eventList, pending bool) {
-	list = &eventList{world: s.world, faultsUsed: s.faultsUsed}
+	list = &eventList{world: s.world, faultsInjected: s.faultsInjected}
 	for _, c := range s.clients {
 		pending = s.addClientEvents(list, c) || pending
 	}
@@ -78,7 +78,7 @@
 
 func (s *simulation) addClientEvents(list *eventList, c *simulatedClient) (pending bool) {
 	switch {
-	case !c.requested:
+	case !c.requestSent:
 		list.add(Event{Name: fmt.Sprintf("client %d sends a request (%s)", c.number, c.effect), Action: SendRequest, Client: c.number,
 			apply: func() { s.sendRequest(c) }})
 		return true
@@ -139,7 +139,7 @@
 	engine := c.engineConnection.Engine
 	list.addNamed(FaultConnect, func() {
 		c.hangingSince = s.now
-		s.reservations.recordUnansweredDial(engine)
+		s.reservations.recordFailedDial(engine)
 	}, "connection to %s hangs", engine)
 	list.addNamed(FaultPartialWrite, func() {
 		c.partlyWritten = true
@@ -149,7 +149,7 @@
 		apply: func() { s.establish(c) }})
 	list.addNamed(FaultConnect, func() {
 		c.closed = true
-		s.reservations.recordUnansweredDial(engine)
+		s.reservations.recordFailedDial(engine)
 		s.handle(func() { s.core.EngineConnected(c.engineConnection, nil, io.ErrUnexpectedEOF) })
 	}, "connection to %s fails", engine)
 }
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Path is a sequence of events, each given as its index in the list of enabled events.
+// Path is a sequence of events, each identified by its index in the list of enabled events.
 type Path []uint8
 
 // execution is the state of a run of one router, of several routers or of the planner, between two events.
 type execution interface {
 	enabledEvents() []Event // in an order that depends only on the state
 	apply(e Event)
-	isTerminal() bool // no event is enabled
+	isTerminal() bool // no event is enabled, regardless of the order reduction
 	checkTerminal()
 	fingerprint() uint64
 	violations() []string
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// Limits are the limits of an exploration; 0 means no limit.
+// Limits are the limits and options of an exploration. A MaxStates or MaxDepth of 0 means no limit.
 type Limits struct {
 	Workers, MaxStates, MaxDepth int
 	Stop                         func() bool // polled between and within levels; true stops the exploration
 	ReplayPaths                  bool        // replay each path from the initial state instead of copying states; slow
 }
 
-// stopPollInterval is the number of states of a level between two polls of Stop.
+// stopPollInterval is the number of states that are expanded between two polls of Stop.
 const stopPollInterval = 64
 
 // reached reports whether an exploration has reached a limit or has been stopped.
@@ -37,7 +37,7 @@
 	Coverage       Coverage `json:"-"`
 	// TerminalStatesChecksum is a checksum of the set of terminal states, independent of the order of the search.
 	TerminalStatesChecksum uint64 `json:"ends_sum"`
-	MaxColdAttempts        int    `json:"cold"` // maximum of attempts to a warming engine of a crowd in one window
+	MaxColdAttempts        int    `json:"cold"` // maximum number of attempts to a warming engine of a crowd in one window
 }
 
 // recordFirstViolation records violations and the path to them, unless a path has been recorded.
@@ -64,7 +64,7 @@
 		TerminalStates: map[uint64]struct{}{}, Result: Result{World: w, States: 1}}
 }
 
-// successor is a state that one event reaches from a state of the frontier.
+// successor is the state after one event in a state of the frontier.
 type successor struct {
 	fingerprint uint64
 	event       uint8
@@ -80,12 +80,13 @@
 	coverage    Coverage
 }
 
-// expand replays the path to a state and applies each enabled event to a copy of the state.
+// expand replays the path to a state and applies each enabled event to a copy of the state. Without copiers, it replays the
+// path again for each event.
 func expand(w World, path Path, copiers copyFuncs) (e expansion) {
 	exec, _ := replayPath(w, path, false)
 	n := len(exec.enabledEvents())
 	if n == 0 {
-		if exec.isTerminal() { // otherwise the order reduction continues from another interleaving
+		if exec.isTerminal() { // otherwise the order reduction continues in another interleaving
 			exec.checkTerminal()
 			e.isTerminal, e.violations, e.fingerprint = true, exec.violations(), exec.fingerprint()
 		}
@@ -132,7 +133,7 @@
 	return *r
 }
 
-// expandFrontier expands all states of the frontier. It returns false if it was stopped before the last one.
+// expandFrontier expands all states of the frontier. It returns false if it was stopped before it had expanded all of them.
 func (s *Snapshot) expandFrontier(limits Limits) (expansions []expansion, ok bool) {
 	expansions = make([]expansion, len(s.Frontier))
 	var next atomic.Int64
--- a/internal/modelcheck/fingerprint.go
+++ b/internal/modelcheck/fingerprint.go
@@ -14,11 +14,11 @@
 	h := xxhash.New()
 	s.core.Fingerprint(h)
 	for _, c := range s.clients {
-		fmt.Fprintln(h, c.requested, c.disconnected, c.endedAt > 0, c.outcome, c.outcomeCount, c.requestID, c.possibleRuns,
+		fmt.Fprintln(h, c.requestSent, c.disconnected, c.endedAt > 0, c.outcome, c.outcomeCount, c.requestID, c.possibleRuns,
 			c.decodeFinished, c.retried, s.now-c.sentAt)
 	}
 	s.fingerprintConnections(h)
-	fmt.Fprintln(h, s.faultsUsed, s.incarnation)
+	fmt.Fprintln(h, s.faultsInjected, s.incarnation)
 	for _, r := range s.reservations.held {
 		fmt.Fprintln(h, r.requestID, r.engine, r.attempt, r.lostReleases, s.now-r.idleSince)
 	}
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -74,7 +74,7 @@
 	for _, kinds := range [][]FaultKind{{FaultDrain}, {FaultRestart, FaultReset}, {FaultDisconnect, FaultNoCapacity, FaultDelay}} {
 		w := World{Name: "nodes", PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2, FaultKinds: kinds}
 		reduced := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
-		w.AllOrders = true
+		w.AllInterleavings = true
 		full := NewSnapshot(w).Explore(Limits{Workers: 4}, nil)
 		reportViolations(t, reduced)
 		reportViolations(t, full)
@@ -126,7 +126,7 @@
 }
 
 // Describe lists the steps of a path, and a path that does not exist in the world is reported as ErrPathMismatch.
-func TestDescribeCounterexample(t *testing.T) {
+func TestDescribeListsSteps(t *testing.T) {
 	w, _ := FindWorld("one")
 	r := Result{World: w, Path: Path{0, 0}}
 	lines, violations := Describe(w, r.Path)
@@ -141,7 +141,7 @@
 	}
 }
 
-// The counterexamples of past violations that are fixed. The name of each gives the violated properties and the cause.
+// Counterexamples of violations that are fixed find no violation. Each name lists the violated properties and the cause.
 func TestFixedCounterexamplesHaveNoViolations(t *testing.T) {
 	for name, events := range map[string][]string{
 		"P5, P3: an attempt is canceled as not written after the kernel has accepted all of it": {"client 0 sends a request (non-retriable)", "connection to 127.0.0.1:1001 is established and accepts part of the request",
--- a/internal/modelcheck/observer.go
+++ b/internal/modelcheck/observer.go
@@ -14,12 +14,12 @@
 // AroundStep runs a step of the policy.
 func (o violationObserver) AroundStep(_ routing.Event, step func()) { step() }
 
-// PolicyPanicked is a violation: the policy must handle every event.
+// PolicyPanicked records a violation: the policy must handle every event.
 func (o violationObserver) PolicyPanicked(p any, in routing.Event, _ []byte) {
 	o.simulation.violationLog.add("P12 the routing policy panics on %T: %v", in, p)
 }
 
-// AttemptBlocked is a violation if the policy requests a second run, or a second attempt while one is in flight.
+// AttemptBlocked records a violation if the policy requests a second run, or a second attempt while one is in flight.
 func (o violationObserver) AttemptBlocked(request string, reason invariant.Reason) {
 	switch reason {
 	case invariant.MayHaveRun:
@@ -29,17 +29,17 @@
 	}
 }
 
-// InvariantViolated is a violation: the run-time monitor must not report an invariant that holds.
+// InvariantViolated records a violation: the run-time monitor must not report an invariant that holds.
 func (o violationObserver) InvariantViolated(v invariant.Violation) {
 	o.simulation.violationLog.add("P15 the run-time monitor reports a violation for %s: %s %s", v.Request, v.Rule, v.Detail)
 }
 
-// Rejected is a violation: only the limit of open requests may be exceeded in a world, and P13 checks that case.
+// Rejected records a violation: a world exceeds no limit except that of open requests, which P13 checks.
 func (o violationObserver) Rejected(reason router.RejectReason) {
-	o.simulation.violationLog.add("P12 rejected: %s", reason)
+	o.simulation.violationLog.add("P12 the router rejects a request or connection: %s", reason)
 }
 
-// ReservationChanged is a violation if the router has to release a reservation that the policy should have released.
+// ReservationChanged records a violation if the router has to release a reservation that the policy should have released.
 func (o violationObserver) ReservationChanged(event router.ReservationEvent) {
 	if event == router.ReleaseOverdue {
 		o.simulation.violationLog.add("P5 the routing policy keeps a reservation until the router releases it")
--- a/internal/modelcheck/plannerchecks.go
+++ b/internal/modelcheck/plannerchecks.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// checkPlanOrder checks that a plan is newer than the one published before it.
-func (s *plannerSimulation) checkPlanOrder(p planapi.Plan) {
+// checkPlanIsNewer checks that a plan is newer than the one published before it.
+func (s *plannerSimulation) checkPlanIsNewer(p planapi.Plan) {
 	if !p.Newer(s.plan) {
 		s.violationLog.add("R5 plan %d of term %d follows plan %d of term %d", p.Number, p.Term, s.plan.Number, s.plan.Term)
 	}
@@ -29,7 +29,7 @@
 		if e.State == endpoint.Ready {
 			ready[e.Kind]++
 			if r, ok := s.stored[e.Engine]; ok && r.State != assignment.Serving && r.State != assignment.WarmingUp {
-				s.violationLog.add("R8 plan %d lists %s as ready, but its record is %s", s.plan.Number, e.Engine, r.State)
+				s.violationLog.add("R8 plan %d lists %s as ready, but the state of its record is %s", s.plan.Number, e.Engine, r.State)
 			}
 		}
 		if role, ok := s.engine(e.Engine).roleByEpoch[e.Epoch]; ok && role != e.Kind {
@@ -43,7 +43,7 @@
 	}
 }
 
-// countLostToFaults counts the engines of a role that do not serve because of a fault of their own.
+// countLostToFaults counts the engines of a role that do not serve because of an engine fault.
 func (s *plannerSimulation) countLostToFaults(role string) (count int) {
 	for _, engine := range s.engines {
 		r, ok := s.stored[engine.name]
@@ -54,8 +54,8 @@
 	return count
 }
 
-// checkOrder checks that an order is persisted before it is sent, so that a killed planner does not lose it.
-func (s *plannerSimulation) checkOrder(a assignment.SendRoleOrder) {
+// checkOrderIsPersisted checks that an order is persisted before it is sent, so that a killed planner does not lose it.
+func (s *plannerSimulation) checkOrderIsPersisted(a assignment.SendRoleOrder) {
 	r, ok := s.stored[a.Engine]
 	if !ok && a.Order.Epoch > s.engine(a.Engine).epoch || ok && max(r.Epoch, r.NextEpoch) < a.Order.Epoch {
 		s.violationLog.add("R6 %s receives an order of epoch %d, which is not persisted", a.Engine, a.Order.Epoch)
--- a/internal/modelcheck/plannerengine.go
+++ b/internal/modelcheck/plannerengine.go
@@ -27,7 +27,7 @@
 		UptimeMillis: 0, Changing: e.loading, Draining: e.draining, OpenRequests: e.openRequests}
 }
 
-// handleOrder handles an order of the planner.
+// handleOrder handles an order of the planner. Outdated orders, and new epochs while requests are open, are ignored.
 func (e *simulatedEngine) handleOrder(o planapi.RoleOrder) {
 	switch {
 	case o.Term < e.term || o.Epoch < e.epoch:
--- a/internal/modelcheck/plannerevents.go
+++ b/internal/modelcheck/plannerevents.go
@@ -10,7 +10,7 @@
 // enabledEvents lists the events that are possible now. The planner's actions precede all other events, and the operator's
 // moves precede those of the engines, to reduce the number of interleavings.
 func (s *plannerSimulation) enabledEvents() []Event {
-	list := &eventList{world: s.world, faultsUsed: s.faultsUsed}
+	list := &eventList{world: s.world, faultsInjected: s.faultsInjected}
 	switch {
 	case s.isSettled():
 		s.addReadmissions(list)
@@ -138,11 +138,11 @@
 }
 
 func (s *plannerSimulation) addOperatorStop(list *eventList) {
-	if s.meta.Stopped || s.stopped {
+	if s.meta.Stopped || s.operatorStopped {
 		return
 	}
 	list.addNamed(FaultDisconnect, func() {
-		s.stopped = true
+		s.operatorStopped = true
 		s.applyOperatorOrder("stop", "")
 	}, "an operator stops all changes")
 }
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -19,7 +19,7 @@
 	world               World
 	now                 int64
 	controller          *assignment.Controller
-	queue               []assignment.Action // decided and not executed yet
+	queue               []assignment.Action // actions that are decided and not executed yet
 	stored              map[string]assignment.Record
 	meta                assignment.Meta
 	term                int64
@@ -30,8 +30,8 @@
 	plan                planapi.Plan // newest published plan
 	edges               []planapi.Plan
 	operatorMoves       int // moves that the operator may still order
-	faultsUsed          int
-	stopped             bool
+	faultsInjected      int
+	operatorStopped     bool
 	ticksWithoutPlanner int
 	violationLog        violationLog
 	earlierCoverage     uint64
@@ -54,10 +54,10 @@
 	roleWarmUp             = 200 * time.Millisecond
 	roleCooldown           = 500 * time.Millisecond
 	roleTick               = 100 * time.Millisecond
-	roleChangeTimeLimit    = 20 * time.Second // every change must have ended by then
+	roleChangeTimeLimit    = 20 * time.Second // every role change must have ended by this time
 	orderDelayTicks        = 10
 	maxTicksWithoutPlanner = 4
-	startupReportRounds    = 3 // until the planner knows every engine
+	startupReportRounds    = 3 // rounds of reports after which the planner has a report of every engine
 	operatorName           = "w"
 	operatorReason         = "y"
 )
@@ -124,7 +124,7 @@
 	s.queue = append(s.queue, s.controller.Step(s.now, event)...)
 }
 
-// applyOperatorOrder passes an operator's order to the planner. An order that the planner refuses has no effect.
+// applyOperatorOrder passes an operator's order to the planner. An order that the planner rejects has no effect.
 func (s *plannerSimulation) applyOperatorOrder(operation, engine string) {
 	order := planapi.Order{Operation: operation, Engine: engine, Operator: operatorName, Reason: operatorReason}
 	if _, actions, err := s.controller.ApplyOrder(s.now, order); err == nil {
@@ -150,11 +150,11 @@
 		}
 		s.meta = a.Meta
 	case assignment.PublishPlan:
-		s.checkPlanOrder(a.Plan)
+		s.checkPlanIsNewer(a.Plan)
 		s.plan = a.Plan
 		s.checkPlan()
 	case assignment.SendRoleOrder:
-		s.checkOrder(a)
+		s.checkOrderIsPersisted(a)
 		isSameOrder := func(o pendingOrder) bool { return o.engine == a.Engine && o.order == a.Order }
 		if !slices.ContainsFunc(s.orders, isSameOrder) {
 			s.orders = append(s.orders, pendingOrder{engine: a.Engine, order: a.Order})
@@ -184,7 +184,7 @@
 	}
 }
 
-// isSettled reports whether no action, order or change is left, and every engine serves or is quarantined for its own fault.
+// isSettled reports whether no action, order or role change is pending, and every engine serves or is quarantined for its own fault.
 func (s *plannerSimulation) isSettled() bool {
 	if !s.running || len(s.queue) > 0 || len(s.orders)+len(s.trials) > 0 || s.operatorMoves > 0 {
 		return false
@@ -205,7 +205,7 @@
 
 func (s *plannerSimulation) apply(e Event) {
 	if e.fault != noFault {
-		s.faultsUsed++
+		s.faultsInjected++
 	}
 	e.apply()
 	s.checkState()
@@ -252,7 +252,7 @@
 			e.requestsStuck, e.incarnation)
 	}
 	fmt.Fprintf(h, "%v %v %v %v %v %v %v %v\n", s.running, s.ticksWithoutPlanner, len(s.queue), s.orders, s.trials, s.operatorMoves,
-		s.faultsUsed, s.stopped)
+		s.faultsInjected, s.operatorStopped)
 	for _, action := range s.queue {
 		fmt.Fprintf(h, "%T", action)
 	}
--- a/internal/modelcheck/randomwalk.go
+++ b/internal/modelcheck/randomwalk.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxWalkLength     = 2000
-	faultKindShare    = 0.5 // probability that a walk may inject a kind of fault
-	faultRedrawChance = 0.7 // probability that a drawn fault is replaced by another draw
+	maxWalkLength          = 2000
+	faultKindProbability   = 0.5 // probability that a walk may inject a kind of fault
+	faultRedrawProbability = 0.7 // probability that a drawn fault is replaced by another draw
 )
 
 // walk is the result of one random walk.
@@ -55,9 +55,9 @@
 	return r
 }
 
-// randomWalk applies random events until no event is enabled, a property is violated or the walk has its maximum length.
+// randomWalk applies random events until no event is enabled, a property is violated or the walk reaches its maximum length.
 func randomWalk(w World, random *rand.Rand) (result walk) {
-	result.world = withSomeFaultKinds(w, random)
+	result.world = withRandomFaultKinds(w, random)
 	exec := newExecution(result.world, false)
 	for range maxWalkLength {
 		enabled := exec.enabledEvents()
@@ -70,7 +70,7 @@
 		}
 		n := random.IntN(len(enabled))
 		// Many of the enabled events of a large world are faults: choose them less often.
-		if enabled[n].fault != noFault && random.Float64() < faultRedrawChance {
+		if enabled[n].fault != noFault && random.Float64() < faultRedrawProbability {
 			n = random.IntN(len(enabled))
 		}
 		result.path = append(result.path, uint8(n))
@@ -86,19 +86,19 @@
 	return result
 }
 
-// withSomeFaultKinds returns the world with a random subset of its kinds of fault. Walks with different subsets find more
+// withRandomFaultKinds returns the world with a random subset of its kinds of fault. Walks with different subsets find more
 // violations than walks that may inject every kind (swarm testing).
-func withSomeFaultKinds(w World, random *rand.Rand) World {
+func withRandomFaultKinds(w World, random *rand.Rand) World {
 	limited := w
 	for _, kind := range FaultKinds() {
-		if random.Float64() < faultKindShare && w.allows(kind) {
+		if random.Float64() < faultKindProbability && w.allows(kind) {
 			limited.FaultKinds = append(limited.FaultKinds, kind)
 		}
 	}
 	return limited
 }
 
-// shrink removes events from a path as long as the path still violates the same property.
+// shrink removes events from a path while the shorter path still violates the same property.
 func shrink(w World, path Path) Path {
 	original, _ := replayPath(w, path, false)
 	if len(original.violations()) == 0 {
--- a/internal/modelcheck/reservations.go
+++ b/internal/modelcheck/reservations.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// recordUnansweredDial records a lost release of each reservation of an engine: the dial may have been for a release.
-func (l *reservationLedger) recordUnansweredDial(engine string) {
+// recordFailedDial records a lost release for each reservation of an engine to which a dial hangs or fails: the dial may have
+// been for a release.
+func (l *reservationLedger) recordFailedDial(engine string) {
 	for i := range l.held {
 		if l.held[i].engine == engine {
 			l.held[i].lostReleases++
--- a/internal/modelcheck/responses.go
+++ b/internal/modelcheck/responses.go
@@ -12,7 +12,7 @@
 // tokenEvent is a stream event that carries a token.
 var tokenEvent = []byte(`{"choices":[]}`)
 
-// responseHead returns the head of an engine's response. Rejected is the reason of a rejection, or empty.
+// responseHead returns the head of an engine's response. Rejected is the reason for a rejection, or empty.
 func responseHead(status int, contentType, rejected string) *http.Response {
 	h := http.Header{"Content-Type": {contentType}}
 	if rejected != "" {
--- a/internal/modelcheck/routerfleet.go
+++ b/internal/modelcheck/routerfleet.go
@@ -10,9 +10,9 @@
 	"sandcourse/internal/endpoint"
 )
 
-// fleet is several routers on the same engines. The routers share only the engines, the endpoint list and the time, so
+// fleet is a set of routers that use the same engines. The routers share only the engines, the endpoint list and the time, so
 // events of two routers commute. Unless World.AllOrders is set, events between two shared events are therefore explored
-// only in the order of router index (a partial-order reduction). It skips interleavings but no states;
+// only in the order of router index (a partial-order reduction). The reduction skips interleavings but no states;
 // TestRouterOrderReductionIsComplete compares it with the search of all interleavings.
 type fleet struct {
 	world           World
@@ -20,7 +20,7 @@
 	endpoints       endpoint.List
 	nextRouter      int // routers below this index have no more events until the next shared event
 	violationLog    violationLog
-	maxColdAttempts int // maximum of attempts to a warming engine in one window
+	maxColdAttempts int // maximum number of attempts to a warming engine in one window
 }
 
 func newFleet(w World) *fleet {
@@ -34,9 +34,9 @@
 
 func (f *fleet) enabledEvents() []Event { return f.enabledEventsFrom(f.nextRouter) }
 
-// enabledEventsFrom lists the enabled events of the routers from an index on, and the shared events.
+// enabledEventsFrom lists the enabled events of the routers with at least the index first, and the shared events.
 func (f *fleet) enabledEventsFrom(first int) []Event {
-	list := &eventList{world: f.world, faultsUsed: f.routers[0].faultsUsed}
+	list := &eventList{world: f.world, faultsInjected: f.routers[0].faultsInjected}
 	pending, quiescent := false, true
 	for i, s := range f.routers {
 		events, busy := s.routerEvents()
@@ -47,7 +47,7 @@
 				s.updateEndpoints()
 			}, "receives the endpoint list")
 		}
-		if i >= first || f.world.AllOrders {
+		if i >= first || f.world.AllInterleavings {
 			list.events = append(list.events, f.labelRouterEvents(i, events.events)...)
 		}
 	}
@@ -105,25 +105,26 @@
 }
 
 func (f *fleet) apply(e Event) {
-	faultsUsed := f.routers[0].faultsUsed
+	faultsInjected := f.routers[0].faultsInjected
 	if e.fault != noFault {
-		faultsUsed++
+		faultsInjected++
 	}
 	for _, s := range f.routers { // the number of faults is limited for the whole fleet
-		s.faultsUsed = faultsUsed
+		s.faultsInjected = faultsInjected
 	}
 	e.apply()
 	for _, s := range f.routers {
 		s.checkState()
 	}
-	f.checkColdBudget()
+	f.checkSlowStartBudget()
 }
 
-// budgetSlack is the number of attempts by which the budget may be exceeded: attempts are whole numbers, the budget is not.
+// budgetSlack is the number of attempts by which the slow-start budget may be exceeded: attempts are whole numbers, the budget
+// is not.
 const budgetSlack = 2
 
-// checkColdBudget checks the number of attempts that all routers sent to each warming engine within one window.
-func (f *fleet) checkColdBudget() {
+// checkSlowStartBudget checks the number of attempts that all routers sent to each warming engine within one window.
+func (f *fleet) checkSlowStartBudget() {
 	rules := f.routers[0].deployment.Rules
 	budget := rules.OverloadMultiple*rules.SlowStartShare*warmRate*rules.OverloadWindow.Seconds() + budgetSlack
 	for _, e := range f.endpoints.Entries {
@@ -140,7 +141,7 @@
 		}
 		f.maxColdAttempts = max(f.maxColdAttempts, count)
 		if float64(count) > budget {
-			f.violationLog.add("P14 %s is warming up and gets %d attempts in %v, budget %.0f", e.ID, count, rules.OverloadWindow, budget)
+			f.violationLog.add("P14 %s is warming up and receives %d attempts in %v, budget %.0f", e.ID, count, rules.OverloadWindow, budget)
 		}
 	}
 }
@@ -170,7 +171,7 @@
 		fmt.Fprintln(h, s.fingerprint(), s.endpoints.Revision)
 	}
 	fmt.Fprintln(h, f.endpoints)
-	if !f.world.AllOrders && !f.isTerminal() {
+	if !f.world.AllInterleavings && !f.isTerminal() {
 		fmt.Fprintln(h, f.nextRouter)
 	}
 	return h.Sum64()
--- a/internal/modelcheck/simulation.go
+++ b/internal/modelcheck/simulation.go
@@ -20,7 +20,7 @@
 	clients         []*simulatedClient
 	connections     []*simulatedConnection
 	reservations    reservationLedger
-	faultsUsed      int
+	faultsInjected  int
 	endpoints       endpoint.List
 	drainNotifiedAt map[string]int64 // when the router was notified that an engine drains
 	violationLog    violationLog
@@ -43,7 +43,7 @@
 
 func newSimulation(w World, tracing bool) *simulation { return newRouterSimulation(w, 0, tracing) }
 
-// newRouterSimulation returns the simulation of the router of an index in a world.
+// newRouterSimulation returns the simulation of the router with an index in its fleet.
 func newRouterSimulation(w World, index int, tracing bool) *simulation {
 	s := &simulation{world: w, deployment: w.Deployment(), now: startTime, drainNotifiedAt: map[string]int64{}, tracing: tracing,
 		requestsSent: map[int]int{}, routerIndex: index, inFleet: w.Routers > 1 || w.Crowd}
@@ -82,7 +82,7 @@
 func (s *simulation) killRouter() {
 	s.earlierCoverage.Add(s.coverage())
 	for _, c := range s.connections {
-		if !c.closed && c.decodeWritten() {
+		if !c.closed && c.hasReceivedDecode() {
 			s.recordPossibleRun(c.request)
 		}
 		c.closed, c.request = true, nil
@@ -96,7 +96,7 @@
 	s.startRouter()
 	s.handle(func() { s.core.UpdateEndpoints(s.endpoints) })
 	for _, c := range s.clients {
-		if !c.requested {
+		if !c.requestSent {
 			s.handle(func() { s.core.ClientOpened(c.connection) })
 		}
 	}
@@ -116,8 +116,8 @@
 func (s *simulation) SendToPeer(int, string) {}
 
 // Dial starts a dial whose result the adversary chooses.
-func (s *simulation) Dial(core *router.EngineConnection) {
-	s.connections = append(s.connections, &simulatedConnection{engineConnection: core, simulation: s})
+func (s *simulation) Dial(conn *router.EngineConnection) {
+	s.connections = append(s.connections, &simulatedConnection{engineConnection: conn, simulation: s})
 }
 
 // advanceTo advances the clock, and fails dials that have hung for the dial timeout.
@@ -147,7 +147,7 @@
 	s.reservations.removeEngine(name)
 	for _, c := range s.connections {
 		if c.engineConnection.Engine == name && c.established && !c.closed {
-			if c.decodeWritten() {
+			if c.hasReceivedDecode() {
 				s.recordPossibleRun(c.request)
 			}
 			s.resetConnection(c)
@@ -156,14 +156,14 @@
 	s.updateEndpoints()
 }
 
-// isQuiescent reports whether all clients have their outcome and neither the router nor an engine holds anything.
+// isQuiescent reports whether all clients have an outcome, and neither the router nor an engine holds requests or reservations.
 func (s *simulation) isQuiescent() bool {
-	h := s.core.InFlight()
-	if h.Requests > 0 || h.ControlRequests > 0 || h.Reservations > 0 || len(s.reservations.held) > 0 {
+	inFlight := s.core.InFlight()
+	if inFlight.Requests > 0 || inFlight.ControlRequests > 0 || inFlight.Reservations > 0 || len(s.reservations.held) > 0 {
 		return false
 	}
 	for _, c := range s.clients {
-		if !c.requested || c.endedAt == 0 {
+		if !c.requestSent || c.endedAt == 0 {
 			return false
 		}
 	}
@@ -172,7 +172,7 @@
 
 func (s *simulation) apply(e Event) {
 	if e.fault != noFault {
-		s.faultsUsed++
+		s.faultsInjected++
 	}
 	if s.tracing {
 		s.trace = append(s.trace, e.Name)
--- a/internal/modelcheck/snapshot.go
+++ b/internal/modelcheck/snapshot.go
@@ -42,7 +42,7 @@
 	storedCoverage struct{ Brain, Attempt, Conns, Roles uint64 }
 )
 
-// ErrNoFrontier is returned for a stored snapshot without a frontier, which another version has stored.
+// ErrNoFrontier is returned for a stored snapshot without a frontier, which another version of the program has written.
 var ErrNoFrontier = errors.New("stored snapshot has no frontier")
 
 // Encode writes the snapshot in its stored form.
@@ -80,11 +80,11 @@
 func storeWorld(w World) storedWorld {
 	return storedWorld{Name: w.Name, About: w.About, Readers: w.PrefillEngines, Writers: w.DecodeEngines, Effects: w.Effects,
 		Faults: w.Faults, Kinds: w.FaultKinds, PerConn: w.ConnectionsPerEngine, Probes: w.HealthChecks, Open: w.MaxOpenRequests,
-		Nodes: w.Routers, Plain: w.AllOrders, Roles: w.RoleChanges, Crowd: w.Crowd}
+		Nodes: w.Routers, Plain: w.AllInterleavings, Roles: w.RoleChanges, Crowd: w.Crowd}
 }
 
 func (w storedWorld) restore() World {
 	return World{Name: w.Name, About: w.About, PrefillEngines: w.Readers, DecodeEngines: w.Writers, Effects: w.Effects,
 		Faults: w.Faults, FaultKinds: w.Kinds, ConnectionsPerEngine: w.PerConn, HealthChecks: w.Probes, MaxOpenRequests: w.Open,
-		Routers: w.Nodes, AllOrders: w.Plain, RoleChanges: w.Roles, Crowd: w.Crowd}
+		Routers: w.Nodes, AllInterleavings: w.Plain, RoleChanges: w.Roles, Crowd: w.Crowd}
 }
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// ErrPathMismatch is returned for a path of another version of the code or of another world.
+// ErrPathMismatch is returned for a path that was recorded with another version of the code or in another world.
 var ErrPathMismatch = errors.New("path does not match this version of the code")
 
 // violationPrefix begins each line of a description that contains a violation.
 const violationPrefix = "BROKEN "
 
-// Describe returns the numbered steps of a path, with the changes of each step and the violations, and the violations alone.
+// Describe returns lines with the numbered steps of a path, the state changes of each step and the violations, and returns the
+// violations also separately.
 func Describe(w World, path Path) (lines []string, violations []string) {
 	exec := newExecution(w, true)
 	lines = append(lines, fmt.Sprintf("world %s: %d prefill engines, %d decode engines, requests %v", w.Name, w.PrefillEngines,
@@ -49,7 +50,7 @@
 
 func (s *simulation) describe() (lines []string) {
 	for _, c := range s.clients {
-		if c.requested {
+		if c.requestSent {
 			lines = append(lines, fmt.Sprintf("client %d, request %s: %s, may have run at %d engines", c.number, c.requestID,
 				cmp.Or(c.outcome, "open"), c.possibleRuns))
 		}
@@ -64,7 +65,7 @@
 	for _, h := range s.reservations.held {
 		lines = append(lines, fmt.Sprintf("%s holds a reservation of %s", h.engine, h.requestID))
 	}
-	return append(lines, fmt.Sprintf("%v have passed", s.elapsed()))
+	return append(lines, fmt.Sprintf("elapsed time: %v", s.elapsed()))
 }
 
 // Step is one event of a path, for callers that replay the path outside the model checker.
@@ -88,7 +89,7 @@
 	return steps, exec.clientOutcomes(), nil
 }
 
-// ShortestTerminalPaths returns paths to the first terminal states of a breadth-first search, at most limit of them.
+// ShortestTerminalPaths returns the paths to the first terminal states that a breadth-first search finds, at most limit paths.
 func ShortestTerminalPaths(w World, limit int) (paths []Path) {
 	visited := map[uint64]bool{}
 	frontier := []Path{{}}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -1,7 +1,7 @@
-// Package modelcheck is an explicit-state model checker that searches for violations of properties of a router. A world runs
-// the production code of the router core, with its routing policy, attempts, connection pool and admission, against an
-// adversary that simulates the engines, the network, the endpoint list, the clients and the clock. Every enabled event is
-// tried in every state; equal states are expanded once. It does no I/O.
+// Package modelcheck is an explicit-state model checker for the router core and the planner's role assignment. A world runs
+// the production code, for a router with its routing policy, attempts, connection pool and admission, against an adversary
+// that simulates the engines, the network, the endpoint list, the clients and the clock. The checker tries every enabled event
+// in every state and expands equal states once. The package does no I/O.
 package modelcheck
 
 import (
@@ -19,13 +19,13 @@
 	PrefillEngines       int             `json:"readers"`
 	DecodeEngines        int             `json:"writers"`
 	Effects              []config.Effect `json:"effects"` // effect of each request, one request per client
-	Faults               int             `json:"faults"`  // maximum that the adversary may inject
-	FaultKinds           []FaultKind     `json:"kinds"`   // kinds that the adversary may inject; all if empty
+	Faults               int             `json:"faults"`  // maximum number of faults that the adversary may inject
+	FaultKinds           []FaultKind     `json:"kinds"`   // kinds of fault that the adversary may inject; all if empty
 	ConnectionsPerEngine int             `json:"lines_per_engine"`
 	HealthChecks         bool            `json:"probes"` // the router polls the load of engines
-	MaxOpenRequests      int             `json:"open"`   // maximum of admitted requests per router; 0 for no limit
-	Routers              int             `json:"nodes"`  // routers that share the engines, each with these requests; 0 means 1
-	AllOrders            bool            `json:"plain"`  // try all interleavings of events of different routers
+	MaxOpenRequests      int             `json:"open"`   // maximum number of admitted requests per router; 0 for no limit
+	Routers              int             `json:"nodes"`  // number of routers, which share the engines; each has its own clients; 0 means 1
+	AllInterleavings     bool            `json:"plain"`  // try all interleavings of events of different routers
 	RoleChanges          bool            `json:"roles"`  // simulate the planner and role changes, without requests
 	Crowd                bool            `json:"crowd"`  // run one long seeded simulation instead, see SimulateCrowd
 }
@@ -38,9 +38,9 @@
 	noFault            FaultKind = ""
 	FaultConnect       FaultKind = "connect"  // a connection hangs or fails
 	FaultDrain         FaultKind = "drain"    // an engine drains
-	FaultError         FaultKind = "error"    // an engine responds with an error that names no reason
+	FaultError         FaultKind = "error"    // an engine responds with an error status and no reason
 	FaultNoCapacity    FaultKind = "full"     // an engine rejects an attempt because it is at capacity
-	FaultGarbled       FaultKind = "garbled"  // an engine sends malformed bytes or a false report
+	FaultGarbled       FaultKind = "garbled"  // an engine sends malformed or unexpected bytes, or a false report
 	FaultTruncated     FaultKind = "half"     // a response is truncated
 	FaultKill          FaultKind = "kill"     // the router or the planner is killed
 	FaultDelay         FaultKind = "late"     // a timer or message is delayed
@@ -64,13 +64,13 @@
 	return len(w.FaultKinds) == 0 || slices.Contains(w.FaultKinds, kind)
 }
 
-// mayInject reports whether the adversary may inject a fault of a kind after it has injected used faults.
-func (w World) mayInject(kind FaultKind, used int) bool {
-	return kind == noFault || used < w.Faults && w.allows(kind)
+// mayInject reports whether the adversary may inject a fault of a kind if it has already injected a number of faults.
+func (w World) mayInject(kind FaultKind, injected int) bool {
+	return kind == noFault || injected < w.Faults && w.allows(kind)
 }
 
-// The durations in all worlds are short, so that few timers fire between the start and the end of a request. Their order
-// is that of the defaults: tick < drain grace < reservation limit < client timeout.
+// The durations in all worlds are short, so that few timers fire between the start and the end of a request. They
+// have the same order as the defaults: tick < drain grace < reservation limit < client timeout.
 const (
 	clientTimeout               = 300 * time.Millisecond
 	firstTokenTarget            = 100 * time.Millisecond
@@ -82,7 +82,7 @@
 	dialTimeout                 = 100 * time.Millisecond
 	dedupWindow                 = time.Second
 	defaultConnectionsPerEngine = 4
-	timeoutMarginTicks          = 4 // ticks before the client's timeout from which an error response is allowed
+	timeoutMarginTicks          = 4 // an error response is allowed from this number of ticks before the client's timeout
 	// timerDelay is the simulated delay of a timer on a loaded machine: more than one tick, but less than the three ticks
 	// that the router leaves before a client's timeout.
 	timerDelay = 12 * time.Millisecond
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -32,14 +32,14 @@
 		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable, config.EffectRetriable}, Faults: 1, MaxOpenRequests: 1},
 	{Name: "nodes-two", About: "two routers, one request each, one prefill engine, one decode engine, any one fault",
 		PrefillEngines: 1, DecodeEngines: 1, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 1, Routers: 2},
-	{Name: "nodes-news", About: "two routers that receive drains and restarts at different times, two such faults",
+	{Name: "nodes-news", About: "two routers that are notified of drains and restarts at different times, two drains or restarts",
 		PrefillEngines: 1, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 2, Routers: 2, FaultKinds: []FaultKind{FaultDrain, FaultRestart}},
 	{Name: "roles-one", About: "planner, two prefill and two decode engines, one role change, any one fault",
 		PrefillEngines: 2, DecodeEngines: 2, Faults: 1, Routers: 1, RoleChanges: true},
 	{Name: "roles", About: "planner, two prefill and two decode engines, one role change, any two faults", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 1, RoleChanges: true},
-	{Name: "roles-last", About: "planner, one prefill and one decode engine, of which neither may change its role, any one fault", PrefillEngines: 1, DecodeEngines: 1, Faults: 1, Routers: 1,
+	{Name: "roles-last", About: "planner, one prefill and one decode engine, neither of which may change its role, any one fault", PrefillEngines: 1, DecodeEngines: 1, Faults: 1, Routers: 1,
 		RoleChanges: true},
-	{Name: "roles-edges", About: "planner, two prefill and two decode engines, two edges, two kills or lost or delayed orders", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 2,
+	{Name: "roles-edges", About: "planner, two prefill and two decode engines, two edges, two faults (planner kills, lost or delayed orders)", PrefillEngines: 2, DecodeEngines: 2, Faults: 2, Routers: 2,
 		RoleChanges: true, FaultKinds: []FaultKind{FaultKill, FaultDelay, FaultReset}},
 	{Name: "pair-three", About: "one non-retriable request, two prefill and two decode engines, any three faults (minutes)",
 		PrefillEngines: 2, DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable}, Faults: 3},
@@ -55,7 +55,7 @@
 		DecodeEngines: 2, Effects: []config.Effect{config.EffectNonRetriable, config.EffectNonRetriable, config.EffectRetriable, config.EffectDeduped, config.EffectRetriable}, Faults: 8, ConnectionsPerEngine: 2},
 }
 
-// CrowdWorlds are fleets of up to 300 routers, to check the load that all routers together put on engines.
+// CrowdWorlds are fleets of up to 300 routers. They check the total load that all routers put on an engine.
 var CrowdWorlds = []World{
 	{Name: "crowd-300", About: "300 routers, steady arrivals, engines restart and warm up: checks the slow-start budget of all routers together", PrefillEngines: 4,
 		DecodeEngines: 4, Effects: []config.Effect{}, Routers: 300, Crowd: true},
@@ -64,7 +64,7 @@
 	{Name: "crowd-1", About: "one router and six engines, otherwise as crowd-300", PrefillEngines: 3, DecodeEngines: 3, Effects: []config.Effect{}, Routers: 1, Crowd: true},
 }
 
-// FindWorld returns the world of a name, and reports whether it exists.
+// FindWorld returns the world with a name, and reports whether it exists.
 func FindWorld(name string) (World, bool) {
 	for _, w := range slices.Concat(Worlds, LargeWorlds, CrowdWorlds) {
 		if w.Name == name {
--- a/internal/replay/engines.go
+++ b/internal/replay/engines.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// pollInterval is the interval at which awaitRequest checks for requests without a signal.
+// pollInterval is the interval at which awaitRequest checks for requests if no signal arrives.
 const pollInterval = 2 * time.Millisecond
 
 // engineRequest is a request that an engine has received and whose response is not complete.
@@ -27,7 +27,7 @@
 	done   chan struct{} // closed when the request is finished
 }
 
-// scriptedEngines simulates all engines of a path. An engine responds only when the path says so.
+// scriptedEngines simulates all engines of a path. An engine responds only when an event of the path is replayed.
 type scriptedEngines struct {
 	mu       sync.Mutex
 	requests []*engineRequest
@@ -86,7 +86,7 @@
 	return modelcheck.PrefillRequest
 }
 
-// findRequest returns the first open request of a kind at an engine, or nil. The kind NoRequest matches every request.
+// findRequest returns the oldest open request of a kind at an engine, or nil. The kind NoRequest matches every request.
 func (s *scriptedEngines) findRequest(kind modelcheck.RequestKind, engine string) *engineRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// finishRequest removes a request, and resets its connection or lets it carry the next request.
+// finishRequest removes a request, and either resets its connection or keeps it open for the next request.
 func (s *scriptedEngines) finishRequest(r *engineRequest, reset bool) {
 	s.mu.Lock()
 	s.requests = slices.DeleteFunc(s.requests, func(other *engineRequest) bool { return other == r })
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay replays a path of the model checker on a real edge with sockets: with scripted engines that respond as the
-// path says, a client for each request, and an endpoint list that changes as in the path.
+// Package replay replays a path of the model checker on a real edge with sockets, together with scripted engines, a client for
+// each request, and an endpoint list, all of which act as in the path.
 package replay
 
 import (
@@ -65,9 +65,10 @@
 	disconnect []context.CancelFunc // of each client, by its number
 }
 
-// Play replays a path on a real edge and returns the record of each client and its outcome in the model checker (empty if it
-// still waits). The world must have one engine of each role: with more, routing depends on the names of the engines, which
-// differ on sockets. The error is ErrUnsupportedWorld, ErrUnsupportedAction, modelcheck.ErrPathMismatch or a network error.
+// Play replays a path on a real edge and returns the record of each client and its outcome in the model checker (empty if the
+// client still waits). The world must have exactly one engine of each role: with more, routing depends on the names of the
+// engines, which differ on sockets. The error is ErrUnsupportedWorld, ErrUnsupportedAction, modelcheck.ErrPathMismatch or a
+// network error.
 func Play(w modelcheck.World, path modelcheck.Path) (records []audit.ClientRecord, outcomes []string, err error) {
 	if w.PrefillEngines != 1 || w.DecodeEngines != 1 {
 		return nil, nil, fmt.Errorf("world %s has %d prefill and %d decode engines: %w", w.Name, w.PrefillEngines, w.DecodeEngines, ErrUnsupportedWorld)
@@ -148,7 +149,7 @@
 		p.updateEngine(e.Engine, func(entry *endpoint.Entry) { entry.StartedAtMs = time.Now().UnixMilli() })
 		return nil
 	case modelcheck.TimePasses, modelcheck.EstablishConnection, modelcheck.DeliverUnreadBytes:
-		return nil // sockets and the clock need no action
+		return nil // happens without an action: the sockets and the clock are real
 	}
 	respond, ok := responses[e.Action]
 	if !ok {
--- a/internal/replay/responses.go
+++ b/internal/replay/responses.go
@@ -21,7 +21,7 @@
 	resetDelay = 2 * time.Millisecond
 )
 
-// responses maps each action of a path to the reaction of an engine to a request.
+// responses maps the actions of engines to functions that perform them for a request.
 var responses = map[modelcheck.Action]func(s *scriptedEngines, r *engineRequest){
 	modelcheck.TruncatePrefill: func(s *scriptedEngines, r *engineRequest) {
 		fmt.Fprint(r.conn, truncatedBody)
@@ -53,7 +53,7 @@
 	modelcheck.BecomeResponsive:   func(*scriptedEngines, *engineRequest) {},
 }
 
-// respondWith returns a reaction that writes a complete response and keeps the connection.
+// respondWith returns a function that writes a complete response and keeps the connection open.
 func respondWith(status int, rejected, body string) func(*scriptedEngines, *engineRequest) {
 	return func(s *scriptedEngines, r *engineRequest) {
 		fmt.Fprintf(r.conn, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", status,
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -1,5 +1,5 @@
-// Package simproto decodes the simulator's batches of events and encodes the actions of policies. It only maps fields and
-// converts units, and does no I/O.
+// Package simproto decodes the simulator's batches of events and encodes the actions of routing policies. The package only maps
+// fields and converts units; it does no I/O.
 package simproto
 
 import (
@@ -27,7 +27,7 @@
 	Err          error // wraps ErrMissing, ErrWrongType or ErrUnknownValue
 }
 
-// Error returns a text with the event, the field and the error.
+// Error returns a text that names the event and the field, with the error of the field.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: field %s %v", e.Event, e.Field, e.Err) }
 
 // Unwrap returns the error of the field.
