--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -29,7 +29,7 @@
 
 // Rules contains the durations and routes that the checks use.
 type Rules struct {
-	NonRetriable     map[string]bool // by name of the route
+	NonRetriable     map[string]bool // by route name
 	DrainGrace       time.Duration
 	ListDelay        time.Duration // between the publication of an endpoint list and its arrival at an edge
 	ReservationLimit time.Duration
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -10,7 +10,7 @@
 var testRules = Rules{NonRetriable: map[string]bool{"alert": true}, DrainGrace: 100 * time.Millisecond, ListDelay: 100 * time.Millisecond,
 	ReservationLimit: time.Second, Tolerance: 100 * time.Millisecond}
 
-// testLog is a log whose records are given by their time since its start.
+// testLog is a log with methods that add records at times relative to its start.
 type testLog struct {
 	Log
 	start time.Time
--- a/internal/emulator/comparison.go
+++ b/internal/emulator/comparison.go
@@ -10,8 +10,8 @@
 
 const (
 	bootstrapSamples = 2000
-	bootstrapLow     = 25  // per mille of the samples
-	bootstrapHigh    = 975 // per mille of the samples
+	bootstrapLow     = 25  // lower bound, per mille of the sorted samples
+	bootstrapHigh    = 975 // upper bound, per mille of the sorted samples
 	recoveredShare   = 0.9 // minimum share completed in time in each of three consecutive windows
 )
 
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// networkDelay is the delay of a message between two hosts of a data center.
+	// networkDelay is the delay of a message between two hosts in a data center.
 	networkDelay = 200 * time.Microsecond
 	// listDelay and listJitter determine the delay with which a router receives a change of the endpoint list.
 	listDelay  = 400 * time.Millisecond
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -27,7 +27,7 @@
 	clientCount int64
 }
 
-// handle passes an event to the core and schedules the next timer. Events that occur during the call are queued.
+// handle passes an event to the core and schedules the next timer. Events that are passed during the call are queued.
 func (r *simulatedRouter) handle(event func(core *router.Router)) {
 	r.pending = append(r.pending, event)
 	if r.isHandling {
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -15,7 +15,7 @@
 const (
 	prefillOverhead    = 2 * time.Millisecond
 	reservationTimeout = 8 * time.Second // after which a reservation expires at its engine
-	maxStreamPause     = time.Second     // between two events of a stream
+	maxStreamPause     = time.Second     // maximum time between two events of a stream
 )
 
 // tokenEvent is a stream event that carries a token.
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -19,7 +19,7 @@
 // maxLostReleases is the number of lost releases after which a reservation may be held longer than its limit.
 const maxLostReleases = 2
 
-// checkAttempt checks an attempt when the router writes it.
+// checkAttempt checks an attempt that the router writes to an engine.
 func (s *simulation) checkAttempt(r *engineRequest) {
 	c := s.clientOf(r.requestID)
 	engine := r.connection.engineConnection.Engine
@@ -64,7 +64,7 @@
 	return time.Duration(c.simulation.now - c.sentAt - int64(clientTimeout))
 }
 
-// checkOutcome checks a final response when the client receives it.
+// checkOutcome checks the final response that a client has received.
 func (s *simulation) checkOutcome(c *simulatedClient) {
 	if c.outcome == outcomeCompleted && !c.decodeFinished {
 		s.violationLog.add("P11 %s is completed, but no decode engine has sent the last event of its stream", c.requestID)
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -107,7 +107,7 @@
 	return e
 }
 
-// Explore runs a breadth-first search, so that the path to a violation is a shortest one. Workers share the states of a
+// Explore runs a breadth-first search, so that the path to a violation has the minimum length. Workers share the states of a
 // level; successors are merged in order, so the result does not depend on the number of workers. Report, if set, is
 // called after each level with the size of the next one.
 func (s *Snapshot) Explore(limits Limits, report func(r Result, frontier int)) Result {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A copy of a state must have the same continuations as the state: an exploration by copies has the same counts and terminal
-// states as one that replays every path.
+// A copy of a state must have the same continuations as the state: an exploration that copies states has the same counts and
+// terminal states as one that replays every path.
 func TestCopiedStatesMatchReplayedPaths(t *testing.T) {
 	for _, name := range []string{"single", "limit", "nodes-two", "roles-one"} {
 		w, _ := FindWorld(name)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Fleets of 1 to 300 routers send attempts to a warming engine, within its slow-start budget.
+// Fleets of 1 to 300 routers do send attempts to a warming engine, but stay within its slow-start budget.
 func TestCrowdsStayWithinSlowStartBudget(t *testing.T) {
 	for _, w := range CrowdWorlds {
 		r := SimulateCrowd(w, 7, nil)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Counterexamples of violations that are fixed find no violation. Each name lists the violated properties and the cause.
+// The counterexamples of fixed violations no longer violate a property. Each name lists the violated properties and the cause.
 func TestFixedCounterexamplesHaveNoViolations(t *testing.T) {
 	for name, events := range map[string][]string{
 		"P5, P3: an attempt is canceled as not written after the kernel has accepted all of it": {"client 0 sends a request (non-retriable)", "connection to 127.0.0.1:1001 is established and accepts part of the request",
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// isSettled reports whether no action, order or role change is pending, and every engine serves or is quarantined for its own fault.
+// isSettled reports whether no action, order or role change is pending and every engine serves or is quarantined for its own fault.
 func (s *plannerSimulation) isSettled() bool {
 	if !s.running || len(s.queue) > 0 || len(s.orders)+len(s.trials) > 0 || s.operatorMoves > 0 {
 		return false
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -3,7 +3,7 @@
 // Property is a statement that must hold in every state. docs/properties.md describes each in detail.
 type Property struct{ Name, Text string }
 
-// Properties are all properties that are checked. The text of a violation begins with the name of its property.
+// Properties lists all properties that are checked. The text of a violation begins with the name of its property.
 var Properties = []Property{
 	{"P1", "an admitted request gets exactly one final response, and nothing after it"},
 	{"P2", "at most one attempt of a request is in flight"},
--- a/internal/modelcheck/routerfleet.go
+++ b/internal/modelcheck/routerfleet.go
@@ -11,7 +11,7 @@
 )
 
 // fleet is a set of routers that use the same engines. The routers share only the engines, the endpoint list and the time, so
-// events of two routers commute. Unless World.AllOrders is set, events between two shared events are therefore explored
+// events of two routers commute. Unless World.AllInterleavings is set, events between two shared events are therefore explored
 // only in the order of router index (a partial-order reduction). The reduction skips interleavings but no states;
 // TestRouterOrderReductionIsComplete compares it with the search of all interleavings.
 type fleet struct {
--- a/internal/modelcheck/simulation.go
+++ b/internal/modelcheck/simulation.go
@@ -77,8 +77,8 @@
 	s.core = router.New(s.deployment, chatProtocol, seed, int64(s.incarnation), s.now, s, violationObserver{s})
 }
 
-// killRouter kills the router and restarts it with its last endpoint list. Clients lose their open requests, and engines
-// expire the reservations of these requests; the restarted router must send nothing more for them.
+// killRouter kills the router and restarts it with its last endpoint list. Clients lose their open requests, and the
+// reservations of these requests expire at the engines; the restarted router must send nothing more for them.
 func (s *simulation) killRouter() {
 	s.earlierCoverage.Add(s.coverage())
 	for _, c := range s.connections {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -1,7 +1,7 @@
 // Package modelcheck is an explicit-state model checker for the router core and the planner's role assignment. A world runs
-// the production code, for a router with its routing policy, attempts, connection pool and admission, against an adversary
-// that simulates the engines, the network, the endpoint list, the clients and the clock. The checker tries every enabled event
-// in every state and expands equal states once. The package does no I/O.
+// their production code, including the routing policy, attempts, connection pool and admission of a router, against an
+// adversary that simulates the engines, the network, the endpoint list, the clients and the clock. The checker tries every
+// enabled event in every state and expands equal states once. The package does no I/O.
 package modelcheck
 
 import (
@@ -24,7 +24,7 @@
 	ConnectionsPerEngine int             `json:"lines_per_engine"`
 	HealthChecks         bool            `json:"probes"` // the router polls the load of engines
 	MaxOpenRequests      int             `json:"open"`   // maximum number of admitted requests per router; 0 for no limit
-	Routers              int             `json:"nodes"`  // number of routers, which share the engines; each has its own clients; 0 means 1
+	Routers              int             `json:"nodes"`  // routers that share the engines, each with its own clients; 0 means 1
 	AllInterleavings     bool            `json:"plain"`  // try all interleavings of events of different routers
 	RoleChanges          bool            `json:"roles"`  // simulate the planner and role changes, without requests
 	Crowd                bool            `json:"crowd"`  // run one long seeded simulation instead, see SimulateCrowd
