--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -65,7 +65,7 @@
 }
 
 // LargestUnfinished returns the connection with the most buffered bytes of an incomplete request while the limit of
-// buffered bytes is exceeded; 0 for none. That connection is closed first, as a client that slowly sends a large request
+// buffered bytes is exceeded; otherwise 0. That connection is closed first, as a client that slowly sends a large request
 // holds up all others.
 func (ct *Controller) LargestUnfinished() int64 {
 	if ct.bufferedBytes <= ct.limits.BufferedBytes {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -75,7 +75,7 @@
 	if id == 0 {
 		return
 	}
-	request := admittedRequest{id, rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "client")}
+	request := admittedRequest{id, rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "tenant")}
 	hasOpen := slices.ContainsFunc(m.open, func(other admittedRequest) bool { return other.tenant == request.tenant })
 	switch m.controller.Admit(id, request.tenant) {
 	case Admitted:
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestFloodingClientLeavesCapacityForOthers(t *testing.T) {
+func TestFloodingTenantLeavesCapacityForOthers(t *testing.T) {
 	ct := New(testLimits(10, 100, 1))
 	ct.AcceptConnection(1, 0, allowClose)
 	ct.AcceptConnection(2, 0, allowClose)
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -5,7 +5,7 @@
 // RetryBudget limits the share of retries among the requests of the last ten seconds. After a fault every client whose
 // request failed retries, and a fleet near its limits then serves retries of failed requests instead of requests that could
 // be answered in time. This overload outlasts the fault. A retry over the budget is rejected at once, before any routing
-// decision, which costs nothing.
+// decision, so its rejection costs nothing.
 //
 // There are two exceptions. The first three retries of any ten seconds are allowed, since an idle router must not reject a
 // single retry. A retry that the client does not declare counts as a first try.
@@ -15,7 +15,7 @@
 }
 
 type secondCount struct {
-	second            int64 // since the epoch
+	second            int64 // whole seconds of the caller's clock
 	requests, retries float64
 }
 
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -3,7 +3,7 @@
 // connection can be reused. The package does no I/O.
 //
 // The effect of a request could happen twice if an attempt that has run were treated as one that has not. So each
-// transition with the latter outcome states its proof; after all other outcomes the attempt may have run.
+// transition to the outcome that an attempt has not run states the proof; after all other outcomes it may have run.
 package attempt
 
 import (
@@ -25,13 +25,13 @@
 	Verdict             routing.Verdict
 	ReservationMissing  bool // with the verdict Full: the engine did not find the reservation to fetch
 	Connection          ConnectionDisposition
-	MayLeaveReservation bool // a prefill engine may keep a reservation for the attempt that has to be released
+	MayLeaveReservation bool // a prefill engine may hold a reservation for the attempt, which has to be released
 	FirstToken          bool // the event is the first token
 	Transition          int  // number of the transition that fired, from 1; 0 for none
 }
 
-// Handle applies an event. An event without a transition from the current state changes nothing: an attempt has one
-// outcome, whatever happens later.
+// Handle applies an event. An event without a transition from the current state changes nothing. In particular, later events
+// do not change the outcome of an attempt.
 func (a *Attempt) Handle(event Event) Result {
 	i := slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, a.State) })
 	if i < 0 {
--- a/internal/attempt/state.go
+++ b/internal/attempt/state.go
@@ -10,7 +10,7 @@
 	AwaitingResponse              // all bytes are written, nothing has been received
 	Responding                    // a success status has been received, neither a token nor a prefill result yet
 	Streaming                     // the first token has been received
-	Ended                         // the attempt has its outcome, which no later event changes
+	Ended                         // the attempt has its final outcome
 )
 
 var stateNames = [...]string{
@@ -32,11 +32,11 @@
 const (
 	Connected           Event = iota // the attempt has a connection, and its first byte is about to be written
 	ConnectFailed                    // no connection could be opened in time, or opening one is not allowed
-	EngineUnavailable                // the engine has been draining or removed for longer than attempts may still be sent to it
+	EngineUnavailable                // the engine began to drain or was removed too long ago to be sent an attempt
 	RequestWritten                   // the kernel has taken the last byte of the request
 	Rejected                         // the engine rejects the request: slots and queue full, draining, or outdated epoch
 	ReservationNotFound              // the engine reports that there is no reservation to fetch
-	ErrorStatus                      // an error status that proves nothing else
+	ErrorStatus                      // any other error status, which does not prove that the attempt has not run
 	MalformedResponse                // not a valid response: a bad status line, a second header, a bad frame
 	SuccessStatus                    // a success status
 	PrefillCompleted                 // the complete response of a prefill engine, which names the reservation
--- a/internal/attempt/transitions.go
+++ b/internal/attempt/transitions.go
@@ -13,7 +13,7 @@
 	next                State
 	verdict             routing.Verdict
 	connection          ConnectionDisposition
-	mayLeaveReservation bool // a prefill engine may keep a reservation that it has not reported
+	mayLeaveReservation bool // a prefill engine may hold a reservation that it has not reported
 }
 
 var anyUnfinished = []State{Dialing, Writing, AwaitingResponse, Responding, Streaming}
@@ -34,7 +34,7 @@
 	// cannot have begun before the body was complete.
 	{from: []State{Writing}, event: ConnectionReset, next: Ended, verdict: routing.NotConnected, connection: MustClose},
 	{from: []State{Writing}, event: Canceled, next: Ended, verdict: routing.NotSent, connection: MustClose},
-	// The attempt has not run, as the engine reports before any token.
+	// The attempt has not run, as the engine reports so before any token.
 	{from: []State{Writing, AwaitingResponse}, event: Rejected, next: Ended, verdict: routing.Full, connection: Reusable},
 	{from: []State{Writing, AwaitingResponse}, event: ReservationNotFound, next: Ended, verdict: routing.Full, connection: Reusable},
 
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Lease is the connection that Acquire returns. Evict is a connection that must be closed to make room for it, 0 for none.
+// Lease is the result of Acquire. Evict is the ID of a connection that must be closed first to make room for the leased one;
+// 0 if none has to be closed.
 type Lease struct {
 	ID     int64
 	Reused bool // false if the connection must be dialed
@@ -20,7 +21,8 @@
 // After a stream a connection settles first: a late second response to the stream's request would otherwise be taken for
 // the response to the next request.
 //
-// Spare connections are granted beyond the limits to requests that must not wait behind attempts: releases of reservations.
+// The number spare is how far the limits may be exceeded, for requests that must not wait behind attempts, such as releases
+// of reservations.
 func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
 	if c := usage.shortestIdle; c != nil && p.withinIdleLimit(c, now, maxIdle) {
@@ -50,7 +52,7 @@
 // engineUsage summarizes the connections to one engine.
 type engineUsage struct {
 	dialing                   int
-	shortestIdle, longestIdle *connection // nil for none; shortestIdle has settled
+	shortestIdle, longestIdle *connection // nil if no connection is idle; shortestIdle counts settled connections only
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -10,7 +10,7 @@
 // Limits bounds the connections of one router.
 type Limits struct {
 	PerEngine       int           // connections to one engine
-	ConcurrentDials int           // dials in progress to one engine, which costs work for each handshake
+	ConcurrentDials int           // dials in progress to one engine; each handshake costs the engine work
 	Total           int           // connections to all engines together; 0 for no limit
 	IdleTimeout     time.Duration // an idle connection is closed after this
 	SettleTime      time.Duration // a connection that carried a stream is not reused for this long
--- a/internal/invariant/effect.go
+++ b/internal/invariant/effect.go
@@ -6,13 +6,13 @@
 // The effects.
 const (
 	Retriable    Effect = iota // no harm: the request may run again
-	Deduplicated               // no harm while engines remember the first run
+	Deduped                    // no harm while engines remember the first run
 	NonRetriable               // harm: the request must never run twice
 )
 
-var effectNames = [...]string{Retriable: "retriable", Deduplicated: "deduped", NonRetriable: "non-retriable"}
+var effectNames = [...]string{Retriable: "retriable", Deduped: "deduped", NonRetriable: "non-retriable"}
 
-// String returns the effect's name; for Retriable and Deduplicated it is the name in the settings.
+// String returns the effect's name; for Retriable and Deduped it is the name in the settings.
 func (e Effect) String() string { return effectNames[e] }
 
 // ParseEffect returns the effect that a setting names. An unknown name is NonRetriable, the strictest.
@@ -20,8 +20,8 @@
 	switch name {
 	case Retriable.String():
 		return Retriable
-	case Deduplicated.String():
-		return Deduplicated
+	case Deduped.String():
+		return Deduped
 	}
 	return NonRetriable
 }
--- a/internal/invariant/gates.go
+++ b/internal/invariant/gates.go
@@ -2,8 +2,8 @@
 // request has to pass, and a run-time monitor that checks that the invariants were kept. The package does no I/O.
 //
 // A gate is called before an action, with the state of the router. The monitor is notified of actions after the fact and
-// keeps its own record of them, so that an action that bypassed its gate, or a gate that was called with wrong state, shows
-// as a violation. Points in time are in nanoseconds since the start of the router.
+// keeps its own record of them, so that an action that bypasses its gate, or a gate that is called with wrong state, is
+// reported as a violation. Points in time are in nanoseconds since the start of the router.
 package invariant
 
 import (
@@ -17,8 +17,8 @@
 
 // PriorAttempt is an earlier attempt of the same request.
 type PriorAttempt struct {
-	Decode    bool  // decoding is the effect of a request; a prefill has none
-	WrittenAt int64 // when its first byte was written; 0 if none was
+	Decode    bool  // a decode may have an effect, a prefill has no effect
+	WrittenAt int64 // when its first byte was written; 0 if no byte was written
 	InFlight  bool  // the attempt has no outcome yet
 	NeverRan  bool  // the outcome proves that the attempt has not run
 }
@@ -53,15 +53,15 @@
 	return MayRetry(a.Effect, a.DedupWindow, a.PriorAttempts, now)
 }
 
-// withinDrainGrace reports whether data that is written now arrives at a draining engine within the grace period, with as
-// much time again in reserve for the network.
+// withinDrainGrace reports whether data that is written now arrives at a draining engine within the grace period. Of the
+// time that MaxDelay leaves, half is reserved for the network.
 func withinDrainGrace(notifiedAt, now int64, grace time.Duration) bool {
 	spare := grace - MaxDelay
 	return notifiedAt == 0 || spare >= 0 && time.Duration(now-notifiedAt) <= spare/2
 }
 
-// MayRetry is the gate of a retry. It allows none while another attempt is in flight, and after one that may have run only
-// as the effect allows.
+// MayRetry is the gate of a retry. It allows no retry while another attempt is in flight, and a retry after an attempt that
+// may have run only as the effect allows.
 func MayRetry(effect Effect, dedupWindow time.Duration, priorAttempts []PriorAttempt, now int64) Reason {
 	if slices.ContainsFunc(priorAttempts, func(p PriorAttempt) bool { return p.InFlight }) {
 		return AttemptInFlight
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -28,7 +28,7 @@
 		now := base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "now")
 		a := Attempt{Answered: rapid.Bool().Draw(t, "answered"), ClientGone: rapid.Bool().Draw(t, "gone"),
 			Deadline:    base + rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "deadline"),
-			Effect:      rapid.SampledFrom([]Effect{Retriable, Deduplicated, NonRetriable}).Draw(t, "effect"),
+			Effect:      rapid.SampledFrom([]Effect{Retriable, Deduped, NonRetriable}).Draw(t, "effect"),
 			DedupWindow: time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "window"))}
 		if rapid.Bool().Draw(t, "drains") {
 			a.DrainNotifiedAt = base + rapid.Int64Range(-int64(time.Second), now-base).Draw(t, "drain notified")
@@ -127,7 +127,7 @@
 		MayClose(Connection{Unanswered: 1, UnreadRequest: true}) != RequestUnanswered {
 		t.Error("MayClose")
 	}
-	if ParseEffect("retriable") != Retriable || ParseEffect("deduped") != Deduplicated ||
+	if ParseEffect("retriable") != Retriable || ParseEffect("deduped") != Deduped ||
 		ParseEffect("non-retriable") != NonRetriable || ParseEffect("unknown") != NonRetriable {
 		t.Error("ParseEffect")
 	}
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxReportedReservations limits the record of requests whose reservation was reported, which prevents repeated reports.
+// maxReportedReservations limits the record of reported reservations that prevents repeated reports.
 const maxReportedReservations = 1000
 
 // AcceptedRequest describes a request to the monitor.
@@ -25,7 +25,7 @@
 	TimeBudget      time.Duration // as sent to the engine
 }
 
-// Monitor keeps its own record of what has been done for each request, and checks the rules against it.
+// Monitor keeps its own record of the actions for each request, and checks the rules against it.
 type Monitor struct {
 	limits   Limits
 	requests map[int64]*requestRecord
@@ -95,14 +95,14 @@
 		}
 		apart := time.Duration(attempt.WrittenAt - prior.writtenAt)
 		mayHaveRun := prior.decode && !prior.neverRan
-		forgotten := record.Effect == Deduplicated && apart >= record.DedupWindow
+		forgotten := record.Effect == Deduped && apart >= record.DedupWindow
 		if attempt.Decode && mayHaveRun && (record.Effect == NonRetriable || forgotten) {
 			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, apart)
 		}
 	}
 }
 
-// AttemptEnded records the outcome of an attempt. One that was never written is ignored.
+// AttemptEnded records the outcome of an attempt. An attempt that was never written is ignored.
 func (m *Monitor) AttemptEnded(id int64, attempt int, neverRan bool) {
 	record := m.requests[id]
 	if record == nil || attempt >= len(record.attempts) {
@@ -151,7 +151,7 @@
 		return
 	}
 	previous, reported := m.reportedReservations[request]
-	if !reported || unclaimed < previous { // a shorter time is that of another reservation of the same request
+	if !reported || unclaimed < previous { // a shorter time belongs to another reservation of the same request
 		m.report(ReservedTooLong, request, "%v", unclaimed)
 	}
 	if len(m.reportedReservations) >= maxReportedReservations {
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -32,7 +32,7 @@
 // Limits holds the time spans that the monitor applies.
 type Limits struct {
 	DrainGrace       time.Duration // how long attempts may be sent after the notification of a drain
-	ReservationLimit time.Duration // how long a reservation may exist that no attempt in flight may consume
+	ReservationLimit time.Duration // how long a reservation may exist without an attempt in flight that may consume it
 	AnswerSlack      time.Duration // how long after the client's deadline a final answer may be sent
 	TimeBudgetSlack  time.Duration // how much the time budget sent to an engine may exceed the time that is left
 }
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -6,14 +6,14 @@
 type Limits struct {
 	KeepTime             time.Duration // how long a reservation may wait to be consumed, since an attempt was last in flight
 	RepeatInterval       time.Duration // between two acknowledged releases
-	RetryInterval        time.Duration // between the first releases that are not acknowledged; the interval doubles after some
+	RetryInterval        time.Duration // between unacknowledged releases; doubles after the first steadyRetries
 	AbandonAfter         time.Duration // how long releases that no engine acknowledges are retried
 	MaxReservations      int
 	ReleasesWholeRequest bool // a release frees all reservations of its request, whichever prefill made them
 }
 
 const (
-	// abandonAfterLimits is the number of reservation limits for which unacknowledged releases are retried. A router may be
+	// abandonAfterLimits is how long unacknowledged releases are retried, in reservation limits. A router may be
 	// cut off from all engines for some seconds and must still release afterwards; engines that never acknowledge must not
 	// be retried forever.
 	abandonAfterLimits = 10
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -47,7 +47,7 @@
 	return min(t.limits.RetryInterval<<doublings, longest)
 }
 
-// inUseUntil returns when another reservation of the same request that is still to be used becomes due; 0 if there is none.
+// inUseUntil returns the latest due time of the request's other reservations that are still to be used; 0 if there are none.
 func (t *Table) inUseUntil(r *Reservation) (until int64) {
 	for _, other := range t.byRequest[r.ID.Request] {
 		if other != r && (other.State == Reserved || other.State == Claimed) {
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -5,7 +5,7 @@
 // the table once an attempt has consumed it, or once an engine has acknowledged a release at a time at which nothing can
 // restore the reservation. An acknowledgement proves nothing while an attempt may still claim the reservation: an
 // engine frees only what no attempt waits for, and it may see the connection of an abandoned attempt close after the
-// release has arrived. So releases are repeated for as long as such an attempt, or an abandoned prefill, may live.
+// release has arrived. So releases are repeated for as long as such an attempt, or an abandoned prefill, may be running.
 package reservation
 
 import "fmt"
@@ -43,7 +43,7 @@
 // UnclaimedSince returns since when no attempt that may consume the reservation has been in flight, as far as is known.
 func (r *Reservation) UnclaimedSince() int64 { return r.unclaimedSince }
 
-// Fingerprint returns a text of all state that the handling of later events depends on, with times relative to now.
+// Fingerprint returns all state that the handling of later events depends on, as a text with times relative to now.
 func (r *Reservation) Fingerprint(now int64) string {
 	unacknowledgedFor := int64(-1)
 	if r.unacknowledgedSince > 0 {
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -1,15 +1,15 @@
 package reservation
 
-// State is the state of a reservation as it is known to this router.
+// State is the state of a reservation as far as this router knows it.
 type State uint8
 
 // The states of a reservation.
 const (
-	None      State = iota // no reservation exists, or none is known any more
+	None      State = iota // no reservation is known to exist
 	Reserved               // an engine holds the reservation, and no attempt that may consume it is in flight
 	Claimed                // an attempt that may consume the reservation is in flight
 	Contested              // a release is due although an attempt that may consume the reservation is in flight
-	Releasing              // the reservation is not needed: releases are due until no further release can be necessary
+	Releasing              // the reservation is not needed: releases are repeated until no further one can be necessary
 )
 
 var stateNames = [...]string{None: "none", Reserved: "reserved", Claimed: "claimed", Contested: "contested", Releasing: "releasing"}
@@ -30,7 +30,7 @@
 	AttemptAbandoned                      // the sent attempt ended in any other way: its engine may not have noticed yet
 	Consumed                              // an attempt has consumed the reservation
 	ConsumedBeforeHorizon                 // consumed, and an abandoned prefill may still leave another reservation
-	Unneeded                              // the request does not need the reservation any more
+	Unneeded                              // the request no longer needs the reservation
 	Expired                               // the keep time of the reservation has passed
 	ReleaseAcknowledged                   // an engine has acknowledged a release
 	ReleaseAcknowledgedEarly              // an engine has acknowledged a release, and a later release is necessary
--- a/internal/reservation/table.go
+++ b/internal/reservation/table.go
@@ -106,7 +106,7 @@
 type EventTimes struct {
 	Now     int64
 	Since   int64 // the earliest time at which the event may have happened
-	Horizon int64 // until when an abandoned attempt of the request may still have an effect at its engine; 0 if there is none
+	Horizon int64 // until when an abandoned attempt of the request may affect its engine; 0 if no attempt is abandoned
 }
 
 // Add records the reservation of a prefill that has just ended, by PrefillDone or PrefillLost. It returns nil if the table
@@ -137,8 +137,8 @@
 	return false
 }
 
-// HandleAttempt applies Unneeded or the event of an attempt, which may consume any reservation of its request, to all
-// reservations of the request. It returns the reservations whose due time has changed.
+// HandleAttempt applies Unneeded or the event of an attempt to all reservations of a request, as an attempt may consume any
+// of them. It returns the reservations whose due time has changed.
 func (t *Table) HandleAttempt(request string, event Event, times EventTimes) (changed []*Reservation) {
 	for _, r := range slices.Clone(t.byRequest[request]) {
 		if r.State == Releasing && !t.limits.ReleasesWholeRequest {
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -30,7 +30,7 @@
 
 var firstID = ID{Request: "a", Attempt: 0}
 
-// Checks the state and the due time of a reservation after the events of its request.
+// The state and the due time of a reservation follow from the events of its request.
 func TestTransitions(t *testing.T) {
 	const horizon = start + 3*second
 	for _, c := range []struct {
@@ -87,7 +87,7 @@
 		}
 		if action, _ := table.HandleDue(r, now); action == Release {
 			if gap := now - last; gap > int64(limit)*3/4 {
-				t.Errorf("%v without a release", time.Duration(gap))
+				t.Errorf("no release for %v", time.Duration(gap))
 			}
 			releases, last = releases+1, now
 			table.Acknowledge(r, r.Round, now)
@@ -153,7 +153,7 @@
 	full.Acknowledge(acknowledged, acknowledged.Round, start)
 	full.Add(ID{"b", 0}, "r", PrefillDone, timesAt(start))
 	if full.Add(ID{"c", 0}, "r", PrefillDone, timesAt(start)) == nil || full.Find(firstID) != nil {
-		t.Error("a reservation of which a release was acknowledged is not evicted")
+		t.Error("a reservation with an acknowledged release is not evicted")
 	}
 	releases, now := 0, start
 	for ; r.State != None && now < start+60*second; now += second / 100 {
@@ -180,7 +180,7 @@
 		}
 	}
 	if got := table.backoff(1000); got != 50*time.Millisecond {
-		t.Errorf("after release 1000: %v", got)
+		t.Errorf("after release 1000: %v, want 50ms", got)
 	}
 }
 
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something that the caller of a Policy has to do. Its implementations are the types of this file.
+// Action is an instruction to the caller of a Policy. Its implementations are the types of this file.
 type Action interface{ isAction() }
 
 // Send starts an attempt: the request is sent to the engine. An attempt without a timeout may last until the
@@ -13,7 +13,7 @@
 	Timeout   time.Duration
 }
 
-// Shed rejects a request with a final answer by which the client may safely retry.
+// Shed rejects a request with a final answer after which the client may safely retry.
 type Shed struct {
 	RequestID  int64
 	RetryAfter time.Duration // suggested to the client; 0 for no suggestion
@@ -32,7 +32,7 @@
 	Attempt   int
 }
 
-// Release releases all reservations of a request that no attempt needs any more.
+// Release releases all reservations of a request, as no attempt needs them any longer.
 type Release struct{ RequestID int64 }
 
 // StartTimer requests a TimerFired event no earlier than After from now.
@@ -47,7 +47,7 @@
 // HealthCheck requests the load of an engine.
 type HealthCheck struct{ Engine string }
 
-// AllNodes is the receiver of a SendGossip action that is sent to all other nodes.
+// AllNodes, as the To of a SendGossip action, stands for all other nodes.
 const AllNodes = -1
 
 // SendGossip sends a short message to one node, or to AllNodes.
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -17,8 +17,8 @@
 	return affinity{}
 }
 
-// gossipEnabled reports whether nodes inform each other of the engines that cache a session: if the settings allow it and a
-// message to all nodes costs no more than 0.005 of a request's value, about what a cached prompt saves.
+// gossipEnabled reports whether nodes inform each other of the engines that cache a session. They do if the settings allow
+// it and a message to all nodes costs less than 0.005 of a request's value, about what a cached prompt saves.
 func (p *Policy) gossipEnabled() bool {
 	others := float64(p.config.Nodes - 1)
 	return p.config.Gossip && others > 0 && p.config.GossipPrice*others*100/256 < 0.005
@@ -70,7 +70,7 @@
 }
 
 // recordCached records what an engine has cached after a prefill. If a prefix was not cached although it should have
-// been, the engine has lost its cache: all its entries from before the request are dropped.
+// been, the engine has lost its cache: all its entries from before the request's arrival are dropped.
 func (p *Policy) recordCached(req *request, engine string, cachedTokens float64) {
 	prefix, ok := p.cache.get(prefixKey(req.Prefix), engine)
 	if ok && req.Prefix != "" && cachedTokens < 0.5*min(prefix.tokens, req.PrefixTokens) {
--- a/internal/routing/affinity_test.go
+++ b/internal/routing/affinity_test.go
@@ -72,7 +72,7 @@
 	policy := n.policy
 	if len(policy.engines) > 40 || len(policy.sortedEngines) > 40 || len(policy.requests) > 0 || len(policy.timers.pending) > 300 || policy.cache.count > 20001 ||
 		len(policy.affinities) > 20001 || len(policy.cache.entriesByKey) > 20001 || len(policy.cache.keysByEngine) > 40 {
-		t.Errorf("engines %d, listed %d, requests %d, timers %d, cached %d, affinities %d, keys %d of %d engines", len(policy.engines), len(policy.sortedEngines),
+		t.Errorf("engines %d, sorted %d, requests %d, timers %d, cached %d, affinities %d, keys %d of %d engines", len(policy.engines), len(policy.sortedEngines),
 			len(policy.requests), len(policy.timers.pending), policy.cache.count, len(policy.affinities), len(policy.cache.entriesByKey), len(policy.cache.keysByEngine))
 	}
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -19,10 +19,10 @@
 // effectNames holds the names of the effects in the settings.
 var effectNames = [...]string{NonRetriable: "non-retriable", Deduped: "deduped", Retriable: "retriable"}
 
-// String returns the name in the settings.
+// String returns the effect's name in the settings.
 func (e Effect) String() string { return effectNames[e] }
 
-// ParseEffect returns the effect with a name in the settings. An error is an UnknownValueError.
+// ParseEffect returns the effect with the given name in the settings. An unknown name gives an UnknownValueError.
 func ParseEffect(name string) (Effect, error) {
 	return parseValue[Effect]("effect", name, effectNames[:])
 }
@@ -42,10 +42,10 @@
 // dedupGroupNames holds the names of the dedup groups in the settings.
 var dedupGroupNames = [...]string{DedupNone: "", DedupCell: "cell", DedupZone: "zone", DedupAll: "all"}
 
-// String returns the name in the settings.
+// String returns the group's name in the settings.
 func (g DedupGroup) String() string { return dedupGroupNames[g] }
 
-// ParseDedupGroup returns the dedup group with a name in the settings. An error is an UnknownValueError.
+// ParseDedupGroup returns the dedup group with the given name in the settings. An unknown name gives an UnknownValueError.
 func ParseDedupGroup(name string) (DedupGroup, error) {
 	return parseValue[DedupGroup]("dedup group", name, dedupGroupNames[:])
 }
@@ -63,10 +63,10 @@
 // roleNames holds the names of the roles in the settings.
 var roleNames = [...]string{Mixed: "both", PrefillOnly: "read", DecodeOnly: "write"}
 
-// String returns the name in the settings.
+// String returns the role's name in the settings.
 func (r Role) String() string { return roleNames[r] }
 
-// ParseRole returns the role with a name in the settings. An error is an UnknownValueError.
+// ParseRole returns the role with the given name in the settings. An unknown name gives an UnknownValueError.
 func ParseRole(name string) (Role, error) { return parseValue[Role]("role", name, roleNames[:]) }
 
 // UnknownValueError reports a value of a setting that is not among the allowed ones.
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("%s %q is not one of %q", e.Setting, e.Value, e.Allowed)
 }
 
-// parseValue returns the index of a value among the allowed ones; 0 and an error if it is not among them.
+// parseValue returns the index of a value among the allowed ones, or 0 and an error if the value is not allowed.
 func parseValue[T ~uint8](setting, value string, allowed []string) (T, error) {
 	i := slices.Index(allowed, value)
 	if i < 0 {
@@ -138,7 +138,7 @@
 	Kinds     []EngineKind
 }
 
-// defaultReservationLimit is the limit from which the response timeout of decode engines is derived if none is set.
+// defaultReservationLimit is the limit from which the response timeout of decode engines is derived if no limit is set.
 const defaultReservationLimit = time.Second
 
 // DefaultConfig returns the configuration of a deployment with empty settings.
@@ -159,7 +159,7 @@
 // the limit.
 func responseTimeoutOf(limit time.Duration) time.Duration { return limit / 3 }
 
-// route returns the configuration of a route, or the default of one that the settings do not list.
+// route returns the configuration of a route, or DefaultRoute if the settings do not list the route.
 func (c *Config) route(number int) Route {
 	if number < 0 || number >= len(c.Routes) {
 		return DefaultRoute()
@@ -167,7 +167,7 @@
 	return c.Routes[number]
 }
 
-// kind returns the properties of a kind of engine, or the default of one that the settings do not list.
+// kind returns the properties of a kind of engine, or the zero value if the settings do not list the kind.
 func (c *Config) kind(number int) EngineKind {
 	if number < 0 || number >= len(c.Kinds) {
 		return EngineKind{}
@@ -175,8 +175,8 @@
 	return c.Kinds[number]
 }
 
-// spans reports whether two engines are in the same dedup group. The first is nil if it is no longer known, and then only
-// DedupAll spans both.
+// spans reports whether two engines are in the same dedup group. If the first engine is no longer known, first is nil and
+// only DedupAll spans both.
 func (g DedupGroup) spans(first, second *engine) bool {
 	switch {
 	case g == DedupAll:
--- a/internal/routing/config_test.go
+++ b/internal/routing/config_test.go
@@ -27,17 +27,17 @@
 	effect, err := ParseEffect("Retriable")
 	unknown, ok := errors.AsType[*UnknownValueError](err)
 	if effect != NonRetriable || !ok || unknown.Value != "Retriable" || len(unknown.Allowed) != len(effectNames) {
-		t.Errorf("%v, %v", effect, err)
+		t.Errorf("unknown effect gives %v and the error %v", effect, err)
 	}
 	if group, err := ParseDedupGroup("town"); group != DedupNone || err == nil {
-		t.Errorf("%v, %v", group, err)
+		t.Errorf("unknown dedup group gives %v and the error %v", group, err)
 	}
 }
 
-// Routes and kinds that the settings do not list have the defaults of empty settings.
+// Routes and kinds that the settings do not list have the same values as with empty settings.
 func TestUnlistedRoutesAndKindsHaveDefaults(t *testing.T) {
 	c := DefaultConfig()
 	if c.route(0) != DefaultRoute() || c.route(-1) != DefaultRoute() || c.kind(3) != (EngineKind{}) {
-		t.Errorf("%+v, %+v", c.route(0), c.kind(3))
+		t.Errorf("unlisted route is %+v, unlisted kind is %+v", c.route(0), c.kind(3))
 	}
 }
--- a/internal/routing/decode.go
+++ b/internal/routing/decode.go
@@ -28,7 +28,7 @@
 // pickDecode returns one of the engines with the fewest streams. With many nodes nearly all engines tie, so the next
 // criterion is their known memory share, weighed against the distance of the KV transfer, and the last is round robin.
 func (p *Policy) pickDecode(req *request) *engine {
-	tied := p.fewestStreams(req)
+	tied := p.bestDecodeEngines(req)
 	if len(tied) == 0 {
 		return nil
 	}
@@ -37,7 +37,8 @@
 		tied = slices.DeleteFunc(tied, func(e *engine) bool { return !p.hasFreshLoad(e) })
 	}
 	// Leaving the cell costs as much as a tenth of an engine's memory. Leaving the zone costs four tenths, as the KV
-	// transfer takes several times as long and delays others on the link. Within a tenth, differences of reports are noise.
+	// transfer takes several times as long and delays others on the link. Differences within a tenth are noise in the
+	// reports.
 	distanceCosts := [...]float64{0, 1, 4}
 	cost := func(e *engine) float64 {
 		return distanceCosts[distance(from, e)] + math.Round(10*max(lowMemoryShare, e.memoryShare))
@@ -46,10 +47,11 @@
 	return tied[p.nextRotation()%len(tied)]
 }
 
-// fewestStreams returns the session's engine if its latency is low, else all engines with the fewest streams of this node.
-func (p *Policy) fewestStreams(req *request) []*engine {
+// bestDecodeEngines returns only the session's engine if its latency is low, else all engines with the fewest streams of
+// this node.
+func (p *Policy) bestDecodeEngines(req *request) []*engine {
 	candidates := &p.decodeEngines
-	if !p.mayRetryAnywhere(req) { // usableEngines does not filter quiet engines
+	if !p.mayRetryAnywhere(req) { // must be filtered here: usableEngines does not call its filter for quiet engines
 		forbidden := func(e *engine) bool { return !p.mayRetryOn(req, e) }
 		candidates = &engineGroup{engines: slices.DeleteFunc(slices.Clone(candidates.engines), forbidden)}
 	}
@@ -65,8 +67,8 @@
 }
 
 // hasCapacity reports whether an engine has memory for the request; an engine that runs out evicts its newest streams. The
-// memory in use is that of a fresh report plus what was sent since, else that of this node's streams, assuming that all
-// nodes have as many streams. A wrong estimate costs a wait of three quarters of the reservation limit. The factor 1.05
+// memory in use is taken from a fresh report plus the prompts sent since, else from this node's streams, assuming that all
+// nodes have as many. A wrong estimate costs a wait of three quarters of the reservation limit. The factor 1.05
 // allows for noise in reports.
 func (p *Policy) hasCapacity(req *request, e *engine) bool {
 	load := p.loadOf(e)
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -18,7 +18,7 @@
 	sendTimes        []time.Duration // when the last attempts were sent
 	progressTimes    []time.Duration // when the last prefills ended and the last first tokens arrived
 	latencySamples   []sample
-	latencyPerWork   []time.Duration // of the last prefills: per thousand tokens that were queued or not cached
+	latencyPerWork   []time.Duration // of the last prefills: latency per thousand tokens that were queued or not cached
 	faultTimes       []time.Duration
 	suspect          bool          // the engine had a fault and has not responded since
 	fullUntil        time.Duration // when a decode may be sent again after the engine rejected one
@@ -136,7 +136,7 @@
 	}
 }
 
-// distance returns 0 within a cell, 1 within a zone, else 2.
+// distance returns 0 within a cell or if from is nil, 1 within a zone, else 2.
 func distance(from, to *engine) int {
 	if from == nil || to.Cell == from.Cell {
 		return 0
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that has happened and that a Policy handles. Its implementations are the types of this file.
+// Event is an input of a Policy. Its implementations are the types of this file.
 type Event interface{ isEvent() }
 
 // EndpointUpdate is a watch event of the endpoint list. A complete list replaces the previous one; any other update
@@ -27,7 +27,7 @@
 	RequestID                  int64
 	Route                      int
 	Session, Prefix            string
-	Waited                     time.Duration // since this node has read the request
+	Waited                     time.Duration // time since this node read the request
 	Deadline                   time.Duration
 	PromptTokens, PrefixTokens float64
 	MaxOutputTokens            float64
--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -81,7 +81,8 @@
 	return out
 }
 
-// DescribeTimer returns the request and the trigger of a pending timer; empty if the timer has no effect any more.
+// DescribeTimer returns the request and the trigger of a pending timer, or an empty string if the timer no longer has an
+// effect.
 func (p *Policy) DescribeTimer(token int64) string {
 	t, ok := p.timers.pending[token]
 	if !ok || t.requestID != noRequest && p.requests[t.requestID] == nil {
--- a/internal/routing/hash.go
+++ b/internal/routing/hash.go
@@ -32,7 +32,8 @@
 	return h
 }
 
-// sum returns the hash mixed once more: without it, texts that differ only in their last letters share the upper bits.
+// sum returns the hash after a final mixing step, without which texts that differ only in their last letters would share the
+// upper bits.
 func (h fnvHash) sum() uint64 {
 	x := uint64(h)
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
@@ -58,7 +59,7 @@
 	return float64(r.seeded.addNumber(r.draws).sum()>>11) / (1 << 53)
 }
 
-// skip skips the given count of numbers.
+// skip skips count numbers of the sequence.
 func (r *randomSource) skip(count int) { r.draws += uint64(count) }
 
 // hashedEngine is an engine with the hash of a key and the engine's ID.
--- a/internal/routing/healthcheck.go
+++ b/internal/routing/healthcheck.go
@@ -35,7 +35,7 @@
 
 // responseTimeout returns how long the last attempt may go without a response before its engine is checked. Only a health
 // check distinguishes an engine that is cut off from a busy one, and data written to a reused connection may be lost. A
-// prefill engine is checked after half the objective, as a second prefill would be too late any later.
+// prefill engine is checked after half the objective, as a second prefill after a later check would be too late.
 func (p *Policy) responseTimeout(req *request) time.Duration {
 	if req.lastAttempt().decode {
 		return p.config.DecodeResponseTimeout
@@ -43,8 +43,8 @@
 	return time.Duration(p.firstTokenObjective(req) / 2)
 }
 
-// checkOverdueEngine sends a health check to the engine of an overdue attempt, unless the engine is warming up: there a
-// health check would count as work.
+// checkOverdueEngine sends a health check to the engine of an overdue attempt. An engine that is warming up is not checked,
+// as a health check counts as work there.
 func (p *Policy) checkOverdueEngine(req *request) trigger {
 	att := req.lastAttempt()
 	e := p.engines[att.engine]
--- a/internal/routing/healthcheck_test.go
+++ b/internal/routing/healthcheck_test.go
@@ -34,7 +34,7 @@
 	return n, decodeEngine
 }
 
-// Guards against a reservation that is held until the client's deadline: a request that is written to an idle connection of
+// Guards against a reservation that is held until the client's deadline: a request that is written to an idle connection to
 // a machine that is cut off is never answered.
 func TestUnresponsiveDecodeEngineIsAbandoned(t *testing.T) {
 	n, decodeEngine := newTestNodeWithOverdueDecode(t, 0)
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -9,8 +9,8 @@
 const (
 	// reportTTL is how long a load report is valid: queues turn over, and reports are renewed, within that time.
 	reportTTL = 700 * time.Millisecond
-	// reportDelay is the age of a report on arrival, from its refresh interval and the network. The report lacks attempts
-	// that were sent since.
+	// reportDelay is the age of a report on arrival, due to the refresh interval and the network. Attempts that were sent
+	// within this time before the arrival are missing from the report.
 	reportDelay = 500 * time.Millisecond
 )
 
@@ -21,8 +21,8 @@
 }
 
 // latency returns how long attempts currently wait at an engine, and whether that is known. It is the least of the recent
-// samples, as large prompts take long on any engine, or without samples an estimate from the load report; and no less than
-// the median wait of the attempts without a response.
+// samples, as large prompts take long on any engine; without samples it is estimated from the load report. In either case it
+// is at least the median wait of the attempts without a response.
 func (p *Policy) latency(e *engine, load engineLoad) (latency time.Duration, known bool) {
 	if !p.mayHaveLatency(e, load) {
 		return 0, false
@@ -54,8 +54,8 @@
 		samples > 0 && p.now-e.latencySamples[samples-1].at < sampleTTL
 }
 
-// requestLoad sends health checks to the preferred prefill engines and some decode engines, as the load of the other nodes
-// is not visible to this one.
+// requestLoad sheds a request that has waited too long. For any other it sends health checks to the preferred prefill
+// engines and some decode engines, as the load from other nodes is not visible to this one.
 func (p *Policy) requestLoad(req *request) trigger {
 	if p.hasWaitedTooLong(req) {
 		return cannotMeetObjective
@@ -75,9 +75,9 @@
 }
 
 // decodeCandidates returns two of the nearest engines that tie for the fewest streams, and one farther away in case these
-// are full; none if the known load suffices for a choice.
+// are full; nil if the known load suffices for a choice.
 func (p *Policy) decodeCandidates(req *request) []*engine {
-	tied, from := p.fewestStreams(req), p.engines[req.prefillEngine]
+	tied, from := p.bestDecodeEngines(req), p.engines[req.prefillEngine]
 	nearest := math.MaxInt
 	for _, e := range tied {
 		nearest = min(nearest, distance(from, e))
@@ -98,8 +98,8 @@
 	rank float64
 }
 
-// nearestAtRandom returns the first two engines by rank, and the first one that is farther away than the nearest; if there
-// is none, the second again.
+// nearestAtRandom returns the first two engines by rank, and the first one that is farther away than the nearest; if no
+// engine is farther away, the second again.
 func (p *Policy) nearestAtRandom(engines []*engine, from *engine, nearest int) []*engine {
 	first, second, farther := rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}
 	for _, e := range engines {
@@ -120,8 +120,8 @@
 	return []*engine{first.engine, second.engine, farther.engine}
 }
 
-// requestLoadOf sends health checks to the engines whose load is unknown. Engines that are warming up are left out: there a
-// health check would count as work.
+// requestLoadOf sends health checks to the engines whose load is unknown. Engines that are warming up are left out, as a
+// health check counts as work there.
 func (p *Policy) requestLoadOf(req *request, engines []*engine) trigger {
 	req.awaitedEngines = req.awaitedEngines[:0]
 	for _, e := range engines {
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// recordWorkLatency records the latency of a prefill per unit of work, of its own and that queued before it.
+// recordWorkLatency records the latency of a prefill per unit of work. The work is that of the prefill itself and that
+// queued before it.
 func (p *Policy) recordWorkLatency(req *request, e *engine, att *attempt, o Outcome) {
 	if att.queuedWork <= 0 {
 		return
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -22,9 +22,9 @@
 	e.suspect, e.quiet = true, false
 }
 
-// isSlow reports whether an engine takes three times as long for its prefill work as the median engine. The work is what
-// was queued according to the engine's report, and the uncached tokens. Unlike latency, this is not high on busy engines.
-// The rule does harm where an engine reports too little work: that engine then counts as slow.
+// isSlow reports whether an engine takes three times as long for its prefill work as the median engine. The work is the
+// queued work in the engine's report and the uncached tokens of the prompt. Unlike latency, latency per work is not high on
+// busy engines. The rule is harmful where an engine reports too little work: that engine then counts as slow.
 func (p *Policy) isSlow(e *engine) bool {
 	const slowFactor = 3
 	fleet := p.medianWorkLatency()
@@ -57,8 +57,8 @@
 	return p.cachedWorkLatency
 }
 
-// isExpired reports whether an engine was removed so long ago that its faults no longer count, and has nothing in flight.
-// Without expiry, the records of replaced engines would accumulate without bound.
+// isExpired reports whether an engine was removed so long ago that its faults no longer count, and has no attempt in
+// flight. Without expiry, the records of replaced engines would accumulate without bound.
 func (p *Policy) isExpired(e *engine) bool {
 	return e.removedAt > 0 && p.now-e.removedAt > faultWindow && len(e.open.all) == 0
 }
@@ -137,9 +137,9 @@
 	return float64(medianWithZeros(b.faults, b.faultless))
 }
 
-// leastUnhealthy returns the unhealthy engines that have been healthy since their fault, else those on which the request
-// has not failed: an engine that is gone would be chosen again, as it has the fewest streams. The rule does harm where all
-// engines fail alike, as attempts are then distributed less evenly.
+// leastUnhealthy returns the engines that are not suspect and on which the request has not failed; if there are none, those
+// on which it has not failed; else all. An engine that is gone would otherwise be chosen again, as it has the fewest
+// streams. The rule is harmful where all engines fail alike, as attempts are then distributed less evenly.
 func leastUnhealthy(req *request, engines []*engine) []*engine {
 	suspect := func(e *engine) bool { return e.suspect || req.hasFailedOn(e) }
 	for _, excluded := range []func(*engine) bool{suspect, req.hasFailedOn} {
@@ -153,7 +153,7 @@
 // isHealthy reports whether an engine is neither failing nor unresponsive nor slow. Each fault ejects an engine, for longer
 // with each further one; afterwards the engine gets one trial attempt at a time, besides its open streams. Latencies and
 // faults are compared with those of the other engines: a busy fleet has high values too, and network faults affect all
-// engines alike, so that ejecting each engine with a fault would leave the whole load to one or two. The rule does harm
+// engines alike, so that ejecting each engine with a fault would leave the whole load to one or two. The rule is harmful
 // where most engines fail partially.
 func (p *Policy) isHealthy(req *request, e *engine, load engineLoad, medianLatency time.Duration,
 	medianFaults float64) bool {
@@ -170,7 +170,7 @@
 	return (!e.suspect || len(load.waits) == 0) && !req.hasFailedOn(e)
 }
 
-// ejection returns for how long an engine is ejected after its last fault.
+// ejection returns how long an engine is ejected after its last fault.
 func (p *Policy) ejection(e *engine, medianFaults float64) time.Duration {
 	if excess := p.countSince(e.faultTimes, faultWindow) - medianFaults; excess > 0 {
 		return baseEjection << min(int(excess)-1, 3)
--- a/internal/routing/outlier_test.go
+++ b/internal/routing/outlier_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Guards against network faults that eject one engine after the other, until a single decode engine is left for all
-// requests.
+// Guards against network faults that eject one engine after another, until a single decode engine is left for all requests.
 func TestNetworkFaultsEjectNoEngine(t *testing.T) {
 	n := newTestNode(t, nil)
 	e := n.policy.engines["w0"]
@@ -82,7 +81,7 @@
 	recordPrefills("r2", 900, 0)  // slow
 	for id, want := range map[string]bool{"r0": false, "r1": false, "r2": true} {
 		if e := n.policy.engines[id]; n.policy.isSlow(e) != want || n.policy.isHealthy(req, e, engineLoad{}, 800*ms, 0) == want {
-			t.Errorf("%s: slow %v", id, n.policy.isSlow(e))
+			t.Errorf("%s: isSlow is %v, or isHealthy contradicts it", id, n.policy.isSlow(e))
 		}
 	}
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -32,7 +32,7 @@
 	rotation   int // position of the round robin; 0 until its random start is drawn
 
 	recentPrefixes              []string        // of the last requests
-	recentLatencyPerWork        []time.Duration // of the last prefills: per unit of queued work, with the prefill itself as one
+	recentLatencyPerWork        []time.Duration // of the last prefills: latency per unit of queued work, counting the prefill as one
 	lowerQuartileLatencyPerWork time.Duration   // lower quartile of recentLatencyPerWork
 	expectedOverruns            []sample        // of the last requests: expected latency less a quarter of the objective
 	firstTokenOverruns          []sample        // of the last first tokens: latency less the objective
@@ -50,7 +50,7 @@
 		affinities: affinityTable{}, random: newRandomSource(seed)}
 }
 
-// Step handles one event at the time now and returns the actions that the caller has to do, in order.
+// Step handles one event at the time now and returns the actions that the caller has to perform, in order.
 func (p *Policy) Step(now time.Duration, event Event) []Action {
 	p.now, p.actions = now, nil
 	p.cachedWorkLatency.valid = false
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -94,8 +94,9 @@
 	return 2*c.prefills(e) + oneIfDifferent(e.Zone, c.policy.config.Zone)
 }
 
-// pickPreferred returns a preferred engine that answers health checks and is under the load cap, also by its report. If
-// there is none, an engine with slow start budget left is chosen, as it is idle, unlike crowded preferred engines.
+// pickPreferred returns the preferred engine with the least work among those that answer health checks and are under the
+// load cap, also by their reports. If there is none, it returns an engine in slow start, which is idle as it has budget
+// left, else a preferred engine that is under the load cap by this node's attempts alone.
 func (c *prefillChoice) pickPreferred() *engine {
 	p, preferred := c.policy, c.policy.preferredEngines(c.req, c.ready)
 	available := func(e *engine) bool { return c.isUnderCap(e) && p.isLightlyLoaded(c.req, e) }
@@ -166,9 +167,9 @@
 }
 
 // preferredEngines returns the first two engines, the same at all nodes, that the session hashes to among those that cache
-// its prefix. Two engines cache a prefix, as copies take memory, or as many as are needed so that none spends more than two
-// thirds of its fair share of prefills on it. There are no preferred engines for a session that is known to be cached, or
-// if nodes gossip.
+// its prefix. Only two engines cache a prefix, as copies take memory, or as many as are needed so that none spends more than
+// two thirds of its fair share of prefills on the prefix. There are no preferred engines for a session that is known to be
+// cached, or if nodes gossip.
 func (p *Policy) preferredEngines(req *request, ready []*engine) []*engine {
 	if p.config.Nodes < 2 || p.gossipEnabled() || p.sessionCachedIn(req.Session, ready) {
 		return nil
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// The functions below compute by full scans what the policy keeps in indexes, and compare the results.
+// The functions below recompute by full scans the data that the policy keeps in indexes, and compare the results.
 
 // checkIndexes compares all indexes of a policy with a scan.
 func checkIndexes(t *rapid.T, p *Policy) {
@@ -77,23 +77,23 @@
 
 func checkCacheIndexes(t *rapid.T, p *Policy) {
 	t.Helper()
-	entries, texts := 0, 0
-	for text, cached := range p.cache.entriesByKey {
+	entries, keys := 0, 0
+	for key, cached := range p.cache.entriesByKey {
 		entries += len(cached)
 		if !slices.IsSortedFunc(cached, func(a, b cacheEntry) int { return cmp.Compare(a.engine, b.engine) }) {
-			t.Fatalf("entries of %v are not in the order of engines: %v", text, cached)
+			t.Fatalf("entries of %v are not in the order of engines: %v", key, cached)
 		}
 		for _, entry := range cached {
-			if !slices.Contains(p.cache.keysByEngine[entry.engine], text) {
-				t.Fatalf("key %v of %s is not in the index", text, entry.engine)
+			if !slices.Contains(p.cache.keysByEngine[entry.engine], key) {
+				t.Fatalf("key %v of %s is not in the index", key, entry.engine)
 			}
 		}
 	}
 	for _, cached := range p.cache.keysByEngine {
-		texts += len(cached)
+		keys += len(cached)
 	}
-	if entries != p.cache.count || texts != p.cache.count {
-		t.Fatalf("%d entries, %d in the index, %d counted", entries, texts, p.cache.count)
+	if entries != p.cache.count || keys != p.cache.count {
+		t.Fatalf("%d entries, %d in the index, %d counted", entries, keys, p.cache.count)
 	}
 }
 
@@ -111,7 +111,7 @@
 		t.Fatalf("%s counts as quiet: %+v, latency %v %v", e.Engine, e, latency, known)
 	}
 	if got, want := p.throughputOfRole(e), scanThroughput(p, e); got != want {
-		t.Fatalf("slow start rate of %s: %v, by a scan %v", e.Engine, got, want)
+		t.Fatalf("throughput of the role of %s: %v, by a scan %v", e.Engine, got, want)
 	}
 }
 
@@ -152,14 +152,14 @@
 	return n
 }
 
-func scanThroughput(p *Policy, e *engine) (rate roleThroughput) {
+func scanThroughput(p *Policy, e *engine) (throughput roleThroughput) {
 	for _, other := range p.engines {
 		recent := scanCount(p, other.progressTimes, throughputWindow)
 		if other.canPrefill == e.canPrefill && other.canDecode == e.canDecode && (other.Ready || recent > 0) {
-			rate.completed, rate.engines = rate.completed+recent, rate.engines+1
+			throughput.completed, throughput.engines = throughput.completed+recent, throughput.engines+1
 		}
 	}
-	return rate
+	return throughput
 }
 
 // scanUsable computes the usable engines from a full check of each engine.
@@ -241,8 +241,8 @@
 	})
 }
 
-// Guards against a cost of a request that is quadratic in the engines in slow start: for each of them the throughput of all
-// engines was counted.
+// Guards against a cost per request that is quadratic in the number of engines in slow start: for each of them the
+// throughput of all engines was counted.
 func TestThroughputOfAWarmingUpFleetIsCountedOncePerResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
 		n := newFleetNode(t, engines, 0.5)
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sendTo is the gate of every attempt: it sends a request to an engine, or returns the trigger for the reason that forbids it.
+// sendTo is the gate of every attempt: it sends a request to an engine, or returns a trigger for the reason why it must not.
 func (p *Policy) sendTo(req *request, e *engine) trigger {
 	switch {
 	case len(req.attempts) >= p.config.MaxAttempts || !p.mayRetryOn(req, e):
@@ -58,7 +58,7 @@
 const retryDelay = 30 * time.Millisecond
 
 // triedRecently reports whether the request was sent to an engine less than the retry delay ago. Without the delay, an
-// engine that is gone and refuses at once would use up all attempts of a request within a millisecond.
+// engine that is gone and refuses connections at once would use up all attempts of a request within a millisecond.
 func (p *Policy) triedRecently(req *request, e *engine) bool {
 	return slices.ContainsFunc(req.attempts, func(att attempt) bool {
 		return att.engine == e.Engine && att.decode == e.canDecode && p.now-att.sentAt < retryDelay
@@ -110,7 +110,8 @@
 }
 
 // cancelLastAttempt cancels the attempt in flight if another one may follow. Otherwise it releases the reservation of a
-// decode: most likely it was not fetched, and if the decode is still queued, its engine will report the reservation missing.
+// decode: most likely the reservation was not fetched, and if the decode is still queued, its engine will report the
+// reservation missing.
 func (p *Policy) cancelLastAttempt(req *request) trigger {
 	att := req.lastAttempt()
 	// A prefill has no effect, yet clients treat a canceled one as an attempt that may have run: see docs/incidents.
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -14,7 +14,7 @@
 	n.expectActions(Release{1})
 }
 
-// A request that is shed with a prefill in flight counts as one that may have run.
+// A non-retriable request with a prefill in flight counts as one that may have run, so it fails instead of being shed.
 func TestNonRetriableIsNotShedWithAnAttemptInFlight(t *testing.T) {
 	n := newTestNode(t, nil)
 	n.arrive(1, 1, "s")
@@ -34,7 +34,7 @@
 	n := newTestNode(t, nil)
 	lost := n.arrive(1, 0, "s")
 	for req := int64(2); req <= 8; req++ {
-		n.completePrefill(60*ms, req, n.arrive(req, 0, "s")) // has the preferred engine of the lost attempt
+		n.completePrefill(60*ms, req, n.arrive(req, 0, "s")) // has the same preferred engine as the lost attempt
 		for _, action := range n.actions {
 			if action == (CancelAttempt{1, 0}) {
 				if next := n.step(1*ms, Outcome{RequestID: 1, Engine: lost, Verdict: Canceled}); next == "" || next == lost {
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -37,9 +37,9 @@
 	answer        string
 }
 
-// simulation feeds random events to one policy and checks five rules by its own record: each request gets one answer in
-// time (1), none may run twice against its route (2), attempts go to ready engines only (3), engines that are warming up get
-// limited attempts (4), and reservations are not held for too long (5).
+// simulation feeds random events to one policy and checks five rules by its own record: each request gets one answer in time
+// (1), no request runs twice if its route forbids it (2), attempts go to ready engines only (3), engines that are warming up
+// get limited attempts (4), and reservations are not held for too long (5).
 type simulation struct {
 	t             *rapid.T
 	policy        *Policy
@@ -202,16 +202,16 @@
 }
 
 func (s *simulation) updateEndpoints() {
-	complete := rapid.Bool().Draw(s.t, "whole") || len(s.engines) == 0
+	complete := rapid.Bool().Draw(s.t, "complete") || len(s.engines) == 0
 	update := EndpointUpdate{Complete: complete, Failed: !complete && rapid.IntRange(0, 9).Draw(s.t, "failed") == 0}
 	for i := range 8 {
-		lifecycle := rapid.IntRange(0, 11).Draw(s.t, "life")
+		lifecycle := rapid.IntRange(0, 11).Draw(s.t, "lifecycle")
 		e := Endpoint{Engine: fmt.Sprintf("e%d", i), Weight: 1, Zone: i % 2, Cell: i % 3, Kind: min(i%3, 2),
 			Ready: lifecycle > 1, Draining: lifecycle == 1, Removed: lifecycle == 0, StartedAt: s.engines[fmt.Sprintf("e%d", i)].StartedAt}
 		if rapid.IntRange(0, 7).Draw(s.t, "restart") == 0 {
 			e.StartedAt = s.now - time.Duration(rapid.Int64Range(0, 3000).Draw(s.t, "age"))*ms
 		}
-		if !update.Failed && (complete || rapid.Bool().Draw(s.t, "in")) {
+		if !update.Failed && (complete || rapid.Bool().Draw(s.t, "listed")) {
 			update.Engines = append(update.Engines, e)
 			s.engines[e.Engine] = e
 		}
@@ -224,7 +224,7 @@
 	req := &requestRecord{RequestArrived: RequestArrived{RequestID: id, Route: rapid.IntRange(0, 2).Draw(s.t, "route"),
 		Session: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(s.t, "session")),
 		Prefix:  rapid.SampledFrom([]string{"", "p1", "p2"}).Draw(s.t, "prefix"), PromptTokens: 2000, PrefixTokens: 1500,
-		Deadline: s.now + time.Duration(rapid.Int64Range(5, 4000).Draw(s.t, "patience"))*ms, MaxOutputTokens: 300,
+		Deadline: s.now + time.Duration(rapid.Int64Range(5, 4000).Draw(s.t, "time to deadline"))*ms, MaxOutputTokens: 300,
 		Resumed: rapid.IntRange(0, 9).Draw(s.t, "resumed") == 0}}
 	s.requests[id], s.ids = req, append(s.ids, id)
 	s.step(req.RequestArrived)
@@ -241,14 +241,14 @@
 	if len(open) == 0 {
 		return
 	}
-	req := s.requests[rapid.SampledFrom(open).Draw(s.t, "inf")]
+	req := s.requests[rapid.SampledFrom(open).Draw(s.t, "request")]
 	index := req.inFlight[0]
 	o := Outcome{RequestID: req.RequestID, Attempt: index, Engine: req.engines[index], Latency: s.now - req.sentAt[index]}
 	verdicts := []Verdict{EngineError, Full, TimedOut, NotConnected, ConnectionLost, Canceled, NotSent}
 	switch {
 	case req.streaming:
 		verdicts, o.RequestEnded = []Verdict{Completed, Completed, ConnectionLost}, true
-	case req.decode[index] && !req.ended && rapid.Bool().Draw(s.t, "first"):
+	case req.decode[index] && !req.ended && rapid.Bool().Draw(s.t, "first token"):
 		req.streaming, req.reserved = true, false
 		s.step(FirstToken{RequestID: req.RequestID, Attempt: index, Engine: req.engines[index], Latency: o.Latency})
 		return
@@ -259,11 +259,11 @@
 	req.inFlight = nil
 	switch o.Verdict {
 	case Full:
-		if req.decode[index] && rapid.Bool().Draw(s.t, "gone") {
+		if req.decode[index] && rapid.Bool().Draw(s.t, "reservation lost") {
 			o.ReservationLost, req.reserved = true, false
 		}
 	case PrefillDone:
-		req.reserved, o.CachedTokens = true, rapid.SampledFrom([]float64{0, 1500}).Draw(s.t, "kept")
+		req.reserved, o.CachedTokens = true, rapid.SampledFrom([]float64{0, 1500}).Draw(s.t, "cached tokens")
 	case EngineError, TimedOut, ConnectionLost, Canceled:
 		req.ran[index] = req.decode[index]
 	}
@@ -272,7 +272,7 @@
 		req.ended = true
 	}
 	s.step(o)
-	if rapid.IntRange(0, 9).Draw(s.t, "twice") == 0 {
+	if rapid.IntRange(0, 9).Draw(s.t, "repeated") == 0 {
 		s.step(o) // a late or repeated outcome must be harmless
 	}
 }
@@ -305,7 +305,7 @@
 	if len(s.ids) == 0 {
 		return
 	}
-	req := s.requests[rapid.SampledFrom(s.ids).Draw(s.t, "leaves")]
+	req := s.requests[rapid.SampledFrom(s.ids).Draw(s.t, "disconnected request")]
 	req.ended = true
 	s.step(ClientDisconnected{req.RequestID})
 }
@@ -314,7 +314,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "step kind") {
 			case 0, 1, 2:
 				s.arrive()
 			case 3, 4, 5, 6:
@@ -322,7 +322,7 @@
 			case 7, 8:
 				s.advance()
 			default:
-				if rapid.Bool().Draw(t, "list") {
+				if rapid.Bool().Draw(t, "endpoint update") {
 					s.updateEndpoints()
 				} else {
 					s.disconnect()
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -10,9 +10,9 @@
 	return e.warmingUpSince != 0 && p.now-e.warmingUpSince <= p.config.SlowStart.Duration
 }
 
-// withinSlowStartBudget reports whether this node may send an attempt to an engine. It keeps all nodes together from
-// overloading an engine that is warming up. The integer part of the budget is available to each node. For the fractional
-// part, a random number that is the same at all nodes selects the nodes that may send.
+// withinSlowStartBudget reports whether this node may send an attempt to an engine. The budget prevents the nodes together
+// from overloading an engine that is warming up. The integer part of the budget is available to each node. For the
+// fractional part, a random number that is the same at all nodes selects the nodes that may send.
 func (p *Policy) withinSlowStartBudget(e *engine) bool {
 	if !p.isWarmingUp(e) {
 		return true
@@ -20,8 +20,8 @@
 	window := max(4, p.config.SlowStart.Window)
 	nodes := max(1, float64(p.config.Nodes))
 	whole, fraction := math.Modf(p.slowStartBudget(e, window))
-	// A window overlaps five quarters at most, so each quarter grants a fifth of the fraction. The random selection is
-	// uneven and grants only two thirds of that.
+	// A window overlaps five quarters at most, so each quarter grants a fifth of the fraction. As the random selection
+	// is uneven, only two thirds of that are granted.
 	firstNode := e.sharedDraw(int64(4*p.now/window)) * nodes
 	idle := p.countSince(e.sendTimes, window/4) == 0
 	if math.Mod(float64(p.config.Node)+firstNode, nodes) < fraction*nodes/7.5 && idle {
@@ -111,8 +111,8 @@
 }
 
 // budgetExhaustion records that each engine of a group is warming up and has no slow start budget left. The record is valid
-// until a time, unless throughput is computed anew. It saves scans of the group, as requests that wait for an engine retry
-// often.
+// until the given time, unless throughput is recomputed before. It saves scans of the group, as requests that wait for an
+// engine retry often.
 type budgetExhaustion struct {
 	until    time.Duration
 	recounts int // of the throughput that it is based on
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Checks all nodes together, from one to hundreds, by the test's own record of their attempts.
+// Checks the attempts of all nodes together, from one to hundreds of nodes, by the test's own record.
 func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSimulatedFleet(t)
@@ -38,7 +38,7 @@
 		}
 		restart, interval := simulationStart+20*time.Second, time.Second/time.Duration(6*f.prefillEngines)
 		for req := int64(1); f.now < simulationStart+24*time.Second; req++ {
-			f.now += interval // six a second for each engine
+			f.now += interval // six requests a second for each engine
 			if f.now >= restart && f.now < restart+interval {
 				f.restart(restarted)
 			}
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -30,9 +30,9 @@
 	return sum / int64(max(1, len(values)))
 }
 
-// shareAbove returns the share of samples that were taken within a span before now and are above zero. Fewer samples than
+// positiveShare returns the share of samples that are above zero and were taken within a span before now. Fewer samples than
 // atLeast count as that many.
-func shareAbove(samples []sample, now, span time.Duration, atLeast int) float64 {
+func positiveShare(samples []sample, now, span time.Duration, atLeast int) float64 {
 	n := 0.0
 	for _, s := range samples {
 		if s.at > now-span && s.value > 0 {
@@ -80,7 +80,7 @@
 	return 1
 }
 
-// bestFitting returns the first of the least engines by order among those that fit; nil if none fits.
+// bestFitting returns the least engine by order among those that fit, the first of several equal ones; nil if none fits.
 func bestFitting(engines []*engine, fits func(*engine) bool, order func(x, y *engine) int) *engine {
 	var found *engine
 	for _, e := range engines {
@@ -100,7 +100,7 @@
 	return engines[i]
 }
 
-// leastBy returns the engines with the least cost, in their order.
+// leastBy returns the engines with the least cost, in the given order.
 func leastBy[T cmp.Ordered](engines []*engine, cost func(*engine) T) (tied []*engine) {
 	var least T
 	for i, e := range engines {
--- a/internal/routing/transitions.go
+++ b/internal/routing/transitions.go
@@ -1,9 +1,9 @@
 package routing
 
-// New returns the policy of one node. Policy.Step takes an event and the time and returns the actions in order. The
-// interface is in events.go, actions.go and config.go, the state in policy.go, request.go and engine.go. The decisions are
-// in the files that deploy/balancer.toml lists; this table is the place to start reading. A state and a trigger determine
-// the next state and a function, which may return a further trigger.
+// The table in this file is the place to start reading: a state and a trigger determine the next state of a request and a
+// function, which may return a further trigger. The interface of the package is in events.go, actions.go and config.go: New
+// returns the policy of one node, and Policy.Step takes an event and the time and returns the actions in order. The state is
+// in policy.go, request.go and engine.go, the decisions are in the files that deploy/balancer.toml lists.
 
 import (
 	"slices"
