--- a/internal/attempt/transitions.go
+++ b/internal/attempt/transitions.go
@@ -16,7 +16,7 @@
 	mayLeaveReservation bool // a prefill engine may hold a reservation that it has not reported
 }
 
-var anyUnfinished = []State{Dialing, Writing, AwaitingResponse, Responding, Streaming}
+var unfinishedStates = []State{Dialing, Writing, AwaitingResponse, Responding, Streaming}
 
 var transitions = []transition{
 	{from: []State{Dialing}, event: Connected, next: Writing},
@@ -45,7 +45,7 @@
 	// The attempt may have run.
 	{from: []State{Writing, AwaitingResponse}, event: ErrorStatus, next: Ended, verdict: routing.EngineError,
 		connection: Reusable, mayLeaveReservation: true},
-	{from: anyUnfinished, event: MalformedResponse, next: Ended, verdict: routing.EngineError,
+	{from: unfinishedStates, event: MalformedResponse, next: Ended, verdict: routing.EngineError,
 		connection: MustClose, mayLeaveReservation: true},
 	{from: []State{AwaitingResponse, Responding, Streaming}, event: ConnectionReset, next: Ended,
 		verdict: routing.ConnectionLost, connection: MustClose, mayLeaveReservation: true},
--- a/internal/reservation/table.go
+++ b/internal/reservation/table.go
@@ -14,7 +14,8 @@
 	limits    Limits
 	byRequest map[string][]*Reservation // in the order of their prefills
 	count     int
-	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation with that time may have been removed.
+	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation that was due first may be due at another
+	// time or removed.
 	nextDue      int64
 	nextDueStale bool
 }
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -47,7 +47,7 @@
 // HealthCheck requests the load of an engine.
 type HealthCheck struct{ Engine string }
 
-// AllNodes, as the To of a SendGossip action, stands for all other nodes.
+// AllNodes stands for all other nodes in the field To of SendGossip.
 const AllNodes = -1
 
 // SendGossip sends a short message to one node, or to AllNodes.
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -119,12 +119,12 @@
 	Zone        int
 	Tick        time.Duration // how late timers and answers may be
 
-	MaxAttempts       int // per request
-	Cancel            bool
-	HealthChecks      bool
+	MaxAttempts       int     // per request
+	Cancel            bool    // whether attempts can be canceled
+	HealthChecks      bool    // whether health checks may be sent
 	Gossip            bool    // whether nodes may send each other messages
 	GossipPrice       float64 // per message
-	SuggestRetryAfter bool
+	SuggestRetryAfter bool    // whether Shed actions may suggest when to retry
 	MaxRetryAfter     time.Duration
 	WatchEndpoints    bool // whether endpoint lists arrive only after a WatchEndpoints action
 
--- a/internal/routing/decode.go
+++ b/internal/routing/decode.go
@@ -14,7 +14,7 @@
 	if !slices.ContainsFunc(p.sortedEngines, func(e *engine) bool { return p.mayRetryOn(req, e) }) {
 		return attemptsExhausted
 	}
-	if p.now-req.idleSince > p.config.ReservationLimit-2*p.deadlineMargin()-retryDelay {
+	if p.now-req.reservationIdleSince > p.config.ReservationLimit-2*p.deadlineMargin()-retryDelay {
 		return attemptsExhausted
 	}
 	e := p.pickDecode(req)
@@ -77,6 +77,6 @@
 	if p.hasFreshLoad(e) {
 		used = e.memoryShare*memory + e.unreportedTokens()
 	}
-	waited := req.idleSince > 0 && float64(p.now-req.idleSince) > 0.75*float64(p.config.ReservationLimit)
+	waited := req.reservationIdleSince > 0 && float64(p.now-req.reservationIdleSince) > 0.75*float64(p.config.ReservationLimit)
 	return memory == 0 || waited || used == 0 || used+req.PromptTokens < 1.05*memory
 }
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -50,12 +50,12 @@
 const (
 	Completed      Verdict = iota
 	EngineError            // the engine answered with an error
-	Full                   // the engine rejected the attempt for lack of capacity
+	Full                   // the engine rejected the attempt without running it, usually for lack of capacity
 	TimedOut               // no answer arrived in time
-	NotConnected           // no connection could be opened
+	NotConnected           // no connection could be opened, or it broke before the request was sent completely
 	ConnectionLost         // the connection broke after the request was sent
 	Canceled               // this node canceled the attempt
-	NotSent                // this node could not send the attempt
+	NotSent                // this node did not send the attempt, or not completely
 	PrefillDone            // the prefill engine holds a reservation for the request
 )
 
--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -21,7 +21,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		req := p.requests[id]
 		fmt.Fprintln(w, id, uint8(req.state), int64(p.now-req.arrivedAt), req.prefillEngine, req.decodeEngine,
-			int64(p.now-req.idleSince), req.retryScheduled, req.awaitedEngines)
+			int64(p.now-req.reservationIdleSince), req.retryScheduled, req.awaitedEngines)
 		for _, att := range req.attempts {
 			att.sentAt = p.now - att.sentAt
 			fmt.Fprintln(w, att)
--- a/internal/routing/fleet_benchmark_test.go
+++ b/internal/routing/fleet_benchmark_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// BenchmarkEndpointUpdate measures a complete list in which one engine has changed.
+// BenchmarkEndpointUpdate measures the update by a complete list in which one engine has changed.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -33,7 +33,7 @@
 	}
 	// A decode that never reached its engine has not begun to fetch the KV state, so the reservation stayed idle.
 	if !att.decode || !att.canceled && o.Verdict != NotConnected && o.Verdict != NotSent {
-		req.idleSince = p.now
+		req.reservationIdleSince = p.now
 	}
 	p.recordReport(p.engines[o.Engine], o.Report)
 	att.prefilled = o.Verdict == PrefillDone
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -9,16 +9,16 @@
 // request is this node's record of one request that it has accepted.
 type request struct {
 	RequestArrived
-	state          state
-	lastTrigger    trigger // the last trigger that fired a transition
-	arrivedAt      time.Duration
-	prefillEngine  string
-	decodeEngine   string
-	attempts       []attempt
-	idleSince      time.Duration // when the last attempt that had reached its engine ended
-	retryScheduled bool
-	awaitedEngines []string // engines whose health checks the request waits for
-	timers         []int64  // tokens of all timers that were started for the request
+	state                state
+	lastTrigger          trigger // the last trigger that fired a transition
+	arrivedAt            time.Duration
+	prefillEngine        string
+	decodeEngine         string
+	attempts             []attempt
+	reservationIdleSince time.Duration // since when no attempt has used the reservation
+	retryScheduled       bool
+	awaitedEngines       []string // engines whose health checks the request waits for
+	timers               []int64  // tokens of all timers that were started for the request
 }
 
 // attempt is one send of a request to an engine.
@@ -156,7 +156,7 @@
 // reservationWaits returns how long each reservation has waited for a decode engine.
 func (p *Policy) reservationWaits() (waits []time.Duration) {
 	for _, req := range p.reserved {
-		waits = append(waits, p.now-req.idleSince)
+		waits = append(waits, p.now-req.reservationIdleSince)
 	}
 	return waits
 }
