--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestGatesOfRequestsAndConnections(t *testing.T) {
+func TestGatesForRequestsAndConnections(t *testing.T) {
 	if MayAccept(Arrival{Accepting: true}) != Allowed || MayAccept(Arrival{}) != ShuttingDown ||
 		MayAccept(Arrival{DuplicateID: true, Accepting: true}) != DuplicateRequestID {
 		t.Error("MayAccept")
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits bound a table.
+// Limits holds the time spans of a Table and its maximum size.
 type Limits struct {
 	KeepTime             time.Duration // how long a reservation may wait to be consumed, since an attempt was last in flight
 	RepeatInterval       time.Duration // between two acknowledged releases
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -31,7 +31,7 @@
 var firstID = ID{Request: "a", Attempt: 0}
 
 // The state and the due time of a reservation follow from the events of its request.
-func TestTransitions(t *testing.T) {
+func TestStateAndDueTimeFollowFromEvents(t *testing.T) {
 	const horizon = start + 3*second
 	for _, c := range []struct {
 		name   string
@@ -171,7 +171,7 @@
 
 // The first unacknowledged releases follow each other at the retry interval; then the interval doubles up to half the repeat
 // interval.
-func TestBackoff(t *testing.T) {
+func TestReleaseIntervalDoublesUpToHalfTheRepeatInterval(t *testing.T) {
 	limits := Limits{RetryInterval: 10 * time.Millisecond, RepeatInterval: 100 * time.Millisecond}
 	table := New(limits)
 	for i, want := range []time.Duration{10, 10, 10, 10, 20, 40, 50, 50} {
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -11,9 +11,9 @@
 	overloadMinSamples = 32
 )
 
-// admit sheds a request at once if it is expected to miss its objective. Otherwise queues filled by too much traffic, by
-// lost or slow engines or by lost caches would only grow, make every request late and never drain. The rule is harmful where
-// high latencies are acceptable. Resumed streams are always admitted.
+// admit sheds a request at once if it is expected to miss its objective. Without this rule, queues filled by too much
+// traffic, by lost or slow engines or by lost caches would only grow, make every request late and never drain. The rule is
+// harmful where high latencies are acceptable. Resumed streams are always admitted.
 func (p *Policy) admit(req *request) trigger {
 	decoders := p.usableEngines(req, &p.decodeEngines, everyEngine)
 	if len(decoders) == 0 || req.Resumed {
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -8,7 +8,7 @@
 	evictAfter = time.Minute
 )
 
-// affinityOf returns which engines last served a session, if that was recent.
+// affinityOf returns which engines last served a session; the zero value if no engine served it recently.
 func (p *Policy) affinityOf(session string) affinity {
 	const maxAge = 30 * time.Second
 	if last, ok := p.affinities[session]; ok && session != "" && p.now-last.servedAt < maxAge {
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// loadMargin is how far an engine's load may exceed the mean, as a fraction of it. 1.5 and 3 did no better.
+// loadMargin is how far the load cap of an engine exceeds the mean load, as a fraction of the mean. 1.5 and 3 did no better.
 const loadMargin = 0.75
 
 // choosePrefill chooses the prefill engine of a request.
