--- a/internal/attempt/transitions.go
+++ b/internal/attempt/transitions.go
@@ -13,10 +13,10 @@
 	next                State
 	verdict             routing.Verdict
 	connection          ConnectionDisposition
-	mayLeaveReservation bool // a prefill engine may keep a reservation that it has not reported
+	mayLeaveReservation bool // a prefill engine may hold a reservation that it has not reported
 }
 
-var anyUnfinished = []State{Dialing, Writing, AwaitingResponse, Responding, Streaming}
+var unfinishedStates = []State{Dialing, Writing, AwaitingResponse, Responding, Streaming}
 
 var transitions = []transition{
 	{from: []State{Dialing}, event: Connected, next: Writing},
@@ -34,7 +34,7 @@
 	// cannot have begun before the body was complete.
 	{from: []State{Writing}, event: ConnectionReset, next: Ended, verdict: routing.NotConnected, connection: MustClose},
 	{from: []State{Writing}, event: Canceled, next: Ended, verdict: routing.NotSent, connection: MustClose},
-	// The attempt has not run, as the engine reports before any token.
+	// The attempt has not run, as the engine reports so before any token.
 	{from: []State{Writing, AwaitingResponse}, event: Rejected, next: Ended, verdict: routing.Full, connection: Reusable},
 	{from: []State{Writing, AwaitingResponse}, event: ReservationNotFound, next: Ended, verdict: routing.Full, connection: Reusable},
 
@@ -45,7 +45,7 @@
 	// The attempt may have run.
 	{from: []State{Writing, AwaitingResponse}, event: ErrorStatus, next: Ended, verdict: routing.EngineError,
 		connection: Reusable, mayLeaveReservation: true},
-	{from: anyUnfinished, event: MalformedResponse, next: Ended, verdict: routing.EngineError,
+	{from: unfinishedStates, event: MalformedResponse, next: Ended, verdict: routing.EngineError,
 		connection: MustClose, mayLeaveReservation: true},
 	{from: []State{AwaitingResponse, Responding, Streaming}, event: ConnectionReset, next: Ended,
 		verdict: routing.ConnectionLost, connection: MustClose, mayLeaveReservation: true},
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that has happened and that a Policy handles. Its implementations are the types of this file.
+// Event is an input of a Policy. Its implementations are the types of this file.
 type Event interface{ isEvent() }
 
 // EndpointUpdate is a watch event of the endpoint list. A complete list replaces the previous one; any other update
@@ -27,7 +27,7 @@
 	RequestID                  int64
 	Route                      int
 	Session, Prefix            string
-	Waited                     time.Duration // since this node has read the request
+	Waited                     time.Duration // time since this node read the request
 	Deadline                   time.Duration
 	PromptTokens, PrefixTokens float64
 	MaxOutputTokens            float64
@@ -50,12 +50,12 @@
 const (
 	Completed      Verdict = iota
 	EngineError            // the engine answered with an error
-	Full                   // the engine rejected the attempt for lack of capacity
+	Full                   // the engine rejected the attempt without running it, usually for lack of capacity
 	TimedOut               // no answer arrived in time
-	NotConnected           // no connection could be opened
+	NotConnected           // no connection could be opened, or it broke before the request was sent completely
 	ConnectionLost         // the connection broke after the request was sent
 	Canceled               // this node canceled the attempt
-	NotSent                // this node could not send the attempt
+	NotSent                // this node did not send the attempt, or not completely
 	PrefillDone            // the prefill engine holds a reservation for the request
 )
 
--- a/internal/routing/fingerprint.go
+++ b/internal/routing/fingerprint.go
@@ -21,7 +21,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		req := p.requests[id]
 		fmt.Fprintln(w, id, uint8(req.state), int64(p.now-req.arrivedAt), req.prefillEngine, req.decodeEngine,
-			int64(p.now-req.idleSince), req.retryScheduled, req.awaitedEngines)
+			int64(p.now-req.reservationIdleSince), req.retryScheduled, req.awaitedEngines)
 		for _, att := range req.attempts {
 			att.sentAt = p.now - att.sentAt
 			fmt.Fprintln(w, att)
@@ -81,7 +81,8 @@
 	return out
 }
 
-// DescribeTimer returns the request and the trigger of a pending timer; empty if the timer has no effect any more.
+// DescribeTimer returns the request and the trigger of a pending timer, or an empty string if the timer no longer has an
+// effect.
 func (p *Policy) DescribeTimer(token int64) string {
 	t, ok := p.timers.pending[token]
 	if !ok || t.requestID != noRequest && p.requests[t.requestID] == nil {
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -33,7 +33,7 @@
 	}
 	// A decode that never reached its engine has not begun to fetch the KV state, so the reservation stayed idle.
 	if !att.decode || !att.canceled && o.Verdict != NotConnected && o.Verdict != NotSent {
-		req.idleSince = p.now
+		req.reservationIdleSince = p.now
 	}
 	p.recordReport(p.engines[o.Engine], o.Report)
 	att.prefilled = o.Verdict == PrefillDone
@@ -86,7 +86,8 @@
 	}
 }
 
-// recordWorkLatency records the latency of a prefill per unit of work, of its own and that queued before it.
+// recordWorkLatency records the latency of a prefill per unit of work. The work is that of the prefill itself and that
+// queued before it.
 func (p *Policy) recordWorkLatency(req *request, e *engine, att *attempt, o Outcome) {
 	if att.queuedWork <= 0 {
 		return
