--- a/internal/protocol/chat/prompt.go
+++ b/internal/protocol/chat/prompt.go
@@ -28,7 +28,7 @@
 	hash, leading := xxhash.New(), true
 	for i, message := range messages {
 		if !slices.Contains(roles, message.Role) {
-			return paramError(fmt.Sprintf("messages[%d].role", i), "it must be one of %s", strings.Join(roles, ", "))
+			return paramError(fmt.Sprintf("messages[%d].role", i), "must be one of %s", strings.Join(roles, ", "))
 		}
 		tokens := EstimateTokens(message.Content) + tokensPerMessage
 		r.PromptTokens += tokens
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -54,11 +54,11 @@
 // ParseRequest decodes and validates a request. Errors are of type *InvalidRequestError.
 func ParseRequest(body []byte, header http.Header) (*Request, error) {
 	if !utf8.Valid(body) {
-		return nil, paramError("body", "it is not UTF-8")
+		return nil, paramError("body", "must be UTF-8")
 	}
 	r := &Request{}
 	if err := json.Unmarshal(body, &r.fields); err != nil || r.fields == nil {
-		return nil, paramError("body", "it is not a JSON object: %v", err)
+		return nil, paramError("body", "must be a JSON object: %v", err)
 	}
 	decoded, err := r.decodeFields()
 	if err != nil {
@@ -66,13 +66,13 @@
 	}
 	switch {
 	case r.Model == "" || len(r.Model) > maxIDBytes:
-		return nil, paramError("model", "it must name a model route in at most %d bytes", maxIDBytes)
+		return nil, paramError("model", "must name a model route in at most %d bytes", maxIDBytes)
 	case len(decoded.messages) == 0 || len(decoded.messages) > maxMessages:
-		return nil, paramError("messages", "there must be 1 to %d", maxMessages)
+		return nil, paramError("messages", "must have 1 to %d entries", maxMessages)
 	}
 	r.MaxOutputTokens = decoded.maxOutputTokens()
 	if r.MaxOutputTokens < 1 || r.MaxOutputTokens > maxTokens {
-		return nil, paramError("max_tokens", "it must be 1 to %d", maxTokens)
+		return nil, paramError("max_tokens", "must be 1 to %d", maxTokens)
 	}
 	if err := r.parseHeaders(header, decoded.user); err != nil {
 		return nil, err
@@ -95,18 +95,18 @@
 		to   any
 		want string
 	}{
-		{"model", &r.Model, "a text"}, {"stream", &r.Stream, "true or false"}, {"user", &decoded.user, "a text"},
-		{"max_tokens", &decoded.maxTokens, "a whole number"},
-		{"max_completion_tokens", &decoded.maxCompletionTokens, "a whole number"},
+		{"model", &r.Model, "a string"}, {"stream", &r.Stream, "true or false"}, {"user", &decoded.user, "a string"},
+		{"max_tokens", &decoded.maxTokens, "an integer"},
+		{"max_completion_tokens", &decoded.maxCompletionTokens, "an integer"},
 		{"messages", &decoded.messages, "a list of messages"},
 	} {
 		if raw, ok := r.fields[field.name]; ok && json.Unmarshal(raw, field.to) != nil {
-			return decoded, paramError(field.name, "it must be %s", field.want)
+			return decoded, paramError(field.name, "must be %s", field.want)
 		}
 	}
 	choices := 0
 	if raw, ok := r.fields["n"]; ok && (json.Unmarshal(raw, &choices) != nil || choices != 1) {
-		return decoded, paramError("n", "only one answer a call is given; it must be 1")
+		return decoded, paramError("n", "must be 1; only one completion per request is supported")
 	}
 	return decoded, nil
 }
@@ -129,14 +129,14 @@
 	}{{HeaderSession, &r.Session}, {HeaderIdempotencyKey, &r.IdempotencyKey}, {HeaderClientRequestID, &r.ClientRequestID}} {
 		*field.to = header.Get(field.name)
 		if len(*field.to) > maxIDBytes || strings.ContainsFunc(*field.to, isControl) {
-			return paramError(field.name, "it must be printable and at most %d bytes", maxIDBytes)
+			return paramError(field.name, "must be printable and have at most %d bytes", maxIDBytes)
 		}
 	}
 	if r.Session == "" {
 		r.Session = user
 	}
 	if len(r.Session) > maxIDBytes {
-		return paramError("user", "it must be at most %d bytes", maxIDBytes)
+		return paramError("user", "must have at most %d bytes", maxIDBytes)
 	}
 	timeoutMs, err := parseNumberHeader(header, HeaderFirstTokenTimeout, 1, maxFirstTokenTimeoutMs, " milliseconds")
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < least || n > most {
-		return 0, paramError(name, "it must be %d to %d%s, not %q", least, most, unit, text)
+		return 0, paramError(name, "must be %d to %d%s, not %q", least, most, unit, text)
 	}
 	return n, nil
 }
--- a/internal/protocol/chatapi/client.go
+++ b/internal/protocol/chatapi/client.go
@@ -71,7 +71,7 @@
 	case path == engineapi.ChatPath || path == modelsPath || path == livenessPath || path == readinessPath:
 		return c.InvalidRequestResponse(http.StatusMethodNotAllowed, "bad_method", "", r.Method+" is not served at "+path)
 	}
-	return c.InvalidRequestResponse(http.StatusNotFound, "not_found", "", "nothing is served at "+path)
+	return c.InvalidRequestResponse(http.StatusNotFound, "not_found", "", "no resource exists at "+path)
 }
 
 // InvalidRequestResponse implements protocol.ClientCodec.
