--- a/internal/protocol/chat/completion.go
+++ b/internal/protocol/chat/completion.go
@@ -27,7 +27,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// ErrCompletionTooLarge reports that the text is over the limit of a CompletionBuilder.
+// ErrCompletionTooLarge reports that the text of a completion exceeds the limit of its CompletionBuilder.
 var ErrCompletionTooLarge = errors.New("completion is over its size limit")
 
 // CompletionBuilder assembles the events of a stream into one complete response.
@@ -36,7 +36,7 @@
 	id           string
 	text         strings.Builder
 	finishReason string
-	tokens       int
+	tokens       int // events with text, each counted as one token
 	usage        *Usage
 }
 
@@ -115,7 +115,7 @@
 	Type    string  `json:"type"`
 }
 
-// ErrorBody returns the body of an error response. The param is empty if the error is not about a parameter.
+// ErrorBody returns the body of an error response. If param is empty, the error is not about a parameter.
 func ErrorBody(kind, code, param, text string) []byte {
 	inner := apiError{Code: code, Message: text, Type: kind}
 	if param != "" {
--- a/internal/protocol/chat/decoder.go
+++ b/internal/protocol/chat/decoder.go
@@ -51,7 +51,7 @@
 	return d.err
 }
 
-// AtBoundary reports whether no event is incomplete.
+// AtBoundary reports whether the decoder is between two events.
 func (d *Decoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
 
 func (d *Decoder) appendToLine(more []byte) {
--- a/internal/protocol/chat/prompt.go
+++ b/internal/protocol/chat/prompt.go
@@ -22,8 +22,8 @@
 // roles are the valid roles of a message.
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// measureMessages counts the tokens of the prompt and hashes its prefix. The prefix is all messages before the first one that
-// is not an instruction, as many sessions have the same instructions.
+// measureMessages estimates the tokens of the prompt and hashes its prefix. The prefix consists of the leading instructions
+// (system and developer messages), which many sessions share.
 func (r *Request) measureMessages(messages []Message) error {
 	hash, leading := xxhash.New(), true
 	for i, message := range messages {
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/protocol"
 )
 
-// Limits of one request beyond its size in bytes.
+// Limits of one request apart from its size in bytes.
 const (
 	maxMessages            = 4096
 	maxIDBytes             = 256     // of a session, an idempotency key, a request ID or a model
@@ -31,10 +31,10 @@
 	MaxOutputTokens   int
 	Stream            bool
 	IdempotencyKey    string
-	ClientRequestID   string        // the client's own ID of the request
-	RetryCount        int           // number of the client's earlier attempts; 0 if unspecified
-	FirstTokenTimeout time.Duration // how long the client waits for the first token; 0 if unspecified
-	fields            map[string]json.RawMessage
+	ClientRequestID   string                     // the client's own ID of the request
+	RetryCount        int                        // number of the client's earlier attempts; 0 if unspecified
+	FirstTokenTimeout time.Duration              // how long the client waits for the first token; 0 if unspecified
+	fields            map[string]json.RawMessage // all fields of the body, undecoded
 }
 
 // InvalidRequestError reports what the client must change in a request.
@@ -121,7 +121,7 @@
 	return protocol.DefaultMaxOutputTokens
 }
 
-// parseHeaders parses the headers of the API. If there is no session header, the user in the body is the session.
+// parseHeaders parses the headers of the API. Without a session header, the user in the body is the session.
 func (r *Request) parseHeaders(header http.Header, user string) error {
 	for _, field := range []struct {
 		name string
--- a/internal/protocol/chatapi/client.go
+++ b/internal/protocol/chatapi/client.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// Paths other than that of completions.
+// Paths besides engineapi.ChatPath.
 const (
 	modelsPath    = "/v1/models"
 	livenessPath  = "/healthz"
--- a/internal/protocol/chatapi/engine.go
+++ b/internal/protocol/chatapi/engine.go
@@ -15,7 +15,7 @@
 	return engineapi.Request{Chat: request.ProtocolData.(*chat.Request), ID: requestID}
 }
 
-// MixedEnginePrefillsOnDecode returns false: each request is either for a prefill or for a decode.
+// MixedEnginePrefillsOnDecode returns false: a request is for either a prefill or a decode.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return false }
 
 // PrefillRequest implements protocol.EngineCodec.
@@ -32,7 +32,9 @@
 }
 
 // HealthCheckRequest implements protocol.EngineCodec.
-func (*Codec) HealthCheckRequest(to protocol.Target) []byte { return engineapi.HealthCheck(to.Address) }
+func (*Codec) HealthCheckRequest(to protocol.Target) []byte {
+	return engineapi.EncodeHealthCheck(to.Address)
+}
 
 // ReleaseRequest implements protocol.EngineCodec.
 func (*Codec) ReleaseRequest(to protocol.Target, requestID string, attemptIndex int) []byte {
@@ -42,8 +44,8 @@
 // ReleaseReachesAllEngines returns false: an engine releases only its own reservations.
 func (*Codec) ReleaseReachesAllEngines() bool { return false }
 
-// ClassifyResponse implements protocol.EngineCodec. The response to an accepted decode request is a stream, that to an accepted
-// prefill request is not.
+// ClassifyResponse implements protocol.EngineCodec. A successful response to a decode request must be a stream, and one to a
+// prefill request must not.
 func (*Codec) ClassifyResponse(head *http.Response, decode bool) attempt.Event {
 	event := engineapi.ClassifyHead(head)
 	if event == attempt.SuccessStatus && decode != chat.IsEventStream(head.Header) {
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,6 +1,5 @@
-// Package protocol defines what the core of a router requires of a protocol: the interface of a codec, and the messages
-// between the core and a codec. The core decides what is sent, when and to whom; a codec only encodes and decodes. The package
-// does no I/O.
+// Package protocol defines the interface between the core of a router and the codec of a protocol, and the messages that they
+// exchange. The core decides what is sent, when and to whom; a codec only encodes and decodes. The package does no I/O.
 package protocol
 
 import (
@@ -19,8 +18,8 @@
 
 // ClientCodec decodes the requests of clients and encodes the responses to them.
 type ClientCodec interface {
-	// ParseRequest decodes a client's request and returns the tenant that sends it, or an empty tenant if there is none. For an
-	// invalid request it returns a rejection instead. If both request and rejection are nil, the request is not a
+	// ParseRequest decodes a client's request and returns the tenant that sent it, or "" for a request without a tenant.
+	// For an invalid request it returns a rejection instead. If both request and rejection are nil, the request is not a
 	// completion request, and AuxiliaryResponse returns its response.
 	ParseRequest(r *http.Request, body []byte) (request *Request, tenant string, rejection *Response)
 	// AuxiliaryResponse returns the response to a request that is not for a completion, such as a health check. NotReady is
@@ -30,7 +29,7 @@
 	// InvalidRequestResponse rejects a request that the client must change before it retries.
 	InvalidRequestResponse(status int, code, param, reason string) Response
 	// ShedResponse rejects a request of which no part has run, so that a retry is safe. The request ID is empty if the request
-	// has none yet; retryAfter is 0 to suggest no delay.
+	// has none yet; with a retryAfter of 0 no delay is suggested.
 	ShedResponse(status int, requestID, reason string, retryAfter time.Duration) Response
 	// ErrorResponse reports the failure of a request that may have run.
 	ErrorResponse(requestID, reason string, timedOut bool) Response
@@ -43,14 +42,14 @@
 	// StreamHead, StreamEvent and StreamEnd encode a streamed response.
 	StreamHead(requestID string) []byte
 	StreamEvent(event []byte) []byte
-	// StreamEnd also returns whether the connection can stay open. After a truncated stream that may be impossible.
+	// StreamEnd also returns whether the connection can stay open, which may be impossible after a truncated stream.
 	StreamEnd(completed bool, reason string) (data []byte, keepAlive bool)
 }
 
 // EngineCodec encodes the requests to engines and decodes their responses.
 type EngineCodec interface {
 	// MixedEnginePrefillsOnDecode reports whether an engine of both roles also runs the prefill if it receives a decode request
-	// without a reservation. Otherwise it needs a prefill request first, as a prefill engine does.
+	// without a reservation. Otherwise the engine needs a prefill request first, as a prefill engine does.
 	MixedEnginePrefillsOnDecode() bool
 	// PrefillRequest encodes a prefill request. The attempt index numbers the attempts of the request; remaining is how long
 	// the client will still wait.
@@ -70,8 +69,8 @@
 	// ParseReservation decodes the response of a prefill engine. It returns the reservation and the number of prompt tokens
 	// that were cached.
 	ParseReservation(body []byte) (handle ReservationHandle, cachedTokens int, err error)
-	// ParseLoadReport decodes the load report of a response, or returns nil if it has none. The body is nil except for health
-	// checks.
+	// ParseLoadReport decodes the load report of a response, or returns nil if the response has none. The body is nil except for
+	// health checks.
 	ParseLoadReport(head *http.Response, body []byte) *routing.LoadReport
 	// ParseLoadComment decodes a load report in a comment line of a stream, or returns nil if the comment has none.
 	ParseLoadComment(line []byte) *routing.LoadReport
--- a/internal/protocol/engineapi/request.go
+++ b/internal/protocol/engineapi/request.go
@@ -56,8 +56,8 @@
 	return b.Bytes(), nil
 }
 
-// HealthCheck encodes the request for an engine's load report.
-func HealthCheck(host string) []byte {
+// EncodeHealthCheck encodes a health check, which requests the engine's load report.
+func EncodeHealthCheck(host string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", LoadPath, host)
 }
 
@@ -67,8 +67,8 @@
 	AttemptIndex int    `json:"send"`
 }
 
-// Release encodes a request to a prefill engine to release the reservation of an attempt. It is also valid for a reservation
-// that the engine makes only later.
+// Release encodes a request to a prefill engine to release the reservation of an attempt. The release also applies if the
+// engine makes the reservation only afterwards.
 func Release(host, requestID string, attemptIndex int) []byte {
 	body, _ := json.Marshal(releaseBody{requestID, attemptIndex})
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
--- a/internal/protocol/engineapi/response.go
+++ b/internal/protocol/engineapi/response.go
@@ -74,7 +74,7 @@
 	return &routing.LoadReport{MemoryShare: memoryShare, QueuedWork: waiting}
 }
 
-// parseNumberHeader returns the number in a header. It returns false if there is no number from 0 to the limit.
+// parseNumberHeader returns the number in a header, and whether the number is valid and from 0 to the limit.
 func parseNumberHeader(header http.Header, name string, limit float64) (v float64, ok bool) {
 	v, err := strconv.ParseFloat(header.Get(name), 64)
 	return v, err == nil && v >= 0 && v <= limit
--- a/internal/protocol/httpframing/body.go
+++ b/internal/protocol/httpframing/body.go
@@ -10,7 +10,7 @@
 // maxLineBytes bounds a chunk-size line and a trailer line. A size line has up to sixteen digits and possibly an extension.
 const maxLineBytes = 1024
 
-// parseData parses the available bytes of a body with a length, or of a chunk.
+// parseData parses the available bytes of a chunk, or of a body with a content length.
 func (p *Parser) parseData(in []byte) (*Part, int, error) {
 	n := min(len(in), p.remaining)
 	switch {
--- a/internal/protocol/httpframing/head.go
+++ b/internal/protocol/httpframing/head.go
@@ -12,7 +12,7 @@
 
 // bodyFraming describes how the end of a body is determined.
 type bodyFraming struct {
-	length  int64 // negative if there is none
+	length  int64 // negative without a content length
 	chunked bool
 }
 
@@ -64,7 +64,7 @@
 }
 
 // decodeResponse returns no part for an interim response, as a client must be able to skip interim responses that it did not
-// request (RFC 9110, section 15.2). It refuses a switch of protocols, after which the remaining bytes would not be HTTP.
+// request (RFC 9110, section 15.2). It rejects a switch of protocols, after which the remaining bytes would not be HTTP.
 func (p *Parser) decodeResponse(head *bufio.Reader) (*Part, bodyFraming, error) {
 	response, err := http.ReadResponse(head, nil)
 	if err != nil {
--- a/internal/protocol/httpframing/message.go
+++ b/internal/protocol/httpframing/message.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// Direction is whether a parser receives requests or responses from its connection.
+// Direction selects whether a parser expects requests or responses.
 type Direction uint8
 
-// The directions. Requests are received from clients, responses from engines.
+// The directions: a router receives requests from clients and responses from engines.
 const (
 	Requests Direction = iota
 	Responses
--- a/internal/protocol/httpframing/parser.go
+++ b/internal/protocol/httpframing/parser.go
@@ -1,8 +1,8 @@
 // Package httpframing splits the bytes of one HTTP/1.1 connection into heads, body parts and ends of messages. It does no I/O.
 //
-// Heads are decoded by net/http. This package adds the strictness that a router needs because the parties before and after it
-// may interpret a message differently (RFC 9112, section 11.2): a message has one length or chunked encoding, but neither both
-// nor two lengths.
+// Heads are decoded by net/http. This package is stricter, because the parties before and after a router may interpret an
+// ambiguous message differently (RFC 9112, section 11.2): it rejects a message with two content lengths, or with both a
+// content length and chunked encoding.
 package httpframing
 
 import "bytes"
@@ -37,13 +37,14 @@
 	return &Parser{direction: direction, limits: limits}
 }
 
-// AtBoundary reports whether no message is incomplete and no bytes are buffered, so that the connection can be reused.
+// AtBoundary reports whether the parser is between two messages and has no buffered bytes, so that the connection can be
+// reused.
 func (p *Parser) AtBoundary() bool { return p.state == inHead && len(p.unparsed) == 0 && p.err == nil }
 
 // Buffered returns the number of bytes that are buffered and not parsed yet.
 func (p *Parser) Buffered() int { return len(p.unparsed) }
 
-// Feed parses the next bytes. Errors are of type *MessageError; after an error the connection must not be used any more.
+// Feed parses the next bytes. Errors are of type *MessageError; after an error the connection must not be used again.
 func (p *Parser) Feed(data []byte) (parts []Part, err error) {
 	if p.err != nil {
 		return nil, p.err
@@ -62,7 +63,7 @@
 			break
 		}
 	}
-	// The parts refer to memory of the parsed bytes, so the remaining bytes need memory of their own.
+	// The parts share memory with the parsed bytes, so the remaining bytes are copied before Feed appends to them.
 	p.unparsed = bytes.Clone(in)
 	p.err = err
 	return parts, err
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -4,10 +4,10 @@
 
 // Request is a completion request of a client, independent of the protocol.
 type Request struct {
-	ID                string // request ID to use at engines; empty if the node must generate one
+	ID                string // request ID to send to engines; empty if the node must generate one
 	Route             string
 	Session           string        // key of session affinity; empty if the client sent none
-	Prefix            string        // identifies the shared prefix of the prompt; empty if there is none
+	Prefix            string        // identifies the shared prefix of the prompt; empty without one
 	PromptTokens      int           // tokens of the complete prompt
 	PrefixTokens      int           // tokens of the shared prefix
 	MaxOutputTokens   int           // limit of output tokens
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -28,7 +28,7 @@
 	Limits               ResourceLimits  `json:"Limits"`
 	PeerListenAddress    string          `json:"peer_listen"` // empty to disable gossip
 	Peers                []string        `json:"Peers"`       // addresses of all nodes including this one, indexed by node number
-	PeerBroadcastAddress string          `json:"peers_all"`   // address that reaches all nodes; empty if there is none
+	PeerBroadcastAddress string          `json:"peers_all"`   // address that reaches all nodes; optional
 	CachedEndpoints      json.RawMessage `json:"Known"`       // the last discovery snapshot that the node received
 	Settings             map[string]any  `json:"Settings"`
 }
@@ -40,7 +40,7 @@
 	Sockets  int     `json:"Sockets"`
 }
 
-// ParseNodeConfig decodes and validates a configuration. The error, if any, is of type script.Faults and has all faults.
+// ParseNodeConfig decodes and validates a configuration. The error, if any, is of type script.Faults and lists all faults.
 func ParseNodeConfig(file string, data []byte) (*NodeConfig, error) {
 	var c NodeConfig
 	var faults script.Faults
--- a/internal/protocol/platform/config_test.go
+++ b/internal/protocol/platform/config_test.go
@@ -19,7 +19,7 @@
  "family_info":{"stage_of_kind":["read","write"],"pin_limit_us":1000000,"kind_memory_tokens":[10,20]},
  "classes":[{"name":"chat","effect":"fragile","worth":5,"objective_us":800000,"deadline_us":3000000}]}}`
 
-// Routing decisions get the settings converted as in the simulator, and the node's connections and buffers fit its limits.
+// Routing uses the same converted settings as in the simulator, and the node's connections and buffers fit its limits.
 func TestDeploymentConvertsSettingsAndFitsLimits(t *testing.T) {
 	node, err := ParseNodeConfig("c", []byte(sampleConfig))
 	if err != nil {
--- a/internal/protocol/platform/deployment.go
+++ b/internal/protocol/platform/deployment.go
@@ -19,7 +19,7 @@
 	reuseDelay = 20 * time.Millisecond
 	// firstRequestTimeout is 0.5 s less than the 3 s that the platform waits for a response to an incomplete request.
 	firstRequestTimeout = 2500 * time.Millisecond
-	// stallTimeout is 1 s less than the 5 s after which a client that receives nothing gives up its stream.
+	// stallTimeout is 1 s less than the 5 s after which a client that receives nothing gives up on its stream.
 	stallTimeout = 4 * time.Second
 	// acceptAfterSignal covers the 0.4 s during which connections still arrive after the signal to stop.
 	acceptAfterSignal = 600 * time.Millisecond
@@ -27,8 +27,8 @@
 	maxRetryAfter = 500 * time.Millisecond
 )
 
-// The platform kills a stopping node killMargin after the longest timeout of a route, but no later than killMargin after
-// maxKillWait. The steps of a graceful shutdown are scheduled backward from the kill.
+// The platform kills a stopping node killMargin after the longest route timeout, or after maxKillWait if that is shorter.
+// The steps of a graceful shutdown are scheduled backward from the kill.
 const (
 	maxKillWait        = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
@@ -91,7 +91,7 @@
 			PriorityWeight:         s.Number(name("value"), 1),
 			FirstTokenObjective:    s.Duration(name("first_token_target"), time.Second),
 			ObjectivePer1000Tokens: s.Duration(fmt.Sprintf("engine_facts.target_per_1000_tokens.%d", i), 0),
-			// A client may set a timeout that is longer than its route's.
+			// A client may set a timeout that is longer than the route's.
 			Timeout:     maxTimeout,
 			DedupWindow: s.Duration(name("dedup_window"), 0),
 			DedupGroup:  config.DedupGroup(s.Text(name("dedup_group"))),
@@ -101,7 +101,7 @@
 }
 
 // applyConnectionTimes sets the time limits of connections to engines. An engine closes an idle connection at the latest after
-// the time in the settings, so the node stops using a connection some time before.
+// the time in the settings, so the node stops using a connection some time before that.
 func applyConnectionTimes(d *config.Deployment, s params.Settings) {
 	d.Connections.DialTimeout = s.Duration("limits.dial_timeout", d.Connections.DialTimeout)
 	idleTimeout := s.Duration("limits.conn_idle", d.Connections.IdleTimeout)
@@ -131,7 +131,7 @@
 	if s.Flag("limits.retry_after") {
 		d.MaxRetryAfter = min(maxRetryAfter, s.Duration("limits.max_retry_after", 0))
 	}
-	// The repetition must last as long as queued long prefills can take.
+	// Releases must be repeated for as long as queued long prefills can take.
 	d.ReleaseRepeatTime = 3 * d.Rules.ReservationLimit
 }
 
--- a/internal/protocol/platform/deployment_test.go
+++ b/internal/protocol/platform/deployment_test.go
@@ -8,8 +8,8 @@
 	"sandcourse/internal/invariant"
 )
 
-// An engine closes an idle connection at the latest after the time in the settings. A request that the node writes to it must
-// arrive before, even if the node is stalled for invariant.MaxDelay.
+// An engine may close a connection that was idle for the time in the settings. A request that the node writes to the
+// connection must arrive before that, even if the node is stalled for invariant.MaxDelay.
 func TestIdleTimeoutLeavesMarginForStalls(t *testing.T) {
 	for _, idle := range []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, 5 * time.Second} {
 		text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","settings":{"flavors":["m1","m2"],
--- a/internal/protocol/platform/engine.go
+++ b/internal/protocol/platform/engine.go
@@ -12,10 +12,10 @@
 	"sandcourse/internal/protocol/chat"
 )
 
-// ErrNoCachedTokens reports a prefill response without a count of cached tokens.
+// ErrNoCachedTokens reports a prefill response without a valid number of cached tokens.
 var ErrNoCachedTokens = errors.New("prefill response has no number of cached tokens")
 
-// MixedEnginePrefillsOnDecode returns true: a mixed engine without a reservation runs the prefill and streams the output.
+// MixedEnginePrefillsOnDecode returns true: a mixed engine that has no reservation for a decode request also runs the prefill.
 func (*Codec) MixedEnginePrefillsOnDecode() bool { return true }
 
 // PrefillRequest implements protocol.EngineCodec.
--- a/internal/protocol/platform/forward.go
+++ b/internal/protocol/platform/forward.go
@@ -11,14 +11,14 @@
 	"sandcourse/internal/protocol"
 )
 
-// forwardedRequest holds the parts of a client's request that are forwarded to engines unchanged.
+// forwardedRequest has the parts of a client's request that are forwarded to engines unchanged.
 type forwardedRequest struct {
 	requestLine  string // method and target
 	headerFields []byte // encoded
 	body         []byte
 }
 
-// notForwarded has the hop-by-hop header fields (RFC 9110, section 7.6.1) and the fields that the node writes itself.
+// notForwarded lists the hop-by-hop header fields (RFC 9110, section 7.6.1) and the fields that the node writes itself.
 var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Expect": true, "Host": true, "Content-Length": true, HeaderRequestID: true, HeaderTimeout: true}
@@ -43,10 +43,10 @@
 	return out
 }
 
-// minForwardedTimeout is the least timeout that is sent to engines.
+// minForwardedTimeout is the shortest timeout that is sent to engines.
 const minForwardedTimeout = time.Millisecond
 
-// encode encodes the request to an engine. Prefill and decode requests are the same.
+// encode encodes the request to an engine. Prefill and decode requests have the same form.
 func (f *forwardedRequest) encode(requestID string, to protocol.Target, remaining time.Duration) []byte {
 	b := make([]byte, 0, len(f.headerFields)+len(f.body)+512)
 	b = fmt.Appendf(b, "%s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %.3f\r\nContent-Length: %d\r\n", f.requestLine, to.Address,
--- a/internal/protocol/platform/loadreport.go
+++ b/internal/protocol/platform/loadreport.go
@@ -34,7 +34,8 @@
 	return c.parseReportText(value)
 }
 
-// parseReportText decodes the text of a load report. It returns nil if a field is missing or a value is out of range.
+// parseReportText decodes a load report such as "TEXT x0=0.5, x1=2". It returns nil if a required field is missing or a value
+// is out of range.
 func (c *Codec) parseReportText(text string) *routing.LoadReport {
 	text = strings.TrimSpace(text)
 	if len(c.reportFields) == 0 || text == "" || len(text) > maxReportBytes {
--- a/internal/protocol/platform/refusals_golden_test.go
+++ b/internal/protocol/platform/refusals_golden_test.go
@@ -22,8 +22,8 @@
 	regexp.MustCompile(`(Go struct field )[A-Za-z]*\.`),
 	regexp.MustCompile(`(?m)( of type )(?:struct \{.*\}|[a-z]+\.[A-Za-z]+)$`)}
 
-// Each configuration is the sample with one text replaced by another, and is rejected with the expected faults.
-func TestGoldenRefusals(t *testing.T) {
+// Each configuration is the sample with one text replaced by another, and is rejected with the same faults as before.
+func TestGoldenConfigFaults(t *testing.T) {
 	var b strings.Builder
 	for _, c := range [][2]string{{sampleConfig, ""}, {sampleConfig, "{"}, {sampleConfig, "[]"}, {sampleConfig, "null"}, {sampleConfig, "{}"}, {sampleConfig, "x"}, {`{"name"`, `{`},
 		{`"name":"n3"`, `"name":3`}, {`"listen":"127.0.0.4:3000"`, `"listen":7`}, {`"127.0.0.4:3000"`, `"nowhere"`},
--- a/internal/protocol/platform/request.go
+++ b/internal/protocol/platform/request.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/protocol"
 )
 
-// Limits of a request beyond its size in bytes.
+// Limits of a request apart from its size in bytes.
 const (
 	maxIDBytes = 128              // of a request ID, an affinity key or a prefix
 	maxTokens  = 1 << 24          // in any field that counts tokens
@@ -26,8 +26,8 @@
 // resumeRetry is the value of HeaderClientRetry that requests the rest of a truncated stream.
 const resumeRetry = "again"
 
-// errNotObject reports a body that no engine can use. If the body were forwarded, the engine's error response would look like
-// a fault of the engine.
+// errNotObject reports a body that is not a JSON object. No engine can use such a body; if it were forwarded, the engine's error
+// response would look like a fault of the engine.
 var errNotObject = errors.New("the body is no JSON object")
 
 // HeaderError reports an invalid header of a client's request.
@@ -118,7 +118,7 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// parseRequestInfo parses the lengths and the prefix that a client sends; unknown fields are skipped.
+// parseRequestInfo parses the token counts and the prefix that a client sends; unknown fields are skipped.
 func parseRequestInfo(request *protocol.Request, text string) error {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/protocol/platform/request_test.go
+++ b/internal/protocol/platform/request_test.go
@@ -17,10 +17,10 @@
 	"Request-Class: chat\r\nAffinity-Key: 7f3a\r\nRequest-Timeout: 4.800\r\nContent-Type: application/json\r\n" +
 	"Request-Info: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n"
 
-// largeLimits are larger than all messages of the tests.
+// largeLimits exceed the sizes of all messages in the tests.
 var largeLimits = httpframing.Limits{HeadBytes: 1 << 20, BodyBytes: 1 << 20}
 
-// parseHTTP parses a request with the given head and body with net/http.
+// parseHTTP parses a request with net/http. The head ends before the Content-Length field.
 func parseHTTP(head, body string) (*http.Request, error) {
 	return http.ReadRequest(bufio.NewReader(strings.NewReader(fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, len(body)))))
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// The error of an invalid header names the header, and a body that is not an object has an error of its own.
+// The error of an invalid header names the header; a body that is not an object has a separate error.
 func TestRequestErrorsNameTheHeader(t *testing.T) {
 	parseError := func(head, body string) error {
 		r, err := parseHTTP(head, body)
