--- a/internal/asynclog/sink.go
+++ b/internal/asynclog/sink.go
@@ -15,7 +15,7 @@
 	maxPendingLines = 1024
 	// syncTimeout is how long Sync waits, because the reader may have stalled.
 	syncTimeout = 200 * time.Millisecond
-	// droppedLine is the log line that reports the number of dropped lines, in the format of the other log lines.
+	// droppedLine is the format of the log line that reports the number of dropped lines; it matches the other log lines.
 	droppedLine = `{"level":"warn","msg":"log lines dropped","count":%d}` + "\n"
 )
 
@@ -46,7 +46,7 @@
 // Dropped returns the number of dropped lines that have not been reported in the log yet.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Sync waits until all queued lines are written, or until a short timeout.
+// Sync waits until all queued lines are written, but not longer than syncTimeout.
 func (s *Sink) Sync() error {
 	done := make(chan struct{})
 	timeout := time.After(syncTimeout)
@@ -85,8 +85,7 @@
 	}
 }
 
-// write writes one line, after a report of the lines that were dropped before it. Errors of the log's writer cannot be
-// reported anywhere.
+// write writes one line, after a report of the lines that were dropped before it.
 func (s *Sink) write(w io.Writer, line []byte) {
 	if count := s.dropped.Swap(0); count > 0 {
 		fmt.Fprintf(w, droppedLine, count)
--- a/internal/discovery/catalog/catalog.go
+++ b/internal/discovery/catalog/catalog.go
@@ -14,19 +14,19 @@
 // MaxResponseBytes is the maximum size of a response of the discovery service.
 const MaxResponseBytes = endpoint.MaxListBytes
 
-// Catalog is the last state received from the discovery service. The zero value has received none.
+// Catalog is the last state received from the discovery service. The zero value is a catalog before the first response.
 type Catalog struct {
 	generation    int64
 	entries       map[string]endpoint.Entry // by ID; nil before the first snapshot
 	ids           []string                  // sorted IDs of the entries; List updates it if idsStale is set
 	idsStale      bool
-	needsSnapshot bool // the entries are not from the current history of the discovery service
+	needsSnapshot bool // the store of the discovery service was restored, so changes do not apply to the entries
 }
 
 // Update is the result of applying a response.
 type Update struct {
 	Changed bool     // whether the list has changed
-	Invalid []string // IDs of invalid instances, which were left out; an ID is empty if the instance has none
+	Invalid []string // IDs of invalid instances, which are not in the list; an ID is empty if the instance has none
 }
 
 // Apply updates the catalog with a response of the discovery service. If it returns an error, the catalog is unchanged.
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Query returns the query of the next request: either a watch with the given wait, or an empty query for a snapshot.
+// Query returns the query string of the next request: for a watch with the given wait, or empty to request a snapshot.
 func (c *Catalog) Query(wait time.Duration) string {
 	if c.entries == nil || c.needsSnapshot {
 		return ""
--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// The list is that of the last generation received, whether responses are snapshots or changes, outdated or duplicated.
-func TestListIsThatOfTheLastGeneration(t *testing.T) {
+// The list matches the latest generation, whether responses are snapshots or changes, outdated or duplicated.
+func TestListMatchesLatestGeneration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		expected, catalog, generation := map[int]lifecycle{}, &Catalog{}, 1
 		snapshot := func() []byte {
@@ -106,7 +106,7 @@
 	})
 }
 
-// However an instance is invalid, only this instance is left out, and the drain of another instance is applied.
+// Whatever makes an instance invalid, only this instance is left out, and the drain of another instance is applied.
 func TestOnlyInvalidInstancesAreLeftOut(t *testing.T) {
 	for _, invalid := range []string{`7`, `null`, `"s-1"`, `[]`, `{}`, `{"instanceId":"s-1","weight":"heavy"}`,
 		`{"instanceId":"s-1","hostPort":"127.0.1.1:3000","lifecycle":"SERVING","startedAtMs":"now"}`,
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/golden"
 )
 
-// Each response of a sequence results in the same list and next query as before.
+// Each response of a sequence results in the same list and the same next query as before.
 func TestGoldenQueries(t *testing.T) {
 	c := &Catalog{}
 	var out strings.Builder
@@ -28,7 +28,7 @@
 		string(responseJSON(5, true, instanceJSON(0, serving, 5), instanceJSON(1, serving, 6))),
 		string(responseJSON(5, false)),
 		string(responseJSON(6, false, instanceJSON(1, draining, 6), instanceJSON(2, serving, 7))),
-		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // applied before
+		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // the generation was applied before
 		string(responseJSON(7, false, instanceJSON(0, deleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
 		`{"generation":8,"reset":false,"instances":[{"instanceId":"s-3","hostPort":"127.0.0.1:1","lifecycle":"SERVING","weight":-1}]}`,
 		string(responseJSON(3, false, instanceJSON(4, serving, 1))), // the store was restored
--- a/internal/discovery/catalog/response.go
+++ b/internal/discovery/catalog/response.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/netaddr"
 )
 
-// Reasons why a response is rejected, in addition to its size (*endpoint.SizeError) and syntax (endpoint.ErrMalformed).
+// Reasons why a response is rejected. Other reasons are its size (*endpoint.SizeError) and syntax (endpoint.ErrMalformed).
 var (
 	ErrNoGeneration = errors.New("list has no generation")
 	ErrNoSnapshot   = errors.New("changes arrived before a snapshot")
@@ -40,7 +40,7 @@
 	return &response{*r.Generation, r.Snapshot, r.Instances}, nil
 }
 
-// lifecycle is the state of an instance under its name in the discovery service.
+// lifecycle is the state of an instance as named by the discovery service.
 type lifecycle string
 
 const (
@@ -49,7 +49,7 @@
 	deleted  lifecycle = "DELETED"
 )
 
-// instance is one engine in a response of the discovery service.
+// instance is an engine in a response of the discovery service.
 type instance struct {
 	ID          string      `json:"instanceId"`
 	Address     string      `json:"hostPort"`
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -16,12 +16,12 @@
 const MembersPath = "/catalog/members"
 
 const (
-	// watchWait is how long an agent may delay its response to wait for a change. A change counts as delivered two seconds
-	// after the end of the wait even if the connection is dead, so short waits are needed to detect a dead connection early.
+	// watchWait is how long an agent may delay its response until the list changes. A change counts as delivered two seconds
+	// after the end of the wait even if the connection is dead, so the wait must be short to detect a dead connection early.
 	watchWait = 1500 * time.Millisecond
 
-	// minRequestInterval is the least interval between the starts of two requests if the first one failed or returned no
-	// changes. The agent is on the node's own machine, and it continues a watch if the next request arrives within twice that
+	// minRequestInterval is the minimum interval between the starts of two requests if the first one failed or returned no
+	// changes. The agent runs on the node's own machine, and continues a watch if the next request arrives within twice this
 	// interval.
 	minRequestInterval = 100 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 // Client is an endpoint.Source that watches the agent at the last address received from Addresses.
 type Client struct {
 	Addresses <-chan string // addresses of the agent; each replaces the previous one
-	Cached    []byte        // the last snapshot that the node received; empty if there is none
+	Cached    []byte        // the last snapshot that the node received; empty before the first one
 }
 
 // InvalidInstancesError reports invalid instances, which are left out of a list.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -25,7 +25,7 @@
 		generation, snapshot, id, state)
 }
 
-// startClient runs a client until the test ends, or until stop is called.
+// startClient runs a client until the test ends or stop is called.
 func startClient(t *testing.T, client Client, onList func(endpoint.List), onError func(error)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -40,7 +40,7 @@
 
 func ignoreError(error) {}
 
-// addressOf returns the address channel of a client whose agent never changes.
+// addressOf returns an address channel for a client whose agent never changes.
 func addressOf(address string) <-chan string {
 	addresses := make(chan string, 1)
 	addresses <- address
@@ -60,8 +60,8 @@
 	}
 }
 
-// A client reports the cached list, a snapshot and a change. If its agent becomes unresponsive, it retries, and then follows
-// the agent that replaces it.
+// A client reports the cached list, a snapshot and a change. If the agent becomes unresponsive, the client retries, and then
+// follows the agent at the new address.
 func TestClientFollowsAgents(t *testing.T) {
 	lists := make(chan endpoint.List, 8)
 	addresses := make(chan string, 1)
@@ -99,7 +99,7 @@
 	expectList(t, lists, "7b ready")
 }
 
-// runClient runs a client of the agent at one address until the test ends; its lists are sent to the channel.
+// runClient runs a client of one agent until the test ends, and returns a channel that receives the client's lists.
 func runClient(t *testing.T, address string) (lists chan endpoint.List) {
 	lists = make(chan endpoint.List, 64)
 	startClient(t, Client{Addresses: addressOf(address)}, func(l endpoint.List) {
@@ -111,7 +111,7 @@
 	return lists
 }
 
-// An overloaded agent sends its list slowly but steadily, so that the response takes longer than the wait of the watch.
+// A list is accepted from an overloaded agent that sends it slowly but steadily, for longer than the wait of the watch.
 func TestSlowResponseIsAccepted(t *testing.T) {
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
 		if query != "" {
@@ -180,7 +180,7 @@
 	}
 }
 
-// The store of the discovery service was restored, so its generation is lower than before. Its current list is accepted.
+// The generation is lower than before because the store of the discovery service was restored. Its current list is accepted.
 func TestGenerationRollback(t *testing.T) {
 	var restored atomic.Bool
 	address := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// responseGrace is how long after the end of the wait the response of a working agent may begin.
+	// responseGrace is how long after the end of the wait the response of a healthy agent may begin.
 	responseGrace = 400 * time.Millisecond
 
 	// bodyIdleTimeout is the maximum time without new bytes of a response that has begun. responseTimeout bounds the complete
@@ -27,8 +27,8 @@
 // Error returns the status.
 func (e *StatusError) Error() string { return "unexpected response status " + e.Status }
 
-// fetch sends one request and returns the body of the response. The response must begin soon after the wait of the watch; from
-// then on it may take longer, as long as bytes keep arriving.
+// fetch sends one request and returns the body of the response. The response must begin within responseGrace after the wait of
+// the watch. It may then take up to responseTimeout in total, provided that bytes keep arriving.
 func fetch(ctx context.Context, client *http.Client, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -58,7 +58,7 @@
 	return l.Addr().String(), requests
 }
 
-// The bytes of the requests that follow each response of the agent stay the same.
+// The bytes of the request after each response of the agent stay the same.
 func TestGoldenRequests(t *testing.T) {
 	response := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint defines the list of engines that a router may send requests to: its format, its validation, and the source
-// that polls a file for it. Other sources, such as discovery or the planner, deliver lists of the same type.
+// Package endpoint defines the list of engines that a router may send requests to: its format, its validation, and a source
+// that polls a file. Other sources, such as discovery or the planner, deliver lists of the same type.
 package endpoint
 
 import "context"
@@ -32,7 +32,7 @@
 
 // Source delivers endpoint lists.
 type Source interface {
-	// Run passes lists to onList until ctx ends; each replaces the previous one. It passes errors to onError, after which the
-	// last list stays valid.
+	// Run passes lists to onList until ctx ends; each replaces the previous one. It passes errors to onError; the last list
+	// stays valid after an error.
 	Run(ctx context.Context, onList func(List), onError func(error))
 }
--- a/internal/endpoint/errors.go
+++ b/internal/endpoint/errors.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("list has %d bytes, at most %d are allowed", e.Bytes, e.Limit)
 }
 
-// RollbackError reports a list whose revision is lower than that of the previous list.
+// RollbackError reports a list with a lower revision than the last valid list.
 type RollbackError struct{ Revision, Last int64 }
 
 // Error returns both revisions.
--- a/internal/endpoint/file.go
+++ b/internal/endpoint/file.go
@@ -37,7 +37,7 @@
 // FileSource is a Source that polls a file.
 type FileSource struct {
 	Path         string
-	PollInterval time.Duration // 0 for 50 ms
+	PollInterval time.Duration // 0 for defaultPollInterval
 }
 
 // Run implements Source. A persistent error is reported once.
@@ -68,7 +68,7 @@
 	}
 }
 
-// fileReader reads a list from a file and detects whether it has changed.
+// fileReader reads a list from a file and detects changes.
 type fileReader struct {
 	path     string
 	data     []byte // of the last valid list
--- a/internal/endpoint/parse.go
+++ b/internal/endpoint/parse.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/netaddr"
 )
 
-// MaxListBytes is the maximum size of an encoded list; a list of ten thousand engines has about three million bytes.
+// MaxListBytes is the maximum size of an encoded list. A list of ten thousand engines has about three million bytes.
 const MaxListBytes = 4 << 20
 
 // CheckSize returns a *SizeError if data is larger than MaxListBytes.
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// Parse decodes and validates a list in JSON. If any entry is invalid, the rest cannot be trusted either, so the whole list is
-// rejected.
+// Parse decodes and validates a list in JSON. It rejects the whole list if any entry is invalid, because the other entries
+// cannot be trusted either.
 func Parse(data []byte) (List, error) {
 	var list List
 	if err := CheckSize(data); err != nil {
--- a/internal/localpause/detector.go
+++ b/internal/localpause/detector.go
@@ -1,11 +1,12 @@
-// Package localpause detects pauses of this process, as on a busy machine or after a stop signal. After a pause, input that
-// arrived during it is still unread, so a missing response does not yet mean that the peer is silent. It does no I/O.
+// Package localpause detects pauses of this process, such as on a busy machine or after SIGSTOP. After a pause, input that
+// arrived in the meantime is still unread, so a missing response does not yet mean that the peer is silent. The package does no
+// I/O.
 package localpause
 
 import "time"
 
 const (
-	// pauseThreshold is the delay from which a process counts as paused: longer than the scheduling delay of an idle machine.
+	// pauseThreshold is the shortest delay that counts as a pause. It exceeds the scheduling delay of an idle machine.
 	pauseThreshold = 20 * time.Millisecond
 	// maxCatchUpTime is the longest time assumed for reading the input that arrived during a pause.
 	maxCatchUpTime = 100 * time.Millisecond
@@ -35,7 +36,8 @@
 	d.caughtUpAt = now + int64(min(pause, maxCatchUpTime))
 }
 
-// ObservedUntil returns the time up to which the process has observed its input, if it has handled all that it has read.
+// ObservedUntil returns the time up to which the process has observed its input, provided that it has handled all input that
+// it has read.
 func (d *Detector) ObservedUntil(now int64) int64 {
 	if now < d.caughtUpAt {
 		return min(now, d.pauseStartedAt)
@@ -43,5 +45,5 @@
 	return now
 }
 
-// IsLate reports whether a timer that was due is observed so late that the process must have been paused.
+// IsLate reports whether a timer fires so long after it was due that the process must have been paused.
 func IsLate(now, due int64) bool { return time.Duration(now-due) >= pauseThreshold }
--- a/internal/localpause/detector_test.go
+++ b/internal/localpause/detector_test.go
@@ -29,8 +29,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var d Detector
 		now, lastPause := ms, int64(0)
-		for range rapid.IntRange(1, 100).Draw(t, "looks") {
-			waits := rapid.Int64Range(0, 30*ms).Draw(t, "waits")
+		for range rapid.IntRange(1, 100).Draw(t, "updates") {
+			waits := rapid.Int64Range(0, 30*ms).Draw(t, "wait")
 			late := rapid.Int64Range(0, 60*ms).Draw(t, "late")
 			now += waits + late
 			d.Update(now, now-late)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// localErrnos are the system call errors that are caused by a shortage on this machine: of file descriptors, memory, ports
-// or routes. The peer cannot cause them.
+// localErrnos are the system call errors that are not failures of the peer: shortages of file descriptors, memory, ports or
+// routes on this machine, and aborted or interrupted calls.
 var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN,
@@ -21,7 +21,7 @@
 // and the same call may succeed a moment later.
 func IsLocal(err error) bool {
 	if errors.Is(err, context.Canceled) {
-		return true // this side has canceled the call
+		return true // this process canceled the call
 	}
 	return slices.ContainsFunc(localErrnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Log sampling: of the lines with the same message, the first logSampleInitial in each second are written, and after that
-// every logSampleThereafter-th.
+// Log sampling: in each second, the first logSampleInitial lines with the same message are written, and then every
+// logSampleThereafter-th line.
 const (
 	logSampleInitial    = 100
 	logSampleThereafter = 100
