--- a/cmd/sandcourse-edge/config_file.go
+++ b/cmd/sandcourse-edge/config_file.go
@@ -11,16 +11,16 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// Reading the configuration at startup is retried for a while if it fails because file descriptors or memory run short.
+// Limits of retrying to read the configuration at startup, if this machine runs short of file descriptors or memory.
 const (
 	maxOpenAttempts   = 100
 	openRetryInterval = 50 * time.Millisecond
 )
 
-// errConfigTooLarge means that a file exceeds platform.MaxConfigBytes. Its text is printed when the edge rejects the file.
+// errConfigTooLarge reports a file that exceeds platform.MaxConfigBytes. The text is printed when the edge rejects the file.
 var errConfigTooLarge = errors.New("configuration is larger than the limit")
 
-// readConfigAtStartup reads the platform's configuration, and retries while this machine has no free file descriptor.
+// readConfigAtStartup reads the platform's configuration, and retries if the error is caused by this machine.
 func readConfigAtStartup(file string) (*platform.NodeConfig, error) {
 	data, err := readBounded(file)
 	for attempt := 1; neterr.IsLocal(err) && attempt < maxOpenAttempts; attempt++ {
--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -10,8 +10,8 @@
 	"sandcourse/internal/soak"
 )
 
-// File descriptors run out for a moment as clients connect: the edge has one left, which the accepted connection uses, and
-// none to pass the connection to the socket library. The clients have to wait, and must then be served.
+// File descriptors run out for a moment while clients connect: the accepted connection uses the last one, and none is left to
+// pass the connection to the socket library. The clients have to wait, and must then be served.
 func TestClientIsServedAfterDescriptorsRunOut(t *testing.T) {
 	p, edge := startSingleEdge(t, nil)
 	restore, err := soak.LimitFreeDescriptors(edge.Process.Pid, 1)
--- a/cmd/sandcourse-edge/early_signal_test.go
+++ b/cmd/sandcourse-edge/early_signal_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// deployCommand returns the command with which the deploy file starts an edge, with the test's binary and configuration.
+// deployCommand returns the command that starts an edge in the deploy file, with the test's binary and configuration.
 func deployCommand(t *testing.T, config string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -24,8 +24,8 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// The protocol's limits: a reservation has to be used or released within 1 s, with a tolerance of 300 ms. The rest of the
-// slack is for a machine that runs other tests at the same time.
+// Limits of the protocol: a reservation must be used or released within 1 s, with a tolerance of 300 ms. The rest of the slack
+// is for a machine that runs other tests at the same time.
 const (
 	reservationLimit = time.Second
 	reservationSlack = 300*time.Millisecond + 700*time.Millisecond
@@ -38,7 +38,7 @@
 	fleet     *platformengine.Fleet
 	addresses []string // the addresses of the edges
 	pids      []int
-	// configs are the configuration files of the edges; agentAddress is the address of discovery in them.
+	// configs are the configuration files of the edges, all with agentAddress as the address of the discovery agent.
 	configs      []string
 	commands     []*exec.Cmd
 	agentAddress string
@@ -173,7 +173,7 @@
 	p.t.Fatalf("%s not ready within 20 s", addr)
 }
 
-// call sends one request and returns the status of the response. The client disconnects if there is none after a while.
+// call sends one request and returns the status of the response, or 0 if no response begins within the given wait.
 func (p *edgeProcesses) call(client *http.Client, address, name, class string, wait time.Duration) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -195,7 +195,7 @@
 	return response.StatusCode
 }
 
-// waitForRelease waits until the fleet has no reservations, for at most 8 times the limit.
+// waitForRelease waits until the fleet holds no reservations, but at most for 8 times reservationLimit.
 func (p *edgeProcesses) waitForRelease() {
 	for end := time.Now().Add(8 * reservationLimit); p.fleet.HeldReservations() > 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -212,8 +212,8 @@
 	}
 }
 
-// Messages on different connections are not ordered. Here an engine is notified that an edge abandoned an attempt only
-// after the release for the request has arrived, which then has no effect. Real processes violated rule 5 in this way.
+// Messages on different connections are not ordered. Here an engine detects that an edge abandoned an attempt only after the
+// release for the request has arrived, which then has no effect. Real processes held reservations too long in this way.
 func TestReleaseThatOvertakesAttemptEnd(t *testing.T) {
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
@@ -283,7 +283,7 @@
 	}
 }
 
-// pause stops a process repeatedly, each time for up to a quarter of the limit.
+// pause stops a process repeatedly until ctx ends, each time for up to a quarter of reservationLimit.
 func (p *edgeProcesses) pause(ctx context.Context, pid int, random *lockedRand) {
 	for ctx.Err() == nil {
 		time.Sleep(random.durationUpTo(500 * time.Millisecond))
@@ -293,7 +293,7 @@
 	}
 }
 
-// callRepeatedly sends one request after the other.
+// callRepeatedly sends one request after another until ctx ends.
 func (p *edgeProcesses) callRepeatedly(ctx context.Context, edge, number int, random *lockedRand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
--- a/cmd/sandcourse-edge/golden_test.go
+++ b/cmd/sandcourse-edge/golden_test.go
@@ -6,7 +6,7 @@
 	"sandcourse/internal/golden"
 )
 
-// Errors in a script or a configuration are all printed and the exit status is 2; it is 1 for other errors.
+// All errors in a script or a configuration are printed, and the exit status is 2. For other errors the exit status is 1.
 func TestGoldenConfigurationErrors(t *testing.T) {
 	binary, err := buildOnce()
 	if err != nil {
--- a/cmd/sandcourse-edge/large_fleet_test.go
+++ b/cmd/sandcourse-edge/large_fleet_test.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/soak"
 )
 
-// Limits of the platform that the tests of this file check.
+// Limits of the platform that the tests in this file check.
 const (
 	drainGrace      = 250*time.Millisecond + 50*time.Millisecond // every limit is 50 ms longer on sockets
 	endForwardLimit = time.Second                                // time to forward the end of a stream
@@ -26,7 +26,7 @@
 	servedShare = 0.85
 )
 
-// slowStartObligations are the obligations of a fleet of 300 nodes whose engines start slowly.
+// slowStartObligations are the settings of a fleet of 300 nodes for the slow start of engines.
 const slowStartObligations = `,"cold_us":9000000,"cold_share":0.3,"fall_multiple":3.0,"overload_for_us":1000000`
 
 // fleetNodes is the number of nodes in the settings.
@@ -70,8 +70,8 @@
 	return f
 }
 
-// replaceHalf drains a tenth of the engines in each step, while the previous tenth returns, newly started. Half of the
-// engines are never replaced.
+// replaceHalf drains a tenth of the engines in each step, while the previously drained tenth returns as newly started. Half of
+// the engines are never replaced.
 func (f *largeFleet) replaceHalf(ctx context.Context, interval time.Duration) {
 	step := len(f.engines) / 10
 	for i := 0; ctx.Err() == nil; i++ {
@@ -91,7 +91,7 @@
 	}
 }
 
-// sendAtRate sends requests at a rate for a time, and waits for all responses.
+// sendAtRate sends requests at a constant rate for the given length of time, and waits for all responses.
 func (f *largeFleet) sendAtRate(name string, perSecond int, length, deadline time.Duration) (sent int) {
 	return platformclient.Client{Address: f.addresses[0], Class: "chat", Log: f.log}.SendAtRate(name, perSecond, length, deadline)
 }
--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -60,7 +60,8 @@
 	return command
 }
 
-// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT; a second one ends it at once.
+// runOnSettings runs the edge that a settings script describes, until SIGTERM or SIGINT. A second signal ends the process at
+// once.
 func runOnSettings(file string, signals process.Signals) error {
 	deployment, err := config.Load(file)
 	if err != nil {
--- a/cmd/sandcourse-edge/platform.go
+++ b/cmd/sandcourse-edge/platform.go
@@ -15,12 +15,13 @@
 	// The heap may use three fifths of the platform's memory limit; the rest is for stacks, the kernel's buffers and
 	// memory that the garbage collector has not freed yet.
 	heapNumerator, heapDenominator = 3, 5
-	// maxProcs exceeds the platform's one core: a poller that waits for sockets must not keep the owner from running.
+	// maxProcs exceeds the one core that the platform provides: a poller that waits for sockets must not keep the owner from
+	// running.
 	maxProcs = 4
 )
 
-// runOnPlatform runs the edge that the platform's configuration describes, until SIGTERM. A further SIGTERM has no effect:
-// the edge is draining already, and the platform can send SIGKILL if it does not want to wait.
+// runOnPlatform runs the edge that the platform's configuration describes, until SIGTERM or SIGINT. A further signal has no
+// effect: the edge is draining already, and the platform can send SIGKILL if it does not want to wait.
 func runOnPlatform(file string, signals process.Signals) error {
 	configuration, err := readConfigAtStartup(file)
 	if err != nil {
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// A configuration that cannot be read may be partially written, or file descriptors may have run out for a moment, so
-	// it is soon read again. The new discovery address has to be in use four seconds after SIGHUP.
+	// The file may be only partially written, or file descriptors may have run out for a moment, so a failed read is soon
+	// repeated. The new discovery address must be in use within four seconds of SIGHUP.
 	retryIntervalShort    = 100 * time.Millisecond
 	shortIntervalAttempts = 50
 	// After shortIntervalAttempts the configuration is presumably invalid until an operator corrects it.
@@ -38,7 +38,7 @@
 	}
 }
 
-// reload retries until the configuration can be read; another SIGHUP restarts the retries.
+// reload reads the configuration until that succeeds; another SIGHUP restarts the retries.
 func (r *reloader) reload(ctx context.Context) {
 	lastError := ""
 	for attempt := 0; ; attempt++ {
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -34,7 +34,7 @@
 	return reserved.Addr().String()
 }
 
-// startCommand starts the process of an edge, which is killed at the end of the test.
+// startCommand starts the process of an edge, and kills it at the end of the test.
 func startCommand(t *testing.T, edge *exec.Cmd) {
 	t.Helper()
 	if err := edge.Start(); err != nil {
@@ -43,7 +43,7 @@
 	t.Cleanup(func() { edge.Process.Kill(); edge.Wait() })
 }
 
-// A restart and a new configuration may coincide: SIGHUP arrives while the edge still reads its first configuration.
+// A new configuration may follow a restart at once: SIGHUP arrives while the edge still reads its first configuration.
 func TestReloadDuringStart(t *testing.T) {
 	listen := freeAddress(t)
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -226,7 +226,7 @@
 	return p, p.commands[0]
 }
 
-// decodeWorkTime returns a short time for tests with a prepared command, which wait for several responses one by one.
+// decodeWorkTime returns a short time for tests that prepare the command, because they wait for several responses in turn.
 func decodeWorkTime(prepare func(*exec.Cmd)) time.Duration {
 	if prepare != nil {
 		return time.Millisecond
--- a/internal/protocol/engineapi/response.go
+++ b/internal/protocol/engineapi/response.go
@@ -13,7 +13,7 @@
 )
 
 // ErrNoReservation reports a prefill response that does not identify the KV state.
-var ErrNoReservation = errors.New("prefill response names no KV state")
+var ErrNoReservation = errors.New("prefill response does not identify its KV state")
 
 // ClassifyHead maps the head of a response to an event of the attempt's state machine.
 func ClassifyHead(response *http.Response) attempt.Event {
