--- a/cmd/sandcourse-edge/descriptors_test.go
+++ b/cmd/sandcourse-edge/descriptors_test.go
@@ -20,16 +20,16 @@
 	}
 	restored := make(chan error, 1)
 	time.AfterFunc(300*time.Millisecond, func() { restored <- restore() })
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 5 {
-		all.Go(func() {
+		wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			if status := p.call(client, p.addresses[0], fmt.Sprintf("q%d", i), "chat", 4*time.Second); status != http.StatusOK {
 				t.Errorf("client %d, which connected without a free descriptor, got status %d", i, status)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if err := <-restored; err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sandcourse-edge/early_signal_test.go
+++ b/cmd/sandcourse-edge/early_signal_test.go
@@ -49,7 +49,7 @@
 	if err := syscall.Mkfifo(config, 0o600); err != nil { // the edge blocks while it reads its configuration
 		t.Fatal(err)
 	}
-	ended := 0
+	terminated := 0
 	for range starts {
 		edge := exec.Command("/bin/sh", "-c", deployCommand(t, config))
 		startCommand(t, edge)
@@ -62,10 +62,10 @@
 		}
 		edge.Wait()
 		if status := edge.ProcessState.Sys().(syscall.WaitStatus); status.Signal() == syscall.SIGHUP {
-			ended++
+			terminated++
 		}
 	}
-	if ended > 0 {
-		t.Errorf("%d of %d edges were terminated by a SIGHUP right after exec", ended, starts)
+	if terminated > 0 {
+		t.Errorf("%d of %d edges were terminated by a SIGHUP right after exec", terminated, starts)
 	}
 }
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -229,16 +229,16 @@
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 8, WorkTime: 5 * time.Millisecond},
 		{ID: "s-2", Role: platformengine.Decode, Slots: 1, WorkTime: 150 * time.Millisecond, Events: 20},
 	})
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, address := range p.addresses {
 		for j := range 4 {
-			all.Go(func() {
+			wg.Go(func() {
 				class := []string{"chat", "alert"}[j%2]
 				p.call(http.DefaultClient, address, fmt.Sprintf("n%dq%d", i, j), class, 400*time.Millisecond)
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	p.waitForRelease()
 	p.checkReservations()
 	if overtaken.Load() < 4 {
@@ -262,20 +262,20 @@
 	})
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range max(1, runtime.NumCPU()/4) { // load of other processes
-		all.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 			}
 		})
 	}
 	for i, pid := range p.pids {
-		all.Go(func() { p.pause(ctx, pid, random) })
+		wg.Go(func() { p.pause(ctx, pid, random) })
 		for j := range 12 {
-			all.Go(func() { p.callRepeatedly(ctx, i, j, random) })
+			wg.Go(func() { p.callRepeatedly(ctx, i, j, random) })
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	p.waitForRelease()
 	p.checkReservations()
 	if fleet.Releases() == 0 {
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -71,10 +71,10 @@
 // waitForExit waits until a process exits, and checks its exit code.
 func waitForExit(t *testing.T, edge *exec.Cmd, code int) {
 	t.Helper()
-	ended := make(chan error, 1)
-	go func() { ended <- edge.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- edge.Wait() }()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if got := edge.ProcessState.ExitCode(); got != code {
 			t.Errorf("the edge exited with code %d (%v), want %d", got, err, code)
 		}
--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -24,13 +24,13 @@
 func checkEntries(t *rapid.T, entries []endpoint.Entry, expected map[int]lifecycle) {
 	t.Helper()
 	if len(entries) != len(expected) {
-		t.Fatalf("%+v, want %v", entries, expected)
+		t.Fatalf("entries %+v, want %v", entries, expected)
 	}
 	for _, e := range entries {
 		var id int
 		fmt.Sscanf(e.ID, "s-%d", &id)
 		if (e.State == endpoint.Draining) != (expected[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
-			t.Fatalf("%+v, want %s", e, expected[id])
+			t.Fatalf("entry %+v, want lifecycle %s", e, expected[id])
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		}
 		for _, e := range c.List().Entries {
 			if e.ID == "" || e.Address == "" || e.State != endpoint.Ready && e.State != endpoint.Draining {
-				t.Fatalf("%+v", e)
+				t.Fatalf("invalid entry %+v", e)
 			}
 		}
 	})
@@ -116,7 +116,7 @@
 			t.Fatal(err)
 		}
 		if update, err := c.Apply(responseJSON(2, false, invalid, instanceJSON(2, draining, 0))); err != nil || len(update.Invalid) != 1 {
-			t.Errorf("%s: left out %q, %v", invalid, update.Invalid, err)
+			t.Errorf("%s: left out %q, error %v", invalid, update.Invalid, err)
 		}
 		list := c.List().Entries
 		if i := len(list) - 1; i < 0 || list[i].ID != "s-2" || list[i].State != endpoint.Draining {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -53,7 +53,7 @@
 	select {
 	case l := <-lists:
 		if got := fmt.Sprint(l.Revision, l.Entries[0].ID, " ", l.Entries[0].State); got != want {
-			t.Fatalf("%s, want %s", got, want)
+			t.Fatalf("list %s, want %s", got, want)
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatalf("timeout waiting for the list %s", want)
--- a/internal/endpoint/file_test.go
+++ b/internal/endpoint/file_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if got, err := Parse(text); err != nil || len(got.Entries) != 2 || got.Entries[1] != want.Entries[1] {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("parsed list %+v, error %v", got, err)
 	}
 	for i := range len(text) - 2 { // the last two bytes are the brace and the line end
 		if _, err := Parse(text[:i]); err == nil {
@@ -51,7 +51,7 @@
 	}
 	write(2)
 	if l := <-lists; l.Revision != 2 {
-		t.Errorf("%+v", l)
+		t.Errorf("list %+v, want revision 2", l)
 	}
 	write(1)
 	var rollback *RollbackError
@@ -66,6 +66,6 @@
 	}
 	write(3)
 	if l := <-lists; l.Revision != 3 {
-		t.Errorf("%+v", l)
+		t.Errorf("list %+v, want revision 3", l)
 	}
 }
--- a/internal/localpause/detector_test.go
+++ b/internal/localpause/detector_test.go
@@ -30,9 +30,9 @@
 		var d Detector
 		now, lastPause := ms, int64(0)
 		for range rapid.IntRange(1, 100).Draw(t, "updates") {
-			waits := rapid.Int64Range(0, 30*ms).Draw(t, "wait")
+			wait := rapid.Int64Range(0, 30*ms).Draw(t, "wait")
 			late := rapid.Int64Range(0, 60*ms).Draw(t, "late")
-			now += waits + late
+			now += wait + late
 			d.Update(now, now-late)
 			if late >= int64(pauseThreshold) {
 				lastPause = now
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -19,7 +19,7 @@
 	Reload <-chan os.Signal // SIGHUP
 }
 
-// CatchSignals registers the handlers of Signals. It has to be the first call of a program, because each of these signals
+// CatchSignals registers the handlers of Signals. It must be the first call of a program, because each of these signals
 // terminates a process that does not catch it, even during startup. A write to a log whose reader has exited raises
 // SIGPIPE, which is ignored, so that the write fails instead.
 func CatchSignals() Signals {
--- a/internal/protocol/chat/completion_test.go
+++ b/internal/protocol/chat/completion_test.go
@@ -41,7 +41,7 @@
 		string(ErrorBody("k", "c", "p", "t")): `{"error":{"code":"c","message":"t","param":"p","type":"k"}}`,
 	} {
 		if got != want {
-			t.Errorf("%s\nwant %s", got, want)
+			t.Errorf("got %s\nwant %s", got, want)
 		}
 	}
 }
--- a/internal/protocol/chat/decoder_test.go
+++ b/internal/protocol/chat/decoder_test.go
@@ -32,7 +32,7 @@
 			rest = rest[n:]
 		}
 		if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !d.AtBoundary() {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("events %q, want %q", got, want)
 		}
 	})
 }
--- a/internal/protocol/chat/request_test.go
+++ b/internal/protocol/chat/request_test.go
@@ -15,13 +15,13 @@
 		if err != nil {
 			var invalid *InvalidRequestError
 			if !errors.As(err, &invalid) || invalid.Status != http.StatusBadRequest || invalid.Param == "" {
-				t.Fatalf("%v", err)
+				t.Fatalf("error without type, status or parameter: %v", err)
 			}
 			return
 		}
 		out, err := r.RewrittenBody(Replacements{"stream": true, "max_completion_tokens": nil})
 		if err != nil || !json.Valid(out) || r.PromptTokens < 4 || r.MaxOutputTokens < 1 {
-			t.Fatalf("%s, %v", out, err)
+			t.Fatalf("invalid request or rewritten body %s, %v", out, err)
 		}
 	})
 }
@@ -44,17 +44,17 @@
 		`{"role":"system","content":"You write alerts."},{"role":"user","content":"गोल!"}]}`,
 		HeaderSession, "s1", HeaderFirstTokenTimeout, "1500", HeaderIdempotencyKey, "k")
 	if r.Session != "s1" || r.FirstTokenTimeout.Milliseconds() != 1500 || r.IdempotencyKey != "k" || r.MaxOutputTokens != 9 || !r.Stream {
-		t.Errorf("%+v", r)
+		t.Errorf("unexpected request %+v", r)
 	}
 	same := parse(t, `{"model":"m","messages":[{"role":"system","content":"You write alerts."},{"role":"user","content":"b"}]}`)
 	moved := parse(t, `{"model":"m","messages":[{"role":"system","content":"You write"},{"role":"system","content":" alerts."}]}`)
 	none := parse(t, `{"model":"m","messages":[{"role":"user","content":"b"}]}`)
 	if r.PrefixHash != same.PrefixHash || r.PrefixHash == moved.PrefixHash || none.PrefixHash != "" || none.PrefixTokens != 0 {
-		t.Errorf("%q %q %q %q", r.PrefixHash, same.PrefixHash, moved.PrefixHash, none.PrefixHash)
+		t.Errorf("prefix hashes: %q, same prefix %q, moved text %q, no prefix %q", r.PrefixHash, same.PrefixHash, moved.PrefixHash, none.PrefixHash)
 	}
 	out, err := r.RewrittenBody(Replacements{"max_tokens": 1})
 	if err != nil || !strings.Contains(string(out), `"x":{"y":[1]}`) || !strings.Contains(string(out), `"max_tokens":1`) {
-		t.Errorf("%s %v", out, err)
+		t.Errorf("unexpected rewritten body %s, %v", out, err)
 	}
 	for _, bad := range []string{`[]`, `null`, `{}`, `{"model":3}`, `{"model":"m","messages":[]}`,
 		`{"model":"m","messages":[{"role":"x","content":"a"}]}`, `{"model":"m","n":2,"messages":[{"role":"user"}]}`,
--- a/internal/protocol/httpframing/parser_test.go
+++ b/internal/protocol/httpframing/parser_test.go
@@ -12,7 +12,7 @@
 
 var smallLimits = Limits{HeadBytes: 512, BodyBytes: 1024}
 
-// parseSlices parses the messages in the slices, which may split them anywhere, and returns their bodies.
+// parseSlices parses messages that are split at any byte into slices, and returns the bodies.
 func parseSlices(direction Direction, slices ...[]byte) (bodies []string, parser *Parser, err error) {
 	parser = NewParser(direction, smallLimits)
 	var body []byte
@@ -62,7 +62,7 @@
 		}
 		got, parser, err := parseSlices(Requests, slices...)
 		if err != nil || fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !parser.AtBoundary() {
-			t.Fatalf("%q, %v; want %q", got, err, want)
+			t.Fatalf("bodies %q, error %v; want %q", got, err, want)
 		}
 	})
 }
@@ -102,7 +102,7 @@
 		_, parser, err := parseSlices(c.direction, []byte(c.wire))
 		var rejection *MessageError
 		if !errors.As(err, &rejection) || rejection.Status != c.status {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 		if _, next := parser.Feed([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n")); next == nil || parser.AtBoundary() {
 			t.Errorf("%s: the parser accepts more bytes after an error", name)
@@ -119,7 +119,7 @@
 			cut := min(len(wire), max(0, cut))
 			parts, parser, errParts := parseSlices(direction, wire[:cut], wire[cut:])
 			if (errWhole == nil) != (errParts == nil) || fmt.Sprint(whole) != fmt.Sprint(parts) {
-				t.Fatalf("split at %d: %q %v against %q %v", cut, parts, errParts, whole, errWhole)
+				t.Fatalf("split at %d: bodies %q, error %v; in one part: %q, %v", cut, parts, errParts, whole, errWhole)
 			}
 			if parser.Buffered() > smallLimits.HeadBytes+smallLimits.BodyBytes+4096 && parser.Buffered() > len(wire) {
 				t.Fatal("parser buffers more bytes than it was fed")
--- a/internal/protocol/platform/config_test.go
+++ b/internal/protocol/platform/config_test.go
@@ -32,13 +32,13 @@
 	c := d.RoutingConfig()
 	if c.Routes[0].Effect != routing.NonRetriable || c.Routes[0].FirstTokenObjective != 800*time.Millisecond || c.Zone != 1 ||
 		d.Role("decode") != "write" || d.RouteIndex("chat") != 0 || d.NodeNumber != 1 || fmt.Sprint(node.LoadReportFields()) != "[x0 x1]" {
-		t.Errorf("%+v %+v", d, c)
+		t.Errorf("unexpected deployment %+v or routing configuration %+v", d, c)
 	}
 	if c.ReservationLimit != 625*time.Millisecond {
 		t.Errorf("routing decisions may use a reservation for %v, which leaves no time to release it", c.ReservationLimit)
 	}
 	if d.Limits.Connections+d.Connections.Total+reservedSockets > 256 || d.Limits.Connections < 256/3 || d.Limits.BufferedBytes+d.QueueBytes > 16<<20 {
-		t.Errorf("%+v %+v do not fit the limits of the node", d.Limits, d.Connections)
+		t.Errorf("limits %+v and connections %+v do not fit the limits of the node", d.Limits, d.Connections)
 	}
 }
 
@@ -53,7 +53,7 @@
 		}
 		var faults script.Faults
 		if !errors.As(err, &faults) || !strings.HasPrefix(faults[0].Error(), "c: ") {
-			t.Errorf("%s: %v", replacement, err)
+			t.Errorf("%s: got error %v", replacement, err)
 		}
 	}
 }
--- a/internal/protocol/platform/forward_test.go
+++ b/internal/protocol/platform/forward_test.go
@@ -14,14 +14,14 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// A request reaches an engine unchanged, and routing decisions use the lengths that the client sent.
+// A request reaches an engine unchanged, and routing uses the token counts that the client sent.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	const body = `{"model":"chat","max_tokens":800}`
 	request, rejection := parse(t, sampleHead+"Client-Retry: again\r\n", body)
 	if rejection != nil || request.PromptTokens != 5120 || request.PrefixTokens != 2048 || request.Prefix != "5c0f" || request.MaxOutputTokens != 800 ||
 		request.FirstTokenTimeout != 4800*time.Millisecond || !request.Resumes || !request.Idempotent ||
 		request.Route != "chat" || request.Session != "7f3a" {
-		t.Fatalf("%+v %v", request, rejection)
+		t.Fatalf("unexpected request %+v, rejection %v", request, rejection)
 	}
 	sent, err := NewCodec(nil).PrefillRequest(request, request.ID, protocol.Target{Address: "127.0.0.9:1"}, 0, 1500*time.Millisecond)
 	if err != nil {
@@ -34,7 +34,7 @@
 	r := parts[0].Request
 	if r.RequestURI != "/v1/chat/completions?x=1" || r.Header.Get(HeaderRequestID) != "9b1f03aa5c7e2d41" ||
 		r.Header.Get(HeaderTimeout) != "1.500" || r.Header.Get("Content-Type") != "application/json" {
-		t.Fatalf("%s %v", r.RequestURI, r.Header)
+		t.Fatalf("unexpected target %s or header %v", r.RequestURI, r.Header)
 	}
 }
 
--- a/internal/protocol/platform/loadreport_test.go
+++ b/internal/protocol/platform/loadreport_test.go
@@ -14,7 +14,7 @@
 		"TEXT x0=0.5, x1": false, strings.Repeat("x0=1,", 1000) + "x1=1": false} {
 		got := codec.ParseLoadComment([]byte(" Server-Load: " + text))
 		if (got != nil) != valid || valid && *got != (routing.LoadReport{MemoryShare: 0.5, QueuedWork: 2}) {
-			t.Errorf("%.40q: %v", text, got)
+			t.Errorf("%.40q is parsed as %v", text, got)
 		}
 	}
 	if codec.ParseLoadComment([]byte(" keep-alive")) != nil || NewCodec(nil).ParseLoadComment([]byte(" Server-Load: TEXT x0=1, x1=1")) != nil {
--- a/internal/protocol/platform/request_test.go
+++ b/internal/protocol/platform/request_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	with := func(name, value string) string {
+	withHeader := func(name, value string) string {
 		var lines []string
 		for line := range strings.SplitAfterSeq(sampleHead, "\r\n") {
 			if strings.HasPrefix(line, name+":") {
@@ -49,11 +49,11 @@
 		}
 		return strings.Join(lines, "")
 	}
-	for name, head := range map[string]string{"no ID": with(HeaderRequestID, ""), "a path": with(HeaderRequestID, "../x"),
-		"long ID": with(HeaderRequestID, strings.Repeat("a", 200)), "two IDs": sampleHead + "Request-Id: b\r\n",
-		"no route": with(HeaderRequestClass, ""), "no timeout": with(HeaderTimeout, ""), "words": with(HeaderTimeout, "soon"),
-		"not a number": with(HeaderTimeout, "nan"), "endless": with(HeaderTimeout, "inf"), "past": with(HeaderTimeout, "-1"),
-		"negative length": with(HeaderRequestInfo, "prompt_len=-1"), "huge length": with(HeaderRequestInfo, "max_out=99999999999"),
+	for name, head := range map[string]string{"no ID": withHeader(HeaderRequestID, ""), "a path": withHeader(HeaderRequestID, "../x"),
+		"long ID": withHeader(HeaderRequestID, strings.Repeat("a", 200)), "two IDs": sampleHead + "Request-Id: b\r\n",
+		"no route": withHeader(HeaderRequestClass, ""), "no timeout": withHeader(HeaderTimeout, ""), "words": withHeader(HeaderTimeout, "soon"),
+		"not a number": withHeader(HeaderTimeout, "nan"), "endless": withHeader(HeaderTimeout, "inf"), "past": withHeader(HeaderTimeout, "-1"),
+		"negative length": withHeader(HeaderRequestInfo, "prompt_len=-1"), "huge length": withHeader(HeaderRequestInfo, "max_out=99999999999"),
 	} {
 		if request, rejection := parse(t, head, "{}"); rejection == nil || rejection.Status/100 != 4 {
 			t.Errorf("%s: accepted as %+v", name, request)
@@ -82,8 +82,8 @@
 		strings.Replace(sampleHead, "4.800", "soon", 1):     HeaderTimeout,
 		strings.Replace(sampleHead, "2048", "-1", 1):        HeaderRequestInfo + ": prefix_len",
 	} {
-		var refused *HeaderError
-		if err := parseError(head, "{}"); !errors.As(err, &refused) || refused.Header != want {
+		var invalid *HeaderError
+		if err := parseError(head, "{}"); !errors.As(err, &invalid) || invalid.Header != want {
 			t.Errorf("%v does not name %s", err, want)
 		}
 	}
@@ -106,7 +106,7 @@
 		}
 		if rejection != nil || request.FirstTokenTimeout <= 0 || request.FirstTokenTimeout > maxTimeout ||
 			request.PromptTokens < 0 || request.MaxOutputTokens < 0 || request.PromptTokens > maxTokens+len(body) {
-			t.Fatalf("%+v %v", request, rejection)
+			t.Fatalf("invalid request %+v, rejection %v", request, rejection)
 		}
 		to := protocol.Target{Address: "h:1"}
 		decode, _ := NewCodec(nil).DecodeRequest(request, request.ID, to, nil, time.Second)
--- a/internal/protocol/platform/response_test.go
+++ b/internal/protocol/platform/response_test.go
@@ -25,7 +25,7 @@
 			ended = ended || p.Kind == httpframing.End
 		}
 		if err != nil || string(body) != "data: "+data+"\n\n" || ended != completed || keepAlive != completed {
-			t.Fatalf("%q, ended %v, kept %v, %v", body, ended, keepAlive, err)
+			t.Fatalf("body %q, ended %v, kept alive %v, error %v", body, ended, keepAlive, err)
 		}
 		events := 0
 		if chat.NewDecoder(1<<10).Feed(body, func([]byte) { events++ }) != nil || events != 1 {
