--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -24,19 +24,19 @@
 func checkEntries(t *rapid.T, entries []endpoint.Entry, expected map[int]lifecycle) {
 	t.Helper()
 	if len(entries) != len(expected) {
-		t.Fatalf("%+v, want %v", entries, expected)
+		t.Fatalf("entries %+v, want %v", entries, expected)
 	}
 	for _, e := range entries {
 		var id int
 		fmt.Sscanf(e.ID, "s-%d", &id)
 		if (e.State == endpoint.Draining) != (expected[id] == draining) || e.Address == "" || e.StartedAtMs != 5 {
-			t.Fatalf("%+v, want %s", e, expected[id])
+			t.Fatalf("entry %+v, want lifecycle %s", e, expected[id])
 		}
 	}
 }
 
-// The list is that of the last generation received, whether responses are snapshots or changes, outdated or duplicated.
-func TestListIsThatOfTheLastGeneration(t *testing.T) {
+// The list matches the latest generation, whether responses are snapshots or changes, outdated or duplicated.
+func TestListMatchesLatestGeneration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		expected, catalog, generation := map[int]lifecycle{}, &Catalog{}, 1
 		snapshot := func() []byte {
@@ -100,13 +100,13 @@
 		}
 		for _, e := range c.List().Entries {
 			if e.ID == "" || e.Address == "" || e.State != endpoint.Ready && e.State != endpoint.Draining {
-				t.Fatalf("%+v", e)
+				t.Fatalf("invalid entry %+v", e)
 			}
 		}
 	})
 }
 
-// However an instance is invalid, only this instance is left out, and the drain of another instance is applied.
+// Whatever makes an instance invalid, only this instance is left out, and the drain of another instance is applied.
 func TestOnlyInvalidInstancesAreLeftOut(t *testing.T) {
 	for _, invalid := range []string{`7`, `null`, `"s-1"`, `[]`, `{}`, `{"instanceId":"s-1","weight":"heavy"}`,
 		`{"instanceId":"s-1","hostPort":"127.0.1.1:3000","lifecycle":"SERVING","startedAtMs":"now"}`,
@@ -116,7 +116,7 @@
 			t.Fatal(err)
 		}
 		if update, err := c.Apply(responseJSON(2, false, invalid, instanceJSON(2, draining, 0))); err != nil || len(update.Invalid) != 1 {
-			t.Errorf("%s: left out %q, %v", invalid, update.Invalid, err)
+			t.Errorf("%s: left out %q, error %v", invalid, update.Invalid, err)
 		}
 		list := c.List().Entries
 		if i := len(list) - 1; i < 0 || list[i].ID != "s-2" || list[i].State != endpoint.Draining {
