--- a/internal/protocol/chatapi/client.go
+++ b/internal/protocol/chatapi/client.go
@@ -89,7 +89,7 @@
 	if requestID != "" {
 		headers = append(headers, protocol.Header{Name: chat.HeaderRequestID, Value: requestID})
 	}
-	body := chat.ErrorBody(typeOverloaded, "shed", "", reason+"; a retry is safe")
+	body := chat.ErrorBody(typeOverloaded, "shed", "", reason+"; a further try is harmless")
 	return jsonResponse(status, body, headers...)
 }
 
@@ -99,7 +99,7 @@
 	if timedOut {
 		status = http.StatusGatewayTimeout
 	}
-	body := chat.ErrorBody(typeServerError, "errored", "", reason+"; the request may have run, so a retry may run it again")
+	body := chat.ErrorBody(typeServerError, "errored", "", reason+"; it may have run, nothing is promised of a further try")
 	return jsonResponse(status, body, outcomeHeaders(requestID, chat.OutcomeErrored)...)
 }
 
