--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -16,7 +16,7 @@
 	"sandcourse/settings"
 )
 
-func TestDemoScript(t *testing.T) {
+func TestDemoScriptGivesRoutingConfig(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestEndpointUpdateOfList(t *testing.T) {
+func TestEndpointUpdateOmitsUnknownKinds(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestPlannerScript(t *testing.T) {
+func TestPlannerScriptIsValidated(t *testing.T) {
 	valid := `planner(listen = "127.0.0.1:0", store = "s", roster = "r")
 kind(name = "p", role = "read")
 kind(name = "d", role = "write")
--- a/internal/config/params/params_test.go
+++ b/internal/config/params/params_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestLoadReport(t *testing.T) {
+func TestLoadReportIsConverted(t *testing.T) {
 	if LoadReport(nil) != nil {
 		t.Error("an empty load report is not nil")
 	}
--- a/internal/config/script/argument.go
+++ b/internal/config/script/argument.go
@@ -99,11 +99,11 @@
 // bounds are the least and the greatest allowed value of a number.
 type bounds struct{ least, most float64 }
 
-func (b bounds) include(value float64) bool { return value >= b.least && value <= b.most }
+func (b bounds) contains(value float64) bool { return value >= b.least && value <= b.most }
 
 func (b bounds) setInt(target *int, value starlark.Value) (string, bool) {
 	var n int
-	if err := starlark.AsInt(value, &n); err != nil || !b.include(float64(n)) {
+	if err := starlark.AsInt(value, &n); err != nil || !b.contains(float64(n)) {
 		return fmt.Sprintf("must be an integer from %.0f to %.0f", b.least, b.most), false
 	}
 	*target = n
@@ -112,7 +112,7 @@
 
 func (b bounds) setFloat(target *float64, value starlark.Value) (string, bool) {
 	f, ok := starlark.AsFloat(value)
-	if !ok || !b.include(f) {
+	if !ok || !b.contains(f) {
 		return fmt.Sprintf("must be a number from %g to %g", b.least, b.most), false
 	}
 	*target = f
@@ -122,7 +122,7 @@
 func (b bounds) setDuration(target *time.Duration, value starlark.Value) (string, bool) {
 	s, _ := starlark.AsString(value)
 	duration, err := time.ParseDuration(s)
-	if err != nil || !b.include(duration.Seconds()) {
+	if err != nil || !b.contains(duration.Seconds()) {
 		return fmt.Sprintf(`must be a duration from %gs to %gs, such as "250ms"`, b.least, b.most), false
 	}
 	*target = duration
--- a/internal/config/script/script_test.go
+++ b/internal/config/script/script_test.go
@@ -37,7 +37,7 @@
 }
 
 // A script that is too large is not parsed, and a file that cannot be read is reported as Faults.
-func TestScriptIsBounded(t *testing.T) {
+func TestScriptSizeIsLimited(t *testing.T) {
 	var tooLarge *TooLargeError
 	if err := Run("s.star", make([]byte, MaxBytes+1), nil, nil); !errors.As(err, &tooLarge) || tooLarge.Bytes != MaxBytes+1 {
 		t.Error(err)
--- a/internal/fluidmodel/fluidmodel_test.go
+++ b/internal/fluidmodel/fluidmodel_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestSameSeedSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	scenario := baseScenario()
 	scenario.ReportDelay, scenario.MissingReports, scenario.FalseReports = time.Second, 0.2, 0.1
 	if a, b := Run(scenario, Adaptive), Run(scenario, Adaptive); !reflect.DeepEqual(a, b) {
--- a/internal/modelcheck/mutations_test.go
+++ b/internal/modelcheck/mutations_test.go
@@ -68,7 +68,7 @@
 	{"a rollback keeps the epoch", "internal/planner/assignment/transitions.go", "max(engine.Epoch, engine.NextEpoch, engine.report.Epoch)+1, c.now", "max(engine.Epoch, 1), c.now", "roles-one", "R1 R2 R7"},
 	{"a drain never times out", "internal/planner/assignment/transitions.go", "case Draining:\n\t\treturn c.config.DrainTimeout", "case Draining:\n\t\treturn 0", "roles", "R7"},
 	{"a load never times out", "internal/planner/assignment/transitions.go", "case Loading, RollingBack:\n\t\treturn c.config.LoadTimeout", "case Loading, RollingBack:\n\t\treturn 0", "roles-one", "R7"},
-	{"the order that ends a drain is not repeated after a loss", "internal/planner/assignment/report.go", "case report.Draining: // its", "case false: // its", "roles", "R7"},
+	{"the order that ends a drain is not repeated after a loss", "internal/planner/assignment/report.go", "case report.Draining: // the", "case false: // the", "roles", "R7"},
 	{"the minimum of serving engines is not checked", "internal/planner/assignment/eligibility.go", "return c.checkRemainingEngines(engine)", "return \"\"", "roles-last", "R3"},
 	{"an engine that changes its role stays in the plan", "internal/planner/assignment/plan.go", "case Ordered, Loading, RollingBack, InTrial, Quarantined:\n\t\t\tcontinue",
 		"case Quarantined:\n\t\t\tcontinue", "roles-one", "R8"},
--- a/internal/planner/assignment/actions.go
+++ b/internal/planner/assignment/actions.go
@@ -9,8 +9,8 @@
 // Action is an output of Controller.Step. Actions must be executed in order.
 type Action interface{ isAction() }
 
-// Persist saves records and meta. It must be durable before any later action is executed: a role change order
-// that was sent must survive a crash.
+// Persist saves records and meta. They must be durable before any later action is executed: after a crash, the next
+// planner must know each order that was sent.
 type Persist struct {
 	Records []Record
 	Meta    Meta
@@ -19,8 +19,8 @@
 // PublishPlan sends a plan to all edges.
 type PublishPlan struct{ Plan planapi.Plan }
 
-// SendRoleOrder sends a role change order to an engine. Orders may get lost: the controller sends them again
-// until the engine's reports show that they were followed.
+// SendRoleOrder sends a role order to an engine. Orders may get lost: the controller sends them again until the
+// engine's reports show that they were followed.
 type SendRoleOrder struct {
 	Engine string
 	Order  planapi.RoleOrder
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -17,8 +17,8 @@
 	firstPlanTimeout = 3 * time.Second
 	// decisionInterval equals the interval of load reports.
 	decisionInterval = time.Second
-	// timeoutFactor extends the timeout of a state while reports of the engine are missing.
-	timeoutFactor = 3
+	// missingReportTimeoutFactor extends the timeout of a state while reports of the engine are missing.
+	missingReportTimeoutFactor = 3
 )
 
 // Controller decides on the roles of a fleet. It is not safe for concurrent use.
@@ -94,7 +94,7 @@
 
 func (c *Controller) beginStep(now int64) { c.now, c.output.actions = max(now, c.now), nil }
 
-// since returns the time elapsed since t. For a t of 0, which stands for never, the result is very long.
+// since returns the time elapsed since t. If t is 0, which stands for never, the result is very long.
 func (c *Controller) since(t int64) time.Duration { return time.Duration(c.now - t) }
 
 func (c *Controller) handleEngineList(engines []ListedEngine) {
@@ -124,7 +124,7 @@
 	c.output.publishPending = true
 }
 
-// listedRecord returns the record of an engine of which only the entry in the list is known.
+// listedRecord returns the record of an engine that is known only from the endpoint list.
 func (c *Controller) listedRecord(listed ListedEngine) Record {
 	return Record{Engine: listed.Engine, Role: listed.Role, State: Serving, StateSince: c.now,
 		ServingSince: listed.UpSince}
@@ -162,12 +162,13 @@
 	}
 }
 
-// checkTimeout ends a state that has lasted too long. Its time counts up to the request of the engine's latest report,
-// so that late reports alone end no change. Without reports, it ends after timeoutFactor times its timeout.
+// checkTimeout ends a state that has lasted too long. The duration of the state is measured up to the request of the
+// engine's latest report, so that late reports alone do not end a change. Without reports, the state ends after
+// missingReportTimeoutFactor times its timeout.
 func (c *Controller) checkTimeout(engine *engineRecord) {
 	timeout := c.stateTimeout(engine.State)
-	reported := time.Duration(engine.reportRequestedAt - engine.StateSince)
-	if timeout <= 0 || reported <= timeout && c.since(engine.StateSince) <= timeoutFactor*timeout {
+	reportedDuration := time.Duration(engine.reportRequestedAt - engine.StateSince)
+	if timeout <= 0 || reportedDuration <= timeout && c.since(engine.StateSince) <= missingReportTimeoutFactor*timeout {
 		return
 	}
 	switch engine.State {
@@ -191,7 +192,7 @@
 // SteppedDown reports whether a planner with a later term is active.
 func (c *Controller) SteppedDown() bool { return c.steppedDown }
 
-// Fingerprint writes all role state on which a later step may depend, with times relative to now. The demand
+// Fingerprint writes the state of the roles on which later steps may depend, with times relative to now. The demand
 // estimate is left out, as the model checker sends no edge reports.
 func (c *Controller) Fingerprint(w io.Writer) {
 	fmt.Fprintln(w, c.term, c.meta.Stopped, c.output.published, c.steppedDown, c.output.publishPending,
@@ -221,8 +222,8 @@
 	c.output.add(SendRoleOrder{engine.Engine, order})
 }
 
-// orderResendInterval is the interval between two sends of the same order. It is far over the milliseconds that an
-// engine takes to respond, and short enough for a lost order to cost little.
+// orderResendInterval is the interval at which an order is sent again. It is much longer than the milliseconds that an
+// engine takes to respond, and short enough that a lost order costs little time.
 const orderResendInterval = 250 * time.Millisecond
 
 func (c *Controller) resendOrderIfDue(engine *engineRecord) {
--- a/internal/planner/assignment/controller_test.go
+++ b/internal/planner/assignment/controller_test.go
@@ -84,7 +84,7 @@
 			h.checkPlan(action.Plan)
 		case SendRoleOrder:
 			h.checkOrder(action)
-			h.followAtRandom(action.Engine, action.Order)
+			h.followOrderAtRandom(action.Engine, action.Order)
 		}
 	}
 	h.checkRolesServed()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (h *randomHistory) followAtRandom(engine string, order planapi.RoleOrder) {
+func (h *randomHistory) followOrderAtRandom(engine string, order planapi.RoleOrder) {
 	if !rapid.Bool().Draw(h.t, "follows") {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // followAll advances the clock by 100 ms, in which every engine loads, reports its true state and passes its trial.
-func (h *randomHistory) followAll() {
+func (h *randomHistory) stepWithHealthyEngines() {
 	h.now += int64(100 * time.Millisecond)
 	for _, listed := range h.engines {
 		report := h.reports[listed.Engine]
@@ -223,7 +223,7 @@
 			h.randomStep()
 		}
 		for range 500 {
-			h.followAll()
+			h.stepWithHealthyEngines()
 		}
 		for _, view := range h.controller.Engines() {
 			switch view.State {
@@ -238,7 +238,7 @@
 
 // If the clock is set back between two planners, a state must not last until the clock has caught up. If it is set
 // forward, no change may get lost.
-func TestClockOffsetBetweenPlanners(t *testing.T) {
+func TestClockOffsetBetweenPlannersLosesNoChange(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
 		stored := int64(10_000 * time.Second)
 		engines := listEngines(4)
--- a/internal/planner/assignment/decision.go
+++ b/internal/planner/assignment/decision.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Decision explains a decision to operators. Maps are keyed by role.
+// Decision records a decision and the estimates on which it is based, for operators. Maps are keyed by role.
 type Decision struct {
 	At              int64              `json:"at"`
 	Mix             TrafficMix         `json:"mix"`
@@ -41,7 +41,7 @@
 	return perRole{s.serving.prefill + s.incoming.prefill, s.serving.decode + s.incoming.decode}
 }
 
-// LastDecision returns the last decision.
+// LastDecision returns the most recent decision.
 func (c *Controller) LastDecision() Decision { return c.lastDecision }
 
 // decide evaluates one change in each direction and begins at most one change.
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -11,15 +11,15 @@
 
 const (
 	// maxDeltas is the number of latest reports of an edge from which demand is measured. Ten reports, one each
-	// second, average out variations of a few seconds and still show a shift of the load within one change.
+	// second, average out variations of a few seconds and still show a shift of the load within one role change.
 	maxDeltas = 10
-	// maxEdges bounds the memory used for edges that report under ever new names.
+	// maxEdges limits the memory used if edges keep reporting under new names.
 	maxEdges              = 10_000
-	edgeUnresponsiveAfter = 4 * time.Second // counts of an edge without a report for longer are not used
-	edgeForgottenAfter    = time.Minute     // an edge without a report for longer is removed
-	minEdgeSpan           = 0.1             // seconds; bounds the rate that is computed from a single early report
+	edgeUnresponsiveAfter = 4 * time.Second // the counts of an edge are not used if its latest report is older
+	edgeForgottenAfter    = time.Minute     // an edge is removed if its latest report is older
+	minEdgeSpan           = 0.1             // seconds; limits the rate that is computed from a single early report
 	defaultAnswerTokens   = 64              // answer tokens assumed for a route without completed requests
-	// Limits of the computed tokens per prompt token. The ratio can exceed 1, as an engine may compute tokens again
+	// Limits of demandEstimator.uncachedRatio. The ratio can exceed 1, as an engine may compute tokens again
 	// that another engine has cached. Ratios below a fiftieth are not credible.
 	minUncachedRatio = 0.02
 	maxUncachedRatio = 1.5
--- a/internal/planner/assignment/demand_test.go
+++ b/internal/planner/assignment/demand_test.go
@@ -89,7 +89,7 @@
 }
 
 // A skew is expected to continue as earlier skews that lasted longer did, else for as long as it has lasted.
-func TestSkewForecast(t *testing.T) {
+func TestSkewForecastUsesLongerEarlierSkews(t *testing.T) {
 	skew := skewTracker{durations: map[string][]time.Duration{}}
 	now := int64(0)
 	observe := func(seconds int, required perRole) {
@@ -106,10 +106,10 @@
 	}
 	observe(30, perRole{1, 3})
 	observe(10, perRole{3, 1})
-	if lasting := skew.expectedRemaining(now, planapi.Prefill, 5); lasting != 40-9 {
-		t.Errorf("%v s remaining", lasting)
+	if expected := skew.expectedRemaining(now, planapi.Prefill, 5); expected != 40-9 {
+		t.Errorf("%v s remaining", expected)
 	}
-	if lasting := skew.expectedRemaining(now, planapi.Decode, 5); lasting != 5 {
-		t.Errorf("%v s remaining for the other role", lasting)
+	if expected := skew.expectedRemaining(now, planapi.Decode, 5); expected != 5 {
+		t.Errorf("%v s remaining for the other role", expected)
 	}
 }
--- a/internal/planner/assignment/eligibility.go
+++ b/internal/planner/assignment/eligibility.go
@@ -11,7 +11,8 @@
 const (
 	// maxReportDelay is the maximum median delay of reports: each of the five steps of a change waits for a report.
 	maxReportDelay = 3 * time.Second
-	// requestTokens is the cost of a request in flight at an engine, in tokens of lost cache: about half an answer.
+	// requestTokens is the cost of a change for each request in flight at the engine, in lost cached tokens: about half
+	// an answer.
 	requestTokens = 100
 	// replicatedCacheShare is the share of cached tokens that counts as lost although other engines have them cached
 	// too, as the requests have to move to those engines.
@@ -77,8 +78,8 @@
 	return ""
 }
 
-// roleCount counts engines of one role. Engines that are neither serving nor out of service may be down, or may
-// report the other role later.
+// roleCount counts engines of one role. Engines that may be down, or that may still report the other role, are
+// counted neither as serving nor as out of service.
 type roleCount struct{ serving, outOfService int }
 
 func (c *Controller) countRole(role string, match func(*ListedEngine) bool) (count roleCount) {
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -11,7 +11,7 @@
 type Evaluation struct {
 	ToRole           string  `json:"to"`
 	Gain             float64 `json:"gain"`     // gain under the current mix
-	ReversalLoss     float64 `json:"usual"`    // average (negative) gain under those mixes of the last minutes that lose by it
+	ReversalLoss     float64 `json:"usual"`    // average gain under those mixes of the last minutes with a negative gain
 	MeanGain         float64 `json:"mean"`     // average gain under all mixes of the last minutes
 	RemainingSeconds float64 `json:"left_s"`   // expected remaining time of the skew
 	Cost             float64 `json:"cost"`     // value lost while the engine changes
@@ -23,7 +23,7 @@
 }
 
 const (
-	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the matches of a day.
+	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the sports matches of a day.
 	maxSkewForecast = 2 * time.Minute
 	// skewDetectionTime is how long a reversal of the load stays undetected: the window of the demand plus three
 	// reports.
@@ -34,10 +34,10 @@
 	minUnservedTime = time.Second
 	// noiseShare is the share of all value that is within the error of the estimate.
 	noiseShare = 0.01
-	// minGain is above the rounding error.
+	// minGain is the gain up to which a change counts as gaining nothing. It is above the rounding error.
 	minGain = 1e-9
-	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It is over 1 as counts
-	// of ten seconds vary.
+	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It exceeds 1, as counts
+	// over ten seconds vary.
 	maxGainPerLoss = 1.5
 	// gainCostMargin is how many times its cost a change has to gain, as both values are estimates.
 	gainCostMargin = 1.5
@@ -83,8 +83,8 @@
 	return e
 }
 
-// currentGain returns the gain of a change under the current mix. The loss counted by the edges limits it: without
-// loss there is nothing to gain, however busy a role looks. Engines that are changing to the role, or
+// currentGain returns the gain of a change under the current mix. The loss counted by the edges limits the gain: without
+// a loss, a change gains nothing, however busy a role looks. Engines that are changing to the role, or
 // changed to it recently, already recover a part of the loss.
 func (c *Controller) currentGain(to string, s *fleetSnapshot) float64 {
 	value := func(moved float64) float64 { return s.sample.value(s.expected().moved(to, moved), s.throughput) }
@@ -153,7 +153,7 @@
 	return cost + e.LostTokens/max(s.throughput.prefill, 1)*mix.offeredValue()/s.required.prefill*utilization
 }
 
-// changeSeconds returns how long a change takes until the engine is half warm, by the median of the last changes.
+// changeSeconds returns how long a change is expected to take until half of the warm-up, by the median of the last changes.
 func (c *Controller) changeSeconds() float64 {
 	expected := float64(c.config.DrainTimeout)/4 + float64(c.config.LoadTimeout)/2
 	if len(c.history.durations) > 0 {
--- a/internal/planner/assignment/mix.go
+++ b/internal/planner/assignment/mix.go
@@ -7,8 +7,8 @@
 )
 
 // usableCapacity is the share of an engine's capacity that can be used before queueing delays first tokens. At a
-// higher utilization, a few simultaneous arrivals wait longer than their own prefill takes; at 0.75, changes began
-// before any value was lost.
+// higher utilization, a few simultaneous arrivals wait longer than their own prefill takes. With a share of 0.75,
+// changes began before any value was lost.
 const usableCapacity = 0.9
 
 // RouteDemand is the demand on one model route.
@@ -129,7 +129,7 @@
 	return offered - s.lossFactor*(offered-s.mix.servedValue(engines, throughput))
 }
 
-// The mixes of the last four minutes stand for the usual load; those of one minute are the minimum for an average.
+// The mixes of the last four minutes represent the usual load; an average needs at least those of one minute.
 const (
 	mixInterval = 10 * time.Second
 	maxMixes    = 24
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -23,7 +23,7 @@
 	Reason Reason
 }
 
-// Error returns the text that is sent to the operator.
+// Error returns the message that is sent to the operator.
 func (e *IneligibleError) Error() string {
 	return fmt.Sprintf("%s may not change its role: %s", e.Engine, e.Reason)
 }
--- a/internal/planner/assignment/output.go
+++ b/internal/planner/assignment/output.go
@@ -18,7 +18,7 @@
 
 func (o *output) markDirty(engine *engineRecord) { o.dirty[engine.Engine] = true }
 
-// finishStep returns the actions of a step: what must be durable first, then the plan, then the rest.
+// finishStep returns the actions of a step: first the records to persist, then the plan, then all other actions.
 func (c *Controller) finishStep() []Action {
 	out := &c.output
 	if c.steppedDown {
--- a/internal/planner/assignment/plan.go
+++ b/internal/planner/assignment/plan.go
@@ -7,10 +7,10 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// maxPublishedUpTime is longer than any warm-up: engines with a longer uptime are published as warm.
-const maxPublishedUpTime = 10 * time.Minute
+// maxPublishedUptime is longer than any warm-up: engines with a longer uptime are published as warm.
+const maxPublishedUptime = 10 * time.Minute
 
-// Plan returns the endpoint list that edges have to follow. Engines between two roles are left out.
+// Plan returns the plan that edges have to follow. It omits engines between two roles.
 func (c *Controller) Plan() planapi.Plan {
 	plan := planapi.Plan{Term: c.term, Number: c.meta.PlanNumber, Engines: []planapi.Engine{}}
 	for _, engine := range c.engines.sorted {
@@ -31,7 +31,7 @@
 			Zone: engine.listed.Zone, Cell: engine.listed.Cell, Weight: engine.listed.Weight, State: state,
 			Epoch: engine.Epoch}
 		upSince := max(engine.ServingSince, engine.listed.UpSince)
-		if upSince > 0 && c.since(upSince) < maxPublishedUpTime {
+		if upSince > 0 && c.since(upSince) < maxPublishedUptime {
 			entry.UptimeMillis = max(1, c.since(upSince).Milliseconds())
 		}
 		plan.Engines = append(plan.Engines, entry)
--- a/internal/planner/assignment/report.go
+++ b/internal/planner/assignment/report.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// stepDown ends the work of the controller because an engine follows a planner with a later term.
+// stepDown makes the controller stop sending commands, because an engine follows a planner with a later term.
 func (c *Controller) stepDown(report planapi.EngineReport) {
 	c.steppedDown = true
 	c.output.add(StepDown{report.Term},
@@ -88,7 +88,7 @@
 	case engine.Incarnation == 0:
 		engine.Incarnation = report.Incarnation
 		c.output.markDirty(engine)
-	case report.Draining: // its drain was aborted, and the order for that got lost
+	case report.Draining: // the engine's drain was aborted, but the order to end it got lost
 		c.resendOrderIfDue(engine)
 	}
 }
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxShares        = 240  // four minutes at one share each second
+	maxPrefillShares = 240  // four minutes at one share each second
 	maxSkewDurations = 6    // number kept for each role
 	minSkew          = 0.05 // smaller deviations are within the variance of the counts
 )
@@ -27,7 +27,7 @@
 		return
 	}
 	share := required.prefill / total
-	s.prefillShares = appendBounded(s.prefillShares, share, maxShares)
+	s.prefillShares = appendBounded(s.prefillShares, share, maxPrefillShares)
 	mean := 0.0
 	for _, earlier := range s.prefillShares {
 		mean += earlier / float64(len(s.prefillShares))
@@ -48,7 +48,8 @@
 }
 
 // expectedRemaining returns the seconds for which a skew to a role is expected to continue: the average over earlier
-// skews that lasted longer than this one so far or, if there are none, the time that this one has lasted.
+// skews that lasted longer than this one so far or, if no skew did, the time that this one has lasted. That time is
+// gainingSeconds if the load is not skewed to the role.
 func (s *skewTracker) expectedRemaining(now int64, role string, gainingSeconds float64) float64 {
 	if s.role != role {
 		return min(gainingSeconds, maxSkewForecast.Seconds())
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// sampleDuration is the minimum time that a sample covers; engines report up to four times as often.
+	// sampleDuration is the minimum time that a sample covers. Engines that are changing roles report more often.
 	sampleDuration = time.Second
 	maxSamples     = 16
 	// tokenRateWindow is the age up to which samples count for token rates. It is the window of the edges' counts.
@@ -17,7 +17,7 @@
 	minBusyShare = 0.05
 	// minThroughputSamples is the number of samples needed for an engine's throughput, as the best one is left out.
 	minThroughputSamples = 3
-	// minForOutlierLimit is the number of measurements from which on their median limits each of them.
+	// minForOutlierLimit is the minimum number of measurements for a limit on each of them by their median.
 	minForOutlierLimit = 3
 	// outlierFactor limits a measurement to a multiple of the median, as a load report may be wrong.
 	outlierFactor = 4
@@ -113,7 +113,7 @@
 }
 
 // throughput returns the second best of an engine's samples. A slowdown shorter than the time that the samples cover
-// does not look like more demand, and a single wrong report has no effect.
+// is thus not taken for higher demand, and a single wrong report has no effect.
 func (e *engineRecord) throughput(role string) (value float64, known bool) {
 	var throughputs []float64
 	for _, sample := range e.samples {
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -51,7 +51,7 @@
 
 // transitions lists the next state and the action for each state and trigger. Every state but Serving has a timeout
 // that leads back to service or to a rollback, so that no change gets stuck. An order that may have been followed is
-// undone by another order under a higher epoch; it is never assumed to be lost.
+// undone by another order with a higher epoch; it is never assumed to be lost.
 var transitions = []transition{
 	{[]State{Serving}, changeChosen, Draining, (*Controller).startDrain},
 	{[]State{Draining}, drained, Ordered, (*Controller).publishAndOrder},
@@ -83,7 +83,7 @@
 // FiredTransitions returns a bit set of the transitions that have fired so far.
 func (c *Controller) FiredTransitions() uint64 { return c.firedTransitions }
 
-// fire makes every transition. It ignores a trigger for which the engine's state has no transition.
+// fire makes the transition for an engine's state and a trigger. It ignores the trigger if there is no such transition.
 func (c *Controller) fire(engine *engineRecord, cause trigger) {
 	i := slices.IndexFunc(transitions, func(t transition) bool {
 		return slices.Contains(t.from, engine.State) && t.trigger == cause
@@ -133,7 +133,7 @@
 	c.publishAndOrder(engine)
 }
 
-// rollBack orders an engine back to its last verified role, under an epoch above all that it may have followed.
+// rollBack orders an engine back to its last verified role, with an epoch above all that it may have followed.
 func (c *Controller) rollBack(engine *engineRecord) {
 	engine.NextRole = engine.Role
 	engine.NextEpoch, engine.lastChangeEndedAt = max(engine.Epoch, engine.NextEpoch, engine.report.Epoch)+1, c.now
--- a/internal/planner/assignment/view.go
+++ b/internal/planner/assignment/view.go
@@ -28,19 +28,19 @@
 	return views
 }
 
-// ReportTargets returns the engines to request load reports from, and the subset that is changing roles and
-// whose change waits for the next report.
-func (c *Controller) ReportTargets() (all, urgent []string) {
+// ReportTargets returns the engines to request load reports from, and those of them that are changing roles: a
+// change waits for the next report.
+func (c *Controller) ReportTargets() (all, changing []string) {
 	for _, engine := range c.engines.sorted {
 		if !engine.present {
 			continue
 		}
 		all = append(all, engine.Engine)
 		if engine.changing() {
-			urgent = append(urgent, engine.Engine)
+			changing = append(changing, engine.Engine)
 		}
 	}
-	return all, urgent
+	return all, changing
 }
 
 // RoleState is a combination of a role and a state, by which engines are counted.
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -201,8 +201,8 @@
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
 		`"state":"draining"}]}` + "\n"
-	golden.Check(t, "stream.golden", line+string(addUptime([]byte(line), 49*time.Millisecond))+
-		string(addUptime([]byte(line), 1250*time.Millisecond)))
+	golden.Check(t, "stream.golden", line+string(adjustUptimes([]byte(line), 49*time.Millisecond))+
+		string(adjustUptimes([]byte(line), 1250*time.Millisecond)))
 }
 
 // Checks the planner's responses on each of its paths.
@@ -258,7 +258,7 @@
 	m.streams.Set(2)
 	m.engines.WithLabelValues("read", "serving").Set(5)
 	m.engines.WithLabelValues("write", "draining").Set(1)
-	m.neededEngines.WithLabelValues("read").Set(1.5)
+	m.requiredEngines.WithLabelValues("read").Set(1.5)
 	w := httptest.NewRecorder()
 	promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	golden.Check(t, "metrics.golden", w.Body.String())
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -13,13 +13,13 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Errors for which a valid operator's order is answered with a conflict.
+// Errors for which a valid operator's order is rejected with status 409 (Conflict).
 var (
-	ErrDeposed  = errors.New("planner is deposed by a later term")
+	ErrDeposed  = errors.New("planner was deposed by a planner with a later term")
 	ErrNotSaved = errors.New("order could not be saved; it takes effect once saving succeeds")
 )
 
-// Status is the planner's status as sent to operators.
+// Status is the planner's status as shown to operators.
 type Status struct {
 	Term           int64                   `json:"term"`
 	Number         int64                   `json:"number"` // number of the newest plan
@@ -115,8 +115,8 @@
 	return orderResult{text: text, err: err}
 }
 
-// runInEventLoop runs a function in the event loop and returns its result. It returns false if the client closed the request
-// or the planner ended. In the latter case it writes the response.
+// runInEventLoop runs a function in the event loop and returns its result. It returns false if the client closes the request
+// or the planner stops before there is a result. If the planner stops, it also writes an error response.
 func runInEventLoop[T any](p *Planner, w http.ResponseWriter, r *http.Request, run func() T) (result T, ok bool) {
 	results := make(chan T, 1)
 	p.enqueue(func() { results <- run() })
@@ -130,7 +130,7 @@
 	return result, false
 }
 
-// readBody reads a request's body. It returns false if reading failed, after it has written the response.
+// readBody reads a request's body. If reading fails, it writes an error response and returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, planapi.MaxReportBytes+1))
 	if err != nil {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -8,11 +8,11 @@
 
 // metrics holds the planner's metrics.
 type metrics struct {
-	registry      *prometheus.Registry
-	plans         prometheus.Counter
-	streams       prometheus.Gauge
-	engines       *prometheus.GaugeVec
-	neededEngines *prometheus.GaugeVec
+	registry        *prometheus.Registry
+	plans           prometheus.Counter
+	streams         prometheus.Gauge
+	engines         *prometheus.GaugeVec
+	requiredEngines *prometheus.GaugeVec
 }
 
 func newMetrics() metrics {
@@ -30,22 +30,22 @@
 			Name: "sandcourse_roles",
 			Help: "Engines by role and state.",
 		}, []string{"role", "state"}),
-		neededEngines: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		requiredEngines: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "sandcourse_roles_needed",
 			Help: "Engines that what arrives keeps busy, by role.",
 		}, []string{"role"}),
 	}
-	m.registry.MustRegister(m.plans, m.streams, m.engines, m.neededEngines)
+	m.registry.MustRegister(m.plans, m.streams, m.engines, m.requiredEngines)
 	return m
 }
 
-// observe sets the gauges of engines from the controller's state.
+// observe sets the engine gauges from the controller's state.
 func (m metrics) observe(c *assignment.Controller) {
 	m.engines.Reset()
 	for group, count := range c.CountEngines() {
 		m.engines.WithLabelValues(group.Role, string(group.State)).Set(float64(count))
 	}
 	for role, required := range c.LastDecision().RequiredEngines {
-		m.neededEngines.WithLabelValues(role).Set(required)
+		m.requiredEngines.WithLabelValues(role).Set(required)
 	}
 }
--- a/internal/planner/planapi/orders.go
+++ b/internal/planner/planapi/orders.go
@@ -1,7 +1,7 @@
 package planapi
 
-// RoleOrder is an order of a planner to an engine. An engine follows only the latest term and epoch. An order of the
-// engine's current epoch starts or ends a drain; one of a higher epoch makes the engine change to the given role.
+// RoleOrder is an order from a planner to an engine. An engine follows only the latest term and epoch. An order with the
+// engine's current epoch starts or ends a drain; one with a higher epoch makes the engine change to the given role.
 type RoleOrder struct {
 	Term  int64  `json:"term"`
 	Epoch int64  `json:"epoch"`
@@ -9,13 +9,13 @@
 	Drain bool   `json:"drain"`
 }
 
-// Order is an order of an operator.
+// Order is an order from an operator to the planner.
 type Order struct {
 	Operation string `json:"op"`               // one of Operations
 	Engine    string `json:"engine,omitempty"` // set for operations on one engine
 	Operator  string `json:"who"`
 	Reason    string `json:"why"`
-	DryRun    bool   `json:"dry,omitempty"` // report what would be done, and change nothing
+	DryRun    bool   `json:"dry,omitempty"` // report what would be done without doing it
 }
 
 // Operations of an operator's order.
--- a/internal/planner/planapi/parse.go
+++ b/internal/planner/planapi/parse.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// Size limits of messages, far over what a fleet of thousands of engines needs.
+// Size limits of messages, far above what a fleet of thousands of engines needs.
 const (
 	MaxPlanBytes   = 8 << 20
 	MaxReportBytes = 1 << 18
@@ -71,7 +71,7 @@
 	return &InvalidError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// parse parses and checks one message. All its errors are MessageErrors.
+// parse parses and checks one message. Its errors are of type *MessageError.
 func parse[T any](kind MessageKind, data []byte, maxBytes int, check func(T) error) (T, error) {
 	var value T
 	err := decodeJSON(data, maxBytes, &value)
@@ -101,7 +101,7 @@
 
 func isRole(role string) bool { return role == Prefill || role == Decode }
 
-// allInRange reports whether all values are possible counts or weights. NaN is not, as no comparison with it is true.
+// allInRange reports whether all values are valid counts or weights. NaN is out of range, as every comparison with it is false.
 func allInRange(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0 && value <= maxValue) {
--- a/internal/planner/planapi/plan.go
+++ b/internal/planner/planapi/plan.go
@@ -16,7 +16,7 @@
 	State  string  `json:"state"`
 	// Epoch is the epoch of the engine's role. The engine rejects requests of other epochs.
 	Epoch int64 `json:"epoch,omitempty"`
-	// UptimeMillis is the uptime of the engine when the plan is sent, 0 if long. A start time is not sent, as the
+	// UptimeMillis is the engine's uptime when the plan is sent; 0 if it is long. A start time is not sent, as the
 	// clocks of planner and edges may differ.
 	UptimeMillis int64 `json:"up_for_ms,omitempty"`
 }
@@ -65,7 +65,7 @@
 				return newInvalidError("engines[%d]: up_for_ms or weight is out of range", i)
 			}
 		}
-		// Validates the entries as a router uses them. The time is the highest one, so that every start time is positive.
+		// Validates the entries as a router uses them. With the latest possible time, every start time is positive.
 		return endpoint.Validate(p.EndpointList(math.MaxInt64).Entries)
 	})
 }
--- a/internal/planner/planapi/planapi.go
+++ b/internal/planner/planapi/planapi.go
@@ -10,10 +10,10 @@
 	OrderPath  = "/plan/order"  // POST: an Order
 )
 
-// RolePath is the path of role orders at an engine. POST: a RoleOrder
+// RolePath is the path at an engine for role orders. POST: a RoleOrder
 const RolePath = "/sandcourse/role"
 
-// TrialPrefix is the prefix of the IDs of the trial requests by which the planner verifies an engine's role.
+// TrialPrefix is the prefix of the IDs of trial requests, with which the planner verifies an engine's role.
 const TrialPrefix = "trial-"
 
 // Roles of an engine.
--- a/internal/planner/planapi/reports.go
+++ b/internal/planner/planapi/reports.go
@@ -18,11 +18,11 @@
 	Draining      bool    `json:"draining"`
 	PrefillTokens float64 `json:"read_tokens"`    // prompt tokens prefilled, without cached tokens
 	DecodeTokens  float64 `json:"written_tokens"` // answer tokens decoded
-	BusySeconds   float64 `json:"busy_seconds"`   // one second of all slots counts as 1
+	BusySeconds   float64 `json:"busy_seconds"`   // one second in which all slots are busy counts as 1
 	OpenRequests  int     `json:"open"`           // requests in prefill, in decode or waiting
 	Reservations  int     `json:"held"`           // reservations that wait for their decode requests
 	CachedTokens  float64 `json:"kept_tokens"`    // tokens in cached prefixes
-	// HotPrefixes has the tokens of the most used prefixes of the engine, by prefix hash.
+	// HotPrefixes holds the token counts of the engine's most used prefixes, by prefix hash.
 	HotPrefixes map[string]float64 `json:"hot,omitempty"`
 }
 
--- a/internal/planner/planclient/client.go
+++ b/internal/planner/planclient/client.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// reconnectDelay returns a random delay: all edges lose the planner at the same time and must not reconnect at once.
+// reconnectDelay returns a random delay: all edges lose the planner at the same time and must not all reconnect at once.
 func reconnectDelay() time.Duration {
 	return minReconnectDelay + time.Duration(rand.Int64N(int64(maxReconnectDelay-minReconnectDelay)))
 }
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -27,7 +27,7 @@
 // that follows term 9.
 func fakePlanner(t *testing.T) (address string, requested, posted <-chan string) {
 	requests, reports := make(chan string, 1), make(chan string, 1)
-	handOver := func(to chan<- string, text string) {
+	trySend := func(to chan<- string, text string) {
 		select {
 		case to <- text:
 		default:
@@ -41,12 +41,12 @@
 		}
 		if r.Method == http.MethodPost {
 			if strings.Contains(text, `"term":9`) {
-				handOver(reports, text)
+				trySend(reports, text)
 			}
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		handOver(requests, text)
+		trySend(requests, text)
 		io.WriteString(w, sampleStream)
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
--- a/internal/planner/planclient/report.go
+++ b/internal/planner/planclient/report.go
@@ -47,6 +47,6 @@
 		return
 	}
 	defer response.Body.Close()
-	// The connection can be reused only after the body was read, so errors need no handling here.
+	// The body is read only so that the connection can be reused, so errors are ignored.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBody))
 }
--- a/internal/planner/planclient/start_times.go
+++ b/internal/planner/planclient/start_times.go
@@ -2,7 +2,7 @@
 
 import "sandcourse/internal/endpoint"
 
-// startTimeTolerance is the maximum difference of two estimates of one start, in milliseconds. A plan contains the uptime at
+// startTimeTolerance is the maximum difference between two estimates of one start, in milliseconds. A plan contains the uptime at
 // the planner's last poll; the age of that value and the delay until the edge receives it add to the estimate.
 const startTimeTolerance = 2000
 
@@ -10,7 +10,7 @@
 // plan, and the router takes a later start time for a restart, after which the engine's cache is empty.
 type startTimes map[string]int64
 
-// stabilize replaces later estimates of the same start by the first one, and drops engines that are not listed.
+// stabilize replaces later estimates of the same start by the first one, and forgets engines that are not listed.
 func (s *startTimes) stabilize(list *endpoint.List) {
 	next := startTimes{}
 	for i := range list.Entries {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner is the server around package assignment, which makes all decisions. It polls engines, receives reports of
-// edges, passes both to package assignment, and executes the resulting actions: it saves records before anything that
-// depends on them, sends role orders to engines and streams plans to edges.
+// Package planner implements the planner's server. It polls engines and receives reports from edges, passes both to package
+// assignment, which makes all decisions, and executes the resulting actions: it saves records before anything that depends on
+// them, sends role orders to engines and streams plans to edges.
 package planner
 
 import (
@@ -21,7 +21,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Planner is a planner process. Its event loop owns the controller and the saver; other parts are safe for concurrent use.
+// Planner is a planner server. Its event loop owns the controller and the saver; other parts are safe for concurrent use.
 type Planner struct {
 	settings  *config.Planner
 	log       *zap.Logger
@@ -45,7 +45,7 @@
 
 	// OnPublish, if set before Start, is called with each plan before it is sent to edges.
 	OnPublish func(planapi.Plan)
-	// CrashBefore, if set before Start, is called before each action; if it returns true, the planner ends as if killed.
+	// CrashBefore, if set before Start, is called before each action; if it returns true, the planner stops as if killed.
 	CrashBefore func(assignment.Action) bool
 }
 
@@ -62,7 +62,7 @@
 	maxDiscardedBody           = 4096 // bytes read of an unused response body
 )
 
-// New returns a planner that is not started yet.
+// New returns a planner that has not been started.
 func New(settings *config.Planner, log *zap.Logger) *Planner {
 	p := &Planner{
 		settings:  settings,
@@ -102,7 +102,7 @@
 		return err
 	}
 	for _, fault := range stored.Faults {
-		p.log.Error("damage found in the store", zap.Error(fault))
+		p.log.Error("stored record not readable", zap.Error(fault))
 	}
 	p.store, p.saver = store, newRecordSaver(store, p.log)
 	p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -141,7 +141,7 @@
 // Addr returns the address that the planner listens on.
 func (p *Planner) Addr() string { return p.listener.Addr().String() }
 
-// Stop ends the planner. The next planner on the same store continues role changes that are not complete.
+// Stop shuts the planner down. The next planner on the same store continues incomplete role changes.
 func (p *Planner) Stop() {
 	p.cancel()
 	p.server.Close()
@@ -150,7 +150,7 @@
 	p.client.CloseIdleConnections()
 }
 
-// Done returns a channel that is closed when the planner ends.
+// Done returns a channel that is closed when the planner stops.
 func (p *Planner) Done() <-chan struct{} { return p.ctx.Done() }
 
 // enqueue adds a function to the queue of the event loop.
@@ -186,8 +186,8 @@
 
 func (p *Planner) step(event assignment.Event) { p.executeActions(p.controller.Step(p.now(), event)) }
 
-// executeActions executes the controller's actions in order. While saving fails, nothing is sent or published, as it would
-// depend on records that are not saved. Orders are not lost by that: the controller sends them again.
+// executeActions executes the controller's actions in order. While saving fails, no order, trial or plan is sent, as it would
+// depend on records that are not saved. No order is lost, as the controller sends orders again until they are followed.
 func (p *Planner) executeActions(actions []assignment.Action) {
 	for _, action := range actions {
 		if p.ctx.Err() != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-// publish makes a plan the newest plan of the stream.
+// publish encodes a plan and makes it the newest plan of the stream.
 func (p *Planner) publish(plan planapi.Plan) {
 	line, err := json.Marshal(plan)
 	if err != nil {
--- a/internal/planner/poller.go
+++ b/internal/planner/poller.go
@@ -17,7 +17,7 @@
 const (
 	pollWorkers          = 16
 	pollInterval         = time.Second
-	changingPollInterval = 100 * time.Millisecond // interval for engines that change their roles
+	changingPollInterval = 100 * time.Millisecond // interval for engines that are changing roles
 	ticksPerPollInterval = int(pollInterval / changingPollInterval)
 )
 
@@ -27,7 +27,7 @@
 // Error returns the status.
 func (e *StatusError) Error() string { return e.Status }
 
-// poller polls all engines for their reports, and more often those that change their roles.
+// poller polls all engines for their load reports. It polls engines that are changing roles more often.
 type poller struct {
 	client       *http.Client
 	now          func() int64
@@ -38,7 +38,7 @@
 	changing []string
 }
 
-// setTargets sets which engines are polled, and which of them are polled at the shorter interval.
+// setTargets sets the engines to poll, and those of them that are polled at the shorter interval.
 func (p *poller) setTargets(engines, changing []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// dueEngines returns the engines to poll at a tick: all that change their roles and a tenth of the others, for an even load.
+// dueEngines returns the engines to poll at a tick: all that are changing roles and, to spread the load, a tenth of the others.
 func (p *poller) dueEngines(tick int) []string {
 	p.mu.Lock()
 	engines, changing := p.engines, p.changing
--- a/internal/planner/role_order.go
+++ b/internal/planner/role_order.go
@@ -12,7 +12,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// sendRoleOrder sends an order to an engine. Its effect is visible in the engine's reports.
+// sendRoleOrder sends an order to an engine. The engine's reports show whether the order was followed.
 func (p *Planner) sendRoleOrder(action assignment.SendRoleOrder) {
 	data, err := json.Marshal(action.Order)
 	if err != nil {
@@ -29,7 +29,7 @@
 		return
 	}
 	defer response.Body.Close()
-	// The connection can be reused only after the body was read, so errors need no handling here.
+	// The body is read only so that the connection can be reused, so errors are ignored.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBody))
 	p.log.Info("role order sent", zap.String("engine", action.Engine), zap.String("role", action.Order.Role),
 		zap.Int64("epoch", action.Order.Epoch), zap.Bool("drain", action.Order.Drain),
--- a/internal/planner/saver.go
+++ b/internal/planner/saver.go
@@ -20,8 +20,8 @@
 	return &recordSaver{store: store, log: log, unsaved: map[string]assignment.Record{}}
 }
 
-// save saves records and meta, and all records of failed saves before it. It returns true if it is the first save that
-// succeeds after a failed one.
+// save saves records and meta, together with the records of earlier saves that failed. It returns true if it succeeds and the
+// previous save failed.
 func (s *recordSaver) save(changes assignment.Persist) (recovered bool) {
 	for _, record := range changes.Records {
 		s.unsaved[record.Engine] = record
@@ -46,7 +46,7 @@
 	return recovered
 }
 
-// retryFailed repeats a failed save. It returns the result of save, or false if no save has failed.
+// retryFailed repeats the last save if it failed. It returns true if the repeated save succeeds.
 func (s *recordSaver) retryFailed() (recovered bool) {
 	return s.failing && s.save(assignment.Persist{Meta: s.meta})
 }
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -15,8 +15,8 @@
 	"sandcourse/internal/planner/assignment"
 )
 
-// Store is the planner's durable store: its term, its meta state, and the record of each engine. Transactions are atomic. In
-// addition, each value has its own checksum to detect later corruption on disk.
+// Store is the planner's durable store. It contains the planner's term, its meta state, and the record of each engine.
+// Transactions are atomic. In addition, each value has its own checksum to detect later corruption on disk.
 type Store struct {
 	path     string
 	db       *bbolt.DB
@@ -36,11 +36,11 @@
 	Term    int64
 	Meta    assignment.Meta
 	Records []assignment.Record
-	Faults  []error // damage found; damaged records are left out
+	Faults  []error // damage found in the file; damaged records are not in Records
 }
 
-// openTimeout is how long opening a store waits for the lock of its file.
-const openTimeout = time.Second
+// fileLockTimeout is how long opening a store waits for the lock of its file.
+const fileLockTimeout = time.Second
 
 // A disk may be full or fail temporarily: opening the store is retried for storeOpenTimeout before the planner's start fails.
 const (
@@ -54,7 +54,7 @@
 // DamagedError reports a panic or memory fault on access to a store's file.
 type DamagedError struct {
 	Path  string
-	Fault any // value that the access panicked with
+	Fault any // value of the panic
 }
 
 // Error returns the store and the fault.
@@ -101,13 +101,13 @@
 	}
 }
 
-// isRetryable reports whether opening a store may succeed later. Missing files and permissions do not appear by waiting.
+// isRetryable reports whether opening a store may succeed later. A retry does not help if a directory or permission is missing.
 func isRetryable(err error) bool {
 	return isSystemError(err) && !errors.Is(err, os.ErrPermission) && !errors.Is(err, os.ErrNotExist)
 }
 
-// isSystemError reports whether an error is that of a system call, such as on a full or failing disk, or for lack of file
-// descriptors. Such an error does not indicate that the content of the file is damaged.
+// isSystemError reports whether an error was returned by a system call, for example because the disk is full or failing, or
+// because no file descriptor is free. Such an error does not indicate that the content of the file is damaged.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
@@ -139,8 +139,8 @@
 
 // open opens the file and reads its content.
 func (s *Store) open() (stored StoredState, err error) {
-	// bbolt reads pages from mapped memory without checks, so a damaged page causes a panic or a memory fault. bbolt does
-	// not release its locks then, so the database is left open, as closing it could block.
+	// bbolt reads pages from mapped memory without checks, so a damaged page causes a panic or a memory fault. bbolt then
+	// still holds its locks, so the database is left open: closing it could block.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -165,7 +165,7 @@
 	if err := checkFileSize(s.path); err != nil {
 		return err
 	}
-	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: openTimeout})
+	db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: fileLockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return ErrStoreInUse
 	} else if err != nil {
@@ -196,7 +196,7 @@
 	})
 }
 
-// readValue reads the value of a key. It leaves target unchanged if the key does not exist.
+// readValue decodes the value of a key into target. It leaves target unchanged if the key does not exist.
 func readValue(bucket *bbolt.Bucket, key []byte, target any) error {
 	data := bucket.Get(key)
 	if data == nil {
--- a/internal/planner/storefile.go
+++ b/internal/planner/storefile.go
@@ -17,7 +17,7 @@
 // checksumBytes is the length of the checksum that precedes each value.
 const checksumBytes = 8
 
-// Parts of the layout of a bbolt file that checkFileSize reads: the file begins with two pages, each with a header and a meta
+// Parts of the layout of a bbolt file that readBoltMeta uses: the file begins with two pages, each with a header and a meta
 // record.
 const (
 	boltMagic           = 0xED0CDAED
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("file has %d bytes, but its meta record lists %d pages of %d bytes", e.Bytes, e.Pages, e.PageSize)
 }
 
-// createStore creates an empty store if there is none at path. If creation fails, no file is left at path.
+// createStore creates an empty store at path unless the file exists. If creation fails, it leaves no file at path.
 func createStore(path string) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -55,7 +55,7 @@
 	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	db, err := bbolt.Open(newPath, 0o600, &bbolt.Options{Timeout: openTimeout})
+	db, err := bbolt.Open(newPath, 0o600, &bbolt.Options{Timeout: fileLockTimeout})
 	if err == nil {
 		err = errors.Join(createBuckets(db), db.Close())
 	}
@@ -64,7 +64,7 @@
 		return err
 	}
 	defer os.Remove(newPath)
-	// A link is used and not a rename, which would replace a store that another planner has created and opened meanwhile.
+	// The file is linked and not renamed: a rename would replace a store that another planner has created in the meantime.
 	if err := os.Link(newPath, path); !errors.Is(err, os.ErrExist) {
 		return err
 	}
@@ -99,15 +99,15 @@
 	if info.Size() == 0 {
 		return ErrEmptyStore
 	}
-	pages, pageSize := readPageTable(f)
+	pages, pageSize := readBoltMeta(f)
 	if pages > maxBoltPages || pageSize > maxBoltPageSize || pages*pageSize > uint64(info.Size()) {
 		return &TruncatedError{Bytes: info.Size(), Pages: pages, PageSize: pageSize}
 	}
 	return nil
 }
 
-// readPageTable returns the number and the size of the written pages by the two meta records, or 0 if neither can be read.
-func readPageTable(f *os.File) (pages, pageSize uint64) {
+// readBoltMeta returns the page count and the page size according to the two meta records, or 0 if neither can be read.
+func readBoltMeta(f *os.File) (pages, pageSize uint64) {
 	for _, offset := range []int64{0, int64(os.Getpagesize())} {
 		page := make([]byte, boltHeaderBytes+boltMetaBytes)
 		if _, err := f.ReadAt(page, offset); err != nil {
--- a/internal/planner/stream.go
+++ b/internal/planner/stream.go
@@ -17,12 +17,12 @@
 	maxStreams         = 5000
 	heartbeatInterval  = time.Second // interval of empty lines on a stream without a new plan
 	streamWriteTimeout = 5 * time.Second
-	minAgeToAdd        = 50 * time.Millisecond // uptimes of a younger plan are sent unchanged
+	minAgeToAdjust     = 50 * time.Millisecond // the uptimes of a younger plan are sent unchanged
 )
 
 // planStream holds the newest plan and sends it to all edges that follow the planner.
 type planStream struct {
-	following prometheus.Gauge
+	streamGauge prometheus.Gauge
 
 	mu      sync.Mutex
 	newest  encodedPlan
@@ -37,8 +37,8 @@
 	madeAt time.Time
 }
 
-func newPlanStream(following prometheus.Gauge) *planStream {
-	return &planStream{following: following, changed: make(chan struct{})}
+func newPlanStream(streamGauge prometheus.Gauge) *planStream {
+	return &planStream{streamGauge: streamGauge, changed: make(chan struct{})}
 }
 
 // publish sets the newest plan.
@@ -49,7 +49,7 @@
 	s.notify()
 }
 
-// close removes the plan. Streams on which a plan was sent end.
+// close removes the plan, which ends all streams on which a plan was sent.
 func (s *planStream) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return s.newest.number, s.streams
 }
 
-// addStream counts a new stream. It returns false if the limit of streams is reached.
+// addStream counts a new stream. It returns false if there are already maxStreams.
 func (s *planStream) addStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 		return false
 	}
 	s.streams++
-	s.following.Inc()
+	s.streamGauge.Inc()
 	return true
 }
 
@@ -92,11 +92,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams--
-	s.following.Dec()
+	s.streamGauge.Dec()
 }
 
-// serve sends plans to one edge until the edge closes the request, or the planner ends or is deposed.
-func (s *planStream) serve(planner context.Context, w http.ResponseWriter, r *http.Request) {
+// serve sends plans to one edge until the edge closes the request, or the planner stops or is deposed.
+func (s *planStream) serve(plannerCtx context.Context, w http.ResponseWriter, r *http.Request) {
 	if !s.addStream() {
 		http.Error(w, "too many edges follow the planner", http.StatusServiceUnavailable)
 		return
@@ -123,17 +123,17 @@
 		case <-heartbeats.C:
 		case <-r.Context().Done():
 			return
-		case <-planner.Done():
+		case <-plannerCtx.Done():
 			return
 		}
 	}
 }
 
-// writeNext writes a plan, or a heartbeat if there is no plan or its number was sent already.
+// writeNext writes a plan, or a heartbeat if there is no plan or its number has already been sent.
 func writeNext(w http.ResponseWriter, plan encodedPlan, sent int64) error {
 	line := []byte("\n")
 	if plan.line != nil && plan.number != sent {
-		line = addUptime(plan.line, time.Since(plan.madeAt))
+		line = adjustUptimes(plan.line, time.Since(plan.madeAt))
 	}
 	connection := http.NewResponseController(w)
 	if err := connection.SetWriteDeadline(time.Now().Add(streamWriteTimeout)); err != nil {
@@ -145,9 +145,9 @@
 	return connection.Flush()
 }
 
-// addUptime adds the age of an encoded plan to the uptimes of its engines.
-func addUptime(line []byte, age time.Duration) []byte {
-	if age < minAgeToAdd {
+// adjustUptimes adds the age of an encoded plan to the uptimes of its engines.
+func adjustUptimes(line []byte, age time.Duration) []byte {
+	if age < minAgeToAdjust {
 		return line
 	}
 	var plan planapi.Plan
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -12,21 +12,22 @@
 // maxEndpointFileBytes is the maximum size of an endpoint file that is read.
 const maxEndpointFileBytes = 4 << 20
 
-// FollowedPlannerError reports that a store is new while engines follow another planner, which a start would fence off.
+// FollowedPlannerError reports that the store is new but engines follow another planner, which the start would fence off.
 type FollowedPlannerError struct {
 	Store  string
 	Engine string // an engine that follows the other planner
 	Term   int64  // term of the other planner
 }
 
-// Error returns the conflict and how to start the planner nevertheless.
+// Error returns the conflict and how to start the planner anyway.
 func (e *FollowedPlannerError) Error() string {
-	return fmt.Sprintf("store %s is new, and %s follows a planner of term %d; if that one is gone for good, start with --take-over",
+	return fmt.Sprintf(
+		"store %s is new, but engine %s follows a planner of term %d; if that planner is gone for good, start with --take-over",
 		e.Store, e.Engine, e.Term)
 }
 
-// nextTerm returns a term above all terms of the store. If the store is new and engines follow another planner, a start would
-// fence that planner off, so it is an error unless settings.TakeOver is set.
+// nextTerm returns the term after the stored one or, for a new store, a term above all that engines follow. If the store is new
+// and engines follow another planner, starting would fence that planner off, so it is an error unless settings.TakeOver is set.
 func (p *Planner) nextTerm(stored StoredState) (int64, error) {
 	if stored.Term > 0 {
 		return stored.Term + 1, nil
@@ -70,7 +71,7 @@
 	return term, engine
 }
 
-// readEndpointFile reads an endpoint file, with the same size limit as the watcher of the file.
+// readEndpointFile reads an endpoint file with the same size limit as watchEndpointFile.
 func readEndpointFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -30,16 +30,16 @@
 	Rejection string // rejection reason of the response, if any
 }
 
-// Error returns the kind of trial and the engine's response.
+// Error returns the kind of the trial and the engine's response.
 func (e *TrialError) Error() string {
 	trial := "prefill trial"
 	if e.Role == planapi.Decode {
-		trial = "decode trial of a missing reservation"
+		trial = "decode trial with a missing reservation"
 	}
 	return fmt.Sprintf("%s: unexpected response %s %s", trial, e.Status, e.Rejection)
 }
 
-// runTrial runs a trial and returns the event of its outcome.
+// runTrial runs a trial and returns the event that reports its outcome.
 func (p *Planner) runTrial(trial assignment.StartTrial) assignment.TrialEnded {
 	result := assignment.TrialEnded{Engine: trial.Engine, Number: trial.Number}
 	if err := p.verifyRole(trial); err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	connection, err := dialUntilDone(ctx, trial.Engine)
+	connection, err := dialWithRetry(ctx, trial.Engine)
 	if err != nil {
 		return err
 	}
@@ -106,9 +106,9 @@
 		Engine: requestID + "/none", Host: host, Port: portNumber})
 }
 
-// dialUntilDone connects to an engine, and retries until the context ends: an engine that has just restarted may not listen
+// dialWithRetry connects to an engine and retries until the context ends: an engine that has just restarted may not listen
 // yet.
-func dialUntilDone(ctx context.Context, engine string) (net.Conn, error) {
+func dialWithRetry(ctx context.Context, engine string) (net.Conn, error) {
 	for {
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", engine)
 		if err == nil {
