--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -60,7 +60,7 @@
 	return c
 }
 
-// run runs a planner until a signal stops it. With the check flag it only checks the settings.
+// run runs a planner until a signal stops it. If the check flag is set, it only checks the settings.
 func run(o options, signals process.Signals) error {
 	settings, err := config.LoadPlanner(o.settings)
 	if err != nil || o.check {
--- a/cmd/sandcourse-plan/signals_test.go
+++ b/cmd/sandcourse-plan/signals_test.go
@@ -51,12 +51,12 @@
 			return command, address
 		}
 		if time.Now().After(end) {
-			t.Fatal("planner does not respond within 10 s")
+			t.Fatal("planner did not respond within 10 s")
 		}
 	}
 }
 
-// A planner whose log has lost its reader and whose terminal hangs up must keep running, and logging, until SIGTERM.
+// A planner must keep running and logging until SIGTERM, even if the reader of its log is gone and its terminal hangs up.
 func TestPlannerOutlivesItsLog(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -71,7 +71,7 @@
 	time.Sleep(500 * time.Millisecond) // the planner logs meanwhile that its endpoint file does not exist
 	response, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
-		t.Fatalf("planner has exited: %v", err)
+		t.Fatalf("planner does not respond after SIGHUP: %v", err)
 	}
 	response.Body.Close()
 	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -21,7 +21,7 @@
 	EffectNonRetriable Effect = "non-retriable" // not idempotent
 )
 
-// Effects has all valid effects.
+// Effects lists all valid effects.
 var Effects = []Effect{EffectRetriable, EffectDeduped, EffectNonRetriable}
 
 // DedupGroup is the set of engines that share idempotency keys for deduplication. Its values are those of the settings.
@@ -66,7 +66,7 @@
 // ConnectionLimits bounds a router's connections to engines.
 type ConnectionLimits struct {
 	PerEngine                int
-	Total                    int // to all engines together; 0 for no limit
+	Total                    int // limit for all engines together; 0 for no limit
 	ConcurrentDials          int
 	DialTimeout              time.Duration
 	IdleTimeout              time.Duration // how long an idle connection may be reused
@@ -74,10 +74,10 @@
 	ReuseDelay               time.Duration // how long a connection that carried a stream is not reused
 }
 
-// Rules has the parameters of the routing rules.
+// Rules holds the parameters of the routing rules.
 type Rules struct {
 	DrainGrace       time.Duration
-	ReservationLimit time.Duration // how long an engine may hold the KV state of a request for the decode
+	ReservationLimit time.Duration // how long a prefill engine may hold the KV state of a request for its decode
 	SlowStart        time.Duration // how long an engine is warming up after its start
 	SlowStartShare   float64       // share of an engine's capacity at the start of its warm-up
 	OverloadWindow   time.Duration
@@ -100,10 +100,10 @@
 	Rules                 Rules
 	Connections           ConnectionLimits
 	Limits                admission.Limits
-	MaxBodyBytes          int // of a request body
-	MaxHeadBytes          int // of a request head
+	MaxBodyBytes          int // maximum size of a request body
+	MaxHeadBytes          int // maximum size of a request head
 	ClientBufferBytes     int // bytes of a response that may be buffered for a slow client
-	MaxAttempts           int // of each request
+	MaxAttempts           int // maximum number of attempts per request
 	TickInterval          time.Duration
 	StallTimeout          time.Duration
 	MaxRetryAfter         time.Duration
@@ -115,7 +115,7 @@
 	PlatformRouting      *routing.Config // routing configuration from the platform, to which the deployment adds its own settings
 	Zones                []string        // names of the zones, indexed by zone number
 	ShutdownAcceptTime   time.Duration   // how long a router accepts connections after the signal to stop
-	ShutdownStayTime     time.Duration   // how long a stopping router keeps client connections if no gossip of a peer arrives
+	ShutdownStayTime     time.Duration   // how long a stopping router keeps client connections if no gossip from a peer arrives
 	ShutdownHandoverTime time.Duration   // when a stopping router hands over requests that it was no longer required to accept
 	QueueBytes           int             // maximum size of events queued for the router's core
 	// ReleaseRepeatTime is how long releases are repeated after an attempt was abandoned, for engines that do not remember
@@ -123,7 +123,7 @@
 	ReleaseRepeatTime time.Duration
 }
 
-// Defaults returns a deployment with default values and without routes, kinds and engines.
+// Defaults returns a deployment with default values and without routes, kinds or engines.
 func Defaults() *Deployment {
 	return &Deployment{
 		NodeName:    "edge",
--- a/internal/config/deployment_check.go
+++ b/internal/config/deployment_check.go
@@ -7,14 +7,14 @@
 	"sandcourse/internal/config/script"
 )
 
-// The minimum of the reservation limit. It must leave time for routing to detect at a tick that a release is needed, and for
-// the release to reach the engine on a loaded machine.
+// Minimum reservation limits. They must leave time for routing to detect at a tick that a release is needed, and for the
+// release to reach the engine on a loaded machine.
 const (
 	minReservationLimit      = 20 * time.Millisecond
 	minReservationLimitTicks = 8
 )
 
-// Check reports faults that do not belong to a single value.
+// Check reports faults of the deployment that do not belong to a single value.
 func (d *Deployment) Check(report script.ReportScriptFault) {
 	if len(d.Routes) == 0 {
 		report("route: at least one route is required")
--- a/internal/config/deployment_script.go
+++ b/internal/config/deployment_script.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// fixedArguments returns a function whose calls all set the same fields, so that the last call takes effect.
+// fixedArguments returns a script function whose calls all set the same fields, so that the last call takes effect.
 func fixedArguments(arguments []script.Argument) script.Function {
 	return func() ([]script.Argument, func(script.ReportFault)) { return arguments, nil }
 }
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -65,7 +65,7 @@
 		"load": `load("http://example.org/x", "y")`, "syntax": "route(", "crash": "x = 1 // 0",
 		"size": "#" + strings.Repeat("x", 2<<20)} {
 		if _, err := Read("s.star", []byte(text)); err == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("script %s is accepted", name)
 		}
 	}
 }
--- a/internal/config/params/report.go
+++ b/internal/config/params/report.go
@@ -14,7 +14,7 @@
 	fieldRecentLatency = "avg_ms"
 )
 
-// LoadReport converts the values of a load report, or returns nil if there are none.
+// LoadReport converts the values of a load report. It returns nil if the report has no values.
 func LoadReport(telemetry map[string]float64) *routing.LoadReport {
 	if len(telemetry) == 0 {
 		return nil
--- a/internal/config/params/routing.go
+++ b/internal/config/params/routing.go
@@ -7,7 +7,7 @@
 )
 
 // RoutingConfig returns the routing configuration of the settings. An unknown value of an enumeration counts as absent, which
-// selects the strictest behavior; a caller that must reject unknown values has to check the settings before.
+// selects the strictest behavior; a caller that must reject unknown values has to check the settings first.
 func (s Settings) RoutingConfig() routing.Config {
 	c := routing.DefaultConfig()
 	c.Node, c.Nodes, c.Zone = int(s.Number("me", 0)), int(s.Number("nodes", float64(c.Nodes))), int(s.Number("zone", 0))
--- a/internal/config/params/settings.go
+++ b/internal/config/params/settings.go
@@ -13,7 +13,7 @@
 // bool; durations are in nanoseconds.
 type Settings map[string]any
 
-// Number returns a setting that is a number, or fallback if there is none with the name.
+// Number returns the number with the given name, or fallback if no such number is set.
 func (s Settings) Number(name string, fallback float64) float64 {
 	if v, ok := s[name].(float64); ok {
 		return v
@@ -21,8 +21,8 @@
 	return fallback
 }
 
-// Duration returns a setting that is a duration, or fallback if there is none with the name. Values that overflow time.Duration are
-// replaced by its maximum.
+// Duration returns the duration with the given name, or fallback if no such duration is set. Values that overflow
+// time.Duration are replaced by its maximum.
 func (s Settings) Duration(name string, fallback time.Duration) time.Duration {
 	v := s.Number(name, float64(fallback))
 	if v >= math.MaxInt64 {
@@ -31,13 +31,13 @@
 	return time.Duration(v)
 }
 
-// Text returns a setting that is a string, or "" if there is none with the name.
+// Text returns the string with the given name, or "" if no such string is set.
 func (s Settings) Text(name string) string { v, _ := s[name].(string); return v }
 
-// Flag returns a setting that is a boolean, or false if there is none with the name.
+// Flag returns the boolean with the given name, or false if no such boolean is set.
 func (s Settings) Flag(name string) bool { v, _ := s[name].(bool); return v }
 
-// Count returns the number of items of a setting that is a list.
+// Count returns the number of items of the list with the given name.
 func (s Settings) Count(name string) int { return int(s.Number(name+".count", 0)) }
 
 // settingNames maps setting names on the wire to the names of this program; other names stay unchanged.
@@ -64,8 +64,8 @@
 	return out
 }
 
-// add flattens a value and adds it under a name. Numbers are multiplied by scale, which converts the unit in the suffix of the
-// name to nanoseconds.
+// add flattens a value and adds it under a name. Numbers are multiplied by scale, which converts the unit that a suffix of the
+// name denotes to nanoseconds.
 func (s Settings) add(name string, scale float64, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -20,7 +20,7 @@
 	Assignment   assignment.Config
 }
 
-// RolePair pairs the kinds that the same engines have in the prefill role and in the decode role.
+// RolePair holds the two kinds of an engine that can change roles: one in the prefill role and one in the decode role.
 type RolePair struct{ PrefillKind, DecodeKind string }
 
 // Has reports whether a kind is one of the pair.
@@ -40,7 +40,7 @@
 	return p, nil
 }
 
-// DefaultPlanner returns a configuration with default values and without kinds. A script must set at least its files and kinds.
+// DefaultPlanner returns a configuration with default values and without kinds. A script must set at least the files and kinds.
 func DefaultPlanner() *Planner {
 	return &Planner{
 		Listen: "127.0.0.1:9090",
@@ -96,7 +96,7 @@
 	}
 }
 
-// addRolePair adds a pair of kinds that were declared before.
+// addRolePair adds a pair of kinds, which must have been declared before.
 func (p *Planner) addRolePair(deployment *Deployment) ([]script.Argument, func(script.ReportFault)) {
 	var pair RolePair
 	arguments := []script.Argument{
@@ -128,7 +128,7 @@
 	return arguments, func(script.ReportFault) { p.Assignment.RouteValues[route] = value }
 }
 
-// changeArguments returns the arguments that limit role changes.
+// changeArguments returns the arguments for role changes.
 func (p *Planner) changeArguments() ([]script.Argument, func(script.ReportFault)) {
 	a := &p.Assignment
 	explainOnly := false
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -17,15 +17,15 @@
 	// Routing decisions may use a reservation for five eighths of its limit. The rest is needed to release it: a release
 	// request may hang for a quarter of the limit before it is retried.
 	c.SetReservationLimit(d.Rules.ReservationLimit * 5 / 8)
-	// The dedup windows are those that the node's gate enforces, so that no routing decision requests an attempt that the
-	// gate blocks.
+	// The dedup windows are the ones that the node's gate enforces, so that routing never requests an attempt that the gate
+	// blocks.
 	for i, route := range d.Routes {
 		c.Routes[i].DedupWindow = max(0, route.DedupWindow-invariant.MaxDelay)
 	}
 	return c
 }
 
-// platformOrScriptConfig returns the routing configuration of the platform if there is one, otherwise that of the script.
+// platformOrScriptConfig returns the routing configuration from the platform if it is set, otherwise the one from the script.
 func (d *Deployment) platformOrScriptConfig() routing.Config {
 	if d.PlatformRouting != nil {
 		c := *d.PlatformRouting
@@ -59,8 +59,8 @@
 	return routing.EngineKind{Role: role, MemoryTokens: k.MemoryTokens}
 }
 
-// EndpointUpdate converts an endpoint list into the event that passes it to routing. Entries of an unknown kind are left out, as
-// no request can be sent to them; EndpointUpdate returns their IDs.
+// EndpointUpdate converts an endpoint list into the event that passes it to routing. Entries of an unknown kind are omitted, as
+// no request can be sent to them; their IDs are returned in unknown.
 func (d *Deployment) EndpointUpdate(list endpoint.List) (update routing.EndpointUpdate, unknown []string) {
 	update.Complete = true
 	update.Engines = make([]routing.Endpoint, 0, len(list.Entries))
@@ -102,7 +102,7 @@
 // indexOrZero returns the index of a name, or 0 if it is not in names.
 func indexOrZero(names []string, name string) int { return max(0, slices.Index(names, name)) }
 
-// Route returns the index of the model route with the given name, or -1 if there is none.
+// RouteIndex returns the index of the model route with the given name, or -1 if no route has it.
 func (d *Deployment) RouteIndex(name string) int {
 	return slices.IndexFunc(d.Routes, func(t Route) bool { return t.Name == name })
 }
--- a/internal/config/script/argument.go
+++ b/internal/config/script/argument.go
@@ -96,7 +96,7 @@
 	}}
 }
 
-// bounds are the least and the greatest allowed value of a number.
+// bounds holds the least and the greatest allowed value of a number.
 type bounds struct{ least, most float64 }
 
 func (b bounds) contains(value float64) bool { return value >= b.least && value <= b.most }
--- a/internal/config/script/fault.go
+++ b/internal/config/script/fault.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Faults has all faults of a configuration, ordered by line.
+// Faults holds all faults of a configuration, ordered by line.
 type Faults []error
 
 // Error returns the messages of the faults, one per line.
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -60,7 +60,7 @@
 	syntax.Walk(file, in.recordArguments)
 	if err := in.execute(options, text); err != nil {
 		in.addExecutionFault(err)
-	} else if check != nil { // what a script lacks is unknown if it did not run to its end
+	} else if check != nil { // a script that failed may lack calls that it did not reach
 		check(func(format string, args ...any) {
 			in.faults = append(in.faults, locatedFault{0, &Fault{File: name, Err: fmt.Errorf(format, args...)}})
 		})
@@ -76,7 +76,7 @@
 	argumentPositions map[syntax.Position]map[string]syntax.Position // by position of the call's opening parenthesis, then by argument
 }
 
-// locatedFault is a fault with the line that it is sorted by, which is 0 for faults of the whole script.
+// locatedFault is a fault and the line by which it is sorted. The line is 0 for faults of the whole script.
 type locatedFault struct {
 	line int32
 	err  error
@@ -142,13 +142,13 @@
 	return true
 }
 
-// withoutFile returns a position without a file name. It can be compared with ==, while positions of the Starlark interpreter
-// have a pointer to the file name.
+// withoutFile returns a position without a file name. Such positions can be compared with ==, while those of the Starlark
+// interpreter have a pointer to the file name.
 func withoutFile(p syntax.Position) syntax.Position {
 	return syntax.MakePosition(nil, p.Line, p.Col)
 }
 
-// addFault records a fault of a call. Its line is that of the argument if the call has it, otherwise that of the call.
+// addFault records a fault of a call, with the line of the argument if the call has it, otherwise with the line of the call.
 func (in *interpreter) addFault(call syntax.Position, argument string, err error) {
 	line := call.Line
 	if position, ok := in.argumentPositions[withoutFile(call)][argument]; ok {
@@ -157,7 +157,7 @@
 	in.faults = append(in.faults, locatedFault{line, &Fault{File: in.name, Line: line, Argument: argument, Err: err}})
 }
 
-// call runs for each function call of the script.
+// call handles each function call of the script.
 func (in *interpreter) call(thread *starlark.Thread, function *starlark.Builtin, args starlark.Tuple,
 	kwargs []starlark.Tuple) (starlark.Value, error) {
 	position := thread.CallFrame(1).Pos
--- a/internal/config/script/script_test.go
+++ b/internal/config/script/script_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Each fault has its location and an error type of its own, and no invalid value is stored.
+// Each kind of fault must have its own error type and its location, and no invalid value may be stored.
 func TestFaultsAreTypedAndLocated(t *testing.T) {
 	count, duration, word := 5, time.Second, "a"
 	functions := map[string]Function{"f": func() ([]Argument, func(ReportFault)) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// A script that is too large is not parsed, and a file that cannot be read is reported as Faults.
+// A script that is too large must not be parsed, and a file that cannot be read must be reported as Faults.
 func TestScriptSizeIsLimited(t *testing.T) {
 	var tooLarge *TooLargeError
 	if err := Run("s.star", make([]byte, MaxBytes+1), nil, nil); !errors.As(err, &tooLarge) || tooLarge.Bytes != MaxBytes+1 {
--- a/internal/fluidmodel/fleet.go
+++ b/internal/fluidmodel/fleet.go
@@ -13,7 +13,7 @@
 const (
 	// startTime is the simulated clock at the start, in nanoseconds.
 	startTime = int64(1_000_000) * int64(time.Second)
-	// rngStream separates this model's random numbers from others with the same seed.
+	// rngStream separates this model's random numbers from those of other generators with the same seed.
 	rngStream = 11
 	// warmUpStartShare is the share of its throughput that an engine has at the start of its warm-up.
 	warmUpStartShare = 0.25
@@ -36,7 +36,7 @@
 	silent         bool // the engine reports only while it changes its role
 	reportsFalsely bool
 	removed        bool   // drained permanently
-	nextRole       string // used by the threshold baseline only
+	nextRole       string // used only by the threshold baseline
 }
 
 // fleet is the state of a simulation.
@@ -144,8 +144,8 @@
 	}
 }
 
-// capacityShare returns the share of an engine's throughput that is available for a role. Edges send requests by their
-// plan, and engines accept only requests of their epoch.
+// capacityShare returns the share of an engine's throughput that is available for a role. Edges send requests according
+// to their plan, and engines accept only requests with their current epoch.
 func (f *fleet) capacityShare(engine *engineModel, role string) float64 {
 	if engine.removed || engine.loading || engine.draining || engine.role != role {
 		return 0
@@ -228,7 +228,7 @@
 	}
 }
 
-// beginDrain stops new requests to an engine; those in flight last for a random time.
+// beginDrain stops new requests to an engine. Its requests in flight end after a random time.
 func (f *fleet) beginDrain(engine *engineModel) {
 	engine.draining = true
 	engine.phaseEndsAt = f.now + time.Duration(f.rng.Float64()*float64(f.scenario.DrainTime))
--- a/internal/fluidmodel/fluidmodel_test.go
+++ b/internal/fluidmodel/fluidmodel_test.go
@@ -40,15 +40,15 @@
 	}
 }
 
-// The roles must follow a lasting skew, also under faults.
+// Roles must be changed to follow a lasting skew, even with faults.
 func TestLastingSkewIsFollowed(t *testing.T) {
 	for name, change := range map[string]func(*Scenario){
-		"no fault":                          func(*Scenario) {},
-		"a third of the reports is missing": func(scenario *Scenario) { scenario.MissingReports = 0.33 },
-		"delayed reports":                   func(scenario *Scenario) { scenario.ReportDelay = 2 * time.Second },
-		"a tenth of the reports is false":   func(scenario *Scenario) { scenario.FalseReports = 0.1 },
-		"half of the fleet cannot change":   func(scenario *Scenario) { scenario.FixedRoles = 0.5 },
-		"small fleet":                       func(scenario *Scenario) { scenario.Engines, scenario.PrefillEngines, scenario.Cells = 8, 4, 1 },
+		"no fault":                           func(*Scenario) {},
+		"a third of the reports are missing": func(scenario *Scenario) { scenario.MissingReports = 0.33 },
+		"delayed reports":                    func(scenario *Scenario) { scenario.ReportDelay = 2 * time.Second },
+		"a tenth of the reports are false":   func(scenario *Scenario) { scenario.FalseReports = 0.1 },
+		"half of the fleet cannot change":    func(scenario *Scenario) { scenario.FixedRoles = 0.5 },
+		"small fleet":                        func(scenario *Scenario) { scenario.Engines, scenario.PrefillEngines, scenario.Cells = 8, 4, 1 },
 	} {
 		scenario := baseScenario()
 		change(&scenario)
--- a/internal/fluidmodel/load.go
+++ b/internal/fluidmodel/load.go
@@ -37,8 +37,8 @@
 		r.DecodeTokens + max(-skew, 0)*(r.SkewedDecodeTokens-r.DecodeTokens)
 }
 
-// arrivalRate returns the arrivals per second: the scenario's utilization times what all engines could serve with the
-// best split of roles.
+// arrivalRate returns the arrivals per second: the scenario's utilization times the rate that all engines could serve
+// with the best split of roles.
 func (f *fleet) arrivalRate() float64 {
 	prefillSeconds, decodeSeconds := 0.0, 0.0 // engine time for the average request
 	for _, route := range f.routes {
@@ -77,7 +77,7 @@
 		}
 		value.served += arrived * route.Value
 		f.prefillBacklog += arrived * prefillTokens
-		// The ratio of the backlog is updated in proportion to the newly arrived part of it.
+		// The ratio is updated in proportion to the newly arrived part of the backlog.
 		f.decodePerPrefillToken += (decodeTokens/prefillTokens - f.decodePerPrefillToken) *
 			min(1, arrived*prefillTokens/max(f.prefillBacklog, 1))
 		count.Started += arrived
--- a/internal/fluidmodel/planner.go
+++ b/internal/fluidmodel/planner.go
@@ -18,7 +18,7 @@
 	loadMargin = 10 * time.Second
 )
 
-// plannerModel runs the real role assignment in simulated time.
+// plannerModel runs package assignment in simulated time.
 type plannerModel struct {
 	fleet      *fleet
 	controller *assignment.Controller
@@ -44,7 +44,7 @@
 	return &plannerModel{fleet: f, controller: assignment.New(config, 1, f.clockNanos(), nil, assignment.Meta{})}
 }
 
-// handleEvent passes an event to the role assignment and executes the resulting actions.
+// handleEvent passes an event to the controller and executes the resulting actions.
 func (p *plannerModel) handleEvent(event assignment.Event) {
 	for _, action := range p.controller.Step(p.fleet.clockNanos(), event) {
 		switch action := action.(type) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// step sends the reports of a time step. The reports of one second are spread over its time steps; engines that are
-// changing report in each time step.
+// step sends the reports of a time step, followed by a tick. The reports of one second are spread over its time steps;
+// engines that are changing roles report in each time step.
 func (p *plannerModel) step() {
 	f := p.fleet
 	tick := int(f.now/timeStep) % stepsPerSecond
--- a/internal/fluidmodel/run.go
+++ b/internal/fluidmodel/run.go
@@ -1,5 +1,5 @@
-// Package fluidmodel simulates a fleet whose load is skewed to prefill and to decode in turn. Roles are assigned by the
-// real role assignment or by a baseline. It is a fluid model: queues, engines and edges process amounts of work instead
+// Package fluidmodel simulates a fleet whose load is skewed to prefill and to decode in turn. Roles are assigned by
+// package assignment or by a baseline. It is a fluid model: queues, engines and edges process amounts of work instead
 // of single requests. It does no I/O.
 package fluidmodel
 
--- a/internal/fluidmodel/scenario.go
+++ b/internal/fluidmodel/scenario.go
@@ -41,13 +41,13 @@
 	Duration       time.Duration
 	Period         time.Duration // period of the skew; 0 for no skew
 	SkewDepth      float64       // from 0 for no skew to 1 for full skew to prefill and to decode in turn
-	SquareWave     bool          // the load jumps between skews; otherwise it follows a sine
-	Utilization    float64       // share of the load that the best split of roles could serve
-	ReloadTime     time.Duration // time for which an engine loads its next role
+	SquareWave     bool          // the load jumps between the two skews; otherwise it follows a sine
+	Utilization    float64       // load as a share of what the best split of roles could serve
+	ReloadTime     time.Duration // how long an engine takes to load its next role
 	WarmUp         time.Duration
 	DrainTime      time.Duration // maximum time until requests in flight end
 	ReportDelay    time.Duration // delay of all load reports
-	MissingReports float64       // share of engines and edges that never report
+	MissingReports float64       // share of engines and edges that do not report; engines still report while they change roles
 	FalseReports   float64       // share of engines that report ten times their work
 	SlowDecode     [2]float64    // start and end of a slowdown of decode engines by half, as shares of the duration
 	FixedRoles     float64       // share of engines that cannot change roles
--- a/internal/fluidmodel/threshold.go
+++ b/internal/fluidmodel/threshold.go
@@ -49,7 +49,7 @@
 	return required / max(f.capacity(role), minCapacity)
 }
 
-// startOneMove starts the change of the first engine that can change its role. It returns false if there is none.
+// startOneMove starts the change of the first engine that can change its role. It returns false if no engine can.
 func (f *fleet) startOneMove(from, to string) bool {
 	for _, engine := range f.engines {
 		if engine.canChange && f.capacityShare(engine, from) > 0 {
--- a/internal/planner/assignment/controller_test.go
+++ b/internal/planner/assignment/controller_test.go
@@ -43,14 +43,14 @@
 	return c
 }
 
-// randomHistory drives a controller with engines that at random follow or ignore orders, report false state and
+// randomHistory drives a controller with engines that randomly follow or ignore orders, report false states and
 // change their roles. It checks all actions against the records persisted before them.
 type randomHistory struct {
 	t          *rapid.T
 	now        int64
 	engines    []ListedEngine
 	controller *Controller
-	replica    *Controller // receives the same inputs
+	replica    *Controller // receives the same inputs and must return the same actions
 	persisted  map[string]Record
 	reports    map[string]planapi.EngineReport // current report of each engine
 }
@@ -115,7 +115,7 @@
 		known = max(record.Epoch, record.NextEpoch)
 	}
 	if action.Order.Epoch > known {
-		h.t.Fatalf("%s is ordered to epoch %d, persisted record is %+v", action.Engine, action.Order.Epoch, record)
+		h.t.Fatalf("%s is ordered to epoch %d, but its persisted record is %+v", action.Engine, action.Order.Epoch, record)
 	}
 }
 
@@ -151,7 +151,7 @@
 			}
 		}
 		if leaving > 0 && serving == 0 && faulty == 0 {
-			h.t.Fatalf("all engines of role %s are leaving the role", role)
+			h.t.Fatalf("no engine serves in role %s, as all are changing to the other role", role)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		Reason: "no"})
 }
 
-// followAll advances the clock by 100 ms, in which every engine loads, reports its true state and passes its trial.
+// stepWithHealthyEngines advances the clock by 100 ms, in which every engine loads, reports its true state and passes its trial.
 func (h *randomHistory) stepWithHealthyEngines() {
 	h.now += int64(100 * time.Millisecond)
 	for _, listed := range h.engines {
@@ -213,9 +213,9 @@
 	h.step(Tick{})
 }
 
-// For any history, the controller persists before it acts, never publishes a changing engine as ready, never decreases
-// an epoch, never takes a role's last engine by a change, and is deterministic. Once all engines follow their orders,
-// every change completes.
+// For any history, the controller must persist records before it acts, never publish a changing engine as ready, never
+// decrease an epoch, never change a role's last engine, and be deterministic. Once all engines follow their orders, every
+// change must complete.
 func TestRandomHistoryKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newRandomHistory(t)
@@ -236,7 +236,7 @@
 	})
 }
 
-// If the clock is set back between two planners, a state must not last until the clock has caught up. If it is set
+// If the clock is set back between two planners, a state must not last until the clock has caught up. If the clock is set
 // forward, no change may get lost.
 func TestClockOffsetBetweenPlannersLosesNoChange(t *testing.T) {
 	for _, offset := range []time.Duration{-time.Hour, 5 * time.Second, time.Hour} {
@@ -264,7 +264,7 @@
 			c.Step(now, Tick{})
 		}
 		if engine := c.engines.byAddress[engines[0].Engine]; engine.State != Serving {
-			t.Errorf("clock off by %v: %+v", offset, engine.Record)
+			t.Errorf("with the clock off by %v, the change did not complete: %+v", offset, engine.Record)
 		}
 	}
 }
--- a/internal/planner/assignment/demand_test.go
+++ b/internal/planner/assignment/demand_test.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// reportArrivals reports arrivals at the rate of each edge for some seconds, and returns the time of the last report.
+// reportArrivals reports arrivals at the given rate of each edge for some seconds, and returns the time of the last report.
 func reportArrivals(c *Controller, now int64, perSecond []float64, seconds int) int64 {
 	for second := range seconds {
 		for i, rate := range perSecond {
@@ -41,7 +41,7 @@
 	}
 }
 
-// A known edge that does not report counts like the average of the others, until it is forgotten.
+// A known edge that does not report must count like the average of the others until it is forgotten.
 func TestEdgeThatDoesNotReportCountsAsAverage(t *testing.T) {
 	c := newTestController(listEngines(4))
 	now := reportArrivals(c, testStart, []float64{3, 3}, 8)
@@ -51,7 +51,7 @@
 	}{{10 * time.Second, 6}, {2 * time.Minute, 3}} {
 		now = reportArrivals(c, now+int64(step.silence), []float64{3}, 12)
 		if rate := demandRate(t, c); !almostEqual(rate, step.want) {
-			t.Errorf("after %v: demand of %v requests per second", step.silence, rate)
+			t.Errorf("after %v without reports: demand of %v requests per second", step.silence, rate)
 		}
 	}
 }
@@ -67,13 +67,13 @@
 		now += int64(time.Second)
 		c.Step(now, EdgeReported{report})
 	}
-	// There are seven seconds with arrivals, and one without a usable count.
+	// The measured time is seven seconds with arrivals and one second without a usable count.
 	if rate := demandRate(t, c); !almostEqual(rate, 5.*7/8) {
 		t.Errorf("demand of %v requests per second", rate)
 	}
 }
 
-// The throughput of an engine is its second best sample, so that one wrong report has no effect.
+// The throughput of an engine must be its second best sample, so that one wrong report has no effect.
 func TestThroughputIsSecondBestSample(t *testing.T) {
 	engine := &engineRecord{}
 	for _, tokens := range []float64{100, 300, 9000, 200} {
@@ -84,11 +84,12 @@
 		t.Errorf("throughput %v, known %v", throughput, known)
 	}
 	if _, known := engine.throughput(planapi.Decode); known {
-		t.Error("throughput is known for a role that the engine never had")
+		t.Error("throughput is known for a role in which the engine never served")
 	}
 }
 
-// A skew is expected to continue as earlier skews that lasted longer did, else for as long as it has lasted.
+// A skew must be expected to continue like earlier skews that lasted longer or, if no skew did, for as long as it has
+// lasted so far.
 func TestSkewForecastUsesLongerEarlierSkews(t *testing.T) {
 	skew := skewTracker{durations: map[string][]time.Duration{}}
 	now := int64(0)
--- a/internal/planner/assignment/eligibility_test.go
+++ b/internal/planner/assignment/eligibility_test.go
@@ -23,12 +23,12 @@
 		c.Step(testStart, EngineReported{testStart, report})
 	}
 	if engine, reason := c.cheapestEngine(planapi.Prefill); engine == nil || engine.Engine != engines[2].Engine {
-		t.Errorf("%+v %s", engine, reason)
+		t.Errorf("cheapest engine is %+v, reason %s", engine, reason)
 	}
 }
 
-// Found by TestRandomHistoryKeepsInvariants: the last decode engine that had reported was changed because another
-// engine, which was only listed, counted as serving. That engine then reported the prefill role.
+// An engine that is only listed must not count as serving. TestRandomHistoryKeepsInvariants found that the last decode
+// engine that had reported was changed because a listed engine counted, which then reported the prefill role.
 func TestUnreportedEngineDoesNotCountAsServing(t *testing.T) {
 	engines := listEngines(4)
 	c := newTestController(engines)
--- a/internal/planner/assignment/reason.go
+++ b/internal/planner/assignment/reason.go
@@ -16,7 +16,7 @@
 	ReasonThirdChanging          Reason = "a third of all engines is changing"
 	ReasonLastInZone             Reason = "engine is the last of its role in its zone"
 	ReasonLastInCell             Reason = "engine is the last of its role in its cell"
-	ReasonCellMostlyOutOfService Reason = "two thirds of the engines of its role in its cell would be out of service"
+	ReasonCellMostlyOutOfService Reason = "two thirds of the role's engines in the cell would be out of service"
 	ReasonNoEngine               Reason = "no engine is available to change"
 )
 
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -26,7 +26,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// followers is a set of edges that follow a planner, with the latest revision of each and the time it was received.
+// followers is a set of edges that follow a planner, with the latest revision of each edge and the time of its receipt.
 type followers struct {
 	mu         sync.Mutex
 	revisions  []int64
@@ -50,14 +50,14 @@
 	return f
 }
 
-// newest returns the newest revision of all edges.
+// newest returns the newest revision that an edge has received.
 func (f *followers) newest() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Max(f.revisions)
 }
 
-// awaitNewer waits until all edges have a newer revision, and returns the times at which they received it.
+// awaitNewer waits until all edges have received a newer revision, and returns the times of receipt.
 func (f *followers) awaitNewer(b *testing.B, revision int64) []time.Time {
 	b.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Measures how long a plan takes to reach 300 edges from a planner of 300 engines, and how long after a restart of the planner
-// all edges follow it again. All of them run in one process and use the loopback interface.
+// Measures how long a plan takes from a planner of 300 engines to 300 edges, and how long it takes after a restart of the
+// planner until all edges follow it again. All of them run in one process and use the loopback interface.
 func BenchmarkPlanTo300Edges(b *testing.B) {
 	const engines, edges = 300, 300
 	_, list := startEngines(b, engines/2, engines/2, engine.Config{})
--- a/internal/planner/fleet_test.go
+++ b/internal/planner/fleet_test.go
@@ -77,7 +77,8 @@
 	return settings
 }
 
-// startPlanner starts a planner that ends before the first action for which crash returns true; crash may be nil.
+// startPlanner starts a planner that stops, as if killed, before the first action for which crash returns true; crash may be
+// nil.
 func (f *fleet) startPlanner(crash func(assignment.Action) bool) *Planner {
 	f.t.Helper()
 	p := New(f.settings, zap.NewNop())
@@ -100,7 +101,7 @@
 	return slices.Clone(f.plans)
 }
 
-// awaitStatus waits until ok returns true for the planner's status.
+// awaitStatus waits until ok returns true for the planner's status. The description of that status is used in failures.
 func (f *fleet) awaitStatus(p *Planner, description string, ok func(Status) bool) Status {
 	f.t.Helper()
 	var status Status
@@ -110,7 +111,7 @@
 			return status
 		}
 	}
-	f.t.Fatalf("planner is never %s; status %+v", description, status)
+	f.t.Fatalf("planner did not become %s within 15 s; status %+v", description, status)
 	return status
 }
 
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -40,7 +40,7 @@
 		}}
 }
 
-// copyStore returns the path of a copy of the earlier store.
+// copyStore copies the earlier store and returns the path of the copy.
 func copyStore(t *testing.T) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", earlierStoreFile))
@@ -54,7 +54,8 @@
 	return path
 }
 
-// A store of an earlier version opens with its term, its meta state and all its records, without faults or other files.
+// Checks that a store of an earlier version opens with its term, its meta state and all its records, without faults, and that
+// opening it creates no other file.
 func TestGoldenEarlierStoreOpens(t *testing.T) {
 	path := copyStore(t)
 	store, stored, err := Open(path)
@@ -102,7 +103,8 @@
 	return b.String()
 }
 
-// A store is written with the same bytes as by an earlier version, so that the earlier version can open it.
+// Checks that the values in a store are the same bytes as those of an earlier version, so that the earlier version can read
+// them.
 func TestGoldenStoreKeepsEarlierFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "planner.db")
 	store, _, err := Open(path)
@@ -125,8 +127,8 @@
 	}
 }
 
-// A planner that starts with an earlier store continues from it: one term later, with role changes stopped as ordered before,
-// and with the role and epoch of each engine in its status.
+// Checks that a planner that starts with an earlier store continues from it: one term later, with role changes still stopped,
+// and with the stored role and epoch of each engine.
 func TestGoldenPlannerContinuesFromEarlierStore(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
@@ -196,7 +198,7 @@
 	}
 }
 
-// A line of the stream that is sent later differs only in the engines' uptimes.
+// Checks that a plan that is sent to a stream later differs only in the engines' uptimes.
 func TestGoldenStreamLine(t *testing.T) {
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
--- a/internal/planner/planapi/golden_test.go
+++ b/internal/planner/planapi/golden_test.go
@@ -29,16 +29,16 @@
 	}{
 		{"plan", Plan{Term: 8, Number: 42, Engines: []Engine{{Engine: "10.0.0.1:8000", Kind: "prefill", Zone: "a", Cell: "c1",
 			Weight: 1.5, State: "ready", Epoch: 3, UptimeMillis: 5}, {Engine: "10.0.0.2:8000", Kind: "decode", State: "draining"}}}, plans},
-		{"plan with no engine", Plan{Term: 1, Number: 1, Engines: []Engine{}}, plans},
+		{"plan without engines", Plan{Term: 1, Number: 1, Engines: []Engine{}}, plans},
 		{"engine's report", EngineReport{Role: Prefill, Epoch: 4, Term: 7, Incarnation: 6, UptimeMillis: 1500, Changing: true, Draining: true,
 			PrefillTokens: 10.5, DecodeTokens: 20, BusySeconds: 0.25, OpenRequests: 2, Reservations: 1, CachedTokens: 300,
 			HotPrefixes: map[string]float64{"5c0f": 2048, "0a11": 512}}, engines},
-		{"engine's report, least", EngineReport{Role: Decode}, engines},
+		{"engine's report, fewest fields", EngineReport{Role: Decode}, engines},
 		{"edge's report", EdgeReport{Edge: "edge0", Incarnation: 9, Term: 8, PlanNumber: 42, Routes: []RouteCount{{Route: "clip-summary",
 			Arrived: 1, PromptTokens: 2, Started: 3, StartedPromptTokens: 4, Completed: 5, CompletionTokens: 6, WithinObjective: 7, Shed: 8}, {Route: "fan-alert"}}}, edges},
-		{"edge's report, no route", EdgeReport{Edge: "edge0"}, edges},
+		{"edge's report without routes", EdgeReport{Edge: "edge0"}, edges},
 		{"order to an engine", RoleOrder{Term: 8, Epoch: 5, Role: Decode, Drain: true}, roleOrders},
-		{"order to an engine, least", RoleOrder{Term: 1, Role: Prefill}, roleOrders},
+		{"order to an engine, fewest fields", RoleOrder{Term: 1, Role: Prefill}, roleOrders},
 		{"operator: pin", Order{Operation: "pin", Engine: "10.0.0.1:8000", Operator: "ops", Reason: "a test"}, orders},
 		{"operator: unpin", Order{Operation: "unpin", Engine: "10.0.0.1:8000", Operator: "ops", Reason: "a test"}, orders},
 		{"operator: move", Order{Operation: "move", Engine: "10.0.0.1:8000", Operator: "ops", Reason: "a test", DryRun: true}, orders},
@@ -53,7 +53,7 @@
 		fmt.Fprintf(&b, "%s\n%s\n", c.name, data)
 		if back, err := c.parse(data); err != nil || !reflect.DeepEqual(back, c.value) {
 			again, _ := json.Marshal(back)
-			t.Errorf("%s: %v: %s was parsed as %s", c.name, err, data, again)
+			t.Errorf("%s: error %v: %s was parsed as %s", c.name, err, data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", b.String())
@@ -63,7 +63,7 @@
 func TestGoldenPaths(t *testing.T) {
 	golden.Check(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
 		"order " + OrderPath, "role " + RolePath, "trial " + TrialPrefix, "read " + Prefill, "write " + Decode,
-		"ops " + strings.Join(Operations, " "), fmt.Sprintf("most bytes of a plan %d, of a report %d", MaxPlanBytes, MaxReportBytes)}, "\n")+"\n")
+		"ops " + strings.Join(Operations, " "), fmt.Sprintf("maximum bytes of a plan %d, of a report %d", MaxPlanBytes, MaxReportBytes)}, "\n")+"\n")
 }
 
 // rejection is a message that its parser must reject.
--- a/internal/planner/planapi/parse_test.go
+++ b/internal/planner/planapi/parse_test.go
@@ -14,7 +14,7 @@
 		{Engine: "10.0.0.2:80", Kind: "decode", State: "draining"}}}
 }
 
-// A plan that is truncated at any byte must be rejected, not taken for a shorter plan. A complete plan is accepted.
+// A plan that is truncated at any byte must be rejected and not taken for a shorter plan. A complete plan must be accepted.
 func TestTruncatedPlanIsRejected(t *testing.T) {
 	data, _ := json.Marshal(samplePlan())
 	for i := range data {
@@ -31,7 +31,7 @@
 	}
 }
 
-// For any input the parsers return without a panic, and the values that they accept are in range.
+// For any input, the parsers must return without a panic, and the values that they accept must be in range.
 func TestParsersReturnOnlyValuesInRange(t *testing.T) {
 	bases := []any{samplePlan(), EngineReport{Role: Prefill, Epoch: 1}, EdgeReport{Edge: "e",
 		Routes: []RouteCount{{Route: "a", Arrived: 1}}},
--- a/internal/planner/planclient/start_times_test.go
+++ b/internal/planner/planclient/start_times_test.go
@@ -18,13 +18,13 @@
 	first := estimate(100_000)
 	for _, late := range []int64{100_001, 100_050, 99_990, 101_500} {
 		if got := estimate(late); got != first {
-			t.Errorf("start time changed from %d to %d with a plan that is %d ms late", first, got, late-first)
+			t.Errorf("estimated start time changed from %d to %d with a plan that is %d ms late", first, got, late-first)
 		}
 	}
 	if got := estimate(130_000); got != 130_000 {
-		t.Errorf("start time of an engine restarted at 130000 is %d", got)
+		t.Errorf("estimated start time of an engine that restarted at 130000 is %d", got)
 	}
 	if got := estimate(0); got != 0 {
-		t.Errorf("start time of an engine that started long ago is %d, not 0", got)
+		t.Errorf("estimated start time of an engine that started long ago is %d, not 0", got)
 	}
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -18,7 +18,7 @@
 	"sandcourse/internal/planner/planclient"
 )
 
-// An operator's order that cannot be applied is rejected with a reason, and a dry run changes nothing.
+// An operator's order that cannot be applied must be rejected with a reason, and a dry run must change nothing.
 func TestOperatorOrdersAreRejectedWithReason(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	p := f.startPlanner(nil)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Two planners must not control the same engines. A second planner on the same store does not start. A planner with a store of
-// its own starts only with TakeOver set, and then the engines fence off the first planner.
+// Two planners must not control the same engines. A second planner on the same store must not start. A planner with another
+// store must start only if TakeOver is set, and the engines then fence off the first planner.
 func TestOnlyOnePlannerControlsEngines(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	first := f.startPlanner(nil)
@@ -91,7 +91,7 @@
 	}
 }
 
-// While saving fails, no order is sent and no plan is published. Once saving succeeds, the planner continues.
+// While saving fails, no order may be sent and no plan published. Once saving succeeds, the planner must continue.
 func TestNoOrderOrPlanIsSentBeforeSave(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	p := f.startPlanner(nil)
@@ -112,17 +112,17 @@
 		!strings.Contains(text, "could not be saved") {
 		t.Error(status, text)
 	}
-	f.awaitStatus(p, "in state SaveFailing", func(status Status) bool { return status.SaveFailing })
+	f.awaitStatus(p, "unable to save", func(status Status) bool { return status.SaveFailing })
 	if more := len(f.published()) - before; more != 0 {
 		t.Errorf("%d plans were published while saving failed", more)
 	}
 	diskFull.Store(false)
-	f.awaitStatus(p, "continuing", func(status Status) bool {
+	f.awaitStatus(p, "able to continue", func(status Status) bool {
 		return !status.SaveFailing && allServing(status) && f.engines[0].Role() == planapi.Decode
 	})
 }
 
-// An edge's client follows the planner across restarts, and never replaces a plan by an older one.
+// An edge's client must follow the planner across restarts, and must never replace a plan by an older one.
 func TestClientKeepsPlanWhilePlannerIsDown(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	first := f.startPlanner(nil)
--- a/internal/planner/role_change_test.go
+++ b/internal/planner/role_change_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// moveAndKill orders a planner to move the first engine, and kills the planner before the k-th action of the move. It returns
-// false if the move completes with fewer actions.
+// moveAndKill orders a planner to move the first engine, and kills the planner before the k-th action of the move. It returns the
+// type of that action, or false if the move completes with fewer actions.
 func moveAndKill(f *fleet, k int) (before string, killed bool) {
 	var mu sync.Mutex
 	moving, count, killedBefore := false, 0, ""
@@ -89,7 +89,8 @@
 	}
 }
 
-// An engine that falsely reports its new role, or never completes the change, is quarantined and not published in that role.
+// An engine that falsely reports its new role, or never completes the change, must be quarantined and not published in that
+// role.
 func TestEnginesThatFailRoleChangeAreQuarantined(t *testing.T) {
 	for name, faults := range map[string]engine.Faults{"false role": {FalseRole: true}, "never completes": {RoleChangeHangs: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -116,9 +117,9 @@
 			}
 			// Without faults, the engine returns to its previous role after the cooldown, without an operator's order.
 			faulty.SetFaults(engine.Faults{})
-			f.awaitStatus(p, "serving again", allServing)
+			f.awaitStatus(p, "ready again", allServing)
 			if faulty.Role() != planapi.Prefill {
-				t.Errorf("engine returned as %s", faulty.Role())
+				t.Errorf("engine returned to role %s", faulty.Role())
 			}
 		})
 	}
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -33,7 +33,7 @@
 	run()
 }
 
-// otherFiles returns the names of the other files in the directory of a store.
+// otherFiles returns the names of all files in the directory of a store except the store's file.
 func otherFiles(t *testing.T, path string) (names []string) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Dir(path))
@@ -80,7 +80,7 @@
 	path := filepath.Join(t.TempDir(), "store.db")
 	runWithFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
-			t.Error("store was created on a full disk")
+			t.Error("store was created although the disk is full")
 			s.Close()
 		}
 	})
@@ -94,7 +94,7 @@
 	}
 }
 
-// For any damage to the file, Open returns an error, or a store that contains only saved values.
+// For any damage to the file, Open must return an error, or a store that contains only saved values.
 func TestDamagedStoreIsDetected(t *testing.T) {
 	directory := t.TempDir()
 	saved := assignment.Record{Engine: "127.0.0.1:1", Role: "read", Epoch: 3, State: assignment.Ordered, NextRole: "write",
