--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// firstPlanTimeout is how long a planner without records waits for the engines to report their roles.
+	// firstPlanTimeout limits how long the first plan waits for the engines to report their roles.
 	firstPlanTimeout = 3 * time.Second
 	// decisionInterval equals the interval of load reports.
 	decisionInterval = time.Second
@@ -34,7 +34,7 @@
 	steppedDown      bool
 	firedTransitions uint64
 
-	reportDelays []time.Duration // delays of the latest engine reports
+	reportDelays []time.Duration // time from request to receipt of the latest engine reports
 	history      changeHistory
 	demand       demandEstimator
 	throughputs  map[string]float64 // latest known tokens per second of an engine of weight 1, by role
--- a/internal/planner/assignment/eligibility.go
+++ b/internal/planner/assignment/eligibility.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxReportDelay is the maximum median delay of reports: each of the five steps of a change waits for a report.
-	maxReportDelay = 3 * time.Second
-	// requestTokens is the cost of a change for each request in flight at the engine, in lost cached tokens: about half
+	// maxMedianReportDelay limits the median delay of reports, as each of the five steps of a change waits for a report.
+	maxMedianReportDelay = 3 * time.Second
+	// openRequestCost is the cost of a change for each request in flight at the engine, in lost cached tokens: about half
 	// an answer.
-	requestTokens = 100
+	openRequestCost = 100
 	// replicatedCacheShare is the share of cached tokens that counts as lost although other engines have them cached
 	// too, as the requests have to move to those engines.
 	replicatedCacheShare = 0.1
@@ -49,7 +49,7 @@
 		return ReasonPinned
 	case c.unresponsive(engine):
 		return ReasonUnresponsive
-	case delay > maxReportDelay:
+	case delay > maxMedianReportDelay:
 		return Reason(fmt.Sprintf(reasonDelayFormat, delay.Round(100*time.Millisecond)))
 	case engine.lastChangeEndedAt > 0 && c.since(engine.lastChangeEndedAt) < c.config.Cooldown:
 		return Reason(fmt.Sprintf(reasonCooldownFormat, c.config.Cooldown))
@@ -144,7 +144,7 @@
 			counts[reason]++
 			continue
 		}
-		cost := c.lostCacheTokens(engine) + requestTokens*float64(engine.report.OpenRequests+engine.report.Reservations)
+		cost := c.lostCacheTokens(engine) + openRequestCost*float64(engine.report.OpenRequests+engine.report.Reservations)
 		if cost < leastCost {
 			cheapest, leastCost = engine, cost
 		}
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -25,14 +25,14 @@
 const (
 	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the sports matches of a day.
 	maxSkewForecast = 2 * time.Minute
-	// skewDetectionTime is how long a reversal of the load stays undetected: the window of the demand plus three
-	// reports.
+	// skewDetectionTime is how long a reversal of the load stays undetected: the window over which demand is measured
+	// plus three reports.
 	skewDetectionTime = 13 * time.Second
-	// minSkewTime is how long a gain has to last before a change is made: three reports.
-	minSkewTime = 3 * time.Second
-	// minUnservedTime replaces minSkewTime if a role has no serving engine.
+	// minGainTime is how long a gain has to last before a change is made: three reports.
+	minGainTime = 3 * time.Second
+	// minUnservedTime replaces minGainTime if a role has no serving engine.
 	minUnservedTime = time.Second
-	// noiseShare is the share of all value that is within the error of the estimate.
+	// noiseShare is the share of the offered value that is within the error of the estimate.
 	noiseShare = 0.01
 	// minGain is the gain up to which a change counts as gaining nothing. It is above the rounding error.
 	minGain = 1e-9
@@ -104,7 +104,7 @@
 	return weight
 }
 
-// setAverageGains sets the gains under the mixes of the last minutes.
+// setAverageGains sets MeanGain and ReversalLoss from the mixes of the last minutes.
 func (c *Controller) setAverageGains(e *Evaluation, s *fleetSnapshot) {
 	reversals := 0
 	for _, sample := range c.mixes.samples {
@@ -124,7 +124,7 @@
 	return sample.value(expected.moved(to, moved+1), s.throughput) - sample.value(expected.moved(to, moved), s.throughput)
 }
 
-// surplus returns by how many engines a role exceeds the split that would have been best on average. All of them
+// surplus returns by how many engines a role exceeds the split that would have been best on average. These engines
 // have to change back when the load reverses.
 func (c *Controller) surplus(e *Evaluation, s *fleetSnapshot) float64 {
 	surplus := 0.0
@@ -149,7 +149,7 @@
 		return cost
 	}
 	// A second of one prefill engine is worth its share of all value, scaled by the utilization of the prefill engines.
-	utilization := min(1, s.required.prefill/max(usableCapacity*(s.serving.prefill-1), minSpareEngines))
+	utilization := min(1, s.required.prefill/max(usableCapacityShare*(s.serving.prefill-1), minSpareEngines))
 	return cost + e.LostTokens/max(s.throughput.prefill, 1)*mix.offeredValue()/s.required.prefill*utilization
 }
 
@@ -182,7 +182,7 @@
 	gain := c.expectedGain(e, s)
 	switch {
 	case unserved && e.GainingSeconds >= minUnservedTime.Seconds():
-	case e.GainingSeconds < minSkewTime.Seconds():
+	case e.GainingSeconds < minGainTime.Seconds():
 		return Reason(fmt.Sprintf(reasonTooRecentFormat, e.GainingSeconds))
 	case gain <= gainCostMargin*e.Cost || gain <= noiseShare*s.sample.mix.offeredValue():
 		return Reason(fmt.Sprintf(reasonCostFormat, gain, e.Cost))
--- a/internal/planner/assignment/mix.go
+++ b/internal/planner/assignment/mix.go
@@ -6,10 +6,10 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// usableCapacity is the share of an engine's capacity that can be used before queueing delays first tokens. At a
+// usableCapacityShare is the share of an engine's capacity that can be used before queueing delays first tokens. At a
 // higher utilization, a few simultaneous arrivals wait longer than their own prefill takes. With a share of 0.75,
 // changes began before any value was lost.
-const usableCapacity = 0.9
+const usableCapacityShare = 0.9
 
 // RouteDemand is the demand on one model route.
 type RouteDemand struct {
@@ -66,8 +66,8 @@
 // servedValue returns the value per second that the given engines can serve. Capacity of both roles is given to
 // routes of the highest value first.
 func (m TrafficMix) servedValue(engines, throughput perRole) (value float64) {
-	prefillCapacity := engines.prefill * throughput.prefill * usableCapacity
-	decodeCapacity := engines.decode * throughput.decode * usableCapacity
+	prefillCapacity := engines.prefill * throughput.prefill * usableCapacityShare
+	decodeCapacity := engines.decode * throughput.decode * usableCapacityShare
 	for _, demand := range m {
 		share := 1.0
 		if demand.PrefillTokens > 0 {
--- a/internal/planner/assignment/output.go
+++ b/internal/planner/assignment/output.go
@@ -58,8 +58,8 @@
 	return records
 }
 
-// mayPublish reports whether a plan can be published. The first plan waits for the engines' reports, as their roles may
-// be outdated. firstPlanTimeout limits the wait, as edges have no endpoint list without a plan.
+// mayPublish reports whether a plan can be published. The first plan waits for the engines' reports, as the roles in the
+// endpoint list may be outdated. firstPlanTimeout limits the wait, as edges have no endpoint list without a plan.
 func (c *Controller) mayPublish() bool {
 	if c.output.published {
 		return true
--- a/internal/planner/assignment/report.go
+++ b/internal/planner/assignment/report.go
@@ -7,8 +7,8 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// maxReportDelays is the number of latest engine reports over which the median delay is computed.
-const maxReportDelays = 64
+// maxReportDelaySamples is the number of latest engine reports over which the median delay is computed.
+const maxReportDelaySamples = 64
 
 func (c *Controller) handleEngineReport(event EngineReported) {
 	report := event.Report
@@ -22,7 +22,7 @@
 	}
 	engine.recordSample(report, c.now)
 	engine.report, engine.reportedAt, engine.reportRequestedAt = report, c.now, event.RequestedAt
-	c.reportDelays = appendBounded(c.reportDelays, c.since(event.RequestedAt), maxReportDelays)
+	c.reportDelays = appendBounded(c.reportDelays, c.since(event.RequestedAt), maxReportDelaySamples)
 	switch {
 	case !engine.listed.CanChange:
 	case !engine.roleKnown:
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -15,8 +15,8 @@
 // skewTracker records when and for how long the load is skewed to one role, compared with the average load.
 type skewTracker struct {
 	prefillShares []float64                  // share of prefill in all work, one per decision
-	role          string                     // role to which the load is skewed, or was last; empty before the first skew
-	since         int64                      // start of the skew in nanoseconds
+	role          string                     // role of the current or last skew; empty before the first skew
+	startedAt     int64                      // start of the skew in nanoseconds
 	durations     map[string][]time.Duration // durations of the last skews by role
 }
 
@@ -41,10 +41,10 @@
 	if role == s.role {
 		return
 	}
-	if s.role != "" && s.since > 0 {
-		s.durations[s.role] = appendBounded(s.durations[s.role], time.Duration(now-s.since), maxSkewDurations)
+	if s.role != "" && s.startedAt > 0 {
+		s.durations[s.role] = appendBounded(s.durations[s.role], time.Duration(now-s.startedAt), maxSkewDurations)
 	}
-	s.role, s.since = role, now
+	s.role, s.startedAt = role, now
 }
 
 // expectedRemaining returns the seconds for which a skew to a role is expected to continue: the average over earlier
@@ -54,7 +54,7 @@
 	if s.role != role {
 		return min(gainingSeconds, maxSkewForecast.Seconds())
 	}
-	lasted := time.Duration(now - s.since)
+	lasted := time.Duration(now - s.startedAt)
 	total, longerSkews := 0.0, 0
 	for _, duration := range s.durations[role] {
 		if duration > lasted {
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// sampleDuration is the minimum time that a sample covers. Engines that are changing roles report more often.
-	sampleDuration = time.Second
-	maxSamples     = 16
+	// minSampleDuration is the minimum time that a sample covers. Engines that are changing roles report more often.
+	minSampleDuration = time.Second
+	maxWorkSamples    = 16
 	// tokenRateWindow is the age up to which samples count for token rates. It is the window of the edges' counts.
 	tokenRateWindow = maxDeltas * time.Second
 	// minBusyShare is the utilization of an engine above which a sample is used for its throughput.
@@ -51,12 +51,12 @@
 	}
 	if n := len(e.samples); n > 0 {
 		latest := &e.samples[n-1]
-		if latest.duration < sampleDuration && latest.prefill == sample.prefill {
+		if latest.duration < minSampleDuration && latest.prefill == sample.prefill {
 			latest.extend(sample)
 			return
 		}
 	}
-	e.samples = appendBounded(e.samples, sample, maxSamples)
+	e.samples = appendBounded(e.samples, sample, maxWorkSamples)
 }
 
 func (s *workSample) extend(next workSample) {
