--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -40,13 +40,13 @@
 	throughputs  map[string]float64 // latest known tokens per second of an engine of weight 1, by role
 	mixes        mixHistory
 	skew         skewTracker
-	gainSince    map[string]int64 // by role, since when a change to it would have a gain; 0 if it would not
+	gainSince    map[string]int64 // by role, time since which a change to the role would have a gain; 0 for no gain
 	decidedAt    int64
 	lastDecision Decision
 }
 
 // New returns a controller. Records and meta are those that an earlier controller persisted; both are empty for the
-// first one.
+// first controller.
 func New(config Config, term, now int64, records []Record, meta Meta) *Controller {
 	c := &Controller{config: config, term: term, now: now, startedAt: now, meta: meta,
 		engines:     engineRegistry{byAddress: map[string]*engineRecord{}},
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -96,7 +96,7 @@
 // edgeCounts is the sum of the recent counts of all edges.
 type edgeCounts struct {
 	known, reporting int
-	startedTokenRate float64 // prompt tokens per second of requests that had their first token
+	startedTokenRate float64 // prompt tokens per second of started requests
 	routes           map[string]*routeCounts
 }
 
--- a/internal/planner/assignment/history.go
+++ b/internal/planner/assignment/history.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxChangeStarts    = 32 // number kept for the budget of changes per minute
-	maxChangeDurations = 8  // number kept; their median is the expected duration of the next change
+	maxChangeStarts    = 32 // number of starts kept for the budget of changes per minute
+	maxChangeDurations = 8  // number of durations kept; their median is the expected duration of the next change
 )
 
 // changeHistory records when changes began and how long completed changes took.
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Errors of ApplyOrder. Those about one engine are wrapped with its address.
+// Errors of ApplyOrder. An error about one engine is wrapped with the engine's address.
 var (
 	ErrNotListed      = errors.New("no such engine is listed")
 	ErrPinned         = errors.New("engine is already pinned")
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -8,7 +8,7 @@
 
 const (
 	maxPrefillShares = 240  // four minutes at one share each second
-	maxSkewDurations = 6    // number kept for each role
+	maxSkewDurations = 6    // number of durations kept for each role
 	minSkew          = 0.05 // smaller deviations are within the variance of the counts
 )
 
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Errors for which a valid operator's order is rejected with status 409 (Conflict).
+// Errors for which the response to a valid operator's order has status 409 (Conflict).
 var (
 	ErrDeposed  = errors.New("planner was deposed by a planner with a later term")
 	ErrNotSaved = errors.New("order could not be saved; it takes effect once saving succeeds")
@@ -32,7 +32,7 @@
 
 func (p *Planner) serveStream(w http.ResponseWriter, r *http.Request) { p.stream.serve(p.ctx, w, r) }
 
-// serveEdgeReport receives an edge's report.
+// serveEdgeReport passes an edge's report to the controller.
 func (p *Planner) serveEdgeReport(w http.ResponseWriter, r *http.Request) {
 	data, ok := readBody(w, r)
 	if !ok {
--- a/internal/planner/planapi/reports.go
+++ b/internal/planner/planapi/reports.go
@@ -31,7 +31,7 @@
 	Route               string  `json:"route"`
 	Arrived             float64 `json:"arrived"`
 	PromptTokens        float64 `json:"prompt_tokens"` // prompt tokens of all arrived requests
-	Started             float64 `json:"began"`         // requests that had their first token
+	Started             float64 `json:"began"`         // requests with a first token
 	StartedPromptTokens float64 `json:"begun_tokens"`  // prompt tokens of the started requests
 	Completed           float64 `json:"ended"`         // started requests that completed
 	CompletionTokens    float64 `json:"answer_tokens"` // answer tokens of the completed requests
