--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -16,7 +16,7 @@
 	"sandcourse/settings"
 )
 
-func TestDemoScript(t *testing.T) {
+func TestDemoScriptGivesRoutingConfig(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -65,12 +65,12 @@
 		"load": `load("http://example.org/x", "y")`, "syntax": "route(", "crash": "x = 1 // 0",
 		"size": "#" + strings.Repeat("x", 2<<20)} {
 		if _, err := Read("s.star", []byte(text)); err == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("script %s is accepted", name)
 		}
 	}
 }
 
-func TestEndpointUpdateOfList(t *testing.T) {
+func TestEndpointUpdateOmitsUnknownKinds(t *testing.T) {
 	d, err := Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	})
 }
 
-func TestPlannerScript(t *testing.T) {
+func TestPlannerScriptIsValidated(t *testing.T) {
 	valid := `planner(listen = "127.0.0.1:0", store = "s", roster = "r")
 kind(name = "p", role = "read")
 kind(name = "d", role = "write")
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -11,7 +11,7 @@
 type Evaluation struct {
 	ToRole           string  `json:"to"`
 	Gain             float64 `json:"gain"`     // gain under the current mix
-	ReversalLoss     float64 `json:"usual"`    // average (negative) gain under those mixes of the last minutes that lose by it
+	ReversalLoss     float64 `json:"usual"`    // average gain under those mixes of the last minutes with a negative gain
 	MeanGain         float64 `json:"mean"`     // average gain under all mixes of the last minutes
 	RemainingSeconds float64 `json:"left_s"`   // expected remaining time of the skew
 	Cost             float64 `json:"cost"`     // value lost while the engine changes
@@ -23,21 +23,21 @@
 }
 
 const (
-	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the matches of a day.
+	// maxSkewForecast limits how long a skew is expected to continue: mixes change with the sports matches of a day.
 	maxSkewForecast = 2 * time.Minute
-	// skewDetectionTime is how long a reversal of the load stays undetected: the window of the demand plus three
-	// reports.
+	// skewDetectionTime is how long a reversal of the load stays undetected: the window over which demand is measured
+	// plus three reports.
 	skewDetectionTime = 13 * time.Second
-	// minSkewTime is how long a gain has to last before a change is made: three reports.
-	minSkewTime = 3 * time.Second
-	// minUnservedTime replaces minSkewTime if a role has no serving engine.
+	// minGainTime is how long a gain has to last before a change is made: three reports.
+	minGainTime = 3 * time.Second
+	// minUnservedTime replaces minGainTime if a role has no serving engine.
 	minUnservedTime = time.Second
-	// noiseShare is the share of all value that is within the error of the estimate.
+	// noiseShare is the share of the offered value that is within the error of the estimate.
 	noiseShare = 0.01
-	// minGain is above the rounding error.
+	// minGain is the gain up to which a change counts as gaining nothing. It is above the rounding error.
 	minGain = 1e-9
-	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It is over 1 as counts
-	// of ten seconds vary.
+	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It exceeds 1, as counts
+	// over ten seconds vary.
 	maxGainPerLoss = 1.5
 	// gainCostMargin is how many times its cost a change has to gain, as both values are estimates.
 	gainCostMargin = 1.5
@@ -83,8 +83,8 @@
 	return e
 }
 
-// currentGain returns the gain of a change under the current mix. The loss counted by the edges limits it: without
-// loss there is nothing to gain, however busy a role looks. Engines that are changing to the role, or
+// currentGain returns the gain of a change under the current mix. The loss counted by the edges limits the gain: without
+// a loss, a change gains nothing, however busy a role looks. Engines that are changing to the role, or
 // changed to it recently, already recover a part of the loss.
 func (c *Controller) currentGain(to string, s *fleetSnapshot) float64 {
 	value := func(moved float64) float64 { return s.sample.value(s.expected().moved(to, moved), s.throughput) }
@@ -104,7 +104,7 @@
 	return weight
 }
 
-// setAverageGains sets the gains under the mixes of the last minutes.
+// setAverageGains sets MeanGain and ReversalLoss from the mixes of the last minutes.
 func (c *Controller) setAverageGains(e *Evaluation, s *fleetSnapshot) {
 	reversals := 0
 	for _, sample := range c.mixes.samples {
@@ -124,7 +124,7 @@
 	return sample.value(expected.moved(to, moved+1), s.throughput) - sample.value(expected.moved(to, moved), s.throughput)
 }
 
-// surplus returns by how many engines a role exceeds the split that would have been best on average. All of them
+// surplus returns by how many engines a role exceeds the split that would have been best on average. These engines
 // have to change back when the load reverses.
 func (c *Controller) surplus(e *Evaluation, s *fleetSnapshot) float64 {
 	surplus := 0.0
@@ -149,11 +149,11 @@
 		return cost
 	}
 	// A second of one prefill engine is worth its share of all value, scaled by the utilization of the prefill engines.
-	utilization := min(1, s.required.prefill/max(usableCapacity*(s.serving.prefill-1), minSpareEngines))
+	utilization := min(1, s.required.prefill/max(usableCapacityShare*(s.serving.prefill-1), minSpareEngines))
 	return cost + e.LostTokens/max(s.throughput.prefill, 1)*mix.offeredValue()/s.required.prefill*utilization
 }
 
-// changeSeconds returns how long a change takes until the engine is half warm, by the median of the last changes.
+// changeSeconds returns how long a change is expected to take until half of the warm-up, by the median of the last changes.
 func (c *Controller) changeSeconds() float64 {
 	expected := float64(c.config.DrainTimeout)/4 + float64(c.config.LoadTimeout)/2
 	if len(c.history.durations) > 0 {
@@ -182,7 +182,7 @@
 	gain := c.expectedGain(e, s)
 	switch {
 	case unserved && e.GainingSeconds >= minUnservedTime.Seconds():
-	case e.GainingSeconds < minSkewTime.Seconds():
+	case e.GainingSeconds < minGainTime.Seconds():
 		return Reason(fmt.Sprintf(reasonTooRecentFormat, e.GainingSeconds))
 	case gain <= gainCostMargin*e.Cost || gain <= noiseShare*s.sample.mix.offeredValue():
 		return Reason(fmt.Sprintf(reasonCostFormat, gain, e.Cost))
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -7,7 +7,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Errors of ApplyOrder. Those about one engine are wrapped with its address.
+// Errors of ApplyOrder. An error about one engine is wrapped with the engine's address.
 var (
 	ErrNotListed      = errors.New("no such engine is listed")
 	ErrPinned         = errors.New("engine is already pinned")
@@ -23,7 +23,7 @@
 	Reason Reason
 }
 
-// Error returns the text that is sent to the operator.
+// Error returns the message that is sent to the operator.
 func (e *IneligibleError) Error() string {
 	return fmt.Sprintf("%s may not change its role: %s", e.Engine, e.Reason)
 }
--- a/internal/planner/assignment/output.go
+++ b/internal/planner/assignment/output.go
@@ -18,7 +18,7 @@
 
 func (o *output) markDirty(engine *engineRecord) { o.dirty[engine.Engine] = true }
 
-// finishStep returns the actions of a step: what must be durable first, then the plan, then the rest.
+// finishStep returns the actions of a step: first the records to persist, then the plan, then all other actions.
 func (c *Controller) finishStep() []Action {
 	out := &c.output
 	if c.steppedDown {
@@ -58,8 +58,8 @@
 	return records
 }
 
-// mayPublish reports whether a plan can be published. The first plan waits for the engines' reports, as their roles may
-// be outdated. firstPlanTimeout limits the wait, as edges have no endpoint list without a plan.
+// mayPublish reports whether a plan can be published. The first plan waits for the engines' reports, as the roles in the
+// endpoint list may be outdated. firstPlanTimeout limits the wait, as edges have no endpoint list without a plan.
 func (c *Controller) mayPublish() bool {
 	if c.output.published {
 		return true
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	maxShares        = 240  // four minutes at one share each second
-	maxSkewDurations = 6    // number kept for each role
+	maxPrefillShares = 240  // four minutes at one share each second
+	maxSkewDurations = 6    // number of durations kept for each role
 	minSkew          = 0.05 // smaller deviations are within the variance of the counts
 )
 
 // skewTracker records when and for how long the load is skewed to one role, compared with the average load.
 type skewTracker struct {
 	prefillShares []float64                  // share of prefill in all work, one per decision
-	role          string                     // role to which the load is skewed, or was last; empty before the first skew
-	since         int64                      // start of the skew in nanoseconds
+	role          string                     // role of the current or last skew; empty before the first skew
+	startedAt     int64                      // start of the skew in nanoseconds
 	durations     map[string][]time.Duration // durations of the last skews by role
 }
 
@@ -27,7 +27,7 @@
 		return
 	}
 	share := required.prefill / total
-	s.prefillShares = appendBounded(s.prefillShares, share, maxShares)
+	s.prefillShares = appendBounded(s.prefillShares, share, maxPrefillShares)
 	mean := 0.0
 	for _, earlier := range s.prefillShares {
 		mean += earlier / float64(len(s.prefillShares))
@@ -41,19 +41,20 @@
 	if role == s.role {
 		return
 	}
-	if s.role != "" && s.since > 0 {
-		s.durations[s.role] = appendBounded(s.durations[s.role], time.Duration(now-s.since), maxSkewDurations)
+	if s.role != "" && s.startedAt > 0 {
+		s.durations[s.role] = appendBounded(s.durations[s.role], time.Duration(now-s.startedAt), maxSkewDurations)
 	}
-	s.role, s.since = role, now
+	s.role, s.startedAt = role, now
 }
 
 // expectedRemaining returns the seconds for which a skew to a role is expected to continue: the average over earlier
-// skews that lasted longer than this one so far or, if there are none, the time that this one has lasted.
+// skews that lasted longer than this one so far or, if no skew did, the time that this one has lasted. That time is
+// gainingSeconds if the load is not skewed to the role.
 func (s *skewTracker) expectedRemaining(now int64, role string, gainingSeconds float64) float64 {
 	if s.role != role {
 		return min(gainingSeconds, maxSkewForecast.Seconds())
 	}
-	lasted := time.Duration(now - s.since)
+	lasted := time.Duration(now - s.startedAt)
 	total, longerSkews := 0.0, 0
 	for _, duration := range s.durations[role] {
 		if duration > lasted {
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// sampleDuration is the minimum time that a sample covers; engines report up to four times as often.
-	sampleDuration = time.Second
-	maxSamples     = 16
+	// minSampleDuration is the minimum time that a sample covers. Engines that are changing roles report more often.
+	minSampleDuration = time.Second
+	maxWorkSamples    = 16
 	// tokenRateWindow is the age up to which samples count for token rates. It is the window of the edges' counts.
 	tokenRateWindow = maxDeltas * time.Second
 	// minBusyShare is the utilization of an engine above which a sample is used for its throughput.
 	minBusyShare = 0.05
 	// minThroughputSamples is the number of samples needed for an engine's throughput, as the best one is left out.
 	minThroughputSamples = 3
-	// minForOutlierLimit is the number of measurements from which on their median limits each of them.
+	// minForOutlierLimit is the minimum number of measurements for a limit on each of them by their median.
 	minForOutlierLimit = 3
 	// outlierFactor limits a measurement to a multiple of the median, as a load report may be wrong.
 	outlierFactor = 4
@@ -51,12 +51,12 @@
 	}
 	if n := len(e.samples); n > 0 {
 		latest := &e.samples[n-1]
-		if latest.duration < sampleDuration && latest.prefill == sample.prefill {
+		if latest.duration < minSampleDuration && latest.prefill == sample.prefill {
 			latest.extend(sample)
 			return
 		}
 	}
-	e.samples = appendBounded(e.samples, sample, maxSamples)
+	e.samples = appendBounded(e.samples, sample, maxWorkSamples)
 }
 
 func (s *workSample) extend(next workSample) {
@@ -113,7 +113,7 @@
 }
 
 // throughput returns the second best of an engine's samples. A slowdown shorter than the time that the samples cover
-// does not look like more demand, and a single wrong report has no effect.
+// is thus not taken for higher demand, and a single wrong report has no effect.
 func (e *engineRecord) throughput(role string) (value float64, known bool) {
 	var throughputs []float64
 	for _, sample := range e.samples {
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -27,7 +27,7 @@
 // that follows term 9.
 func fakePlanner(t *testing.T) (address string, requested, posted <-chan string) {
 	requests, reports := make(chan string, 1), make(chan string, 1)
-	handOver := func(to chan<- string, text string) {
+	trySend := func(to chan<- string, text string) {
 		select {
 		case to <- text:
 		default:
@@ -41,12 +41,12 @@
 		}
 		if r.Method == http.MethodPost {
 			if strings.Contains(text, `"term":9`) {
-				handOver(reports, text)
+				trySend(reports, text)
 			}
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		handOver(requests, text)
+		trySend(requests, text)
 		io.WriteString(w, sampleStream)
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -55,8 +55,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), requests, reports
 }
 
-// Checks a client that follows a planner's stream and sends its edge's reports: its requests, the endpoint lists that it
-// makes of the stream's lines, and the reports that it posts.
+// Checks a client that follows a planner's stream and sends its edge's reports: its request for the stream, the endpoint lists
+// from the lines of the stream, and the posted report.
 func TestGoldenEdgeAndPlanner(t *testing.T) {
 	address, requested, posted := fakePlanner(t)
 	ctx, cancel := context.WithCancel(context.Background())
