--- a/cmd/sandcourse/commands_test.go
+++ b/cmd/sandcourse/commands_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Renamed commands and their subcommands are still found under the old names.
+// Renamed commands and their subcommands must remain available under the old names.
 func TestRenamedCommandsAcceptOldNames(t *testing.T) {
 	for _, c := range []struct{ old, renamed, subcommand string }{
 		{"badday", "scenario", "import"},
--- a/cmd/sandcourse/demo.go
+++ b/cmd/sandcourse/demo.go
@@ -42,7 +42,7 @@
 	flags.IntVar(&o.prefill, "readers", 3, "number of fake prefill engines")
 	flags.IntVar(&o.decode, "writers", 3, "number of fake decode engines")
 	flags.BoolVar(&o.withLoadShift, "tilt", false,
-		"run load that shifts between prefill and decode, with a planner that reassigns roles (a minute by default)")
+		"run a load that shifts between prefill and decode, with a planner that reassigns roles; takes one minute by default")
 	flags.BoolVar(&o.loadShift.fixed, "fixed", false, "with --tilt: the planner does not change roles")
 	flags.BoolVar(&o.loadShift.kill, "kill", false, "with --tilt: kill and restart the planner about every ten seconds")
 	flags.DurationVar(&o.loadShift.phase, "phase", 20*time.Second, "with --tilt: length of each of the three phases")
--- a/cmd/sandcourse/emulate.go
+++ b/cmd/sandcourse/emulate.go
@@ -35,7 +35,7 @@
 	return command
 }
 
-// runCompare prints the table of an experiment, and writes the table and a chart to a folder if one is given.
+// runCompare runs an experiment and prints its table. If a folder is given, it also writes the table and a chart there.
 func runCompare(file, folder string, out io.Writer) error {
 	text, err := script.ReadFile(file)
 	if err != nil {
@@ -79,9 +79,9 @@
 // formatComparison returns a table that compares the arms with the first one.
 func formatComparison(experiment *emulator.Experiment, arms []emulator.Comparison) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "Simulated, %d seeds, paired. Difference from the first arm with its 95 percent bootstrap interval.\n\n",
+	fmt.Fprintf(&b, "Simulated with %d seeds, which all arms share. Differences from the first arm, with 95 percent bootstrap intervals.\n\n",
 		experiment.Seeds)
-	b.WriteString("| arm | share of value in time | difference | worst 5 s | recovery time | attempts | rejected | ran twice | overloaded |\n" +
+	b.WriteString("| arm | share of value completed in time | difference | worst 5 s | recovery time | attempts | rejected | run twice | overloaded |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i, arm := range arms {
 		difference, recovery := fmt.Sprintf("%+.3f (%+.3f to %+.3f)", arm.Difference, arm.Low, arm.High), arm.RecoveryTime.String()
@@ -110,7 +110,7 @@
 
 func plotComparison(path string, arms []emulator.Comparison) error {
 	p := plot.New()
-	p.Title.Text = "share of value in time, by time of the first attempt (simulated)"
+	p.Title.Text = "share of value completed in time, by time of the first attempt (simulated)"
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "share", 0, 1.02
 	var lines []any
 	for _, arm := range arms {
--- a/cmd/sandcourse/golden_test.go
+++ b/cmd/sandcourse/golden_test.go
@@ -16,7 +16,7 @@
 	"sandcourse/internal/golden"
 )
 
-// The roles commands send the planner exactly the requests in the golden file, and print its responses as recorded there.
+// The golden file records the requests that the roles commands send to the planner, and what the commands print.
 func TestGoldenRolesCommands(t *testing.T) {
 	shown, err := os.ReadFile(filepath.Join("testdata", "shown.json"))
 	if err != nil {
@@ -64,7 +64,8 @@
 	golden.Check(t, "roles.golden", b.String())
 }
 
-// The exit status is 0 for a valid script, 2 for one with faults, which are printed without a prefix, and 1 for other errors.
+// The exit status is 0 for a valid script, 2 for a script with faults, which are printed without a prefix, and 1 for other
+// errors.
 func TestGoldenCheckExitStatus(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "sandcourse")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
--- a/cmd/sandcourse/load.go
+++ b/cmd/sandcourse/load.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/loadgen"
 )
 
-// maxResponseTokens is the token limit of the responses that load requests.
+// maxResponseTokens is the max_tokens of the requests that the load command sends.
 const maxResponseTokens = 64
 
 func loadCommand() *cobra.Command {
@@ -36,14 +36,14 @@
 	flags.StringSliceVar(&edges, "edge", []string{"127.0.0.1:8080"}, "addresses of the edges to send requests to")
 	flags.StringVar(&route.Name, "model", "clip-summary", "model route to request")
 	flags.Float64Var(&traffic.Rate, "rate", 20, "requests per second, not counting retries")
-	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long requests are sent")
+	flags.DurationVar(&traffic.Duration, "for", 10*time.Second, "how long to send requests")
 	flags.Uint64Var(&traffic.Seed, "seed", 1, "random seed of arrival times and prompts")
 	flags.IntVar(&traffic.Prefixes, "beginnings", 6, "number of shared prompt prefixes")
 	flags.IntVar(&traffic.PrefixWords, "words", 200, "words per shared prefix")
 	flags.IntVar(&traffic.Turns, "turns", 3, "turns per session")
 	flags.IntVar(&traffic.Retries, "retries", 1, "maximum retries per request")
-	flags.BoolVar(&route.Retriable, "retriable", true, "whether clients retry failed requests")
-	flags.DurationVar(&route.FirstTokenTarget, "target", time.Second, "objective of the time to first token")
-	flags.DurationVar(&route.Timeout, "give-up", 4*time.Second, "deadline at which a client gives up")
+	flags.BoolVar(&route.Retriable, "retriable", true, "whether clients retry all failed requests, not only shed ones")
+	flags.DurationVar(&route.FirstTokenTarget, "target", time.Second, "objective for the time to the first token")
+	flags.DurationVar(&route.Timeout, "give-up", 4*time.Second, "time limit for the first token, sent to the edge with each request")
 	return command
 }
--- a/cmd/sandcourse/loadshift.go
+++ b/cmd/sandcourse/loadshift.go
@@ -22,7 +22,7 @@
 	seed        uint64
 }
 
-// phases returns a phase of long prompts, one of long responses and another of long prompts.
+// phases returns three phases: long prompts, long responses, and long prompts again.
 func (o loadShiftOptions) phases() []scenario.Phase {
 	return []scenario.Phase{
 		{Name: "long prompts", Duration: o.phase, RequestRate: o.rate, UserWords: 1500, MaxTokens: 24},
--- a/cmd/sandcourse/main.go
+++ b/cmd/sandcourse/main.go
@@ -15,7 +15,7 @@
 	"sandcourse/internal/config/script"
 )
 
-// version is the version of this program; the changelog lists the changes of each version.
+// version is the program version; the changelog lists the changes by version.
 const version = "0.2.0-dev"
 
 // Exit statuses.
@@ -24,7 +24,7 @@
 	exitInvalidSettings exitStatus = 2 // a settings script has faults
 )
 
-// exitStatus is an error that sets the exit status of the program; its cause has been printed already.
+// exitStatus is an error that only sets the exit status of the program, because its cause has already been printed.
 type exitStatus int
 
 func (e exitStatus) Error() string { return fmt.Sprintf("exit %d", int(e)) }
@@ -34,7 +34,7 @@
 func newCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "sandcourse",
-		Short:         "Operate and test a router of LLM requests over prefill and decode engines",
+		Short:         "Operate and test a router that sends LLM requests to prefill and decode engines",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -66,7 +66,7 @@
 	return exitFailed
 }
 
-// withStopSignals returns a context that SIGTERM and SIGINT cancel; after a call of stop, they end the process again.
+// withStopSignals returns a context that SIGTERM and SIGINT cancel. After stop has been called, these signals end the process.
 func withStopSignals(parent context.Context) (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(parent, syscall.SIGTERM, os.Interrupt)
 }
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -29,14 +29,14 @@
 	command := &cobra.Command{
 		Use:     "modelcheck [WORLD ...]",
 		Aliases: []string{"prove"},
-		Short:   "Model-check routing and role changes against their properties",
+		Short:   "Check the properties of routing and role changes with a model checker",
 		Long: "A world is a small system to explore: requests, engines and faults. Without arguments, the small worlds are explored " +
 			"completely and the large ones by random walks. `modelcheck list` prints the names.",
 		RunE: func(c *cobra.Command, args []string) error { return runModelcheck(c, o, args) },
 	}
 	flags := command.Flags()
-	flags.IntVar(&o.workers, "workers", runtime.NumCPU(), "states expanded in parallel; the verdict does not depend on it")
-	flags.IntVar(&o.states, "states", 2_000_000, "maximum number of states per world, of about 200 bytes each")
+	flags.IntVar(&o.workers, "workers", runtime.NumCPU(), "number of states to expand in parallel; does not affect the verdict")
+	flags.IntVar(&o.states, "states", 2_000_000, "maximum number of states per world; each takes about 200 bytes")
 	flags.DurationVar(&o.timeLimit, "for", 10*time.Minute, "time limit for all worlds together")
 	flags.IntVar(&o.walks, "walks", 2000, "number of random walks per large world")
 	flags.Uint64Var(&o.seed, "seed", 1, "random seed of the walks and simulations")
@@ -63,11 +63,11 @@
 	return slices.Concat(modelcheck.Worlds, modelcheck.LargeWorlds, modelcheck.CrowdWorlds)
 }
 
-// unknownWorldError is the name of a world that does not exist.
+// unknownWorldError reports a name that no world has; its value is the name.
 type unknownWorldError string
 
 func (e unknownWorldError) Error() string {
-	return fmt.Sprintf("unknown world %q; sandcourse modelcheck list prints the names", string(e))
+	return fmt.Sprintf("unknown world %q; run \"sandcourse modelcheck list\" for the names", string(e))
 }
 
 // selectWorlds returns the worlds with the given names, or all worlds if no name is given.
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// exploreWorlds explores one world after the other, within one time limit for all of them. It prints counterexamples as
-// they are found.
+// exploreWorlds explores the worlds one after the other, within one time limit for all of them. It prints counterexamples
+// as they are found.
 func exploreWorlds(worlds []modelcheck.World, o modelcheckOptions, out, progress io.Writer) (*exploration, error) {
 	deadline := time.Now().Add(o.timeLimit)
 	limits := modelcheck.Limits{Workers: o.workers, MaxStates: o.states,
@@ -141,8 +141,8 @@
 	return explored, nil
 }
 
-// exploreWorld explores a small world, from its snapshot if there is one, runs random walks through a large world, and
-// simulates a crowd.
+// exploreWorld explores a small world completely, resuming from a snapshot if one exists. For a large world it runs random
+// walks, and for a crowd a simulation.
 func exploreWorld(w modelcheck.World, limits modelcheck.Limits, o modelcheckOptions, progress io.Writer) (modelcheck.Result, error) {
 	if w.Crowd {
 		return modelcheck.SimulateCrowd(w, o.seed, limits.Stop), nil
@@ -177,10 +177,10 @@
 	}{e.results, e.coverage.Unfired()})
 }
 
-// printTable prints a line for each world.
+// printTable prints a table with a line for each world.
 func (e *exploration) printTable(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "world\tstates\ttransitions\tmerged\tends\tdepth\tverdict")
+	fmt.Fprintln(table, "world\tstates\ttransitions\tmerged\tterminal states\tdepth\tverdict")
 	for _, r := range e.results {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.World.Name, r.States, r.Transitions, r.Merged, r.TerminalStates, r.Depth,
 			verdict(r))
@@ -193,14 +193,14 @@
 	case len(r.Violations) > 0:
 		return "BROKEN " + strings.Join(r.Violations, "; ")
 	case r.World.Crowd && r.Complete:
-		return fmt.Sprintf("simulated: all properties hold, at most %d attempts at a warming engine in one window", r.MaxColdAttempts)
+		return fmt.Sprintf("simulated: all properties hold, at most %d attempts per window at an engine that is warming up", r.MaxColdAttempts)
 	case !r.Complete:
 		return "partial: no violation found"
 	}
 	return "complete: all properties hold"
 }
 
-// printCoverage prints how many transitions of the state machines fired, and names those that did not.
+// printCoverage prints how many transitions of the state machines fired, and the names of those that did not.
 func (e *exploration) printCoverage(out io.Writer) {
 	fired, total := e.coverage.Fired()
 	fmt.Fprintf(out, "transitions fired: %d of %d\n", fired, total)
--- a/cmd/sandcourse/modelcheck_files.go
+++ b/cmd/sandcourse/modelcheck_files.go
@@ -23,7 +23,8 @@
 	Steps      []string         `json:"story"`
 }
 
-// saveCounterexample prints the path to a violated property, and writes it to a folder if one is given.
+// saveCounterexample prints the steps that lead to a violated property. If a folder is given, it also writes a
+// counterexample file there.
 func saveCounterexample(folder string, r modelcheck.Result, out io.Writer) error {
 	steps, violations := modelcheck.Describe(r.World, r.Path)
 	if r.World.Crowd { // a crowd has no path: the seed reproduces the simulation
@@ -78,14 +79,14 @@
 			return fmt.Errorf("replay on sockets: %w", err)
 		}
 		for i, call := range got {
-			fmt.Fprintf(out, "replay on sockets: client %d: %s, %d final answers; the model checker has %q\n",
+			fmt.Fprintf(out, "replay on sockets: client %d: %s, %d final answers; the model checker predicted %q\n",
 				i, call.Outcome, call.OutcomeCount, want[i])
 		}
 	}
 	if len(violations) > 0 {
 		return exitFailed
 	}
-	fmt.Fprintln(out, "no property is violated by this version of the code")
+	fmt.Fprintln(out, "this version of the code violates no property")
 	return nil
 }
 
@@ -115,7 +116,7 @@
 	return snapshot, nil
 }
 
-// saveSnapshot saves an unfinished exploration and replaces an older snapshot of the same world.
+// saveSnapshot saves an unfinished exploration, replacing any older snapshot of the same world.
 func saveSnapshot(folder string, w modelcheck.World, snapshot *modelcheck.Snapshot) error {
 	if folder == "" {
 		return nil
@@ -131,7 +132,7 @@
 	return os.Rename(f.Name(), snapshotPath(folder, w))
 }
 
-// removeSnapshot removes the snapshot of an exploration that has ended.
+// removeSnapshot removes the snapshot of a finished exploration.
 func removeSnapshot(folder string, w modelcheck.World) {
 	if folder != "" {
 		os.Remove(snapshotPath(folder, w))
--- a/cmd/sandcourse/planner_client.go
+++ b/cmd/sandcourse/planner_client.go
@@ -19,12 +19,12 @@
 	maxOrderResponseBytes = 1 << 16  // the planner's response to an order
 )
 
-// orderRefusedError is the reason for which the planner refused an order.
+// orderRefusedError is the planner's reason for refusing an order.
 type orderRefusedError string
 
 func (e orderRefusedError) Error() string { return "refused: " + string(e) }
 
-// plannerClient requests the roles of engines from a planner and sends it orders.
+// plannerClient fetches the roles of engines from a planner and sends orders to the planner.
 type plannerClient struct {
 	address string
 	http    http.Client
@@ -34,7 +34,7 @@
 	return &plannerClient{http: http.Client{Timeout: plannerTimeout}}
 }
 
-// status returns the planner's records of all engines and its last decision.
+// status fetches the planner's records of all engines and its last decision.
 func (p *plannerClient) status() (status planner.Status, err error) {
 	response, err := p.http.Get("http://" + p.address + planapi.RolesPath)
 	if err != nil {
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -17,7 +17,7 @@
 
 func rolesCommand() *cobra.Command {
 	client := newPlannerClient()
-	command := &cobra.Command{Use: "roles", Short: "Show the roles of engines and order changes"}
+	command := &cobra.Command{Use: "roles", Short: "Show the roles of engines and order role changes"}
 	command.PersistentFlags().StringVar(&client.address, "planner", "127.0.0.1:9090", "address of the planner")
 	command.AddCommand(showRolesCommand(client), explainRolesCommand(client), sweepCommand())
 	for _, o := range roleOrders {
@@ -77,7 +77,7 @@
 	return fmt.Errorf("%s: %w", engine, errUnknownEngine)
 }
 
-// roleOrder is the command for one of planapi.Operations.
+// roleOrder describes the subcommand for one of planapi.Operations.
 type roleOrder struct {
 	op, summary string
 	needsEngine bool
@@ -111,17 +111,17 @@
 				return err
 			}
 			if order.DryRun {
-				fmt.Fprint(c.OutOrStdout(), "dry run, nothing was changed; the order would have this result: ")
+				fmt.Fprint(c.OutOrStdout(), "dry run, nothing was changed; without --dry-run the result would be: ")
 			}
 			fmt.Fprint(c.OutOrStdout(), answer)
 			return nil
 		},
 	}
-	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "operator who gives the order")
-	command.Flags().StringVar(&order.Reason, "why", "", "reason for the order, which is recorded with it")
+	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "name of the operator, which is recorded with the order")
+	command.Flags().StringVar(&order.Reason, "why", "", "reason for the order, which is recorded with the order")
 	command.Flags().BoolVar(&order.DryRun, "dry-run", false, "only print what the order would do, or why it is refused")
 	if err := command.MarkFlagRequired("why"); err != nil {
-		panic(err) // the flag is not defined above
+		panic(err) // only if the flag is not defined above
 	}
 	return command
 }
--- a/cmd/sandcourse/roles_print.go
+++ b/cmd/sandcourse/roles_print.go
@@ -40,7 +40,7 @@
 	return (time.Duration(e.ReportedMsAgo) * time.Millisecond).String()
 }
 
-// engineNote returns the reason for which an engine is pinned or quarantined.
+// engineNote returns why an engine is pinned or quarantined, or an empty string for other engines.
 func engineNote(e assignment.EngineView) string {
 	switch {
 	case e.Pinned:
@@ -56,7 +56,7 @@
 	fmt.Fprintf(out, "edges reporting: %d of %d; engines changing role: %d; role changes stopped: %v\n",
 		d.EdgesReporting, d.EdgesKnown, d.Changing, d.Stopped)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "role\tengines required\tserving\tchanging to it\ttokens/s per engine")
+	fmt.Fprintln(table, "role\tengines required\tserving\tchanging to role\ttokens/s per engine")
 	for _, role := range []string{planapi.Prefill, planapi.Decode} {
 		fmt.Fprintf(table, "%s\t%.2f\t%.1f\t%.1f\t%.0f\n", role,
 			d.RequiredEngines[role], d.ServingEngines[role], d.IncomingEngines[role], d.Throughput[role])
@@ -71,17 +71,17 @@
 		if engine == "" {
 			engine = "no engine"
 		}
-		fmt.Fprintf(out, "to %s, %s: gains %.2f value/s, for %.0f s so far and %.0f s more as expected; %.2f if the load shifts back, "+
+		fmt.Fprintf(out, "to %s, %s: gains %.2f value/s, for %.0f s so far and an expected %.0f s more; gains %.2f if the load shifts back, "+
 			"%.2f on average; costs %.2f of value: %s\n", evaluation.ToRole, engine, evaluation.Gain, evaluation.GainingSeconds,
 			evaluation.RemainingSeconds, evaluation.ReversalLoss, evaluation.MeanGain, evaluation.Cost, evaluation.Reason)
 	}
 }
 
-// explainEngine prints the role and state of an engine, with their reasons.
+// explainEngine prints the role and state of an engine and the reasons for them.
 func explainEngine(out io.Writer, e assignment.EngineView) {
 	fmt.Fprintf(out, "%s: role %s, epoch %d, %s since %s\n", e.Engine, e.Role, e.Epoch, e.State,
 		time.Unix(0, e.StateSince).Format(time.TimeOnly))
-	printIfSet(out, "reason of the last order or change", e.Reason)
+	printIfSet(out, "reason for the last order or change", e.Reason)
 	printIfSet(out, "cannot change role now", string(e.IneligibleReason))
 	printIfSet(out, "trouble", e.Fault)
 	if e.NextRole != "" {
--- a/cmd/sandcourse/scenario.go
+++ b/cmd/sandcourse/scenario.go
@@ -39,7 +39,7 @@
 	return command
 }
 
-// runScenario runs the scenario of a file until it ends or SIGTERM or SIGINT arrives.
+// runScenario runs the scenario in a file until the scenario ends or the process receives SIGTERM or SIGINT.
 func runScenario(c *cobra.Command, file string, log *zap.Logger, progress io.Writer) error {
 	parsed, err := scenario.LoadFile(file)
 	if err != nil {
@@ -68,7 +68,7 @@
 	var out string
 	command := &cobra.Command{
 		Use:   "import SCENARIO.json",
-		Short: "Convert a scenario of the benchmark to a scenario script",
+		Short: "Convert a benchmark scenario to a scenario script",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := importScenario(args[0], shrink)
@@ -82,12 +82,12 @@
 			return os.WriteFile(out, []byte(script), 0o644)
 		},
 	}
-	command.Flags().Float64Var(&shrink, "shrink", 0.5, "length of the script as a share of the length of the benchmark's scenario")
+	command.Flags().Float64Var(&shrink, "shrink", 0.5, "length of the script as a share of the length of the benchmark scenario")
 	command.Flags().StringVarP(&out, "out", "o", "", "file to write the script to (default: standard output)")
 	return command
 }
 
-// importScenario returns the script of a scenario of the benchmark, shortened to a share of its length.
+// importScenario converts a benchmark scenario to a script that is shortened to a share of the scenario's length.
 func importScenario(file string, shrink float64) (string, error) {
 	if !(shrink > 0 && shrink <= 1) {
 		return "", fmt.Errorf("--shrink must be greater than 0 and at most 1, not %g", shrink)
--- a/cmd/sandcourse/soak.go
+++ b/cmd/sandcourse/soak.go
@@ -26,7 +26,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := withStopSignals(c.Context())
-			defer stop() // also ends the processes of the edges
+			defer stop() // also ends the edge processes
 			return runSoak(ctx, config, seeds, c.OutOrStdout())
 		},
 	}
@@ -38,7 +38,7 @@
 	flags.IntVar(&config.Engines, "engines", 6, "number of fake engines of each role")
 	flags.IntVar(&config.Clients, "clients", 60, "number of clients that send requests at the same time")
 	flags.IntVar(&config.ConcurrentFaults, "overlap", 3, "number of faults injected at the same time")
-	flags.DurationVar(&config.Duration, "for", 20*time.Second, "how long faults are injected")
+	flags.DurationVar(&config.Duration, "for", 20*time.Second, "how long to inject faults")
 	flags.StringVar(&config.Folder, "folder", filepath.Join(os.TempDir(), "sandcourse-soak"), "folder for configurations and logs")
 	return command
 }
--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -43,7 +43,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s) * time.Second }
 
-// sweepBaseline is the scenario of which each point changes one factor.
+// sweepBaseline is the scenario in which each point changes one factor.
 var sweepBaseline = fluidmodel.Scenario{Engines: 40, PrefillEngines: 20, Cells: 4, Edges: 6, Duration: 20 * time.Minute,
 	Period: 10 * time.Minute, SkewDepth: 0.8, SquareWave: true,
 	Utilization: 0.85, ReloadTime: 5 * time.Second, WarmUp: 10 * time.Second, DrainTime: 4 * time.Second}
@@ -73,7 +73,7 @@
 	results map[sweepArm][]fluidmodel.Result
 }
 
-// sweepRun is the scenario of a point with one seed.
+// sweepRun is the scenario of a point for one seed.
 type sweepRun struct {
 	point    *sweepPoint
 	seed     int
@@ -85,13 +85,13 @@
 	var seeds int
 	command := &cobra.Command{
 		Use:   "sweep",
-		Short: "Compare changing and fixed roles under shifting load in a fluid model",
+		Short: "Compare role changes with fixed roles under shifting load in a fluid model",
 		Args:  cobra.NoArgs,
-		Long:  "Runs the production role assignment, fixed roles and a threshold in a fluid model of a fleet. Writes a table and charts.",
+		Long:  "Runs the production role assignment, fixed roles and a threshold rule in a fluid model of a fleet. Writes a table and charts.",
 		RunE:  func(c *cobra.Command, _ []string) error { return runSweep(out, seeds, c.OutOrStdout()) },
 	}
 	command.Flags().StringVar(&out, "out", "sweep", "folder to write the table and the charts to")
-	command.Flags().IntVar(&seeds, "seeds", 3, "simulated runs of each arm per level")
+	command.Flags().IntVar(&seeds, "seeds", 3, "number of simulated runs of each arm per level")
 	return command
 }
 
@@ -137,7 +137,7 @@
 	return groups, runs
 }
 
-// run runs all arms. It is deterministic and writes only the results of its own seed, so that runs can be concurrent.
+// run simulates all arms. It is deterministic and writes only the results of its own seed, so runs can be concurrent.
 func (r sweepRun) run() {
 	arms := r.point.results
 	arms[armAdaptive][r.seed] = fluidmodel.Run(r.scenario, fluidmodel.Adaptive)
@@ -146,7 +146,7 @@
 	arms[armThreshold][r.seed] = fluidmodel.Run(r.scenario, fluidmodel.Threshold)
 }
 
-// runParallel runs n independent tasks, at most as many at the same time as there are cores.
+// runParallel runs n independent tasks, at most one per core at a time.
 func runParallel(n int, task func(i int)) {
 	var running sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
--- a/cmd/sandcourse/sweep_report.go
+++ b/cmd/sandcourse/sweep_report.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/fluidmodel"
 )
 
-// metricFunc returns one figure of a result.
+// metricFunc returns one metric of a result.
 type metricFunc func(fluidmodel.Result) float64
 
 func valueInTime(r fluidmodel.Result) float64    { return r.Value }
@@ -22,7 +22,7 @@
 func roleChanges(r fluidmodel.Result) float64    { return float64(r.Changes) }
 func lostEngineTime(r fluidmodel.Result) float64 { return r.LostEngineTime }
 
-// values returns one figure of an arm for each seed.
+// values returns a metric of an arm for each seed.
 func (p *sweepPoint) values(arm sweepArm, metric metricFunc) (out []float64) {
 	for _, r := range p.results[arm] {
 		out = append(out, metric(r))
@@ -34,7 +34,7 @@
 	return stat.Mean(p.values(arm, metric), nil)
 }
 
-const sweepHeader = "\n%s: share of value in time, mean of %d runs (± standard deviation of roles):\n\n| level | roles | best fixed | fixed at start | threshold | " +
+const sweepHeader = "\n%s: share of value completed in time, mean of %d runs (± standard deviation of roles):\n\n| level | roles | best fixed | fixed at start | threshold | " +
 	"worst 10 s of roles | worst 10 s of best fixed | role changes | engine time lost to changes |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
 // formatSweep returns a table for each factor.
@@ -57,13 +57,13 @@
 	return b.String()
 }
 
-// logScaleRatio is the least ratio of the last level to the first for a chart with a logarithmic scale.
+// logScaleRatio is the ratio of the last level to the first above which a chart has a logarithmic scale.
 const logScaleRatio = 20
 
 // plotFactor writes a chart of the arms over the levels of a factor.
 func plotFactor(folder string, group sweepGroup) error {
 	p := plot.New()
-	p.Title.Text = "share of value in time (simulated)"
+	p.Title.Text = "share of value completed in time (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = group.factor, "share of value"
 	p.Legend.Top = false
 	var lines []any
