--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -106,14 +106,14 @@
 			if len(args) > 0 {
 				order.Engine = args[0]
 			}
-			answer, err := client.order(order)
+			response, err := client.order(order)
 			if err != nil {
 				return err
 			}
 			if order.DryRun {
 				fmt.Fprint(c.OutOrStdout(), "dry run, nothing was changed; without --dry-run the result would be: ")
 			}
-			fmt.Fprint(c.OutOrStdout(), answer)
+			fmt.Fprint(c.OutOrStdout(), response)
 			return nil
 		},
 	}
--- a/internal/scenario/edges.go
+++ b/internal/scenario/edges.go
@@ -27,7 +27,7 @@
 	seed    uint64
 }
 
-// StartEdges starts n edges on a fleet.
+// StartEdges starts n edges that share the base configuration.
 func StartEdges(n int, base config.Deployment, log *zap.Logger, records *audit.Log, seed uint64) (*Edges, error) {
 	es := &Edges{base: base, log: log, records: records, seed: seed, edges: make([]*edge.Edge, n), addrs: make([]string, n)}
 	for i := range n {
@@ -58,7 +58,7 @@
 	d := es.base
 	d.NodeName, d.NodeNumber, d.NodeCount, d.ChatAddress = fmt.Sprint("edge", i), i, len(es.edges), es.addrs[i]
 	e := edge.New(&d, es.log, nil, es.seed+uint64(i))
-	// While the edge was down, the system may have given its port to another connection for a moment.
+	// While the edge was down, the kernel may have assigned its port to another connection for a moment.
 	for attempt := 1; ; attempt++ {
 		err := e.Start()
 		if err == nil {
@@ -82,7 +82,8 @@
 	return slices.Clone(es.addrs)
 }
 
-// Kill stops an edge without a drain and restarts it after a downtime. Its open requests and those sent to it meanwhile are lost.
+// Kill stops an edge without a drain and restarts it after a downtime. Open requests and requests sent to the edge during the
+// downtime are lost.
 func (es *Edges) Kill(i int, downtime time.Duration) error {
 	es.mu.Lock()
 	e := es.edges[i]
@@ -100,7 +101,7 @@
 	return err
 }
 
-// Node returns an edge, or nil while it is down.
+// Edge returns the i-th edge, or nil while the edge is down.
 func (es *Edges) Edge(i int) *edge.Edge {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -169,8 +170,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// awaitReleased waits until no engine holds a reservation and no edge has an open request. No client sends requests any
-// more, so both must go down to zero without further input. It returns the number of reservations still held.
+// awaitReleased waits until no engine holds a reservation and no edge has an open request, or until a timeout. It is called
+// after all clients have finished, so both counts must drop to zero. It returns the number of reservations still held.
 func awaitReleased(ctx context.Context, fleet *Fleet, edges *Edges) (held int) {
 	for range releasePolls {
 		held = fleet.heldReservations()
--- a/internal/scenario/faultrunner.go
+++ b/internal/scenario/faultrunner.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// maxRemoveDelay is the longest time from the crash of an engine to its removal from the endpoint list.
+// maxRemoveDelay is the maximum time from the crash of an engine to its removal from the endpoint list.
 const maxRemoveDelay = time.Second
 
 // faultRunner executes the steps of a scenario.
@@ -36,7 +36,7 @@
 			return
 		case <-time.After(time.Until(r.startedAt.Add(s.At))):
 		}
-		fmt.Fprintf(r.out, "%6.2fs %s: engine %d, edge %d, ends %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine, s.Edge, s.EndsFault)
+		fmt.Fprintf(r.out, "%6.2fs %s: engine %d, edge %d, ends fault: %v\n", time.Since(r.startedAt).Seconds(), s.Kind, s.Engine, s.Edge, s.EndsFault)
 		r.apply(s)
 	}
 }
@@ -51,7 +51,7 @@
 		r.fleet.DelayList(seconds(s.Size))
 	default:
 		e := r.fleet.Engines[s.Engine]
-		if !e.Overloaded() { // an engine that was overloaded stays down
+		if !e.Overloaded() { // an overloaded engine stays down
 			r.applyToEngine(s, e)
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-// preempt lists an engine as draining and crashes it after the notice period, the size of the fault in seconds.
+// preempt lists an engine as draining and crashes it after the notice period, whose seconds are the size of the fault.
 func (r *faultRunner) preempt(s Step, e *engine.Engine) {
 	r.fleet.Drain(e, true)
 	r.recoveries.Go(func() {
@@ -100,7 +100,8 @@
 	})
 }
 
-// crash crashes an engine. The endpoint list drops it later, or not at all if the crash lasts at most maxRemoveDelay.
+// crash crashes an engine. The engine is removed from the endpoint list after a delay, unless the crash lasts at most
+// maxRemoveDelay.
 func (r *faultRunner) crash(s Step, e *engine.Engine) {
 	e.Crash()
 	r.recoveries.Go(func() {
@@ -137,7 +138,7 @@
 	e.SetFaults(combineFaults(active))
 }
 
-// combineFaults returns the settings of a fake engine for all faults that are active at the same time.
+// combineFaults returns the fake engine's settings for all faults that are active at the same time.
 func combineFaults(active map[FaultKind]float64) (f engine.Faults) {
 	f.Slowdown = 1
 	for kind, size := range active {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -61,7 +61,7 @@
 	return "prefill"
 }
 
-// Stop waits for delayed writes of the list and stops all engines.
+// Stop waits for delayed writes of the endpoint list and stops all engines.
 func (f *Fleet) Stop() {
 	f.delayedWrites.Wait()
 	for _, e := range f.Engines {
@@ -69,7 +69,7 @@
 	}
 }
 
-// updateList changes the list and publishes it, after listDelay if that is set.
+// updateList changes the endpoint list and publishes it after listDelay.
 func (f *Fleet) updateList(change func(list *endpoint.List)) {
 	f.mu.Lock()
 	change(&f.endpoints)
@@ -83,8 +83,8 @@
 	f.delayedWrites.Go(func() { time.Sleep(delay); f.publish() })
 }
 
-// publish writes the endpoint list and records which engines it lists as ready. Edges may read the new list at any moment
-// during the write: an engine that is ready is recorded as such from before the write, any other as not ready from after it.
+// publish writes the endpoint list and records which engines are listed as ready. Edges may read the new list at any time
+// during the write, so ready engines are recorded as ready before the write, and all others as not ready after the write.
 func (f *Fleet) publish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +112,7 @@
 // DelayList delays the publication of all later changes.
 func (f *Fleet) DelayList(delay time.Duration) { f.mu.Lock(); f.listDelay = delay; f.mu.Unlock() }
 
-// Drain lists an engine as draining, or as ready again.
+// Drain lists an engine as draining, or as ready if draining is false.
 func (f *Fleet) Drain(e *engine.Engine, draining bool) {
 	state := endpoint.Ready
 	if draining {
--- a/internal/scenario/fleet_test.go
+++ b/internal/scenario/fleet_test.go
@@ -9,9 +9,9 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// Edges may read a new endpoint list at any moment while it is written. Attempts may reach an engine that it lists as ready
-// from before the write on; an engine that it does not list as ready gets no new attempts once all edges can read the list.
-func TestReadinessIsRecordedFromWhenListIsReadable(t *testing.T) {
+// Edges may read a new endpoint list at any time during its write. An engine that the list has as ready may get attempts from
+// the start of the write; other engines may get new attempts until the end of the write.
+func TestReadyIsRecordedBeforeAndDrainingAfterListWrite(t *testing.T) {
 	log := &audit.Log{}
 	f, err := StartFleet(t.TempDir(), []engine.Config{{Name: "a", Role: "read"}, {Name: "b", Role: "write"}}, log)
 	if err != nil {
--- a/internal/scenario/import.go
+++ b/internal/scenario/import.go
@@ -15,20 +15,20 @@
 
 // Errors of Import.
 var (
-	ErrNotBenchScenario = errors.New("not a scenario of the benchmark")
+	ErrNotBenchScenario = errors.New("not a benchmark scenario")
 	ErrUnknownFault     = errors.New("unknown kind of fault")
 )
 
-// The attempt rate and prefill rate of a fake engine in an imported scenario, and the limits of its edges and sizes.
+// Rates of the fake engines in an imported scenario, and limits on the number of edges and the sizes of faults.
 const (
 	importedAttemptRate = 40.0
 	importedPrefillRate = 100_000.0
 	maxImportedEdges    = 8
-	maxFaultSize        = 1000 // a larger size in the benchmark is a time in microseconds
+	maxFaultSize        = 1000 // larger sizes in the benchmark are times in microseconds
 )
 
-// Import converts a scenario of the benchmark to a script with the same faults, fleet and traffic. Its length is scaled by
-// shrink, and its request rate is set so that the fake engines are about as busy as those of the benchmark.
+// Import converts a benchmark scenario to a script with the same faults, fleet and traffic. The length of the script is scaled
+// by shrink, and its request rate is set so that the fake engines are about as busy as the engines of the benchmark.
 func Import(data []byte, shrink float64) (string, error) {
 	in, err := parseBenchScenario(data)
 	if err != nil {
@@ -70,7 +70,7 @@
 
 func (w *scriptWriter) writeFleet(in *benchScenario) {
 	prefill, decode := in.countEngines()
-	w.writeLine("# A scenario of the benchmark, %s of %s, %.2f of its length. The rates are those of the fake engines, not of the benchmark.",
+	w.writeLine("# Benchmark scenario of kind %s, family %s, scaled to %.2f of its length. The rates are those of the fake engines, not of the benchmark.",
 		in.Kind, in.Family, w.shrink)
 	w.writeLine("day(length = %q, rate = %.1f, seed = %d, retries = %d, beginnings = %d)", w.scaledDuration(in.Length),
 		max(1, in.Traffic.Load*importedAttemptRate*float64(min(prefill, decode))*0.5), int(in.Noise)%1_000_000,
@@ -114,14 +114,14 @@
 	return nil
 }
 
-// benchFaultKinds maps the benchmark's names of faults to the kinds of fault.
+// benchFaultKinds maps the benchmark's fault names to fault kinds.
 var benchFaultKinds = map[string]FaultKind{"vanish": FaultVanish, "slow": FaultSlow, "burst": FaultBurst, "hot_key": FaultHotPrefix,
 	"discovery_stale": FaultStaleList, "balancer_crash": FaultEdgeCrash, "balancer_roll": FaultEdgeRoll, "flush": FaultCacheFlush,
 	"mass_restart": FaultMassRestart, "neighbour": FaultNoisyNeighbour, "pauses": FaultPauses, "handshake_slow": FaultSlowAccept,
 	"ageing": FaultAgeing, "preempt": FaultPreempt}
 
-// benchScenario holds the parts of a scenario of the benchmark that Import uses. Times are in microseconds. The fields
-// without a tag are decoded by their names.
+// benchScenario holds the parts of a benchmark scenario that Import uses. Times are in microseconds. Fields without a tag are
+// decoded by their names.
 type benchScenario struct {
 	Family, Kind string
 	Noise        float64
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -19,19 +19,19 @@
 	"sandcourse/settings"
 )
 
-// Prompt tokens and output tokens per second of each engine of a load shift, and the slow start of its edges.
+// Prefill and decode rates of each engine in tokens per second, and the duration of the edges' slow start, in a load shift.
 const (
 	shiftPrefillRate = 20_000
 	shiftDecodeRate  = 1_600
 	shiftSlowStart   = 2 * time.Second
 )
 
-// Phase is a part of a load shift with one mix of prefill and decode work.
+// Phase is a part of a load shift with a constant mix of prefill and decode work.
 type Phase struct {
 	Name                 string
 	Duration             time.Duration
 	RequestRate          float64 // requests per second
-	UserWords, MaxTokens int     // unshared words per prompt, and token limit of a response
+	UserWords, MaxTokens int     // words per user message, and token limit of a response
 }
 
 // LoadShift is a scenario whose load shifts between prefill and decode, with a planner that reassigns roles.
@@ -48,8 +48,8 @@
 // LoadShiftResult is the result of a load shift, by phase.
 type LoadShiftResult struct {
 	Phases        []loadgen.Summary
-	SecondHalves  []loadgen.Summary // of each phase: after the planner had time to change roles
-	RecoveryTimes []time.Duration   // of each phase: see recoveryTime; neverRecovered if not within the phase
+	SecondHalves  []loadgen.Summary // by phase: the half after the planner had time to change roles
+	RecoveryTimes []time.Duration   // by phase: see recoveryTime
 	Violations    []audit.Violation
 	HeldAtEnd     int
 	RoleChanges   int
@@ -151,7 +151,7 @@
 	}
 }
 
-// runPhases runs all phases, with the faults and the kills of the planner in the background.
+// runPhases runs all phases, and injects faults and planner kills in the background.
 func (r *shiftRun) runPhases(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -169,7 +169,7 @@
 }
 
 func (r *shiftRun) runPhase(ctx context.Context, i int, p Phase) {
-	fmt.Fprintf(r.out, "%s: %.0f requests per second for %v, prompts with %d unshared words, responses of up to %d tokens\n",
+	fmt.Fprintf(r.out, "%s: %.0f requests per second for %v, user messages of %d words, responses of up to %d tokens\n",
 		p.Name, p.RequestRate, p.Duration, p.UserWords, p.MaxTokens)
 	routes := r.routes(p)
 	startedAt := time.Now()
@@ -189,7 +189,7 @@
 	r.result.Phases, r.result.SecondHalves = append(r.result.Phases, summary), append(r.result.SecondHalves, secondHalfSummary)
 	r.result.RecoveryTimes = append(r.result.RecoveryTimes, recovery)
 	prefill, decode := r.countRoles()
-	fmt.Fprintf(r.out, "  share of value in time %.3f, in the second half %.3f; route of highest priority 90 percent in time after %v (-1ns: never); "+
+	fmt.Fprintf(r.out, "  share of value completed in time %.3f, in the second half %.3f; recovery time of the highest-priority route %v (-1ns: never); "+
 		"now %d prefill and %d decode engines\n",
 		summary.InTime/max(summary.Offered, 1), secondHalfSummary.InTime/max(secondHalfSummary.Offered, 1), recovery, prefill, decode)
 }
@@ -221,8 +221,9 @@
 // neverRecovered is the recovery time of a phase in which the route did not recover.
 const neverRecovered = time.Duration(-1)
 
-// recoveryTime returns the time from the start of a phase until nine tenths of the requests of the route of highest priority
-// get their first token in time in two successive windows, or neverRecovered.
+// recoveryTime returns the time from the start of a phase to the first two successive windows in each of which nine tenths of
+// the requests of the highest-priority route complete with their first token in time. Without such windows it returns
+// neverRecovered.
 func recoveryTime(records []audit.ClientRecord, routes []loadgen.Route, startedAt time.Time, length time.Duration) time.Duration {
 	highest := routes[0]
 	for _, r := range routes {
--- a/internal/scenario/loadshift_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -22,9 +22,9 @@
 	"sandcourse/settings"
 )
 
-// The load shifts to prefill and then to decode, the planner is killed every nine seconds, one engine restarts and another
-// reports ten times its work. Engines change roles, no invariant is violated, all reservations are released, and each
-// published plan is newer than the one before.
+// While the load shifts from prefill to decode, the planner is killed about every nine seconds, one engine restarts and another
+// reports ten times its work. Engines must change roles, no invariant may be violated, all reservations must be released, and
+// each published plan must be newer than the one before.
 func TestLoadShiftKeepsInvariants(t *testing.T) {
 	var mu sync.Mutex
 	var newest planapi.Plan
@@ -57,13 +57,13 @@
 		t.Error(violation)
 	}
 	if result.HeldAtEnd > 0 || result.RoleChanges == 0 || result.PlannerKills < 2 {
-		t.Errorf("%d reservations held at the end, %d role changes, %d kills of the planner",
+		t.Errorf("%d reservations held at the end, %d role changes, %d planner kills",
 			result.HeldAtEnd, result.RoleChanges, result.PlannerKills)
 	}
 }
 
-// One edge follows the planner, the other an endpoint list that never changes, when an engine changes its role. The engine
-// rejects attempts of the second edge in its old role as certainly not run; they are retried on other engines, and no
+// An engine changes its role while one edge follows the planner and the other an endpoint list that never changes. The engine
+// rejects the second edge's attempts for the old role without running them. The attempts are retried on other engines, and no
 // invariant is violated.
 func TestAttemptsFromStaleListAreRejectedWithoutViolations(t *testing.T) {
 	dir := t.TempDir()
@@ -138,6 +138,6 @@
 	}
 	summary := loadgen.Summarize(records.ClientRecords(), routes)
 	if summary.Outcomes["errored"] > 0 || summary.InTime < 0.9*summary.Offered {
-		t.Errorf("outcomes %v, share of value in time %.2f", summary.Outcomes, summary.InTime/summary.Offered)
+		t.Errorf("outcomes %v, share of value completed in time %.2f", summary.Outcomes, summary.InTime/summary.Offered)
 	}
 }
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -22,7 +22,7 @@
 	plannerStartRetryInterval = 20 * time.Millisecond
 )
 
-// plannerProcess is a planner in this process that can be killed and restarted. It keeps its address.
+// plannerProcess is a planner in this process that can be killed and restarted. The planner keeps its address.
 type plannerProcess struct {
 	config    *config.Planner
 	log       *zap.Logger
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -31,7 +31,7 @@
 	MaxTokens int
 }
 
-// Fault is one fault of a scenario, with the kinds and parameters that the benchmark has.
+// Fault is one fault of a scenario. Kinds and parameters are those of the benchmark.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
@@ -42,7 +42,7 @@
 	Selector int         // with the seed of the scenario, selects the targets
 }
 
-// active reports whether the fault lasts at a time after the start of the scenario.
+// active reports whether the fault is active at a time since the start of the scenario.
 func (f Fault) active(at time.Duration) bool { return at >= f.At && at < f.At+f.Duration }
 
 // LoadFile reads a scenario script from a file. Any error is of type script.Faults.
@@ -73,7 +73,7 @@
 	return configs
 }
 
-// routes returns the model routes as clients use them.
+// routes returns the model routes for the load generator.
 func (s *Scenario) routes() (routes []loadgen.Route) {
 	for _, c := range s.Clients {
 		r := clientRoute(s.Deployment.Routes[s.Deployment.RouteIndex(c.Route)])
@@ -83,7 +83,7 @@
 	return routes
 }
 
-// clientRoute returns a model route as clients use it, without its share and its token limit.
+// clientRoute converts a model route for the load generator, without a share and a token limit.
 func clientRoute(r config.Route) loadgen.Route {
 	return loadgen.Route{Name: r.Name, PriorityWeight: r.PriorityWeight, Retriable: r.Effect == config.EffectRetriable,
 		FirstTokenTarget: r.FirstTokenObjective, Timeout: r.Timeout}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -42,7 +42,7 @@
 	return uncheckedRouter{t, log, fleet}
 }
 
-func (c uncheckedRouter) send(to *engine.Engine, name, request string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
+func (c uncheckedRouter) send(to *engine.Engine, requestID, clientRequestID string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
 	call, err := chat.ParseRequest([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
 	if err != nil { // send may run in its own goroutine, in which Fatal must not be called
 		c.t.Error(err)
@@ -54,8 +54,8 @@
 	}
 	body, _ := call.RewrittenBody(extraFields)
 	r, _ := http.NewRequest(http.MethodPost, "http://"+to.Addr()+engineapi.ChatPath, bytes.NewReader(body))
-	r.Header.Set(chat.HeaderRequestID, name)
-	r.Header.Set(chat.HeaderClientRequestID, request)
+	r.Header.Set(chat.HeaderRequestID, requestID)
+	r.Header.Set(chat.HeaderClientRequestID, clientRequestID)
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return engineapi.KVTransfer{}
@@ -80,7 +80,7 @@
 	return rules
 }
 
-func (c uncheckedRouter) wantOnly(rule int) {
+func (c uncheckedRouter) expectOnlyRuleViolated(rule int) {
 	c.t.Helper()
 	got := c.violatedRules()
 	if len(got) == 0 || got[0] != rule || got[len(got)-1] != rule {
@@ -88,11 +88,11 @@
 	}
 }
 
-// The check of each rule detects a violation of that rule, and a run without violations passes.
+// The check of each rule must detect a violation of that rule, and a run without violations must pass.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	now := time.Now()
-	recordClient := func(c uncheckedRouter, name, request string, outcome audit.Outcome, outcomes int, end time.Time) {
-		c.log.RecordClient(audit.ClientRecord{ClientRequestID: request, RequestID: name, Route: "fan-alert", Edge: "x", Sent: now, End: end,
+	recordClient := func(c uncheckedRouter, requestID, clientRequestID string, outcome audit.Outcome, outcomes int, end time.Time) {
+		c.log.RecordClient(audit.ClientRecord{ClientRequestID: clientRequestID, RequestID: requestID, Route: "fan-alert", Edge: "x", Sent: now, End: end,
 			Deadline: now.Add(time.Second), Outcome: outcome, OutcomeCount: outcomes})
 	}
 	t.Run("none", func(t *testing.T) {
@@ -122,7 +122,7 @@
 			state := c.send(c.fleet.Engines[0], "x-1", "one", nil)
 			c.send(c.fleet.Engines[1+i], "x-1", "one", &state)
 		}
-		c.wantOnly(2)
+		c.expectOnlyRuleViolated(2)
 	})
 	t.Run("2 two attempts at the same time", func(t *testing.T) {
 		c := newUncheckedRouter(t)
@@ -131,7 +131,7 @@
 			go c.send(c.fleet.Engines[i], "x-1", "one", nil)
 		}
 		time.Sleep(300 * time.Millisecond)
-		c.wantOnly(2)
+		c.expectOnlyRuleViolated(2)
 		for i := range 2 {
 			c.fleet.Engines[i].SetFaults(engine.Faults{})
 		}
@@ -141,7 +141,7 @@
 		c.fleet.Drain(c.fleet.Engines[1], true)
 		time.Sleep(600 * time.Millisecond)
 		c.send(c.fleet.Engines[1], "x-1", "one", &engineapi.KVTransfer{RemotePrefill: true, Host: "127.0.0.1", Port: 1})
-		c.wantOnly(3)
+		c.expectOnlyRuleViolated(3)
 	})
 	t.Run("4 an engine that is warming up is overloaded", func(t *testing.T) {
 		c := newUncheckedRouter(t)
@@ -152,13 +152,13 @@
 			state := c.send(c.fleet.Engines[0], fmt.Sprint("x-", i), fmt.Sprint(i), nil)
 			c.send(c.fleet.Engines[1], fmt.Sprint("x-", i), fmt.Sprint(i), &state)
 		}
-		c.wantOnly(4)
+		c.expectOnlyRuleViolated(4)
 	})
 	t.Run("5 a reservation is not released", func(t *testing.T) {
 		c := newUncheckedRouter(t)
 		c.send(c.fleet.Engines[0], "x-1", "one", nil)
 		time.Sleep(1300 * time.Millisecond)
-		c.wantOnly(5)
+		c.expectOnlyRuleViolated(5)
 	})
 }
 
@@ -227,14 +227,14 @@
 		}
 	}
 	if _, err := Import([]byte(`{"v":1}`), 1); err == nil {
-		t.Error("a file that is no scenario of the benchmark is accepted")
+		t.Error("file that is not a benchmark scenario is accepted")
 	}
 	if _, err := Import([]byte(benchJSON), 0.5); err != nil {
 		t.Error(err)
 	}
 }
 
-// benchJSON is a scenario in the format of the benchmark, with small values.
+// benchJSON is a minimal benchmark scenario.
 const benchJSON = `{"family":"twostage","kind":"trouble","noise":12,"length":2000000,"drain_grace":250000,"fall_for":1000000,
 "traffic":{"load":0.5},"clients":{"retries":1},"classes":[{"name":"a","share":1,"aim":1000000,"deadline":2000000,"worth":1,
 "effect":"safe"}],"servers":[{"kind":0},{"kind":1}],"balancers":[{}],"troubles":[{"kind":"vanish","at":500000,"len":400000,
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -17,8 +17,8 @@
 		Deployment: config.Defaults()}
 	s.Deployment.File, s.Deployment.EndpointFile, s.Deployment.ChatAddress = name, endpointFile, ""
 	functions := s.Deployment.ScriptFunctions()
-	for _, own := range []string{"listen", "node", "roster", "engine"} {
-		delete(functions, own) // set by the scenario
+	for _, function := range []string{"listen", "node", "roster", "engine"} {
+		delete(functions, function) // the scenario sets these itself
 	}
 	functions["day"] = s.scriptDay
 	functions["edges"] = s.scriptEdges
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -39,7 +39,7 @@
 	FaultEdgeRoll       FaultKind = "balancer_roll"   // edges restart one after the other
 )
 
-// faultTarget is what a kind of fault acts on.
+// faultTarget is the part of the system that a kind of fault affects.
 type faultTarget uint8
 
 const (
@@ -71,18 +71,18 @@
 // seconds converts a size in seconds to a duration.
 func seconds(size float64) time.Duration { return time.Duration(size * 1e9) }
 
-// noTarget is the engine or edge of a step that does not act on one.
+// noTarget is the Engine of a step that affects no engine, and the Edge of a step that affects no edge.
 const noTarget = -1
 
-// Step is one action on an engine, an edge or the endpoint list, at a time after the start of the scenario.
+// Step is one action on an engine, an edge or the endpoint list.
 type Step struct {
-	At        time.Duration
+	At        time.Duration // since the start of the scenario
 	Kind      FaultKind
-	Engine    int // noTarget for none
-	Edge      int // noTarget for none
+	Engine    int // index, or noTarget
+	Edge      int // index, or noTarget
 	Size      float64
 	Duration  time.Duration
-	EndsFault bool // the step ends the fault
+	EndsFault bool // the step ends the fault instead of starting it
 }
 
 // Plan returns the steps of faults, ordered by time. The same faults and seed give the same steps.
@@ -154,7 +154,7 @@
 	return []Step{begin, end}
 }
 
-// pickTargets picks a random fraction of the numbers from low to high-1, at least one if the fraction is not zero.
+// pickTargets picks a random fraction of the indexes from low to high-1, at least one if the fraction is not zero.
 func pickTargets(random *rand.Rand, low, high int, fraction float64) []int {
 	count := int(fraction*float64(high-low) + 0.5)
 	if fraction > 0 && high > low {
@@ -168,7 +168,7 @@
 	return picked
 }
 
-// rateFactor returns the function of time by which bursts multiply the request rate.
+// rateFactor returns the factor by which bursts multiply the request rate, as a function of time.
 func rateFactor(faults []Fault) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		factor := 1.0
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// longestDeadline is the longest timeout of a request for its first event.
+	// longestDeadline is the longest time limit of a request for the first event of the response.
 	longestDeadline = 3 * time.Second
 	// longestClientPause is the longest pause of a client between two requests.
 	longestClientPause = 120 * time.Millisecond
@@ -115,7 +115,7 @@
 		platform.HeaderTimeout, r.timeout.Seconds(), len(body), body)
 }
 
-// newRecord returns the audit record of the request with the present time as its send time.
+// newRecord returns the audit record of the request with the current time as its send time.
 func (r request) newRecord(p *edgeProcess) audit.ClientRecord {
 	now := time.Now()
 	return audit.ClientRecord{ClientRequestID: r.id, RequestID: r.id, Route: string(r.class), Edge: p.name(), Sent: now, Deadline: now.Add(r.timeout)}
@@ -144,7 +144,7 @@
 			c.closeConnection(p)
 		}
 		if record.Outcome == "" && reused && !retry && !errors.Is(err, errDeadlineExceeded) {
-			continue // the request crossed the edge's close of the idle connection
+			continue // the edge closed the idle connection while the request was in transit
 		}
 		c.recordOutcome(p, &record, disconnects, err)
 		return
--- a/internal/soak/crowd.go
+++ b/internal/soak/crowd.go
@@ -22,7 +22,7 @@
 // hasClientBursts reports whether client bursts are among the faults of this run.
 func (r *soakRun) hasClientBursts() bool { return r.config.Seed%burstSeedInterval == 1 }
 
-// sendClientBurst lets many clients send requests to one edge at once.
+// sendClientBurst lets many clients send requests to one edge at once, if this run has client bursts.
 func (r *soakRun) sendClientBurst(ctx context.Context, random *rand.Rand) {
 	if !r.hasClientBursts() {
 		return
@@ -54,7 +54,7 @@
 	return newClient(r, number, number)
 }
 
-// openIdleConnections opens connections that send nothing. It stops at the first that the edge does not accept.
+// openIdleConnections opens connections without requests, until the edge does not accept one.
 func openIdleConnections(p *edgeProcess) (connections []net.Conn) {
 	for range burstIdleConnections {
 		conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
--- a/internal/soak/descriptors.go
+++ b/internal/soak/descriptors.go
@@ -20,7 +20,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// RLIMIT_NOFILE bounds the numbers of descriptors, not their count: unused numbers below the limit can still be opened.
+	// RLIMIT_NOFILE bounds the descriptor numbers, not the count of descriptors: unused numbers below the limit can still be
+	// allocated.
 	limit := 0
 	for free := 0; free <= spare; limit++ {
 		if !open[strconv.Itoa(limit)] {
--- a/internal/soak/descriptors_test.go
+++ b/internal/soak/descriptors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestProcessOpensNoMoreDescriptorsThanLeft(t *testing.T) {
+func TestDescriptorLimitLeavesOnlySpareDescriptors(t *testing.T) {
 	restore, err := LimitFreeDescriptors(os.Getpid(), 2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -103,7 +103,7 @@
 	return d.agents[group].addr
 }
 
-// moveAgent moves the agent of a group to another address. The previous address is served for agentOverlap more.
+// moveAgent moves the agent of a group to another address. The previous address remains available for agentOverlap.
 func (d *discovery) moveAgent(group int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +155,7 @@
 // wireList is an agent's response.
 type wireList struct {
 	Generation int64          `json:"generation"`
-	Reset      bool           `json:"reset"` // whether the list is complete, not only the changes
+	Reset      bool           `json:"reset"` // the list is complete, not only the changes
 	Instances  []wireInstance `json:"instances"`
 }
 
@@ -176,7 +176,7 @@
 	return data
 }
 
-// snapshot returns the complete list, which a starting edge has in its configuration.
+// snapshot returns the complete list for the configuration of a starting edge.
 func (d *discovery) snapshot(group int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/edge_config.go
+++ b/internal/soak/edge_config.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Durations in edgeConfigFormat that the fake engines and the checks use, too.
+// Durations in edgeConfigFormat that the fake engines and the checks also use.
 const (
 	connectionIdleTime  = 5 * time.Second
 	deduplicationWindow = time.Second
--- a/internal/soak/edge_faults.go
+++ b/internal/soak/edge_faults.go
@@ -116,7 +116,7 @@
 	Throttle(ctx, pid, share)
 }
 
-// throttlePeriod is the time in which a throttled process runs once and is stopped once.
+// throttlePeriod is the length of one cycle in which a throttled process is stopped and then runs.
 const throttlePeriod = 40 * time.Millisecond
 
 // Throttle limits a process to a share of a core until ctx ends, by stopping the process for the rest of each period. It returns
@@ -141,7 +141,7 @@
 	}
 }
 
-// interruptSystemCalls sends SIGWINCH signals, which have no effect but to interrupt system calls.
+// interruptSystemCalls sends SIGWINCH signals, whose only effect is to interrupt system calls.
 func (r *soakRun) interruptSystemCalls(ctx context.Context, random *rand.Rand, p *edgeProcess) {
 	r.recordFault("system calls of %s are interrupted", p.name())
 	for range interruptSignals {
--- a/internal/soak/edge_log.go
+++ b/internal/soak/edge_log.go
@@ -18,7 +18,7 @@
 	Msg, Rule, Request, Detail string
 }
 
-// reportsFault reports whether a line of an edge's log is about a broken invariant or a panic of the policy.
+// reportsFault reports whether a line of an edge's log is about a violated invariant or a panic of the policy.
 func reportsFault(line []byte) bool {
 	return bytes.Contains(line, []byte(`"msg":"`+edge.LogInvariantViolated+`"`)) ||
 		bytes.Contains(line, []byte(`"msg":"`+edge.LogPolicyPanicked+`"`))
--- a/internal/soak/edge_process.go
+++ b/internal/soak/edge_process.go
@@ -33,7 +33,7 @@
 	stopping    bool // the process has been sent SIGTERM or SIGKILL
 	claimed     bool // an injector is running a fault on the edge
 	incarnation int
-	// outages are the intervals in which the process was shutting down or not running, so that clients may get no response.
+	// outages are the intervals in which the process was shutting down or not running. Clients may get no response in them.
 	outages []outage
 }
 
@@ -43,8 +43,8 @@
 	killed   bool
 }
 
-// startScript starts an edge as the deploy file does. The trap keeps a SIGHUP before the edge has set its handler from ending
-// the process.
+// startScript starts an edge with the command of deploy/balancer.toml. The trap keeps a SIGHUP from ending the process before
+// the edge has set its handler.
 const startScript = `trap "" HUP; exec "$0" --config "$1"`
 
 // execTimeout bounds the wait for the shell of startScript to execute the edge.
--- a/internal/soak/irregular_client.go
+++ b/internal/soak/irregular_client.go
@@ -91,7 +91,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		response.Body.Close()
 		if err != nil || response.Close {
-			return // a broken stream ends the connection, and the requests queued behind it get no response
+			return // the edge closes the connection after a broken stream, without responses to the later requests
 		}
 	}
 	c.soak.countResponse(kindPipelined)
--- a/internal/soak/network_faults.go
+++ b/internal/soak/network_faults.go
@@ -96,7 +96,7 @@
 	r.injectProxyFault(ctx, e, p, connectionsRefused, drawDuration(random, 100*time.Millisecond, time.Second))
 }
 
-// disturbEngineConnections cuts or garbles responses or delays requests of the connections to an engine.
+// disturbEngineConnections cuts or garbles responses, or delays requests, on the connections to an engine.
 func (r *soakRun) disturbEngineConnections(ctx context.Context, random *rand.Rand) {
 	e, p := r.pickProxy(random)
 	fault := []proxyFault{responsesCut, responsesGarbled, requestsDelayed}[random.IntN(3)]
@@ -124,8 +124,8 @@
 	replacements.Wait()
 }
 
-// removeFaultTarget removes a random engine from those that faults are drawn for, and returns it. It returns nil if only one
-// engine is left.
+// removeFaultTarget removes a random engine from the targets of faults and returns it. It returns nil if only one engine is
+// left.
 func (r *soakRun) removeFaultTarget(random *rand.Rand) *listedEngine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -167,8 +167,8 @@
 	return p.fault, p.closed
 }
 
-// forward forwards the bytes of one direction. A close by the edge is reported to onEdgeClosed at once and forwarded once the
-// connection is not stalled.
+// forward forwards the bytes of one direction. A close by the edge is reported to onEdgeClosed at once, and forwarded once
+// connections are no longer stalled.
 func (p *proxy) forward(to, from net.Conn, fromEdge bool, address string) {
 	buffer := make([]byte, proxyBufferSize)
 	for {
@@ -199,9 +199,8 @@
 	}
 }
 
-// awaitForwarding waits while connections are stalled and reports whether bytes from one side are to be forwarded. It returns
-// false if the proxy has been closed or if that side has closed the connection during the stall: bytes that the other side has not
-// received by then are lost.
+// awaitForwarding waits while connections are stalled and reports whether bytes from one side must be forwarded. It returns
+// false if the proxy has been closed or if that side closed the connection during the stall: bytes not yet forwarded are lost.
 func (p *proxy) awaitForwarding(from net.Conn) bool {
 	for {
 		fault, closed := p.state()
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -14,10 +14,10 @@
 // Report is the result of a run.
 type Report struct {
 	Seed           uint64
-	Violations     []string       // broken rules, crashes and edges that did not recover
-	Traces         []string       // traces of the requests that broke a rule
+	Violations     []string       // violated rules, crashes and edges that did not recover
+	Traces         []string       // traces of the requests that violated a rule
 	Responses      map[string]int // counts by status or, for partial and pipelined requests, by kind
-	InjectedFaults []string       // each with the time of its start
+	InjectedFaults []string       // with their start times
 	Requests       int
 	// Unanswered is the number of requests without a response from an edge that was shutting down. Such a request is a violation
 	// only if the edge had forwarded it.
@@ -25,7 +25,8 @@
 	Folder     string // folder of the logs; empty without violations
 }
 
-// Additions to the durations of the rules for delays of the protocol and of a machine that runs dozens of processes.
+// Allowances that are added to the durations of the rules, because the protocol and a machine that runs dozens of processes
+// cause delays.
 const (
 	tolerance     = 700 * time.Millisecond
 	listTolerance = 300 * time.Millisecond
@@ -62,7 +63,7 @@
 	}
 	for _, c := range r.unanswered {
 		if forwarded[c.RequestID] {
-			violations = append(violations, fmt.Sprintf("rule 1: %s was forwarded by %s, which then shut down, and has no response", c.RequestID, c.Edge))
+			violations = append(violations, fmt.Sprintf("rule 1: %s was forwarded by %s, which then shut down without a response", c.RequestID, c.Edge))
 		}
 	}
 	return violations
@@ -80,7 +81,7 @@
 			continue
 		}
 		if firstAt, executed := firstExecutions[s.RequestID]; executed && s.At.Sub(firstAt) > deduplicationWindow {
-			violations = append(violations, fmt.Sprintf("rule 2: %s was executed again after %v, the dedup window is %v",
+			violations = append(violations, fmt.Sprintf("rule 2: %s was executed again after %v; the dedup window is %v",
 				s.RequestID, s.At.Sub(firstAt), deduplicationWindow))
 		} else if !executed {
 			firstExecutions[s.RequestID] = s.At
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -8,7 +8,7 @@
 	"sandcourse/internal/audit"
 )
 
-// Each check reports the one violation among the records and nothing else.
+// Each check must report exactly the one violation among the records.
 func TestChecksFindViolations(t *testing.T) {
 	at := time.Now()
 	r := &soakRun{log: &audit.Log{}, responses: map[string]int{}, startedAt: at}
--- a/internal/soak/response.go
+++ b/internal/soak/response.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// responseOutcome returns the outcome of a response with a status and an error of reading the body.
+// responseOutcome returns the outcome of a response from its status and the error from reading its body.
 func responseOutcome(status int, readErr error) audit.Outcome {
 	switch {
 	case status == http.StatusOK && readErr == nil:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs a few dozen edge processes against fake engines, proxies, discovery agents and clients on loopback, while
-// several random faults, determined by a seed, overlap in time. It checks the records of engines and clients, the violations that
-// the edges' own monitors log, and that all edges serve requests again after the last fault.
+// Package soak implements soak tests: a few dozen edge processes run with fake engines, proxies, discovery agents and clients on
+// loopback, while several random faults, determined by a seed, overlap in time. A run checks the records of engines and clients,
+// the violations that the edges log, and that all edges serve requests again after the last fault.
 package soak
 
 import (
@@ -17,14 +17,14 @@
 
 // Config describes one run.
 type Config struct {
-	Binary           string        // path of the edge's binary
+	Binary           string        // path of the edge binary
 	Seed             uint64        // seed of all random numbers
 	Edges            int           // number of edge processes
 	Engines          int           // number of engines of each role
 	Clients          int           // number of concurrent clients
 	ConcurrentFaults int           // number of faults injected at the same time
 	Duration         time.Duration // how long faults are injected
-	Folder           string        // parent of the run's folder for configurations and logs, which is removed if there is no violation
+	Folder           string        // parent of the run's folder for configurations and logs; the run's folder is removed if there is no violation
 }
 
 const (
@@ -34,8 +34,8 @@
 	readyTimeout = 10 * time.Second
 	// recoveryTimeout is the time limit for all edges to serve requests again after the last fault.
 	recoveryTimeout = 8 * time.Second
-	// resumeSeedInterval selects the seeds, one in three, whose clients may resume a broken stream, which changes how edges
-	// shut down.
+	// resumeSeedInterval selects the seeds, one in three, whose clients may resume a broken stream. Edges then shut down
+	// differently.
 	resumeSeedInterval = 3
 )
 
