--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,5 +1,5 @@
-// Command sites builds the site files of this folder: each is a variant of a site file of the operators' kit. Only the
-// changes of each variant are kept in the repository, not the files built from the kit.
+// Command sites builds the site files of the variants in this folder from a site file of the operators' kit. The repository
+// holds only the changes of each variant, not the files built from the kit.
 //
 //	deploy/sites/build.sh PATH/TO/SITE.toml
 //
@@ -25,7 +25,7 @@
 // companionFiles are the files that the benchmark reads from the folder of a site file.
 var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// change sets one key. The field applied is set once the key has been written to its section.
+// change is a new value for one key. applied is set once the value has been written to the site file.
 type change struct {
 	section, key, value string
 	applied             bool
@@ -109,7 +109,7 @@
 	return changes, nil
 }
 
-// apply sets keys in the text of a site file. Keys that a section does not have are added to its end.
+// apply sets keys in the text of a site file. Keys that a section lacks are added to the end of the section.
 func apply(site string, changes []*change) (string, error) {
 	var out []string
 	section := ""
--- a/deploy/sites/main_test.go
+++ b/deploy/sites/main_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-const sample = "name = \"a\"\n[net]\nzones = [\"x\"]\n\n[[class]]\nworth = 1\n[[class]]\nworth = 5\nshare = 2\n"
+const sampleSite = "name = \"a\"\n[net]\nzones = [\"x\"]\n\n[[class]]\nworth = 1\n[[class]]\nworth = 5\nshare = 2\n"
 
 func TestChangesAreApplied(t *testing.T) {
 	changes, err := readChanges("# comment\nname = \"b\"\nclass.1.worth = [7, 8]\nclass.0.effect = \"keyed\"\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := apply(sample, changes)
+	got, err := apply(sampleSite, changes)
 	want := "name = \"b\"\n[net]\nzones = [\"x\"]\n\n[[class]]\nworth = 1\neffect = \"keyed\"\n[[class]]\nworth = [7, 8]\nshare = 2\n"
 	if err != nil || got != want {
 		t.Errorf("%v\n%s", err, got)
@@ -23,7 +23,7 @@
 
 func TestInvalidInputIsReported(t *testing.T) {
 	changes, _ := readChanges("class.2.worth = 1")
-	if _, err := apply(sample, changes); err == nil || !strings.Contains(err.Error(), "class.2") {
+	if _, err := apply(sampleSite, changes); err == nil || !strings.Contains(err.Error(), "class.2") {
 		t.Error(err)
 	}
 	if _, err := readChanges("worth 1"); err == nil || !strings.Contains(err.Error(), "line 1") {
@@ -34,7 +34,8 @@
 	}
 }
 
-// Every variant of this folder can be built from a site file with the sections of the kit, and gets its companion files.
+// Every variant in this folder must be buildable from a site file with the sections of the kit, and must get its companion
+// files.
 func TestAllVariantsAreBuilt(t *testing.T) {
 	kit, folder := t.TempDir(), t.TempDir()
 	sections := "[day]\n[scale]\n[load]\n[net]\n[clients]\n[discovery]\n[allow]\n[rules]\n[goal]\n[prices]\n[[tier]]\n[tier.report]\n" +
--- a/internal/fake/discoveryagent/agent.go
+++ b/internal/fake/discoveryagent/agent.go
@@ -1,5 +1,5 @@
-// Package discoveryagent implements a fake of the operators' discovery agent on a loopback socket, whose endpoint list a test
-// updates.
+// Package discoveryagent implements a fake of the operators' discovery agent on a loopback socket. Tests update its endpoint
+// list.
 package discoveryagent
 
 import (
@@ -48,7 +48,7 @@
 // Stop stops the agent and closes its connections.
 func (a *Agent) Stop() { a.server.Close() }
 
-// Update adds or replaces instances, given as JSON by ID.
+// Update adds or replaces instances. The map holds the JSON of each instance by ID.
 func (a *Agent) Update(instances map[string]string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fake/engine/completions.go
+++ b/internal/fake/engine/completions.go
@@ -48,7 +48,7 @@
 	return reservationKey(r.requestID, r.attemptIndex)
 }
 
-// prefixes returns the prefixes of the prompt that end with each message.
+// prefixes returns, for each message, the prefix of the prompt that ends with the message.
 func (r *completionRequest) prefixes() []prefix {
 	hash, tokens := fnv.New64a(), 0
 	var prefixes []prefix
@@ -61,8 +61,8 @@
 	return prefixes
 }
 
-// readCompletionRequest parses a request. It returns false if that fails, after an error response unless the body could not be
-// read.
+// readCompletionRequest parses a request. It returns false if the body cannot be read or is invalid; for an invalid body it
+// also sends an error response.
 func readCompletionRequest(w http.ResponseWriter, r *http.Request) (*completionRequest, bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
@@ -101,7 +101,7 @@
 	staleEpoch, draining, full bool
 }
 
-// recordArrival counts an attempt and returns the state at its arrival.
+// recordArrival counts an attempt and returns the state of the engine at its arrival.
 func (e *Engine) recordArrival(request *completionRequest) arrivalState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// reject responds with the reason for which the engine has not started the request.
+// reject responds that the engine has not started the request, with the reason.
 func (e *Engine) reject(w http.ResponseWriter, status int, reason string) {
 	e.setLoadHeaders(w)
 	w.Header().Set(engineapi.HeaderRejected, reason)
--- a/internal/fake/engine/decode.go
+++ b/internal/fake/engine/decode.go
@@ -68,7 +68,7 @@
 	w.Write(chat.AppendEvent(nil, []byte(chat.Done)))
 }
 
-// acquireMemory occupies KV memory until release is called.
+// acquireMemory allocates KV memory until release is called.
 func (e *Engine) acquireMemory(tokens int) (release func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,7 +77,7 @@
 	return func() { e.updateIfCurrent(incarnation, func() { e.occupancy.usedTokens -= tokens }) }
 }
 
-// recordExecution records that a request takes effect or, if its idempotency key is known, that it is deduplicated.
+// recordExecution records that a request is executed or, if its idempotency key is known, deduplicated.
 func (e *Engine) recordExecution(request *completionRequest) {
 	event := audit.Executed
 	if e.idempotencyKeys.checkAndRecord(request.idempotencyKey) {
@@ -86,7 +86,7 @@
 	e.record(audit.EngineRecord{Event: event, RequestID: request.requestID, ClientRequestID: request.clientRequestID})
 }
 
-// awaitToken waits until the faults allow the token with this index. It returns false if the connection must be broken.
+// awaitToken waits until no fault blocks the token with this index. It returns false if the connection must be broken.
 func (e *Engine) awaitToken(ctx context.Context, index int) bool {
 	faults, _, incarnation := e.currentFaults()
 	if faults.BreakAfter > 0 && index >= faults.BreakAfter || incarnation.Err() != nil {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/planner/planapi"
 )
 
-// Config configures an engine. Start replaces zero values by defaults.
+// Config configures an engine. Start replaces zero values with defaults.
 type Config struct {
 	Name           string
 	Role           string        // planapi.Prefill or planapi.Decode
@@ -64,7 +64,7 @@
 	return c
 }
 
-// Engine is one fake engine. mu guards all fields below it, which have no locks of their own.
+// Engine is one fake engine. mu guards all fields below it.
 type Engine struct {
 	config          Config
 	log             *audit.Log
@@ -100,7 +100,7 @@
 // workCounters holds the totals of the work of one incarnation.
 type workCounters struct{ prefilledTokens, decodedTokens, busySeconds float64 }
 
-// Start starts a warm engine. The log and the idempotency keys may be shared by engines, and may be nil.
+// Start starts a warm engine. Engines may share the log and the idempotency keys, and both may be nil.
 func Start(config Config, log *audit.Log, keys *IdempotencyKeys) (*Engine, error) {
 	config = config.withDefaults()
 	e := &Engine{
@@ -156,7 +156,7 @@
 	return len(e.reservations.held)
 }
 
-// Overloaded reports whether too many attempts have crashed the engine while it was cold.
+// Overloaded reports whether the engine has crashed because of too many attempts while it was cold.
 func (e *Engine) Overloaded() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/engine_test.go
+++ b/internal/fake/engine/engine_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestMessagesHaveSortedKeys checks that messages are encoded like Go maps, whose keys encoding/json sorts.
+// Messages must be encoded like Go maps, whose keys encoding/json sorts.
 func TestMessagesHaveSortedKeys(t *testing.T) {
 	request := &completionRequest{completionBody: completionBody{Model: "<m>"}, requestID: "n&1", attemptIndex: "2", promptTokens: 7}
 	stop := "stop"
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -13,7 +13,7 @@
 // Faults is the set of faults of an engine.
 type Faults struct {
 	Unresponsive       bool          `json:"Silent"`     // accepts requests and does not respond
-	Slowdown           float64       `json:"Slow"`       // factor by which work is slower; 0 for none
+	Slowdown           float64       `json:"Slow"`       // factor by which work takes longer; 0 for none
 	StallFirst         bool          `json:"StallFirst"` // stalls before the first token
 	StallAfter         int           `json:"StallAfter"` // number of tokens after which a response stalls; 0 for never
 	BreakAfter         int           `json:"BreakAfter"` // number of tokens after which the connection is broken; 0 for never
@@ -22,7 +22,7 @@
 	ResponseDelay      time.Duration `json:"SlowAccept"` // delay before the first byte of a response
 	FailStatus         int           `json:"FailStatus"` // status of all responses to attempts, without a rejection reason; 0 for none
 	RoleChangeHangs    bool          `json:"NeverBack"`  // role changes never complete
-	FalseRole          bool          `json:"FalseRole"`  // reports the ordered role but keeps serving the previous one
+	FalseRole          bool          `json:"FalseRole"`  // reports the ordered role but keeps serving the previous role
 	IgnoreRoleOrders   bool          `json:"DeafOrders"` // rejects the planner's orders
 	ReportedWorkFactor float64       `json:"LieWork"`    // factor of the reported work; 0 for none
 }
@@ -36,7 +36,7 @@
 	e.faultsChanged = make(chan struct{})
 }
 
-// serveFaults replaces the faults by those in the JSON body, for tests of engines in another process.
+// serveFaults replaces the faults with those in the JSON body, for tests with engines in another process.
 func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxFaultsBytes)).Decode(&faults); err != nil {
@@ -52,8 +52,8 @@
 	return e.faults, e.faultsChanged, e.incarnation.ctx
 }
 
-// awaitUnblocked waits until the faults do not block any more. It returns false if the client has disconnected or the engine has
-// crashed.
+// awaitUnblocked waits until blocked is false for the current faults. It returns false if the client has disconnected or the
+// engine has crashed.
 func (e *Engine) awaitUnblocked(ctx context.Context, blocked func(Faults) bool) bool {
 	for {
 		faults, changed, incarnation := e.currentFaults()
@@ -70,7 +70,7 @@
 	}
 }
 
-// awaitResponsive waits while the engine is unresponsive, with the result of awaitUnblocked.
+// awaitResponsive waits until the engine is not unresponsive, and returns the result of awaitUnblocked.
 func (e *Engine) awaitResponsive(ctx context.Context) bool {
 	return e.awaitUnblocked(ctx, func(f Faults) bool { return f.Unresponsive })
 }
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -25,14 +25,15 @@
 	listenRetryDelay = 20 * time.Millisecond
 )
 
-// incarnation is the time from a start to a crash. A request may change only the state of the incarnation in which it began.
+// incarnation is the life of an engine from a start to a crash. A request may change only the state of the incarnation in
+// which it began.
 type incarnation struct {
 	number int64
 	ctx    context.Context // canceled by the crash
 	cancel context.CancelFunc
 }
 
-// startIncarnation resets the engine's state and starts to serve.
+// startIncarnation resets the engine's state and starts serving requests.
 func (e *Engine) startIncarnation(cold bool) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +115,7 @@
 // Stop stops the engine at the end of a test.
 func (e *Engine) Stop() { e.Crash() }
 
-// updateIfCurrent runs an update with the lock held and returns true, unless a restart has ended the incarnation.
+// updateIfCurrent runs an update with the lock held and returns true. If a later incarnation has started, it only returns false.
 func (e *Engine) updateIfCurrent(incarnation context.Context, update func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -10,7 +10,7 @@
 	"sandcourse/internal/protocol/engineapi"
 )
 
-// setLoadHeaders sets the headers of the load report, which responses to routers carry.
+// setLoadHeaders sets the load report headers of a response to a router.
 func (e *Engine) setLoadHeaders(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/overload.go
+++ b/internal/fake/engine/overload.go
@@ -7,8 +7,8 @@
 	"sandcourse/internal/audit"
 )
 
-// attemptBurst is the number of attempts within a window that a cold engine handles beyond its rate, because small numbers of
-// attempts arrive unevenly.
+// attemptBurst is the number of attempts within a window that a cold engine handles beyond its rate, because a small number of
+// attempts may arrive unevenly.
 const attemptBurst = 2
 
 // speed returns the current speed of the engine as a share of full speed. The caller holds the lock.
@@ -25,7 +25,8 @@
 	return share
 }
 
-// countAttempt counts an attempt and crashes a cold engine that gets too many within a window. The caller holds the lock.
+// countAttempt counts an attempt, and crashes the engine if it is cold and gets too many attempts within a window. The caller
+// holds the lock.
 func (e *Engine) countAttempt() {
 	now := time.Now()
 	e.recentAttempts = append(e.recentAttempts, now)
--- a/internal/fake/engine/prefill.go
+++ b/internal/fake/engine/prefill.go
@@ -14,8 +14,8 @@
 // minPrefillTime is the time of a prefill whose prompt is completely cached.
 const minPrefillTime = time.Millisecond
 
-// completionResponse is the body of a prefill's response. The fields of completionResponse and the types it contains are in the
-// order in which they are sent.
+// completionResponse is the body of a prefill's response. Its fields, and those of the types that it contains, are in the order
+// in which they are sent.
 type completionResponse struct {
 	Choices  []completionChoice   `json:"choices"`
 	ID       string               `json:"id"`
@@ -78,7 +78,7 @@
 	e.writePrefillResponse(w, encodePrefillResponse(request, addr, cachedTokens), truncate)
 }
 
-// prefillTime returns the time that one slot needs for the tokens at the current speed.
+// prefillTime returns the time that one slot needs for the tokens at the current speed, and the current incarnation.
 func (e *Engine) prefillTime(tokens int) (duration time.Duration, incarnation context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/prefixes.go
+++ b/internal/fake/engine/prefixes.go
@@ -8,7 +8,7 @@
 
 const (
 	maxCachedPrefixes = 20_000
-	// hotPrefixUses is the number of uses from which a prefix is in the load report, because other requests are likely to use it.
+	// hotPrefixUses is the minimum number of uses of a prefix in the load report, because other requests are likely to use it.
 	hotPrefixUses          = 3
 	maxReportedHotPrefixes = 16
 )
@@ -32,7 +32,7 @@
 // clear drops all prefixes but keeps their use counts.
 func (c *prefixCache) clear() { c.tokens = map[uint64]int{} }
 
-// cachedTokens returns the number of tokens of a prompt that are cached.
+// cachedTokens returns the number of cached tokens of a prompt.
 func (c *prefixCache) cachedTokens(prefixes []prefix) (tokens int) {
 	for _, p := range prefixes {
 		if _, ok := c.tokens[p.hash]; ok {
--- a/internal/fake/engine/reservations.go
+++ b/internal/fake/engine/reservations.go
@@ -108,7 +108,8 @@
 	return ok
 }
 
-// fetchReservation fetches KV state from its prefill engine, which then releases the reservation, and reports success.
+// fetchReservation fetches KV state from its prefill engine, which then releases the reservation. It reports whether the fetch
+// succeeded.
 func (e *Engine) fetchReservation(ctx context.Context, transfer *engineapi.KVTransfer) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -18,12 +18,13 @@
 	serving  string
 	reported string // differs from serving during a role change and under the fault FalseRole
 	epoch    int64
-	term     int64 // term of the latest order that was followed
+	term     int64 // term of the latest order that the engine has followed
 	loading  bool  // a role change is in progress and the engine rejects requests
 	draining bool  // the planner has ordered a drain
 }
 
-// serveRole handles a planner's order: with the current epoch a drain or the end of a drain, with a later epoch a role change.
+// serveRole handles an order of the planner. An order with the current epoch starts or ends a drain, and an order with a later
+// epoch changes the role.
 func (e *Engine) serveRole(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRoleOrderBytes))
 	if err != nil || !e.awaitResponsive(r.Context()) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// changeRole starts a change to the role of an order, after which the engine is cold. The caller holds the lock.
+// changeRole starts a change to the role in the order. The engine is cold after the change. The caller holds the lock.
 func (e *Engine) changeRole(order planapi.RoleOrder) {
 	e.role.reported, e.role.loading = order.Role, true
 	e.prefixes = newPrefixCache()
--- a/internal/fake/platformclient/client.go
+++ b/internal/fake/platformclient/client.go
@@ -31,8 +31,8 @@
 }
 
 // SendAtRate sends requests at a rate for a duration, without waiting for responses in between, and then waits for all responses.
-// The ID of a request is the name and a number. SendAtRate returns the number of requests sent.
-func (c Client) SendAtRate(name string, perSecond int, duration, deadline time.Duration) (sent int) {
+// The ID of a request is idPrefix and a number. SendAtRate returns the number of requests sent.
+func (c Client) SendAtRate(idPrefix string, perSecond int, duration, deadline time.Duration) (sent int) {
 	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 	defer httpClient.CloseIdleConnections()
 	var requests sync.WaitGroup
@@ -40,7 +40,7 @@
 	start := time.Now()
 	for offset := time.Duration(0); offset < duration; offset += interval {
 		time.Sleep(time.Until(start.Add(offset)))
-		id := fmt.Sprint(name, sent)
+		id := fmt.Sprint(idPrefix, sent)
 		sent++
 		requests.Go(func() { c.Log.RecordClient(c.send(httpClient, id, deadline)) })
 	}
@@ -80,7 +80,7 @@
 	r.Header.Set(platform.HeaderRequestClass, c.Class)
 	r.Header.Set(platform.HeaderAffinityKey, "s"+id)
 	r.Header.Set(platform.HeaderTimeout, fmt.Sprintf("%.3f", deadline.Seconds()))
-	r.Header["X-Idempotency-Key"] = nil // not sent, but makes net/http retry a request that crosses the close of an idle connection
+	r.Header["X-Idempotency-Key"] = nil // not sent, but makes net/http retry if the server closes the idle connection
 	return r, nil
 }
 
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -1,5 +1,5 @@
-// Package platformengine implements, for tests, a fake of the prefill and decode engines of the operators' platform on loopback
-// sockets, based on the published protocol. The engines of a fleet share the state of the reservations and attempts of each
+// Package platformengine implements fake prefill and decode engines of the operators' platform for tests. The engines listen on
+// loopback sockets and follow the published protocol. The engines of a fleet share the state of the reservations and attempts of each
 // request, derived only from the messages that reached them, never from a router's state. Load reports and durations are not those
 // of real engines.
 package platformengine
@@ -80,7 +80,7 @@
 	Role            Role        `json:"machineType"`
 	Cell            int         `json:"cell"`
 	Lifecycle       Lifecycle   `json:"lifecycle"`
-	Weight          json.Number `json:"weight"` // encoded with a fraction, as by the service
+	Weight          json.Number `json:"weight"` // encoded with a fraction, as the service does
 	StartedAtMillis int64       `json:"startedAtMs"`
 }
 
@@ -94,10 +94,10 @@
 	Deleted  Lifecycle = "DELETED"
 )
 
-// Entry returns the JSON of the engine's entry in the discovery service, in state Serving and with a start long ago.
+// Entry returns the JSON of the engine's entry in the discovery service, in state Serving and without a recent start.
 func (e *Engine) Entry() string { return e.EntryIn(Serving, time.Time{}) }
 
-// EntryIn returns the JSON of the engine's entry in the discovery service in a state. A zero startedAt stands for a start long ago.
+// EntryIn returns the JSON of the engine's entry in the discovery service in a state. A zero startedAt means no recent start.
 func (e *Engine) EntryIn(lifecycle Lifecycle, startedAt time.Time) string {
 	listed := listEntry{ID: e.ID, Addr: e.Addr, Zone: "a", Role: e.Role, Lifecycle: lifecycle, Weight: "1.0"}
 	if !startedAt.IsZero() {
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -47,7 +47,7 @@
 // reservation is the KV state that an engine holds for a request.
 type reservation struct{ engineID string }
 
-// NewFleet returns a fleet without engines, which will record their events in the log.
+// NewFleet returns a fleet without engines. Its engines will record their events in the log.
 func NewFleet(log *audit.Log) *Fleet { return &Fleet{log: log, requests: map[string]*fleetRequest{}} }
 
 // HeldReservations returns the number of reservations that the fleet holds.
@@ -76,7 +76,7 @@
 	f.log.RecordEngine(record)
 }
 
-// requestState returns the state of a request, which it creates if necessary. The caller holds the lock.
+// requestState returns the state of a request and creates it if necessary. The caller holds the lock.
 func (f *Fleet) requestState(requestID string) *fleetRequest {
 	request := f.requests[requestID]
 	if request == nil {
@@ -102,7 +102,7 @@
 	f.recordEnd(requestID, attempt)
 }
 
-// recordEnd records, once per attempt, that the attempt is not in flight any more. The caller holds the lock.
+// recordEnd records the end of an attempt, once per attempt. The caller holds the lock.
 func (f *Fleet) recordEnd(requestID string, attempt *engineAttempt) {
 	if !attempt.ended {
 		attempt.ended = true
@@ -111,7 +111,7 @@
 }
 
 // RouterClosed records that a router has closed the connection from this address to an engine, which may not have noticed the
-// close yet. No attempt on the connection is in flight any more.
+// close yet. All attempts on the connection have ended.
 func (f *Fleet) RouterClosed(engineID, routerAddr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,8 +143,8 @@
 	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Reserved, RequestID: requestID, Decode: e.isDecode()})
 }
 
-// fetchReservation lets an attempt fetch a reservation of its request. It releases all reservations of the request and reports
-// whether there was one.
+// fetchReservation fetches a reservation of the attempt's request. It releases all reservations of the request and reports
+// whether any was held.
 func (f *Fleet) fetchReservation(e *Engine, requestID string, attempt *engineAttempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the output of a test with a golden file in the testdata folder of the test's package. Only tests use
-// it; "go test ./package -update" rewrites the files.
+// Package golden helps tests compare their output with golden files in the testdata folders of their packages. Only tests use
+// it. "go test ./package -update" rewrites the golden files.
 package golden
 
 import (
@@ -40,7 +40,7 @@
 	}
 }
 
-// firstDifference returns the lines around the first difference: those of the golden file marked -, those of the test marked +.
+// firstDifference returns the lines around the first difference. Lines of the golden file are marked -, lines of the test +.
 func firstDifference(want, got string) string {
 	const contextLines, maxLines = 3, 12
 	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -21,7 +21,7 @@
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 20 * time.Second
 	maxIdlePerEdge  = 4096
-	responseTimeout = 60 * time.Second // past the client's own timeout, so that a late response is recorded as late
+	responseTimeout = 60 * time.Second // beyond the timeout of the request, so that a late response is recorded as late
 	maxResponse     = 8 << 20
 	maxEvent        = 1 << 20
 	readBufferSize  = 4096
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.GetBody = nil // keeps the transport from retrying: such an attempt would not be recorded
+	r.GetBody = nil // keeps the transport from retrying, because its retries would not be recorded
 	request.setHeaders(r.Header)
 	return c.http.Do(r)
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// readStream reads all events up to the end of the body, also after a final event, so that a second final event is recorded.
+// readStream reads all events up to the end of the body, even after a final event, so that a second final event is recorded.
 func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
 	events := chat.NewDecoder(maxEvent)
 	buffer := make([]byte, readBufferSize)
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -14,7 +14,7 @@
 	"sandcourse/internal/audit"
 )
 
-// maxFirstToken is the longest time to a first token that a histogram is guaranteed to hold.
+// maxFirstToken is the longest time to the first token that a histogram is guaranteed to hold.
 const maxFirstToken = 10 * time.Minute
 
 // Summary is the result of a run. Values are sums of priority weights.
@@ -29,7 +29,7 @@
 // Summarize aggregates the records of clients. The time to the first token of a retried request starts at the first attempt.
 func Summarize(records []audit.ClientRecord, routes []Route) Summary {
 	s := Summary{Outcomes: map[audit.Outcome]int{}, FirstTokens: map[string]*hdrhistogram.Histogram{}, Attempts: len(records)}
-	firstSent, served := map[string]time.Time{}, map[string]bool{}
+	firstSent, countedInTime := map[string]time.Time{}, map[string]bool{}
 	slices.SortStableFunc(records, func(a, b audit.ClientRecord) int { return a.Sent.Compare(b.Sent) })
 	for _, record := range records {
 		i := slices.IndexFunc(routes, func(r Route) bool { return r.Name == record.Route })
@@ -46,8 +46,8 @@
 			s.recordFirstToken(route.Name, record.FirstToken)
 		}
 		inTime := record.Sent.Sub(firstSent[record.ClientRequestID])+record.FirstToken <= route.FirstTokenTarget
-		if record.Outcome == audit.OutcomeCompleted && record.FirstToken > 0 && inTime && !served[record.ClientRequestID] {
-			served[record.ClientRequestID] = true
+		if record.Outcome == audit.OutcomeCompleted && record.FirstToken > 0 && inTime && !countedInTime[record.ClientRequestID] {
+			countedInTime[record.ClientRequestID] = true
 			s.InTime += route.PriorityWeight
 		}
 	}
@@ -58,7 +58,7 @@
 	if s.FirstTokens[route] == nil {
 		s.FirstTokens[route] = hdrhistogram.New(1, maxFirstToken.Microseconds(), 3)
 	}
-	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails on values beyond the range of the histogram, which are not counted
+	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails for values beyond the range of the histogram, which are not counted
 }
 
 // Print writes the summary as a table.
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -13,7 +13,7 @@
 	"sandcourse/internal/audit"
 )
 
-// Numbers of the random streams, each the second half of the seed of a PCG generator.
+// Stream numbers for the random number generators. Each is the second half of the seed of a PCG generator.
 const (
 	trafficStream = 0x5eed
 	clientStream  = 1
@@ -23,7 +23,7 @@
 const (
 	minRate              = 0.01 // requests per second
 	sessionReuseShare    = 0.6  // share of requests that continue a session
-	unaryShare           = 0.1  // share of requests for one response instead of a stream
+	unaryShare           = 0.1  // share of requests for a unary response instead of a stream
 	minUserWords         = 20
 	userWordsRange       = 60
 	minBackoff           = 100 * time.Millisecond
@@ -47,7 +47,7 @@
 // Traffic is an open-loop load generator: requests start at scheduled times regardless of the duration of others, so that a slow
 // fleet does not reduce the load.
 type Traffic struct {
-	Edges           func() []string // edges from which a load balancer would currently pick
+	Edges           func() []string // addresses of the edges that a load balancer would currently use
 	Routes          []Route
 	Rate            float64                        // new requests per second
 	RateFactor      func(at time.Duration) float64 // factor of Rate at a time since the start; nil for 1
@@ -88,7 +88,7 @@
 	}
 }
 
-// generator draws the requests of a Traffic from random numbers determined by the seed.
+// generator draws the requests of a Traffic with a random number generator, which the seed determines.
 type generator struct {
 	Traffic
 	random             *rand.Rand
--- a/internal/loadgen/traffic_test.go
+++ b/internal/loadgen/traffic_test.go
@@ -58,7 +58,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// TestGoldenTraffic guards against changes of the requests that a seed draws and of the order of the draws.
+// The requests that a seed draws and the order of the draws must not change.
 func TestGoldenTraffic(t *testing.T) {
 	edges := &edgeRecorder{}
 	addrs := edges.start(t, 3)
--- a/internal/scenario/faultrunner.go
+++ b/internal/scenario/faultrunner.go
@@ -19,7 +19,7 @@
 	edges      *Edges
 	out        io.Writer
 	startedAt  time.Time
-	recoveries sync.WaitGroup
+	background sync.WaitGroup
 	restarts   int
 	active     map[int]map[FaultKind]float64 // fault sizes by engine and kind
 }
@@ -58,7 +58,7 @@
 }
 
 func (r *faultRunner) killEdge(s Step) {
-	r.recoveries.Go(func() {
+	r.background.Go(func() {
 		if err := r.edges.Kill(s.Edge, s.Duration); err != nil {
 			fmt.Fprintln(r.out, "edge", s.Edge, "did not restart:", err)
 		}
@@ -93,7 +93,7 @@
 // preempt lists an engine as draining and crashes it after the notice period, whose seconds are the size of the fault.
 func (r *faultRunner) preempt(s Step, e *engine.Engine) {
 	r.fleet.Drain(e, true)
-	r.recoveries.Go(func() {
+	r.background.Go(func() {
 		time.Sleep(seconds(s.Size))
 		e.Crash()
 		r.fleet.Remove(e)
@@ -104,7 +104,7 @@
 // maxRemoveDelay.
 func (r *faultRunner) crash(s Step, e *engine.Engine) {
 	e.Crash()
-	r.recoveries.Go(func() {
+	r.background.Go(func() {
 		time.Sleep(min(s.Duration/2, maxRemoveDelay))
 		if s.Duration > maxRemoveDelay {
 			r.fleet.Remove(e)
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -16,8 +16,8 @@
 	"sandcourse/internal/fake/engine"
 )
 
-// endpointFile is the name of the endpoint list file in the folder of a scenario.
-const endpointFile = "roster.json"
+// endpointFileName is the name of the endpoint list file in the folder of a scenario.
+const endpointFileName = "roster.json"
 
 // cellSize is the number of engines per cell.
 const cellSize = 5
@@ -37,7 +37,7 @@
 
 // StartFleet starts engines and writes the first endpoint list to a folder.
 func StartFleet(dir string, configs []engine.Config, log *audit.Log) (*Fleet, error) {
-	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFile), writeList: endpoint.WriteFile}
+	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFileName), writeList: endpoint.WriteFile}
 	keys := &engine.IdempotencyKeys{}
 	for i, c := range configs {
 		e, err := engine.Start(c, log, keys)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -42,12 +42,12 @@
 		return Result{}, err
 	}
 	runner := newFaultRunner(fleet, edges, out)
-	steps := Plan(s.Faults, len(fleet.Engines), s.PrefillEngines, s.Edges, uint64(s.Seed))
+	steps := FaultSteps(s.Faults, len(fleet.Engines), s.PrefillEngines, s.Edges, uint64(s.Seed))
 	var faults sync.WaitGroup
 	faults.Go(func() { runner.run(ctx, steps) })
 	s.traffic(edges, records).Run(ctx)
 	faults.Wait()
-	runner.recoveries.Wait()
+	runner.background.Wait()
 	result := Result{Restarts: runner.restarts, HeldAtEnd: awaitReleased(ctx, fleet, edges), Traces: map[string][]string{}}
 	result.Violations = records.Check(AuditRules(s.Deployment), time.Now())
 	for _, v := range result.Violations {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -19,7 +19,7 @@
 	PrefillSlots, QueueLimit, MemoryTokens, DecodeSlots int
 	PrefillRate, AttemptRate                            float64
 	TokenTime                                           time.Duration
-	Clients                                             []TrafficShare
+	TrafficShares                                       []TrafficShare
 	Faults                                              []Fault
 	Deployment                                          *config.Deployment
 }
@@ -75,7 +75,7 @@
 
 // routes returns the model routes for the load generator.
 func (s *Scenario) routes() (routes []loadgen.Route) {
-	for _, c := range s.Clients {
+	for _, c := range s.TrafficShares {
 		r := clientRoute(s.Deployment.Routes[s.Deployment.RouteIndex(c.Route)])
 		r.Share, r.MaxTokens = c.Share, c.MaxTokens
 		routes = append(routes, r)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -162,15 +162,15 @@
 	})
 }
 
-func TestPlanIsDeterministicAndEndsEachFault(t *testing.T) {
+func TestFaultStepsAreDeterministicAndEndEachFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
 			return Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"), Fraction: rapid.Float64Range(0, 1).Draw(t, "part"),
 				At: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "at")), Duration: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "len"))}
 		}), 0, 5).Draw(t, "troubles")
-		a, b := Plan(faults, 9, 4, 3, 1), Plan(faults, 9, 4, 3, 1)
+		a, b := FaultSteps(faults, 9, 4, 3, 1), FaultSteps(faults, 9, 4, 3, 1)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatal("two plans of the same faults and seed differ")
+			t.Fatal("steps differ for the same faults and seed")
 		}
 		active := map[FaultKind]int{}
 		for _, s := range a {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -15,7 +15,7 @@
 	s := &Scenario{Duration: 20 * time.Second, RequestRate: 30, Seed: 1, Retries: 2, Turns: 3, Prefixes: 6, PrefixWords: 200, Edges: 3,
 		PrefillEngines: 4, DecodeEngines: 4, PrefillRate: 200_000, AttemptRate: 60, TokenTime: 5 * time.Millisecond,
 		Deployment: config.Defaults()}
-	s.Deployment.File, s.Deployment.EndpointFile, s.Deployment.ChatAddress = name, endpointFile, ""
+	s.Deployment.File, s.Deployment.EndpointFile, s.Deployment.ChatAddress = name, endpointFileName, ""
 	functions := s.Deployment.ScriptFunctions()
 	for _, function := range []string{"listen", "node", "roster", "engine"} {
 		delete(functions, function) // the scenario sets these itself
@@ -72,7 +72,7 @@
 			if c.Route != "" && s.Deployment.RouteIndex(c.Route) < 0 {
 				report("route", "%q is not a route that the script defines above", c.Route)
 			}
-			s.Clients = append(s.Clients, c)
+			s.TrafficShares = append(s.TrafficShares, c)
 		}
 }
 
@@ -98,7 +98,7 @@
 // checkScript checks the script as a whole.
 func (s *Scenario) checkScript(report script.ReportScriptFault) {
 	s.Deployment.CheckScript(report)
-	if len(s.Clients) == 0 {
+	if len(s.TrafficShares) == 0 {
 		report("client: at least one is required")
 	}
 	for i, f := range s.Faults {
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -85,8 +85,8 @@
 	EndsFault bool // the step ends the fault instead of starting it
 }
 
-// Plan returns the steps of faults, ordered by time. The same faults and seed give the same steps.
-func Plan(faults []Fault, engineCount, prefillCount, edgeCount int, seed uint64) []Step {
+// FaultSteps returns the steps of faults, ordered by time. The same faults and seed give the same steps.
+func FaultSteps(faults []Fault, engineCount, prefillCount, edgeCount int, seed uint64) []Step {
 	var steps []Step
 	for n, f := range faults {
 		random := rand.New(rand.NewPCG(seed+uint64(f.Selector), uint64(n)))
--- a/scenarios/lab/retries-burst.star
+++ b/scenarios/lab/retries-burst.star
@@ -1,4 +1,4 @@
-# A burst of three times the load for ten seconds; clients retry up to four times. Shows whether the fleet recovers.
+# The request rate triples for ten seconds; clients retry up to four times. Shows whether the fleet recovers.
 day(length = "90s", rate = 12, retries = 4, seeds = 8)
 trouble(kind = "burst", at = "20s", length = "10s", part = 3)
 
--- a/scenarios/lab/retries-lost.star
+++ b/scenarios/lab/retries-lost.star
@@ -1,4 +1,4 @@
-# Half of the engines are down and not listed for ten seconds, and warm up afterwards; clients retry up to four times.
+# Half of the engines are down and not in the endpoint list for ten seconds, and warm up afterwards; clients retry up to four times.
 day(length = "90s", rate = 12, retries = 4, seeds = 8)
 trouble(kind = "lost", at = "20s", length = "10s", part = 0.5)
 
--- a/settings/demo.star
+++ b/settings/demo.star
@@ -1,4 +1,4 @@
-# Settings of the demo: two model routes and two kinds of engine.
+# Settings of the demo: two model routes and two engine kinds.
 listen(chat = "127.0.0.1:8080")
 node(name = "edge0", zone = "ktm-dc1")
 
--- a/settings/planner.star
+++ b/settings/planner.star
@@ -1,4 +1,4 @@
-# Settings of a planner, as a template. Paths are relative to the folder of this file.
+# Template for the settings of a planner. Paths are relative to the folder of this file.
 planner(listen = "127.0.0.1:9090", store = "planner.db", roster = "roster.json")
 
 kind(name = "prefill", role = "read", memory = 200000)
