--- a/cmd/sandcourse/sweep.go
+++ b/cmd/sandcourse/sweep.go
@@ -23,22 +23,22 @@
 
 var sweepFactors = []sweepFactor{
 	{"period of the swing, s", []float64{10, 30, 60, 120, 240, 600, 1200},
-		func(d *fluidmodel.Scenario, level float64) { d.Period = seconds(level) }},
+		func(s *fluidmodel.Scenario, level float64) { s.Period = seconds(level) }},
 	{"depth of the swing", []float64{0.1, 0.3, 0.5, 0.8, 1},
-		func(d *fluidmodel.Scenario, level float64) { d.SkewDepth = level }},
+		func(s *fluidmodel.Scenario, level float64) { s.SkewDepth = level }},
 	{"reload time, s", []float64{1, 5, 15, 40, 90},
-		func(d *fluidmodel.Scenario, level float64) { d.ReloadTime = seconds(level) }},
+		func(s *fluidmodel.Scenario, level float64) { s.ReloadTime = seconds(level) }},
 	{"lag of reports, s", []float64{0, 1, 3, 8},
-		func(d *fluidmodel.Scenario, level float64) { d.ReportDelay = seconds(level) }},
+		func(s *fluidmodel.Scenario, level float64) { s.ReportDelay = seconds(level) }},
 	{"engines", []float64{8, 20, 40, 110, 300},
-		func(d *fluidmodel.Scenario, level float64) {
+		func(s *fluidmodel.Scenario, level float64) {
 			n := int(level)
-			d.Engines, d.PrefillEngines, d.Cells = n, n/2, max(1, n/10)
+			s.Engines, s.PrefillEngines, s.Cells = n, n/2, max(1, n/10)
 		}},
 	{"load, of the best split", []float64{0.5, 0.7, 0.85, 1, 1.2},
-		func(d *fluidmodel.Scenario, level float64) { d.Utilization = level }},
+		func(s *fluidmodel.Scenario, level float64) { s.Utilization = level }},
 	{"reports missing, share", []float64{0, 0.33, 0.6},
-		func(d *fluidmodel.Scenario, level float64) { d.MissingReports = level }},
+		func(s *fluidmodel.Scenario, level float64) { s.MissingReports = level }},
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s) * time.Second }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 20 * time.Second
-	maxIdlePerEdge  = 4096
-	responseTimeout = 60 * time.Second // beyond the timeout of the request, so that a late response is recorded as late
-	maxResponse     = 8 << 20
-	maxEvent        = 1 << 20
-	readBufferSize  = 4096
+	dialTimeout      = 2 * time.Second
+	idleTimeout      = 20 * time.Second
+	maxIdlePerEdge   = 4096
+	responseTimeout  = 60 * time.Second // beyond the timeout of the request, so that a late response is recorded as late
+	maxResponseBytes = 8 << 20
+	maxEventBytes    = 1 << 20
+	readBufferSize   = 4096
 
 	completionsPath = "/v1/chat/completions"
 	// headerRetryAfterMillis is Retry-After in milliseconds.
@@ -136,7 +136,7 @@
 
 // readUnary reads a response that is not a stream.
 func readUnary(response *http.Response, record *audit.ClientRecord) {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	record.End = time.Now()
 	if err != nil {
 		record.Reason = err.Error()
@@ -156,7 +156,7 @@
 
 // readStream reads all events up to the end of the body, even after a final event, so that a second final event is recorded.
 func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
-	events := chat.NewDecoder(maxEvent)
+	events := chat.NewDecoder(maxEventBytes)
 	buffer := make([]byte, readBufferSize)
 	var err error
 	for err == nil {
--- a/internal/scenario/import.go
+++ b/internal/scenario/import.go
@@ -37,8 +37,8 @@
 	w := &scriptWriter{shrink: shrink}
 	w.writeFleet(in)
 	w.writeRoutes(in)
-	for _, t := range in.Troubles {
-		if err := w.writeFault(in, t); err != nil {
+	for _, fault := range in.Troubles {
+		if err := w.writeFault(in, fault); err != nil {
 			return "", err
 		}
 	}
@@ -93,24 +93,24 @@
 	}
 }
 
-func (w *scriptWriter) writeFault(in *benchScenario, t benchFault) error {
-	kind, ok := benchFaultKinds[t.Kind]
+func (w *scriptWriter) writeFault(in *benchScenario, fault benchFault) error {
+	kind, ok := benchFaultKinds[fault.Kind]
 	if !ok {
-		return fmt.Errorf("trouble %q: %w; known kinds are %s", t.Kind, ErrUnknownFault,
+		return fmt.Errorf("trouble %q: %w; known kinds are %s", fault.Kind, ErrUnknownFault,
 			strings.Join(slices.Sorted(maps.Keys(benchFaultKinds)), ", "))
 	}
 	targets := len(in.Servers)
-	if strings.HasPrefix(t.Kind, "balancer") {
+	if strings.HasPrefix(fault.Kind, "balancer") {
 		targets = len(in.Balancers)
 	}
-	fraction := min(1, max(float64(len(t.On))/float64(max(1, targets)), 0))
+	fraction := min(1, max(float64(len(fault.On))/float64(max(1, targets)), 0))
 	// Sizes that are times are in microseconds in the benchmark and in seconds in a script.
-	size := t.Size
+	size := fault.Size
 	if size > maxFaultSize {
 		size = size * w.shrink / 1e6
 	}
-	w.writeLine("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaledDuration(t.At),
-		w.scaledDuration(t.Len), fraction, min(maxFaultSize, size))
+	w.writeLine("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaledDuration(fault.At),
+		w.scaledDuration(fault.Len), fraction, min(maxFaultSize, size))
 	return nil
 }
 
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -71,7 +71,7 @@
 }
 
 // PlannerConfig returns the configuration of the planner.
-func (t LoadShift) PlannerConfig(fleet *Fleet, dir string) *config.Planner {
+func (l LoadShift) PlannerConfig(fleet *Fleet, dir string) *config.Planner {
 	p := config.DefaultPlanner()
 	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: config.RolePrefill}, {Name: "decode", Role: config.RoleDecode}}
@@ -79,28 +79,28 @@
 	a := &p.Assignment
 	a.DrainTimeout, a.OrderTimeout, a.LoadTimeout = 4*time.Second, time.Second, 5*time.Second
 	a.TrialTimeout, a.WarmUp, a.Cooldown = 2*time.Second, 2*time.Second, 4*time.Second
-	a.MaxChangingShare, a.MaxSharePerMinute, a.MinServing, a.ExplainOnly = 0.25, 1, 1, t.FixedRoles
+	a.MaxChangingShare, a.MaxSharePerMinute, a.MinServing, a.ExplainOnly = 0.25, 1, 1, l.FixedRoles
 	a.PrefillThroughput, a.DecodeThroughput = shiftPrefillRate, shiftDecodeRate
 	return p
 }
 
 // Run runs the load shift with its files in dir, and prints its phases to out.
-func (t LoadShift) Run(ctx context.Context, dir string, log *zap.Logger, out io.Writer) (LoadShiftResult, error) {
+func (l LoadShift) Run(ctx context.Context, dir string, log *zap.Logger, out io.Writer) (LoadShiftResult, error) {
 	d, err := config.Read("demo.star", []byte(settings.Demo))
 	if err != nil {
 		return LoadShiftResult{}, err
 	}
 	d.Rules.SlowStart = shiftSlowStart
-	r := &shiftRun{LoadShift: t, out: out, records: &audit.Log{}, deployment: *d}
+	r := &shiftRun{LoadShift: l, out: out, records: &audit.Log{}, deployment: *d}
 	var configs []engine.Config
-	for i := range t.PrefillEngines + t.DecodeEngines {
-		configs = append(configs, loadShiftEngineConfig(i, t.PrefillEngines, d.Rules))
+	for i := range l.PrefillEngines + l.DecodeEngines {
+		configs = append(configs, loadShiftEngineConfig(i, l.PrefillEngines, d.Rules))
 	}
 	if r.fleet, err = StartFleet(dir, configs, r.records); err != nil {
 		return r.result, err
 	}
 	defer r.fleet.Stop()
-	r.planner = &plannerProcess{config: t.PlannerConfig(r.fleet, dir), log: log, out: out, onPublish: r.recordPlan}
+	r.planner = &plannerProcess{config: l.PlannerConfig(r.fleet, dir), log: log, out: out, onPublish: r.recordPlan}
 	if err := r.planner.start(); err != nil {
 		return r.result, err
 	}
@@ -108,7 +108,7 @@
 	fmt.Fprintf(out, "planner at %s; inspect it with: sandcourse roles --planner %s show (or explain)\n",
 		r.planner.addr(), r.planner.addr())
 	r.deployment.EndpointFile, r.deployment.Engines, r.deployment.PlannerAddress = "", nil, r.planner.addr()
-	if r.edges, err = StartEdges(t.Edges, r.deployment, log, r.records, t.Seed); err != nil {
+	if r.edges, err = StartEdges(l.Edges, r.deployment, log, r.records, l.Seed); err != nil {
 		return r.result, err
 	}
 	defer r.edges.Stop()
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -14,8 +14,8 @@
 		ListDelay: 100 * time.Millisecond,
 		// Goroutines on a busy machine may run this long after the event that wakes them.
 		Tolerance: 150 * time.Millisecond}
-	for _, t := range d.Routes {
-		r.NonRetriable[t.Name] = t.Effect == config.EffectNonRetriable
+	for _, route := range d.Routes {
+		r.NonRetriable[route.Name] = route.Effect == config.EffectNonRetriable
 	}
 	return r
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// longestDeadline is the longest time limit of a request for the first event of the response.
-	longestDeadline = 3 * time.Second
-	// longestClientPause is the longest pause of a client between two requests.
-	longestClientPause = 120 * time.Millisecond
+	// maxRequestTimeout is the longest time limit of a request for the first event of the response.
+	maxRequestTimeout = 3 * time.Second
+	// maxClientPause is the longest pause of a client between two requests.
+	maxClientPause = 120 * time.Millisecond
 	// responseTimeout is how long a client waits past the deadline, so that a late response is recorded as late.
 	responseTimeout = 5 * time.Second
 	// connectTimeout bounds the dial of a connection to an edge.
@@ -55,7 +55,7 @@
 		default:
 			c.sendRequest(p)
 		}
-		time.Sleep(time.Duration(c.random.Int64N(int64(longestClientPause))))
+		time.Sleep(time.Duration(c.random.Int64N(int64(maxClientPause))))
 	}
 }
 
@@ -104,7 +104,7 @@
 	c.requestCount++
 	class := requestClasses[c.random.IntN(len(requestClasses))]
 	return request{id: fmt.Sprintf("%s-c%dq%d", p.name(), c.number, c.requestCount), class: class,
-		timeout: longestDeadline/3 + time.Duration(c.random.Int64N(int64(longestDeadline*2/3)))}
+		timeout: maxRequestTimeout/3 + time.Duration(c.random.Int64N(int64(maxRequestTimeout*2/3)))}
 }
 
 // encode returns the bytes of the HTTP request.
@@ -185,8 +185,8 @@
 			continue
 		}
 		r := c.newRequest(p)
-		r.timeout = longestDeadline
-		connection.conn.SetDeadline(time.Now().Add(longestDeadline + time.Second))
+		r.timeout = maxRequestTimeout
+		connection.conn.SetDeadline(time.Now().Add(maxRequestTimeout + time.Second))
 		record := r.newRecord(p)
 		if err := c.exchange(connection, r, &record); err != nil {
 			c.closeConnection(p)
--- a/internal/soak/client_burst.go
+++ b/internal/soak/client_burst.go
@@ -48,8 +48,8 @@
 // newBurstClient returns a client with its own stream of random numbers.
 func (r *soakRun) newBurstClient() *client {
 	r.mu.Lock()
-	r.lastBurstClient++
-	number := burstClientStreams + r.lastBurstClient
+	r.lastBurstClientNumber++
+	number := burstClientStreams + r.lastBurstClientNumber
 	r.mu.Unlock()
 	return newClient(r, number, number)
 }
--- a/internal/soak/edge_process.go
+++ b/internal/soak/edge_process.go
@@ -14,9 +14,9 @@
 	"sandcourse/internal/protocol/platform"
 )
 
-// killDelay is the time between SIGTERM and SIGKILL in a planned restart, as on the platform: 0.7 s more than the longest
-// deadline.
-const killDelay = longestDeadline + 700*time.Millisecond
+// killDelay is the time between SIGTERM and SIGKILL in a planned restart, as on the platform: 0.7 s more than the longest request
+// timeout.
+const killDelay = maxRequestTimeout + 700*time.Millisecond
 
 // edgeProcess is one edge under test: addresses, configuration file and current process.
 type edgeProcess struct {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// longestFaultPause is the longest pause between two faults of one injector.
-const longestFaultPause = 400 * time.Millisecond
+// maxFaultPause is the longest pause between two faults of one injector.
+const maxFaultPause = 400 * time.Millisecond
 
 // injector injects one fault and returns when the fault is over or ctx is done.
 type injector func(ctx context.Context, random *rand.Rand)
@@ -30,7 +30,7 @@
 	injectors := r.injectors()
 	for ctx.Err() == nil {
 		injectors[random.IntN(len(injectors))](ctx, random)
-		sleep(ctx, time.Duration(random.Int64N(int64(longestFaultPause))))
+		sleep(ctx, time.Duration(random.Int64N(int64(maxFaultPause))))
 	}
 }
 
--- a/internal/soak/irregular_client.go
+++ b/internal/soak/irregular_client.go
@@ -40,7 +40,7 @@
 		sent := time.Now()
 		timeout := partialRequestTimeout
 		if preceding != "" {
-			timeout += longestDeadline + time.Second // for the response to the preceding request
+			timeout += maxRequestTimeout + time.Second // for the response to the preceding request
 		}
 		conn.SetDeadline(sent.Add(timeout))
 		responses, err := io.ReadAll(conn)
@@ -62,14 +62,14 @@
 	var text strings.Builder
 	for range 2 + c.random.IntN(4) {
 		r := c.newRequest(p)
-		r.timeout = longestDeadline
+		r.timeout = maxRequestTimeout
 		requests = append(requests, r)
 		text.WriteString(r.encode())
 	}
 	c.soak.irregularRequests.Go(func() {
 		defer conn.Close()
 		sent := time.Now()
-		conn.SetDeadline(sent.Add(time.Duration(len(requests)) * 2 * longestDeadline))
+		conn.SetDeadline(sent.Add(time.Duration(len(requests)) * 2 * maxRequestTimeout))
 		if _, err := io.WriteString(conn, text.String()); err != nil {
 			return
 		}
--- a/internal/soak/listed_engine.go
+++ b/internal/soak/listed_engine.go
@@ -25,8 +25,8 @@
 // addEngine starts an engine and its proxies and adds the engine to discovery.
 func (r *soakRun) addEngine(role platformengine.Role) error {
 	r.mu.Lock()
-	r.lastEngine++
-	id := fmt.Sprintf("s-%d", r.lastEngine)
+	r.lastEngineNumber++
+	id := fmt.Sprintf("s-%d", r.lastEngineNumber)
 	r.mu.Unlock()
 	engine, err := r.fleet.Start(platformengine.Config{ID: id, Role: role, Slots: engineSlots, WorkTime: engineWorkTime, Events: engineEvents,
 		IdleTime: r.engineIdleTime()})
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -56,9 +56,9 @@
 // checkUnanswered returns a violation for each request that an edge forwarded before it shut down and did not respond to.
 func (r *soakRun) checkUnanswered() (violations []string) {
 	forwarded := map[string]bool{}
-	for _, s := range r.log.EngineRecords() {
-		if s.Event == audit.AttemptStarted {
-			forwarded[s.RequestID] = true
+	for _, record := range r.log.EngineRecords() {
+		if record.Event == audit.AttemptStarted {
+			forwarded[record.RequestID] = true
 		}
 	}
 	for _, c := range r.unanswered {
@@ -76,15 +76,15 @@
 		classes[c.RequestID] = requestClass(c.Route)
 	}
 	firstExecutions := map[string]time.Time{}
-	for _, s := range r.log.EngineRecords() {
-		if s.Event != audit.Executed || classes[s.RequestID] != classLabel {
+	for _, record := range r.log.EngineRecords() {
+		if record.Event != audit.Executed || classes[record.RequestID] != classLabel {
 			continue
 		}
-		if firstAt, executed := firstExecutions[s.RequestID]; executed && s.At.Sub(firstAt) > deduplicationWindow {
+		if firstAt, executed := firstExecutions[record.RequestID]; executed && record.At.Sub(firstAt) > deduplicationWindow {
 			violations = append(violations, fmt.Sprintf("rule 2: %s was executed again after %v; the dedup window is %v",
-				s.RequestID, s.At.Sub(firstAt), deduplicationWindow))
+				record.RequestID, record.At.Sub(firstAt), deduplicationWindow))
 		} else if !executed {
-			firstExecutions[s.RequestID] = s.At
+			firstExecutions[record.RequestID] = record.At
 		}
 	}
 	return violations
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -60,15 +60,15 @@
 	random    *rand.Rand
 	startedAt time.Time
 
-	mu                sync.Mutex
-	engines           []*listedEngine
-	violations        []string
-	injectedFaults    []string
-	responses         map[string]int
-	lastEngine        int
-	lastBurstClient   int                  // number of the latest burst client
-	unanswered        []audit.ClientRecord // requests without a response from an edge that was shutting down and was not killed
-	irregularRequests sync.WaitGroup
+	mu                    sync.Mutex
+	engines               []*listedEngine
+	violations            []string
+	injectedFaults        []string
+	responses             map[string]int
+	lastEngineNumber      int
+	lastBurstClientNumber int                  // number of the latest burst client
+	unanswered            []audit.ClientRecord // requests without a response from an edge that was shutting down and was not killed
+	irregularRequests     sync.WaitGroup
 }
 
 // Run executes one run and returns its report.
