--- a/internal/scenario/import.go
+++ b/internal/scenario/import.go
@@ -15,20 +15,20 @@
 
 // Errors of Import.
 var (
-	ErrNotBenchScenario = errors.New("not a scenario of the benchmark")
+	ErrNotBenchScenario = errors.New("not a benchmark scenario")
 	ErrUnknownFault     = errors.New("unknown kind of fault")
 )
 
-// The attempt rate and prefill rate of a fake engine in an imported scenario, and the limits of its edges and sizes.
+// Rates of the fake engines in an imported scenario, and limits on the number of edges and the sizes of faults.
 const (
 	importedAttemptRate = 40.0
 	importedPrefillRate = 100_000.0
 	maxImportedEdges    = 8
-	maxFaultSize        = 1000 // a larger size in the benchmark is a time in microseconds
+	maxFaultSize        = 1000 // larger sizes in the benchmark are times in microseconds
 )
 
-// Import converts a scenario of the benchmark to a script with the same faults, fleet and traffic. Its length is scaled by
-// shrink, and its request rate is set so that the fake engines are about as busy as those of the benchmark.
+// Import converts a benchmark scenario to a script with the same faults, fleet and traffic. The length of the script is scaled
+// by shrink, and its request rate is set so that the fake engines are about as busy as the engines of the benchmark.
 func Import(data []byte, shrink float64) (string, error) {
 	in, err := parseBenchScenario(data)
 	if err != nil {
@@ -37,8 +37,8 @@
 	w := &scriptWriter{shrink: shrink}
 	w.writeFleet(in)
 	w.writeRoutes(in)
-	for _, t := range in.Troubles {
-		if err := w.writeFault(in, t); err != nil {
+	for _, fault := range in.Troubles {
+		if err := w.writeFault(in, fault); err != nil {
 			return "", err
 		}
 	}
@@ -70,7 +70,7 @@
 
 func (w *scriptWriter) writeFleet(in *benchScenario) {
 	prefill, decode := in.countEngines()
-	w.writeLine("# A scenario of the benchmark, %s of %s, %.2f of its length. The rates are those of the fake engines, not of the benchmark.",
+	w.writeLine("# Benchmark scenario of kind %s, family %s, scaled to %.2f of its length. The rates are those of the fake engines, not of the benchmark.",
 		in.Kind, in.Family, w.shrink)
 	w.writeLine("day(length = %q, rate = %.1f, seed = %d, retries = %d, beginnings = %d)", w.scaledDuration(in.Length),
 		max(1, in.Traffic.Load*importedAttemptRate*float64(min(prefill, decode))*0.5), int(in.Noise)%1_000_000,
@@ -93,35 +93,35 @@
 	}
 }
 
-func (w *scriptWriter) writeFault(in *benchScenario, t benchFault) error {
-	kind, ok := benchFaultKinds[t.Kind]
+func (w *scriptWriter) writeFault(in *benchScenario, fault benchFault) error {
+	kind, ok := benchFaultKinds[fault.Kind]
 	if !ok {
-		return fmt.Errorf("trouble %q: %w; known kinds are %s", t.Kind, ErrUnknownFault,
+		return fmt.Errorf("trouble %q: %w; known kinds are %s", fault.Kind, ErrUnknownFault,
 			strings.Join(slices.Sorted(maps.Keys(benchFaultKinds)), ", "))
 	}
 	targets := len(in.Servers)
-	if strings.HasPrefix(t.Kind, "balancer") {
+	if strings.HasPrefix(fault.Kind, "balancer") {
 		targets = len(in.Balancers)
 	}
-	fraction := min(1, max(float64(len(t.On))/float64(max(1, targets)), 0))
+	fraction := min(1, max(float64(len(fault.On))/float64(max(1, targets)), 0))
 	// Sizes that are times are in microseconds in the benchmark and in seconds in a script.
-	size := t.Size
+	size := fault.Size
 	if size > maxFaultSize {
 		size = size * w.shrink / 1e6
 	}
-	w.writeLine("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaledDuration(t.At),
-		w.scaledDuration(t.Len), fraction, min(maxFaultSize, size))
+	w.writeLine("trouble(kind = %q, at = %q, length = %q, part = %.3f, size = %.3f)", kind, w.scaledDuration(fault.At),
+		w.scaledDuration(fault.Len), fraction, min(maxFaultSize, size))
 	return nil
 }
 
-// benchFaultKinds maps the benchmark's names of faults to the kinds of fault.
+// benchFaultKinds maps the benchmark's fault names to fault kinds.
 var benchFaultKinds = map[string]FaultKind{"vanish": FaultVanish, "slow": FaultSlow, "burst": FaultBurst, "hot_key": FaultHotPrefix,
 	"discovery_stale": FaultStaleList, "balancer_crash": FaultEdgeCrash, "balancer_roll": FaultEdgeRoll, "flush": FaultCacheFlush,
 	"mass_restart": FaultMassRestart, "neighbour": FaultNoisyNeighbour, "pauses": FaultPauses, "handshake_slow": FaultSlowAccept,
 	"ageing": FaultAgeing, "preempt": FaultPreempt}
 
-// benchScenario holds the parts of a scenario of the benchmark that Import uses. Times are in microseconds. The fields
-// without a tag are decoded by their names.
+// benchScenario holds the parts of a benchmark scenario that Import uses. Times are in microseconds. Fields without a tag are
+// decoded by their names.
 type benchScenario struct {
 	Family, Kind string
 	Noise        float64
