--- a/cmd/sandcourse/demo.go
+++ b/cmd/sandcourse/demo.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	deployment.ChatAddress, deployment.EndpointFile = o.address, fleet.Path
+	deployment.ChatAddress, deployment.EndpointFile = o.address, fleet.EndpointFile
 	log, err := zap.NewDevelopment()
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 	if err := e.Start(); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), demoText, o.prefill, o.decode, e.Addr(), fleet.Path)
+	fmt.Fprintf(c.OutOrStdout(), demoText, o.prefill, o.decode, e.Addr(), fleet.EndpointFile)
 	ctx, stop := withStopSignals(context.Background())
 	<-ctx.Done()
 	stop()
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -23,7 +23,7 @@
 	}
 	c := d.RoutingConfig()
 	got := []any{c.Routes[1].Effect, c.Routes[1].PriorityWeight, c.Routes[0].FirstTokenObjective, c.Kinds[1].Role, c.ReservationLimit,
-		c.Routes[0].ObjectivePer1000Tokens, c.SlowStart.Duration, c.Cancel}
+		c.Routes[0].ObjectivePer1000Tokens, c.SlowStart.Duration, c.CanCancel}
 	want := []any{routing.NonRetriable, 5.0, time.Second, routing.DecodeOnly, 625 * time.Millisecond,
 		40 * time.Millisecond, 10 * time.Second, true}
 	if !slices.Equal(got, want) {
--- a/internal/config/params/routing.go
+++ b/internal/config/params/routing.go
@@ -13,7 +13,7 @@
 	c.Node, c.Nodes, c.Zone = int(s.Number("me", 0)), int(s.Number("nodes", float64(c.Nodes))), int(s.Number("zone", 0))
 	c.Tick = s.Duration("tick", c.Tick)
 	c.MaxAttempts = int(s.Number("limits.sends", float64(c.MaxAttempts)))
-	c.Cancel, c.HealthChecks = s.Flag("limits.cancel"), s.Flag("limits.probes")
+	c.CanCancel, c.HealthChecks = s.Flag("limits.cancel"), s.Flag("limits.probes")
 	c.Gossip, c.GossipPrice = s.Flag("limits.peers"), s.Number("prices.peer", 0)
 	c.SuggestRetryAfter, c.MaxRetryAfter = s.Flag("limits.retry_after"), s.Duration("limits.max_retry_after", 0)
 	c.WatchEndpoints = s.Text("discovery") == "watch"
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -33,7 +33,7 @@
 		return c
 	}
 	c := routing.Config{Node: d.NodeNumber, Nodes: d.NodeCount, Zone: indexOrZero(d.zones(), d.Zone), Tick: d.TickInterval,
-		MaxAttempts: d.MaxAttempts, Cancel: true, HealthChecks: d.HealthChecks, SuggestRetryAfter: d.MaxRetryAfter > 0,
+		MaxAttempts: d.MaxAttempts, CanCancel: true, HealthChecks: d.HealthChecks, SuggestRetryAfter: d.MaxRetryAfter > 0,
 		MaxRetryAfter: d.MaxRetryAfter, SlowStart: routing.SlowStart{Duration: d.Rules.SlowStart,
 			Share: d.Rules.SlowStartShare, Multiple: d.Rules.OverloadMultiple, Window: d.Rules.OverloadWindow}}
 	for _, r := range d.Routes {
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// IdleExpired returns the connections that have been idle for too long, ordered by ID. The caller closes each by passing
+// ExpiredConnections returns the connections that have been idle for too long, ordered by ID. The caller closes each by passing
 // the event IdleExpired to Handle.
-func (p *Pool) IdleExpired(now int64) []int64 {
+func (p *Pool) ExpiredConnections(now int64) []int64 {
 	var ids []int64
 	for id, c := range p.connections {
 		if c.state == Idle && time.Duration(now-c.stateSince) >= p.limits.IdleTimeout {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -24,7 +24,7 @@
 			if max(m.pool.Count("a"), m.pool.Count("b")) > limits.PerEngine+1 {
 				t.Fatal("too many connections")
 			}
-			for _, id := range m.pool.IdleExpired(m.now) {
+			for _, id := range m.pool.ExpiredConnections(m.now) {
 				m.pool.Handle(id, IdleExpired, m.now)
 			}
 		}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -163,11 +163,11 @@
 
 func TestTruncatedEndpointFileKeepsLastList(t *testing.T) {
 	f := newFixture(t, nil)
-	text, err := os.ReadFile(f.fleet.Path)
+	text, err := os.ReadFile(f.fleet.EndpointFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(f.fleet.Path, text[:len(text)/2], 0o644); err != nil {
+	if err := os.WriteFile(f.fleet.EndpointFile, text[:len(text)/2], 0o644); err != nil {
 		t.Fatal(err)
 	}
 	// The edge must still serve after it has read the file twice more.
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -33,10 +33,10 @@
 
 	// Accessed only by the poller.
 	parser         *httpframing.Parser
-	streamDecoder  *chat.Decoder // decoder of the current stream; nil if the response is not a stream
-	body           []byte        // body of a response that is not a stream
-	relay          *tokenRelay   // relay of the current stream
-	closeAnnounced bool          // the engine closes the connection after this response
+	streamDecoder  *chat.EventDecoder // decoder of the current stream; nil if the response is not a stream
+	body           []byte             // body of a response that is not a stream
+	relay          *tokenRelay        // relay of the current stream
+	closeAnnounced bool               // the engine closes the connection after this response
 
 	bytesToWrite int64 // accessed only by the owner
 	bytesWritten atomic.Int64
@@ -111,7 +111,7 @@
 	c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, head.Close
 	var relay router.Relay // a nil interface, not a nil *tokenRelay, if the response is not a stream
 	if chat.IsEventStream(head.Header) {
-		c.streamDecoder, c.relay = chat.NewDecoder(maxStreamEvent), &tokenRelay{encodeEvent: e.protocol.StreamEvent}
+		c.streamDecoder, c.relay = chat.NewEventDecoder(maxStreamEvent), &tokenRelay{encodeEvent: e.protocol.StreamEvent}
 		c.streamDecoder.OnComment = func(text []byte) {
 			e.inbox.put(engineLane, 1+len(text), func() { e.router.StreamComment(c.state, text) })
 		}
--- a/internal/edge/fixture_test.go
+++ b/internal/edge/fixture_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	deployment.EndpointFile, deployment.Engines, deployment.ChatAddress = f.fleet.Path, nil, ""
+	deployment.EndpointFile, deployment.Engines, deployment.ChatAddress = f.fleet.EndpointFile, nil, ""
 	if configure != nil {
 		configure(deployment)
 	}
--- a/internal/golden/routing.go
+++ b/internal/golden/routing.go
@@ -18,7 +18,7 @@
 	}
 	values := map[string]string{
 		"me": strconv.Itoa(c.Node), "nodes": strconv.Itoa(c.Nodes), "zone": strconv.Itoa(c.Zone), "tick": formatDuration(c.Tick),
-		"limits.sends": strconv.Itoa(c.MaxAttempts), "limits.cancel": strconv.FormatBool(c.Cancel),
+		"limits.sends": strconv.Itoa(c.MaxAttempts), "limits.cancel": strconv.FormatBool(c.CanCancel),
 		"limits.probes": strconv.FormatBool(c.HealthChecks), "limits.peers": strconv.FormatBool(c.Gossip),
 		"limits.retry_after": strconv.FormatBool(c.SuggestRetryAfter), "limits.max_retry_after": formatDuration(c.MaxRetryAfter),
 		"discovery": strconv.Quote(discovery), "engine_facts.pin": formatDuration(c.ReservationLimit),
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -156,7 +156,7 @@
 
 // readStream reads all events up to the end of the body, even after a final event, so that a second final event is recorded.
 func readStream(body io.Reader, record *audit.ClientRecord, request Request) {
-	events := chat.NewDecoder(maxEventBytes)
+	events := chat.NewEventDecoder(maxEventBytes)
 	buffer := make([]byte, readBufferSize)
 	var err error
 	for err == nil {
--- a/internal/planner/trial.go
+++ b/internal/planner/trial.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	// If the release is lost, the reservation expires at the engine.
-	_, _ = connection.Write(engineapi.Release(trial.Engine, requestID, 0))
+	_, _ = connection.Write(engineapi.EncodeRelease(trial.Engine, requestID, 0))
 	return nil
 }
 
@@ -95,14 +95,14 @@
 	}
 	request := engineapi.Request{Chat: chatRequest, ID: requestID}
 	if trial.Role != planapi.Decode {
-		return request.Prefill(trial.Engine, trial.Epoch, 0)
+		return request.EncodeForPrefill(trial.Engine, trial.Epoch, 0)
 	}
 	host, port, err := net.SplitHostPort(trial.Engine)
 	if err != nil {
 		return nil, err
 	}
 	portNumber, _ := strconv.Atoi(port)
-	return request.Decode(trial.Engine, trial.Epoch, engineapi.KVTransfer{RemotePrefill: true,
+	return request.EncodeForDecode(trial.Engine, trial.Epoch, engineapi.KVTransfer{RemotePrefill: true,
 		Engine: requestID + "/none", Host: host, Port: portNumber})
 }
 
--- a/internal/protocol/chat/decoder.go
+++ b/internal/protocol/chat/decoder.go
@@ -8,9 +8,9 @@
 // ErrEventTooLong reports an event that is over the decoder's limit.
 var ErrEventTooLong = errors.New("stream event is over its size limit")
 
-// Decoder splits a stream into events. It keeps only the data field; it skips other fields, and also comments if OnComment is
+// EventDecoder splits a stream into events. It keeps only the data field; it skips other fields, and also comments if OnComment is
 // not set.
-type Decoder struct {
+type EventDecoder struct {
 	OnComment func(text []byte) // called for each comment if set; it may retain the slice
 
 	maxBytes int
@@ -22,12 +22,12 @@
 	err      error
 }
 
-// NewDecoder returns a decoder that holds at most maxBytes bytes of one event.
-func NewDecoder(maxBytes int) *Decoder { return &Decoder{maxBytes: maxBytes} }
+// NewEventDecoder returns a decoder that holds at most maxBytes bytes of one event.
+func NewEventDecoder(maxBytes int) *EventDecoder { return &EventDecoder{maxBytes: maxBytes} }
 
 // Feed decodes the next bytes and calls emit with the data of each complete event; emit may retain the slice. After an error
 // the decoder accepts no more bytes.
-func (d *Decoder) Feed(in []byte, emit func(data []byte)) error {
+func (d *EventDecoder) Feed(in []byte, emit func(data []byte)) error {
 	for len(in) > 0 && d.err == nil {
 		if d.afterCR {
 			d.afterCR = false
@@ -52,9 +52,9 @@
 }
 
 // AtBoundary reports whether the decoder is between two events.
-func (d *Decoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
+func (d *EventDecoder) AtBoundary() bool { return len(d.line) == 0 && !d.hasData && d.err == nil }
 
-func (d *Decoder) appendToLine(more []byte) {
+func (d *EventDecoder) appendToLine(more []byte) {
 	if len(d.line)+len(d.data)+len(more) > d.maxBytes {
 		d.err = ErrEventTooLong
 		return
@@ -62,7 +62,7 @@
 	d.line = append(d.line, more...)
 }
 
-func (d *Decoder) handleLine(emit func([]byte)) {
+func (d *EventDecoder) handleLine(emit func([]byte)) {
 	line := d.line
 	if !d.started {
 		d.started, line = true, bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
--- a/internal/protocol/chat/decoder_test.go
+++ b/internal/protocol/chat/decoder_test.go
@@ -23,7 +23,7 @@
 			wire = bytes.ReplaceAll(wire, []byte("\n"), []byte("\r\n"))
 		}
 		var got []string
-		d := NewDecoder(1 << 16)
+		d := NewEventDecoder(1 << 16)
 		for rest := wire; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "part")
 			if err := d.Feed(rest[:n], func(data []byte) { got = append(got, string(data)) }); err != nil {
@@ -40,7 +40,7 @@
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("data: {}\n\ndata: [DONE]\n\n"))
 	f.Fuzz(func(t *testing.T, wire []byte) {
-		d := NewDecoder(64)
+		d := NewEventDecoder(64)
 		largest := 0
 		err := d.Feed(wire, func(data []byte) { largest = max(largest, len(data)) })
 		if largest > 64 {
--- a/internal/protocol/chatapi/engine.go
+++ b/internal/protocol/chatapi/engine.go
@@ -21,14 +21,14 @@
 // PrefillRequest implements protocol.EngineCodec.
 func (*Codec) PrefillRequest(request *protocol.Request, requestID string, to protocol.Target, attemptIndex int,
 	_ time.Duration) ([]byte, error) {
-	return engineRequest(request, requestID).Prefill(to.Address, to.RoleEpoch, attemptIndex)
+	return engineRequest(request, requestID).EncodeForPrefill(to.Address, to.RoleEpoch, attemptIndex)
 }
 
 // DecodeRequest implements protocol.EngineCodec.
 func (*Codec) DecodeRequest(request *protocol.Request, requestID string, to protocol.Target, reservation protocol.ReservationHandle,
 	_ time.Duration) ([]byte, error) {
 	transfer, _ := reservation.(engineapi.KVTransfer)
-	return engineRequest(request, requestID).Decode(to.Address, to.RoleEpoch, transfer)
+	return engineRequest(request, requestID).EncodeForDecode(to.Address, to.RoleEpoch, transfer)
 }
 
 // HealthCheckRequest implements protocol.EngineCodec.
@@ -38,7 +38,7 @@
 
 // ReleaseRequest implements protocol.EngineCodec.
 func (*Codec) ReleaseRequest(to protocol.Target, requestID string, attemptIndex int) []byte {
-	return engineapi.Release(to.Address, requestID, attemptIndex)
+	return engineapi.EncodeRelease(to.Address, requestID, attemptIndex)
 }
 
 // ReleaseReachesAllEngines returns false: an engine releases only its own reservations.
--- a/internal/protocol/engineapi/request.go
+++ b/internal/protocol/engineapi/request.go
@@ -17,15 +17,15 @@
 // noAttempt is the attempt index of requests that make no reservation.
 const noAttempt = -1
 
-// Prefill encodes a prefill request. The role epoch is 0 if the engine's role never changes; the attempt index numbers the
+// EncodeForPrefill encodes a prefill request. The role epoch is 0 if the engine's role never changes; the attempt index numbers the
 // attempts of the request.
-func (r Request) Prefill(host string, roleEpoch int64, attemptIndex int) ([]byte, error) {
+func (r Request) EncodeForPrefill(host string, roleEpoch int64, attemptIndex int) ([]byte, error) {
 	return r.encode(host, roleEpoch, attemptIndex, chat.Replacements{"stream": false, "stream_options": nil, "max_tokens": 1,
 		"max_completion_tokens": nil, "kv_transfer_params": KVTransfer{RemoteDecode: true}})
 }
 
-// Decode encodes a decode request, which streams the output from transferred KV state.
-func (r Request) Decode(host string, roleEpoch int64, t KVTransfer) ([]byte, error) {
+// EncodeForDecode encodes a decode request, which streams the output from transferred KV state.
+func (r Request) EncodeForDecode(host string, roleEpoch int64, t KVTransfer) ([]byte, error) {
 	return r.encode(host, roleEpoch, noAttempt, chat.Replacements{"stream": true, "max_tokens": r.Chat.MaxOutputTokens,
 		"max_completion_tokens": nil, "kv_transfer_params": t})
 }
@@ -67,9 +67,9 @@
 	AttemptIndex int    `json:"send"`
 }
 
-// Release encodes a request to a prefill engine to release the reservation of an attempt. The release also applies if the
+// EncodeRelease encodes a request to a prefill engine to release the reservation of an attempt. The release also applies if the
 // engine makes the reservation only afterwards.
-func Release(host, requestID string, attemptIndex int) []byte {
+func EncodeRelease(host, requestID string, attemptIndex int) []byte {
 	body, _ := json.Marshal(releaseBody{requestID, attemptIndex})
 	return fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"+
 		"Content-Length: %d\r\n\r\n%s", ReleasePath, host, len(body), body)
--- a/internal/protocol/platform/response_test.go
+++ b/internal/protocol/platform/response_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("body %q, ended %v, kept alive %v, error %v", body, ended, keepAlive, err)
 		}
 		events := 0
-		if chat.NewDecoder(1<<10).Feed(body, func([]byte) { events++ }) != nil || events != 1 {
+		if chat.NewEventDecoder(1<<10).Feed(body, func([]byte) { events++ }) != nil || events != 1 {
 			t.Fatal(events)
 		}
 	})
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -243,7 +243,7 @@
 // reapConnections closes connections that have been idle for too long, and those that wait too long for a dial or a
 // response.
 func (r *Router) reapConnections() {
-	for _, id := range r.connections.IdleExpired(r.now) {
+	for _, id := range r.connections.ExpiredConnections(r.now) {
 		r.connections.Handle(id, connpool.IdleExpired, r.now)
 		r.closeConnection(id)
 	}
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -11,7 +11,7 @@
 	for _, open := range []int{100, 5000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
 			config := DefaultConfig()
-			config.MaxAttempts, config.Cancel = 4, true
+			config.MaxAttempts, config.CanCancel = 4, true
 			config.SetReservationLimit(time.Second)
 			config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
 			config.Routes = []Route{{Effect: Retriable, PriorityWeight: 1, FirstTokenObjective: time.Second}}
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -120,7 +120,7 @@
 	Tick        time.Duration // how late timers and answers may be
 
 	MaxAttempts       int     // per request
-	Cancel            bool    // whether attempts can be canceled
+	CanCancel         bool    // whether attempts can be canceled
 	HealthChecks      bool    // whether health checks may be sent
 	Gossip            bool    // whether nodes may send each other messages
 	GossipPrice       float64 // per message
--- a/internal/routing/fleet_benchmark_test.go
+++ b/internal/routing/fleet_benchmark_test.go
@@ -23,7 +23,7 @@
 // newFleetNode returns one node of 300 that has served a few requests, after which a share of the engines has restarted.
 func newFleetNode(tb testing.TB, engines int, warmingShare float64) *fleetNode {
 	config := DefaultConfig()
-	config.Nodes, config.MaxAttempts, config.Cancel, config.HealthChecks = 300, 5, true, true
+	config.Nodes, config.MaxAttempts, config.CanCancel, config.HealthChecks = 300, 5, true, true
 	config.SetReservationLimit(time.Second)
 	config.SlowStart = SlowStart{Duration: time.Hour, Window: time.Second, Share: 0.3, Multiple: 3}
 	config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
--- a/internal/routing/node_test.go
+++ b/internal/routing/node_test.go
@@ -16,7 +16,7 @@
 
 func newTestNode(t *testing.T, change func(*Config)) *testNode {
 	config := DefaultConfig()
-	config.MaxAttempts, config.Cancel, config.Tick, config.Nodes = 4, true, 4*time.Millisecond, 2
+	config.MaxAttempts, config.CanCancel, config.Tick, config.Nodes = 4, true, 4*time.Millisecond, 2
 	config.SetReservationLimit(500 * time.Millisecond)
 	config.SlowStart = SlowStart{Duration: 10 * time.Second, Window: time.Second, Share: 0.25, Multiple: 3}
 	config.Kinds = []EngineKind{{Role: PrefillOnly}, {Role: DecodeOnly}}
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -101,7 +101,7 @@
 // released on completion.
 func (p *Policy) releaseAll(req *request) trigger {
 	for i, att := range req.attempts {
-		if att.inFlight && !att.streaming && p.config.Cancel {
+		if att.inFlight && !att.streaming && p.config.CanCancel {
 			p.emit(CancelAttempt{req.RequestID, i})
 		}
 	}
@@ -118,7 +118,7 @@
 	mayRetry := p.route(req).Effect == Retriable
 	switch {
 	case att.canceled:
-	case mayRetry && len(req.attempts) < p.config.MaxAttempts && p.config.Cancel:
+	case mayRetry && len(req.attempts) < p.config.MaxAttempts && p.config.CanCancel:
 		att.canceled = true
 		p.emit(CancelAttempt{req.RequestID, len(req.attempts) - 1})
 	case att.decode:
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -56,7 +56,7 @@
 func newSimulation(t *rapid.T) *simulation {
 	config := DefaultConfig()
 	config.MaxAttempts = rapid.IntRange(2, 6).Draw(t, "attempts")
-	config.Cancel, config.Tick, config.Nodes = true, 4*time.Millisecond, 3
+	config.CanCancel, config.Tick, config.Nodes = true, 4*time.Millisecond, 3
 	config.SuggestRetryAfter, config.MaxRetryAfter = true, time.Second
 	config.SetReservationLimit(300 * time.Millisecond)
 	config.SlowStart = SlowStart{Duration: 10 * time.Second, Window: time.Second, Share: 0.25, Multiple: 3}
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -24,9 +24,9 @@
 
 // Fleet is a set of fake engines with the endpoint list file that names them.
 type Fleet struct {
-	Log     *audit.Log
-	Engines []*engine.Engine
-	Path    string
+	Log          *audit.Log
+	Engines      []*engine.Engine
+	EndpointFile string
 
 	mu            sync.Mutex
 	endpoints     endpoint.List
@@ -37,7 +37,7 @@
 
 // StartFleet starts engines and writes the first endpoint list to a folder.
 func StartFleet(dir string, configs []engine.Config, log *audit.Log) (*Fleet, error) {
-	f := &Fleet{Log: log, Path: filepath.Join(dir, endpointFileName), writeList: endpoint.WriteFile}
+	f := &Fleet{Log: log, EndpointFile: filepath.Join(dir, endpointFileName), writeList: endpoint.WriteFile}
 	keys := &engine.IdempotencyKeys{}
 	for i, c := range configs {
 		e, err := engine.Start(c, log, keys)
@@ -50,7 +50,7 @@
 			Cell: fmt.Sprint("c", i%max(1, len(configs)/cellSize)), State: endpoint.Ready})
 	}
 	f.endpoints.Revision = 1
-	return f, endpoint.WriteFile(f.Path, f.endpoints)
+	return f, endpoint.WriteFile(f.EndpointFile, f.endpoints)
 }
 
 // engineKind returns the kind of engine that the endpoint list has for a role.
@@ -91,7 +91,7 @@
 	list := f.endpoints
 	list.Entries = slices.Clone(list.Entries)
 	before := time.Now()
-	if err := f.writeList(f.Path, list); err != nil {
+	if err := f.writeList(f.EndpointFile, list); err != nil {
 		fmt.Fprintln(os.Stderr, "scenario: cannot write the endpoint list:", err)
 		return
 	}
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -73,7 +73,7 @@
 // PlannerConfig returns the configuration of the planner.
 func (l LoadShift) PlannerConfig(fleet *Fleet, dir string) *config.Planner {
 	p := config.DefaultPlanner()
-	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.Path
+	p.Listen, p.Store, p.EndpointFile = "127.0.0.1:0", filepath.Join(dir, "planner.db"), fleet.EndpointFile
 	p.Kinds = []config.EngineKind{{Name: "prefill", Role: config.RolePrefill}, {Name: "decode", Role: config.RoleDecode}}
 	p.RolePairs = []config.RolePair{{PrefillKind: "prefill", DecodeKind: "decode"}}
 	a := &p.Assignment
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -32,7 +32,7 @@
 	}
 	defer fleet.Stop()
 	base := *s.Deployment
-	base.EndpointFile = fleet.Path
+	base.EndpointFile = fleet.EndpointFile
 	edges, err := StartEdges(s.Edges, base, log, records, uint64(s.Seed))
 	if err != nil {
 		return Result{}, err
