--- a/cmd/sandcourse-edge/main.go
+++ b/cmd/sandcourse-edge/main.go
@@ -42,7 +42,7 @@
 	var settingsFile, configFile string
 	command := &cobra.Command{
 		Use:           "sandcourse-edge --settings FILE | --config FILE",
-		Short:         "One edge router of sandcourse",
+		Short:         "Run an edge router of sandcourse",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -53,8 +53,8 @@
 			return runOnSettings(settingsFile, signals)
 		},
 	}
-	command.Flags().StringVar(&settingsFile, "settings", "", "the settings script")
-	command.Flags().StringVar(&configFile, "config", "", "the platform's configuration, in place of a script")
+	command.Flags().StringVar(&settingsFile, "settings", "", "settings script")
+	command.Flags().StringVar(&configFile, "config", "", "platform configuration, instead of a script")
 	command.MarkFlagsOneRequired("settings", "config")
 	command.MarkFlagsMutuallyExclusive("settings", "config")
 	return command
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -45,13 +45,13 @@
 	var o options
 	c := &cobra.Command{
 		Use:           "sandcourse-plan --settings FILE",
-		Short:         "The planner of sandcourse",
+		Short:         "Run the planner of sandcourse",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE:          func(*cobra.Command, []string) error { return run(o, signals) },
 	}
-	c.Flags().StringVar(&o.settings, "settings", "", "the planner's settings script")
+	c.Flags().StringVar(&o.settings, "settings", "", "settings script")
 	c.Flags().BoolVar(&o.takeOver, "take-over", false, "start with a new store although engines follow another planner, and fence that planner off")
 	c.Flags().BoolVar(&o.check, "check", false, "check the script and exit")
 	if err := c.MarkFlagRequired("settings"); err != nil {
--- a/cmd/sandcourse/modelcheck_files.go
+++ b/cmd/sandcourse/modelcheck_files.go
@@ -86,7 +86,7 @@
 	if len(violations) > 0 {
 		return exitFailed
 	}
-	fmt.Fprintln(out, "this version of the code violates no property")
+	fmt.Fprintln(out, "no property is violated in this version of the code")
 	return nil
 }
 
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -88,8 +88,8 @@
 	{"unpin", "Let a pinned engine change its role again", true},
 	{"move", "Change an engine's role now, within the limits on role changes", true},
 	{"readmit", "Return a quarantined engine to service", true},
-	{"stop", "Stop starting role changes; draining engines return to their role", false},
-	{"go", "Let the planner start role changes again", false},
+	{"stop", "Stop role changes; draining engines keep their roles", false},
+	{"go", "Allow role changes again", false},
 }
 
 func orderCommand(client *plannerClient, o roleOrder) *cobra.Command {
@@ -117,8 +117,8 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "name of the operator, which is recorded with the order")
-	command.Flags().StringVar(&order.Reason, "why", "", "reason for the order, which is recorded with the order")
+	command.Flags().StringVar(&order.Operator, "who", os.Getenv("USER"), "operator's name, recorded with the order")
+	command.Flags().StringVar(&order.Reason, "why", "", "reason, recorded with the order")
 	command.Flags().BoolVar(&order.DryRun, "dry-run", false, "only print what the order would do, or why it is refused")
 	if err := command.MarkFlagRequired("why"); err != nil {
 		panic(err) // only if the flag is not defined above
--- a/cmd/sandcourse/roles_print.go
+++ b/cmd/sandcourse/roles_print.go
@@ -15,7 +15,7 @@
 func printRoles(out io.Writer, status planner.Status) {
 	note := ""
 	if status.Deposed {
-		note = "; DEPOSED by a planner of a later term"
+		note = "; DEPOSED by a planner with a later term"
 	}
 	if status.SaveFailing {
 		note += "; STUCK: the planner cannot write its store"
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -46,7 +46,7 @@
 func buildAll(site, folder string) error {
 	text, err := os.ReadFile(site)
 	if err != nil {
-		return fmt.Errorf("read the site file of the kit: %w", err)
+		return fmt.Errorf("read the kit's site file: %w", err)
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*", changesFile))
 	if err != nil {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -74,8 +74,8 @@
 		t.Errorf("%+v %v", experiment, err)
 	}
 	for text, want := range map[string]string{`arm(name = "a")
-arm(name = "a")`: "e.star:2: name: arm \"a\" is defined twice", `trouble(kind = "rain")`: "must be one of", `day(nodes = 0)`: "e.star:1: nodes",
-		"day(length = \"5s\")\narm(name = \"a\")\ntrouble(kind = \"drain\", at = \"9s\")": "begins at 9s, after the end of a day of 5s"} {
+arm(name = "a")`: "e.star:2: name: arm \"a\" is declared twice", `trouble(kind = "rain")`: "must be one of", `day(nodes = 0)`: "e.star:1: nodes",
+		"day(length = \"5s\")\narm(name = \"a\")\ntrouble(kind = \"drain\", at = \"9s\")": "begins at 9s, after the end of the day at 5s"} {
 		if _, err := ParseExperiment("e.star", []byte(text)); err == nil || !strings.Contains(err.Error(),
 			want) {
 			t.Errorf("%s: %v", text, err)
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -113,7 +113,7 @@
 	arguments := append([]script.Argument{script.Text("name", &arm.Name).Required()}, scenarioArguments(&arm.Scenario)...)
 	return arguments, func(report script.ReportFault) {
 		if slices.ContainsFunc(p.experiment.Arms, func(other Arm) bool { return other.Name == arm.Name }) {
-			report("name", "arm %q is defined twice", arm.Name)
+			report("name", "arm %q is declared twice", arm.Name)
 		}
 		p.experiment.Arms = append(p.experiment.Arms, *arm)
 		p.baseScenarios = append(p.baseScenarios, base)
@@ -137,7 +137,7 @@
 	}
 	for _, f := range p.scenario.Faults {
 		if f.At > p.scenario.Length {
-			report("trouble: %s begins at %v, after the end of a day of %v", f.Kind, f.At, p.scenario.Length)
+			report("trouble: %s begins at %v, after the end of the day at %v", f.Kind, f.At, p.scenario.Length)
 		}
 	}
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -84,7 +84,7 @@
 	}
 	timeLeft := time.Duration(max(0, record.Deadline-attempt.WrittenAt))
 	if excess := attempt.TimeBudget - timeLeft; excess > m.limits.TimeBudgetSlack {
-		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v more than is left", attempt.Index, excess)
+		m.report(ExcessiveTimeBudget, record.Name, "attempt %d, %v more than the time left", attempt.Index, excess)
 	}
 }
 
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -5,13 +5,13 @@
 
 // Properties lists all properties that are checked. The text of a violation begins with the name of its property.
 var Properties = []Property{
-	{"P1", "an admitted request gets exactly one final response, and nothing after it"},
+	{"P1", "an admitted request gets exactly one final response, and no bytes after it"},
 	{"P2", "at most one attempt of a request is in flight"},
-	{"P3", "no attempt follows an attempt that may have run, if the route is non-retriable; nothing that may have run is shed"},
+	{"P3", "no attempt follows an attempt that may have run, if the route is non-retriable; no request that may have run is shed"},
 	{"P4", "the final response, or the first token of a stream, is sent before the client's timeout"},
 	{"P5", "no reservation is held longer than the reservation limit with no attempt of its request in flight, unless two releases were lost; the routing policy releases it before the router itself has to, unless an attempt was interrupted"},
 	{"P6", "no attempt follows the final response, and none stays in flight after its client disconnected"},
-	{"P7", "nothing is written to an engine later than the drain grace after the router was notified of its drain"},
+	{"P7", "no attempt is sent to an engine later than the drain grace after the router was notified of its drain"},
 	{"P8", "a connection carries one request at a time, and none while part of a response is unread"},
 	{"P9", "in a terminal state no connection is busy, no control request is open and the router keeps no request"},
 	{"P10", "every execution terminates: no client waits forever"},
--- a/internal/planner/assignment/operator_orders.go
+++ b/internal/planner/assignment/operator_orders.go
@@ -9,7 +9,7 @@
 
 // Errors of ApplyOrder. An error about one engine is wrapped with the engine's address.
 var (
-	ErrNotListed      = errors.New("no such engine is listed")
+	ErrNotListed      = errors.New("engine is not listed")
 	ErrPinned         = errors.New("engine is already pinned")
 	ErrNotPinned      = errors.New("engine is already unpinned")
 	ErrStopped        = errors.New("role changes are already stopped")
@@ -25,7 +25,7 @@
 
 // Error returns the message that is sent to the operator.
 func (e *IneligibleError) Error() string {
-	return fmt.Sprintf("%s may not change its role: %s", e.Engine, e.Reason)
+	return fmt.Sprintf("%s cannot change its role: %s", e.Engine, e.Reason)
 }
 
 // ApplyOrder applies an operator's order. It returns a description of the effect, or the error for which the order
@@ -73,9 +73,9 @@
 
 func (c *Controller) setStopped(order planapi.Order) (string, error) {
 	stop := order.Operation == planapi.OperationStop
-	text := "role changes may begin again"
+	text := "role changes are allowed again"
 	if stop {
-		text = "no role change begins; draining engines keep their roles, loading engines complete their changes"
+		text = "role changes are stopped; draining engines keep their roles, loading engines complete their changes"
 	}
 	switch {
 	case stop && c.meta.Stopped:
--- a/internal/planner/assignment/reason.go
+++ b/internal/planner/assignment/reason.go
@@ -25,7 +25,7 @@
 	ReasonWorthCost   Reason = "change is worth its cost"
 	ReasonNoEstimate  Reason = "demand or engine throughput is not known yet"
 	ReasonNoGain      Reason = "change would gain nothing"
-	ReasonExplainOnly Reason = "settings only allow changes to be explained"
+	ReasonExplainOnly Reason = "settings forbid changes (explain_only)"
 )
 
 // Formats of reasons with values.
--- a/internal/planner/planapi/orders.go
+++ b/internal/planner/planapi/orders.go
@@ -69,7 +69,7 @@
 		case needs != (o.Engine != ""):
 			return newInvalidError("op %s is not allowed with engine %q", o.Operation, o.Engine)
 		case len(o.Operator) > maxOperatorBytes || len(o.Reason) > maxReasonBytes:
-			return newInvalidError("who may have at most %d bytes, and why %d", maxOperatorBytes, maxReasonBytes)
+			return newInvalidError("who may have at most %d bytes, why at most %d", maxOperatorBytes, maxReasonBytes)
 		}
 		return nil
 	})
--- a/internal/planner/planapi/parse.go
+++ b/internal/planner/planapi/parse.go
@@ -47,7 +47,7 @@
 
 // Error returns the size and the limit.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("message of %d bytes is over the limit of %d", e.Bytes, e.Max)
+	return fmt.Sprintf("message has %d bytes, at most %d are allowed", e.Bytes, e.Max)
 }
 
 // SyntaxError reports that a message is truncated, or not valid JSON of its kind.
--- a/internal/planner/planapi/plan.go
+++ b/internal/planner/planapi/plan.go
@@ -58,7 +58,7 @@
 func ParsePlan(data []byte) (Plan, error) {
 	return parse(MessagePlan, data, MaxPlanBytes, func(p Plan) error {
 		if p.Term < 1 || p.Number < 1 || p.Engines == nil {
-			return newInvalidError("term and number must be over 0, and engines must be set")
+			return newInvalidError("term and number must be positive, and engines must be set")
 		}
 		for i, engine := range p.Engines {
 			if engine.UptimeMillis < 0 || !allInRange(engine.Weight) {
--- a/internal/planner/planclient/client.go
+++ b/internal/planner/planclient/client.go
@@ -35,7 +35,7 @@
 type StatusError struct{ Status string }
 
 // Error returns the status.
-func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %s", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("unexpected response status %s", e.Status) }
 
 // OldPlanError reports that a planner sent a plan older than the one that the client follows.
 type OldPlanError struct{ Term, Number int64 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -91,7 +91,7 @@
 // serveHTTP serves edges and operators until Stop closes the server.
 func (p *Planner) serveHTTP() {
 	if err := p.server.Serve(p.listener); !errors.Is(err, http.ErrServerClosed) {
-		p.log.Error("server failed", zap.Error(err))
+		p.log.Error("HTTP server failed", zap.Error(err))
 	}
 }
 
@@ -102,7 +102,7 @@
 		return err
 	}
 	for _, fault := range stored.Faults {
-		p.log.Error("stored record not readable", zap.Error(fault))
+		p.log.Error("store damaged", zap.Error(fault))
 	}
 	p.store, p.saver = store, newRecordSaver(store, p.log)
 	p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -238,7 +238,7 @@
 func (p *Planner) publish(plan planapi.Plan) {
 	line, err := json.Marshal(plan)
 	if err != nil {
-		p.log.Error("encoding the plan failed", zap.Error(err))
+		p.log.Error("plan encoding failed", zap.Error(err))
 		return
 	}
 	if p.OnPublish != nil {
@@ -262,7 +262,7 @@
 	for _, entry := range list.Entries {
 		kind, known := p.kinds[entry.Kind]
 		if !known || kind.Role == config.RoleBoth {
-			p.log.Warn("ignoring engine whose kind has no single role", zap.String("engine", entry.ID),
+			p.log.Warn("engine ignored: kind is unknown or has both roles", zap.String("engine", entry.ID),
 				zap.String("kind", entry.Kind))
 			continue
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -29,7 +29,7 @@
 		want              string
 	}{
 		{planapi.OperationMove, f.engines[0].Addr(), "must stay"},
-		{planapi.OperationMove, "127.0.0.1:1", "no such engine is listed"},
+		{planapi.OperationMove, "127.0.0.1:1", "127.0.0.1:1: engine is not listed"},
 		{planapi.OperationReadmit, f.engines[1].Addr(), "not aside"},
 		{planapi.OperationGo, "", "already"},
 		{"fly", "", "one of"},
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -70,7 +70,7 @@
 			script.Number("max_tokens", &c.MaxTokens, 1, 4096),
 		}, func(report script.ReportFault) {
 			if c.Route != "" && s.Deployment.RouteIndex(c.Route) < 0 {
-				report("route", "%q is not a route that the script defines above", c.Route)
+				report("route", "%q is not a route declared above", c.Route)
 			}
 			s.TrafficShares = append(s.TrafficShares, c)
 		}
@@ -88,7 +88,7 @@
 			script.Number("on", &f.Selector, 0, 1e6),
 		}, func(report script.ReportFault) {
 			if len(s.Faults) >= maxFaults {
-				report("", "more than %d faults", maxFaults)
+				report("", "at most %d faults are allowed", maxFaults)
 				return
 			}
 			s.Faults = append(s.Faults, f)
@@ -99,7 +99,7 @@
 func (s *Scenario) checkScript(report script.ReportScriptFault) {
 	s.Deployment.CheckScript(report)
 	if len(s.TrafficShares) == 0 {
-		report("client: at least one is required")
+		report("client: at least one client is required")
 	}
 	for i, f := range s.Faults {
 		if f.At > s.Duration {
--- a/internal/soak/response.go
+++ b/internal/soak/response.go
@@ -16,7 +16,7 @@
 	// errDeadlineExceeded reports that the deadline of the client's connection passed before the response ended.
 	errDeadlineExceeded = errors.New("client deadline exceeded")
 	// errConnectionCloses reports that the edge has announced the close of the connection after the response.
-	errConnectionCloses = errors.New("edge closes the connection")
+	errConnectionCloses = errors.New("edge closed the connection")
 )
 
 // asDeadlineExceeded returns errDeadlineExceeded for a network timeout and any other error unchanged.
