--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -13,14 +13,14 @@
 // Limits bounds what one router accepts from its clients.
 type Limits struct {
 	Connections         int
-	OpenRequests        int // admitted and not answered yet
-	BufferedBytes       int // of request bodies, complete and partial
+	OpenRequests        int // requests that are admitted and not answered yet
+	BufferedBytes       int // bytes of request bodies, complete and partial
 	HeaderTimeout       time.Duration
 	BodyTimeout         time.Duration
-	IdleTimeout         time.Duration // between two requests on one connection
-	FirstRequestTimeout time.Duration // from the opening of a connection to its first complete request; 0 for no limit
+	IdleTimeout         time.Duration // time between two requests on one connection
+	FirstRequestTimeout time.Duration // time from the opening of a connection to its first complete request; 0 for no limit
 	RetryShare          float64       // share of requests that may be retries; 0 for no limit
-	DrainTimeout        time.Duration // for a client to read the rest of a response before its connection is closed
+	DrainTimeout        time.Duration // time for a client to read the rest of a response before its connection is closed
 }
 
 type connection struct {
@@ -29,7 +29,7 @@
 	stateSince        int64
 	bufferedBytes     int
 	openRequests      int
-	firstRequestSince int64 // when the connection was opened; 0 after its first complete request
+	firstRequestSince int64 // time at which the connection was opened; 0 after its first complete request
 }
 
 // Controller tracks the connections of one router's clients and the open requests of its tenants.
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -10,12 +10,12 @@
 // There are two exceptions. The first three retries of any ten seconds are allowed, since an idle router must not reject a
 // single retry. A retry that the client does not declare counts as a first try.
 type RetryBudget struct {
-	share  float64 // 0 for no limit
+	share  float64 // largest share of retries; 0 for no limit
 	window [windowSeconds]secondCount
 }
 
 type secondCount struct {
-	second            int64 // whole seconds of the caller's clock
+	second            int64 // current second of the caller's clock
 	requests, retries float64
 }
 
--- a/internal/asynclog/sink.go
+++ b/internal/asynclog/sink.go
@@ -90,5 +90,5 @@
 	if count := s.dropped.Swap(0); count > 0 {
 		fmt.Fprintf(w, droppedLine, count)
 	}
-	_, _ = w.Write(line) // an error of the log's writer cannot be reported
+	_, _ = w.Write(line) // An error of the log's writer cannot be reported.
 }
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -23,11 +23,11 @@
 type Result struct {
 	Final               bool // the attempt has ended, and Verdict is its outcome
 	Verdict             routing.Verdict
-	ReservationMissing  bool // with the verdict Full: the engine did not find the reservation to fetch
+	ReservationMissing  bool // if the verdict is Full: the engine did not find the reservation to fetch
 	Connection          ConnectionDisposition
 	MayLeaveReservation bool // a prefill engine may hold a reservation for the attempt, which has to be released
 	FirstToken          bool // the event is the first token
-	Transition          int  // number of the transition that fired, from 1; 0 for none
+	Transition          int  // number of the transition that fired, from 1; 0 if none fired
 }
 
 // Handle applies an event. An event without a transition from the current state changes nothing. In particular, later events
--- a/internal/attempt/state.go
+++ b/internal/attempt/state.go
@@ -37,13 +37,13 @@
 	Rejected                         // the engine rejects the request: slots and queue full, draining, or outdated epoch
 	ReservationNotFound              // the engine reports that there is no reservation to fetch
 	ErrorStatus                      // any other error status, which does not prove that the attempt has not run
-	MalformedResponse                // not a valid response: a bad status line, a second header, a bad frame
+	MalformedResponse                // an invalid response: a bad status line, a second header or a bad frame
 	SuccessStatus                    // a success status
 	PrefillCompleted                 // the complete response of a prefill engine, which names the reservation
 	TokenReceived                    // a token
 	DecodeCompleted                  // the last event of a decode engine's stream
 	ConnectionReset                  // the connection broke, or the other side closed it
-	StreamStalled                    // no token for too long; before the first token the timers of the routing policy apply
+	StreamStalled                    // no token for too long; before the first token, the routing policy's timers apply
 	Canceled                         // the routing policy canceled the attempt
 )
 
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -16,9 +16,9 @@
 
 // The effects of a second run.
 const (
-	EffectRetriable    Effect = "retriable"     // idempotent
-	EffectDeduped      Effect = "deduped"       // idempotent with an idempotency key, within the route's window and group
-	EffectNonRetriable Effect = "non-retriable" // not idempotent
+	EffectRetriable    Effect = "retriable"     // the request is idempotent
+	EffectDeduped      Effect = "deduped"       // an idempotency key makes it idempotent within the route's window and group
+	EffectNonRetriable Effect = "non-retriable" // the request is not idempotent
 )
 
 // Effects lists all valid effects.
@@ -50,7 +50,7 @@
 	Effect                 Effect
 	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective of the first token
-	ObjectivePer1000Tokens time.Duration // added to the objective for each 1,000 prompt tokens
+	ObjectivePer1000Tokens time.Duration // increase of the objective for each 1,000 prompt tokens
 	Timeout                time.Duration
 	DedupWindow            time.Duration
 	DedupGroup             DedupGroup
@@ -69,16 +69,16 @@
 	Total                    int // limit for all engines together; 0 for no limit
 	ConcurrentDials          int
 	DialTimeout              time.Duration
-	IdleTimeout              time.Duration // how long an idle connection may be reused
+	IdleTimeout              time.Duration // time for which an idle connection may be reused
 	NonIdempotentIdleTimeout time.Duration // IdleTimeout for requests that are not idempotent
-	ReuseDelay               time.Duration // how long a connection that carried a stream is not reused
+	ReuseDelay               time.Duration // time for which a connection that carried a stream is not reused
 }
 
 // Rules holds the parameters of the routing rules.
 type Rules struct {
 	DrainGrace       time.Duration
-	ReservationLimit time.Duration // how long a prefill engine may hold the KV state of a request for its decode
-	SlowStart        time.Duration // how long an engine is warming up after its start
+	ReservationLimit time.Duration // time for which a prefill engine may hold the KV state of a request for its decode
+	SlowStart        time.Duration // duration of an engine's warm-up after its start
 	SlowStartShare   float64       // share of an engine's capacity at the start of its warm-up
 	OverloadWindow   time.Duration
 	OverloadMultiple float64
@@ -107,16 +107,16 @@
 	TickInterval          time.Duration
 	StallTimeout          time.Duration
 	MaxRetryAfter         time.Duration
-	ShutdownTimeout       time.Duration // how long open requests may continue after the signal to stop
+	ShutdownTimeout       time.Duration // time for which open requests may continue after the signal to stop
 	HealthChecks          bool
 
 	// The fields below are set only from the configuration of a platform.
 
 	PlatformRouting      *routing.Config // routing configuration from the platform, to which the deployment adds its own settings
 	Zones                []string        // names of the zones, indexed by zone number
-	ShutdownAcceptTime   time.Duration   // how long a router accepts connections after the signal to stop
-	ShutdownStayTime     time.Duration   // how long a stopping router keeps client connections if no gossip from a peer arrives
-	ShutdownHandoverTime time.Duration   // when a stopping router hands over requests that it was no longer required to accept
+	ShutdownAcceptTime   time.Duration   // time for which a router accepts connections after the signal to stop
+	ShutdownStayTime     time.Duration   // time for which a stopping router keeps client connections without gossip from a peer
+	ShutdownHandoverTime time.Duration   // time at which a stopping router hands over requests that it was not required to accept
 	QueueBytes           int             // maximum size of events queued for the router's core
 	// ReleaseRepeatTime is how long releases are repeated after an attempt was abandoned, for engines that do not remember
 	// releases. Such an attempt may continue after its connection ended, and make or return its reservation only later.
@@ -157,7 +157,7 @@
 		MaxHeadBytes:      16 << 10,
 		ClientBufferBytes: 48 << 10,
 		MaxAttempts:       4,
-		TickInterval:      5 * time.Millisecond, // routing responds three ticks before a client's timeout
+		TickInterval:      5 * time.Millisecond, // Routing responds three ticks before a client's timeout.
 		StallTimeout:      5 * time.Second,
 		MaxRetryAfter:     time.Second,
 		QueueBytes:        16 << 20,
--- a/internal/config/params/report.go
+++ b/internal/config/params/report.go
@@ -9,7 +9,7 @@
 // Names of the values in a load report on the wire.
 const (
 	fieldMemoryShare   = "x0"
-	fieldQueuedTokens  = "x1" // in thousands
+	fieldQueuedTokens  = "x1" // queued tokens in thousands
 	fieldOpenRequests  = "active"
 	fieldRecentLatency = "avg_ms"
 )
--- a/internal/config/planner.go
+++ b/internal/config/planner.go
@@ -14,7 +14,7 @@
 	Listen       string
 	Store        string // path of the durable store
 	EndpointFile string
-	TakeOver     bool // start a new store even if engines follow another planner; set by the command line
+	TakeOver     bool // a new store is started even if engines follow another planner; set by the command line
 	Kinds        []EngineKind
 	RolePairs    []RolePair
 	Assignment   assignment.Config
--- a/internal/config/script/fault.go
+++ b/internal/config/script/fault.go
@@ -23,8 +23,8 @@
 // Fault is one fault of a script with its location.
 type Fault struct {
 	File     string
-	Line     int32  // 0 if the fault does not belong to one line
-	Argument string // empty if the fault does not belong to one argument
+	Line     int32  // line of the fault; 0 if the fault does not belong to one line
+	Argument string // name of the argument; empty if the fault does not belong to one argument
 	Err      error
 }
 
--- a/internal/config/script/script.go
+++ b/internal/config/script/script.go
@@ -60,7 +60,7 @@
 	syntax.Walk(file, in.recordArguments)
 	if err := in.execute(options, text); err != nil {
 		in.addExecutionFault(err)
-	} else if check != nil { // a script that failed may lack calls that it did not reach
+	} else if check != nil { // A script that failed may lack calls that it did not reach.
 		check(func(format string, args ...any) {
 			in.faults = append(in.faults, locatedFault{0, &Fault{File: name, Err: fmt.Errorf(format, args...)}})
 		})
@@ -73,7 +73,7 @@
 	name              string
 	functions         map[string]Function
 	faults            []locatedFault
-	argumentPositions map[syntax.Position]map[string]syntax.Position // by position of the call's opening parenthesis, then by argument
+	argumentPositions map[syntax.Position]map[string]syntax.Position // by the call's opening parenthesis and by argument
 }
 
 // locatedFault is a fault and the line by which it is sorted. The line is 0 for faults of the whole script.
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -10,9 +10,9 @@
 // 0 if none has to be closed.
 type Lease struct {
 	ID     int64
-	Reused bool // false if the connection must be dialed
+	Reused bool // the connection is open; otherwise it must be dialed
 	Evict  int64
-	OK     bool // false if a limit is reached
+	OK     bool // a connection was found or added; otherwise a limit is reached
 }
 
 // Acquire finds a connection for an attempt or a control request. An idle one is reused only if it has been idle for less
--- a/internal/connpool/earlyclose.go
+++ b/internal/connpool/earlyclose.go
@@ -18,7 +18,7 @@
 // earlyCloses records when the other side last closed idle connections too early.
 type earlyCloses struct {
 	byEngine map[string]int64
-	last     int64 // last early close of any engine; 0 for none
+	last     int64 // time of the last early close by any engine; 0 for none
 }
 
 func (e *earlyCloses) record(engine string, now int64) { e.byEngine[engine], e.last = now, now }
@@ -54,7 +54,7 @@
 // EarlyCloseFingerprint returns the early closes that still count as a text of ages by engine; the empty name stands for any
 // engine.
 func (p *Pool) EarlyCloseFingerprint(now int64) string {
-	ages := map[string]int64{} // nanoseconds
+	ages := map[string]int64{} // ages in nanoseconds
 	for engine, at := range p.earlyCloses.byEngine {
 		if p.earlyCloses.isRecentFor(engine, now) {
 			ages[engine] = now - at
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -9,11 +9,11 @@
 
 // Limits bounds the connections of one router.
 type Limits struct {
-	PerEngine       int           // connections to one engine
-	ConcurrentDials int           // dials in progress to one engine; each handshake costs the engine work
-	Total           int           // connections to all engines together; 0 for no limit
-	IdleTimeout     time.Duration // an idle connection is closed after this
-	SettleTime      time.Duration // a connection that carried a stream is not reused for this long
+	PerEngine       int           // limit on connections to one engine
+	ConcurrentDials int           // limit on dials in progress to one engine, as each handshake costs the engine work
+	Total           int           // limit on connections to all engines together; 0 for no limit
+	IdleTimeout     time.Duration // time after which an idle connection is closed
+	SettleTime      time.Duration // time for which a connection that carried a stream is not reused
 }
 
 type connection struct {
--- a/internal/connpool/state.go
+++ b/internal/connpool/state.go
@@ -34,7 +34,7 @@
 	DialFailed                       // the connection could not be opened
 	Acquired                         // the connection was idle, and carries a request now
 	Released                         // the response has been read completely, no unread bytes remain
-	ReleasedAfterStream              // like Released, and the response was a stream
+	ReleasedAfterStream              // as Released, for a response that was a stream
 	ReleasedDirty                    // the request on the connection ended in any other way
 	Broken                           // the connection is lost
 	IdleExpired                      // the connection has been idle for longer than is allowed
--- a/internal/discovery/catalog/catalog.go
+++ b/internal/discovery/catalog/catalog.go
@@ -17,7 +17,7 @@
 // Catalog is the last state received from the discovery service. The zero value is a catalog before the first response.
 type Catalog struct {
 	generation    int64
-	entries       map[string]endpoint.Entry // by ID; nil before the first snapshot
+	entries       map[string]endpoint.Entry // entries by ID; nil before the first snapshot
 	ids           []string                  // sorted IDs of the entries; List updates it if idsStale is set
 	idsStale      bool
 	needsSnapshot bool // the store of the discovery service was restored, so changes do not apply to the entries
@@ -25,7 +25,7 @@
 
 // Update is the result of applying a response.
 type Update struct {
-	Changed bool     // whether the list has changed
+	Changed bool     // the list has changed
 	Invalid []string // IDs of invalid instances, which are not in the list; an ID is empty if the instance has none
 }
 
@@ -47,7 +47,7 @@
 	}
 	if r.Generation <= c.generation {
 		c.needsSnapshot = r.Generation < c.generation
-		return Update{}, nil // no changes, or changes that were applied before
+		return Update{}, nil // The response has no changes, or changes that were applied before.
 	}
 	c.generation, c.needsSnapshot = r.Generation, false
 	return Update{Changed: true, Invalid: c.applyInstances(r)}, nil
--- a/internal/discovery/catalog/response.go
+++ b/internal/discovery/catalog/response.go
@@ -19,7 +19,7 @@
 type response struct {
 	Generation int64
 	Snapshot   bool
-	Instances  []json.RawMessage // decoded one by one, so that an invalid instance does not affect the others
+	Instances  []json.RawMessage // instances are decoded one by one, so that an invalid one does not affect the others
 }
 
 func parseResponse(body []byte) (*response, error) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -28,13 +28,13 @@
 
 // Client is an endpoint.Source that watches the agent at the last address received from Addresses.
 type Client struct {
-	Addresses <-chan string // addresses of the agent; each replaces the previous one
+	Addresses <-chan string // addresses of the agent; each address replaces the previous one
 	Cached    []byte        // the last snapshot that the node received; empty before the first one
 }
 
 // InvalidInstancesError reports invalid instances, which are left out of a list.
 type InvalidInstancesError struct {
-	IDs []string // an ID is empty if the instance has none
+	IDs []string // IDs of the instances; an ID is empty if the instance has none
 }
 
 // Error returns a message with the IDs of the instances.
--- a/internal/edge/client_connection.go
+++ b/internal/edge/client_connection.go
@@ -90,7 +90,7 @@
 func (c *clientConnection) CloseIfIdle() bool {
 	tasks, ok := c.decideClose()
 	for _, t := range tasks {
-		c.edge.inbox.put(clientLane, 0, t.run) // weight 0: the owner must not block on its own inbox
+		c.edge.inbox.put(clientLane, 0, t.run) // The weight is 0, as the owner must not block on its own inbox.
 	}
 	if !ok {
 		return false
--- a/internal/edge/client_side.go
+++ b/internal/edge/client_side.go
@@ -138,7 +138,7 @@
 	size, err = conn.Read(buffer)
 	switch {
 	case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.EAGAIN):
-		return 0, nil // the poller reports unread bytes again
+		return 0, nil // The poller reports unread bytes again.
 	case err != nil:
 		return 0, err
 	case size == 0:
--- a/internal/edge/engine_connection.go
+++ b/internal/edge/engine_connection.go
@@ -53,7 +53,7 @@
 	c.bytesWritten.Store(0)
 	c.bytesToWrite = int64(len(request))
 	_, err := c.conn.Write(request)
-	if err != nil { // if the connection closed before its session was set, no close callback follows
+	if err != nil { // If the connection closed before its session was set, no close callback follows.
 		c.edge.inbox.put(engineLane, 0, func() { c.edge.router.EngineDisconnected(c.state) })
 	}
 	return err
@@ -109,7 +109,7 @@
 func (c *engineConnection) handleHead(head *http.Response) {
 	e := c.edge
 	c.streamDecoder, c.body, c.relay, c.closeAnnounced = nil, nil, nil, head.Close
-	var relay router.Relay // a nil interface, not a nil *tokenRelay, if the response is not a stream
+	var relay router.Relay // The relay is a nil interface, not a nil *tokenRelay, if the response is not a stream.
 	if chat.IsEventStream(head.Header) {
 		c.streamDecoder, c.relay = chat.NewEventDecoder(maxStreamEvent), &tokenRelay{encodeEvent: e.protocol.StreamEvent}
 		c.streamDecoder.OnComment = func(text []byte) {
--- a/internal/edge/engine_side.go
+++ b/internal/edge/engine_side.go
@@ -32,7 +32,7 @@
 	s.pollers = nbio.NewEngine(nbio.Config{
 		Name:               "engines",
 		NPoller:            s.edge.pollersPerSide,
-		MaxWriteBufferSize: 2 * s.edge.deployment.MaxBodyBytes, // ample room for the body and head of a request
+		MaxWriteBufferSize: 2 * s.edge.deployment.MaxBodyBytes, // The buffer holds the head and the body of any request.
 	})
 	s.pollers.OnOpen(s.onOpen)
 	s.pollers.OnClose(s.onClose)
@@ -87,7 +87,7 @@
 	for backoff := dialBackoffMin; ; backoff = min(2*backoff, dialBackoffMax) {
 		conn, err := s.dialOnce(ctx, address)
 		if err != nil && ctx.Err() != nil && localpause.IsLate(e.clock(), due) {
-			return nil, errors.Join(router.ErrLocal, err) // the engine may have accepted while this process was paused
+			return nil, errors.Join(router.ErrLocal, err) // The engine may have accepted while this process was paused.
 		}
 		if err == nil || !neterr.IsLocal(err) && e.lifetime.Err() == nil {
 			return conn, err
--- a/internal/edge/inbox.go
+++ b/internal/edge/inbox.go
@@ -33,7 +33,7 @@
 // connection, have weight 0; they occur at most once per connection or are added by the owner itself.
 type inbox struct {
 	clock          func() int64
-	wake           chan struct{} // holds one item while tasks wait
+	wake           chan struct{} // signal to the owner: holds one item while tasks wait
 	previousTurnAt atomic.Int64  // start of the owner's turn before the current one
 
 	mu     sync.Mutex
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -62,7 +62,7 @@
 	m.violations = m.counters("sandcourse_violations_total",
 		"Rules that the node broke, as its own monitor sees it; 0 is right.", "rule")
 	for _, rule := range invariant.Rules {
-		m.violations.WithLabelValues(string(rule)) // exported from the start, so that an increase from 0 is visible
+		m.violations.WithLabelValues(string(rule)) // The counter is exported from the start, so that an increase from 0 is visible.
 	}
 }
 
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -113,7 +113,7 @@
 func (o observer) AttemptEnded(summary router.AttemptSummary) {
 	o.edge.metrics.attempts.WithLabelValues(stageName(summary.Decode), string(summary.Verdict)).Inc()
 	if summary.Reason == "" {
-		return // the attempt succeeded
+		return // The attempt succeeded.
 	}
 	o.edge.log.Info("attempt ended",
 		zap.String("request", summary.Request),
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -23,11 +23,11 @@
 // ownerLoop is the state of the goroutine that owns the router.
 type ownerLoop struct {
 	edge               *Edge
-	listTasks          []queuedTask // tasks of this turn; the memory of all three slices is reused
+	listTasks          []queuedTask // waiting tasks of this turn; the memory of all three slices is reused
 	engineTasks        []queuedTask
 	clientTasks        []queuedTask
 	nextClientTask     int  // index of the first of clientTasks that has not been run
-	isRunningListTasks bool // runListTasks is running
+	isRunningListTasks bool // true while runListTasks runs
 	delay              delayReport
 	pauses             localpause.Detector
 	// Start times of the current and the previous turn: a poller that is about to add a task may have read its data before
--- a/internal/edge/reuse_guard.go
+++ b/internal/edge/reuse_guard.go
@@ -31,8 +31,8 @@
 	conn *nbio.Conn
 
 	mu           sync.Mutex
-	newWaiters   []chan struct{} // added since the last event
-	olderWaiters []chan struct{} // added before the last event, so that the next event belongs to a later batch
+	newWaiters   []chan struct{} // waiters added since the last event
+	olderWaiters []chan struct{} // waiters added before the last event: the next event belongs to a later batch
 }
 
 // eventfdConn is an eventfd as a net.Conn, which the socket library requires.
@@ -70,7 +70,7 @@
 		found++
 		marker.conn.SetSession(marker)
 		e.sessions.publish()
-		if _, err := pollers.AddConn(marker.conn); err != nil { // AddConn has closed the marker
+		if _, err := pollers.AddConn(marker.conn); err != nil { // AddConn has closed the marker.
 			return fmt.Errorf("register eventfd with poller: %w", err)
 		}
 	}
@@ -94,7 +94,7 @@
 	markers, stopped := g.markers, g.stopped
 	g.mu.Unlock()
 	if len(markers) == 0 {
-		return // start has not finished: no connection has been closed yet
+		return // The method start has not finished, so no connection has been closed yet.
 	}
 	select {
 	case <-markers[conn.Hash()%len(markers)].notifyOnNewBatch():
@@ -123,7 +123,7 @@
 	defer m.mu.Unlock()
 	if len(m.newWaiters)+len(m.olderWaiters) == 0 {
 		if err := m.signal(); err != nil {
-			close(done) // the edge has stopped
+			close(done) // The edge has stopped.
 			return done
 		}
 	}
--- a/internal/edge/token_relay.go
+++ b/internal/edge/token_relay.go
@@ -28,14 +28,14 @@
 	defer r.mu.Unlock()
 	switch {
 	case r.closed:
-		return true // the final response has been sent: no token may follow it
+		return true // The final response has been sent, and no token may follow it.
 	case r.client == nil:
 		r.pendingInOwner++
 		return false
 	}
 	r.lastForwarded.Store(now)
 	r.forwarded.Add(1)
-	_ = r.client.Send(r.encodeEvent(event)) // fails only if the socket has closed, and the owner is notified of that
+	_ = r.client.Send(r.encodeEvent(event)) // Send fails only if the socket has closed, and the owner is notified of that.
 	return true
 }
 
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -6,15 +6,15 @@
 
 // Entry is one engine of a list.
 type Entry struct {
-	ID          string  `json:"engine"` // address:port in a file
+	ID          string  `json:"engine"` // ID of the engine: in a file, its address:port
 	Address     string  `json:"-"`      // address to connect to; empty if the ID is the address
 	Kind        string  `json:"kind"`   // kind of machine; the settings define its role and memory
 	Zone        string  `json:"zone,omitempty"`
 	Cell        string  `json:"cell,omitempty"`
 	Weight      float64 `json:"weight,omitempty"`
 	State       string  `json:"state"`
-	StartedAtMs int64   `json:"up_since_ms,omitempty"` // Unix milliseconds; 0 if the engine started long ago
-	RoleEpoch   int64   `json:"epoch,omitempty"`       // 0 if the role never changes
+	StartedAtMs int64   `json:"up_since_ms,omitempty"` // start time in Unix milliseconds; 0 if the engine started long ago
+	RoleEpoch   int64   `json:"epoch,omitempty"`       // epoch of the engine's role; 0 if the role never changes
 }
 
 // The values of Entry.State. The field is a plain string because error messages print the types of fields. A stopped engine is
--- a/internal/endpoint/file.go
+++ b/internal/endpoint/file.go
@@ -37,7 +37,7 @@
 // FileSource is a Source that polls a file.
 type FileSource struct {
 	Path         string
-	PollInterval time.Duration // 0 for defaultPollInterval
+	PollInterval time.Duration // interval between reads of the file; 0 for defaultPollInterval
 }
 
 // Run implements Source. A persistent error is reported once.
@@ -71,8 +71,8 @@
 // fileReader reads a list from a file and detects changes.
 type fileReader struct {
 	path     string
-	data     []byte // of the last valid list
-	revision int64  // of the last valid list; -1 before the first list
+	data     []byte // text of the last valid list
+	revision int64  // revision of the last valid list; -1 before the first list
 }
 
 // read returns the list in the file if it is valid and differs from the last valid list.
--- a/internal/invariant/gates.go
+++ b/internal/invariant/gates.go
@@ -18,7 +18,7 @@
 // PriorAttempt is an earlier attempt of the same request.
 type PriorAttempt struct {
 	Decode    bool  // a decode may have an effect, a prefill has no effect
-	WrittenAt int64 // when its first byte was written; 0 if no byte was written
+	WrittenAt int64 // time at which the first byte was written; 0 if no byte was written
 	InFlight  bool  // the attempt has no outcome yet
 	NeverRan  bool  // the outcome proves that the attempt has not run
 }
@@ -27,11 +27,11 @@
 type Attempt struct {
 	Answered        bool // the request has its final answer
 	ClientGone      bool
-	Deadline        int64 // of the client
-	DrainNotifiedAt int64 // when the router was notified that the engine drains or was removed; 0 if the engine is ready
+	Deadline        int64 // deadline of the client
+	DrainNotifiedAt int64 // time of the notification that the engine drains or was removed; 0 if the engine is ready
 	AddressChanged  bool  // the connection leads to a former address of the engine
 	Effect          Effect
-	DedupWindow     time.Duration // how long engines remember a run of a deduplicated request
+	DedupWindow     time.Duration // time for which engines remember a run of a deduplicated request
 	PriorAttempts   []PriorAttempt
 }
 
@@ -83,7 +83,7 @@
 type Connection struct {
 	ClientGone     bool
 	ResponseBroken bool // the response broke off, and the client must not treat it as complete
-	Unanswered     int  // requests that were read on it and have no answer
+	Unanswered     int  // number of requests that were read and have no answer
 	UnreadRequest  bool // a request has arrived, in part or completely, that the router has not handled yet
 }
 
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -12,17 +12,17 @@
 type AcceptedRequest struct {
 	Name        string
 	Effect      Effect
-	DedupWindow time.Duration // how long engines remember a run of a deduplicated request
-	Deadline    int64         // of the client
+	DedupWindow time.Duration // time for which engines remember a run of a deduplicated request
+	Deadline    int64         // deadline of the client
 }
 
 // WrittenAttempt is an attempt whose first byte has been written.
 type WrittenAttempt struct {
-	Index           int // among the attempts of its request, from 0
+	Index           int // position among the attempts of its request, from 0
 	Decode          bool
 	WrittenAt       int64
-	DrainNotifiedAt int64         // when the router was notified that the engine drains or was removed; 0 if the engine is ready
-	TimeBudget      time.Duration // as sent to the engine
+	DrainNotifiedAt int64         // time of the notification that the engine drains or was removed; 0 if the engine is ready
+	TimeBudget      time.Duration // timeout that was sent to the engine
 }
 
 // Monitor keeps its own record of the actions for each request, and checks the rules against it.
@@ -151,7 +151,7 @@
 		return
 	}
 	previous, reported := m.reportedReservations[request]
-	if !reported || unclaimed < previous { // a shorter time belongs to another reservation of the same request
+	if !reported || unclaimed < previous { // A shorter time belongs to another reservation of the same request.
 		m.report(ReservedTooLong, request, "%v", unclaimed)
 	}
 	if len(m.reportedReservations) >= maxReportedReservations {
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -31,10 +31,10 @@
 
 // Limits holds the time spans that the monitor applies.
 type Limits struct {
-	DrainGrace       time.Duration // how long attempts may be sent after the notification of a drain
-	ReservationLimit time.Duration // how long a reservation may exist without an attempt in flight that may consume it
-	AnswerSlack      time.Duration // how long after the client's deadline a final answer may be sent
-	TimeBudgetSlack  time.Duration // how much the time budget sent to an engine may exceed the time that is left
+	DrainGrace       time.Duration // time for which attempts may be sent after the notification of a drain
+	ReservationLimit time.Duration // time for which a reservation may exist without an attempt in flight that may consume it
+	AnswerSlack      time.Duration // time after the client's deadline in which a final answer may be sent
+	TimeBudgetSlack  time.Duration // time by which the time budget sent to an engine may exceed the time that is left
 }
 
 // The slack that the protocol adds to the time spans.
--- a/internal/localpause/detector.go
+++ b/internal/localpause/detector.go
@@ -16,7 +16,7 @@
 type Detector struct {
 	lastReadingAt  int64
 	pauseStartedAt int64 // last clock reading before the latest pause
-	caughtUpAt     int64 // when the input that arrived during the pause counts as read
+	caughtUpAt     int64 // time from which the input that arrived during the pause counts as read
 }
 
 // Update records a reading of the clock. If the process was waiting, due is the time at which the wait should have ended;
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -21,7 +21,7 @@
 // and the same call may succeed a moment later.
 func IsLocal(err error) bool {
 	if errors.Is(err, context.Canceled) {
-		return true // this process canceled the call
+		return true // This process canceled the call.
 	}
 	return slices.ContainsFunc(localErrnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
--- a/internal/planner/assignment/config.go
+++ b/internal/planner/assignment/config.go
@@ -15,7 +15,7 @@
 
 	MaxChangingShare  float64 // share of all engines that may be changing at once; one engine is always allowed
 	MaxSharePerMinute float64 // share of all engines that may begin a change within a minute; two are always allowed
-	ExplainOnly       bool    // decide and explain changes without making them
+	ExplainOnly       bool    // changes are decided and explained, but not made
 
 	PrefillThroughput float64            // tokens per second of one prefill engine, used until measured; 0 if unknown
 	DecodeThroughput  float64            // tokens per second of one decode engine, used until measured; 0 if unknown
@@ -24,7 +24,7 @@
 
 // ListedEngine is an engine's entry in the endpoint list.
 type ListedEngine struct {
-	Engine    string // address
+	Engine    string // address of the engine
 	Role      string
 	Zone      string
 	Cell      string
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -40,7 +40,7 @@
 	throughputs  map[string]float64 // latest known tokens per second of an engine of weight 1, by role
 	mixes        mixHistory
 	skew         skewTracker
-	gainSince    map[string]int64 // by role, time since which a change to the role would have a gain; 0 for no gain
+	gainSince    map[string]int64 // by role: start of the time in which a change to the role would gain; 0 for no gain
 	decidedAt    int64
 	lastDecision Decision
 }
--- a/internal/planner/assignment/demand.go
+++ b/internal/planner/assignment/demand.go
@@ -15,9 +15,9 @@
 	maxDeltas = 10
 	// maxEdges limits the memory used if edges keep reporting under new names.
 	maxEdges              = 10_000
-	edgeUnresponsiveAfter = 4 * time.Second // the counts of an edge are not used if its latest report is older
-	edgeForgottenAfter    = time.Minute     // an edge is removed if its latest report is older
-	minEdgeSpan           = 0.1             // seconds; limits the rate that is computed from a single early report
+	edgeUnresponsiveAfter = 4 * time.Second // An edge's counts are not used if its latest report is older than this.
+	edgeForgottenAfter    = time.Minute     // An edge is removed if its latest report is older than this.
+	minEdgeSpan           = 0.1             // minEdgeSpan, in seconds, limits the rate computed from a single early report.
 	defaultAnswerTokens   = 64              // answer tokens assumed for a route without completed requests
 	// Limits of demandEstimator.uncachedRatio. The ratio can exceed 1, as an engine may compute tokens again
 	// that another engine has cached. Ratios below a fiftieth are not credible.
@@ -142,7 +142,7 @@
 	}
 	span = max(span, minEdgeSpan)
 	c.startedTokenRate += startedTokens / span
-	for route, count := range arrived { // each iteration changes only its own route, so the order does not matter
+	for route, count := range arrived { // Each iteration changes only its own route, so the order does not matter.
 		c.routes[route].edgeRates = append(c.routes[route].edgeRates, count/span)
 	}
 }
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -18,7 +18,7 @@
 	GainingSeconds   float64 `json:"for_s"`    // time for which the change has had a gain so far
 	Engine           string  `json:"engine"`   // engine with the lowest cost of a change
 	LostTokens       float64 `json:"lost_tok"` // cached tokens that no other engine has
-	Reason           Reason  `json:"why"`      // why the change is made or not made
+	Reason           Reason  `json:"why"`      // reason for making or not making the change
 	Chosen           bool    `json:"done"`
 }
 
--- a/internal/planner/assignment/events.go
+++ b/internal/planner/assignment/events.go
@@ -23,7 +23,7 @@
 	Engine string
 	Number int64 // number of the trial; outcomes of earlier trials are ignored
 	OK     bool
-	Reason string // why the trial failed
+	Reason string // reason for a failed trial
 }
 
 // Tick advances the clock: timeouts are checked and decisions are made on ticks.
--- a/internal/planner/assignment/history.go
+++ b/internal/planner/assignment/history.go
@@ -13,7 +13,7 @@
 // changeHistory records when changes began and how long completed changes took.
 type changeHistory struct {
 	starts    []int64
-	durations []time.Duration // from the start of the drain until the trial passed
+	durations []time.Duration // times from the start of the drain until the trial passed
 }
 
 func (h *changeHistory) recordStart(now int64) {
--- a/internal/planner/assignment/record.go
+++ b/internal/planner/assignment/record.go
@@ -17,7 +17,7 @@
 	State        State  `json:"state"`
 	NextRole     string `json:"next,omitempty"`
 	NextEpoch    int64  `json:"next_epoch,omitempty"`
-	StateSince   int64  `json:"since"`           // nanoseconds of the planner's clock
+	StateSince   int64  `json:"since"`           // start of the state, in nanoseconds of the planner's clock
 	ServingSince int64  `json:"began,omitempty"` // start of the engine's warm-up; 0 if long ago
 	Incarnation  int64  `json:"life,omitempty"`
 	Pinned       bool   `json:"pinned,omitempty"`
@@ -39,7 +39,7 @@
 	present           bool // listed in the latest endpoint list
 	roleKnown         bool // the role was reported by the engine or restored from the store
 	report            planapi.EngineReport
-	reportedAt        int64 // 0 if the engine has never reported
+	reportedAt        int64 // time of the latest report; 0 if the engine has never reported
 	reportRequestedAt int64
 	samples           []workSample
 	orderSentAt       int64
@@ -67,7 +67,7 @@
 // engineRegistry holds all engines that were ever listed or restored.
 type engineRegistry struct {
 	byAddress map[string]*engineRecord
-	sorted    []*engineRecord // sorted by address, so that no decision depends on map order
+	sorted    []*engineRecord // all engines by address, so that no decision depends on map order
 }
 
 // updateSorted rebuilds the sorted list after engines were added.
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxPrefillShares = 240  // four minutes at one share each second
+	maxPrefillShares = 240  // limit of prefillShares: four minutes at one share each second
 	maxSkewDurations = 6    // number of durations kept for each role
-	minSkew          = 0.05 // smaller deviations are within the variance of the counts
+	minSkew          = 0.05 // least deviation from the average that counts as a skew; less is within the variance of the counts
 )
 
 // skewTracker records when and for how long the load is skewed to one role, compared with the average load.
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -28,7 +28,7 @@
 	takenAt     int64
 	duration    time.Duration
 	tokens      float64
-	busySeconds float64 // of all slots of the engine together
+	busySeconds float64 // sum over all slots of the engine
 	prefill     bool
 }
 
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -14,13 +14,13 @@
 // The states of an engine's role.
 const (
 	Serving     State = "serving"
-	Draining    State = "draining"  // published as draining, and ordered to drain
-	Ordered     State = "ordered"   // drained, and ordered to load its next role
+	Draining    State = "draining"  // the engine is published as draining, and ordered to drain
+	Ordered     State = "ordered"   // the engine is drained, and ordered to load its next role
 	Loading     State = "loading"   // the engine confirmed the order and is loading
 	InTrial     State = "trying"    // the engine reports its next role, and a trial request verifies it
-	WarmingUp   State = "cold"      // serves in a new role or incarnation, below its full throughput
-	RollingBack State = "returning" // ordered back to its last verified role under a new epoch
-	Quarantined State = "aside"     // removed from the plan: the engine did not follow its orders or failed its trial
+	WarmingUp   State = "cold"      // the engine serves in a new role or incarnation, below its full throughput
+	RollingBack State = "returning" // the engine is ordered back to its last verified role under a new epoch
+	Quarantined State = "aside"     // the engine is removed from the plan, as it did not follow its orders or failed its trial
 )
 
 // trigger is an input that may change the state of an engine's role. Its values are used only to name transitions.
@@ -28,7 +28,7 @@
 
 const (
 	changeChosen      trigger = "change chosen"
-	drained           trigger = "drained"        // no requests or reservations are left, long enough after the drain was published
+	drained           trigger = "drained"        // no requests or reservations are left long enough after the drain was published
 	timedOut          trigger = "timed out"      // the timeout of the state has expired
 	loadConfirmed     trigger = "load confirmed" // the engine reports that it is loading under the epoch of the order
 	roleReported      trigger = "role reported"  // the engine reports that it serves in the role and epoch of the order
@@ -151,7 +151,7 @@
 	if engine.Role != engine.NextRole {
 		c.history.recordCompletion(time.Duration(c.now - engine.changeStartedAt))
 		engine.samples, engine.ServingSince = nil, c.now
-	} else { // an engine that keeps its role needs no warm-up beyond that of its incarnation
+	} else { // An engine that keeps its role needs no warm-up beyond that of its incarnation.
 		engine.ServingSince = engine.reportedUpSince(c.now)
 	}
 	engine.Role, engine.Epoch, engine.NextRole, engine.NextEpoch = engine.NextRole, engine.NextEpoch, "", 0
--- a/internal/planner/assignment/view.go
+++ b/internal/planner/assignment/view.go
@@ -10,7 +10,7 @@
 	Listed           bool                 `json:"Listed"`
 	CanChange        bool                 `json:"CanChange"`
 	Report           planapi.EngineReport `json:"said"`
-	ReportedMsAgo    int64                `json:"heard_ms_ago"` // -1 if the engine has never reported
+	ReportedMsAgo    int64                `json:"heard_ms_ago"` // age of the latest report; -1 if the engine has never reported
 	IneligibleReason Reason               `json:"barred,omitempty"`
 	Fault            string               `json:"trouble,omitempty"`
 }
--- a/internal/planner/handlers.go
+++ b/internal/planner/handlers.go
@@ -51,7 +51,7 @@
 func (p *Planner) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if status, ok := runInEventLoop(p, w, r, p.status); ok {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // an error means that the client closed the connection
+		_ = json.NewEncoder(w).Encode(status) // An error means that the client closed the connection.
 	}
 }
 
--- a/internal/planner/planapi/orders.go
+++ b/internal/planner/planapi/orders.go
@@ -12,10 +12,10 @@
 // Order is an order from an operator to the planner.
 type Order struct {
 	Operation string `json:"op"`               // one of Operations
-	Engine    string `json:"engine,omitempty"` // set for operations on one engine
+	Engine    string `json:"engine,omitempty"` // address of the engine, for operations on one engine
 	Operator  string `json:"who"`
 	Reason    string `json:"why"`
-	DryRun    bool   `json:"dry,omitempty"` // report what would be done without doing it
+	DryRun    bool   `json:"dry,omitempty"` // the effect is reported, but not carried out
 }
 
 // Operations of an operator's order.
--- a/internal/planner/planapi/reports.go
+++ b/internal/planner/planapi/reports.go
@@ -2,23 +2,23 @@
 
 const (
 	maxHotPrefixes = 64
-	maxEdgeName    = 256 // bytes
+	maxEdgeName    = 256 // length of an edge's name in bytes
 	maxRoutes      = 1000
 )
 
 // EngineReport is an engine's load report. Counts are cumulative within an incarnation.
 type EngineReport struct {
-	Engine        string  `json:"-"` // address, set by the poller
+	Engine        string  `json:"-"` // address of the engine, set by the poller
 	Role          string  `json:"role"`
 	Epoch         int64   `json:"epoch"`
 	Term          int64   `json:"term"` // latest planner term that the engine has followed
-	Incarnation   int64   `json:"life"` // different after each start of the engine
+	Incarnation   int64   `json:"life"` // number that differs after each start of the engine
 	UptimeMillis  int64   `json:"up_for_ms"`
 	Changing      bool    `json:"changing"` // the engine loads its next role and serves no requests
 	Draining      bool    `json:"draining"`
 	PrefillTokens float64 `json:"read_tokens"`    // prompt tokens prefilled, without cached tokens
 	DecodeTokens  float64 `json:"written_tokens"` // answer tokens decoded
-	BusySeconds   float64 `json:"busy_seconds"`   // one second in which all slots are busy counts as 1
+	BusySeconds   float64 `json:"busy_seconds"`   // time in which slots were busy; one second with all slots busy counts as 1
 	OpenRequests  int     `json:"open"`           // requests in prefill, in decode or waiting
 	Reservations  int     `json:"held"`           // reservations that wait for their decode requests
 	CachedTokens  float64 `json:"kept_tokens"`    // tokens in cached prefixes
@@ -42,7 +42,7 @@
 // EdgeReport is the load report of one edge.
 type EdgeReport struct {
 	Edge        string       `json:"edge"`
-	Incarnation int64        `json:"life"` // different after each start of the edge
+	Incarnation int64        `json:"life"` // number that differs after each start of the edge
 	Term        int64        `json:"term"`
 	PlanNumber  int64        `json:"plan"` // number of the plan that the edge follows
 	Routes      []RouteCount `json:"routes"`
--- a/internal/planner/planclient/client.go
+++ b/internal/planner/planclient/client.go
@@ -25,7 +25,7 @@
 	maxReconnectDelay     = time.Second
 	maxIdleConnections    = 2
 	initialLineBuffer     = 64 << 10
-	maxDiscardedBody      = 4096 // bytes read of an unused response body
+	maxDiscardedBody      = 4096 // limit on the bytes read of an unused response body
 )
 
 // ErrStreamEnded reports that the planner ended the stream.
@@ -48,7 +48,7 @@
 // Client is an endpoint.Source that follows the planner at the address Addr.
 type Client struct {
 	Addr           string
-	Report         func(ctx context.Context) (planapi.EdgeReport, error) // returns the edge's report; nil to send no reports
+	Report         func(ctx context.Context) (planapi.EdgeReport, error) // source of the edge's reports; nil to send no reports
 	ReportInterval time.Duration                                         // interval of reports; 0 for one second
 	IdleTimeout    time.Duration                                         // maximum time between lines of the stream; 0 for 5 s
 	Now            func() int64                                          // clock in Unix milliseconds; nil for the system clock
@@ -155,7 +155,7 @@
 
 // followedPlan is the newest plan of all streams so far.
 type followedPlan struct {
-	startTimes startTimes // owned by the goroutine that follows the stream
+	startTimes startTimes // start times, owned by the goroutine that follows the stream
 
 	mu   sync.Mutex
 	plan planapi.Plan
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -59,7 +59,7 @@
 	engineIdleTimeout          = time.Minute
 	headerTimeout              = 5 * time.Second
 	maxHeaderBytes             = 16 << 10
-	maxDiscardedBody           = 4096 // bytes read of an unused response body
+	maxDiscardedBody           = 4096 // limit on the bytes read of an unused response body
 )
 
 // New returns a planner that has not been started.
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -20,7 +20,7 @@
 type Store struct {
 	path     string
 	db       *bbolt.DB
-	failSave func() error // set by tests to simulate a full disk
+	failSave func() error // hook of tests to simulate a full disk
 }
 
 // Buckets and keys of the store's file.
@@ -217,7 +217,7 @@
 func (s *Store) Save(changes assignment.Persist) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil { // the file was damaged while it was open
+		if p := recover(); p != nil { // The file was damaged while it was open.
 			err = &DamagedError{Path: s.path, Fault: p}
 		}
 	}()
--- a/internal/planner/storefile.go
+++ b/internal/planner/storefile.go
@@ -23,8 +23,8 @@
 	boltMagic           = 0xED0CDAED
 	boltHeaderBytes     = 16
 	boltMetaBytes       = 64
-	boltPageSizeOffset  = 8  // byte offset in the meta record
-	boltPageCountOffset = 40 // byte offset in the meta record
+	boltPageSizeOffset  = 8  // byte offset of the page size in the meta record
+	boltPageCountOffset = 40 // byte offset of the page count in the meta record
 	maxBoltPages        = 1 << 32
 	maxBoltPageSize     = 1 << 20
 )
--- a/internal/planner/stream.go
+++ b/internal/planner/stream.go
@@ -17,7 +17,7 @@
 	maxStreams         = 5000
 	heartbeatInterval  = time.Second // interval of empty lines on a stream without a new plan
 	streamWriteTimeout = 5 * time.Second
-	minAgeToAdjust     = 50 * time.Millisecond // the uptimes of a younger plan are sent unchanged
+	minAgeToAdjust     = 50 * time.Millisecond // The uptimes of a plan younger than minAgeToAdjust are sent unchanged.
 )
 
 // planStream holds the newest plan and sends it to all edges that follow the planner.
@@ -26,13 +26,13 @@
 
 	mu      sync.Mutex
 	newest  encodedPlan
-	changed chan struct{} // closed at the next change
+	changed chan struct{} // channel that is closed at the next change
 	streams int
 }
 
 // encodedPlan is a plan encoded as a line of the stream.
 type encodedPlan struct {
-	line   []byte // nil if there is no plan
+	line   []byte // encoded plan; nil if there is no plan
 	number int64
 	madeAt time.Time
 }
@@ -109,7 +109,7 @@
 	for {
 		plan, changed := s.current()
 		if plan.line == nil && sent > 0 {
-			return // the planner was deposed
+			return // The planner was deposed.
 		}
 		// Plans are not queued: a slow edge gets the newest plan after it has received the previous one.
 		if err := writeNext(w, plan, sent); err != nil {
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -34,7 +34,7 @@
 	}
 	data, err := readEndpointFile(p.settings.EndpointFile)
 	if err != nil {
-		return 1, nil // no engines are listed yet
+		return 1, nil // No engines are listed yet.
 	}
 	list, err := endpoint.Parse(data)
 	if err != nil {
--- a/internal/protocol/chat/completion.go
+++ b/internal/protocol/chat/completion.go
@@ -36,7 +36,7 @@
 	id           string
 	text         strings.Builder
 	finishReason string
-	tokens       int // events with text, each counted as one token
+	tokens       int // number of events with text, each counted as one token
 	usage        *Usage
 }
 
--- a/internal/protocol/chat/decoder.go
+++ b/internal/protocol/chat/decoder.go
@@ -11,14 +11,14 @@
 // EventDecoder splits a stream into events. It keeps only the data field; it skips other fields, and also comments if OnComment is
 // not set.
 type EventDecoder struct {
-	OnComment func(text []byte) // called for each comment if set; it may retain the slice
+	OnComment func(text []byte) // callback for each comment, which may retain the slice; optional
 
 	maxBytes int
 	line     []byte // bytes of the current line so far
 	data     []byte // data of the current event
-	hasData  bool   // whether the current event has a data field
-	afterCR  bool   // whether the last byte was a carriage return; a line feed after it belongs to the same line end
-	started  bool   // whether the first line, which may have a byte order mark, was handled
+	hasData  bool   // the current event has a data field
+	afterCR  bool   // the last byte was a carriage return; a line feed after it belongs to the same line end
+	started  bool   // the first line, which may have a byte order mark, was handled
 	err      error
 }
 
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -15,8 +15,8 @@
 // Limits of one request apart from its size in bytes.
 const (
 	maxMessages            = 4096
-	maxIDBytes             = 256     // of a session, an idempotency key, a request ID or a model
-	maxTokens              = 1 << 20 // in the field max_tokens
+	maxIDBytes             = 256     // length of a session, an idempotency key, a request ID or a model
+	maxTokens              = 1 << 20 // limit of the field max_tokens
 	maxFirstTokenTimeoutMs = 3_600_000
 	maxRetryCount          = 1_000_000
 )
@@ -26,8 +26,8 @@
 	Model             string
 	Session           string // empty if the client sent none
 	PrefixHash        string // hash of the leading messages that sessions may share; empty if there are none
-	PromptTokens      int    // estimated by EstimateTokens
-	PrefixTokens      int    // of the leading messages
+	PromptTokens      int    // tokens of the prompt, estimated by EstimateTokens
+	PrefixTokens      int    // estimated tokens of the leading messages
 	MaxOutputTokens   int
 	Stream            bool
 	IdempotencyKey    string
--- a/internal/protocol/httpframing/head.go
+++ b/internal/protocol/httpframing/head.go
@@ -12,7 +12,7 @@
 
 // bodyFraming describes how the end of a body is determined.
 type bodyFraming struct {
-	length  int64 // negative without a content length
+	length  int64 // content length; negative if the message has none
 	chunked bool
 }
 
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -15,7 +15,7 @@
 	Idempotent        bool          // engines recognize a repeated request by its key
 	Resumes           bool          // the request is for the rest of a truncated stream
 	Retried           bool          // the client has sent the request before
-	FirstTokenTimeout time.Duration // how long the client waits for the first token; 0 if unspecified
+	FirstTokenTimeout time.Duration // time that the client waits for the first token; 0 if unspecified
 	ProtocolData      any           // private data of the codec that parsed the request
 }
 
@@ -23,7 +23,7 @@
 type Response struct {
 	Status      int
 	ContentType string
-	Headers     []Header // in addition to those of every response
+	Headers     []Header // headers in addition to those of every response
 	Body        []byte
 }
 
@@ -32,8 +32,8 @@
 
 // Target is the engine that a request is sent to.
 type Target struct {
-	Address   string // host:port
-	RoleEpoch int64  // 0 if the role never changes
+	Address   string // address as host:port
+	RoleEpoch int64  // epoch of the engine's role; 0 if the role never changes
 }
 
 // Collector assembles the events of a stream into one complete response, for a client that did not request a stream.
--- a/internal/protocol/platform/config.go
+++ b/internal/protocol/platform/config.go
@@ -24,9 +24,9 @@
 	Name                 string          `json:"Name"`
 	ListenAddress        string          `json:"Listen"`
 	DiscoveryAddress     string          `json:"Discovery"`
-	Seed                 string          `json:"Seed"` // hexadecimal
+	Seed                 string          `json:"Seed"` // hexadecimal number; see SeedValue
 	Limits               ResourceLimits  `json:"Limits"`
-	PeerListenAddress    string          `json:"peer_listen"` // empty to disable gossip
+	PeerListenAddress    string          `json:"peer_listen"` // address for gossip; empty to disable gossip
 	Peers                []string        `json:"Peers"`       // addresses of all nodes including this one, indexed by node number
 	PeerBroadcastAddress string          `json:"peers_all"`   // address that reaches all nodes; optional
 	CachedEndpoints      json.RawMessage `json:"Known"`       // the last discovery snapshot that the node received
--- a/internal/protocol/platform/forward.go
+++ b/internal/protocol/platform/forward.go
@@ -14,7 +14,7 @@
 // forwardedRequest has the parts of a client's request that are forwarded to engines unchanged.
 type forwardedRequest struct {
 	requestLine  string // method and target
-	headerFields []byte // encoded
+	headerFields []byte // encoded header fields
 	body         []byte
 }
 
--- a/internal/protocol/platform/request.go
+++ b/internal/protocol/platform/request.go
@@ -15,9 +15,9 @@
 
 // Limits of a request apart from its size in bytes.
 const (
-	maxIDBytes = 128              // of a request ID, an affinity key or a prefix
-	maxTokens  = 1 << 24          // in any field that counts tokens
-	maxTimeout = 10 * time.Minute // in HeaderTimeout
+	maxIDBytes = 128              // length of a request ID, an affinity key or a prefix
+	maxTokens  = 1 << 24          // limit of any field that counts tokens
+	maxTimeout = 10 * time.Minute // limit of the value of HeaderTimeout
 )
 
 // bytesPerToken is used to estimate the length of a prompt if the client does not send it.
@@ -32,8 +32,8 @@
 
 // HeaderError reports an invalid header of a client's request.
 type HeaderError struct {
-	Header  string // name, and the field within it if there are several: "Request-Info: prefix"
-	Problem string // what is wrong or which values are allowed
+	Header  string // name of the header, and of the field within it if it has several: "Request-Info: prefix"
+	Problem string // description of the fault or of the allowed values
 }
 
 // Error returns the header and the problem.
--- a/internal/reservation/limits.go
+++ b/internal/reservation/limits.go
@@ -4,10 +4,10 @@
 
 // Limits holds the time spans of a Table and its maximum size.
 type Limits struct {
-	KeepTime             time.Duration // how long a reservation may wait to be consumed, since an attempt was last in flight
-	RepeatInterval       time.Duration // between two acknowledged releases
-	RetryInterval        time.Duration // between unacknowledged releases; doubles after the first steadyRetries
-	AbandonAfter         time.Duration // how long releases that no engine acknowledges are retried
+	KeepTime             time.Duration // time that a reservation may wait to be consumed, after an attempt was last in flight
+	RepeatInterval       time.Duration // time between two acknowledged releases
+	RetryInterval        time.Duration // time between unacknowledged releases; doubles after the first steadyRetries
+	AbandonAfter         time.Duration // time for which releases that no engine acknowledges are retried
 	MaxReservations      int
 	ReleasesWholeRequest bool // a release frees all reservations of its request, whichever prefill made them
 }
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -18,7 +18,7 @@
 	}
 	switch {
 	case r.State == Reserved && r.attemptAbandoned:
-		expiredIn = Claimed // the attempt that was to consume the reservation may have arrived
+		expiredIn = Claimed // The attempt that was to consume the reservation may have arrived.
 	case r.State == Reserved || r.State == Claimed:
 		expiredIn = r.State
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -22,25 +22,25 @@
 	Engine     string
 	State      State
 	KnownSince int64
-	DueAt      int64 // when a release is due next
+	DueAt      int64 // time at which a release is due next
 
 	// ReleaseTargets are the engines that the releases since the last acknowledgement were sent to.
 	ReleaseTargets []string
 	// Round numbers the rounds of releases. Acknowledgements of releases of an earlier round are ignored.
 	Round int
 
-	unclaimedSince      int64 // since when no attempt that may consume the reservation has been in flight, as far as is known
+	unclaimedSince      int64 // start of the known time without an attempt in flight that may consume the reservation
 	attemptAbandoned    bool  // the attempt that was to consume the reservation may have arrived
 	horizon             int64 // releases are repeated until this time
-	unacknowledgedSince int64 // since when releases have not been acknowledged; 0 if none is in flight
-	unacknowledgedCount int   // releases since the last acknowledgement
+	unacknowledgedSince int64 // start of the time in which releases were not acknowledged; 0 without an open release
+	unacknowledgedCount int   // number of releases since the last acknowledgement
 	acknowledgements    int
 }
 
 // Acknowledged reports whether an engine has acknowledged a release.
 func (r *Reservation) Acknowledged() bool { return r.acknowledgements > 0 }
 
-// UnclaimedSince returns since when no attempt that may consume the reservation has been in flight, as far as is known.
+// UnclaimedSince returns the start of the known time without an attempt in flight that may consume the reservation.
 func (r *Reservation) UnclaimedSince() int64 { return r.unclaimedSince }
 
 // Fingerprint returns all state that the handling of later events depends on, as a text with times relative to now.
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -23,13 +23,13 @@
 // The events of a reservation.
 const (
 	PrefillDone              Event = iota // an engine has reported that it holds the reservation
-	PrefillLost                           // a prefill ended without such a report, and may have left a reservation or still leave one
+	PrefillLost                           // a prefill ended without reporting a reservation, but may leave one
 	AttemptSent                           // the first byte of an attempt that may consume the reservation is about to be written
 	AttemptUnsent                         // the sent attempt ended, and its request never arrived completely
 	AttemptRejected                       // an engine has answered the sent attempt without consuming the reservation
 	AttemptAbandoned                      // the sent attempt ended in any other way: its engine may not have noticed yet
 	Consumed                              // an attempt has consumed the reservation
-	ConsumedBeforeHorizon                 // consumed, and an abandoned prefill may still leave another reservation
+	ConsumedBeforeHorizon                 // as Consumed, but an abandoned prefill may still leave another reservation
 	Unneeded                              // the request no longer needs the reservation
 	Expired                               // the keep time of the reservation has passed
 	ReleaseAcknowledged                   // an engine has acknowledged a release
@@ -62,8 +62,8 @@
 // The actions.
 const (
 	NoAction Action = iota // the reservation is not due, or waits for another reservation of its request
-	Release                // send a release
-	Abandon                // give up, as no engine acknowledges releases
+	Release                // a release must be sent
+	Abandon                // the reservation must be abandoned, as no engine acknowledges releases
 )
 
 var actionNames = [...]string{NoAction: "none", Release: "release", Abandon: "abandon"}
--- a/internal/reservation/table.go
+++ b/internal/reservation/table.go
@@ -12,7 +12,7 @@
 // Table holds all reservations of a router.
 type Table struct {
 	limits    Limits
-	byRequest map[string][]*Reservation // in the order of their prefills
+	byRequest map[string][]*Reservation // reservations of each request, in the order of their prefills
 	count     int
 	// nextDue is the earliest due time, unless nextDueStale is set: then the reservation that was due first may be due at another
 	// time or removed.
@@ -77,7 +77,7 @@
 // Count returns the number of reservations.
 func (t *Table) Count() int { return t.count }
 
-// OldestSince returns since when the oldest reservation has been known; 0 for an empty table.
+// OldestSince returns the time at which the oldest reservation became known; 0 for an empty table.
 func (t *Table) OldestSince() (since int64) {
 	for _, reservations := range t.byRequest {
 		for _, r := range reservations {
@@ -107,7 +107,7 @@
 type EventTimes struct {
 	Now     int64
 	Since   int64 // the earliest time at which the event may have happened
-	Horizon int64 // until when an abandoned attempt of the request may affect its engine; 0 if no attempt is abandoned
+	Horizon int64 // latest time at which an abandoned attempt of the request may affect its engine; 0 if no attempt is abandoned
 }
 
 // Add records the reservation of a prefill that has just ended, by PrefillDone or PrefillLost. It returns nil if the table
@@ -143,7 +143,7 @@
 func (t *Table) HandleAttempt(request string, event Event, times EventTimes) (changed []*Reservation) {
 	for _, r := range slices.Clone(t.byRequest[request]) {
 		if r.State == Releasing && !t.limits.ReleasesWholeRequest {
-			continue // attempts name the reservation that they consume, which is not this one
+			continue // Attempts name the reservation that they consume, which is not this one.
 		}
 		previousDue := r.DueAt
 		t.handle(r, event, times)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -23,7 +23,7 @@
 	engine            string
 	decode            bool // false for a prefill
 	startedAt         int64
-	writtenAt         int64 // when the request was written; 0 if it was not written yet
+	writtenAt         int64 // time at which the request was written; 0 if it was not written yet
 	machine           attempt.Attempt
 	connection        *EngineConnection
 	responseHeads     int
@@ -143,7 +143,7 @@
 func (r *Router) detectRequestWritten(att *engineAttempt, event attempt.Event) {
 	if conn := att.connection; att.ownsConnection() && conn.socket != nil && att.machine.State == attempt.Writing {
 		if event == attempt.Canceled {
-			conn.socket.Close() // before the check, so that no more bytes can be sent after it
+			conn.socket.Close() // The socket is closed before the check, so that no bytes can be sent after it.
 		}
 		if conn.socket.RequestWritten() {
 			r.transition(att, attempt.RequestWritten)
--- a/internal/router/client_connections.go
+++ b/internal/router/client_connections.go
@@ -27,12 +27,12 @@
 	aborted        bool // an answer was cut off, so the connection is closed without waiting for the client
 
 	partial         bool            // part of a request has been received
-	partialEvent    admission.Event // how much of it was received: HeaderStarted or HeaderComplete
+	partialEvent    admission.Event // progress of the partial request: HeaderStarted or HeaderComplete
 	partialBytes    int
 	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 
-	output      []byte // data that was not passed to the socket yet
-	flushQueued bool   // whether the connection is in clientConnections.unflushed
+	output      []byte // output that was not passed to the socket yet
+	flushQueued bool   // the connection is in clientConnections.unflushed
 }
 
 // unansweredCount returns the number of requests that wait for their answer.
@@ -74,7 +74,7 @@
 // clientConnections holds the open connections of clients.
 type clientConnections struct {
 	byID         map[int64]*ClientConnection
-	closingSince map[int64]int64     // when connections began to close, by ID; they are closed once all output is written
+	closingSince map[int64]int64     // start of each connection's close, by ID; the close ends once all output is written
 	unflushed    []*ClientConnection // connections with output that was not passed to the socket yet
 }
 
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -12,8 +12,8 @@
 // clock holds the time that was last passed to the router, in nanoseconds.
 type clock struct {
 	now           int64
-	earliestEvent int64 // the current events happened after this time; 0 if unknown
-	readAt        int64 // when the current event was read from its socket; 0 if unknown
+	earliestEvent int64 // a time before the current events happened; 0 if unknown
+	readAt        int64 // time at which the current event was read from its socket; 0 if unknown
 	observed      ObservedTimes
 	reapedAt      int64
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -24,21 +24,21 @@
 
 // endpointState holds the endpoint list, and the state of the engines that are or were in it.
 type endpointState struct {
-	current        *endpoint.List // nil until the first list is received
+	current        *endpoint.List // the list in use; nil until the first list is received
 	positions      map[string]int // index into the entries of current, by engine
 	history        listHistory
 	starts         engineStarts
-	drains         attempt.UnavailableSince // since when engines are draining or not listed
+	drains         attempt.UnavailableSince // times since which engines have been draining or not listed
 	listCount      uint64                   // number of lists received
 	lastListedIn   map[string]uint64        // number of the last list that had an engine; kept for departedRetention
-	lastResponseAt map[string]int64         // when an engine's last response began
+	lastResponseAt map[string]int64         // time at which an engine's last response began
 }
 
 // listHistory detects lists that are older than one received before.
 type listHistory struct {
 	newestRevision int64
 	latest         endpoint.List // the list received last, whatever its revision
-	reapplyAt      int64         // when latest must be applied again; 0 for never
+	reapplyAt      int64         // time at which latest must be applied again; 0 for never
 }
 
 func newEndpointState() endpointState {
@@ -135,7 +135,7 @@
 	list = r.endpoints.acceptList(list, r.now)
 	list.Entries = r.endpoints.starts.normalize(list.Entries, r.now)
 	update, unknown := r.config.EndpointUpdate(list)
-	r.endpoints.recordEngines(update.Engines, r.earliestEventTime()) // a drain counts from when it may have been announced
+	r.endpoints.recordEngines(update.Engines, r.earliestEventTime()) // A drain counts from its earliest possible announcement.
 	r.endpoints.setCurrent(&list)
 	r.closeIdleToOldAddresses()
 	r.observer.EndpointsUpdated(list.Revision, len(update.Engines), unknown)
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -29,14 +29,14 @@
 	Engine  string
 	Address string // the address that is dialed
 
-	socket                EngineSocket    // nil while the connection is dialed
+	socket                EngineSocket    // socket of the connection; nil while it is dialed
 	attempt               *engineAttempt  // the attempt that the connection carries
 	control               *controlRequest // the control request that the connection carries
 	reused                bool            // the connection carried another request before the current one
 	streamed              bool            // the last response is a stream, as all responses to decodes are
-	writtenAt             int64           // when the last request was written
+	writtenAt             int64           // time at which the last request was written
 	dialedAt              int64
-	drainingResponseSince int64 // when the connection began to drain a response that is no longer needed; 0 if it does not
+	drainingResponseSince int64 // start of the drain of a response that is no longer needed; 0 if none is drained
 }
 
 // engineConnections holds the connections to engines; the pool decides on their use.
@@ -160,7 +160,7 @@
 	}
 	conn.writtenAt = r.now
 	if err := conn.socket.Write(request); err != nil {
-		return // EngineDisconnected follows; its outcome depends on how much was written
+		return // EngineDisconnected is called later, and the outcome depends on how much was written.
 	}
 	if conn.attempt != nil && conn.socket.RequestWritten() {
 		r.transition(conn.attempt, attempt.RequestWritten)
--- a/internal/router/engine_starts.go
+++ b/internal/router/engine_starts.go
@@ -18,9 +18,9 @@
 
 // engineStart records when an engine started.
 type engineStart struct {
-	reported int64 // as in the endpoint list, in milliseconds
-	at       int64 // by the router's clock, in nanoseconds
-	listedAt int64 // when the engine was last listed
+	reported int64 // start time in the endpoint list, in milliseconds
+	at       int64 // start time by the router's clock, in nanoseconds
+	listedAt int64 // time at which the engine was last listed
 }
 
 // engineStarts converts the start times in endpoint lists into times of the router's clock. Machines stamp starts with
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -12,7 +12,7 @@
 
 // gossipState is the part of the gossip state that the router itself keeps; the policy keeps the rest.
 type gossipState struct {
-	lastMessageAt int64 // when the last message from a peer was received
+	lastMessageAt int64 // time at which the last message from a peer was received
 }
 
 // hasRecentMessage reports whether a message from a peer was received recently.
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -62,7 +62,7 @@
 	Index           int
 	Decode          bool
 	Verdict         Verdict
-	Reason          AttemptReason // empty if the attempt succeeded
-	Connecting      time.Duration // until the request was written; 0 if it was not written
+	Reason          AttemptReason // the reason of a failure; empty if the attempt succeeded
+	Connecting      time.Duration // time until the request was written; 0 if it was not written
 	Duration        time.Duration
 }
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -13,9 +13,9 @@
 type policyRunner struct {
 	*routing.Policy
 	seed     uint64
-	restarts uint64          // how often the policy was replaced by a new one after a panic
+	restarts uint64          // number of times that the policy was replaced after a panic
 	pending  []routing.Event // events that are not handled yet
-	running  bool            // whether an event is being handled
+	running  bool            // an event is being handled
 	timers   timerQueue
 }
 
@@ -82,7 +82,7 @@
 // policy from the current endpoint list. Attempts in flight may have run, so the answers must not imply that a retry is safe.
 func (r *Router) restartPolicy() {
 	r.policy.restart(r.config)
-	if r.endpoints.current != nil { // queued first: the answers below let pipelined requests start
+	if r.endpoints.current != nil { // The update is queued first, as the answers below let pipelined requests start.
 		update, _ := r.config.EndpointUpdate(*r.endpoints.current)
 		r.policy.pending = append(r.policy.pending, update)
 	}
--- a/internal/router/request_outcomes.go
+++ b/internal/router/request_outcomes.go
@@ -39,7 +39,7 @@
 	case outcome == OutcomeCompleted && req.collector != nil:
 		r.reply(client, req.received, r.protocol.CompleteResponse(req.received.Parsed, req.name, req.collector))
 	case req.streaming && req.collector == nil, outcome == OutcomeCompleted:
-		if !req.streaming { // an answer without tokens
+		if !req.streaming { // The answer has no tokens.
 			r.write(client, r.protocol.StreamHead(req.name))
 		}
 		last, keepAlive := r.protocol.StreamEnd(outcome == OutcomeCompleted, string(reason))
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -23,9 +23,9 @@
 	collector         protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
 	streaming         bool                       // the first token was received
 	firstTokenAt      int64
-	mayStillRunUntil  int64          // until when an attempt that ended with an unknown outcome may still run; 0 if no attempt did
-	tokens            int            // forwarded by the router; relays count theirs separately
-	outcome           RequestOutcome // empty until the request has ended
+	mayStillRunUntil  int64          // latest time at which an attempt with an unknown outcome may run; 0 without such an attempt
+	tokens            int            // number of tokens forwarded by the router; relays count those that they forward
+	outcome           RequestOutcome // outcome of the request; empty until the request has ended
 	cause             string         // why the policy ended the request; empty if it did not
 }
 
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -10,7 +10,7 @@
 type timer struct {
 	at, sequence int64
 	token        int64
-	restarts     uint64 // policyRunner.restarts when the timer was set: timers of an earlier policy have no effect
+	restarts     uint64 // value of policyRunner.restarts when the timer was set: timers of an earlier policy have no effect
 }
 
 // timerQueue holds the timers that have not fired. Timers that are due at the same time fire in the order in which they
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -16,7 +16,7 @@
 // Shed rejects a request with a final answer after which the client may safely retry.
 type Shed struct {
 	RequestID  int64
-	RetryAfter time.Duration // suggested to the client; 0 for no suggestion
+	RetryAfter time.Duration // the delay before a retry that is suggested to the client; 0 for no suggestion
 	Cause      string        // for logs: the last trigger of the request's state machine
 }
 
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -96,13 +96,13 @@
 	DedupWindow            time.Duration
 	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective for the first token
-	ObjectivePer1000Tokens time.Duration // added to the objective for each 1,000 prompt tokens
+	ObjectivePer1000Tokens time.Duration // the increase of the objective for each 1,000 prompt tokens
 }
 
 // EngineKind holds the properties of a kind of engine that decisions depend on.
 type EngineKind struct {
 	Role         Role
-	MemoryTokens float64 // 0 if unknown
+	MemoryTokens float64 // size of the engine's memory; 0 if unknown
 }
 
 // SlowStart limits the attempts at an engine that has just started: in any Window, to Share times Multiple times what an
@@ -117,13 +117,13 @@
 type Config struct {
 	Node, Nodes int // index of this node, and the number of nodes
 	Zone        int
-	Tick        time.Duration // how late timers and answers may be
+	Tick        time.Duration // longest delay of timers and answers
 
-	MaxAttempts       int     // per request
+	MaxAttempts       int     // limit on the attempts of one request
 	CanCancel         bool    // whether attempts can be canceled
 	HealthChecks      bool    // whether health checks may be sent
 	Gossip            bool    // whether nodes may send each other messages
-	GossipPrice       float64 // per message
+	GossipPrice       float64 // price of one gossip message
 	SuggestRetryAfter bool    // whether Shed actions may suggest when to retry
 	MaxRetryAfter     time.Duration
 	WatchEndpoints    bool // whether endpoint lists arrive only after a WatchEndpoints action
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -12,29 +12,29 @@
 type engine struct {
 	quiet                 bool // cached result of isQuiet; activity of the engine resets it
 	canPrefill, canDecode bool
-	warmingUpSince        time.Duration // when the engine last started; 0 if that was long ago
+	warmingUpSince        time.Duration // time of the engine's last start; 0 if that was long ago
 	Endpoint
 
-	sendTimes        []time.Duration // when the last attempts were sent
-	progressTimes    []time.Duration // when the last prefills ended and the last first tokens arrived
+	sendTimes        []time.Duration // send times of the last attempts
+	progressTimes    []time.Duration // times at which prefills ended or first tokens arrived
 	latencySamples   []sample
-	latencyPerWork   []time.Duration // of the last prefills: latency per thousand tokens that were queued or not cached
+	latencyPerWork   []time.Duration // one per recent prefill: latency per thousand queued or uncached tokens
 	faultTimes       []time.Duration
 	suspect          bool          // the engine had a fault and has not responded since
-	fullUntil        time.Duration // when a decode may be sent again after the engine rejected one
-	healthyAt        time.Duration // when the engine last answered an attempt
-	removedAt        time.Duration // when the engine left the endpoint list; 0 while it is listed
+	fullUntil        time.Duration // time from which a decode may be sent again after the engine rejected one
+	healthyAt        time.Duration // time at which the engine last answered an attempt
+	removedAt        time.Duration // time at which the engine left the endpoint list; 0 while it is listed
 	lastListedUpdate uint64        // number of the update that last listed the engine
 	open             openAttempts
 	quarterDraw      quarterDraw
 
-	memoryShare float64 // of the last report
-	queuedWork  float64 // of the last report
+	memoryShare float64 // share of memory in use, from the last report
+	queuedWork  float64 // queued work, from the last report
 	reportedAt  time.Duration
 
-	checkSentAt    time.Duration // when the last health check was sent
-	checkEndedAt   time.Duration // when the last health check ended
-	unresponsiveAt time.Duration // when a health check last ended without an answer
+	checkSentAt    time.Duration // time at which the last health check was sent
+	checkEndedAt   time.Duration // time at which the last health check ended
+	unresponsiveAt time.Duration // time at which a health check last ended without an answer
 }
 
 // sample is a measured latency, or the excess of a latency over a limit.
--- a/internal/routing/engine_load.go
+++ b/internal/routing/engine_load.go
@@ -9,24 +9,24 @@
 // engineLoad summarizes the attempts of this node that are in flight at one engine.
 type engineLoad struct {
 	prefills, streams int
-	promptTokens      float64         // of the streams
-	waits             []time.Duration // for how long each attempt without a response has waited
+	promptTokens      float64         // prompt tokens of the streams
+	waits             []time.Duration // the time that each attempt without a response has waited
 }
 
 // openAttempt identifies an attempt in flight in the lists of its engine.
 type openAttempt struct {
 	request *request
-	index   int // among the attempts of its request
+	index   int // position among the attempts of its request
 }
 
 func (o openAttempt) attempt() *attempt { return &o.request.attempts[o.index] }
 
 // openAttempts holds the attempts in flight at one engine, with their totals.
 type openAttempts struct {
-	all          []openAttempt // in the order in which they were sent
-	unanswered   []openAttempt // those that are not streaming
+	all          []openAttempt // all attempts in flight, in the order in which they were sent
+	unanswered   []openAttempt // attempts that are not streaming
 	streams      int           // number of decodes
-	promptTokens float64       // of the decodes
+	promptTokens float64       // prompt tokens of the decodes
 }
 
 // loadOf returns the load of this node's attempts in flight at an engine.
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -18,7 +18,7 @@
 	Engine                   string
 	Weight                   float64
 	Zone, Cell, Kind         int
-	StartedAt                time.Duration // 0 if that was long ago
+	StartedAt                time.Duration // start of the engine; 0 if that was long ago
 	Ready, Draining, Removed bool          // exactly one is true
 }
 
@@ -78,7 +78,7 @@
 	CachedTokens    float64 // prompt tokens that a prefill engine found in its cache
 	ReservationLost bool    // with Full: the prefill engine no longer holds a reservation for the request
 	Report          *LoadReport
-	StaleConnection bool // an idle connection broke when it was reused, which is no fault of the engine
+	StaleConnection bool // An idle connection broke when it was reused, which is not a fault of the engine.
 }
 
 // ClientDisconnected reports that the client no longer waits for the request.
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -10,10 +10,10 @@
 
 // prefixCacheIndex records what the prefill engines are assumed to have cached, by key and by engine.
 type prefixCacheIndex struct {
-	entriesByKey  map[cacheKey][]cacheEntry // in the order of engine IDs
+	entriesByKey  map[cacheKey][]cacheEntry // entries of each key in the order of engine IDs
 	keysByEngine  map[string][]cacheKey     // the keys of each engine's entries
 	count         int                       // number of entries
-	recentHitsPPM []int64                   // of the last prefills: cached share of the tokens after the prefix, in parts per million
+	recentHitsPPM []int64                   // cached share of the tokens after the prefix, one per recent prefill, in ppm
 }
 
 func newPrefixCacheIndex() prefixCacheIndex {
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -110,7 +110,7 @@
 
 // healthBaseline collects the latencies and faults of engines, against whose medians each engine is compared.
 type healthBaseline struct {
-	latencies []time.Duration // of the engines whose latency is known
+	latencies []time.Duration // latencies of the engines for which one is known
 	faults    []int64         // fault counts of the engines that had faults
 	faultless int             // number of engines without faults
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -13,7 +13,7 @@
 	now       time.Duration
 	startedAt time.Duration
 	started   bool
-	actions   []Action // of the current step
+	actions   []Action // actions of the current step
 
 	engines        map[string]*engine
 	sortedEngines  []*engine   // all engines, in the order of their IDs
@@ -31,11 +31,11 @@
 	random     randomSource
 	rotation   int // position of the round robin; 0 until its random start is drawn
 
-	recentPrefixes              []string        // of the last requests
-	recentLatencyPerWork        []time.Duration // of the last prefills: latency per unit of queued work, counting the prefill as one
+	recentPrefixes              []string        // prefixes of the last requests
+	recentLatencyPerWork        []time.Duration // latencies per unit of queued work, counting the prefill as one unit
 	lowerQuartileLatencyPerWork time.Duration   // lower quartile of recentLatencyPerWork
-	expectedOverruns            []sample        // of the last requests: expected latency less a quarter of the objective
-	firstTokenOverruns          []sample        // of the last first tokens: latency less the objective
+	expectedOverruns            []sample        // one per recent request: expected latency less a quarter of the objective
+	firstTokenOverruns          []sample        // one per recent first token: latency less the objective
 
 	throughput        throughputTable
 	cachedWorkLatency workLatencyMedian // cache of medianWorkLatency
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -53,8 +53,8 @@
 type prefillChoice struct {
 	policy                     *Policy
 	req                        *request
-	ready                      []*engine // in the order of their IDs
-	totalPrefills, totalWeight float64   // of the ready engines: prefills, including this one, and effective weights
+	ready                      []*engine // the engines that are ready, in the order of their IDs
+	totalPrefills, totalWeight float64   // sums over the ready engines: prefills, including this one, and effective weights
 }
 
 func (p *Policy) newPrefillChoice(req *request, ready []*engine) *prefillChoice {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -15,7 +15,7 @@
 	prefillEngine        string
 	decodeEngine         string
 	attempts             []attempt
-	reservationIdleSince time.Duration // since when no attempt has used the reservation
+	reservationIdleSince time.Duration // start of the time during which no attempt has used the reservation
 	retryScheduled       bool
 	awaitedEngines       []string // engines whose health checks the request waits for
 	timers               []int64  // tokens of all timers that were started for the request
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -63,7 +63,7 @@
 // progress, the endpoint list changes, or the oldest progress leaves the throughput window.
 type throughputTable struct {
 	valid      bool
-	recounts   int // how often the table was computed so far
+	recounts   int // number of times that the table was computed so far
 	validUntil time.Duration
 	byRole     [roleCount]roleThroughput
 }
@@ -115,7 +115,7 @@
 // engine retry often.
 type budgetExhaustion struct {
 	until    time.Duration
-	recounts int // of the throughput that it is based on
+	recounts int // throughputTable.recounts when the record was made
 }
 
 // isBudgetExhausted reports whether all engines of a group are known to have no slow start budget left.
