--- a/cmd/sandcourse-edge/early_signal_test.go
+++ b/cmd/sandcourse-edge/early_signal_test.go
@@ -46,7 +46,7 @@
 func TestReloadRightAfterExecDoesNotEndEdge(t *testing.T) {
 	const starts = 40
 	config := filepath.Join(t.TempDir(), "config.json")
-	if err := syscall.Mkfifo(config, 0o600); err != nil { // the edge blocks while it reads its configuration
+	if err := syscall.Mkfifo(config, 0o600); err != nil { // The edge blocks while it reads its configuration.
 		t.Fatal(err)
 	}
 	terminated := 0
--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -44,7 +44,7 @@
 	agentAddress string
 	// obligations are further fields of the obligations object of nodeConfig, in JSON, each preceded by a comma.
 	obligations string
-	objective   time.Duration // for the first token; 0 means longObjective
+	objective   time.Duration // latency objective for the first token; 0 means longObjective
 }
 
 func startEdges(t *testing.T, edges int, fleet *platformengine.Fleet, log *audit.Log, engines []platformengine.Config) *edgeProcesses {
@@ -89,7 +89,7 @@
 			io.WriteString(w, list)
 			return
 		}
-		select { // long poll without changes
+		select { // The response is that of a long poll without changes.
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
 			io.WriteString(w, `{"generation":1,"reset":false,"instances":[]}`)
@@ -159,7 +159,7 @@
 }
 
 func (p *edgeProcesses) awaitReady(addr string) {
-	client := &http.Client{Timeout: time.Second} // an edge that does not respond is not ready
+	client := &http.Client{Timeout: time.Second} // An edge that does not respond is not ready.
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		response, err := client.Get("http://" + addr + platform.HealthPath)
 		if err != nil {
@@ -263,7 +263,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	var wg sync.WaitGroup
-	for range max(1, runtime.NumCPU()/4) { // load of other processes
+	for range max(1, runtime.NumCPU()/4) { // These goroutines are the load of other processes.
 		wg.Go(func() {
 			for ctx.Err() == nil {
 			}
--- a/cmd/sandcourse-edge/large_fleet_test.go
+++ b/cmd/sandcourse-edge/large_fleet_test.go
@@ -17,9 +17,9 @@
 
 // Limits of the platform that the tests in this file check.
 const (
-	drainGrace      = 250*time.Millisecond + 50*time.Millisecond // every limit is 50 ms longer on sockets
+	drainGrace      = 250*time.Millisecond + 50*time.Millisecond // Every limit is 50 ms longer on sockets.
 	endForwardLimit = time.Second                                // time to forward the end of a stream
-	lateAnswerLimit = 500 * time.Millisecond                     // after the deadline
+	lateAnswerLimit = 500 * time.Millisecond                     // longest time of an answer after the deadline
 	// machineSlack is the tolerance for a machine that runs other tests at the same time.
 	machineSlack = 300 * time.Millisecond
 	// servedShare is the share of requests that a node has to serve, compared with a small fleet.
@@ -137,7 +137,7 @@
 }
 
 func TestRollingReplacementOfLargeFleetDoesNotDelayRequests(t *testing.T) {
-	const engines, perSecond, duration, share = 1600, 40, 6 * time.Second, 0.4 // of a core, as the deployment allows
+	const engines, perSecond, duration, share = 1600, 40, 6 * time.Second, 0.4 // share is of a core, as the deployment allows
 	f := startLargeFleet(t, engines, longObjective)
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
--- a/cmd/sandcourse-edge/reload.go
+++ b/cmd/sandcourse-edge/reload.go
@@ -22,7 +22,7 @@
 type reloader struct {
 	file             string
 	reloadSignals    <-chan os.Signal
-	discoveryAddress chan string // holds the latest address until discovery receives it
+	discoveryAddress chan string // channel that holds the latest address until discovery receives it
 	log              *zap.Logger
 }
 
--- a/cmd/sandcourse-edge/signals_test.go
+++ b/cmd/sandcourse-edge/signals_test.go
@@ -53,7 +53,7 @@
 	edge := exec.Command(edgeBinary(t), "--config", config)
 	startCommand(t, edge)
 	text := fmt.Sprintf(nodeConfig, 0, listen, freeAddress(t), 1, oneEngineList, 0, 1, longObjective.Microseconds(), "")
-	writer, err := os.OpenFile(config, os.O_WRONLY, 0) // returns once the edge has opened the other end
+	writer, err := os.OpenFile(config, os.O_WRONLY, 0) // OpenFile returns once the edge has opened the other end.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 		if err := edge.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // time for the edge to handle the first signal, which cannot be observed from outside
+		time.Sleep(50 * time.Millisecond) // The edge needs time to handle the first signal, which cannot be observed from outside.
 	}
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("a request accepted before the first SIGTERM got status %d", status)
@@ -178,7 +178,7 @@
 	if err := edge.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // time for the edge to handle the signal, which cannot be observed from outside
+	time.Sleep(50 * time.Millisecond) // The edge needs time to handle the signal, which cannot be observed from outside.
 	var polls atomic.Int64
 	changed := p.configWithOtherAgent(&polls)
 	if err := os.WriteFile(p.configs[0], []byte(changed), 0o644); err != nil {
@@ -204,7 +204,7 @@
 	if err := edge.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200 * time.Millisecond) // time for the edge to read the partial file, which cannot be observed from outside
+	time.Sleep(200 * time.Millisecond) // The edge needs time to read the partial file, which cannot be observed from outside.
 	if err := os.WriteFile(p.configs[0], []byte(changed), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	startCommand(t, exec.Command(edgeBinary(t), "--config", config))
-	time.Sleep(500 * time.Millisecond) // the address is in use for this time
+	time.Sleep(500 * time.Millisecond) // The address is in use for this time.
 	listener.Close()
 	(&edgeProcesses{t: t}).awaitReady(listener.Addr().String())
 }
--- a/cmd/sandcourse-plan/main.go
+++ b/cmd/sandcourse-plan/main.go
@@ -55,7 +55,7 @@
 	c.Flags().BoolVar(&o.takeOver, "take-over", false, "start with a new store although engines follow another planner, and fence that planner off")
 	c.Flags().BoolVar(&o.check, "check", false, "check the script and exit")
 	if err := c.MarkFlagRequired("settings"); err != nil {
-		panic(err) // the flag is not defined
+		panic(err) // The flag is not defined.
 	}
 	return c
 }
--- a/cmd/sandcourse-plan/signals_test.go
+++ b/cmd/sandcourse-plan/signals_test.go
@@ -68,7 +68,7 @@
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(500 * time.Millisecond) // the planner logs meanwhile that its endpoint file does not exist
+	time.Sleep(500 * time.Millisecond) // The planner logs meanwhile that its endpoint file does not exist.
 	response, err := http.Get("http://" + address + "/metrics")
 	if err != nil {
 		t.Fatalf("planner does not respond after SIGHUP: %v", err)
--- a/cmd/sandcourse/loadshift.go
+++ b/cmd/sandcourse/loadshift.go
@@ -69,7 +69,7 @@
 }
 
 func (p *planPrinter) print(plan planapi.Plan) {
-	counts := map[string]int{} // of engines, by kind and state
+	counts := map[string]int{} // number of engines, by kind and state
 	for _, e := range plan.Engines {
 		counts[e.Kind+" "+e.State]++
 	}
--- a/cmd/sandcourse/modelcheck.go
+++ b/cmd/sandcourse/modelcheck.go
@@ -205,7 +205,7 @@
 	fired, total := e.coverage.Fired()
 	fmt.Fprintf(out, "transitions fired: %d of %d\n", fired, total)
 	for _, name := range e.coverage.Unfired() {
-		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // skips transitions of other worlds
+		if len(e.worlds) > 1 || strings.HasPrefix(name, "roles") == e.worlds[0].RoleChanges { // skips other worlds' transitions
 			fmt.Fprintln(out, "  never fired:", name)
 		}
 	}
--- a/cmd/sandcourse/modelcheck_files.go
+++ b/cmd/sandcourse/modelcheck_files.go
@@ -27,7 +27,7 @@
 // counterexample file there.
 func saveCounterexample(folder string, r modelcheck.Result, out io.Writer) error {
 	steps, violations := modelcheck.Describe(r.World, r.Path)
-	if r.World.Crowd { // a crowd has no path: the seed reproduces the simulation
+	if r.World.Crowd { // A crowd has no path: the seed reproduces the simulation.
 		steps, violations = nil, r.Violations
 	}
 	fmt.Fprintln(out, strings.Join(steps, "\n"))
--- a/cmd/sandcourse/planner_client.go
+++ b/cmd/sandcourse/planner_client.go
@@ -15,8 +15,8 @@
 
 const (
 	plannerTimeout        = 10 * time.Second
-	maxStatusBytes        = 64 << 20 // far more than the status of thousands of engines
-	maxOrderResponseBytes = 1 << 16  // the planner's response to an order
+	maxStatusBytes        = 64 << 20 // limit far above the status of thousands of engines
+	maxOrderResponseBytes = 1 << 16  // limit on the planner's response to an order
 )
 
 // orderRefusedError is the planner's reason for refusing an order.
--- a/cmd/sandcourse/roles.go
+++ b/cmd/sandcourse/roles.go
@@ -121,7 +121,7 @@
 	command.Flags().StringVar(&order.Reason, "why", "", "reason for the order, which is recorded with the order")
 	command.Flags().BoolVar(&order.DryRun, "dry-run", false, "only print what the order would do, or why it is refused")
 	if err := command.MarkFlagRequired("why"); err != nil {
-		panic(err) // only if the flag is not defined above
+		panic(err) // An error means that the flag is not defined above.
 	}
 	return command
 }
--- a/cmd/sandcourse/soak.go
+++ b/cmd/sandcourse/soak.go
@@ -26,7 +26,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := withStopSignals(c.Context())
-			defer stop() // also ends the edge processes
+			defer stop() // The cancellation also ends the edge processes.
 			return runSoak(ctx, config, seeds, c.OutOrStdout())
 		},
 	}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -148,7 +148,7 @@
 	ct.AcceptConnection(2, 0, allowClose)
 	ct.Handle(1, HeaderStarted, 1)
 	for now := int64(2); now < 11; now++ {
-		ct.Handle(1, HeaderStarted, now) // a slow header does not extend its timeout
+		ct.Handle(1, HeaderStarted, now) // A slow header does not extend its timeout.
 	}
 	if expired := ct.Expired(12); len(expired) != 1 || expired[0] != (ExpiredConnection{1, ReadingHeader}) {
 		t.Errorf("expired connections: %v", expired)
@@ -174,7 +174,7 @@
 	for id := int64(1); id <= 3; id++ {
 		ct.AcceptConnection(id, 1, allowClose)
 	}
-	ct.Handle(2, HeaderStarted, 9) // starts late, and then arrives slowly
+	ct.Handle(2, HeaderStarted, 9) // The request starts late, and then arrives slowly.
 	ct.Handle(3, RequestComplete, 2)
 	ct.Handle(3, AllAnswered, 3)
 	if !ct.ServedAndIdle(3) || ct.ServedAndIdle(1) {
--- a/internal/asynclog/sink_test.go
+++ b/internal/asynclog/sink_test.go
@@ -10,7 +10,7 @@
 
 // stalledWriter is a writer whose Write blocks until resume is closed.
 type stalledWriter struct {
-	blocked chan struct{} // receives a value once a write has begun
+	blocked chan struct{} // channel that receives a value once a write has begun
 	resume  chan struct{}
 	mu      sync.Mutex
 	written bytes.Buffer
@@ -38,7 +38,7 @@
 		}
 	}
 	write(1)
-	<-w.blocked // from here on the sink takes no line from the queue
+	<-w.blocked // From this point on, the sink removes no line from the queue.
 	write(3 * maxPendingLines)
 	if want := int64(2 * maxPendingLines); s.Dropped() != want {
 		t.Errorf("%d lines were dropped, want %d", s.Dropped(), want)
--- a/internal/attempt/state.go
+++ b/internal/attempt/state.go
@@ -25,7 +25,7 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Event is what happens to an attempt.
+// Event is an input of an attempt's state machine.
 type Event uint8
 
 // The events of an attempt.
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -29,9 +29,9 @@
 
 // Rules contains the durations and routes that the checks use.
 type Rules struct {
-	NonRetriable     map[string]bool // by route name
+	NonRetriable     map[string]bool // non-retriable routes, by name
 	DrainGrace       time.Duration
-	ListDelay        time.Duration // between the publication of an endpoint list and its arrival at an edge
+	ListDelay        time.Duration // time between the publication of an endpoint list and its arrival at an edge
 	ReservationLimit time.Duration
 	Tolerance        time.Duration // additional delay that the network and a loaded test machine may cause
 }
@@ -40,7 +40,7 @@
 type Violation struct {
 	Rule      Rule
 	Text      string
-	RequestID string // empty if the violation does not concern a single request
+	RequestID string // ID of the request; empty if the violation does not concern a single request
 }
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Text) }
@@ -76,8 +76,8 @@
 	rules      Rules
 	until      time.Time
 	log        *Log
-	records    []EngineRecord           // ordered by time
-	spans      map[string][]attemptSpan // by request ID
+	records    []EngineRecord           // records ordered by time
+	spans      map[string][]attemptSpan // attempts by request ID
 	violations []Violation
 }
 
--- a/internal/audit/checks.go
+++ b/internal/audit/checks.go
@@ -111,7 +111,7 @@
 		end := c.endOf(i, Released)
 		edge, _, _ := strings.Cut(record.RequestID, "-")
 		if c.wasDown(edge, record.At, end) {
-			continue // a killed edge cannot release its reservations
+			continue // A killed edge cannot release its reservations.
 		}
 		idleSince := record.At
 		for _, attempt := range append(slices.Clone(c.spans[record.RequestID]), attemptSpan{from: end, to: end}) {
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -49,7 +49,7 @@
 	RequestID       string // ID that the router assigned; empty if no response arrived
 	Sent, End       time.Time
 	Deadline        time.Time
-	Outcome         Outcome // empty while the request is open
+	Outcome         Outcome // outcome of the request; empty while the request is open
 	OutcomeCount    int     // number of final responses that the client received
 	FirstToken      time.Duration
 	Tokens          int
--- a/internal/config/deployment_test.go
+++ b/internal/config/deployment_test.go
@@ -79,7 +79,7 @@
 		{ID: "a:1", Kind: "prefill", Zone: "other", State: endpoint.Ready, Weight: 2, StartedAtMs: 7},
 		{ID: "b:1", Kind: "decode", Zone: "ktm-dc1", State: endpoint.Draining},
 		{ID: "c:1", Kind: "mixed", State: endpoint.Ready}}})
-	for i := range update.Engines { // zones and cells outside the settings have arbitrary but distinct numbers
+	for i := range update.Engines { // Zones and cells outside the settings have arbitrary but distinct numbers.
 		e := &update.Engines[i]
 		if e.Engine == "a:1" && (e.Zone == 0 || e.Cell == update.Engines[1].Cell) {
 			t.Errorf("two zones or two cells have the same number: %+v", update.Engines)
--- a/internal/connpool/state.go
+++ b/internal/connpool/state.go
@@ -55,7 +55,7 @@
 // String returns the event's name.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what must be done with the socket of a connection.
+// Action is the action that the socket of a connection requires.
 type Action uint8
 
 // The actions.
--- a/internal/discovery/catalog/catalog_test.go
+++ b/internal/discovery/catalog/catalog_test.go
@@ -64,7 +64,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "behind") == 0 {
 				latest = snapshot()
 			}
-			for _, response := range [][]byte{latest, latest, last} { // the latest response, a duplicate and an outdated response
+			for _, response := range [][]byte{latest, latest, last} { // the latest response, a duplicate and an outdated one
 				if response != nil && !strings.Contains(string(response), `"reset":true`) || string(response) == string(latest) {
 					if update, err := catalog.Apply(response); err != nil || len(update.Invalid) > 0 {
 						t.Fatal(update, err)
--- a/internal/discovery/catalog/golden_test.go
+++ b/internal/discovery/catalog/golden_test.go
@@ -23,15 +23,15 @@
 	}
 	report()
 	for _, response := range []string{
-		string(responseJSON(4, false, instanceJSON(0, serving, 5))), // changes without a snapshot
+		string(responseJSON(4, false, instanceJSON(0, serving, 5))), // The response has changes without a snapshot.
 		"{", "[]", `{"reset":true,"instances":[]}`,
 		string(responseJSON(5, true, instanceJSON(0, serving, 5), instanceJSON(1, serving, 6))),
 		string(responseJSON(5, false)),
 		string(responseJSON(6, false, instanceJSON(1, draining, 6), instanceJSON(2, serving, 7))),
-		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // the generation was applied before
+		string(responseJSON(6, false, instanceJSON(2, deleted, 7))), // The generation was applied before.
 		string(responseJSON(7, false, instanceJSON(0, deleted, 5), `{"instanceId":"s-2","lifecycle":"UNKNOWN"}`)),
 		`{"generation":8,"reset":false,"instances":[{"instanceId":"s-3","hostPort":"127.0.0.1:1","lifecycle":"SERVING","weight":-1}]}`,
-		string(responseJSON(3, false, instanceJSON(4, serving, 1))), // the store was restored
+		string(responseJSON(3, false, instanceJSON(4, serving, 1))), // The store was restored.
 		string(responseJSON(3, true, instanceJSON(4, serving, 1))),
 		"not JSON",
 		string(responseJSON(4, false, instanceJSON(4, draining, 1))),
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -74,7 +74,7 @@
 		case strings.HasPrefix(query, "index=5&"):
 			fmt.Fprint(w, listJSON(6, false, "a", "DRAINING"))
 		default:
-			<-r.Context().Done() // unresponsive
+			<-r.Context().Done() // The agent is unresponsive.
 		}
 	})
 	second := startAgent(t, func(query string, w http.ResponseWriter, r *http.Request) {
@@ -90,7 +90,7 @@
 	addresses <- first
 	expectList(t, lists, "5a ready")
 	expectList(t, lists, "6a draining")
-	for range 4 { // the request without a response is abandoned and retried
+	for range 4 { // The request without a response is abandoned and retried.
 		if q := <-queries; strings.HasPrefix(q, "index=6&") {
 			break
 		}
@@ -105,7 +105,7 @@
 	startClient(t, Client{Addresses: addressOf(address)}, func(l endpoint.List) {
 		select {
 		case lists <- l:
-		default: // the test needs no more lists
+		default: // The test needs no more lists.
 		}
 	}, ignoreError)
 	return lists
@@ -172,7 +172,7 @@
 			})
 			<-runClient(t, address)
 			const observed = time.Second
-			time.Sleep(observed) // requests in this time are counted
+			time.Sleep(observed) // Requests in this time are counted.
 			if most := 3 * int64(observed/minRequestInterval); requests.Load() > most {
 				t.Errorf("%d requests in %v, at most %d are allowed", requests.Load(), observed, most)
 			}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -49,7 +49,7 @@
 					select {
 					case response := <-next:
 						fmt.Fprint(c, response)
-					default: // unresponsive after the last response
+					default: // The agent is unresponsive after the last response.
 					}
 				}
 			}()
@@ -66,15 +66,15 @@
 	const ok = "200 OK"
 	responses := []string{
 		response("503 Service Unavailable", "not yet"),
-		response(ok, listJSON(4, false, "a", "SERVING")), // changes without a snapshot
+		response(ok, listJSON(4, false, "a", "SERVING")), // The response has changes without a snapshot.
 		response(ok, listJSON(5, true, "a", "SERVING")),
 		response(ok, listJSON(6, false, "a", "DRAINING")),
 		response(ok, `{"generation":6,"reset":false,"instances":[]}`),
 		response(ok, "{"),
 		response("500 Internal Server Error", ""),
 		response(ok, listJSON(7, false, "b", "SERVING")),
-		"", // no response until the deadline
-		response(ok, listJSON(3, false, "a", "DELETED")), // generation of a restored store
+		"", // The agent sends no response until the deadline.
+		response(ok, listJSON(3, false, "a", "DELETED")), // The generation is that of a restored store.
 		response(ok, listJSON(3, true, "c", "SERVING")),
 		response(ok, listJSON(4, false, "c", "DELETED")),
 	}
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -52,8 +52,8 @@
 	decodes  bool
 	tokens   int
 	interval time.Duration
-	load     string // the header of a load report
-	prefill  string // the body of a prefill response
+	load     string // header of a load report
+	prefill  string // body of a prefill response
 }
 
 func serveBenchConnection(c net.Conn, addr string, decodes bool, tokens int, interval time.Duration) {
@@ -231,7 +231,7 @@
 
 // BenchmarkAddedLatency compares, in one run, streams through the edge with streams directly from the decode engine.
 func BenchmarkAddedLatency(b *testing.B) {
-	for _, streams := range []int{100, 1000, 4500} { // four descriptors per stream, 20,000 available
+	for _, streams := range []int{100, 1000, 4500} { // Each stream needs four descriptors, and 20,000 are available.
 		b.Run(fmt.Sprint(streams), func(b *testing.B) {
 			// The rate is about 2,000 tokens a second in all cases, so that only the number of streams differs.
 			interval := time.Duration(streams) * time.Second / 2000
@@ -304,7 +304,7 @@
 			body := `{"model":"clip-summary","stream":true,"messages":[{"role":"user","content":"measure"}]}`
 			fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
-		for _, c := range connections { // read the first bytes of each response
+		for _, c := range connections { // The first bytes of each response are read.
 			if _, err := c.Read(make([]byte, 16)); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/edge/dial_test.go
+++ b/internal/edge/dial_test.go
@@ -85,7 +85,7 @@
 	e.UseDial(func(ctx context.Context, address string) (net.Conn, error) {
 		if dials.Add(1) == 1 {
 			<-ctx.Done()
-			time.Sleep(100 * time.Millisecond) // the timeout of the dial is observed with this delay
+			time.Sleep(100 * time.Millisecond) // The timeout of the dial is observed with this delay.
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
 		}
 		var d net.Dialer
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -30,7 +30,7 @@
 	r, err := once.Get("http://" + e.Addr() + "/_health")
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return false // the request may be on the paused poller
+		return false // The request may be on the paused poller.
 	}
 	if err != nil {
 		return true
@@ -86,7 +86,7 @@
 	pause := newPausePoint(e, edge.CloseDecided)
 	startAndAwaitReady(t, e)
 	client := idleClient(t, e)
-	waitFor(t, "only the client's connection is open", func() bool { // the owner pauses at the first connection it closes
+	waitFor(t, "only the client's connection is open", func() bool { // The owner pauses at the first connection that it closes.
 		usage, err := e.Usage(context.Background())
 		return err == nil && usage.Clients == 1
 	})
@@ -186,7 +186,7 @@
 				t.Fatal(err)
 			}
 			to, _ := net.ResolveUDPAddr("udp", listen)
-			go func() { // datagrams may be lost, so they are repeated
+			go func() { // Datagrams may be lost, so they are repeated.
 				for range 2000 {
 					peer.WriteTo([]byte("kept"), to)
 					time.Sleep(time.Millisecond)
@@ -207,13 +207,13 @@
 
 // A draining edge ends late requests at the handover time, so that clients can retry elsewhere before the edge is killed.
 func TestPlatformInterruptsStreamsAfterHandoverTime(t *testing.T) {
-	decode := newScriptedEngine(t, "127.0.0.3", respondWith(streamHead+streamEvent("{}"))) // a stream that never ends
+	decode := newScriptedEngine(t, "127.0.0.3", respondWith(streamHead+streamEvent("{}"))) // The stream never ends.
 	e := startPlatformEdge(t, 1024, func(d *config.Deployment) {
 		d.ShutdownAcceptTime, d.ShutdownStayTime, d.ShutdownHandoverTime = time.Millisecond, 400*time.Millisecond, 600*time.Millisecond
 	}, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), decode)
 	drained := make(chan error, 1)
 	go func() { drained <- e.Drain(context.Background()) }()
-	for { // until the edge reports that it drains
+	for { // The loop ends when the edge reports that it drains.
 		r, err := http.Get("http://" + e.Addr() + "/_health")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -249,7 +249,7 @@
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(1024)
 	body := `{"model":"clip-summary","stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"endless"}]}`
-	for range 40 { // enough responses in a row to fill the kernel's buffers
+	for range 40 { // These responses are enough to fill the kernel's buffers.
 		fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -326,7 +326,7 @@
 				t.Fatalf("%q: %v", got, err)
 			}
 		}
-		f.edges.Edge(0).PauseOwner(5 * time.Millisecond) // the owner handles the close late
+		f.edges.Edge(0).PauseOwner(5 * time.Millisecond) // The owner handles the close late.
 		c.Close()
 	}
 	f.waitFor("all client connections are closed", func() bool { return f.edges.InFlight(context.Background()).Clients == 0 })
--- a/internal/edge/engine_connection_test.go
+++ b/internal/edge/engine_connection_test.go
@@ -33,7 +33,7 @@
 func TestDelayedUnsolicitedResponseIsDiscarded(t *testing.T) {
 	prefill := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone))
 	decode := newScriptedEngine(t, "127.0.0.3", func(int, *http.Request) (string, bool) {
-		time.Sleep(6 * time.Millisecond) // longer than the delay of the second response
+		time.Sleep(6 * time.Millisecond) // The pause is longer than the delay of the second response.
 		return completeStream, false
 	})
 	decode.trailer = strings.ReplaceAll(completeStream, "[1]", "[9]")
@@ -122,7 +122,7 @@
 			}
 			client.send(requestText("b", route))
 			if !written {
-				pause.wait(t) // the owner is paused before the prefill request is written
+				pause.wait(t) // The owner is paused before the prefill request is written.
 				before := e.QueuedTasks()
 				prefill.closeAll()
 				waitFor(t, "the close waits for the owner", func() bool { return e.QueuedTasks() > before })
--- a/internal/edge/gossip_test.go
+++ b/internal/edge/gossip_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	e.SendToPeer(1, "kept")
-	e.SendToPeer(1, strings.Repeat("x", 300)) // exceeds the limit, so it is never sent
+	e.SendToPeer(1, strings.Repeat("x", 300)) // The message exceeds the limit, so it is never sent.
 	e.SendToPeer(-1, "to all")
 	buffer := make([]byte, 512)
 	for _, want := range []string{"kept", "to all"} {
--- a/internal/edge/late_owner_test.go
+++ b/internal/edge/late_owner_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestDrainReportedDuringDecisionIsRespected(t *testing.T) {
-	const decisionTime = 400 * time.Millisecond // longer than the drain grace
+	const decisionTime = 400 * time.Millisecond // The decision takes longer than the drain grace.
 	old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
 	decode := readyEntry("s-2", "m2", newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	source := make(listSource, 1)
@@ -136,7 +136,7 @@
 }
 
 func TestRequestQueuedPastObjectiveIsShedWithoutAttempt(t *testing.T) {
-	const pause = 1200 * time.Millisecond // the objective is 1 s
+	const pause = 1200 * time.Millisecond // The objective is 1 s.
 	prefill, decode := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.3", respondWith(completeStream))
 	e := startPlatformEdge(t, 1024, nil, prefill, decode)
 	defer e.Stop()
@@ -158,7 +158,7 @@
 func TestListsReceivedDuringUpdateKeepTheirOrder(t *testing.T) {
 	decode := readyEntry("s-2", "m2", newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	var prefills []*scriptedEngine
-	listOf := func(revision int) endpoint.List { // each list has a different prefill engine
+	listOf := func(revision int) endpoint.List { // Each list has a different prefill engine.
 		prefills = append(prefills, newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)))
 		id := fmt.Sprint("p-", revision)
 		return endpoint.List{Revision: int64(revision), Entries: []endpoint.Entry{readyEntry(id, "m1", prefills[len(prefills)-1]), decode}}
--- a/internal/edge/messages_test.go
+++ b/internal/edge/messages_test.go
@@ -73,7 +73,7 @@
 	head, _, _ := strings.Cut(requestText("b", "chat"), "\r\n\r\n")
 	client.send(head + "\r\nExpect: 100-continue\r\n\r\n")
 	client.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-	rest, _ := io.ReadAll(client.reader) // until the read deadline
+	rest, _ := io.ReadAll(client.reader) // The read ends at the read deadline.
 	if got := strings.TrimSpace(string(rest)); got != "" {
 		t.Fatalf("%q was written in the middle of a stream", got)
 	}
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -66,7 +66,7 @@
 	pause := newPausePoint(e, edge.ClientReadable)
 	startAndAwaitReady(t, e)
 	defer e.Stop()
-	defer close(pause.resume) // runs before Stop, which waits for the pollers
+	defer close(pause.resume) // The call runs before Stop, which waits for the pollers.
 	client := dialRaw(t, e)
 	client.send(requestText("a", "chat"))
 	waitFor(t, "prefill has begun", func() bool { return prefill.countRequests("POST") == 1 })
--- a/internal/edge/reuse_guard_test.go
+++ b/internal/edge/reuse_guard_test.go
@@ -18,7 +18,7 @@
 // pollerPause pauses the poller at each readable connection while it is enabled.
 type pollerPause struct {
 	arrived, proceed chan struct{}
-	enabled          chan bool // holds one value
+	enabled          chan bool // channel that holds one value
 }
 
 func newPollerPause(e *edge.Edge) *pollerPause {
@@ -105,7 +105,7 @@
 	socket := reserveSocket(t)
 	poller.setEnabled(true)
 	earlier.send("P")
-	waitForSignal(t, poller.arrived) // paused in a batch of one event; the next batch has the events of first and leaving
+	waitForSignal(t, poller.arrived) // The batch has one event; the next one has the events of first and leaving.
 	first.send("P")
 	leaving.conn.Close()
 	poller.proceed <- struct{}{}
--- a/internal/edge/scripted_engine_test.go
+++ b/internal/edge/scripted_engine_test.go
@@ -19,7 +19,7 @@
 	requests    []string // method, path and name of each request
 	reply       func(n int, r *http.Request) (wire string, disconnect bool)
 	singleUse   bool   // a second request on a connection closes it
-	trailer     string // sent some milliseconds after each response to a chat request
+	trailer     string // bytes that are sent some milliseconds after each response to a chat request
 	closeOnName string // the connection is closed without a response to the first request with this name
 	connections map[net.Conn]bool
 }
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -10,8 +10,8 @@
 	minPromptTokens = 8
 	minAnswerTokens = 2
 	minRequestRate  = 1e-6
-	minTurnPause    = 2 // seconds between two turns of a session
-	turnPauseRange  = 4 // seconds
+	minTurnPause    = 2 // least pause between two turns of a session, in seconds
+	turnPauseRange  = 4 // range of the pause between two turns, in seconds
 )
 
 // session is a conversation of a client with several turns.
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -14,7 +14,7 @@
 
 const (
 	retryPause    = 500 * time.Millisecond
-	retryJitter   = 500 // milliseconds
+	retryJitter   = 500 // range of the random delay of a retry, in milliseconds
 	bytesPerToken = 4
 )
 
@@ -32,8 +32,8 @@
 	id               string
 	promptTokens     float64
 	answerTokens     float64
-	firstSentAt      int64 // when the first attempt was sent
-	sentAt           int64 // when the current attempt was sent
+	firstSentAt      int64 // time at which the first attempt was sent
+	sentAt           int64 // time at which the current attempt was sent
 	firstTokenAt     int64
 	attempt          int
 	router           *simulatedRouter
@@ -52,7 +52,7 @@
 	em, route := r.emulation, r.route()
 	target := em.routers[em.random.IntN(len(em.routers))]
 	em.recorder.result.Attempts++
-	r.id = fmt.Sprint(r.id, "'") // engines identify attempts by this ID, so each attempt has its own
+	r.id = fmt.Sprint(r.id, "'") // Engines identify attempts by this ID, so each attempt has its own.
 	em.requests[r.id] = r
 	r.router, r.sentAt, r.responseHead, r.streaming, r.ended = target, em.now, nil, false, false
 	target.clientCount++
@@ -61,7 +61,7 @@
 	r.clientConnection = conn
 	httpRequest, err := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	if err != nil {
-		panic(err) // cannot fail: the arguments are constants
+		panic(err) // The call cannot fail, as its arguments are constants.
 	}
 	request := &router.ClientRequest{Request: httpRequest, Parsed: chatapi.ToRequest(r.chatRequest()), Bytes: bytesPerToken * int(r.promptTokens),
 		Tenant: r.session.name}
@@ -90,7 +90,7 @@
 // receive handles bytes of a response.
 func (r *clientRequest) receive(data []byte) {
 	if r.responseHead == nil {
-		r.responseHead = append(r.responseHead, data...) // the head determines the outcome, except for the end of a stream
+		r.responseHead = append(r.responseHead, data...) // The head determines the outcome, except for the end of a stream.
 	}
 	text := string(data)
 	if !strings.HasPrefix(string(r.responseHead), streamStatus) {
--- a/internal/emulator/comparison.go
+++ b/internal/emulator/comparison.go
@@ -10,8 +10,8 @@
 
 const (
 	bootstrapSamples = 2000
-	bootstrapLow     = 25  // lower bound, per mille of the sorted samples
-	bootstrapHigh    = 975 // upper bound, per mille of the sorted samples
+	bootstrapLow     = 25  // lower bound of the interval, per mille of the sorted samples
+	bootstrapHigh    = 975 // upper bound of the interval, per mille of the sorted samples
 	recoveredShare   = 0.9 // minimum share completed in time in each of three consecutive windows
 )
 
@@ -26,7 +26,7 @@
 	Difference   float64       // Share minus that of the first arm, mean over paired seeds
 	Low, High    float64       // 95% bootstrap interval of Difference
 	WorstWindow  float64       // lowest share completed in time in a window, mean over seeds
-	RecoveryTime time.Duration // from the end of the last fault, median over seeds; neverRecovered if it does not recover
+	RecoveryTime time.Duration // time from the end of the last fault, median over seeds; neverRecovered if it does not recover
 	ByWindow     []float64     // share completed in time by window, mean over seeds
 }
 
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -41,7 +41,7 @@
 // engineRequest is a request to an engine.
 type engineRequest struct {
 	connection    *connection
-	clientRequest *clientRequest // nil for a control request
+	clientRequest *clientRequest // the client's request; nil for a control request
 	requestID     string
 	attempt       string
 	reservation   string // key of the reservation that a decode fetches
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -16,7 +16,7 @@
 	networkDelay = 200 * time.Microsecond
 	// listDelay and listJitter determine the delay with which a router receives a change of the endpoint list.
 	listDelay  = 400 * time.Millisecond
-	listJitter = 200 // milliseconds
+	listJitter = 200 // range of the random part of the delay, in milliseconds
 	// settleTime is the time for which a run continues after the last client's timeout, so that reservations are released.
 	settleTime  = 10 * time.Second
 	dedupWindow = 5 * time.Second
@@ -30,7 +30,7 @@
 	routers      []*simulatedRouter
 	engines      []*engine
 	engineByName map[string]*engine
-	requests     map[string]*clientRequest // by the ID that the client assigns to the attempt
+	requests     map[string]*clientRequest // requests by the ID that the client assigns to the attempt
 	rateFactor   float64                   // multiple of the scenario's request rate
 	listRevision int64
 	recorder     *recorder
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -31,15 +31,15 @@
 	isUnresponsive bool
 	slowdown       float64
 	incarnation    int
-	coldSince      int64 // when the engine began to warm up; 0 if it started warm
+	coldSince      int64 // time at which the engine began to warm up; 0 if it started warm
 
 	busySlots           int
 	queue               []*engineRequest
-	delayedActions      []func() // run when the engine is responsive again
+	delayedActions      []func() // actions to run when the engine is responsive again
 	usedTokens          float64
 	queuedPrefillTokens float64
-	reservations        map[string]float64 // tokens, by reservation key
-	prefixCache         map[string]float64 // tokens, by prefix or session
+	reservations        map[string]float64 // number of tokens, by reservation key
+	prefixCache         map[string]float64 // number of tokens, by prefix or session
 	recentAttempts      []int64
 	connections         map[*connection]bool
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -11,7 +11,7 @@
 // Arm is a variant of a scenario that is compared with other variants on the same seeds.
 type Arm struct {
 	Name     string
-	Scenario Scenario // without its seed
+	Scenario Scenario // scenario of the arm, without its seed
 }
 
 // Experiment is a set of arms that run on the same seeds.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -42,7 +42,7 @@
 			affected = append(affected, e)
 		}
 	}
-	if f.Kind == FaultSlow { // all engines are affected, and Magnitude is the factor
+	if f.Kind == FaultSlow { // All engines are affected, and Magnitude is the factor.
 		return affected
 	}
 	count := int(math.Ceil(f.Magnitude * float64(len(affected))))
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -18,7 +18,7 @@
 	FirstTokenTarget time.Duration `json:"target"`
 	Timeout          time.Duration `json:"timeout"`
 	PromptTokens     float64       `json:"prompt"` // mean of the user's part of the prompt, without the context
-	AnswerTokens     float64       `json:"answer"` // mean
+	AnswerTokens     float64       `json:"answer"` // mean length of an answer
 }
 
 // FaultKind is a kind of fault. Scripts use its value.
--- a/internal/emulator/work.go
+++ b/internal/emulator/work.go
@@ -14,7 +14,7 @@
 
 const (
 	prefillOverhead    = 2 * time.Millisecond
-	reservationTimeout = 8 * time.Second // after which a reservation expires at its engine
+	reservationTimeout = 8 * time.Second // time after which a reservation expires at its engine
 	maxStreamPause     = time.Second     // maximum time between two events of a stream
 )
 
@@ -100,7 +100,7 @@
 			e.busySlots--
 			e.queuedPrefillTokens -= request.promptTokens
 			defer e.startQueued()
-			if r.finished && r.connection.closed { // a running prefill completes even if the router has closed its connection
+			if r.finished && r.connection.closed { // A running prefill completes even if the router has closed its connection.
 				e.reserve(r)
 				return
 			}
--- a/internal/endpoint/file_test.go
+++ b/internal/endpoint/file_test.go
@@ -24,7 +24,7 @@
 	if got, err := Parse(text); err != nil || len(got.Entries) != 2 || got.Entries[1] != want.Entries[1] {
 		t.Fatalf("parsed list %+v, error %v", got, err)
 	}
-	for i := range len(text) - 2 { // the last two bytes are the brace and the line end
+	for i := range len(text) - 2 { // The last two bytes are the brace and the line end.
 		if _, err := Parse(text[:i]); err == nil {
 			t.Errorf("a list truncated at byte %d is accepted", i)
 		}
--- a/internal/fake/discoveryagent/agent.go
+++ b/internal/fake/discoveryagent/agent.go
@@ -23,8 +23,8 @@
 	server     *http.Server
 	mu         sync.Mutex
 	generation int
-	entries    map[string]entry // by instance ID
-	updated    chan struct{}    // closed and replaced at the next change
+	entries    map[string]entry // entries by instance ID
+	updated    chan struct{}    // channel that is closed and replaced at the next change
 }
 
 // entry is an instance in the list.
@@ -41,7 +41,7 @@
 	}
 	a := &Agent{Address: listener.Addr().String(), entries: map[string]entry{}, updated: make(chan struct{})}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serveList), ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = a.server.Serve(listener) }() // ends with http.ErrServerClosed
+	go func() { _ = a.server.Serve(listener) }() // Serve ends with http.ErrServerClosed.
 	return a, nil
 }
 
--- a/internal/fake/engine/completions.go
+++ b/internal/fake/engine/completions.go
@@ -39,7 +39,7 @@
 	idempotencyKey  string
 	roleEpoch       int64 // epoch of the engine's role according to the router; 0 if unknown
 	promptTokens    int
-	isTrial         bool // sent by the planner, not a router, to test the engine's role
+	isTrial         bool // the planner, not a router, sent the request to test the engine's role
 }
 
 func (r *completionRequest) isDecode() bool { return r.Transfer.RemotePrefill }
--- a/internal/fake/engine/decode.go
+++ b/internal/fake/engine/decode.go
@@ -28,7 +28,7 @@
 }
 
 type chunkDelta struct {
-	Content string `json:"content,omitempty"` // absent in the last chunk
+	Content string `json:"content,omitempty"` // text of the token; absent in the last chunk
 }
 
 // decode fetches the KV state of a prompt and streams the response.
@@ -107,7 +107,7 @@
 }
 
 func encodeChunk(request *completionRequest, content string, finishReason *string) []byte {
-	data, _ := json.Marshal(completionChunk{ // cannot fail: all values can be represented in JSON
+	data, _ := json.Marshal(completionChunk{ // Marshal cannot fail, as all values can be represented in JSON.
 		Choices: []chunkChoice{{Delta: chunkDelta{Content: content}, FinishReason: finishReason}},
 		ID:      completionID(request),
 		Model:   request.Model,
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -78,7 +78,7 @@
 	draining       bool
 	coldSince      time.Time // time of a cold start; zero if the incarnation started warm
 	faults         Faults
-	faultsChanged  chan struct{} // closed and replaced when faults change
+	faultsChanged  chan struct{} // channel that is closed and replaced when faults change
 	slots          chan struct{}
 	occupancy      occupancy
 	prefixes       prefixCache
@@ -92,8 +92,8 @@
 // occupancy counts the resources that requests in flight occupy.
 type occupancy struct {
 	openRequests        int
-	waiting             int // open requests without a slot
-	queuedPrefillTokens int // uncached prompt tokens of open requests
+	waiting             int // number of open requests without a slot
+	queuedPrefillTokens int // number of uncached prompt tokens of open requests
 	usedTokens          int // occupied KV memory
 }
 
--- a/internal/fake/engine/engine_test.go
+++ b/internal/fake/engine/engine_test.go
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 		if transfer, ok := raw["kv_transfer_params"]; ok {
-			decoded["kv_transfer_params"] = transfer // has the field order of engineapi.KVTransfer
+			decoded["kv_transfer_params"] = transfer // The value has the field order of engineapi.KVTransfer.
 		}
 		if sorted, err := json.Marshal(decoded); err != nil || !bytes.Equal(body, sorted) {
 			t.Errorf("%s: %s, want %s", name, body, sorted)
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -12,19 +12,19 @@
 
 // Faults is the set of faults of an engine.
 type Faults struct {
-	Unresponsive       bool          `json:"Silent"`     // accepts requests and does not respond
-	Slowdown           float64       `json:"Slow"`       // factor by which work takes longer; 0 for none
-	StallFirst         bool          `json:"StallFirst"` // stalls before the first token
+	Unresponsive       bool          `json:"Silent"`     // the engine accepts requests and does not respond
+	Slowdown           float64       `json:"Slow"`       // factor by which work takes longer; 0 for no slowdown
+	StallFirst         bool          `json:"StallFirst"` // responses stall before the first token
 	StallAfter         int           `json:"StallAfter"` // number of tokens after which a response stalls; 0 for never
 	BreakAfter         int           `json:"BreakAfter"` // number of tokens after which the connection is broken; 0 for never
-	TruncatePrefill    bool          `json:"HalfAnswer"` // sends only half of a prefill's response body
-	EmptyLoadReport    bool          `json:"Lie"`        // reports an idle engine in the load headers
+	TruncatePrefill    bool          `json:"HalfAnswer"` // only half of a prefill's response body is sent
+	EmptyLoadReport    bool          `json:"Lie"`        // the load headers report an idle engine
 	ResponseDelay      time.Duration `json:"SlowAccept"` // delay before the first byte of a response
-	FailStatus         int           `json:"FailStatus"` // status of all responses to attempts, without a rejection reason; 0 for none
+	FailStatus         int           `json:"FailStatus"` // status of all responses to attempts, without a reason; 0 for no fault
 	RoleChangeHangs    bool          `json:"NeverBack"`  // role changes never complete
-	FalseRole          bool          `json:"FalseRole"`  // reports the ordered role but keeps serving the previous role
-	IgnoreRoleOrders   bool          `json:"DeafOrders"` // rejects the planner's orders
-	ReportedWorkFactor float64       `json:"LieWork"`    // factor of the reported work; 0 for none
+	FalseRole          bool          `json:"FalseRole"`  // the engine reports the ordered role but keeps serving the previous role
+	IgnoreRoleOrders   bool          `json:"DeafOrders"` // the engine rejects the planner's orders
+	ReportedWorkFactor float64       `json:"LieWork"`    // factor of the reported work; 0 for correct reports
 }
 
 // SetFaults replaces the engine's faults.
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -29,7 +29,7 @@
 // which it began.
 type incarnation struct {
 	number int64
-	ctx    context.Context // canceled by the crash
+	ctx    context.Context // context that the crash cancels
 	cancel context.CancelFunc
 }
 
@@ -45,7 +45,7 @@
 	e.resetState(cold)
 	server := &http.Server{Handler: e.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	e.server = server
-	go func() { _ = server.Serve(listener) }() // ends with http.ErrServerClosed
+	go func() { _ = server.Serve(listener) }() // Serve ends with http.ErrServerClosed.
 	go e.expireReservations(e.incarnation.ctx)
 	e.record(audit.EngineRecord{Event: audit.Started})
 	return nil
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -15,7 +15,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	memoryShare := float64(e.occupancy.usedTokens) / float64(e.config.MemoryTokens)
-	waitingTokens := float64(e.occupancy.queuedPrefillTokens) / 1000 // the unit of the header is 1000 tokens
+	waitingTokens := float64(e.occupancy.queuedPrefillTokens) / 1000 // The unit of the header is 1000 tokens.
 	openRequests := e.occupancy.openRequests + len(e.reservations.held)
 	if e.faults.EmptyLoadReport {
 		memoryShare, waitingTokens, openRequests = 0, 0, 0
@@ -32,7 +32,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	e.setLoadHeaders(w)
-	_ = json.NewEncoder(w).Encode(e.loadReport()) // fails only if the client has disconnected
+	_ = json.NewEncoder(w).Encode(e.loadReport()) // Encode fails only if the client has disconnected.
 }
 
 // loadReport returns the load report for planners.
--- a/internal/fake/engine/prefill.go
+++ b/internal/fake/engine/prefill.go
@@ -90,7 +90,7 @@
 func encodePrefillResponse(request *completionRequest, addr string, cachedTokens int) []byte {
 	host, portText, _ := strings.Cut(addr, ":")
 	port, _ := strconv.Atoi(portText)
-	body, _ := json.Marshal(completionResponse{ // cannot fail: all values can be represented in JSON
+	body, _ := json.Marshal(completionResponse{ // Marshal cannot fail, as all values can be represented in JSON.
 		Choices: []completionChoice{{FinishReason: "length", Message: completionMessage{Role: "assistant"}}},
 		ID:      completionID(request),
 		Transfer: engineapi.KVTransfer{RemotePrefill: true, Engine: request.reservationKey(), Host: host, Port: port,
--- a/internal/fake/engine/reservations.go
+++ b/internal/fake/engine/reservations.go
@@ -123,7 +123,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // a connection is reusable only after the body has been read
+	_, _ = io.Copy(io.Discard, response.Body) // A connection is reusable only after the body has been read.
 	return response.StatusCode == http.StatusOK
 }
 
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -16,7 +16,7 @@
 // roleState is the state of an engine's role and of the planner's orders.
 type roleState struct {
 	serving  string
-	reported string // differs from serving during a role change and under the fault FalseRole
+	reported string // role in load reports; differs from serving during a role change and under the fault FalseRole
 	epoch    int64
 	term     int64 // term of the latest order that the engine has followed
 	loading  bool  // a role change is in progress and the engine rejects requests
@@ -91,7 +91,7 @@
 	time.AfterFunc(e.config.RoleChangeTime, func() {
 		e.updateIfCurrent(incarnation, func() {
 			if e.role.epoch != order.Epoch {
-				return // superseded by the role change of a later order
+				return // A later order has started another role change.
 			}
 			e.role.loading, e.coldSince, e.recentAttempts = false, time.Now(), nil
 			if !falseRole && e.role.serving != order.Role {
--- a/internal/fake/platformclient/client.go
+++ b/internal/fake/platformclient/client.go
@@ -80,7 +80,7 @@
 	r.Header.Set(platform.HeaderRequestClass, c.Class)
 	r.Header.Set(platform.HeaderAffinityKey, "s"+id)
 	r.Header.Set(platform.HeaderTimeout, fmt.Sprintf("%.3f", deadline.Seconds()))
-	r.Header["X-Idempotency-Key"] = nil // not sent, but makes net/http retry if the server closes the idle connection
+	r.Header["X-Idempotency-Key"] = nil // The header is not sent, but net/http retries if the server closes the idle connection.
 	return r, nil
 }
 
--- a/internal/fake/platformengine/attempts.go
+++ b/internal/fake/platformengine/attempts.go
@@ -33,7 +33,7 @@
 
 func (e *Engine) serveAttempt(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // an attempt counts only after its last byte has arrived
+		return // An attempt counts only after its last byte has arrived.
 	}
 	requestID := r.Header.Get(platform.HeaderRequestID)
 	attempt := &engineAttempt{engineID: e.ID, routerAddr: r.RemoteAddr, awaitsReservation: e.isDecode()}
--- a/internal/fake/platformengine/engine.go
+++ b/internal/fake/platformengine/engine.go
@@ -62,7 +62,7 @@
 	mux.HandleFunc("DELETE "+platform.ReservationsPath+"{request}", e.serveRelease)
 	mux.HandleFunc("GET "+platform.LoadReportPath, e.serveLoad)
 	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: c.IdleTime}
-	go func() { _ = e.server.Serve(listener) }() // ends with http.ErrServerClosed
+	go func() { _ = e.server.Serve(listener) }() // Serve ends with http.ErrServerClosed.
 	f.record(audit.EngineRecord{Engine: e.ID, Event: audit.Started, Decode: e.isDecode()})
 	return e, nil
 }
@@ -80,7 +80,7 @@
 	Role            Role        `json:"machineType"`
 	Cell            int         `json:"cell"`
 	Lifecycle       Lifecycle   `json:"lifecycle"`
-	Weight          json.Number `json:"weight"` // encoded with a fraction, as the service does
+	Weight          json.Number `json:"weight"` // weight, encoded with a fraction as by the service
 	StartedAtMillis int64       `json:"startedAtMs"`
 }
 
@@ -103,7 +103,7 @@
 	if !startedAt.IsZero() {
 		listed.StartedAtMillis = startedAt.UnixMilli()
 	}
-	entry, _ := json.Marshal(listed) // cannot fail: all values can be represented in JSON
+	entry, _ := json.Marshal(listed) // Marshal cannot fail, as all values can be represented in JSON.
 	return string(entry)
 }
 
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -25,7 +25,7 @@
 
 	log      *audit.Log
 	mu       sync.Mutex
-	requests map[string]*fleetRequest // by request ID of the router
+	requests map[string]*fleetRequest // requests by the router's request ID
 }
 
 // fleetRequest is the state of one request at the engines of a fleet.
@@ -33,7 +33,7 @@
 	attempts     []*engineAttempt
 	reservations []reservation
 	releases     int
-	released     chan struct{} // closed at the first release
+	released     chan struct{} // channel that is closed at the first release
 }
 
 // engineAttempt is an attempt that an engine has received completely.
--- a/internal/fake/platformengine/fleet_test.go
+++ b/internal/fake/platformengine/fleet_test.go
@@ -29,7 +29,7 @@
 func TestReleaseKeepsReservationThatAnAttemptAwaits(t *testing.T) {
 	fleet := NewFleet(&audit.Log{})
 	prefill, decode := startPair(t, fleet)
-	decode.slots <- struct{}{} // the attempt below waits for a slot
+	decode.slots <- struct{}{} // The attempt below waits for a slot.
 	send(t, prefill, http.MethodPost, platform.CompletionsPath, "n-1")
 	response := make(chan string, 1)
 	go func() { response <- send(t, decode, http.MethodPost, platform.CompletionsPath, "n-1") }()
--- a/internal/fluidmodel/fleet.go
+++ b/internal/fluidmodel/fleet.go
@@ -27,7 +27,7 @@
 	cell           string
 	loading        bool
 	draining       bool
-	phaseEndsAt    time.Duration // when loading completes, or the requests in flight have ended
+	phaseEndsAt    time.Duration // time at which loading completes, or the requests in flight have ended
 	servingSince   time.Duration // start of service in the role; -1 for long ago
 	prefillTokens  float64
 	decodeTokens   float64
@@ -35,8 +35,8 @@
 	canChange      bool
 	silent         bool // the engine reports only while it changes its role
 	reportsFalsely bool
-	removed        bool   // drained permanently
-	nextRole       string // used only by the threshold baseline
+	removed        bool   // the engine is drained permanently
+	nextRole       string // next role of the engine; used only by the threshold baseline
 }
 
 // fleet is the state of a simulation.
@@ -49,12 +49,12 @@
 	engines               []*engineModel
 	listed                []assignment.ListedEngine // the endpoint list
 	plan                  map[string]planapi.Engine // plan that edges follow, by engine
-	planner               *plannerModel             // nil unless the strategy is Adaptive
-	counts                []planapi.RouteCount      // sum over all edges
-	prefillBacklog        float64                   // tokens
-	decodeBacklog         float64                   // tokens
+	planner               *plannerModel             // model of the planner; nil unless the strategy is Adaptive
+	counts                []planapi.RouteCount      // counts by route, summed over all edges
+	prefillBacklog        float64                   // prefill backlog in tokens
+	decodeBacklog         float64                   // decode backlog in tokens
 	decodePerPrefillToken float64                   // answer tokens per prompt token of the backlog
-	changes               int                       // engines that changed to another role
+	changes               int                       // number of changes of engines to another role
 	lostEngineSeconds     float64                   // engine time out of service for role changes
 }
 
--- a/internal/fluidmodel/load.go
+++ b/internal/fluidmodel/load.go
@@ -40,7 +40,7 @@
 // arrivalRate returns the arrivals per second: the scenario's utilization times the rate that all engines could serve
 // with the best split of roles.
 func (f *fleet) arrivalRate() float64 {
-	prefillSeconds, decodeSeconds := 0.0, 0.0 // engine time for the average request
+	prefillSeconds, decodeSeconds := 0.0, 0.0 // Both are the engine time for the average request.
 	for _, route := range f.routes {
 		prefillTokens, decodeTokens := route.tokensAt(f.skew())
 		prefillSeconds += route.Share * prefillTokens / prefillThroughput
--- a/internal/fluidmodel/planner.go
+++ b/internal/fluidmodel/planner.go
@@ -22,7 +22,7 @@
 type plannerModel struct {
 	fleet      *fleet
 	controller *assignment.Controller
-	delayed    []delayedEvent // sorted by delivery time
+	delayed    []delayedEvent // delayed events, sorted by delivery time
 }
 
 // delayedEvent is a report or a trial outcome that is not delivered to the planner yet.
--- a/internal/fluidmodel/scenario.go
+++ b/internal/fluidmodel/scenario.go
@@ -16,7 +16,7 @@
 	PrefillTokens       float64
 	DecodeTokens        float64
 	Value               float64
-	LatencyObjective    float64 // seconds to the first token
+	LatencyObjective    float64 // objective for the time to the first token, in seconds
 	SkewedPrefillTokens float64 // PrefillTokens while the load is fully skewed to prefill
 	SkewedDecodeTokens  float64 // DecodeTokens while the load is fully skewed to decode
 }
@@ -35,15 +35,15 @@
 // Scenario describes a fleet, its load and its faults.
 type Scenario struct {
 	Engines        int
-	PrefillEngines int // prefill engines at the start; all others are decode engines
+	PrefillEngines int // number of prefill engines at the start; all others are decode engines
 	Cells          int
 	Edges          int
 	Duration       time.Duration
 	Period         time.Duration // period of the skew; 0 for no skew
-	SkewDepth      float64       // from 0 for no skew to 1 for full skew to prefill and to decode in turn
+	SkewDepth      float64       // depth of the skew, from 0 for no skew to 1 for full skew to prefill and to decode in turn
 	SquareWave     bool          // the load jumps between the two skews; otherwise it follows a sine
 	Utilization    float64       // load as a share of what the best split of roles could serve
-	ReloadTime     time.Duration // how long an engine takes to load its next role
+	ReloadTime     time.Duration // time that an engine takes to load its next role
 	WarmUp         time.Duration
 	DrainTime      time.Duration // maximum time until requests in flight end
 	ReportDelay    time.Duration // delay of all load reports
@@ -69,9 +69,9 @@
 type Result struct {
 	Value           float64   `json:"value"`
 	WorstWindow     float64   `json:"worst"`   // lowest value share of a window of ten seconds
-	Changes         int       `json:"changes"` // engines that changed to another role
+	Changes         int       `json:"changes"` // number of changes of engines to another role
 	LostEngineTime  float64   `json:"lost"`    // share of all engine time that was out of service for changes
-	ServingPrefill  []float64 `json:"-"`       // prefill engines in service at each second
+	ServingPrefill  []float64 `json:"-"`       // number of prefill engines in service at each second
 	Windows         []float64 `json:"-"`       // value share of each window of ten seconds
 	RecoverySeconds float64   `json:"recover"` // time of the first window after the first skew with value share 0.9; -1 for never
 }
--- a/internal/invariant/effect.go
+++ b/internal/invariant/effect.go
@@ -5,9 +5,9 @@
 
 // The effects.
 const (
-	Retriable    Effect = iota // no harm: the request may run again
-	Deduped                    // no harm while engines remember the first run
-	NonRetriable               // harm: the request must never run twice
+	Retriable    Effect = iota // a second run does no harm
+	Deduped                    // a second run does no harm while engines remember the first one
+	NonRetriable               // a second run does harm: the request must never run twice
 )
 
 var effectNames = [...]string{Retriable: "retriable", Deduped: "deduped", NonRetriable: "non-retriable"}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -50,7 +50,7 @@
 			if !prior.InFlight {
 				m.AttemptEnded(1, i, prior.NeverRan)
 			}
-			m.TakeViolations() // prior attempts may have broken any rule
+			m.TakeViolations() // Prior attempts may have broken any rule.
 		}
 		late := now + int64(MaxDelay)
 		m.AttemptWritten(1, WrittenAttempt{Index: len(a.PriorAttempts), Decode: true, WrittenAt: late,
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -21,7 +21,7 @@
 	dialTimeout      = 2 * time.Second
 	idleTimeout      = 20 * time.Second
 	maxIdlePerEdge   = 4096
-	responseTimeout  = 60 * time.Second // beyond the timeout of the request, so that a late response is recorded as late
+	responseTimeout  = 60 * time.Second // time beyond the timeout of the request, so that a late response is recorded as late
 	maxResponseBytes = 8 << 20
 	maxEventBytes    = 1 << 20
 	readBufferSize   = 4096
@@ -33,13 +33,13 @@
 
 // Request is one request of a client.
 type Request struct {
-	Route           string // sent as the model
+	Route           string // name of the route, sent as the model
 	Session         string
-	RequestID       string // chosen by the client, the same for all attempts
+	RequestID       string // ID chosen by the client, the same for all attempts
 	Messages        []Message
 	MaxTokens       int
 	Timeout         time.Duration // limit on the time to the first token, sent to the edge
-	Unary           bool          // requests one response instead of a stream
+	Unary           bool          // one response is requested instead of a stream
 	DisconnectAfter time.Duration // time after which the client disconnects; 0 for never
 	IdempotencyKey  string
 }
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.GetBody = nil // keeps the transport from retrying, because its retries would not be recorded
+	r.GetBody = nil // A nil GetBody keeps the transport from retrying, because its retries would not be recorded.
 	request.setHeaders(r.Header)
 	return c.http.Do(r)
 }
--- a/internal/loadgen/client_test.go
+++ b/internal/loadgen/client_test.go
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after it has read the body
+				_, _ = io.Copy(io.Discard, r.Body) // The server detects a disconnect only after it has read the body.
 				w.Header().Set("X-Sandcourse-Inference", "n-1")
 				c.serve(w, r)
 			}))
@@ -133,7 +133,7 @@
 		record("late with its retry", 0, 0, audit.OutcomeShed),
 		record("in time", 0, time.Second, audit.OutcomeCompleted),
 		record("in time", time.Millisecond, time.Millisecond, audit.OutcomeCompleted),
-		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // above the range of the histogram
+		record("late", 0, 20*time.Minute, audit.OutcomeCompleted), // The time is above the range of the histogram.
 		{Route: "unknown", Outcome: audit.OutcomeErrored},
 	}, []Route{{Name: "a", PriorityWeight: 2.5, FirstTokenTarget: time.Second}})
 	var output strings.Builder
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -22,7 +22,7 @@
 	Offered     float64 // value of all requests
 	InTime      float64 // value of the completed requests whose first token arrived within the objective
 	Outcomes    map[audit.Outcome]int
-	FirstTokens map[string]*hdrhistogram.Histogram // in microseconds, by route
+	FirstTokens map[string]*hdrhistogram.Histogram // time to the first token in microseconds, by route
 	Attempts    int
 }
 
@@ -58,7 +58,7 @@
 	if s.FirstTokens[route] == nil {
 		s.FirstTokens[route] = hdrhistogram.New(1, maxFirstToken.Microseconds(), 3)
 	}
-	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // fails for values beyond the range of the histogram, which are not counted
+	_ = s.FirstTokens[route].RecordValue(after.Microseconds()) // Values out of range are not counted.
 }
 
 // Print writes the summary as a table.
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -27,7 +27,7 @@
 	minUserWords         = 20
 	userWordsRange       = 60
 	minBackoff           = 100 * time.Millisecond
-	backoffJitter        = 100 // milliseconds
+	backoffJitter        = 100 // range of the random delay before a retry, in milliseconds
 	hotPrefixSeconds     = 10  // time after which the hot prefix changes
 	firstHotPrefixNumber = 1_000_000
 	firstUserTextNumber  = 2_000_000
@@ -47,7 +47,7 @@
 // Traffic is an open-loop load generator: requests start at scheduled times regardless of the duration of others, so that a slow
 // fleet does not reduce the load.
 type Traffic struct {
-	Edges           func() []string // addresses of the edges that a load balancer would currently use
+	Edges           func() []string // function that returns the addresses of the edges that a load balancer would currently use
 	Routes          []Route
 	Rate            float64                        // new requests per second
 	RateFactor      func(at time.Duration) float64 // factor of Rate at a time since the start; nil for 1
@@ -154,7 +154,7 @@
 		}
 		return s
 	}
-	prefix := int(float64(g.Prefixes) * math.Pow(g.random.Float64(), 2)) // low numbers are much more frequent than high ones
+	prefix := int(float64(g.Prefixes) * math.Pow(g.random.Float64(), 2)) // Low numbers are much more frequent than high ones.
 	if g.HotPrefixShare != nil && g.random.Float64() < g.HotPrefixShare(at) {
 		prefix = firstHotPrefixNumber + int(at/time.Second)/hotPrefixSeconds
 	}
--- a/internal/loadgen/traffic_test.go
+++ b/internal/loadgen/traffic_test.go
@@ -21,7 +21,7 @@
 // edgeRecorder implements fake edges that record a line for each attempt.
 type edgeRecorder struct {
 	mu       sync.Mutex
-	attempts map[string]int // by request ID
+	attempts map[string]int // number of attempts by request ID
 	lines    []string
 }
 
--- a/internal/localpause/detector_test.go
+++ b/internal/localpause/detector_test.go
@@ -12,7 +12,7 @@
 func TestObservedTimeIsHeldDuringCatchUp(t *testing.T) {
 	var d Detector
 	d.Update(1000*ms, 0)
-	d.Update(1030*ms, 1025*ms) // 5 ms late after a wait
+	d.Update(1030*ms, 1025*ms) // The reading is 5 ms late after a wait.
 	if got := d.ObservedUntil(1030 * ms); got != 1030*ms {
 		t.Errorf("without a pause: observed until %d ms, want 1030", got/ms)
 	}
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, open := range s.core.OpenAttempts() {
-		if !open.Ended { // includes attempts whose connection is being dialed
+		if !open.Ended { // The attempts include those whose connection is being dialed.
 			s.reservations.restartIdleTime(open.Request, s.now)
 		}
 	}
--- a/internal/modelcheck/client.go
+++ b/internal/modelcheck/client.go
@@ -34,10 +34,10 @@
 	endedAt        int64
 	outcome        string
 	outcomeCount   int
-	requestID      string // assigned by the router
+	requestID      string // ID that the router assigned to the request
 	decodeFinished bool   // a decode engine has sent the last event of the stream
 	retried        bool   // the client reconnected with the same request after it disconnected
-	possibleRuns   int    // decode engines that may have run the request
+	possibleRuns   int    // number of decode engines that may have run the request
 }
 
 // addClient opens a client's connection.
@@ -66,7 +66,7 @@
 	body := fmt.Appendf(nil, `{"model":%q,"stream":true,"messages":[{"role":"user","content":"x"}]}`, c.effect)
 	call, err := chat.ParseRequest(body, nil)
 	if err != nil {
-		panic(err) // cannot fail: the body is fixed
+		panic(err) // The call cannot fail, as the body is fixed.
 	}
 	r, _ := http.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	s.requestsSent[s.incarnation]++
@@ -75,7 +75,7 @@
 	s.handle(func() {
 		s.core.ReceiveRequest(c.connection, &router.ClientRequest{Request: r, Parsed: chatapi.ToRequest(call), Bytes: len(body)})
 	})
-	if c.endedAt > 0 && !strings.Contains(string(c.received), chat.HeaderRequestID) { // rejected before it was admitted
+	if c.endedAt > 0 && !strings.Contains(string(c.received), chat.HeaderRequestID) { // rejected before admission
 		s.requestsSent[s.incarnation]--
 		c.requestID = ""
 		if s.world.MaxOpenRequests == 0 || openBefore < s.world.MaxOpenRequests {
--- a/internal/modelcheck/connection.go
+++ b/internal/modelcheck/connection.go
@@ -15,7 +15,7 @@
 // engineRequest is a request that the router has written to an engine and whose response is not complete.
 type engineRequest struct {
 	connection      *simulatedConnection
-	requestID       string // empty for a health check
+	requestID       string // ID of the client's request; empty for a health check
 	kind            RequestKind
 	attempt         int  // number of the attempt, for a prefill or a release
 	unresponsive    bool // the engine sends nothing for the request until it is responsive again
@@ -42,7 +42,7 @@
 	closed           bool
 	partlyWritten    bool  // the kernel has accepted only part of the last request
 	hasUnreadBytes   bool  // the router has not read the remaining bytes of a finished response
-	hangingSince     int64 // when the dial began to hang; 0 if it does not hang
+	hangingSince     int64 // time at which the dial began to hang; 0 if it does not hang
 	request          *engineRequest
 }
 
@@ -97,7 +97,7 @@
 			Attempt   int    `json:"send"`
 		}
 		if err := json.Unmarshal(body, &release); err != nil {
-			panic(err) // the router wrote malformed JSON
+			panic(err) // The router wrote malformed JSON.
 		}
 		r.requestID, r.attempt = release.RequestID, release.Attempt
 	default:
@@ -133,7 +133,7 @@
 // recordAbortedRequest records the possible effects of a request whose connection the router closes: a prefill may still
 // complete and leave a reservation, a decode may have run, and a release is lost.
 func (s *simulation) recordAbortedRequest(r *engineRequest) {
-	if !r.connection.partlyWritten { // an engine does not start a request that it has received only in part
+	if !r.connection.partlyWritten { // An engine does not start a request that it has received only in part.
 		switch r.kind {
 		case PrefillRequest:
 			s.reservations.add(r, s.now)
--- a/internal/modelcheck/copystate.go
+++ b/internal/modelcheck/copystate.go
@@ -17,12 +17,12 @@
 // every pointer is followed unless its type is listed here. The copy panics on a kind of field that cannot be copied exactly,
 // because an inexact copy could hide a violation.
 var sharedTypes = map[reflect.Type]bool{
-	reflect.TypeFor[*config.Deployment](): true, // not modified after the start
+	reflect.TypeFor[*config.Deployment](): true, // the deployment is not modified after the start
 	reflect.TypeFor[*http.Request]():      true, // requests and response heads are not modified
 	reflect.TypeFor[*http.Response]():     true,
 	reflect.TypeFor[*protocol.Request]():  true,
 	reflect.TypeFor[*chatapi.Codec]():     true,
-	reflect.TypeFor[*routing.Config]():    true, // not modified after the policy is created
+	reflect.TypeFor[*routing.Config]():    true, // the configuration is not modified after the policy is created
 }
 
 // copiedPointers maps each pointer of a state to its copy, so that equal pointers remain equal in the copy.
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -9,8 +9,8 @@
 // Limits are the limits and options of an exploration. A MaxStates or MaxDepth of 0 means no limit.
 type Limits struct {
 	Workers, MaxStates, MaxDepth int
-	Stop                         func() bool // polled between and within levels; true stops the exploration
-	ReplayPaths                  bool        // replay each path from the initial state instead of copying states; slow
+	Stop                         func() bool // function that is polled between and within levels; true stops the exploration
+	ReplayPaths                  bool        // each path is replayed from the initial state instead of copying states; slow
 }
 
 // stopPollInterval is the number of states that are expanded between two polls of Stop.
@@ -75,8 +75,8 @@
 type expansion struct {
 	successors  []successor
 	isTerminal  bool
-	fingerprint uint64   // of a terminal state
-	violations  []string // in a terminal state
+	fingerprint uint64   // fingerprint of a terminal state
+	violations  []string // violations in a terminal state
 	coverage    Coverage
 }
 
@@ -86,7 +86,7 @@
 	exec, _ := replayPath(w, path, false)
 	n := len(exec.enabledEvents())
 	if n == 0 {
-		if exec.isTerminal() { // otherwise the order reduction continues in another interleaving
+		if exec.isTerminal() { // Otherwise the order reduction continues in another interleaving.
 			exec.checkTerminal()
 			e.isTerminal, e.violations, e.fingerprint = true, exec.violations(), exec.fingerprint()
 		}
@@ -97,7 +97,7 @@
 		next := exec
 		if copiers == nil {
 			next, _ = replayPath(w, path, false)
-		} else if i < n-1 { // the last event needs no copy
+		} else if i < n-1 { // The last event needs no copy.
 			next = copiers.copyOf(exec)
 		}
 		next.apply(next.enabledEvents()[i])
@@ -118,7 +118,7 @@
 		}
 		expansions, ok := s.expandFrontier(limits)
 		if !ok {
-			return *r // a resumed exploration repeats this level
+			return *r // A resumed exploration repeats this level.
 		}
 		s.merge(expansions)
 		if report != nil {
--- a/internal/modelcheck/plannerengine.go
+++ b/internal/modelcheck/plannerengine.go
@@ -19,7 +19,7 @@
 	openRequests  int
 	requestsStuck bool // open requests never end
 	incarnation   int64
-	roleByEpoch   map[int64]string // actual role in each epoch
+	roleByEpoch   map[int64]string // actual role of the engine in each epoch
 }
 
 func (e *simulatedEngine) report() planapi.EngineReport {
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -54,7 +54,7 @@
 	roleWarmUp             = 200 * time.Millisecond
 	roleCooldown           = 500 * time.Millisecond
 	roleTick               = 100 * time.Millisecond
-	roleChangeTimeLimit    = 20 * time.Second // every role change must have ended by this time
+	roleChangeTimeLimit    = 20 * time.Second // Every role change must have ended by this time.
 	orderDelayTicks        = 10
 	maxTicksWithoutPlanner = 4
 	startupReportRounds    = 3 // rounds of reports after which the planner has a report of every engine
@@ -178,7 +178,7 @@
 func (s *plannerSimulation) advance() {
 	s.now += int64(roleTick)
 	for i := range s.orders {
-		if s.orders[i].delayedTicks > 1 { // an order with one tick left is due
+		if s.orders[i].delayedTicks > 1 { // An order with one tick left is due.
 			s.orders[i].delayedTicks--
 		}
 	}
@@ -257,7 +257,7 @@
 		fmt.Fprintf(h, "%T", action)
 	}
 	for _, p := range append(slices.Clone(s.edges), s.plan) {
-		fmt.Fprintln(h, p.Engines, s.plan.Newer(p)) // plans with equal engines may differ in age
+		fmt.Fprintln(h, p.Engines, s.plan.Newer(p)) // Plans with equal engines may differ in age.
 	}
 	return h.Sum64()
 }
--- a/internal/modelcheck/randomwalk.go
+++ b/internal/modelcheck/randomwalk.go
@@ -15,7 +15,7 @@
 
 // walk is the result of one random walk.
 type walk struct {
-	world           World // with only the kinds of fault that this walk may inject
+	world           World // world with only the kinds of fault that this walk may inject
 	path            Path
 	violations      []string
 	coverage        Coverage
--- a/internal/modelcheck/reservations.go
+++ b/internal/modelcheck/reservations.go
@@ -9,8 +9,8 @@
 type heldReservation struct {
 	requestID, engine string
 	attempt           int
-	lostReleases      int   // releases that the network has lost
-	idleSince         int64 // when an attempt of the request was last in flight
+	lostReleases      int   // number of releases that the network has lost
+	idleSince         int64 // time at which an attempt of the request was last in flight
 }
 
 // belongsTo reports whether a prefill made this reservation, or a release names it.
--- a/internal/modelcheck/routerfleet.go
+++ b/internal/modelcheck/routerfleet.go
@@ -109,7 +109,7 @@
 	if e.fault != noFault {
 		faultsInjected++
 	}
-	for _, s := range f.routers { // the number of faults is limited for the whole fleet
+	for _, s := range f.routers { // The number of faults is limited for the whole fleet.
 		s.faultsInjected = faultsInjected
 	}
 	e.apply()
--- a/internal/modelcheck/simulation.go
+++ b/internal/modelcheck/simulation.go
@@ -22,15 +22,15 @@
 	reservations    reservationLedger
 	faultsInjected  int
 	endpoints       endpoint.List
-	drainNotifiedAt map[string]int64 // when the router was notified that an engine drains
+	drainNotifiedAt map[string]int64 // time at which the router was notified of the drain of each engine
 	violationLog    violationLog
 	trace           []string
 	tracing         bool
-	incarnation     int         // of the router, which may be killed and restarted
-	earlierCoverage Coverage    // of earlier incarnations
-	requestsSent    map[int]int // by incarnation
+	incarnation     int         // incarnation of the router, which may be killed and restarted
+	earlierCoverage Coverage    // coverage of earlier incarnations
+	requestsSent    map[int]int // number of requests sent, by incarnation
 	clientsOpened   int
-	routerIndex     int           // in its fleet
+	routerIndex     int           // index of the router in its fleet
 	coldAttempts    []coldAttempt // attempts to engines that have restarted
 	inFleet         bool          // the fleet manages the endpoint list, engine restarts and time
 }
--- a/internal/modelcheck/snapshot.go
+++ b/internal/modelcheck/snapshot.go
@@ -63,7 +63,7 @@
 	if len(stored.Front) == 0 {
 		return nil, ErrNoFrontier
 	}
-	if stored.Ended == nil { // encoding/gob omits empty maps
+	if stored.Ended == nil { // Package encoding/gob omits empty maps.
 		stored.Ended = map[uint64]struct{}{}
 	}
 	w, r := stored.World.restore(), stored.Result
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -25,9 +25,9 @@
 	HealthChecks         bool            `json:"probes"` // the router polls the load of engines
 	MaxOpenRequests      int             `json:"open"`   // maximum number of admitted requests per router; 0 for no limit
 	Routers              int             `json:"nodes"`  // routers that share the engines, each with its own clients; 0 means 1
-	AllInterleavings     bool            `json:"plain"`  // try all interleavings of events of different routers
-	RoleChanges          bool            `json:"roles"`  // simulate the planner and role changes, without requests
-	Crowd                bool            `json:"crowd"`  // run one long seeded simulation instead, see SimulateCrowd
+	AllInterleavings     bool            `json:"plain"`  // all interleavings of events of different routers are tried
+	RoleChanges          bool            `json:"roles"`  // the planner and role changes are simulated, without requests
+	Crowd                bool            `json:"crowd"`  // one long seeded simulation is run instead, see SimulateCrowd
 }
 
 // FaultKind names a kind of fault that the adversary may inject.
--- a/internal/planner/assignment/controller_test.go
+++ b/internal/planner/assignment/controller_test.go
@@ -50,7 +50,7 @@
 	now        int64
 	engines    []ListedEngine
 	controller *Controller
-	replica    *Controller // receives the same inputs and must return the same actions
+	replica    *Controller // controller that receives the same inputs and must return the same actions
 	persisted  map[string]Record
 	reports    map[string]planapi.EngineReport // current report of each engine
 }
@@ -228,7 +228,7 @@
 		for _, view := range h.controller.Engines() {
 			switch view.State {
 			case Serving, WarmingUp, Quarantined:
-			case Draining, Ordered: // a change that has just begun
+			case Draining, Ordered: // The change has just begun.
 			default:
 				t.Fatalf("%s is still in state %s: %s", view.Engine, view.State, view.Fault)
 			}
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -192,7 +192,7 @@
 	if err := json.Unmarshal(data, &back); err != nil {
 		t.Fatal(err)
 	}
-	status.Engines[0].Report.Engine = "" // the address is not sent
+	status.Engines[0].Report.Engine = "" // The address is not sent.
 	if !reflect.DeepEqual(back, status) {
 		t.Error("decoded status differs from the encoded one")
 	}
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -62,7 +62,7 @@
 	s.Close()
 	runWithFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
-			s.Close() // opening needs no write, so it may succeed
+			s.Close() // Opening needs no write, so it may succeed.
 		}
 	})
 	s, stored, err := Open(path)
@@ -117,7 +117,7 @@
 		os.WriteFile(path, damage(t, data), 0o600)
 		store, stored, err := Open(path)
 		if err != nil {
-			return // the damage was detected
+			return // The damage was detected.
 		}
 		defer store.Close()
 		if stored.Term != 0 && stored.Term != storeTerm || len(stored.Records) > 1 ||
--- a/internal/replay/engines.go
+++ b/internal/replay/engines.go
@@ -24,14 +24,14 @@
 	kind   modelcheck.RequestKind
 	engine string
 	conn   net.Conn
-	done   chan struct{} // closed when the request is finished
+	done   chan struct{} // channel that is closed when the request is finished
 }
 
 // scriptedEngines simulates all engines of a path. An engine responds only when an event of the path is replayed.
 type scriptedEngines struct {
 	mu       sync.Mutex
 	requests []*engineRequest
-	arrived  chan struct{} // signals that a request has arrived; capacity 1
+	arrived  chan struct{} // signal that a request has arrived; capacity 1
 }
 
 func newScriptedEngines() *scriptedEngines {
@@ -119,7 +119,7 @@
 	s.requests = slices.DeleteFunc(s.requests, func(other *engineRequest) bool { return other == r })
 	s.mu.Unlock()
 	if reset {
-		_ = r.conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection, which needs no reset
+		_ = r.conn.(*net.TCPConn).SetLinger(0) // SetLinger fails only on a closed connection, which needs no reset.
 		r.conn.Close()
 	}
 	close(r.done)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -29,10 +29,10 @@
 
 const (
 	replayTimeout  = 10 * time.Second
-	requestTimeout = 2 * time.Second       // for an expected request of the edge to arrive
-	clientsTimeout = 2 * time.Second       // for clients to receive their responses after the last step
-	listDelay      = 20 * time.Millisecond // for the edge to receive the first endpoint list
-	stepDelay      = 3 * time.Millisecond  // for the edge and the clients to read the bytes written in a step
+	requestTimeout = 2 * time.Second       // time for an expected request of the edge to arrive
+	clientsTimeout = 2 * time.Second       // time for clients to receive their responses after the last step
+	listDelay      = 20 * time.Millisecond // time for the edge to receive the first endpoint list
+	stepDelay      = 3 * time.Millisecond  // time for the edge and the clients to read the bytes written in a step
 	maxTokens      = 5
 )
 
@@ -62,7 +62,7 @@
 	client     *loadgen.Client
 	clients    sync.WaitGroup
 	records    []audit.ClientRecord
-	disconnect []context.CancelFunc // of each client, by its number
+	disconnect []context.CancelFunc // functions that disconnect each client, by its number
 }
 
 // Play replays a path on a real edge and returns the record of each client and its outcome in the model checker (empty if the
@@ -149,7 +149,7 @@
 		p.updateEngine(e.Engine, func(entry *endpoint.Entry) { entry.StartedAtMs = time.Now().UnixMilli() })
 		return nil
 	case modelcheck.TimePasses, modelcheck.EstablishConnection, modelcheck.DeliverUnreadBytes:
-		return nil // happens without an action: the sockets and the clock are real
+		return nil // The event happens without an action, as the sockets and the clock are real.
 	}
 	respond, ok := responses[e.Action]
 	if !ok {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -44,7 +44,7 @@
 	}{
 		{largerWorld, nil, ErrUnsupportedWorld},
 		{w, modelcheck.Path{200}, modelcheck.ErrPathMismatch},
-		{w, modelcheck.Path{0, 0}, ErrUnsupportedAction}, // the second event is a dial that hangs
+		{w, modelcheck.Path{0, 0}, ErrUnsupportedAction}, // The second event is a dial that hangs.
 	} {
 		if _, _, err := Play(c.world, c.path); !errors.Is(err, c.want) {
 			t.Errorf("path %v: %v, want %v", c.path, err, c.want)
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -17,7 +17,7 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Event is what happens to a reservation.
+// Event is an input of a reservation's state machine.
 type Event uint8
 
 // The events of a reservation.
@@ -56,7 +56,7 @@
 // String returns the event's name.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what the router has to do about a reservation that is due.
+// Action is the action that a due reservation requires of the router.
 type Action uint8
 
 // The actions.
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -37,7 +37,7 @@
 		name   string
 		events []Event
 		want   State
-		due    int64 // since the start; ignored for None
+		due    int64 // due time since the start; ignored for None
 	}{
 		{"prefill", []Event{PrefillDone}, Reserved, second * 3 / 4},
 		{"prefill, and consumed", []Event{PrefillDone, AttemptSent, Consumed}, None, 0},
--- a/internal/reservation/transitions.go
+++ b/internal/reservation/transitions.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// dueChange is what a transition does to the time at which a reservation is due.
+// dueChange is the effect of a transition on the time at which a reservation is due.
 type dueChange uint8
 
 const (
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -59,7 +59,7 @@
 		}
 
 		b = newUnacknowledgedTestbed(t)
-		b.setEndpoints("r") // no decode engine is listed
+		b.setEndpoints("r") // No decode engine is listed.
 		client, _ = b.request("a3", route)
 		s = b.connect()
 		b.answerPrefill(s)
@@ -100,7 +100,7 @@
 		for len(b.dials) > 0 {
 			b.connect()
 		}
-		want := 3 // a prefill and two decodes, the second within the window of 300 ms
+		want := 3 // The attempts are a prefill and two decodes, the second within the window of 300 ms.
 		if after > 300*time.Millisecond {
 			want = 2
 		}
@@ -142,7 +142,7 @@
 // If the process did not run for longer than a client waits, the client's request is answered at once and not forwarded.
 func TestRequestReadAfterItsDeadlineIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
-	b.expectedViolation = invariant.LateAnswer // the answer is late because the process did not run
+	b.expectedViolation = invariant.LateAnswer // The answer is late because the process did not run.
 	lastClockRead := b.now
 	b.now += int64(4 * time.Second)
 	b.core.SetTime(b.now)
--- a/internal/router/client_connections_test.go
+++ b/internal/router/client_connections_test.go
@@ -35,7 +35,7 @@
 func TestExcessConnectionsAreAnswered(t *testing.T) {
 	b := newTestbed(t)
 	var last *fakeClientSocket
-	for i := range 600 { // the limit of connections is 46 % of 1,024 descriptors
+	for i := range 600 { // The limit of connections is 46 % of 1,024 descriptors.
 		_, last = b.request(fmt.Sprint("a", i), "chat")
 	}
 	if statuses := responseStatuses(t, last); len(statuses) != 1 || statuses[0] != http.StatusServiceUnavailable {
--- a/internal/router/client_requests_test.go
+++ b/internal/router/client_requests_test.go
@@ -21,7 +21,7 @@
 			b.requestOn(client, fmt.Sprint("a", i), "chat")
 		}
 		b.do(func() { b.core.RejectMessage(client, io.ErrUnexpectedEOF) })
-		b.advance(20 * time.Second) // no dial succeeds, and each request gets an error in time
+		b.advance(20 * time.Second) // No dial succeeds, and each request gets an error in time.
 		statuses := responseStatuses(t, out)
 		if len(statuses) != count+1 || statuses[count] != http.StatusBadRequest || !out.closed {
 			t.Errorf("%d requests and an invalid message: answers %v, closed %v", count, statuses, out.closed)
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -44,7 +44,7 @@
 	if dialed := b.connect(); len(advertisedTimeouts(t, dialed)) != 0 {
 		t.Error("a request was sent to the old address on a connection that was dialed before the move")
 	}
-	b.advance(200 * time.Millisecond) // the policy waits a little before a retry
+	b.advance(200 * time.Millisecond) // The policy waits a little before a retry.
 	if len(b.dials) == 0 || b.dials[0].Address != "127.0.0.1:2" {
 		t.Error("the request is not forwarded to the new address")
 	}
--- a/internal/router/golden_recorder_test.go
+++ b/internal/router/golden_recorder_test.go
@@ -31,14 +31,14 @@
 	core          *router.Router
 	deployment    *config.Deployment
 	protocol      protocol.Codec
-	chat          bool // the chat API; false for the platform protocol
+	chat          bool // the protocol is the chat API, not the platform protocol
 	start         int64
 	now           int64
 	transcript    strings.Builder
 	scheduled     []scheduledEvent
 	connections   int
 	clients       int64
-	requestCounts map[string]int // requests to engines so far, by kind
+	requestCounts map[string]int // number of requests to engines so far, by kind
 	revision      int64
 	refusing      map[string]bool // engines that refuse connections
 	// replyFor returns how an engine answers a request.
@@ -372,7 +372,7 @@
 const (
 	retriable    = "retriable"
 	nonRetriable = "non-retriable"
-	deduplicated = "deduplicated" // by engines, for a time; the demo settings of the chat API have no such route
+	deduplicated = "deduplicated" // Engines deduplicate retries for a time; the demo settings of the chat API have no such route.
 )
 
 // requestText returns a request in the recorder's protocol.
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -31,13 +31,13 @@
 		r.advance(2 * time.Second)
 	}},
 	{"shed", func(r *recorder) {
-		c := r.sendRequest("a1", retriable, true) // no list has been received
+		c := r.sendRequest("a1", retriable, true) // No list has been received.
 		r.advance(3 * time.Second)
 		r.setEndpoints()
 		c.send(r.requestText("a2", retriable, true))
 		c.send(r.requestText("a3", nonRetriable, true))
 		r.advance(6 * time.Second)
-		r.setEndpoints("r1") // no decode engine
+		r.setEndpoints("r1") // No decode engine is listed.
 		r.sendRequest("a4", nonRetriable, true)
 		r.advance(3 * time.Second)
 	}},
@@ -272,12 +272,12 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRecorder(t, chat, 1)
 			for _, text := range []string{"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"} {
-				r.newClient().send(text) // no list has been received
+				r.newClient().send(text) // No list has been received.
 			}
 			r.setEndpoints("r1", "w1")
 			r.sendRequest("again", retriable, true)
 			r.advance(time.Second)
-			r.sendRequest("again", retriable, true) // the name is known already
+			r.sendRequest("again", retriable, true) // The name is known already.
 			r.advance(time.Second)
 			for i, text := range badRequests(r) {
 				text = strings.Replace(text, "Request-Id: a1\r\n", fmt.Sprintf("Request-Id: a%d\r\n", i), 1)
@@ -348,7 +348,7 @@
 	for i := range 14 {
 		var fields []string
 		if i < 8 {
-			fields = []string{"Authorization: Bearer one\r\n"} // in the protocol that has tenants
+			fields = []string{"Authorization: Bearer one\r\n"} // This protocol has tenants.
 		}
 		clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
 	}
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -42,8 +42,8 @@
 type RequestSummary struct {
 	Request, Route, Session    string
 	Outcome                    RequestOutcome
-	Reason                     FailureReason // why the request failed; empty for other outcomes
-	Cause                      string        // why the policy shed or failed the request; empty if it did not
+	Reason                     FailureReason // reason for a failure; empty for other outcomes
+	Cause                      string        // the policy's reason for shedding or failing the request; empty if it did neither
 	Attempts                   []string      // engine and verdict of each attempt
 	Duration, TimeToFirstToken time.Duration // TimeToFirstToken is 0 if there was no token
 	PromptTokens, OutputTokens int
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -49,7 +49,7 @@
 		s.checkResponse(c)
 	}
 	if !s.anyEngineReachable() {
-		s.reservations = nil // no release can reach an engine, so engines must drop these reservations themselves
+		s.reservations = nil // No release can reach an engine, so engines must drop these reservations themselves.
 	}
 	for _, reserved := range s.reservations {
 		if slices.ContainsFunc(reserved.client.attempts, func(a *receivedAttempt) bool { return a.inFlight }) {
--- a/internal/router/random_world_events_test.go
+++ b/internal/router/random_world_events_test.go
@@ -124,7 +124,7 @@
 		header.Set(fields[i], fields[i+1])
 	}
 	if e.method == http.MethodPost && status != http.StatusOK {
-		e.attempt.inFlight = false // the complete response is in transit
+		e.attempt.inFlight = false // The complete response is in transit.
 	}
 	e.simulation.core.ResponseHead(e.conn, responseHead(status, header), nil)
 }
@@ -261,7 +261,7 @@
 	case kind == 10:
 		id := fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "listed"))
 		s.setState(id, rapid.SampledFrom([]string{endpoint.Ready, endpoint.Ready, endpoint.Draining, ""}).Draw(s.t, "state"))
-	case kind == 12 && len(s.unreachable) == 0: // one engine at a time, so that another can handle releases
+	case kind == 12 && len(s.unreachable) == 0: // One engine at a time is cut off, so that another can handle releases.
 		s.unreachable[fmt.Sprint("s", rapid.IntRange(0, len(s.endpoints)-1).Draw(s.t, "unreachable"))] = true
 	case kind == 12:
 		clear(s.unreachable)
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -30,13 +30,13 @@
 	dialing         []*router.EngineConnection
 	connections     []*simulatedConnection
 	endpoints       map[string]endpoint.Entry
-	drainNotifiedAt map[string]int64 // since when engines are draining in the list or missing from it
+	drainNotifiedAt map[string]int64 // times since which engines have been draining in the list or missing from it
 	reservations    []*simulatedReservation
 	// unnoticedCloses are connections that the router has closed with an attempt in flight, while the engine has not
 	// noticed the close.
 	unnoticedCloses []*simulatedConnection
 	unreachable     map[string]bool // partitioned engines; their connections stay open
-	delay           time.Duration   // how late the current event is handled, because the process did not run
+	delay           time.Duration   // delay of the current event, because the process did not run
 }
 
 // simulatedClient is one client with one request.
@@ -48,9 +48,9 @@
 	deadline     int64
 	resumed      bool
 	out          bytes.Buffer
-	respondedAt  int64 // when the answer began or was complete
+	respondedAt  int64 // time at which the answer began or was complete
 	disconnected bool
-	closed       bool // by the router
+	closed       bool // the router has closed the client's connection
 	attempts     []*receivedAttempt
 }
 
@@ -76,7 +76,7 @@
 	client     *simulatedClient
 	attempt    *receivedAttempt
 	method     string // method of the request in flight: POST, DELETE or GET; empty for none
-	writtenAt  int64  // when the request was written
+	writtenAt  int64  // time at which the request was written
 	responding bool
 }
 
@@ -84,7 +84,7 @@
 type simulatedReservation struct {
 	client            *simulatedClient
 	engine            string
-	attemptInFlightAt int64 // when an attempt of the same request was last in flight
+	attemptInFlightAt int64 // time at which an attempt of the same request was last in flight
 }
 
 func (s *simulation) Dial(conn *router.EngineConnection) { s.dialing = append(s.dialing, conn) }
@@ -110,7 +110,7 @@
 		s.t.Fatalf("%v: %q", err, request)
 	}
 	e.method, e.responding, e.writtenAt = r.Method, false, s.now
-	if s.unreachable[e.conn.Engine] { // the request does not arrive
+	if s.unreachable[e.conn.Engine] { // The request does not arrive.
 		e.method = ""
 	}
 	if e.method == http.MethodDelete {
@@ -183,7 +183,7 @@
 	s.checkReservations()
 }
 
-// simulatedDialTime is after how long pending dials succeed if no random event ends them: releases need connections, too.
+// simulatedDialTime is the time after which pending dials succeed if no random event ends them: releases need connections, too.
 const simulatedDialTime = 20 * time.Millisecond
 
 func (s *simulation) advance(d time.Duration) {
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -5,7 +5,7 @@
 	"sandcourse/internal/routing"
 )
 
-// RequestOutcome is how a request ended. The values are metric labels.
+// RequestOutcome is the outcome of a request. The values are metric labels.
 type RequestOutcome string
 
 // The outcomes of requests.
@@ -16,7 +16,7 @@
 	OutcomeAbandoned RequestOutcome = "left" // the client disconnected
 )
 
-// FailureReason is why a request failed. The text is part of the answer to the client.
+// FailureReason is the reason for the failure of a request. The text is part of the answer to the client.
 type FailureReason string
 
 // The reasons for which the router itself fails a request.
@@ -31,7 +31,7 @@
 	reasonStreamBroken FailureReason = "the stream broke: "
 )
 
-// ShedReason is why a request was shed. The text is part of the answer to the client.
+// ShedReason is the reason for shedding a request. The text is part of the answer to the client.
 type ShedReason string
 
 // The reasons for which the router sheds requests, in addition to those of package invariant.
@@ -44,8 +44,8 @@
 	shedDeadline    ShedReason = "it would not be answered in time"
 )
 
-// AttemptReason is why an attempt ended. Besides the constants, the value may be the text of an error, the status of the
-// engine's response, or a reason of package invariant.
+// AttemptReason is the reason for the end of an attempt. Besides the constants, the value may be the text of an error,
+// the status of the engine's response, or a reason of package invariant.
 type AttemptReason string
 
 // The router's own reasons that are only logged.
@@ -67,7 +67,7 @@
 	reasonStalled AttemptReason = "no token for "
 )
 
-// RejectReason is why a message or a connection of a client was rejected. The values are metric labels.
+// RejectReason is the reason for rejecting a message or a connection of a client. The values are metric labels.
 type RejectReason string
 
 // The reasons of rejections.
@@ -81,7 +81,7 @@
 	RejectTimeout     RejectReason = "slow or idle" // the client sent nothing, or too slowly
 )
 
-// CloseReason is why the router closes a client's connection. The values are metric labels.
+// CloseReason is the reason for closing a client's connection. The values are metric labels.
 type CloseReason string
 
 // The reasons for which the router closes a client's connection.
@@ -114,13 +114,13 @@
 const (
 	ReleaseSent         ReservationEvent = "sent"         // the first release was sent
 	ReleaseAcknowledged ReservationEvent = "acknowledged" // an engine acknowledged a release
-	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation up to the time limit
-	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the consuming attempt was unresponsive up to the time limit
+	ReleaseOverdue      ReservationEvent = "overdue"      // the policy kept the reservation until the time limit
+	ReleaseUnconfirmed  ReservationEvent = "unconfirmed"  // the consuming attempt was unresponsive until the time limit
 	ReleaseAbandoned    ReservationEvent = "given up"     // no engine acknowledged the releases
 	ReleaseTableFull    ReservationEvent = "no room"      // too many reservations are tracked; this one is not released
 )
 
-// Verdict is how an attempt ended. The values are metric labels.
+// Verdict is the outcome of an attempt. The values are metric labels.
 type Verdict string
 
 // The verdicts of attempts, as package routing defines them.
--- a/internal/router/reference_test.go
+++ b/internal/router/reference_test.go
@@ -124,7 +124,7 @@
 func TestEndpointLookupMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFleetSimulation(t)
-		since := map[string]int64{} // when engines were first not ready
+		since := map[string]int64{} // times at which engines were first not ready
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.applyRandomEvent(t)
 			for i := range 21 {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -23,10 +23,10 @@
 	collector         protocol.Collector         // collects the answer if the client wants a complete one; nil for a stream
 	streaming         bool                       // the first token was received
 	firstTokenAt      int64
-	mayStillRunUntil  int64          // latest time at which an attempt with an unknown outcome may run; 0 without such an attempt
+	mayStillRunUntil  int64          // latest time at which an attempt with an unknown outcome may run; 0 without such attempts
 	tokens            int            // number of tokens forwarded by the router; relays count those that they forward
 	outcome           RequestOutcome // outcome of the request; empty until the request has ended
-	cause             string         // why the policy ended the request; empty if it did not
+	cause             string         // the policy's reason for ending the request; empty if it did not
 }
 
 // forwardsTokens reports whether tokens are forwarded to the client as they arrive.
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -15,12 +15,12 @@
 // its prefill engine, which hung. Any engine handles a release, so the release is also sent to engines that respond.
 func TestReservationOfAHungPrefillEngineIsReleasedElsewhere(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r", "w", "w2") // w responds before the release, w2 never does
+	b.setEndpoints("r", "w", "w2") // The engine w responds before the release, w2 never does.
 	client, _ := b.request("a1", "alert")
 	b.answerPrefill(b.connect())
 	b.answerFull(b.connect())
 	b.do(func() { b.core.ClientDisconnected(client) })
-	for range 700 { // well under the reservation limit of a second
+	for range 700 { // The time is well under the reservation limit of a second.
 		b.advance(time.Millisecond)
 		for len(b.dials) > 0 {
 			b.connect()
@@ -43,7 +43,7 @@
 	b.answerPrefill(s)
 	b.do(func() {
 		b.core.ClientDisconnected(client)
-		b.core.EngineDisconnected(s.conn) // the release was sent on the connection of the prefill
+		b.core.EngineDisconnected(s.conn) // The release was sent on the connection of the prefill.
 	})
 	if n := b.core.InFlight().ControlRequests; n == 0 {
 		t.Error("no control request counts as in flight while a release waits for its retry")
@@ -76,7 +76,7 @@
 func TestReleaseIsRepeatedAfterACancelledAttempt(t *testing.T) {
 	b, client, _ := testbedWithDecodeInFlight(t, "chat")
 	b.do(func() { b.core.ClientDisconnected(client) })
-	for range 20 { // each release is acknowledged
+	for range 20 { // Each release is acknowledged.
 		b.countReleases("a1")
 		for _, s := range b.engineSockets {
 			if strings.Contains(s.written.String(), "DELETE") && !s.closed {
@@ -114,7 +114,7 @@
 // The age of a reservation counts from the end of its prefill, not from when a delayed process handles the response.
 func TestReservationReportedLateIsReleasedInTime(t *testing.T) {
 	b := newTestbed(t)
-	b.setEndpoints("r") // no decode engine is listed
+	b.setEndpoints("r") // No decode engine is listed.
 	b.request("a1", "alert")
 	s := b.connect()
 	b.advance(700 * time.Millisecond)
@@ -132,7 +132,7 @@
 		b := newTestbed(t)
 		b.mayPanic = true
 		if at == "reserved" {
-			b.setEndpoints("r") // no decode engine is listed
+			b.setEndpoints("r") // No decode engine is listed.
 		}
 		b.request("a1", "alert")
 		s := b.connect()
@@ -173,7 +173,7 @@
 		b.setEndpoints("r", "w", "w2")
 		b.do(func() { b.core.ClientDisconnected(client) })
 		answered, engines := map[*fakeEngineSocket]int{}, map[string]bool{}
-		for range 3000 { // 15 seconds
+		for range 3000 { // The steps take 15 seconds.
 			b.countReleases("a1")
 			for _, s := range b.engineSockets {
 				if n := strings.Count(s.written.String(), "DELETE"); n > answered[s] && !s.closed {
@@ -194,7 +194,7 @@
 func TestReleaseGoesToTwoEnginesInParallel(t *testing.T) {
 	b, client, decode := testbedWithDecodeInFlight(t, "chat")
 	b.answerFull(decode)
-	b.advance(25 * time.Millisecond) // the connections of the decode and prefill engines are idle now
+	b.advance(25 * time.Millisecond) // The connections of the decode and prefill engines are idle now.
 	b.do(func() { b.core.ClientDisconnected(client) })
 	releases := map[string]int{}
 	for _, s := range b.engineSockets {
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -29,7 +29,7 @@
 	events        []routing.Event
 
 	panicNext, mayPanic bool           // whether the policy panics at its next event, and whether the test expects a panic
-	expectedViolation   invariant.Rule // rule that the test violates, as when no engine acknowledges a release
+	expectedViolation   invariant.Rule // rule that the test violates, for example because no engine acknowledges a release
 	closedClients       []int64        // clients whose connections the router closed, in order
 }
 
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// The window over which overload is measured is shorter than an overload lasts. A share of late answers is computed as if
+// The window over which overload is measured is shorter than a typical overload. A share of late answers is computed as if
 // there were at least overloadMinSamples answers, so that a few late ones do not count as an overload.
 const (
 	overloadWindow     = 4 * time.Second
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -13,7 +13,7 @@
 		n.completePrefill(1500*ms, req, prefillEngine)
 	}
 	n.arrive(5, 0, "new")
-	n.actions = n.actions[2:] // without the request's two timers
+	n.actions = n.actions[2:] // The request's two timers are left out.
 	n.expectActions(Shed{RequestID: 5, Cause: "cannot meet objective"}, Release{5})
 }
 
--- a/internal/routing/decode_test.go
+++ b/internal/routing/decode_test.go
@@ -9,7 +9,7 @@
 func TestSessionLeavesASlowDecodeEngine(t *testing.T) {
 	n := newTestNode(t, nil)
 	_, slow := n.serve(1, "s")
-	n.now += 3000 * ms // the earlier low latency no longer counts
+	n.now += 3000 * ms // The earlier low latency no longer counts.
 	decodeEngine := n.completePrefill(20*ms, 2, n.arrive(2, 0, "s"))
 	n.firstToken(600*ms, 2, decodeEngine)
 	if next := n.completePrefill(20*ms, 3, n.arrive(3, 0, "s")); next == slow {
--- a/internal/routing/fleet_benchmark_test.go
+++ b/internal/routing/fleet_benchmark_test.go
@@ -107,7 +107,7 @@
 	for _, engines := range []int{100, 400, 1600, 3200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			n := newFleetNode(b, engines, 1)
-			var retries []int64 // tokens of timers
+			var retries []int64 // tokens of the timers of retries
 			collect := func(actions []Action) {
 				for _, action := range actions {
 					if timer, ok := action.(StartTimer); ok && timer.After == retryDelay {
--- a/internal/routing/outlier_test.go
+++ b/internal/routing/outlier_test.go
@@ -77,8 +77,8 @@
 		e.faultTimes = nil
 	}
 	recordPrefills("r0", 200, 0)
-	recordPrefills("r1", 900, 16) // busy
-	recordPrefills("r2", 900, 0)  // slow
+	recordPrefills("r1", 900, 16) // r1 is busy.
+	recordPrefills("r2", 900, 0)  // r2 is slow.
 	for id, want := range map[string]bool{"r0": false, "r1": false, "r2": true} {
 		if e := n.policy.engines[id]; n.policy.isSlow(e) != want || n.policy.isHealthy(req, e, engineLoad{}, 800*ms, 0) == want {
 			t.Errorf("%s: isSlow is %v, or isHealthy contradicts it", id, n.policy.isSlow(e))
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -34,7 +34,7 @@
 	n := newTestNode(t, nil)
 	lost := n.arrive(1, 0, "s")
 	for req := int64(2); req <= 8; req++ {
-		n.completePrefill(60*ms, req, n.arrive(req, 0, "s")) // has the same preferred engine as the lost attempt
+		n.completePrefill(60*ms, req, n.arrive(req, 0, "s")) // The session has the same preferred engine as the lost attempt.
 		for _, action := range n.actions {
 			if action == (CancelAttempt{1, 0}) {
 				if next := n.step(1*ms, Outcome{RequestID: 1, Engine: lost, Verdict: Canceled}); next == "" || next == lost {
@@ -51,7 +51,7 @@
 // chosen again each time, as it had the fewest streams.
 func TestEngineThatRefusedIsNotRetriedAtOnce(t *testing.T) {
 	n := newTestNode(t, nil)
-	n.updateEngines(Endpoint{}, "r0") // not a complete list, so the others stay
+	n.updateEngines(Endpoint{}, "r0") // The list is not complete, so the others stay.
 	for _, id := range []string{"w0", "w1"} {
 		n.policy.engines[id].faultTimes, n.policy.engines[id].suspect = []time.Duration{n.now}, true
 	}
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -25,10 +25,10 @@
 // requestRecord is the test's own record of one request: its attempts, its reservation and its answer.
 type requestRecord struct {
 	RequestArrived
-	inFlight      []int // indices of attempts
+	inFlight      []int // indices of the attempts in flight
 	engines       []string
 	sentAt        []time.Duration
-	ran           []bool // whether each attempt may have run, by its outcome
+	ran           []bool // for each attempt: it may have run, by its outcome
 	decode        []bool
 	reserved      bool
 	reservedSince time.Duration
@@ -48,7 +48,7 @@
 	requests      map[int64]*requestRecord
 	ids           []int64
 	engines       map[string]Endpoint
-	timers        map[time.Duration][]int64 // due time to tokens
+	timers        map[time.Duration][]int64 // tokens of timers by due time
 	sentWarmingUp map[string][]time.Duration
 	sentTo        map[string][]time.Duration
 }
@@ -273,7 +273,7 @@
 	}
 	s.step(o)
 	if rapid.IntRange(0, 9).Draw(s.t, "repeated") == 0 {
-		s.step(o) // a late or repeated outcome must be harmless
+		s.step(o) // A late or repeated outcome must be harmless.
 	}
 }
 
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -151,7 +151,7 @@
 		n.lastID++
 		sent := n.step(RequestArrived{RequestID: n.lastID, Session: fmt.Sprint(n.lastID), Deadline: n.now + time.Hour, PromptTokens: 100})
 		if sent == "" {
-			break // no budget is left
+			break // No budget is left.
 		}
 	}
 	if !p.isBudgetExhausted(&p.prefillEngines) {
--- a/internal/scenario/edges.go
+++ b/internal/scenario/edges.go
@@ -90,7 +90,7 @@
 	es.edges[i] = nil
 	es.mu.Unlock()
 	if e == nil {
-		return nil // the edge is already down
+		return nil // The edge is already down.
 	}
 	killedAt := time.Now()
 	e.Stop()
--- a/internal/scenario/faultrunner.go
+++ b/internal/scenario/faultrunner.go
@@ -51,7 +51,7 @@
 		r.fleet.DelayList(seconds(s.Size))
 	default:
 		e := r.fleet.Engines[s.Engine]
-		if !e.Overloaded() { // an overloaded engine stays down
+		if !e.Overloaded() { // An overloaded engine stays down.
 			r.applyToEngine(s, e)
 		}
 	}
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -30,7 +30,7 @@
 
 	mu            sync.Mutex
 	endpoints     endpoint.List
-	listDelay     time.Duration // from a change to its publication
+	listDelay     time.Duration // delay from a change to its publication
 	delayedWrites sync.WaitGroup
 	writeList     func(path string, list endpoint.List) error
 }
--- a/internal/scenario/import.go
+++ b/internal/scenario/import.go
@@ -24,7 +24,7 @@
 	importedAttemptRate = 40.0
 	importedPrefillRate = 100_000.0
 	maxImportedEdges    = 8
-	maxFaultSize        = 1000 // larger sizes in the benchmark are times in microseconds
+	maxFaultSize        = 1000 // Larger sizes in the benchmark are times in microseconds.
 )
 
 // Import converts a benchmark scenario to a script with the same faults, fleet and traffic. The length of the script is scaled
--- a/internal/scenario/loadshift.go
+++ b/internal/scenario/loadshift.go
@@ -39,17 +39,17 @@
 	PrefillEngines, DecodeEngines, Edges int
 	Phases                               []Phase
 	FixedRoles                           bool // the planner explains its decisions but changes no role
-	KillPlanner                          bool // kills and restarts the planner repeatedly
+	KillPlanner                          bool // the planner is killed and restarted repeatedly
 	Seed                                 uint64
-	Faults                               func(ctx context.Context, f *Fleet) // runs concurrently with the phases; may be nil
+	Faults                               func(ctx context.Context, f *Fleet) // run concurrently with the phases; may be nil
 	OnPlan                               func(planapi.Plan)
 }
 
 // LoadShiftResult is the result of a load shift, by phase.
 type LoadShiftResult struct {
 	Phases        []loadgen.Summary
-	SecondHalves  []loadgen.Summary // by phase: the half after the planner had time to change roles
-	RecoveryTimes []time.Duration   // by phase: see recoveryTime
+	SecondHalves  []loadgen.Summary // second half of each phase, after the planner had time to change roles
+	RecoveryTimes []time.Duration   // recovery time of each phase, see recoveryTime
 	Violations    []audit.Violation
 	HeldAtEnd     int
 	RoleChanges   int
--- a/internal/scenario/loadshift_test.go
+++ b/internal/scenario/loadshift_test.go
@@ -113,7 +113,7 @@
 	moved := fleet.Engines[0]
 	var ordering sync.WaitGroup
 	ordering.Go(func() {
-		time.Sleep(2 * time.Second) // the traffic lasts eight seconds
+		time.Sleep(2 * time.Second) // The traffic lasts eight seconds.
 		response, err := http.Post("http://"+p.Addr()+planapi.OrderPath, "application/json",
 			strings.NewReader(`{"op":"move","engine":"`+moved.Addr()+`","who":"test","why":"test"}`))
 		if err != nil || response.StatusCode != http.StatusOK {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -17,9 +17,9 @@
 type Result struct {
 	Summary       loadgen.Summary
 	Violations    []audit.Violation
-	Traces        map[string][]string // of requests with violations, by request ID
-	Restarts      int                 // of engines
-	HeldAtEnd     int                 // reservations that were not released
+	Traces        map[string][]string // traces of the requests with violations, by request ID
+	Restarts      int                 // number of restarts of engines
+	HeldAtEnd     int                 // number of reservations that were not released
 	EngineRecords int
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -36,10 +36,10 @@
 	Kind     FaultKind
 	At       time.Duration
 	Duration time.Duration
-	Fraction float64     // of the engines of its role, or of the edges
-	Size     float64     // by kind: slowdown factor, rate factor, share of the traffic or seconds
-	Role     config.Role // empty for both roles
-	Selector int         // with the seed of the scenario, selects the targets
+	Fraction float64     // affected share of the engines of the role, or of the edges
+	Size     float64     // slowdown factor, rate factor, share of the traffic or seconds, depending on the kind
+	Role     config.Role // role of the affected engines; empty for both roles
+	Selector int         // number that selects the targets, together with the seed of the scenario
 }
 
 // active reports whether the fault is active at a time since the start of the scenario.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -44,7 +44,7 @@
 
 func (c uncheckedRouter) send(to *engine.Engine, requestID, clientRequestID string, transfer *engineapi.KVTransfer) engineapi.KVTransfer {
 	call, err := chat.ParseRequest([]byte(`{"model":"fan-alert","max_tokens":2,"messages":[{"role":"user","content":"a"}]}`), nil)
-	if err != nil { // send may run in its own goroutine, in which Fatal must not be called
+	if err != nil { // The function send may run in its own goroutine, in which Fatal must not be called.
 		c.t.Error(err)
 		return engineapi.KVTransfer{}
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -18,7 +18,7 @@
 	s.Deployment.File, s.Deployment.EndpointFile, s.Deployment.ChatAddress = name, endpointFileName, ""
 	functions := s.Deployment.ScriptFunctions()
 	for _, function := range []string{"listen", "node", "roster", "engine"} {
-		delete(functions, function) // the scenario sets these itself
+		delete(functions, function) // The scenario sets these values itself.
 	}
 	functions["day"] = s.scriptDay
 	functions["edges"] = s.scriptEdges
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -76,10 +76,10 @@
 
 // Step is one action on an engine, an edge or the endpoint list.
 type Step struct {
-	At        time.Duration // since the start of the scenario
+	At        time.Duration // time since the start of the scenario
 	Kind      FaultKind
-	Engine    int // index, or noTarget
-	Edge      int // index, or noTarget
+	Engine    int // index of an engine, or noTarget
+	Edge      int // index of an edge, or noTarget
 	Size      float64
 	Duration  time.Duration
 	EndsFault bool // the step ends the fault instead of starting it
@@ -91,7 +91,7 @@
 	for n, f := range faults {
 		random := rand.New(rand.NewPCG(seed+uint64(f.Selector), uint64(n)))
 		switch faultKindInfo[f.Kind].target {
-		case targetTraffic: // no steps: the load generator calls rateFactor and hotPrefixShare
+		case targetTraffic: // There are no steps: the load generator calls rateFactor and hotPrefixShare.
 		case targetList:
 			steps = append(steps, Step{At: f.At, Kind: f.Kind, Engine: noTarget, Edge: noTarget, Size: f.size()},
 				Step{At: f.At + f.Duration, Kind: f.Kind, Engine: noTarget, Edge: noTarget, EndsFault: true})
@@ -136,7 +136,7 @@
 	switch f.Kind {
 	case FaultCacheFlush:
 		return []Step{begin}
-	case FaultPauses: // a pause of size seconds in every second
+	case FaultPauses: // The steps are a pause of size seconds in every second.
 		for at := time.Duration(0); at < f.Duration; at += time.Second {
 			pause, resume := begin, end
 			pause.At, resume.At = f.At+at, f.At+at+seconds(f.size())
--- a/internal/simproto/actions.go
+++ b/internal/simproto/actions.go
@@ -18,7 +18,7 @@
 	Attempt      *int    `json:"seq_no,omitempty"`
 	TimerToken   *int64  `json:"ctx,omitempty"`
 	AfterUs      *int64  `json:"in_us,omitempty"`
-	Peer         *int    `json:"dest,omitempty"` // omitted for all peers
+	Peer         *int    `json:"dest,omitempty"` // number of the peer; omitted for all peers
 	Content      string  `json:"content,omitempty"`
 	Want         *bool   `json:"want,omitempty"`
 	Reason       *string `json:"body_text,omitempty"`
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -24,7 +24,7 @@
 // FieldError is the error of an invalid field of an event.
 type FieldError struct {
 	Event, Field string
-	Err          error // wraps ErrMissing, ErrWrongType or ErrUnknownValue
+	Err          error // cause, which wraps ErrMissing, ErrWrongType or ErrUnknownValue
 }
 
 // Error returns a text that names the event and the field, with the error of the field.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -130,7 +130,7 @@
 	for retry := false; ; retry = true {
 		connection, err := c.connect(p)
 		if err != nil {
-			return // the edge has not accepted the connection, so there is no request to record
+			return // The edge has not accepted the connection, so there is no request to record.
 		}
 		reused := connection.used
 		connection.used = true
@@ -144,7 +144,7 @@
 			c.closeConnection(p)
 		}
 		if record.Outcome == "" && reused && !retry && !errors.Is(err, errDeadlineExceeded) {
-			continue // the edge closed the idle connection while the request was in transit
+			continue // The edge closed the idle connection while the request was in transit.
 		}
 		c.recordOutcome(p, &record, disconnects, err)
 		return
--- a/internal/soak/descriptors.go
+++ b/internal/soak/descriptors.go
@@ -50,7 +50,7 @@
 	for _, name := range names {
 		open[name] = true
 	}
-	if pid == os.Getpid() { // the listing contains the descriptor of the opened folder itself
+	if pid == os.Getpid() { // The listing contains the descriptor of the opened folder itself.
 		delete(open, strconv.Itoa(int(folder.Fd())))
 	}
 	return open, nil
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -33,7 +33,7 @@
 type instance struct {
 	id, kind        string
 	state           instanceState
-	startedAtMillis int64    // Unix milliseconds
+	startedAtMillis int64    // start time in Unix milliseconds
 	hosts           []string // address of the engine's proxy for each group of edges
 	generation      int64    // generation of the last change of the instance
 }
@@ -92,7 +92,7 @@
 	mux.HandleFunc("GET /catalog/members", a.serveList)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	a.server, a.addr = server, listener.Addr().String()
-	go func() { _ = server.Serve(listener) }() // always returns an error once the server is closed
+	go func() { _ = server.Serve(listener) }() // Serve always returns an error once the server is closed.
 	return nil
 }
 
@@ -171,7 +171,7 @@
 	}
 	data, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // cannot happen: the list holds only numbers, booleans and strings
+		panic(err) // Encoding cannot fail, as the list holds only numbers, booleans and strings.
 	}
 	return data
 }
--- a/internal/soak/edge_config.go
+++ b/internal/soak/edge_config.go
@@ -20,9 +20,9 @@
 type requestClass string
 
 const (
-	classChat  requestClass = "chat"  // retriable
-	classLabel requestClass = "label" // retriable within the deduplication window of the engines
-	classAlert requestClass = "alert" // non-retriable: must not be executed twice
+	classChat  requestClass = "chat"  // requests that are retriable
+	classLabel requestClass = "label" // requests that are retriable within the deduplication window of the engines
+	classAlert requestClass = "alert" // requests that are non-retriable: they must not be executed twice
 )
 
 // edgeConfigFormat is the format string of an edge's configuration in the platform's JSON format.
--- a/internal/soak/edge_faults.go
+++ b/internal/soak/edge_faults.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	claimAttempts    = 10  // random picks to find an edge that no other injector has claimed
-	interruptSignals = 100 // signals that one interruptSystemCalls fault sends
+	claimAttempts    = 10  // number of random picks to find an edge that no other injector has claimed
+	interruptSignals = 100 // number of signals that one interruptSystemCalls fault sends
 )
 
 // onRandomEdge returns an injector that runs a fault on a random edge that no other injector has claimed. The injector does
@@ -72,7 +72,7 @@
 		r.recordViolation("%s: %v", p.name(), err)
 		return
 	}
-	if random.IntN(2) == 0 { // a reload during the start
+	if random.IntN(2) == 0 { // The edge has to reload during its start.
 		time.Sleep(drawDuration(random, 5*time.Millisecond, 60*time.Millisecond))
 		p.signal(syscall.SIGHUP)
 	}
@@ -128,7 +128,7 @@
 			return
 		}
 		time.Sleep(throttlePeriod - running)
-		_ = syscall.Kill(pid, syscall.SIGCONT) // fails if the process has been killed meanwhile
+		_ = syscall.Kill(pid, syscall.SIGCONT) // Kill fails if the process has been killed meanwhile.
 		time.Sleep(running)
 	}
 }
--- a/internal/soak/edge_log.go
+++ b/internal/soak/edge_log.go
@@ -34,14 +34,14 @@
 	file, err := os.Create(filepath.Join(r.folder, fmt.Sprintf("%s.%d.log", name, incarnation)))
 	if err != nil {
 		r.recordViolation("log of %s: %v", name, err)
-		_, _ = io.Copy(io.Discard, from) // keeps the edge from blocking on a full pipe
+		_, _ = io.Copy(io.Discard, from) // The rest is read to keep the edge from blocking on a full pipe.
 		return
 	}
 	defer file.Close()
 	lines := bufio.NewReader(from)
 	for {
 		line, err := lines.ReadBytes('\n')
-		_, _ = file.Write(line) // the file is only for debugging; the checks below use line
+		_, _ = file.Write(line) // The file is only for debugging; the checks below use line.
 		if reportsFault(line) {
 			var l logLine
 			if json.Unmarshal(line, &l) == nil {
--- a/internal/soak/edge_process.go
+++ b/internal/soak/edge_process.go
@@ -120,7 +120,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		_ = p.command.Process.Signal(s) // fails if the process has exited already
+		_ = p.command.Process.Signal(s) // Signal fails if the process has exited already.
 	}
 }
 
@@ -133,7 +133,7 @@
 	p.outages = append(p.outages, outage{from: time.Now()})
 	p.mu.Unlock()
 	if !kill {
-		_ = process.Signal(syscall.SIGTERM) // fails if the process has exited already
+		_ = process.Signal(syscall.SIGTERM) // Signal fails if the process has exited already.
 		if duringShutdown != nil {
 			duringShutdown()
 		}
@@ -146,7 +146,7 @@
 	p.mu.Lock()
 	p.outages[len(p.outages)-1].killed = true
 	p.mu.Unlock()
-	_ = process.Signal(syscall.SIGKILL) // fails if the process has exited already
+	_ = process.Signal(syscall.SIGKILL) // Signal fails if the process has exited already.
 	<-exited
 }
 
--- a/internal/soak/irregular_client.go
+++ b/internal/soak/irregular_client.go
@@ -29,7 +29,7 @@
 	text := c.newRequest(p).encode()
 	length := 1 + c.random.IntN(len(text)-1)
 	preceding := ""
-	if c.random.IntN(2) == 0 { // a complete request in front of the partial one
+	if c.random.IntN(2) == 0 { // A complete request precedes the partial one.
 		preceding = c.newRequest(p).encode()
 	}
 	c.soak.irregularRequests.Go(func() {
@@ -40,7 +40,7 @@
 		sent := time.Now()
 		timeout := partialRequestTimeout
 		if preceding != "" {
-			timeout += maxRequestTimeout + time.Second // for the response to the preceding request
+			timeout += maxRequestTimeout + time.Second // The additional time is for the response to the preceding request.
 		}
 		conn.SetDeadline(sent.Add(timeout))
 		responses, err := io.ReadAll(conn)
@@ -91,7 +91,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		response.Body.Close()
 		if err != nil || response.Close {
-			return // the edge closes the connection after a broken stream, without responses to the later requests
+			return // The edge closes the connection after a broken stream, without responses to the later requests.
 		}
 	}
 	c.soak.countResponse(kindPipelined)
--- a/internal/soak/listed_engine.go
+++ b/internal/soak/listed_engine.go
@@ -11,7 +11,7 @@
 const (
 	engineSlots       = 16
 	engineWorkTime    = 10 * time.Millisecond
-	engineEvents      = 5 // events of each stream
+	engineEvents      = 5 // number of events of each stream
 	engineMinIdleTime = 500 * time.Millisecond
 )
 
--- a/internal/soak/network_faults.go
+++ b/internal/soak/network_faults.go
@@ -49,7 +49,7 @@
 	p.signal(syscall.SIGHUP)
 	if truncated {
 		time.AfterFunc(drawDuration(random, 0, 200*time.Millisecond), func() {
-			_ = p.writeConfig(false) // the run's folder may have been removed by then
+			_ = p.writeConfig(false) // The run's folder may have been removed by then.
 		})
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -99,7 +99,7 @@
 // resetConnection closes a connection with RST.
 func resetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a closed connection
+		_ = tcp.SetLinger(0) // SetLinger fails only on a closed connection.
 	}
 	conn.Close()
 }
@@ -221,7 +221,7 @@
 	case fault == requestsDelayed && fromEdge:
 		time.Sleep(requestDelay)
 	case fault == responsesCut && !fromEdge:
-		_, _ = to.Write(data[:len(data)/2]) // the connection is reset whether or not the write fails
+		_, _ = to.Write(data[:len(data)/2]) // The connection is reset whether or not the write fails.
 		return false
 	case fault == responsesGarbled && !fromEdge:
 		data = []byte(garbage)
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -16,8 +16,8 @@
 	Seed           uint64
 	Violations     []string       // violated rules, crashes and edges that did not recover
 	Traces         []string       // traces of the requests that violated a rule
-	Responses      map[string]int // counts by status or, for partial and pipelined requests, by kind
-	InjectedFaults []string       // with their start times
+	Responses      map[string]int // counts of responses by status or, for partial and pipelined requests, by kind
+	InjectedFaults []string       // descriptions of the faults, with their start times
 	Requests       int
 	// Unanswered is the number of requests without a response from an edge that was shutting down. Such a request is a violation
 	// only if the edge had forwarded it.
--- a/internal/soak/response.go
+++ b/internal/soak/response.go
@@ -67,7 +67,7 @@
 		return audit.OutcomeCompleted
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		return audit.OutcomeShed
-	default: // includes a broken stream
+	default: // all other responses, including a broken stream
 		return audit.OutcomeErrored
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -23,7 +23,7 @@
 	Engines          int           // number of engines of each role
 	Clients          int           // number of concurrent clients
 	ConcurrentFaults int           // number of faults injected at the same time
-	Duration         time.Duration // how long faults are injected
+	Duration         time.Duration // time for which faults are injected
 	Folder           string        // parent of the run's folder for configurations and logs; the run's folder is removed if there is no violation
 }
 
