--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -42,7 +42,7 @@
 	open       []admittedRequest
 }
 
-// connection draws one of the connections; 0 if there is none.
+// connection draws one of the connections; 0 if there are no connections.
 func (m *model) connection(t *rapid.T) int64 {
 	if len(m.bytes) == 0 {
 		return 0
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -68,7 +68,7 @@
 	{[]State{Idle, ReadingHeader, ReadingBody, Serving, Closing}, ConnectionClosed, Terminated},
 }
 
-// findTransition returns the transition of an event in a state; nil if there is none.
+// findTransition returns the transition of an event in a state; nil if the event has no transition.
 func findTransition(from State, event Event) *transition {
 	i := slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 	if i < 0 {
--- a/internal/attempt/unavailable.go
+++ b/internal/attempt/unavailable.go
@@ -1,7 +1,7 @@
 package attempt
 
-// UnavailableSince holds when this router was first notified that an engine drains or has left the endpoint list, for each
-// such engine. A later notification that the engine is ready removes the entry.
+// UnavailableSince holds the time of the first notification that an engine drains or has left the endpoint list, by
+// engine. A later notification that the engine is ready removes the entry.
 type UnavailableSince map[string]int64
 
 // Record records a notification about one engine.
--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -52,7 +52,7 @@
 // engineUsage summarizes the connections to one engine.
 type engineUsage struct {
 	dialing                   int
-	shortestIdle, longestIdle *connection // nil if no connection is idle; shortestIdle counts settled connections only
+	shortestIdle, longestIdle *connection // idle connections, nil if no connection is idle; shortestIdle counts settled ones only
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
@@ -73,7 +73,7 @@
 	return usage
 }
 
-// longestIdle returns the connection to any engine that has been idle longest; nil for none.
+// longestIdle returns the connection to any engine that has been idle longest; nil if no connection is idle.
 func (p *Pool) longestIdle() (oldest *connection) {
 	for _, c := range p.connections {
 		older := oldest == nil || cmp.Or(cmp.Compare(c.stateSince, oldest.stateSince), cmp.Compare(c.id, oldest.id)) < 0
--- a/internal/connpool/earlyclose.go
+++ b/internal/connpool/earlyclose.go
@@ -51,7 +51,7 @@
 	return maxIdle
 }
 
-// EarlyCloseFingerprint returns the early closes that still count as a text of ages by engine; the empty name stands for any
+// EarlyCloseFingerprint returns the early closes that still count as a text of ages by engine; the empty name means any
 // engine.
 func (p *Pool) EarlyCloseFingerprint(now int64) string {
 	ages := map[string]int64{} // ages in nanoseconds
--- a/internal/connpool/state.go
+++ b/internal/connpool/state.go
@@ -34,7 +34,7 @@
 	DialFailed                       // the connection could not be opened
 	Acquired                         // the connection was idle, and carries a request now
 	Released                         // the response has been read completely, no unread bytes remain
-	ReleasedAfterStream              // as Released, for a response that was a stream
+	ReleasedAfterStream              // the same as Released, for a response that was a stream
 	ReleasedDirty                    // the request on the connection ended in any other way
 	Broken                           // the connection is lost
 	IdleExpired                      // the connection has been idle for longer than is allowed
@@ -92,7 +92,7 @@
 	{[]State{Dialing, Idle, Busy}, Broken, Closed, Close},
 }
 
-// findTransition returns the index of the transition of an event in a state; -1 if there is none.
+// findTransition returns the index of the transition of an event in a state; -1 if the event has no transition.
 func findTransition(from State, event Event) int {
 	return slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -33,7 +33,7 @@
 	deployment  *config.Deployment
 	log         *zap.Logger
 	protocol    protocol.Codec
-	endpoints   endpoint.Source // nil if the settings list the engines
+	endpoints   endpoint.Source // source of endpoint lists; nil if the settings list the engines
 	startedAt   time.Time
 	incarnation int64 // Unix milliseconds of the start: request names differ between incarnations
 
@@ -46,9 +46,9 @@
 
 	clients clientSide
 	engines engineSide
-	gossip  *gossip // nil if the edge has no peers
+	gossip  *gossip // gossip with peers; nil if the edge has no peers
 
-	metricsListener net.Listener // nil if metrics are not served
+	metricsListener net.Listener // listener of the metrics page; nil if metrics are not served
 	pollersPerSide  int
 
 	lifetime    context.Context // canceled by Stop
--- a/internal/edge/token_relay.go
+++ b/internal/edge/token_relay.go
@@ -15,7 +15,7 @@
 
 	mu             sync.Mutex
 	pendingInOwner int                 // number of tokens queued for the owner
-	client         router.ClientSocket // nil until the relay is open
+	client         router.ClientSocket // socket of the client; nil until the relay is open
 	closed         bool
 
 	forwarded     atomic.Int64 // number of tokens that bypassed the owner
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -14,7 +14,7 @@
 
 const (
 	retryPause    = 500 * time.Millisecond
-	retryJitter   = 500 // range of the random delay of a retry, in milliseconds
+	retryJitter   = 500 // range of the random part of the retry delay, in milliseconds
 	bytesPerToken = 4
 )
 
--- a/internal/loadgen/traffic.go
+++ b/internal/loadgen/traffic.go
@@ -27,7 +27,7 @@
 	minUserWords         = 20
 	userWordsRange       = 60
 	minBackoff           = 100 * time.Millisecond
-	backoffJitter        = 100 // range of the random delay before a retry, in milliseconds
+	backoffJitter        = 100 // range of the random part of the retry delay, in milliseconds
 	hotPrefixSeconds     = 10  // time after which the hot prefix changes
 	firstHotPrefixNumber = 1_000_000
 	firstUserTextNumber  = 2_000_000
--- a/internal/modelcheck/execution.go
+++ b/internal/modelcheck/execution.go
@@ -7,9 +7,9 @@
 
 // execution is the state of a run of one router, of several routers or of the planner, between two events.
 type execution interface {
-	enabledEvents() []Event // in an order that depends only on the state
+	enabledEvents() []Event // The order of the events depends only on the state.
 	apply(e Event)
-	isTerminal() bool // no event is enabled, regardless of the order reduction
+	isTerminal() bool // A terminal state has no enabled event, regardless of the order reduction.
 	checkTerminal()
 	fingerprint() uint64
 	violations() []string
--- a/internal/planner/assignment/config.go
+++ b/internal/planner/assignment/config.go
@@ -30,7 +30,7 @@
 	Cell      string
 	Kinds     map[string]string // engine kind by role; one entry if the engine cannot change roles
 	Weight    float64           // capacity relative to an engine of weight 1; 0 counts as 1
-	Ready     bool              // false while service discovery drains the engine
+	Ready     bool              // the engine is ready; false while service discovery drains it
 	CanChange bool              // the engine's kind has a counterpart for the other role
 	UpSince   int64             // start time in nanoseconds; 0 if long ago
 }
--- a/internal/planner/assignment/transitions.go
+++ b/internal/planner/assignment/transitions.go
@@ -28,7 +28,7 @@
 
 const (
 	changeChosen      trigger = "change chosen"
-	drained           trigger = "drained"        // no requests or reservations are left long enough after the drain was published
+	drained           trigger = "drained"        // long enough after the drain was published, no requests or reservations are left
 	timedOut          trigger = "timed out"      // the timeout of the state has expired
 	loadConfirmed     trigger = "load confirmed" // the engine reports that it is loading under the epoch of the order
 	roleReported      trigger = "role reported"  // the engine reports that it serves in the role and epoch of the order
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -24,8 +24,8 @@
 // Request is a completion request of a client.
 type Request struct {
 	Model             string
-	Session           string // empty if the client sent none
-	PrefixHash        string // hash of the leading messages that sessions may share; empty if there are none
+	Session           string // key of the session; empty if the client sent none
+	PrefixHash        string // hash of the leading messages that sessions may share; empty without such messages
 	PromptTokens      int    // tokens of the prompt, estimated by EstimateTokens
 	PrefixTokens      int    // estimated tokens of the leading messages
 	MaxOutputTokens   int
@@ -33,7 +33,7 @@
 	IdempotencyKey    string
 	ClientRequestID   string                     // the client's own ID of the request
 	RetryCount        int                        // number of the client's earlier attempts; 0 if unspecified
-	FirstTokenTimeout time.Duration              // how long the client waits for the first token; 0 if unspecified
+	FirstTokenTimeout time.Duration              // time that the client waits for the first token; 0 if unspecified
 	fields            map[string]json.RawMessage // all fields of the body, undecoded
 }
 
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -47,7 +47,8 @@
 	return min(t.limits.RetryInterval<<doublings, longest)
 }
 
-// inUseUntil returns the latest due time of the request's other reservations that are still to be used; 0 if there are none.
+// inUseUntil returns the latest due time of the request's other reservations that are still to be used; 0 without such
+// reservations.
 func (t *Table) inUseUntil(r *Reservation) (until int64) {
 	for _, other := range t.byRequest[r.ID.Request] {
 		if other != r && (other.State == Reserved || other.State == Claimed) {
--- a/internal/reservation/state.go
+++ b/internal/reservation/state.go
@@ -29,7 +29,7 @@
 	AttemptRejected                       // an engine has answered the sent attempt without consuming the reservation
 	AttemptAbandoned                      // the sent attempt ended in any other way: its engine may not have noticed yet
 	Consumed                              // an attempt has consumed the reservation
-	ConsumedBeforeHorizon                 // as Consumed, but an abandoned prefill may still leave another reservation
+	ConsumedBeforeHorizon                 // the same as Consumed, but an abandoned prefill may still leave another reservation
 	Unneeded                              // the request no longer needs the reservation
 	Expired                               // the keep time of the reservation has passed
 	ReleaseAcknowledged                   // an engine has acknowledged a release
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -21,7 +21,7 @@
 	request           *request
 	index             int // position among the attempts of its request
 	engine            string
-	decode            bool // false for a prefill
+	decode            bool // the attempt is a decode; false for a prefill
 	startedAt         int64
 	writtenAt         int64 // time at which the request was written; 0 if it was not written yet
 	machine           attempt.Attempt
--- a/internal/router/client_requests.go
+++ b/internal/router/client_requests.go
@@ -10,8 +10,8 @@
 	"sandcourse/internal/protocol/httpframing"
 )
 
-// maxPipelined is how many requests may wait on one connection. Further requests are shed when their turn comes: closing
-// the connection instead would leave the requests that were read without an answer.
+// maxPipelined is the number of requests that may wait on one connection. Further requests are shed in their order:
+// closing the connection instead would leave the requests that were read without an answer.
 const maxPipelined = 4
 
 // maxReadAhead is how many requests may be read on one connection before their turn. Once that many wait, no more are read,
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -19,7 +19,7 @@
 }
 
 // ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Input that was
-// sent later may still be unread. 0 stands for the current time.
+// sent later may still be unread. 0 means the current time.
 type ObservedTimes struct{ Engines, Clients int64 }
 
 // SetTime sets the time of the events that follow.
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -80,9 +80,9 @@
 	return protocol.Target{Address: cmp.Or(entry.Address, engine), RoleEpoch: entry.RoleEpoch}
 }
 
-// acceptList records the latest list and returns the list to apply. If the latest list is older than one received before,
-// as when discovery has moved to an agent that lags, engines that were drained or removed recently are returned as
-// draining.
+// acceptList records the latest list and returns the list to apply. The latest list may be older than one received
+// before, for example after discovery has moved to an agent that lags. Engines that were drained or removed recently are
+// then returned as draining.
 func (e *endpointState) acceptList(list endpoint.List, now int64) endpoint.List {
 	e.history.latest, e.history.reapplyAt = list, 0
 	if list.Revision < e.history.newestRevision {
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -36,7 +36,7 @@
 	streamed              bool            // the last response is a stream, as all responses to decodes are
 	writtenAt             int64           // time at which the last request was written
 	dialedAt              int64
-	drainingResponseSince int64 // start of the drain of a response that is no longer needed; 0 if none is drained
+	drainingResponseSince int64 // start of the drain of a response that is no longer needed; 0 without a drain
 }
 
 // engineConnections holds the connections to engines; the pool decides on their use.
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -348,7 +348,7 @@
 	for i := range 14 {
 		var fields []string
 		if i < 8 {
-			fields = []string{"Authorization: Bearer one\r\n"} // This protocol has tenants.
+			fields = []string{"Authorization: Bearer one\r\n"} // one tenant, in the protocol that has tenants
 		}
 		clients = append(clients, r.sendRequest(fmt.Sprint("b", i), retriable, true, fields...))
 	}
--- a/internal/router/reasons.go
+++ b/internal/router/reasons.go
@@ -74,7 +74,7 @@
 const (
 	RejectConnections RejectReason = "connections"  // too many connections
 	RejectBytes       RejectReason = "bytes"        // too many bytes of unfinished requests
-	RejectMessage     RejectReason = "message"      // not a valid message
+	RejectMessage     RejectReason = "message"      // the message is not valid
 	RejectDuplicate   RejectReason = "name known"   // another request has the same ID
 	RejectPipelined   RejectReason = "pipelined"    // too many requests wait on the connection
 	RejectSlowReader  RejectReason = "slow client"  // the client does not read its answers
--- a/internal/router/recent_names.go
+++ b/internal/router/recent_names.go
@@ -4,8 +4,9 @@
 // hundred kilobytes.
 const namesPerGeneration = 6000
 
-// recentNames remembers the request names that clients have sent. Engines identify requests by name, so a second request of
-// the same name would be taken for a duplicate of the first. The last few thousand names are kept, in two generations.
+// recentNames remembers the request names that clients have sent. Engines identify requests by name, so they would treat
+// a second request of the same name as a duplicate of the first. The last few thousand names are kept, in two
+// generations.
 type recentNames struct{ recent, previous map[string]bool }
 
 func (n *recentNames) contains(name string) bool { return n.recent[name] || n.previous[name] }
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -26,7 +26,7 @@
 // recordReservation updates the reservation that an attempt made or claimed according to the outcome of the attempt.
 func (r *Router) recordReservation(att *engineAttempt, event attempt.Event, result attempt.Result) {
 	req := att.request
-	outcomeUnknown := result.MayLeaveReservation && event != attempt.ErrorStatus // no status of the engine was received
+	outcomeUnknown := result.MayLeaveReservation && event != attempt.ErrorStatus // No status of the engine was received.
 	if outcomeUnknown && r.config.ReleaseRepeatTime > 0 {
 		// Engines receive the timeout of a request, and need some time to detect that it has passed.
 		req.mayStillRunUntil = max(r.now+int64(r.config.ReleaseRepeatTime), req.deadline+int64(r.config.Rules.ReservationLimit))
@@ -148,8 +148,8 @@
 	return cmp.Or(cmp.Compare(e.lastResponseAt[other], e.lastResponseAt[engine]), cmp.Compare(engine, other)) < 0
 }
 
-// releaseCandidates returns the next listed engines that the release was not sent to yet; once it was sent to all, it
-// starts over. The engine that holds the reservation comes first, then those that responded last.
+// releaseCandidates returns the next listed engines that the release was not sent to yet; once it was sent to all, the
+// list starts over. The engine that holds the reservation is first, followed by those that responded last.
 func (r *Router) releaseCandidates(reserved *reservation.Reservation, count int) (candidates []string) {
 	if len(reserved.ReleaseTargets) >= len(r.endpoints.current.Entries) {
 		reserved.ReleaseTargets = reserved.ReleaseTargets[:0]
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -117,7 +117,7 @@
 	ControlRequests   int
 	Reservations      int           // reservations that engines hold or may hold
 	OldestReservation time.Duration // time since the oldest reservation became known
-	Lingering         bool          // whether the router is shutting down and still accepts requests
+	Lingering         bool          // the router is shutting down and still accepts requests
 }
 
 // InFlight returns the current counts of the router's open connections, requests and reservations.
--- a/internal/router/testbed_test.go
+++ b/internal/router/testbed_test.go
@@ -28,7 +28,7 @@
 	engineSockets []*fakeEngineSocket
 	events        []routing.Event
 
-	panicNext, mayPanic bool           // whether the policy panics at its next event, and whether the test expects a panic
+	panicNext, mayPanic bool           // the policy panics at its next event; the test expects a panic
 	expectedViolation   invariant.Rule // rule that the test violates, for example because no engine acknowledges a release
 	closedClients       []int64        // clients whose connections the router closed, in order
 }
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -47,7 +47,7 @@
 // HealthCheck requests the load of an engine.
 type HealthCheck struct{ Engine string }
 
-// AllNodes stands for all other nodes in the field To of SendGossip.
+// AllNodes in the field To of SendGossip sends the message to all other nodes.
 const AllNodes = -1
 
 // SendGossip sends a short message to one node, or to AllNodes.
--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -24,8 +24,8 @@
 	return p.config.Gossip && others > 0 && p.config.GossipPrice*others*100/256 < 0.005
 }
 
-// cachedTokens returns how many tokens of the prompt an engine is assumed to have cached; less than a fifth of the prompt
-// counts as none.
+// cachedTokens returns how many tokens of the prompt an engine is assumed to have cached, or 0 for less than a fifth of
+// the prompt.
 func (p *Policy) cachedTokens(req *request, e *engine) float64 {
 	// Engines evict when their memory runs out, which no node can observe. Entries that become wrong before maxAge are
 	// corrected by the cached tokens that engines report.
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -108,7 +108,7 @@
 // SlowStart limits the attempts at an engine that has just started: in any Window, to Share times Multiple times what an
 // engine of its role completes on average.
 type SlowStart struct {
-	Duration        time.Duration // how long an engine counts as warming up
+	Duration        time.Duration // time for which an engine counts as warming up
 	Share, Multiple float64
 	Window          time.Duration
 }
@@ -120,13 +120,13 @@
 	Tick        time.Duration // longest delay of timers and answers
 
 	MaxAttempts       int     // limit on the attempts of one request
-	CanCancel         bool    // whether attempts can be canceled
-	HealthChecks      bool    // whether health checks may be sent
-	Gossip            bool    // whether nodes may send each other messages
+	CanCancel         bool    // attempts can be canceled
+	HealthChecks      bool    // health checks may be sent
+	Gossip            bool    // nodes may send each other messages
 	GossipPrice       float64 // price of one gossip message
-	SuggestRetryAfter bool    // whether Shed actions may suggest when to retry
+	SuggestRetryAfter bool    // Shed actions may suggest a delay before a retry
 	MaxRetryAfter     time.Duration
-	WatchEndpoints    bool // whether endpoint lists arrive only after a WatchEndpoints action
+	WatchEndpoints    bool // endpoint lists arrive only after a WatchEndpoints action
 
 	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout is how long a decode engine may
 	// stay silent before it is checked.
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -76,7 +76,7 @@
 	Latency         time.Duration
 	RequestEnded    bool    // the client has received its final answer
 	CachedTokens    float64 // prompt tokens that a prefill engine found in its cache
-	ReservationLost bool    // with Full: the prefill engine no longer holds a reservation for the request
+	ReservationLost bool    // if the verdict is Full: the prefill engine no longer holds a reservation for the request
 	Report          *LoadReport
 	StaleConnection bool // An idle connection broke when it was reused, which is not a fault of the engine.
 }
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -63,8 +63,8 @@
 	return e.removedAt > 0 && p.now-e.removedAt > faultWindow && len(e.open.all) == 0
 }
 
-// usableEngines returns the engines of a group that fit and are healthy, in their order; if none is healthy, the least
-// unhealthy ones that fit. Quiet engines count as fitting without a call of fits.
+// usableEngines returns the engines of a group that fit and are healthy, in their order. If no engine is healthy, it
+// returns the least unhealthy engines that fit. Quiet engines count as fitting without a call of fits.
 func (p *Policy) usableEngines(req *request, group *engineGroup, fits func(*engine) bool) []*engine {
 	if p.isBudgetExhausted(group) {
 		return nil
@@ -137,9 +137,9 @@
 	return float64(medianWithZeros(b.faults, b.faultless))
 }
 
-// leastUnhealthy returns the engines that are not suspect and on which the request has not failed; if there are none, those
-// on which it has not failed; else all. An engine that is gone would otherwise be chosen again, as it has the fewest
-// streams. The rule is harmful where all engines fail alike, as attempts are then distributed less evenly.
+// leastUnhealthy returns the engines that are not suspect and on which the request has not failed; without such engines
+// those on which the request has not failed; otherwise all. An engine that is gone would otherwise be chosen again, as it
+// has the fewest streams. The rule is harmful where all engines fail alike, as attempts are then distributed less evenly.
 func leastUnhealthy(req *request, engines []*engine) []*engine {
 	suspect := func(e *engine) bool { return e.suspect || req.hasFailedOn(e) }
 	for _, excluded := range []func(*engine) bool{suspect, req.hasFailedOn} {
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -95,8 +95,8 @@
 }
 
 // pickPreferred returns the preferred engine with the least work among those that answer health checks and are under the
-// load cap, also by their reports. If there is none, it returns an engine in slow start, which is idle as it has budget
-// left, else a preferred engine that is under the load cap by this node's attempts alone.
+// load cap, also by their reports. Otherwise it returns an engine in slow start, which is idle as it has budget left, or
+// else a preferred engine that is under the load cap by this node's attempts alone.
 func (c *prefillChoice) pickPreferred() *engine {
 	p, preferred := c.policy, c.policy.preferredEngines(c.req, c.ready)
 	available := func(e *engine) bool { return c.isUnderCap(e) && p.isLightlyLoaded(c.req, e) }
@@ -194,9 +194,10 @@
 	})
 }
 
-// compareWork compares two preferred engines by the thousands of tokens to prefill until the request is done: those queued
-// according to the report, and those of the prompt that are not cached. Both engines cache the prefix. Only the first may
-// cache what follows the prefix; the recent hit rate is assumed for it. Without fresh reports the first stays first.
+// compareWork compares two preferred engines by the thousands of tokens to prefill until the request is done: the queued
+// tokens according to the report, and the tokens of the prompt that are not cached. Both engines cache the prefix. Only
+// the first engine may cache the text after the prefix; the recent hit rate is assumed for it. Without fresh reports the
+// first engine stays first.
 func (p *Policy) compareWork(req *request, preferred []*engine, x, y *engine) int {
 	if !p.hasFreshLoad(x) || !p.hasFreshLoad(y) {
 		return 0
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -31,7 +31,7 @@
 	prefilled      bool // the attempt ended with a reservation
 	streaming      bool
 	queuedWork     float64 // reported load of the engine at the send, plus one for the attempt itself; 0 if unknown
-	laterResponses int     // how many later attempts the engine has answered
+	laterResponses int     // number of later attempts that the engine has answered
 	canceled       bool
 }
 
@@ -40,10 +40,10 @@
 
 // The states of a request.
 const (
-	pending      state = iota // no attempt in flight, no reservation
+	pending      state = iota // the request has no attempt in flight and no reservation
 	checkingLoad              // the request waits for load reports
 	prefilling                // a prefill is in flight
-	reserved                  // a prefill engine holds a reservation, no attempt in flight
+	reserved                  // a prefill engine holds a reservation, and no attempt is in flight
 	decoding                  // a decode is in flight
 	streaming                 // the client receives the answer
 	ended                     // the request is answered, or the client has disconnected
@@ -79,8 +79,8 @@
 	firstToken                    // the answer has begun to stream
 	finished                      // the client has its final answer, or the stream broke
 	prefillChosen                 // a prefill engine is chosen
-	noPrefillEngine               // no prefill engine may be sent to now
-	noDecodeEngine                // no decode engine may be sent to now
+	noPrefillEngine               // the request may be sent to no prefill engine now
+	noDecodeEngine                // the request may be sent to no decode engine now
 	attemptsExhausted             // no further attempt is allowed
 	admitted                      // the request can be answered in time
 	cannotMeetObjective           // the request cannot be answered in time
@@ -107,7 +107,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// lastAttempt returns the last attempt; nil if there is none.
+// lastAttempt returns the last attempt; nil if the request has no attempt.
 func (r *request) lastAttempt() *attempt {
 	if len(r.attempts) == 0 {
 		return nil
@@ -162,7 +162,7 @@
 }
 
 // transition is one row of the table: in one of the states from, one of the triggers leads to the state next and runs the
-// function, if there is one.
+// function, if the row has one.
 type transition struct {
 	from     []state
 	triggers []trigger
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// sendTo is the gate of every attempt: it sends a request to an engine, or returns a trigger for the reason why it must not.
+// sendTo performs every attempt: it sends a request to an engine, or returns a trigger for the reason why the attempt is
+// not allowed.
 func (p *Policy) sendTo(req *request, e *engine) trigger {
 	switch {
 	case len(req.attempts) >= p.config.MaxAttempts || !p.mayRetryOn(req, e):
@@ -77,7 +78,7 @@
 // deadlineMargin returns how long before the deadline the answer must be sent: timer and answer may each be a tick late.
 func (p *Policy) deadlineMargin() time.Duration { return 3 * p.config.Tick }
 
-// reject is the gate of final answers: it sheds a request that the client may retry, and fails any other.
+// reject gives every final answer of the policy: it sheds a request that the client may retry, and fails any other.
 func (p *Policy) reject(req *request) trigger {
 	route := p.route(req)
 	mayShed := route.Effect == Retriable || route.Effect == Deduped && route.DedupGroup == DedupAll
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -28,7 +28,7 @@
 	inFlight      []int // indices of the attempts in flight
 	engines       []string
 	sentAt        []time.Duration
-	ran           []bool // for each attempt: it may have run, by its outcome
+	ran           []bool // for each attempt: by its outcome, the attempt may have run
 	decode        []bool
 	reserved      bool
 	reservedSince time.Duration
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -82,7 +82,7 @@
 	return index
 }
 
-// roleThroughput is what the engines of a role completed for this node in the throughput window, and their number.
+// roleThroughput holds the attempts that the engines of a role completed for this node in the window, and their number.
 type roleThroughput struct{ completed, engines float64 }
 
 // throughputOfRole returns the throughput of the engine's role.
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -91,7 +91,7 @@
 	return found
 }
 
-// findEngine returns the engine with an ID among engines in the order of IDs; nil if there is none.
+// findEngine returns the engine with an ID among engines in the order of IDs; nil if no engine has the ID.
 func findEngine(engines []*engine, id string) *engine {
 	i, found := slices.BinarySearchFunc(engines, id, func(e *engine, id string) int { return cmp.Compare(e.Engine, id) })
 	if !found {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -66,7 +66,7 @@
 	used   bool
 }
 
-// connect returns the client's connection to an edge and opens one if there is none.
+// connect returns the client's connection to an edge, and opens one if necessary.
 func (c *client) connect(p *edgeProcess) (*clientConnection, error) {
 	if connection := c.connections[p]; connection != nil {
 		return connection, nil
