--- a/cmd/sandcourse-plan/golden_test.go
+++ b/cmd/sandcourse-plan/golden_test.go
@@ -9,8 +9,8 @@
 	"sandcourse/internal/golden"
 )
 
-// Checks the output and the exit status for settings scripts: status 2 and the faults for an invalid script, status 0 after the
-// check of a valid script, and status 1 for other errors.
+// The test checks the output and the exit status for settings scripts: status 2 and the faults for an invalid script, status 0
+// after the check of a valid script, and status 1 for other errors.
 func TestGoldenCheckExits(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "sandcourse-plan")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -51,8 +51,8 @@
 	return b.String()
 }
 
-// Checks that each invalid script is rejected with messages that contain the line, the argument, and the allowed and given
-// values.
+// The test checks that each invalid script is rejected with messages that contain the line, the argument, and the allowed and
+// given values.
 func TestGoldenRefusals(t *testing.T) {
 	valid := sampleReplacing("", "")
 	if _, err := Read("s.star", []byte(valid)); err != nil {
@@ -90,7 +90,7 @@
 	golden.Check(t, "refusals.golden", listFaults(t, Read, scripts))
 }
 
-// Checks that each invalid script of a planner is rejected with messages of the same form.
+// The test checks that each invalid script of a planner is rejected with messages of the same form.
 func TestGoldenPlannerRefusals(t *testing.T) {
 	const files, kinds = "planner(store = \"p.db\", roster = \"roster.json\")\n",
 		"kind(name = \"a\", role = \"read\")\nkind(name = \"b\", role = \"write\")\n"
@@ -114,8 +114,8 @@
 	golden.Check(t, "planner-refusals.golden", listFaults(t, ReadPlanner, scripts))
 }
 
-// Checks the routing configurations of the demo's script, of a script that sets every argument that routing depends on, and of
-// a script that disables Retry-After.
+// The test checks the routing configurations of the demo's script, of a script that sets every argument that routing depends
+// on, and of a script that disables Retry-After.
 func TestGoldenRoutingConfig(t *testing.T) {
 	const all = `node(name = "edge3", zone = "z2", number = 3, nodes = 5)
 listen(chat = "127.0.0.1:8081", metrics = "127.0.0.1:8082")
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkVerdicts compares the router's verdicts on ended attempts with what the engines did.
+// checkVerdicts compares the router's verdicts on ended attempts with the actions of the engines.
 func (s *simulation) checkVerdicts() {
 	for _, open := range s.core.OpenAttempts() {
 		c := s.clientOf(open.Request)
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -94,7 +94,7 @@
 
 func (c *Controller) beginStep(now int64) { c.now, c.output.actions = max(now, c.now), nil }
 
-// since returns the time elapsed since t. If t is 0, which stands for never, the result is very long.
+// since returns the time elapsed since t. If t is 0, which means never, the result is very long.
 func (c *Controller) since(t int64) time.Duration { return time.Duration(c.now - t) }
 
 func (c *Controller) handleEngineList(engines []ListedEngine) {
--- a/internal/planner/assignment/controller_test.go
+++ b/internal/planner/assignment/controller_test.go
@@ -269,7 +269,8 @@
 	}
 }
 
-// Measures one second of a planner with 300 engines and 300 edges: their reports, and ten ticks with one decision.
+// The benchmark measures one second of a planner with 300 engines and 300 edges: their reports, and ten ticks with one
+// decision.
 func BenchmarkSecondOf300(b *testing.B) {
 	now := testStart
 	engines := listEngines(300)
--- a/internal/planner/assignment/demand_test.go
+++ b/internal/planner/assignment/demand_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Counts that decrease, and counts of another incarnation, must not be taken for arrivals.
+// Counts that decrease, and counts of another incarnation, must not be counted as arrivals.
 func TestCountsRestartWithIncarnation(t *testing.T) {
 	c := newTestController(listEngines(4))
 	now := reportArrivals(c, testStart, []float64{5}, 8)
--- a/internal/planner/assignment/eligibility_test.go
+++ b/internal/planner/assignment/eligibility_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Checks the texts of accepted and rejected operator orders, which the command line prints.
+// The test checks the texts of accepted and rejected operator orders, which the command line prints.
 func TestGoldenOrders(t *testing.T) {
 	engines := listEngines(4)
 	c := newTestController(engines)
@@ -80,7 +80,7 @@
 	golden.Check(t, "orders.golden", b.String())
 }
 
-// Checks the texts of the reasons that are shown to operators.
+// The test checks the texts of the reasons that are shown to operators.
 func TestGoldenReasons(t *testing.T) {
 	var b strings.Builder
 	for _, reason := range []Reason{ReasonNotListed, ReasonNoOtherRole, ReasonRoleUnknown, ReasonDrainedByDiscovery,
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -34,7 +34,7 @@
 	minUnservedTime = time.Second
 	// noiseShare is the share of the offered value that is within the error of the estimate.
 	noiseShare = 0.01
-	// minGain is the gain up to which a change counts as gaining nothing. It is above the rounding error.
+	// minGain is the largest gain that is treated as zero. It is above the rounding error.
 	minGain = 1e-9
 	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It exceeds 1, as counts
 	// over ten seconds vary.
--- a/internal/planner/assignment/golden_test.go
+++ b/internal/planner/assignment/golden_test.go
@@ -9,7 +9,7 @@
 	"sandcourse/internal/golden"
 )
 
-// Checks the JSON format of a decision, with its demand and evaluations, which operators' tools read.
+// The test checks the JSON format of a decision, with its demand and evaluations, which operators' tools read.
 func TestGoldenExplained(t *testing.T) {
 	last := Decision{At: 5, Mix: TrafficMix{{Route: "clip-summary", Rate: 1.5, PrefillTokens: 900, DecodeTokens: 120,
 		Value: 1, LostRate: 0.25}}, EdgesReporting: 2, EdgesKnown: 3, RequiredEngines: map[string]float64{"read": 1.5},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Checks the values of the states, which are stored and read by operators' tools.
+// The test checks the values of the states, which are stored and read by operators' tools.
 func TestGoldenStates(t *testing.T) {
 	var states []string
 	for _, s := range []State{Serving, Draining, Ordered, Loading, InTrial, WarmingUp, RollingBack, Quarantined} {
--- a/internal/planner/assignment/record.go
+++ b/internal/planner/assignment/record.go
@@ -59,7 +59,7 @@
 // weight returns the engine's capacity relative to an engine of weight 1.
 func (e *engineRecord) weight() float64 { return cmp.Or(e.listed.Weight, 1) }
 
-// reportedUpSince returns the start time according to the latest report. It is never 0, which stands for long ago.
+// reportedUpSince returns the start time according to the latest report. The result is never 0, which means long ago.
 func (e *engineRecord) reportedUpSince(now int64) int64 {
 	return max(1, now-e.report.UptimeMillis*int64(time.Millisecond))
 }
--- a/internal/planner/assignment/throughput.go
+++ b/internal/planner/assignment/throughput.go
@@ -112,8 +112,8 @@
 	return c.throughputs[role]
 }
 
-// throughput returns the second best of an engine's samples. A slowdown shorter than the time that the samples cover
-// is thus not taken for higher demand, and a single wrong report has no effect.
+// throughput returns the second best of an engine's samples. A slowdown shorter than the time that the samples cover is
+// thus not treated as higher demand, and a single wrong report has no effect.
 func (e *engineRecord) throughput(role string) (value float64, known bool) {
 	var throughputs []float64
 	for _, sample := range e.samples {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Measures how long a plan takes from a planner of 300 engines to 300 edges, and how long it takes after a restart of the
-// planner until all edges follow it again. All of them run in one process and use the loopback interface.
+// The benchmark measures how long a plan takes from a planner of 300 engines to 300 edges, and how long it takes after a
+// restart of the planner until all edges follow it again. All of them run in one process and use the loopback interface.
 func BenchmarkPlanTo300Edges(b *testing.B) {
 	const engines, edges = 300, 300
 	_, list := startEngines(b, engines/2, engines/2, engine.Config{})
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -54,8 +54,8 @@
 	return path
 }
 
-// Checks that a store of an earlier version opens with its term, its meta state and all its records, without faults, and that
-// opening it creates no other file.
+// The test checks that a store of an earlier version opens with its term, its meta state and all its records, without faults,
+// and that opening it creates no other file.
 func TestGoldenEarlierStoreOpens(t *testing.T) {
 	path := copyStore(t)
 	store, stored, err := Open(path)
@@ -103,8 +103,8 @@
 	return b.String()
 }
 
-// Checks that the values in a store are the same bytes as those of an earlier version, so that the earlier version can read
-// them.
+// The test checks that the values in a store are the same bytes as those of an earlier version, so that the earlier version
+// can read them.
 func TestGoldenStoreKeepsEarlierFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "planner.db")
 	store, _, err := Open(path)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Checks that a planner that starts with an earlier store continues from it: one term later, with role changes still stopped,
-// and with the stored role and epoch of each engine.
+// The test checks that a planner that starts with an earlier store continues from it: one term later, with role changes still
+// stopped, and with the stored role and epoch of each engine.
 func TestGoldenPlannerContinuesFromEarlierStore(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
@@ -169,7 +169,7 @@
 	}
 }
 
-// Checks the JSON format of the status, which command lines of other versions read.
+// The test checks the JSON format of the status, which command lines of other versions read.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{Term: 8, Number: 42, Deposed: true, SaveFailing: true, FollowingEdges: 3,
 		Engines: []assignment.EngineView{{Record: storeContent().Records[1], Listed: true, CanChange: true,
@@ -198,7 +198,7 @@
 	}
 }
 
-// Checks that a plan that is sent to a stream later differs only in the engines' uptimes.
+// The test checks that a plan that is sent to a stream later differs only in the engines' uptimes.
 func TestGoldenStreamLine(t *testing.T) {
 	line := `{"term":8,"number":42,"engines":[{"engine":"10.0.0.1:8000","kind":"prefill","zone":"a","cell":"c1",` +
 		`"weight":1.5,"state":"ready","epoch":3,"up_for_ms":5},{"engine":"10.0.0.2:8000","kind":"decode",` +
@@ -207,7 +207,7 @@
 		string(adjustUptimes([]byte(line), 1250*time.Millisecond)))
 }
 
-// Checks the planner's responses on each of its paths.
+// The test checks the planner's responses on each of its paths.
 func TestGoldenResponses(t *testing.T) {
 	settings := config.DefaultPlanner()
 	settings.Listen, settings.Store, settings.EndpointFile = "127.0.0.1:0", copyStore(t), filepath.Join(t.TempDir(), "roster.json")
@@ -253,7 +253,7 @@
 	golden.Check(t, "answers.golden", b.String())
 }
 
-// Checks the names, labels and help texts of the planner's metrics.
+// The test checks the names, labels and help texts of the planner's metrics.
 func TestGoldenMetrics(t *testing.T) {
 	m := newMetrics()
 	m.plans.Add(3)
--- a/internal/planner/planapi/golden_test.go
+++ b/internal/planner/planapi/golden_test.go
@@ -17,7 +17,8 @@
 	return func(data []byte) (any, error) { return parse(data) }
 }
 
-// Checks the encoding of each message, with all its fields set and with the fewest, and that it parses as the same value.
+// The test checks the encoding of each message, with all its fields set and with the fewest, and that it parses as the same
+// value.
 func TestGoldenMessages(t *testing.T) {
 	plans, engines, edges, roleOrders, orders := parserOf(ParsePlan), parserOf(ParseEngineReport), parserOf(ParseEdgeReport),
 		parserOf(ParseRoleOrder), parserOf(ParseOrder)
@@ -59,7 +60,7 @@
 	golden.Check(t, "messages.golden", b.String())
 }
 
-// Checks the paths of the planner and the constants of its messages.
+// The test checks the paths of the planner and the constants of its messages.
 func TestGoldenPaths(t *testing.T) {
 	golden.Check(t, "paths.golden", strings.Join([]string{"stream " + StreamPath, "report " + ReportPath, "roles " + RolesPath,
 		"order " + OrderPath, "role " + RolePath, "trial " + TrialPrefix, "read " + Prefill, "write " + Decode,
@@ -87,7 +88,7 @@
 	return b.String()
 }
 
-// Checks the error texts of messages with missing or invalid values.
+// The test checks the error texts of messages with missing or invalid values.
 func TestGoldenRejections(t *testing.T) {
 	golden.Check(t, "refusals.golden", rejections(t, []rejection{
 		{``, parserOf(ParsePlan)}, {`{"term":1,"number":1,"engines":[]`, parserOf(ParsePlan)},
@@ -107,7 +108,7 @@
 	}))
 }
 
-// Checks the error texts of messages with values of a wrong type. Operators and edges receive these texts.
+// The test checks the error texts of messages with values of a wrong type. Operators and edges receive these texts.
 func TestGoldenTypeMismatches(t *testing.T) {
 	golden.Check(t, "type-mismatches.golden", rejections(t, []rejection{
 		{`{"term":"1"}`, parserOf(ParsePlan)}, {`{"engines":[{"engine":1}]}`, parserOf(ParsePlan)},
--- a/internal/planner/planapi/parse_test.go
+++ b/internal/planner/planapi/parse_test.go
@@ -14,7 +14,7 @@
 		{Engine: "10.0.0.2:80", Kind: "decode", State: "draining"}}}
 }
 
-// A plan that is truncated at any byte must be rejected and not taken for a shorter plan. A complete plan must be accepted.
+// A plan that is truncated at any byte must be rejected and not accepted as a shorter plan. A complete plan must be accepted.
 func TestTruncatedPlanIsRejected(t *testing.T) {
 	data, _ := json.Marshal(samplePlan())
 	for i := range data {
--- a/internal/planner/planclient/golden_test.go
+++ b/internal/planner/planclient/golden_test.go
@@ -55,8 +55,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), requests, reports
 }
 
-// Checks a client that follows a planner's stream and sends its edge's reports: its request for the stream, the endpoint lists
-// from the lines of the stream, and the posted report.
+// The test checks a client that follows a planner's stream and sends its edge's reports: its request for the stream, the
+// endpoint lists from the lines of the stream, and the posted report.
 func TestGoldenEdgeAndPlanner(t *testing.T) {
 	address, requested, posted := fakePlanner(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// A start that fails on a full disk must not leave a file that the next start takes for a damaged store.
+// A start that fails on a full disk must not leave a file that the next start treats as a damaged store.
 func TestFailedStoreCreationLeavesNoFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	runWithFullDisk(t, func() {
--- a/internal/protocol/engineapi/response.go
+++ b/internal/protocol/engineapi/response.go
@@ -62,8 +62,8 @@
 	maxQueuedWork  = 1e6
 )
 
-// ParseLoadReport decodes the load report in the header of a response. It returns nil if a value is missing or out of range,
-// because otherwise a missing value would be taken for zero.
+// ParseLoadReport decodes the load report in the header of a response. It returns nil if a value is missing or out of
+// range, because a missing value would otherwise count as zero.
 func ParseLoadReport(header http.Header) *routing.LoadReport {
 	memoryShare, hasMemory := parseNumberHeader(header, HeaderMemoryShare, maxMemoryShare)
 	waiting, hasWaiting := parseNumberHeader(header, HeaderWaitingTokens, maxQueuedWork)
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Guards against reservations that a release does not free, found with random engines and on a fleet of real processes: the
-// close of an abandoned attempt's connection and the release that follows it reach two engines in either order, and a release
-// that arrives first frees nothing.
+// The test guards against reservations that a release does not free, found with random engines and on a fleet of real
+// processes: the close of an abandoned attempt's connection and the release that follows it reach two engines in either order,
+// and a release that arrives first frees nothing.
 func TestReleasesAreRepeatedAfterAnAbandonedAttempt(t *testing.T) {
 	table := newTable(true)
 	r := table.Add(firstID, "r", PrefillDone, timesAt(start))
--- a/internal/router/request_admission_test.go
+++ b/internal/router/request_admission_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// The name of a request is taken for as long as an attempt is in flight, however many other names arrive in the meantime.
+// The name of a request stays known while an attempt is in flight, however many other names arrive in the meantime.
 func TestNameOfAnOpenRequestSurvivesAFloodOfNames(t *testing.T) {
 	b := newTestbed(t)
 	b.request("a1", "alert")
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against incident i103f8c: queues only grew and never drained.
+// The test guards against incident i103f8c: queues only grew and never drained.
 func TestRequestIsShedOnceAllPrefillsAreSlow(t *testing.T) {
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 4; req++ {
@@ -17,7 +17,7 @@
 	n.expectActions(Shed{RequestID: 5, Cause: "cannot meet objective"}, Release{5})
 }
 
-// Guards against incident i72c633: old latencies still counted although the queue was empty again.
+// The test guards against incident i72c633: old latencies still counted although the queue was empty again.
 func TestRequestIsAdmittedOnceQueuesAreEmpty(t *testing.T) {
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 4; req++ {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Guards against incident i72c633: in an overload, capacity was spent on prefills that were late already.
+// The test guards against incident i72c633: in an overload, capacity was spent on prefills that were late already.
 func TestLatePrefillIsShedOnlyUnderOverload(t *testing.T) {
 	for _, others := range []int64{0, 8} {
 		n := newTestNode(t, nil)
--- a/internal/routing/affinity_test.go
+++ b/internal/routing/affinity_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// Guards against incident i103f8c: a load balancer distributes the requests of a session over several nodes.
+// The test guards against incident i103f8c: a load balancer distributes the requests of a session over several nodes.
 func TestSessionAffinityIsSharedByGossip(t *testing.T) {
 	withGossip := func(c *Config) { c.Gossip = true }
 	a, b := newTestNode(t, withGossip), newTestNode(t, withGossip)
@@ -31,7 +31,8 @@
 	}
 }
 
-// Guards against incident id5afd4: a load balancer distributes the requests of a session over nodes that may not gossip.
+// The test guards against incident id5afd4: a load balancer distributes the requests of a session over nodes that may not
+// gossip.
 func TestSessionsUsePreferredEnginesWithoutGossip(t *testing.T) {
 	a, b := newTestNode(t, nil), newTestNode(t, nil)
 	used := map[string]bool{}
--- a/internal/routing/decode_test.go
+++ b/internal/routing/decode_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against the fault of scenario hd6b175: sessions stayed with a decode engine that had become slow.
+// The test guards against the fault of scenario hd6b175: sessions stayed with a decode engine that had become slow.
 func TestSessionLeavesASlowDecodeEngine(t *testing.T) {
 	n := newTestNode(t, nil)
 	_, slow := n.serve(1, "s")
@@ -50,8 +50,8 @@
 	t.Fatal("request is never sent to a decode engine")
 }
 
-// Guards against incident i64730d: KV transfers to other cells overloaded the link. A full engine nearby is still the worse
-// choice.
+// The test guards against incident i64730d: KV transfers to other cells overloaded the link. A full engine nearby is still the
+// worse choice.
 func TestDecodeEngineIsNearUnlessReportedFull(t *testing.T) {
 	for _, share := range []float64{0.2, 0.95} {
 		n := newTestNode(t, nil)
--- a/internal/routing/healthcheck_test.go
+++ b/internal/routing/healthcheck_test.go
@@ -34,8 +34,8 @@
 	return n, decodeEngine
 }
 
-// Guards against a reservation that is held until the client's deadline: a request that is written to an idle connection to
-// a machine that is cut off is never answered.
+// The test guards against a reservation that is held until the client's deadline: a request that is written to an idle
+// connection to a machine that is cut off is never answered.
 func TestUnresponsiveDecodeEngineIsAbandoned(t *testing.T) {
 	n, decodeEngine := newTestNodeWithOverdueDecode(t, 0)
 	n.step(0, HealthCheckResult{Engine: decodeEngine, Verdict: TimedOut})
--- a/internal/routing/outlier_test.go
+++ b/internal/routing/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against network faults that eject one engine after another, until a single decode engine is left for all requests.
+// The test guards against network faults that eject one engine after another, until a single decode engine is left for all
+// requests.
 func TestNetworkFaultsEjectNoEngine(t *testing.T) {
 	n := newTestNode(t, nil)
 	e := n.policy.engines["w0"]
@@ -47,8 +48,8 @@
 	}
 }
 
-// Guards against an outlier that counts as normal: of four prefill engines one was several times slower than the others,
-// but the median of all four was too high to reveal it.
+// The test guards against an outlier that counts as normal: of four prefill engines one was several times slower than the
+// others, but the median of all four was too high to reveal it.
 func TestMedianLatencyExcludesTheOutlier(t *testing.T) {
 	n := newTestNode(t, nil)
 	n.updateEngines(Endpoint{}, "r2", "r3")
@@ -63,8 +64,8 @@
 	}
 }
 
-// Guards against sessions that stay with a prefill engine that has become slow. A busy engine has the same latency for more
-// work.
+// The test guards against sessions that stay with a prefill engine that has become slow. A busy engine has the same latency
+// for more work.
 func TestBusyEngineIsNotSlow(t *testing.T) {
 	n := newTestNode(t, nil)
 	n.updateEngines(Endpoint{}, "r2")
--- a/internal/routing/prefill_test.go
+++ b/internal/routing/prefill_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a preferred engine that is overloaded while others are idle, as seen with a hundred nodes.
+// The test guards against a preferred engine that is overloaded while others are idle, as seen with a hundred nodes.
 func TestOverloadedPreferredEngineIsSkipped(t *testing.T) {
 	n := newTestNode(t, func(c *Config) { c.HealthChecks = true })
 	first, _ := newTestNode(t, nil).serve(1, "s")
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against requests that queue behind tens of thousands of tokens at their first preferred engine, while the second,
-// which also caches the prefix, has none.
+// The test guards against requests that queue behind tens of thousands of tokens at their first preferred engine, while the
+// second, which also caches the prefix, has none.
 func TestPreferredEngineWithLessQueuedWorkIsChosen(t *testing.T) {
 	first, _ := newTestNode(t, nil).serve(1, "s")
 	for _, c := range []struct {
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -241,7 +241,7 @@
 	})
 }
 
-// Guards against a cost per request that is quadratic in the number of engines in slow start: for each of them the
+// The test guards against a cost per request that is quadratic in the number of engines in slow start: for each of them the
 // throughput of all engines was counted.
 func TestThroughputOfAWarmingUpFleetIsCountedOncePerResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -29,7 +29,7 @@
 	n.expectActions(Fail{1, "attempts exhausted"}, Release{1})
 }
 
-// Guards against incident i368f41: single attempts were lost while their engine answered later ones.
+// The test guards against incident i368f41: single attempts were lost while their engine answered later ones.
 func TestAttemptPassedByLaterResponsesIsCanceledAndRetriedElsewhere(t *testing.T) {
 	n := newTestNode(t, nil)
 	lost := n.arrive(1, 0, "s")
@@ -47,7 +47,7 @@
 	t.Fatal("lost attempt is never canceled")
 }
 
-// Guards against a decode engine that is gone and refuses all four attempts of a request within a millisecond: it was
+// The test guards against a decode engine that is gone and refuses all four attempts of a request within a millisecond: it was
 // chosen again each time, as it had the fewest streams.
 func TestEngineThatRefusedIsNotRetriedAtOnce(t *testing.T) {
 	n := newTestNode(t, nil)
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against a reservation that is held for up to a second and a half: while decode engines were unresponsive, each
-// failed dial of a quarter second restarted the reservation's time limit.
+// The test guards against a reservation that is held for up to a second and a half: while decode engines were unresponsive,
+// each failed dial of a quarter second restarted the reservation's time limit.
 func TestFailedDialsDoNotExtendAReservation(t *testing.T) {
 	n := newTestNode(t, nil)
 	first := n.completePrefill(20*ms, 1, n.arrive(1, 0, "s"))
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against incidents i384176 and i602403: decode engines stayed idle after a restart.
+// The test guards against incidents i384176 and i602403: decode engines stayed idle after a restart.
 func TestWarmingUpEngineGetsMoreThanOneRequestPerWindow(t *testing.T) {
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 100; req++ {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Checks the attempts of all nodes together, from one to hundreds of nodes, by the test's own record.
+// The test checks the attempts of all nodes together, from one to hundreds of nodes, by the test's own record.
 func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSimulatedFleet(t)
