--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -15,12 +15,14 @@
 	OK     bool // a connection was found or added; otherwise a limit is reached
 }
 
-// Acquire finds a connection for an attempt or a control request. An idle connection is reused only if it has been idle
-// for less than maxIdle: the longer it has been idle, the more likely the other side closes it just as the request is
-// written, and then the attempt may have run. The connection with the shortest idle time is reused first, so that the
-// others can expire. After a stream a connection settles first: a late second response to the stream's request would
-// otherwise be treated as the response to the next request. The parameter spare is the number of connections by which the
-// limits may be exceeded, for requests that must not wait behind attempts, such as releases of reservations.
+// Acquire finds a connection for an attempt or a control request. An idle connection is reused only if it has been idle for
+// less than maxIdle: the longer it has been idle, the more likely the other side closes it just as the request is written,
+// and then the attempt may have run. The connection with the shortest idle time is reused first, so that the others can
+// expire. After a stream a connection settles first: a late second response to the stream's request would otherwise be
+// treated as the response to the next request.
+//
+// The parameter spare is the number of connections by which the limits may be exceeded, for requests that must not wait
+// behind attempts, such as releases of reservations.
 func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
 	if c := usage.shortestIdle; c != nil && p.withinIdleLimit(c, now, maxIdle) {
