--- a/internal/connpool/acquire.go
+++ b/internal/connpool/acquire.go
@@ -10,19 +10,19 @@
 // 0 if none has to be closed.
 type Lease struct {
 	ID     int64
-	Reused bool // false if the connection must be dialed
+	Reused bool // the connection is open; otherwise it must be dialed
 	Evict  int64
-	OK     bool // false if a limit is reached
+	OK     bool // a connection was found or added; otherwise a limit is reached
 }
 
-// Acquire finds a connection for an attempt or a control request. An idle one is reused only if it has been idle for less
-// than maxIdle: the longer it has been idle, the more likely the other side closes it just as the request is written, and
-// then the attempt may have run. The connection with the shortest idle time is reused first, so that the others can expire.
-// After a stream a connection settles first: a late second response to the stream's request would otherwise be taken for
-// the response to the next request.
+// Acquire finds a connection for an attempt or a control request. An idle connection is reused only if it has been idle for
+// less than maxIdle: the longer it has been idle, the more likely the other side closes it just as the request is written,
+// and then the attempt may have run. The connection with the shortest idle time is reused first, so that the others can
+// expire. After a stream a connection settles first: a late second response to the stream's request would otherwise be
+// treated as the response to the next request.
 //
-// The number spare is how far the limits may be exceeded, for requests that must not wait behind attempts, such as releases
-// of reservations.
+// The parameter spare is the number of connections by which the limits may be exceeded, for requests that must not wait
+// behind attempts, such as releases of reservations.
 func (p *Pool) Acquire(engine string, now int64, maxIdle time.Duration, spare int) Lease {
 	usage := p.usage(engine, now)
 	if c := usage.shortestIdle; c != nil && p.withinIdleLimit(c, now, maxIdle) {
@@ -52,7 +52,7 @@
 // engineUsage summarizes the connections to one engine.
 type engineUsage struct {
 	dialing                   int
-	shortestIdle, longestIdle *connection // nil if no connection is idle; shortestIdle counts settled connections only
+	shortestIdle, longestIdle *connection // idle connections, nil if no connection is idle; shortestIdle counts settled ones only
 }
 
 func (p *Pool) usage(engine string, now int64) (usage engineUsage) {
@@ -73,7 +73,7 @@
 	return usage
 }
 
-// longestIdle returns the connection to any engine that has been idle longest; nil for none.
+// longestIdle returns the connection to any engine that has been idle longest; nil if no connection is idle.
 func (p *Pool) longestIdle() (oldest *connection) {
 	for _, c := range p.connections {
 		older := oldest == nil || cmp.Or(cmp.Compare(c.stateSince, oldest.stateSince), cmp.Compare(c.id, oldest.id)) < 0
--- a/internal/connpool/state.go
+++ b/internal/connpool/state.go
@@ -34,7 +34,7 @@
 	DialFailed                       // the connection could not be opened
 	Acquired                         // the connection was idle, and carries a request now
 	Released                         // the response has been read completely, no unread bytes remain
-	ReleasedAfterStream              // like Released, and the response was a stream
+	ReleasedAfterStream              // the same as Released, for a response that was a stream
 	ReleasedDirty                    // the request on the connection ended in any other way
 	Broken                           // the connection is lost
 	IdleExpired                      // the connection has been idle for longer than is allowed
@@ -55,7 +55,7 @@
 // String returns the event's name.
 func (e Event) String() string { return eventNames[e] }
 
-// Action is what must be done with the socket of a connection.
+// Action is the action that the socket of a connection requires.
 type Action uint8
 
 // The actions.
@@ -92,7 +92,7 @@
 	{[]State{Dialing, Idle, Busy}, Broken, Closed, Close},
 }
 
-// findTransition returns the index of the transition of an event in a state; -1 if there is none.
+// findTransition returns the index of the transition of an event in a state; -1 if the event has no transition.
 func findTransition(from State, event Event) int {
 	return slices.IndexFunc(transitions, func(t transition) bool { return t.event == event && slices.Contains(t.from, from) })
 }
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, open := range s.core.OpenAttempts() {
-		if !open.Ended { // includes attempts whose connection is being dialed
+		if !open.Ended { // The attempts include those whose connection is being dialed.
 			s.reservations.restartIdleTime(open.Request, s.now)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkVerdicts compares the router's verdicts on ended attempts with what the engines did.
+// checkVerdicts compares the router's verdicts on ended attempts with the actions of the engines.
 func (s *simulation) checkVerdicts() {
 	for _, open := range s.core.OpenAttempts() {
 		c := s.clientOf(open.Request)
--- a/internal/planner/assignment/config.go
+++ b/internal/planner/assignment/config.go
@@ -15,7 +15,7 @@
 
 	MaxChangingShare  float64 // share of all engines that may be changing at once; one engine is always allowed
 	MaxSharePerMinute float64 // share of all engines that may begin a change within a minute; two are always allowed
-	ExplainOnly       bool    // decide and explain changes without making them
+	ExplainOnly       bool    // changes are decided and explained, but not made
 
 	PrefillThroughput float64            // tokens per second of one prefill engine, used until measured; 0 if unknown
 	DecodeThroughput  float64            // tokens per second of one decode engine, used until measured; 0 if unknown
@@ -24,13 +24,13 @@
 
 // ListedEngine is an engine's entry in the endpoint list.
 type ListedEngine struct {
-	Engine    string // address
+	Engine    string // address of the engine
 	Role      string
 	Zone      string
 	Cell      string
 	Kinds     map[string]string // engine kind by role; one entry if the engine cannot change roles
 	Weight    float64           // capacity relative to an engine of weight 1; 0 counts as 1
-	Ready     bool              // false while service discovery drains the engine
+	Ready     bool              // the engine is ready; false while service discovery drains it
 	CanChange bool              // the engine's kind has a counterpart for the other role
 	UpSince   int64             // start time in nanoseconds; 0 if long ago
 }
--- a/internal/planner/assignment/controller.go
+++ b/internal/planner/assignment/controller.go
@@ -40,7 +40,7 @@
 	throughputs  map[string]float64 // latest known tokens per second of an engine of weight 1, by role
 	mixes        mixHistory
 	skew         skewTracker
-	gainSince    map[string]int64 // by role, time since which a change to the role would have a gain; 0 for no gain
+	gainSince    map[string]int64 // by role: start of the time in which a change to the role would gain; 0 for no gain
 	decidedAt    int64
 	lastDecision Decision
 }
@@ -94,7 +94,7 @@
 
 func (c *Controller) beginStep(now int64) { c.now, c.output.actions = max(now, c.now), nil }
 
-// since returns the time elapsed since t. If t is 0, which stands for never, the result is very long.
+// since returns the time elapsed since t. If t is 0, which means never, the result is very long.
 func (c *Controller) since(t int64) time.Duration { return time.Duration(c.now - t) }
 
 func (c *Controller) handleEngineList(engines []ListedEngine) {
--- a/internal/planner/assignment/evaluation.go
+++ b/internal/planner/assignment/evaluation.go
@@ -18,7 +18,7 @@
 	GainingSeconds   float64 `json:"for_s"`    // time for which the change has had a gain so far
 	Engine           string  `json:"engine"`   // engine with the lowest cost of a change
 	LostTokens       float64 `json:"lost_tok"` // cached tokens that no other engine has
-	Reason           Reason  `json:"why"`      // why the change is made or not made
+	Reason           Reason  `json:"why"`      // reason for making or not making the change
 	Chosen           bool    `json:"done"`
 }
 
@@ -34,7 +34,7 @@
 	minUnservedTime = time.Second
 	// noiseShare is the share of the offered value that is within the error of the estimate.
 	noiseShare = 0.01
-	// minGain is the gain up to which a change counts as gaining nothing. It is above the rounding error.
+	// minGain is the largest gain that is treated as zero. It is above the rounding error.
 	minGain = 1e-9
 	// maxGainPerLoss limits the expected gain of a change to a multiple of the value lost now. It exceeds 1, as counts
 	// over ten seconds vary.
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -62,7 +62,7 @@
 	s.Close()
 	runWithFullDisk(t, func() {
 		if s, _, err := Open(path); err == nil {
-			s.Close() // opening needs no write, so it may succeed
+			s.Close() // Opening needs no write, so it may succeed.
 		}
 	})
 	s, stored, err := Open(path)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A start that fails on a full disk must not leave a file that the next start takes for a damaged store.
+// A start that fails on a full disk must not leave a file that the next start treats as a damaged store.
 func TestFailedStoreCreationLeavesNoFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	runWithFullDisk(t, func() {
@@ -117,7 +117,7 @@
 		os.WriteFile(path, damage(t, data), 0o600)
 		store, stored, err := Open(path)
 		if err != nil {
-			return // the damage was detected
+			return // The damage was detected.
 		}
 		defer store.Close()
 		if stored.Term != 0 && stored.Term != storeTerm || len(stored.Records) > 1 ||
--- a/internal/protocol/chat/request.go
+++ b/internal/protocol/chat/request.go
@@ -15,8 +15,8 @@
 // Limits of one request apart from its size in bytes.
 const (
 	maxMessages            = 4096
-	maxIDBytes             = 256     // of a session, an idempotency key, a request ID or a model
-	maxTokens              = 1 << 20 // in the field max_tokens
+	maxIDBytes             = 256     // length of a session, an idempotency key, a request ID or a model
+	maxTokens              = 1 << 20 // limit of the field max_tokens
 	maxFirstTokenTimeoutMs = 3_600_000
 	maxRetryCount          = 1_000_000
 )
@@ -24,16 +24,16 @@
 // Request is a completion request of a client.
 type Request struct {
 	Model             string
-	Session           string // empty if the client sent none
-	PrefixHash        string // hash of the leading messages that sessions may share; empty if there are none
-	PromptTokens      int    // estimated by EstimateTokens
-	PrefixTokens      int    // of the leading messages
+	Session           string // key of the session; empty if the client sent none
+	PrefixHash        string // hash of the leading messages that sessions may share; empty without such messages
+	PromptTokens      int    // tokens of the prompt, estimated by EstimateTokens
+	PrefixTokens      int    // estimated tokens of the leading messages
 	MaxOutputTokens   int
 	Stream            bool
 	IdempotencyKey    string
 	ClientRequestID   string                     // the client's own ID of the request
 	RetryCount        int                        // number of the client's earlier attempts; 0 if unspecified
-	FirstTokenTimeout time.Duration              // how long the client waits for the first token; 0 if unspecified
+	FirstTokenTimeout time.Duration              // time that the client waits for the first token; 0 if unspecified
 	fields            map[string]json.RawMessage // all fields of the body, undecoded
 }
 
--- a/internal/reservation/release.go
+++ b/internal/reservation/release.go
@@ -18,7 +18,7 @@
 	}
 	switch {
 	case r.State == Reserved && r.attemptAbandoned:
-		expiredIn = Claimed // the attempt that was to consume the reservation may have arrived
+		expiredIn = Claimed // The attempt that was to consume the reservation may have arrived.
 	case r.State == Reserved || r.State == Claimed:
 		expiredIn = r.State
 	}
@@ -47,7 +47,8 @@
 	return min(t.limits.RetryInterval<<doublings, longest)
 }
 
-// inUseUntil returns the latest due time of the request's other reservations that are still to be used; 0 if there are none.
+// inUseUntil returns the latest due time of the request's other reservations that are still to be used; 0 without such
+// reservations.
 func (t *Table) inUseUntil(r *Reservation) (until int64) {
 	for _, other := range t.byRequest[r.ID.Request] {
 		if other != r && (other.State == Reserved || other.State == Claimed) {
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -12,14 +12,14 @@
 // clock holds the time that was last passed to the router, in nanoseconds.
 type clock struct {
 	now           int64
-	earliestEvent int64 // the current events happened after this time; 0 if unknown
-	readAt        int64 // when the current event was read from its socket; 0 if unknown
+	earliestEvent int64 // a time before the current events happened; 0 if unknown
+	readAt        int64 // time at which the current event was read from its socket; 0 if unknown
 	observed      ObservedTimes
 	reapedAt      int64
 }
 
 // ObservedTimes holds the times up to which all input from engines and from clients was passed to the router. Input that was
-// sent later may still be unread. 0 stands for the current time.
+// sent later may still be unread. 0 means the current time.
 type ObservedTimes struct{ Engines, Clients int64 }
 
 // SetTime sets the time of the events that follow.
--- a/internal/router/observer.go
+++ b/internal/router/observer.go
@@ -42,8 +42,8 @@
 type RequestSummary struct {
 	Request, Route, Session    string
 	Outcome                    RequestOutcome
-	Reason                     FailureReason // why the request failed; empty for other outcomes
-	Cause                      string        // why the policy shed or failed the request; empty if it did not
+	Reason                     FailureReason // reason for a failure; empty for other outcomes
+	Cause                      string        // the policy's reason for shedding or failing the request; empty if it did neither
 	Attempts                   []string      // engine and verdict of each attempt
 	Duration, TimeToFirstToken time.Duration // TimeToFirstToken is 0 if there was no token
 	PromptTokens, OutputTokens int
@@ -62,7 +62,7 @@
 	Index           int
 	Decode          bool
 	Verdict         Verdict
-	Reason          AttemptReason // empty if the attempt succeeded
-	Connecting      time.Duration // until the request was written; 0 if it was not written
+	Reason          AttemptReason // the reason of a failure; empty if the attempt succeeded
+	Connecting      time.Duration // time until the request was written; 0 if it was not written
 	Duration        time.Duration
 }
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -16,7 +16,7 @@
 // Shed rejects a request with a final answer after which the client may safely retry.
 type Shed struct {
 	RequestID  int64
-	RetryAfter time.Duration // suggested to the client; 0 for no suggestion
+	RetryAfter time.Duration // the delay before a retry that is suggested to the client; 0 for no suggestion
 	Cause      string        // for logs: the last trigger of the request's state machine
 }
 
@@ -47,7 +47,7 @@
 // HealthCheck requests the load of an engine.
 type HealthCheck struct{ Engine string }
 
-// AllNodes stands for all other nodes in the field To of SendGossip.
+// AllNodes in the field To of SendGossip sends the message to all other nodes.
 const AllNodes = -1
 
 // SendGossip sends a short message to one node, or to AllNodes.
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -96,19 +96,19 @@
 	DedupWindow            time.Duration
 	PriorityWeight         float64
 	FirstTokenObjective    time.Duration // latency objective for the first token
-	ObjectivePer1000Tokens time.Duration // added to the objective for each 1,000 prompt tokens
+	ObjectivePer1000Tokens time.Duration // the increase of the objective for each 1,000 prompt tokens
 }
 
 // EngineKind holds the properties of a kind of engine that decisions depend on.
 type EngineKind struct {
 	Role         Role
-	MemoryTokens float64 // 0 if unknown
+	MemoryTokens float64 // size of the engine's memory; 0 if unknown
 }
 
 // SlowStart limits the attempts at an engine that has just started: in any Window, to Share times Multiple times what an
 // engine of its role completes on average.
 type SlowStart struct {
-	Duration        time.Duration // how long an engine counts as warming up
+	Duration        time.Duration // time for which an engine counts as warming up
 	Share, Multiple float64
 	Window          time.Duration
 }
@@ -117,16 +117,16 @@
 type Config struct {
 	Node, Nodes int // index of this node, and the number of nodes
 	Zone        int
-	Tick        time.Duration // how late timers and answers may be
-
-	MaxAttempts       int     // per request
-	CanCancel         bool    // whether attempts can be canceled
-	HealthChecks      bool    // whether health checks may be sent
-	Gossip            bool    // whether nodes may send each other messages
-	GossipPrice       float64 // per message
-	SuggestRetryAfter bool    // whether Shed actions may suggest when to retry
+	Tick        time.Duration // longest delay of timers and answers
+
+	MaxAttempts       int     // limit on the attempts of one request
+	CanCancel         bool    // attempts can be canceled
+	HealthChecks      bool    // health checks may be sent
+	Gossip            bool    // nodes may send each other messages
+	GossipPrice       float64 // price of one gossip message
+	SuggestRetryAfter bool    // Shed actions may suggest a delay before a retry
 	MaxRetryAfter     time.Duration
-	WatchEndpoints    bool // whether endpoint lists arrive only after a WatchEndpoints action
+	WatchEndpoints    bool // endpoint lists arrive only after a WatchEndpoints action
 
 	// ReservationLimit is how long engines keep a reservation, and DecodeResponseTimeout is how long a decode engine may
 	// stay silent before it is checked.
--- a/internal/routing/decode_test.go
+++ b/internal/routing/decode_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Guards against the fault of scenario hd6b175: sessions stayed with a decode engine that had become slow.
+// The test guards against the fault of scenario hd6b175: sessions stayed with a decode engine that had become slow.
 func TestSessionLeavesASlowDecodeEngine(t *testing.T) {
 	n := newTestNode(t, nil)
 	_, slow := n.serve(1, "s")
-	n.now += 3000 * ms // the earlier low latency no longer counts
+	n.now += 3000 * ms // The earlier low latency no longer counts.
 	decodeEngine := n.completePrefill(20*ms, 2, n.arrive(2, 0, "s"))
 	n.firstToken(600*ms, 2, decodeEngine)
 	if next := n.completePrefill(20*ms, 3, n.arrive(3, 0, "s")); next == slow {
@@ -50,8 +50,8 @@
 	t.Fatal("request is never sent to a decode engine")
 }
 
-// Guards against incident i64730d: KV transfers to other cells overloaded the link. A full engine nearby is still the worse
-// choice.
+// The test guards against incident i64730d: KV transfers to other cells overloaded the link. A full engine nearby is still the
+// worse choice.
 func TestDecodeEngineIsNearUnlessReportedFull(t *testing.T) {
 	for _, share := range []float64{0.2, 0.95} {
 		n := newTestNode(t, nil)
--- a/internal/routing/slowstart_test.go
+++ b/internal/routing/slowstart_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against incidents i384176 and i602403: decode engines stayed idle after a restart.
+// The test guards against incidents i384176 and i602403: decode engines stayed idle after a restart.
 func TestWarmingUpEngineGetsMoreThanOneRequestPerWindow(t *testing.T) {
 	n := newTestNode(t, nil)
 	for req := int64(1); req <= 100; req++ {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Checks the attempts of all nodes together, from one to hundreds of nodes, by the test's own record.
+// The test checks the attempts of all nodes together, from one to hundreds of nodes, by the test's own record.
 func TestSlowStartBudgetIsSharedByAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSimulatedFleet(t)
@@ -151,7 +151,7 @@
 		n.lastID++
 		sent := n.step(RequestArrived{RequestID: n.lastID, Session: fmt.Sprint(n.lastID), Deadline: n.now + time.Hour, PromptTokens: 100})
 		if sent == "" {
-			break // no budget is left
+			break // No budget is left.
 		}
 	}
 	if !p.isBudgetExhausted(&p.prefillEngines) {
