--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	for _, fault := range stored.Faults {
-		p.log.Error("store damaged", zap.Error(fault))
+		p.log.Error("stored record not readable", zap.Error(fault))
 	}
 	p.store, p.saver = store, newRecordSaver(store, p.log)
 	p.ctx, p.cancel = context.WithCancel(context.Background())
