--- a/cmd/sandcourse-edge/fleet_test.go
+++ b/cmd/sandcourse-edge/fleet_test.go
@@ -218,7 +218,7 @@
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
 	var overtaken atomic.Int64
-	fleet.BeforeNotice = func(_ string, released <-chan struct{}) {
+	fleet.BeforeCloseDetected = func(_ string, released <-chan struct{}) {
 		select {
 		case <-released:
 			overtaken.Add(1)
@@ -253,7 +253,7 @@
 	log := &audit.Log{}
 	fleet := platformengine.NewFleet(log)
 	random := &lockedRand{rand: rand.New(rand.NewPCG(seed, 1))}
-	fleet.BeforeNotice = func(string, <-chan struct{}) { time.Sleep(random.durationUpTo(60 * time.Millisecond)) }
+	fleet.BeforeCloseDetected = func(string, <-chan struct{}) { time.Sleep(random.durationUpTo(60 * time.Millisecond)) }
 	p := startEdges(t, edges, fleet, log, []platformengine.Config{
 		{ID: "s-1", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
 		{ID: "s-2", Role: platformengine.Prefill, Slots: 2, WorkTime: 20 * time.Millisecond},
--- a/cmd/sandcourse-plan/signals_test.go
+++ b/cmd/sandcourse-plan/signals_test.go
@@ -57,7 +57,7 @@
 }
 
 // A planner must keep running and logging until SIGTERM, even if the reader of its log is gone and its terminal hangs up.
-func TestPlannerOutlivesItsLog(t *testing.T) {
+func TestPlannerServesAfterLogReaderExits(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -243,21 +243,21 @@
 			}
 			length := max(4*time.Second, time.Duration(tokens)*interval*2)
 			for b.Loop() {
-				directFirst, direct, _, err := measureStreams(decodeEngines[0], true, streams, length)
+				directFirstEvents, directEvents, _, err := measureStreams(decodeEngines[0], true, streams, length)
 				if err != nil {
 					b.Fatal(err)
 				}
 				e := startBenchEdge(b, prefillEngines, decodeEngines)
-				throughFirst, through, done, err := measureStreams(e.Addr(), false, streams, length)
+				edgeFirstEvents, edgeEvents, done, err := measureStreams(e.Addr(), false, streams, length)
 				e.Stop()
 				if err != nil {
 					b.Fatal(err)
 				}
 				for _, q := range []float64{50, 99} {
-					b.ReportMetric(float64(through.ValueAtQuantile(q)-direct.ValueAtQuantile(q))/1000, fmt.Sprintf("event-p%.0f-added-ms", q))
-					b.ReportMetric(float64(throughFirst.ValueAtQuantile(q)-directFirst.ValueAtQuantile(q))/1000, fmt.Sprintf("first-p%.0f-added-ms", q))
+					b.ReportMetric(float64(edgeEvents.ValueAtQuantile(q)-directEvents.ValueAtQuantile(q))/1000, fmt.Sprintf("event-p%.0f-added-ms", q))
+					b.ReportMetric(float64(edgeFirstEvents.ValueAtQuantile(q)-directFirstEvents.ValueAtQuantile(q))/1000, fmt.Sprintf("first-p%.0f-added-ms", q))
 				}
-				b.ReportMetric(float64(direct.ValueAtQuantile(99))/1000, "event-p99-direct-ms")
+				b.ReportMetric(float64(directEvents.ValueAtQuantile(99))/1000, "event-p99-direct-ms")
 				b.ReportMetric(float64(done), "requests")
 			}
 		})
--- a/internal/edge/inbox.go
+++ b/internal/edge/inbox.go
@@ -23,9 +23,9 @@
 type queuedTask struct {
 	run      func()
 	queuedAt int64 // time of the call of put, before any wait for capacity
-	// happenedAfter is a time before the call of put at which the process was known to be running. If the process is paused,
+	// earliestEvent is a time before the call of put at which the process was known to be running. If the process is paused,
 	// the event behind the task may have happened at any time since.
-	happenedAfter int64
+	earliestEvent int64
 }
 
 // inbox is the bounded queue of tasks from the sockets to the owner. A goroutine that adds a task with a weight blocks while
@@ -62,7 +62,7 @@
 
 // put adds a task for the owner to run. It blocks while the lane is full, except for tasks of weight 0.
 func (b *inbox) put(taskLane lane, weight int, run func()) {
-	task := queuedTask{run: run, queuedAt: b.clock(), happenedAfter: b.previousTurnAt.Load()}
+	task := queuedTask{run: run, queuedAt: b.clock(), earliestEvent: b.previousTurnAt.Load()}
 	q := &b.lanes[taskLane]
 	b.mu.Lock()
 	for weight > 0 && q.weight > 0 && q.weight+weight > q.maxWeight && !b.closed {
--- a/internal/edge/late_owner_test.go
+++ b/internal/edge/late_owner_test.go
@@ -102,7 +102,7 @@
 
 func TestDrainReportedDuringDecisionIsRespected(t *testing.T) {
 	const decisionTime = 400 * time.Millisecond // longer than the drain grace
-	old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
+	old, replacement := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
 	decode := readyEntry("s-2", "m2", newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 	source := make(listSource, 1)
 	e := newPlatformEdgeFrom(t, 1024, nil, source)
@@ -114,7 +114,7 @@
 	}
 	drainingEntry := readyEntry("s-1", "m1", old)
 	drainingEntry.State = endpoint.Draining
-	second := endpoint.List{Revision: 2, Entries: []endpoint.Entry{drainingEntry, decode, readyEntry("s-3", "m1", fresh)}}
+	second := endpoint.List{Revision: 2, Entries: []endpoint.Entry{drainingEntry, decode, readyEntry("s-3", "m1", replacement)}}
 	listSent := make(chan struct{})
 	e.OnDecision(func(event routing.Event) {
 		if arrival, ok := event.(routing.RequestArrived); ok && arrival.Session == "k" {
@@ -130,7 +130,7 @@
 	if status, body, err := postChat(t, e, "b", "alert"); status != 200 || err != nil || body != streamEvents {
 		t.Errorf("%d %q %v", status, body, err)
 	}
-	if n, m := old.countRequests("POST"), fresh.countRequests("POST"); n != 1 || m != 1 {
+	if n, m := old.countRequests("POST"), replacement.countRequests("POST"); n != 1 || m != 1 {
 		t.Errorf("%d prefills at the draining engine and %d at the other, want 1 before the drain and 1 after it", n, m)
 	}
 }
--- a/internal/edge/messages_test.go
+++ b/internal/edge/messages_test.go
@@ -19,7 +19,7 @@
 	post := func(body string) string {
 		return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	good := `{"model":"clip-summary","stream":false,"messages":[{"role":"user","content":"a"}]}`
+	validBody := `{"model":"clip-summary","stream":false,"messages":[{"role":"user","content":"a"}]}`
 	for name, c := range map[string]struct{ send, want string }{
 		"two lengths": {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na", "400 "},
 		"length and chunked": {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -34,7 +34,7 @@
 		"unknown route": {post(`{"model":"nothing","messages":[{"role":"user","content":"a"}]}`), "404 "},
 		"unknown path":  {"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", "404 "},
 		"wrong method":  {"GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n", "405 "},
-		"HTTP/1.0":      {strings.Replace(post(good), "HTTP/1.1", "HTTP/1.0", 1), "505 "},
+		"HTTP/1.0":      {strings.Replace(post(validBody), "HTTP/1.1", "HTTP/1.0", 1), "505 "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := rawExchange(t, f.edges.Addrs()[0], c.send, 500*time.Millisecond)
@@ -44,10 +44,10 @@
 			}
 		})
 	}
-	if got := rawExchange(t, f.edges.Addrs()[0], post(good)+post(good), 700*time.Millisecond); strings.Count(got, "HTTP/1.1 200") != 2 {
+	if got := rawExchange(t, f.edges.Addrs()[0], post(validBody)+post(validBody), 700*time.Millisecond); strings.Count(got, "HTTP/1.1 200") != 2 {
 		t.Errorf("two pipelined requests: got %q, want two responses with status 200", got)
 	}
-	if got := rawExchange(t, f.edges.Addrs()[0], strings.Repeat(post(good), 20), 700*time.Millisecond); strings.Count(got, "200 OK") > 5 {
+	if got := rawExchange(t, f.edges.Addrs()[0], strings.Repeat(post(validBody), 20), 700*time.Millisecond); strings.Count(got, "200 OK") > 5 {
 		t.Errorf("pipelining is not limited: %q", got)
 	}
 	f.checkInvariants()
--- a/internal/edge/owner.go
+++ b/internal/edge/owner.go
@@ -132,7 +132,7 @@
 	now := l.now()
 	l.edge.router.SetTime(now)
 	l.edge.router.SetReadTime(task.queuedAt)
-	l.edge.router.SetEarliestEventTime(task.happenedAfter)
+	l.edge.router.SetEarliestEventTime(task.earliestEvent)
 	l.delay.record(taskLane, now, task.queuedAt)
 	task.run()
 }
--- a/internal/edge/races_test.go
+++ b/internal/edge/races_test.go
@@ -13,7 +13,7 @@
 // The poller has detected that a client disconnected, but the owner has not been notified yet. The owner must forward the
 // request neither to prefill nor, after prefill, to decode.
 func TestClientDisconnectBeforeOwnerIsNotified(t *testing.T) {
-	for _, moment := range []string{"before prefill", "between prefill and decode"} {
+	for _, stage := range []string{"before prefill", "between prefill and decode"} {
 		gate := make(chan struct{})
 		prefill := newScriptedEngine(t, "127.0.0.2", func(int, *http.Request) (string, bool) {
 			<-gate
@@ -24,7 +24,7 @@
 		client := dialRaw(t, e)
 		wantPrefills := 0
 		var release func()
-		if moment == "before prefill" {
+		if stage == "before prefill" {
 			close(gate)
 			release = e.BlockOwner()
 			client.send(requestText("a", "chat"))
@@ -39,7 +39,7 @@
 		}
 		client.conn.(*net.TCPConn).CloseWrite()
 		if _, err := client.reader.ReadByte(); err == nil {
-			t.Errorf("%s: the edge sent a response to a client that had disconnected", moment)
+			t.Errorf("%s: the edge sent a response to a client that had disconnected", stage)
 		}
 		release()
 		waitFor(t, "the edge has no open requests", func() bool {
@@ -48,7 +48,7 @@
 		})
 		e.Stop()
 		if prefill.countRequests("POST") != wantPrefills || decode.countRequests("POST") != 0 {
-			t.Errorf("%s: %d prefills and %d decodes, %d prefills wanted", moment, prefill.countRequests("POST"), decode.countRequests("POST"), wantPrefills)
+			t.Errorf("%s: %d prefills and %d decodes, %d prefills wanted", stage, prefill.countRequests("POST"), decode.countRequests("POST"), wantPrefills)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // yet delays no request: the attempt is sent to the draining engine, which the drain grace allows.
 func TestDrainInListRacesAttempt(t *testing.T) {
 	for _, notified := range []bool{true, false} {
-		old, fresh := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
+		old, replacement := newScriptedEngine(t, "127.0.0.2", respondWith(prefillDone)), newScriptedEngine(t, "127.0.0.4", respondWith(prefillDone))
 		decode := readyEntry("s-2", "m2", newScriptedEngine(t, "127.0.0.3", respondWith(completeStream)))
 		source := make(listSource, 1)
 		e := newPlatformEdgeFrom(t, 1024, nil, source)
@@ -123,7 +123,7 @@
 		client := dialRaw(t, e)
 		drainingEntry := readyEntry("s-1", "m1", old)
 		drainingEntry.State = endpoint.Draining
-		second := endpoint.List{Revision: 2, Entries: []endpoint.Entry{drainingEntry, decode, readyEntry("s-3", "m1", fresh)}}
+		second := endpoint.List{Revision: 2, Entries: []endpoint.Entry{drainingEntry, decode, readyEntry("s-3", "m1", replacement)}}
 		if notified {
 			release := e.BlockOwner()
 			before := e.QueuedTasks()
@@ -144,8 +144,8 @@
 			t.Errorf("notified %v: status %d, body %q", notified, status, body)
 		}
 		e.Stop()
-		if sentToOld := old.countRequests("POST") == 1; sentToOld == notified || old.countRequests("POST")+fresh.countRequests("POST") != 1 {
-			t.Errorf("notified %v: %d attempts at the draining engine, %d at the other", notified, old.countRequests("POST"), fresh.countRequests("POST"))
+		if sentToOld := old.countRequests("POST") == 1; sentToOld == notified || old.countRequests("POST")+replacement.countRequests("POST") != 1 {
+			t.Errorf("notified %v: %d attempts at the draining engine, %d at the other", notified, old.countRequests("POST"), replacement.countRequests("POST"))
 		}
 	}
 }
--- a/internal/edge/raw_client_test.go
+++ b/internal/edge/raw_client_test.go
@@ -67,7 +67,7 @@
 }
 
 // rawExchange sends bytes and returns all bytes received until the edge closes the connection or sends nothing for a while.
-func rawExchange(t *testing.T, addr string, send string, quiet time.Duration) string {
+func rawExchange(t *testing.T, addr string, send string, idleTimeout time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -80,7 +80,7 @@
 	var got []byte
 	buf := make([]byte, 4096)
 	for {
-		c.SetReadDeadline(time.Now().Add(quiet))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		n, err := c.Read(buf)
 		got = append(got, buf[:n]...)
 		if err != nil {
--- a/internal/edge/reuse_guard_test.go
+++ b/internal/edge/reuse_guard_test.go
@@ -116,11 +116,11 @@
 	waitFor(t, "the new connection is registered or waits for that", func() bool {
 		return hasClients(e, 3) || e.WaitingConnections() == 1
 	})
-	fresh := socketClient(t, socket)
-	fresh.send(requestText("b", "chat"))
+	newClient := socketClient(t, socket)
+	newClient.send(requestText("b", "chat"))
 	poller.setEnabled(false)
 	poller.proceed <- struct{}{}
-	if status, _ := fresh.readResponse(); status != 200 {
+	if status, _ := newClient.readResponse(); status != 200 {
 		t.Errorf("status %d on the new connection", status)
 	}
 	e.Stop()
--- a/internal/edge/scripted_engine_test.go
+++ b/internal/edge/scripted_engine_test.go
@@ -14,14 +14,14 @@
 
 // scriptedEngine is a fake engine of the platform whose responses a test defines byte for byte.
 type scriptedEngine struct {
-	addr        string
-	mu          sync.Mutex
-	requests    []string // method, path and name of each request
-	reply       func(n int, r *http.Request) (wire string, disconnect bool)
-	singleUse   bool   // a second request on a connection closes it
-	trailer     string // sent some milliseconds after each response to a chat request
-	closeOnName string // the connection is closed without a response to the first request with this name
-	connections map[net.Conn]bool
+	addr             string
+	mu               sync.Mutex
+	requests         []string // method, path and name of each request
+	reply            func(n int, r *http.Request) (wire string, disconnect bool)
+	singleUse        bool   // a second request on a connection closes it
+	trailer          string // sent some milliseconds after each response to a chat request
+	closeOnRequestID string // the connection is closed without a response to the first request with this ID
+	connections      map[net.Conn]bool
 }
 
 // newScriptedEngine starts an engine at an IP address of 127.0.0.0/8, the range that the platform uses for engines.
@@ -59,9 +59,9 @@
 		e.mu.Lock()
 		e.requests = append(e.requests, r.Method+" "+r.URL.Path+" "+r.Header.Get("Request-Id"))
 		n := len(e.requests)
-		closeNow := e.closeOnName != "" && e.closeOnName == r.Header.Get("Request-Id")
+		closeNow := e.closeOnRequestID != "" && e.closeOnRequestID == r.Header.Get("Request-Id")
 		if closeNow {
-			e.closeOnName = ""
+			e.closeOnRequestID = ""
 		}
 		e.mu.Unlock()
 		if closeNow {
@@ -94,11 +94,11 @@
 	return count
 }
 
-// closeOnRequest makes the engine close the connection without a response to the next request with the given name.
-func (e *scriptedEngine) closeOnRequest(name string) {
+// closeOnRequest makes the engine close the connection without a response to the next request with the given ID.
+func (e *scriptedEngine) closeOnRequest(requestID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.closeOnName = name
+	e.closeOnRequestID = requestID
 }
 
 // closeAll closes all connections.
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -92,11 +92,11 @@
 }
 
 // answerControlRequest performs a control request and sends its response.
-func (c *connection) answerControlRequest(perform func()) {
+func (c *connection) answerControlRequest(execute func()) {
 	r, em := c.request, c.router.emulation
 	em.scheduleAfter(networkDelay, func() {
 		c.engine.respond(c.engine.incarnation, func() {
-			perform()
+			execute()
 			r.complete(responseHead(http.StatusOK, c.engine.loadReport()), []byte("{}"))
 		})
 	})
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -27,7 +27,7 @@
 // of day. The error is of type script.Faults.
 func ParseExperiment(name string, text []byte) (*Experiment, error) {
 	p := &experimentParser{experiment: &Experiment{Seeds: defaultSeeds}, scenario: Defaults()}
-	functions := map[string]script.Function{"day": p.day, "engine": p.engine, "route": p.route, "trouble": p.trouble, "arm": p.arm}
+	functions := map[string]script.Function{"day": p.experimentSettings, "engine": p.engine, "route": p.route, "trouble": p.fault, "arm": p.arm}
 	if err := script.Run(name, text, functions, p.completeArms); err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-func (p *experimentParser) day() ([]script.Argument, func(script.ReportFault)) {
+func (p *experimentParser) experimentSettings() ([]script.Argument, func(script.ReportFault)) {
 	return append(scenarioArguments(&p.scenario),
 		script.Number("length", &p.scenario.Length, 1, 36000),
 		script.Number("seeds", &p.experiment.Seeds, 1, 1000)), nil
@@ -94,7 +94,7 @@
 	}, func(script.ReportFault) { p.routes = append(p.routes, r) }
 }
 
-func (p *experimentParser) trouble() ([]script.Argument, func(script.ReportFault)) {
+func (p *experimentParser) fault() ([]script.Argument, func(script.ReportFault)) {
 	f := Fault{Duration: 10 * time.Second, Magnitude: 0.25}
 	return []script.Argument{
 		script.OneOf("kind", &f.Kind, FaultKinds...).Required(),
--- a/internal/fake/platformengine/attempts.go
+++ b/internal/fake/platformengine/attempts.go
@@ -53,7 +53,7 @@
 	<-e.slots
 	e.fleet.reserve(e, requestID)
 	if r.Context().Err() != nil {
-		e.fleet.callBeforeNotice(requestID)
+		e.fleet.callBeforeCloseDetected(requestID)
 		return
 	}
 	w.Header().Set(platform.HeaderLoadReport, loadReport)
@@ -68,7 +68,7 @@
 	case e.slots <- struct{}{}:
 		defer func() { <-e.slots }()
 	case <-r.Context().Done():
-		e.fleet.callBeforeNotice(requestID)
+		e.fleet.callBeforeCloseDetected(requestID)
 		return
 	}
 	if !e.fleet.fetchReservation(e, requestID, attempt) {
--- a/internal/fake/platformengine/fleet.go
+++ b/internal/fake/platformengine/fleet.go
@@ -19,9 +19,9 @@
 
 // Fleet is a group of engines with common records of the requests that have reached them.
 type Fleet struct {
-	// BeforeNotice, if set, is called before an engine notices that a router has closed the connection of an attempt. The channel is
-	// closed once a release of the request has reached any engine. BeforeNotice must be set before Start.
-	BeforeNotice func(request string, released <-chan struct{})
+	// BeforeCloseDetected, if set, is called before an engine detects that a router has closed the connection of an attempt.
+	// The channel is closed once a release of the request has reached any engine. The field must be set before Start.
+	BeforeCloseDetected func(request string, released <-chan struct{})
 
 	log      *audit.Log
 	mu       sync.Mutex
@@ -110,7 +110,7 @@
 	}
 }
 
-// RouterClosed records that a router has closed the connection from this address to an engine, which may not have noticed the
+// RouterClosed records that a router has closed the connection from this address to an engine, which may not have detected the
 // close yet. All attempts on the connection have ended.
 func (f *Fleet) RouterClosed(engineID, routerAddr string) {
 	f.mu.Lock()
@@ -124,15 +124,16 @@
 	}
 }
 
-// callBeforeNotice calls BeforeNotice for a request. An engine calls it when the router has closed an attempt's connection.
-func (f *Fleet) callBeforeNotice(requestID string) {
-	if f.BeforeNotice == nil {
+// callBeforeCloseDetected calls BeforeCloseDetected for a request. An engine calls it when the router has closed an
+// attempt's connection.
+func (f *Fleet) callBeforeCloseDetected(requestID string) {
+	if f.BeforeCloseDetected == nil {
 		return
 	}
 	f.mu.Lock()
 	released := f.requestState(requestID).released
 	f.mu.Unlock()
-	f.BeforeNotice(requestID, released)
+	f.BeforeCloseDetected(requestID, released)
 }
 
 func (f *Fleet) reserve(e *Engine, requestID string) {
--- a/internal/fake/platformengine/fleet_test.go
+++ b/internal/fake/platformengine/fleet_test.go
@@ -67,12 +67,12 @@
 	}
 }
 
-func TestBeforeNoticeIsCalledForDisconnectedAttempt(t *testing.T) {
+func TestBeforeCloseDetectedIsCalledForDisconnectedAttempt(t *testing.T) {
 	fleet := NewFleet(&audit.Log{})
-	noticed := make(chan string, 1)
-	fleet.BeforeNotice = func(requestID string, released <-chan struct{}) {
+	requestIDs := make(chan string, 1)
+	fleet.BeforeCloseDetected = func(requestID string, released <-chan struct{}) {
 		<-released
-		noticed <- requestID
+		requestIDs <- requestID
 	}
 	_, decode := startPair(t, fleet)
 	decode.slots <- struct{}{}
@@ -91,8 +91,8 @@
 		t.Fatal("attempt without a slot got a response")
 	}
 	send(t, decode, http.MethodDelete, platform.ReservationsPath+"n-1", "")
-	if got := <-noticed; got != "n-1" {
-		t.Errorf("BeforeNotice called for %q, want n-1", got)
+	if got := <-requestIDs; got != "n-1" {
+		t.Errorf("BeforeCloseDetected called for %q, want n-1", got)
 	}
 }
 
--- a/internal/fluidmodel/fleet.go
+++ b/internal/fluidmodel/fleet.go
@@ -127,13 +127,13 @@
 
 // removePrefillEngines permanently drains all prefill engines but one.
 func (f *fleet) removePrefillEngines() {
-	kept := false
+	hasKeptOne := false
 	for i, engine := range f.engines {
 		if engine.role != planapi.Prefill {
 			continue
 		}
-		if !kept {
-			kept = true
+		if !hasKeptOne {
+			hasKeptOne = true
 			continue
 		}
 		engine.removed = true
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -93,11 +93,11 @@
 		if !prior.ended {
 			m.report(ConcurrentAttempts, record.Name, "attempts %d and %d", i, attempt.Index)
 		}
-		apart := time.Duration(attempt.WrittenAt - prior.writtenAt)
+		interval := time.Duration(attempt.WrittenAt - prior.writtenAt)
 		mayHaveRun := prior.decode && !prior.neverRan
-		forgotten := record.Effect == Deduped && apart >= record.DedupWindow
+		forgotten := record.Effect == Deduped && interval >= record.DedupWindow
 		if attempt.Decode && mayHaveRun && (record.Effect == NonRetriable || forgotten) {
-			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, apart)
+			m.report(ExecutedTwice, record.Name, "attempts %d and %d, %v apart", i, attempt.Index, interval)
 		}
 	}
 }
--- a/internal/modelcheck/plannerengine.go
+++ b/internal/modelcheck/plannerengine.go
@@ -7,19 +7,19 @@
 
 // simulatedEngine is the actual state of an engine that can change its role.
 type simulatedEngine struct {
-	name          string
-	role          string
-	claimedRole   string // role that the engine reports
-	epoch         int64
-	term          int64
-	loading       bool
-	draining      bool
-	loadingStuck  bool // loading never ends
-	keepsOldRole  bool // the engine reports the new role and keeps the old one
-	openRequests  int
-	requestsStuck bool // open requests never end
-	incarnation   int64
-	roleByEpoch   map[int64]string // actual role in each epoch
+	name             string
+	role             string
+	claimedRole      string // role that the engine reports
+	epoch            int64
+	term             int64
+	loading          bool
+	draining         bool
+	loadingStuck     bool // loading never ends
+	reportsFalseRole bool // the engine reports the new role and keeps the old one
+	openRequests     int
+	requestsStuck    bool // open requests never end
+	incarnation      int64
+	roleByEpoch      map[int64]string // actual role in each epoch
 }
 
 func (e *simulatedEngine) report() planapi.EngineReport {
@@ -49,7 +49,7 @@
 
 func (e *simulatedEngine) finishLoading() {
 	e.loading = false
-	if !e.keepsOldRole {
+	if !e.reportsFalseRole {
 		e.role = e.claimedRole
 	}
 	e.roleByEpoch[e.epoch] = e.role
@@ -75,7 +75,7 @@
 // matchesRecord reports whether the engine's state matches its record, or the engine is quarantined for its own fault.
 func (e *simulatedEngine) matchesRecord(r assignment.Record) bool {
 	if r.State == assignment.Quarantined {
-		return e.loadingStuck || e.keepsOldRole
+		return e.loadingStuck || e.reportsFalseRole
 	}
 	return r.State == assignment.Serving && r.Role == e.role && r.Epoch == e.epoch && !e.draining
 }
--- a/internal/modelcheck/plannerevents.go
+++ b/internal/modelcheck/plannerevents.go
@@ -42,7 +42,7 @@
 	for _, engine := range s.engines {
 		if s.stored[engine.name].State == assignment.Quarantined {
 			list.addNamed(FaultDisconnect, func() {
-				engine.loadingStuck, engine.keepsOldRole = false, false
+				engine.loadingStuck, engine.reportsFalseRole = false, false
 				s.applyOperatorOrder("readmit", engine.name)
 			}, "an operator repairs and readmits %s", engine.name)
 		}
@@ -89,8 +89,8 @@
 	if e.loading && !e.loadingStuck {
 		list.addNamed(noFault, e.finishLoading, "%s finishes loading", e.name)
 		list.addNamed(FaultUnresponsive, func() { e.loadingStuck = true }, "%s never finishes loading", e.name)
-		if !e.keepsOldRole && e.claimedRole != e.role {
-			list.addNamed(FaultGarbled, func() { e.keepsOldRole = true; e.finishLoading() }, "%s reports the new role and keeps the old one", e.name)
+		if !e.reportsFalseRole && e.claimedRole != e.role {
+			list.addNamed(FaultGarbled, func() { e.reportsFalseRole = true; e.finishLoading() }, "%s reports the new role and keeps the old one", e.name)
 		}
 	}
 	s.addCrashes(list, e)
--- a/internal/modelcheck/plannersim.go
+++ b/internal/modelcheck/plannersim.go
@@ -248,7 +248,7 @@
 		fmt.Fprintln(h, record)
 	}
 	for _, e := range s.engines {
-		fmt.Fprintln(h, e.role, e.claimedRole, e.epoch, e.term-s.term, e.loading, e.draining, e.loadingStuck, e.keepsOldRole, e.openRequests,
+		fmt.Fprintln(h, e.role, e.claimedRole, e.epoch, e.term-s.term, e.loading, e.draining, e.loadingStuck, e.reportsFalseRole, e.openRequests,
 			e.requestsStuck, e.incarnation)
 	}
 	fmt.Fprintf(h, "%v %v %v %v %v %v %v %v\n", s.running, s.ticksWithoutPlanner, len(s.queue), s.orders, s.trials, s.operatorMoves,
--- a/internal/planner/assignment/golden_test.go
+++ b/internal/planner/assignment/golden_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "explained.golden", string(data)+"\n")
-	var back Decision
-	if err := json.Unmarshal(data, &back); err != nil || !reflect.DeepEqual(back, last) {
+	var decoded Decision
+	if err := json.Unmarshal(data, &decoded); err != nil || !reflect.DeepEqual(decoded, last) {
 		t.Errorf("%v: decoded decision differs from the encoded one", err)
 	}
 }
--- a/internal/planner/assignment/skew.go
+++ b/internal/planner/assignment/skew.go
@@ -54,15 +54,15 @@
 	if s.role != role {
 		return min(gainingSeconds, maxSkewForecast.Seconds())
 	}
-	lasted := time.Duration(now - s.startedAt)
+	elapsed := time.Duration(now - s.startedAt)
 	total, longerSkews := 0.0, 0
 	for _, duration := range s.durations[role] {
-		if duration > lasted {
-			total, longerSkews = total+seconds(duration-lasted), longerSkews+1
+		if duration > elapsed {
+			total, longerSkews = total+seconds(duration-elapsed), longerSkews+1
 		}
 	}
 	if longerSkews > 0 {
 		return min(total/float64(longerSkews), maxSkewForecast.Seconds())
 	}
-	return min(seconds(lasted), maxSkewForecast.Seconds())
+	return min(seconds(elapsed), maxSkewForecast.Seconds())
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -188,12 +188,12 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "shown.golden", string(data)+"\n")
-	var back Status
-	if err := json.Unmarshal(data, &back); err != nil {
+	var decoded Status
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	status.Engines[0].Report.Engine = "" // the address is not sent
-	if !reflect.DeepEqual(back, status) {
+	if !reflect.DeepEqual(decoded, status) {
 		t.Error("decoded status differs from the encoded one")
 	}
 }
--- a/internal/protocol/httpframing/parser_test.go
+++ b/internal/protocol/httpframing/parser_test.go
@@ -115,11 +115,11 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 9)
 	f.Fuzz(func(t *testing.T, wire []byte, cut int) {
 		for _, direction := range []Direction{Requests, Responses} {
-			whole, _, errWhole := parseSlices(direction, wire)
+			unsplitBodies, _, errUnsplit := parseSlices(direction, wire)
 			cut := min(len(wire), max(0, cut))
-			parts, parser, errParts := parseSlices(direction, wire[:cut], wire[cut:])
-			if (errWhole == nil) != (errParts == nil) || fmt.Sprint(whole) != fmt.Sprint(parts) {
-				t.Fatalf("split at %d: bodies %q, error %v; in one part: %q, %v", cut, parts, errParts, whole, errWhole)
+			splitBodies, parser, errSplit := parseSlices(direction, wire[:cut], wire[cut:])
+			if (errUnsplit == nil) != (errSplit == nil) || fmt.Sprint(unsplitBodies) != fmt.Sprint(splitBodies) {
+				t.Fatalf("split at %d: bodies %q, error %v; in one part: %q, %v", cut, splitBodies, errSplit, unsplitBodies, errUnsplit)
 			}
 			if parser.Buffered() > smallLimits.HeadBytes+smallLimits.BodyBytes+4096 && parser.Buffered() > len(wire) {
 				t.Fatal("parser buffers more bytes than it was fed")
--- a/internal/protocol/platform/engine_test.go
+++ b/internal/protocol/platform/engine_test.go
@@ -47,9 +47,9 @@
 		if report == nil {
 			return
 		}
-		for _, figure := range []float64{report.MemoryShare, report.QueuedWork, report.RecentLatency.Seconds() * 1e3} {
-			if !(figure >= 0 && figure <= maxReportValue) {
-				t.Fatal(figure)
+		for _, value := range []float64{report.MemoryShare, report.QueuedWork, report.RecentLatency.Seconds() * 1e3} {
+			if !(value >= 0 && value <= maxReportValue) {
+				t.Fatal(value)
 			}
 		}
 	})
--- a/internal/reservation/table_test.go
+++ b/internal/reservation/table_test.go
@@ -23,7 +23,9 @@
 	start  = 1000 * second
 )
 
-func newTable(wholeRequest bool) *Table { return New(LimitsFor(limit, wholeRequest, 100)) }
+func newTable(releasesWholeRequest bool) *Table {
+	return New(LimitsFor(limit, releasesWholeRequest, 100))
+}
 
 // timesAt returns the times of an event that happens now, without an abandoned attempt.
 func timesAt(now int64) EventTimes { return EventTimes{Now: now, Since: now} }
@@ -122,18 +124,18 @@
 	}
 }
 
-// Where a release frees all reservations of a request, the release of a stray one must not free the one that is still to be
-// used. Where a release names one reservation, it need not wait.
-func TestStrayReservationWaitsForTheOneInUse(t *testing.T) {
-	for _, wholeRequest := range []bool{true, false} {
-		table := newTable(wholeRequest)
-		stray := table.Add(firstID, "r", PrefillLost, EventTimes{start, start, start + 3*second})
-		table.HandleDue(stray, start)
-		table.Acknowledge(stray, stray.Round, start)
-		used := table.Add(ID{"a", 1}, "r2", PrefillDone, timesAt(start+second/4))
-		action, _ := table.HandleDue(stray, start+second/2)
-		if wholeRequest && (action != NoAction || stray.DueAt != used.DueAt) || !wholeRequest && action != Release {
-			t.Errorf("releases whole request %v: action %v, due after %v", wholeRequest, action, time.Duration(stray.DueAt-start))
+// Where a release frees all reservations of a request, the release of an unneeded one must not free the one that is still
+// to be used. Where a release names one reservation, it need not wait.
+func TestUnneededReservationWaitsForTheOneInUse(t *testing.T) {
+	for _, releasesWholeRequest := range []bool{true, false} {
+		table := newTable(releasesWholeRequest)
+		unneeded := table.Add(firstID, "r", PrefillLost, EventTimes{start, start, start + 3*second})
+		table.HandleDue(unneeded, start)
+		table.Acknowledge(unneeded, unneeded.Round, start)
+		inUse := table.Add(ID{"a", 1}, "r2", PrefillDone, timesAt(start+second/4))
+		action, _ := table.HandleDue(unneeded, start+second/2)
+		if releasesWholeRequest && (action != NoAction || unneeded.DueAt != inUse.DueAt) || !releasesWholeRequest && action != Release {
+			t.Errorf("releases whole request %v: action %v, due after %v", releasesWholeRequest, action, time.Duration(unneeded.DueAt-start))
 		}
 	}
 }
@@ -188,8 +190,8 @@
 // until an engine acknowledges, and the table is eventually empty.
 func TestNoReservationIsLeftBehind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wholeRequest := rapid.Bool().Draw(t, "releases whole request")
-		table := newTable(wholeRequest)
+		releasesWholeRequest := rapid.Bool().Draw(t, "releases whole request")
+		table := newTable(releasesWholeRequest)
 		now, prefills := start, 0
 		events := []Event{AttemptSent, AttemptUnsent, AttemptRejected, AttemptAbandoned, Consumed, Unneeded}
 		horizon := int64(0)
--- a/internal/router/client_requests_test.go
+++ b/internal/router/client_requests_test.go
@@ -32,7 +32,7 @@
 // A client sends part of a second request while the first is served, and then stops. When the first request was answered,
 // the connection once counted as idle. It was not closed for a minute, and then never, as a connection with a partial
 // request is not closed as idle.
-func TestPartialRequestBehindAServedOne(t *testing.T) {
+func TestPartialRequestAfterServedOneTimesOut(t *testing.T) {
 	for _, event := range []admission.Event{admission.HeaderStarted, admission.HeaderComplete} {
 		b := newTestbed(t)
 		client, out := b.request("a1", "chat")
--- a/internal/router/control_requests_test.go
+++ b/internal/router/control_requests_test.go
@@ -10,7 +10,7 @@
 
 // A health check that fails because this machine has no descriptor left counts neither as timed out nor as failed at the
 // engine.
-func TestHealthCheckThatFailsLocally(t *testing.T) {
+func TestLocalHealthCheckFailureIsNotEngineFault(t *testing.T) {
 	b := newTestbed(t)
 	b.healthCheck("r")
 	conn := b.dials[0]
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -86,14 +86,14 @@
 func (e *endpointState) acceptList(list endpoint.List, now int64) endpoint.List {
 	e.history.latest, e.history.reapplyAt = list, 0
 	if list.Revision < e.history.newestRevision {
-		list.Entries = e.keepDrains(list.Entries, now)
+		list.Entries = e.withRecentDrains(list.Entries, now)
 	}
 	e.history.newestRevision = max(e.history.newestRevision, list.Revision)
 	return list
 }
 
-// keepDrains returns the entries of an older list, in which engines that were drained or removed recently are draining.
-func (e *endpointState) keepDrains(entries []endpoint.Entry, now int64) []endpoint.Entry {
+// withRecentDrains returns the entries of an older list, in which engines that were drained or removed recently are draining.
+func (e *endpointState) withRecentDrains(entries []endpoint.Entry, now int64) []endpoint.Entry {
 	entries = slices.Clone(entries)
 	for i := range entries {
 		entry := &entries[i]
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -23,7 +23,7 @@
 
 // When an engine is listed at another address, connections that are open or dialed to the old address must not be used:
 // another process may listen there.
-func TestEngineAtAnotherAddress(t *testing.T) {
+func TestConnectionsToOldAddressAreNotUsed(t *testing.T) {
 	publishMove := func(b *testbed) {
 		moved := entries(endpoint.Ready, 0)
 		moved[0].Address = "127.0.0.1:2"
--- a/internal/router/engine_connections.go
+++ b/internal/router/engine_connections.go
@@ -60,11 +60,11 @@
 	idle := r.config.Connections.IdleTimeout
 	switch {
 	case att != nil:
-		repeatable := !att.decode || r.isRetriable(att.request.route)
-		if !repeatable {
+		mayRunTwice := !att.decode || r.isRetriable(att.request.route)
+		if !mayRunTwice {
 			idle = r.config.Connections.NonIdempotentIdleTimeout
 		}
-		return r.connections.MaxReuseIdle(engine, r.now, idle, repeatable)
+		return r.connections.MaxReuseIdle(engine, r.now, idle, mayRunTwice)
 	case control.newConnection:
 		return 0
 	}
--- a/internal/router/engine_starts_test.go
+++ b/internal/router/engine_starts_test.go
@@ -9,7 +9,7 @@
 
 // Engines report their starts by wall clocks that may be stepped. An engine whose start is first reported while the router
 // runs counts as warming up, whatever the reported time, and each change of the reported time counts as a restart.
-func TestStartsOnSteppedClocks(t *testing.T) {
+func TestRestartsAreDetectedDespiteSteppedClocks(t *testing.T) {
 	const now = int64(1_000_000_000) * nanosPerMilli
 	hour := int64(time.Hour) / nanosPerMilli
 	cases := map[string]struct {
--- a/internal/router/fingerprint.go
+++ b/internal/router/fingerprint.go
@@ -54,13 +54,13 @@
 			lines = append(lines, fmt.Sprintln("connection without a socket", state))
 			continue
 		}
-		carries := "nothing"
+		assigned := "nothing"
 		if conn.attempt != nil {
-			carries = fmt.Sprint("request ", conn.attempt.request.id, " attempt ", conn.attempt.index)
+			assigned = fmt.Sprint("request ", conn.attempt.request.id, " attempt ", conn.attempt.index)
 		} else if conn.control != nil {
-			carries = "control " + conn.control.describe()
+			assigned = "control " + conn.control.describe()
 		}
-		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, carries, conn.drainingResponseSince > 0,
+		lines = append(lines, fmt.Sprintln("connection", conn.Engine, state, r.now-since, assigned, conn.drainingResponseSince > 0,
 			conn.socket != nil, conn.reused, min(r.now-conn.writtenAt, staleConnectionWindow)))
 	}
 	return lines
--- a/internal/router/random_world_checks_test.go
+++ b/internal/router/random_world_checks_test.go
@@ -89,9 +89,9 @@
 	}
 	c.respondedAt = s.now
 	shed := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests
-	repeatable := c.route.Effect == "retriable" || c.route.Effect == "deduped" && c.route.DedupGroup == "all"
+	mayRunTwice := c.route.Effect == "retriable" || c.route.Effect == "deduped" && c.route.DedupGroup == "all"
 	ran := c.resumed || slices.ContainsFunc(c.attempts, func(a *receivedAttempt) bool { return !a.prefill && !a.neverRan })
-	if shed && ran && !repeatable {
+	if shed && ran && !mayRunTwice {
 		s.t.Fatalf("%s (%s): shed, though it may have run", c.name, c.route.Effect)
 	}
 }
--- a/internal/router/random_world_test.go
+++ b/internal/router/random_world_test.go
@@ -32,11 +32,11 @@
 	endpoints       map[string]endpoint.Entry
 	drainNotifiedAt map[string]int64 // since when engines are draining in the list or missing from it
 	reservations    []*simulatedReservation
-	// unnoticedCloses are connections that the router has closed with an attempt in flight, while the engine has not
-	// noticed the close.
-	unnoticedCloses []*simulatedConnection
-	unreachable     map[string]bool // partitioned engines; their connections stay open
-	delay           time.Duration   // how late the current event is handled, because the process did not run
+	// undetectedCloses are connections that the router has closed with an attempt in flight, while the engine has not
+	// detected the close.
+	undetectedCloses []*simulatedConnection
+	unreachable      map[string]bool // partitioned engines; their connections stay open
+	delay            time.Duration   // how late the current event is handled, because the process did not run
 }
 
 // simulatedClient is one client with one request.
@@ -140,7 +140,7 @@
 	e.closed = true
 	if e.method == http.MethodPost && e.attempt.inFlight {
 		e.attempt.cancelled = true
-		e.simulation.unnoticedCloses = append(e.simulation.unnoticedCloses, e)
+		e.simulation.undetectedCloses = append(e.simulation.undetectedCloses, e)
 	}
 }
 
@@ -151,12 +151,12 @@
 	})
 }
 
-// noticeCloses lets engines notice the connections that the router has closed.
-func (s *simulation) noticeCloses() {
-	for _, e := range s.unnoticedCloses {
+// detectCloses lets engines detect the connections that the router has closed.
+func (s *simulation) detectCloses() {
+	for _, e := range s.undetectedCloses {
 		e.loseAttempt()
 	}
-	s.unnoticedCloses = nil
+	s.undetectedCloses = nil
 }
 
 // loseAttempt ends the attempt in flight without a known outcome: a prefill may have completed at that moment.
@@ -197,6 +197,6 @@
 		for len(s.dialing) > 0 {
 			s.connect(0, true)
 		}
-		s.noticeCloses()
+		s.detectCloses()
 	}
 }
--- a/internal/router/reservations.go
+++ b/internal/router/reservations.go
@@ -170,10 +170,10 @@
 }
 
 // nextReleaseCandidate returns the first listed engine that is not excluded; empty if all are excluded.
-func (r *Router) nextReleaseCandidate(holder string, excluded map[string]bool) (next string) {
+func (r *Router) nextReleaseCandidate(reservingEngine string, excluded map[string]bool) (next string) {
 	isCandidate := func(engine string) bool { return !excluded[engine] && r.endpoints.isListed(engine) }
-	if isCandidate(holder) {
-		return holder
+	if isCandidate(reservingEngine) {
+		return reservingEngine
 	}
 	for engine := range r.endpoints.lastResponseAt {
 		if isCandidate(engine) && (next == "" || r.endpoints.respondedLater(engine, next)) {
--- a/internal/router/reservations_test.go
+++ b/internal/router/reservations_test.go
@@ -87,8 +87,8 @@
 	}
 	initialCount := b.countReleases("a1")
 	b.advance(600 * time.Millisecond)
-	if laterCount := b.countReleases("a1"); initialCount == 0 || laterCount <= initialCount {
-		t.Errorf("%d releases at first, %d in all after 0.7 s, want more", initialCount, laterCount)
+	if countAfterWait := b.countReleases("a1"); initialCount == 0 || countAfterWait <= initialCount {
+		t.Errorf("%d releases at first, %d in all after 0.7 s, want more", initialCount, countAfterWait)
 	}
 	if inFlight := b.core.InFlight(); inFlight.Reservations != 1 || inFlight.OldestReservation < 600*time.Millisecond {
 		t.Errorf("in flight: %+v, want one reservation that is at least 0.6 s old", inFlight)
@@ -106,8 +106,8 @@
 	}
 	b.answerFull(decode)
 	b.advance(10 * time.Millisecond)
-	if laterCount := b.countReleases("a1"); laterCount <= initialCount {
-		t.Errorf("%d releases before the decode engine rejects, %d after", initialCount, laterCount)
+	if countAfterRejection := b.countReleases("a1"); countAfterRejection <= initialCount {
+		t.Errorf("%d releases before the decode engine rejects, %d after", initialCount, countAfterRejection)
 	}
 }
 
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -58,7 +58,7 @@
 	var decodeLatencies []time.Duration
 	unknownCount := 0
 	for _, e := range decoders {
-		if p.isQuiet(e) {
+		if p.isIdle(e) {
 			unknownCount++
 		} else if latency, _ := p.latency(e, p.loadOf(e)); latency > 0 {
 			decodeLatencies = append(decodeLatencies, latency)
--- a/internal/routing/decode.go
+++ b/internal/routing/decode.go
@@ -51,7 +51,7 @@
 // this node.
 func (p *Policy) bestDecodeEngines(req *request) []*engine {
 	candidates := &p.decodeEngines
-	if !p.mayRetryAnywhere(req) { // must be filtered here: usableEngines does not call its filter for quiet engines
+	if !p.mayRetryAnywhere(req) { // must be filtered here: usableEngines does not call its filter for idle engines
 		forbidden := func(e *engine) bool { return !p.mayRetryOn(req, e) }
 		candidates = &engineGroup{engines: slices.DeleteFunc(slices.Clone(candidates.engines), forbidden)}
 	}
--- a/internal/routing/engine.go
+++ b/internal/routing/engine.go
@@ -10,7 +10,7 @@
 
 // engine is this node's record of one engine.
 type engine struct {
-	quiet                 bool // cached result of isQuiet; activity of the engine resets it
+	idle                  bool // cached result of isIdle; activity of the engine resets it
 	canPrefill, canDecode bool
 	warmingUpSince        time.Duration // when the engine last started; 0 if that was long ago
 	Endpoint
@@ -111,7 +111,7 @@
 		endpoint.Weight = 1
 	}
 	e.Endpoint, e.removedAt = endpoint, 0
-	e.quiet = false
+	e.idle = false
 	role := p.config.kind(endpoint.Kind).Role
 	e.canPrefill, e.canDecode = role != DecodeOnly, role != PrefillOnly
 }
@@ -121,7 +121,7 @@
 	if e == nil || report == nil {
 		return
 	}
-	e.quiet = false
+	e.idle = false
 	e.memoryShare, e.queuedWork, e.reportedAt = report.MemoryShare, report.QueuedWork, p.now
 	if report.HasRecentLatency {
 		e.latencySamples = appendBounded(e.latencySamples, sample{p.now, report.RecentLatency}, 64)
--- a/internal/routing/engine_load.go
+++ b/internal/routing/engine_load.go
@@ -58,7 +58,7 @@
 
 // addAttempt adds the last attempt of a request to those in flight at its engine.
 func (e *engine) addAttempt(req *request) {
-	e.quiet = false
+	e.idle = false
 	opened := openAttempt{req, len(req.attempts) - 1}
 	e.open.all, e.open.unanswered = append(e.open.all, opened), append(e.open.unanswered, opened)
 	if opened.attempt().decode {
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -82,10 +82,10 @@
 	for _, e := range tied {
 		nearest = min(nearest, distance(from, e))
 	}
-	suffices := func(e *engine) bool {
+	isNearestWithMemory := func(e *engine) bool {
 		return distance(from, e) == nearest && p.hasFreshLoad(e) && e.memoryShare < lowMemoryShare
 	}
-	if len(tied) < 2 || slices.ContainsFunc(tied, suffices) {
+	if len(tied) < 2 || slices.ContainsFunc(tied, isNearestWithMemory) {
 		p.random.skip(len(tied)) // the count of draws must not depend on the known load
 		return nil
 	}
@@ -101,7 +101,7 @@
 // nearestAtRandom returns the first two engines by rank, and the first one that is farther away than the nearest; if no
 // engine is farther away, the second again.
 func (p *Policy) nearestAtRandom(engines []*engine, from *engine, nearest int) []*engine {
-	first, second, farther := rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}
+	first, second, distant := rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}, rankedEngine{rank: math.Inf(1)}
 	for _, e := range engines {
 		engineDistance := distance(from, e)
 		ranked := rankedEngine{e, float64(engineDistance) + p.random.next()}
@@ -110,14 +110,14 @@
 		} else if ranked.rank < second.rank {
 			second = ranked
 		}
-		if engineDistance > nearest && ranked.rank < farther.rank {
-			farther = ranked
+		if engineDistance > nearest && ranked.rank < distant.rank {
+			distant = ranked
 		}
 	}
-	if farther.engine == nil {
-		farther = second
+	if distant.engine == nil {
+		distant = second
 	}
-	return []*engine{first.engine, second.engine, farther.engine}
+	return []*engine{first.engine, second.engine, distant.engine}
 }
 
 // requestLoadOf sends health checks to the engines whose load is unknown. Engines that are warming up are left out, as a
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -76,7 +76,7 @@
 	case Full:
 		// About the time in which a busy decode engine completes one answer.
 		const fullFor = 150 * time.Millisecond
-		e.fullUntil, e.quiet = p.now+fullFor, false
+		e.fullUntil, e.idle = p.now+fullFor, false
 	case TimedOut, NotConnected, ConnectionLost:
 		if !o.StaleConnection && req.state != ended && p.now < req.Deadline-p.deadlineMargin() {
 			p.recordFault(e)
@@ -110,7 +110,7 @@
 	if e == nil {
 		return
 	}
-	e.quiet = false
+	e.idle = false
 	e.latencySamples = appendBounded(e.latencySamples, sample{p.now, latency}, 64)
 	e.progressTimes, p.throughput.valid = appendBounded(e.progressTimes, p.now, 64), false
 	// Longer than any overload: an engine that had a fault and has not been healthy since may have restarted unnoticed.
--- a/internal/routing/outlier.go
+++ b/internal/routing/outlier.go
@@ -10,8 +10,8 @@
 	faultWindow = time.Minute
 	// faultMergeWindow is the time within which failures count as one fault, as one fault may break many attempts.
 	faultMergeWindow = 500 * time.Millisecond
-	// baseEjection is the ejection time after the first fault. It doubles with each further fault, up to three times.
-	baseEjection = 2 * time.Second
+	// baseEjectionTime is the ejection time after the first fault. It doubles with each further fault, up to three times.
+	baseEjectionTime = 2 * time.Second
 )
 
 // recordFault records a fault of an engine.
@@ -19,7 +19,7 @@
 	if len(e.faultTimes) == 0 || p.now-e.faultTimes[len(e.faultTimes)-1] > faultMergeWindow {
 		e.faultTimes = appendBounded(e.faultTimes, p.now, 6)
 	}
-	e.suspect, e.quiet = true, false
+	e.suspect, e.idle = true, false
 }
 
 // isSlow reports whether an engine takes three times as long for its prefill work as the median engine. The work is the
@@ -64,7 +64,7 @@
 }
 
 // usableEngines returns the engines of a group that fit and are healthy, in their order; if none is healthy, the least
-// unhealthy ones that fit. Quiet engines count as fitting without a call of fits.
+// unhealthy ones that fit. Idle engines count as fitting without a call of fits.
 func (p *Policy) usableEngines(req *request, group *engineGroup, fits func(*engine) bool) []*engine {
 	if p.isBudgetExhausted(group) {
 		return nil
@@ -77,9 +77,9 @@
 		switch {
 		case warmingUp && !p.withinSlowStartBudget(e):
 			exhausted++
-		case !warmingUp && p.isQuiet(e):
+		case !warmingUp && p.isIdle(e):
 			fitting = append(fitting, e)
-			baseline.faultless++
+			baseline.faultlessCount++
 		case fits(e):
 			fitting = append(fitting, e)
 			baseline.add(p, e)
@@ -101,7 +101,7 @@
 	healthy := make([]*engine, 0, len(engines))
 	for _, e := range engines {
 		failed := len(req.attempts) > 0 && req.hasFailedOn(e)
-		if !failed && (p.isQuiet(e) || p.isHealthy(req, e, p.loadOf(e), medianLatency, medianFaults)) {
+		if !failed && (p.isIdle(e) || p.isHealthy(req, e, p.loadOf(e), medianLatency, medianFaults)) {
 			healthy = append(healthy, e)
 		}
 	}
@@ -110,16 +110,16 @@
 
 // healthBaseline collects the latencies and faults of engines, against whose medians each engine is compared.
 type healthBaseline struct {
-	latencies []time.Duration // of the engines whose latency is known
-	faults    []int64         // fault counts of the engines that had faults
-	faultless int             // number of engines without faults
+	latencies      []time.Duration // of the engines whose latency is known
+	faults         []int64         // fault counts of the engines that had faults
+	faultlessCount int             // number of engines without faults
 }
 
 func (b *healthBaseline) add(p *Policy, e *engine) {
 	if faults := p.countSince(e.faultTimes, faultWindow); faults > 0 {
 		b.faults = append(b.faults, int64(faults))
 	} else {
-		b.faultless++
+		b.faultlessCount++
 	}
 	if latency, known := p.latency(e, p.loadOf(e)); known {
 		b.latencies = append(b.latencies, latency)
@@ -134,7 +134,7 @@
 }
 
 func (b *healthBaseline) medianFaults() float64 {
-	return float64(medianWithZeros(b.faults, b.faultless))
+	return float64(medianWithZeros(b.faults, b.faultlessCount))
 }
 
 // leastUnhealthy returns the engines that are not suspect and on which the request has not failed; if there are none, those
@@ -173,7 +173,7 @@
 // ejection returns how long an engine is ejected after its last fault.
 func (p *Policy) ejection(e *engine, medianFaults float64) time.Duration {
 	if excess := p.countSince(e.faultTimes, faultWindow) - medianFaults; excess > 0 {
-		return baseEjection << min(int(excess)-1, 3)
+		return baseEjectionTime << min(int(excess)-1, 3)
 	}
 	if e.suspect {
 		return faultMergeWindow
--- a/internal/routing/prefill.go
+++ b/internal/routing/prefill.go
@@ -60,7 +60,7 @@
 func (p *Policy) newPrefillChoice(req *request, ready []*engine) *prefillChoice {
 	c := &prefillChoice{policy: p, req: req, ready: ready, totalPrefills: 1}
 	for _, e := range ready {
-		if p.isQuiet(e) {
+		if p.isIdle(e) {
 			c.totalWeight += e.Weight
 			continue
 		}
@@ -75,7 +75,7 @@
 // weight returns the operator's weight of an engine, reduced for a latency above a fifth of the objective: load from other
 // nodes and slowness show only as latency.
 func (c *prefillChoice) weight(e *engine) float64 {
-	if c.policy.isQuiet(e) {
+	if c.policy.isIdle(e) {
 		return e.Weight
 	}
 	latency, _ := c.policy.latency(e, c.policy.loadOf(e))
--- a/internal/routing/quiet.go
+++ b/internal/routing/quiet.go
@@ -1,13 +1,13 @@
 package routing
 
-// isQuiet reports whether an engine has had no recent activity: no attempt is in flight there, and no latency, load or fault
-// of the engine counts any more. The health of a quiet engine need not be checked. Most engines of a large fleet are quiet.
+// isIdle reports whether an engine has had no recent activity: no attempt is in flight there, and no latency, load or fault
+// of the engine counts any more. The health of an idle engine need not be checked. Most engines of a large fleet are idle.
 //
-// Every activity of an engine has to reset its field quiet, since a quiet engine is not examined again.
-func (p *Policy) isQuiet(e *engine) bool { return e.quiet || p.updateQuiet(e) }
+// Every activity of an engine has to reset its field idle, since an idle engine is not examined again.
+func (p *Policy) isIdle(e *engine) bool { return e.idle || p.updateIdle(e) }
 
-func (p *Policy) updateQuiet(e *engine) bool {
-	e.quiet = len(e.open.all) == 0 && !e.suspect && e.fullUntil <= p.now &&
+func (p *Policy) updateIdle(e *engine) bool {
+	e.idle = len(e.open.all) == 0 && !e.suspect && e.fullUntil <= p.now &&
 		p.countSince(e.faultTimes, faultWindow) == 0 && !p.mayHaveLatency(e, engineLoad{})
-	return e.quiet
+	return e.idle
 }
--- a/internal/routing/reference_test.go
+++ b/internal/routing/reference_test.go
@@ -107,8 +107,8 @@
 		t.Fatalf("load of %s: %v and %v unreported, by a scan %v and %v", e.Engine, got, e.unreportedTokens(), load, unreported)
 	}
 	latency, known := p.latency(e, load)
-	if p.isQuiet(e) && (known || latency != 0 || e.suspect || len(e.open.all) > 0 || e.fullUntil > p.now || scanCount(p, e.faultTimes, faultWindow) > 0) {
-		t.Fatalf("%s counts as quiet: %+v, latency %v %v", e.Engine, e, latency, known)
+	if p.isIdle(e) && (known || latency != 0 || e.suspect || len(e.open.all) > 0 || e.fullUntil > p.now || scanCount(p, e.faultTimes, faultWindow) > 0) {
+		t.Fatalf("%s counts as idle: %+v, latency %v %v", e.Engine, e, latency, known)
 	}
 	if got, want := p.throughputOfRole(e), scanThroughput(p, e); got != want {
 		t.Fatalf("throughput of the role of %s: %v, by a scan %v", e.Engine, got, want)
@@ -246,13 +246,13 @@
 func TestThroughputOfAWarmingUpFleetIsCountedOncePerResponse(t *testing.T) {
 	for _, engines := range []int{100, 3200} {
 		n := newFleetNode(t, engines, 0.5)
-		before := n.policy.throughput.recounts
+		before := n.policy.throughput.version
 		const requests = 50
 		for range requests {
 			n.serve()
 		}
 		// A request has two responses. Each invalidates the count, and may do so once more when it is 20 s old.
-		if counted := n.policy.throughput.recounts - before; counted > 4*requests {
+		if counted := n.policy.throughput.version - before; counted > 4*requests {
 			t.Errorf("%d engines: all were counted %d times for %d requests", engines, counted, requests)
 		}
 	}
--- a/internal/routing/simulation_test.go
+++ b/internal/routing/simulation_test.go
@@ -310,7 +310,7 @@
 	s.step(ClientDisconnected{req.RequestID})
 }
 
-func TestRulesHoldInRandomRuns(t *testing.T) {
+func TestRoutingRulesHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -63,7 +63,7 @@
 // progress, the endpoint list changes, or the oldest progress leaves the throughput window.
 type throughputTable struct {
 	valid      bool
-	recounts   int // how often the table was computed so far
+	version    int // how often the table was computed so far
 	validUntil time.Duration
 	byRole     [roleCount]roleThroughput
 }
@@ -95,7 +95,7 @@
 
 // countThroughput computes the throughput from the records of all engines.
 func (p *Policy) countThroughput() throughputTable {
-	table := throughputTable{valid: true, recounts: p.throughput.recounts + 1, validUntil: math.MaxInt64}
+	table := throughputTable{valid: true, version: p.throughput.version + 1, validUntil: math.MaxInt64}
 	for _, e := range p.sortedEngines {
 		completed := p.countSince(e.progressTimes, throughputWindow)
 		if completed > 0 {
@@ -114,19 +114,19 @@
 // until the given time, unless throughput is recomputed before. It saves scans of the group, as requests that wait for an
 // engine retry often.
 type budgetExhaustion struct {
-	until    time.Duration
-	recounts int // of the throughput that it is based on
+	until             time.Duration
+	throughputVersion int // of the throughput that it is based on
 }
 
 // isBudgetExhausted reports whether all engines of a group are known to have no slow start budget left.
 func (p *Policy) isBudgetExhausted(group *engineGroup) bool {
 	throughputValid := p.throughput.valid && p.now < p.throughput.validUntil
-	return p.now < group.exhaustion.until && throughputValid && group.exhaustion.recounts == p.throughput.recounts
+	return p.now < group.exhaustion.until && throughputValid && group.exhaustion.throughputVersion == p.throughput.version
 }
 
 // budgetExhaustionOf returns the record for engines none of which has slow start budget left.
 func (p *Policy) budgetExhaustionOf(engines []*engine) budgetExhaustion {
-	exhaustion := budgetExhaustion{until: math.MaxInt64, recounts: p.throughput.recounts}
+	exhaustion := budgetExhaustion{until: math.MaxInt64, throughputVersion: p.throughput.version}
 	for _, e := range engines {
 		exhaustion.until = min(exhaustion.until, p.earliestBudgetAt(e))
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -20,7 +20,7 @@
 	for _, function := range []string{"listen", "node", "roster", "engine"} {
 		delete(functions, function) // the scenario sets these itself
 	}
-	functions["day"] = s.scriptDay
+	functions["day"] = s.scriptScenario
 	functions["edges"] = s.scriptEdges
 	functions["fleet"] = s.scriptFleet
 	functions["client"] = s.scriptClient
@@ -31,7 +31,7 @@
 	return s, nil
 }
 
-func (s *Scenario) scriptDay() ([]script.Argument, func(script.ReportFault)) {
+func (s *Scenario) scriptScenario() ([]script.Argument, func(script.ReportFault)) {
 	return []script.Argument{
 		script.Number("length", &s.Duration, 0.5, 3600),
 		script.Number("rate", &s.RequestRate, 0.1, 5000),
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -18,7 +18,7 @@
 	return []injector{
 		r.onRandomEdge(r.restartEdge), r.onRandomEdge(r.restartEdge), r.onRandomEdge(r.killEdge),
 		r.reloadGroup, r.reloadGroup, r.stallAgent, r.slowDownAgent,
-		r.stallEngine, r.resetEngineConnections, r.refuseEngineConnections, r.disturbEngineConnections, r.disturbEngineConnections,
+		r.stallEngine, r.resetEngineConnections, r.refuseEngineConnections, r.degradeEngineConnections, r.degradeEngineConnections,
 		r.replaceEngine, r.replaceEngine,
 		r.onRandomEdge(r.pauseEdge), r.onRandomEdge(r.exhaustDescriptors), r.onRandomEdge(r.interruptSystemCalls),
 		r.onRandomEdge(r.throttleEdge), r.replaceManyEngines, r.sendClientBurst,
--- a/internal/soak/network_faults.go
+++ b/internal/soak/network_faults.go
@@ -96,8 +96,8 @@
 	r.injectProxyFault(ctx, e, p, connectionsRefused, drawDuration(random, 100*time.Millisecond, time.Second))
 }
 
-// disturbEngineConnections cuts or garbles responses, or delays requests, on the connections to an engine.
-func (r *soakRun) disturbEngineConnections(ctx context.Context, random *rand.Rand) {
+// degradeEngineConnections cuts or garbles responses, or delays requests, on the connections to an engine.
+func (r *soakRun) degradeEngineConnections(ctx context.Context, random *rand.Rand) {
 	e, p := r.pickProxy(random)
 	fault := []proxyFault{responsesCut, responsesGarbled, requestsDelayed}[random.IntN(3)]
 	r.injectProxyFault(ctx, e, p, fault, drawDuration(random, 100*time.Millisecond, time.Second))
